--- a/tests/compatibility/datagrams.py
+++ b/tests/compatibility/datagrams.py
@@ -89,7 +89,7 @@
     writer = gossip.Writer("node-ä", [gossip.Key(SECRET)])
     out = []
     for incarnation, message, more in messages():
-        data = writer.write(incarnation, message, more)  # type: ignore[arg-type]
+        data = writer.write(incarnation, message, more)
         out.append({"bytes": data.hex(), "says": read(data)})
     return out
 
--- a/tests/compatibility/decision_streams.py
+++ b/tests/compatibility/decision_streams.py
@@ -242,5 +242,6 @@
 
 def stream(configuration: str, backend_count: int) -> Stream:
     """The stream of one configuration and size; its seed follows from both."""
-    seed = list(CONFIGURATIONS).index(configuration) * len(BACKEND_COUNTS) + BACKEND_COUNTS.index(backend_count)
-    return Stream(CONFIGURATIONS[configuration], backend_count, seed + 1)
+    row = list(CONFIGURATIONS).index(configuration)
+    seed = row * len(BACKEND_COUNTS) + BACKEND_COUNTS.index(backend_count) + 1
+    return Stream(CONFIGURATIONS[configuration], backend_count, seed)
--- /dev/null
+++ b/tests/compatibility/exported_names.py
@@ -0,0 +1,232 @@
+"""Names that other programs, stored files and operators see, collected from the version that runs."""
+
+from __future__ import annotations
+
+import asyncio
+import dataclasses
+import json
+import os
+import sys
+import typing
+from collections.abc import Iterator
+from enum import Enum
+from pathlib import Path
+from typing import Any
+
+import click
+import msgspec
+
+from dillport import cli
+from dillport import interface as api
+from dillport.decide import cuts, departure, kept, membership, peers, recovery
+from dillport.observe.metrics import Metrics
+from dillport.operators import Operators
+from dillport.proto import goes_by, gossip
+from dillport.store import files, piece
+from dillport.timeline import keys
+from dillport.timeline.watch import Watch
+from tests.helpers import BASE
+from tests.sockets import ROOT, Backend, Message, Rig, answer, running
+
+SERVERS = 3
+PEER_FIGURES = {
+    "states": {"alive": 2.0},
+    "events": {"failed": 3.0},
+    "datagrams": {"sent": 7.0},
+    "refused": {"code": 5.0},
+    "cuts": {"discovery": 1.0},
+    "disagreements": {"settings": 1.0},
+    "taken": {"drains": 1.0},
+    "shares": {"counted": 1.0},
+}
+
+
+def _values(kind: type[Enum]) -> list[Any]:
+    return [member.value for member in kind]
+
+
+def enum_values() -> dict[str, list[Any]]:
+    """Values of the enums that are exported or stored, by a name of this file."""
+    return {
+        "idempotency": _values(api.Effect),
+        "deduplication": _values(api.Group),
+        "phase": _values(api.Phase),
+        "update": _values(api.ListKind),
+        "status": _values(api.Status),
+        "reports": _values(api.Reports),
+        "reason": _values(api.Why),
+        "note": _values(api.What),
+        "event_step": _values(departure.Step),
+        "event_scope": _values(departure.Scope),
+        "event_signal": _values(departure.Signal),
+        "recovery_state": _values(recovery.State),
+        "recovery_end": _values(recovery.End),
+        "recovery_memory": _values(recovery.Memory),
+        "membership_state": _values(membership.State),
+        "peer_state": [member.name.lower() for member in peers.State],
+        "peer_state_number": _values(peers.State),
+        "message_kind_number": _values(peers.Kind),
+        "partition": _values(cuts.Verdict),
+        "store_fault": _values(files.Trouble),
+        "timeline_counters": list(keys.NAMES.values()),
+    }
+
+
+def stored_names() -> dict[str, Any]:
+    """Tables, the order of the fields of each row, and numbers of the file formats."""
+    rows: dict[str, type[msgspec.Struct]] = {
+        "self": kept.Self, "view": kept.Server, "ends": kept.End, "sources": kept.Source, "usual": kept.Usual,
+        "limit": kept.Limit, "weights": kept.Weight, "ejections": kept.Ejection,
+    }  # fmt: skip
+    return {
+        "tables": list(kept.TABLES),
+        "urgent": sorted(kept.URGENT),
+        "row_lengths": {name: len(msgspec.structs.fields(kind)) for name, kind in rows.items()},
+        "application_id": piece.APPLICATION,
+        "format": piece.FORMAT,
+        "gossip_version": gossip.VERSION,
+        "gossip_size": gossip.SIZE,
+        "sections": [
+            goes_by.GOES_BY, goes_by.COUNTED, goes_by.HALVES, goes_by.LEAF, goes_by.OUT, goes_by.SINCE,
+        ],
+    }  # fmt: skip
+
+
+def metric_names() -> dict[str, list[str]]:
+    """Label names of the samples of every metric that a node with all tables exposes."""
+    meter = recovery.Recovery(0.0)
+    metrics = Metrics(Watch(BASE, 8.0), meter, lambda: PEER_FIGURES)
+    watch = metrics.watch
+    send = api.Send("r1", "b1", 0.0, api.Why.LOWEST_BELOW_M, api.Why.FIRST_TRY, 3)
+    watch.saw(0.0, api.Arrival("r1", "read", 1_000.0), [send])
+    watch.saw(20.0, api.Outcome("r1", 0, "b1", api.Status.OK, 20.0, True), [])
+    out: dict[str, set[str]] = {}
+    for family in metrics.families():
+        found = out.setdefault(f"{family.name} {family.type}", set())
+        for sample in family.samples:
+            found |= {f"{sample.name}{{{','.join(sorted(sample.labels))}}}"}
+    return {name: sorted(samples) for name, samples in sorted(out.items())}
+
+
+def command_line() -> dict[str, list[str]]:
+    """Every command with its options and arguments."""
+    out: dict[str, list[str]] = {}
+
+    def walk(command: click.Command, path: str) -> None:
+        shown = [f"{'/'.join(one.opts)} {one.metavar or ''}".strip() for one in command.params]
+        out[path] = sorted(shown)
+        if isinstance(command, click.Group):
+            context = click.Context(command)
+            for name in command.list_commands(context):
+                inner = command.get_command(context, name)
+                assert inner is not None
+                walk(inner, f"{path} {name}".strip())
+
+    walk(cli.words, "")
+    return out
+
+
+def operator_keys() -> list[str]:
+    """Every key of the operators' file, by the path of its table."""
+
+    def fields(kind: Any, path: str) -> Iterator[str]:
+        hints = typing.get_type_hints(kind)
+        for field in dataclasses.fields(kind):
+            yield f"{path}{field.name}"
+            for inner in (hints[field.name], *typing.get_args(hints[field.name])):
+                if isinstance(inner, type) and dataclasses.is_dataclass(inner):
+                    yield from fields(inner, f"{path}{field.name}.")
+
+    return sorted(fields(Operators, ""))
+
+
+def shape(value: Any, path: str = "") -> Iterator[str]:
+    """Paths of the keys of a JSON value; keys of what was counted, and names of tables, count as `*`."""
+    if isinstance(value, dict) and value:
+        for key, inner in value.items():
+            is_name = path.endswith((".counts", ".tables"))
+            yield from shape(inner, f"{path}.{'*' if is_name else key}")
+    elif isinstance(value, list) and value:
+        for inner in value:
+            yield from shape(inner, f"{path}[]")
+    else:
+        yield path + ("[]" if isinstance(value, list) else "")
+
+
+async def _run(environment: dict[str, str], *words: str) -> list[Any]:
+    process = await asyncio.create_subprocess_exec(
+        sys.executable, "-m", "dillport", *words, cwd=ROOT, env=environment,
+        stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.PIPE,
+    )  # fmt: skip
+    out, errors = await process.communicate()
+    assert process.returncode == 0, (words, errors.decode())
+    text, found = out.decode().strip(), []
+    while text:
+        value, end = json.JSONDecoder().raw_decode(text)
+        found.append(value)
+        text = text[end:].lstrip()
+    return found
+
+
+async def _respond(backend: Backend, message: Message, writer: asyncio.StreamWriter) -> None:
+    writer.write(answer(b"ok"))
+
+
+async def _ask_all(rig: Rig, environment: dict[str, str], directory: Path) -> dict[str, list[str]]:
+    client = await rig.client()
+    for _ in range(30):
+        got = await client.ask("/read/x")
+        assert got.code == 200
+        await asyncio.sleep(0.1)
+    commands = {
+        "members": ["members", "--json"],
+        "timeline": ["timeline", "--json"],
+        "timeline server": ["timeline", "s0", "--json"],
+        "timeline class": ["timeline", "class:read", "--json"],
+        "timeline node": ["timeline", "node", "--json"],
+        "events": ["events", "--json"],
+        "peers": ["peers", "--json"],
+        "recovery": ["recovery", "--json"],
+        "state show": ["state", "show", "--directory", str(directory), "--json"],
+    }
+    return {name: sorted({path for told in await _run(environment, *words) for path in shape(told)})
+            for name, words in commands.items()}  # fmt: skip
+
+
+async def json_keys(folder: Path) -> dict[str, list[str]]:
+    """Key paths of the JSON of every command that asks a running node, or its directory after its end."""
+    directory = folder / "state"
+    directory.mkdir(mode=0o700)
+    (folder / "keys").write_text("00112233445566778899aabbccddeeff\n")
+    (folder / "keys").chmod(0o600)
+    settings = folder / "operators.toml"
+    settings.write_text(
+        f'[control]\nsocket = "{folder / "c.sock"}"\n[timeline]\nmemory_mb = 8\n'
+        f'[state]\ndirectory = "{directory}"\nevery = 1\n'
+        f'[peers]\nlisten = "127.0.0.1:0"\nseeds = ["127.0.0.1:9"]\nkey_file = "{folder / "keys"}"\n'
+    )
+    environment = {**os.environ, "DILLPORT_SETTINGS": str(settings)}
+    previous = os.environ.get("DILLPORT_SETTINGS")
+    os.environ["DILLPORT_SETTINGS"] = str(settings)
+    try:
+        async with running(folder, *[Backend(f"s{n}", _respond) for n in range(SERVERS)]) as rig:
+            out = await _ask_all(rig, environment, directory)
+        out["state show at rest"] = sorted(
+            set(shape((await _run(environment, "state", "show", "--directory", str(directory), "--json"))[0]))
+        )
+    finally:
+        os.environ.pop("DILLPORT_SETTINGS")
+        if previous is not None:
+            os.environ["DILLPORT_SETTINGS"] = previous
+    return out
+
+
+def static_names() -> dict[str, Any]:
+    """All but the JSON of running nodes."""
+    return {
+        "enum_values": enum_values(),
+        "stored": stored_names(),
+        "metrics": metric_names(),
+        "command_line": command_line(),
+        "operator_keys": operator_keys(),
+    }
--- a/tests/compatibility/record.py
+++ b/tests/compatibility/record.py
@@ -1,7 +1,8 @@
-"""Writes the fixtures anew: `python -m tests.compatibility.record decisions store datagrams`."""
+"""Writes the fixtures anew: `python -m tests.compatibility.record decisions store datagrams ...`."""
 
 from __future__ import annotations
 
+import asyncio
 import json
 import shutil
 import sys
@@ -10,7 +11,7 @@
 from pathlib import Path
 from typing import Any
 
-from tests.compatibility import datagrams, stored_data
+from tests.compatibility import datagrams, exported_names, stored_data
 from tests.compatibility import decision_streams as streams
 
 FIXTURES = Path(__file__).parent / "fixtures"
@@ -48,10 +49,18 @@
     return datagrams.write()
 
 
+def record_exported_names() -> dict[str, Any]:
+    """Names that others see, and the keys of the JSON that a running node and its directory give."""
+    with tempfile.TemporaryDirectory(prefix="n") as folder:
+        keys = asyncio.run(exported_names.json_keys(Path(folder)))
+    return {"static": exported_names.static_names(), "json_keys": keys}
+
+
 RECORDERS: dict[str, Callable[[], Any]] = {
     "decisions": record_decisions,
     "store": record_store,
     "datagrams": record_datagrams,
+    "exported_names": record_exported_names,
 }
 
 
--- a/tests/compatibility/test_recorded_decisions.py
+++ b/tests/compatibility/test_recorded_decisions.py
@@ -1,7 +1,7 @@
 """The decision module answers recorded event streams as the version before the renaming did, to the letter.
 
-`fixtures/decisions.json` was written by that version. A change that is meant to alter decisions writes it anew
-(`python -m tests.compatibility.record decisions`) and says so in its commit.
+`fixtures/decisions.json` was written by that version. A change that is meant to alter decisions writes it
+anew (`python -m tests.compatibility.record decisions`) and says so in its commit.
 """
 
 from __future__ import annotations
