--- a/balancer/__main__.py
+++ b/balancer/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m dillport`: the command line. Without words it starts one node, as the platform asks."""
+"""`python -m balancer`: the command line. Without words it starts one node, as the platform asks."""
 
 from __future__ import annotations
 
@@ -46,23 +46,23 @@
     """
     starts, settings = node_words(sys.argv[1:])
     if not starts:
-        from dillport.cli import main as words
+        from balancer.cli import main as words
 
         return words()
     hung_up = held_hangups()
     gc.disable()  # what is loaded stays: looking through it again and again finds nothing
-    if settings or os.environ.get("DILLPORT_SETTINGS"):
+    if settings or os.environ.get("BALANCER_SETTINGS") or os.environ.get("DILLPORT_SETTINGS"):
         from pathlib import Path
 
-        from dillport.net.start import start
+        from balancer.net.startup import start
 
         return start(Path(settings) if settings else None, BEGAN, hung_up)
-    from dillport.net import assemble
-    from dillport.net.config import read
+    from balancer.net import application as assemble
+    from balancer.net.config import read
 
     config, faults = read(os.environ)
     if config is None:
-        print(f"dillport: {'; '.join(faults)}", file=sys.stderr)
+        print(f"balancer: {'; '.join(faults)}", file=sys.stderr)
         return 2
     gc.enable()
     return assemble.run(config, hung_up=hung_up)
--- a/balancer/cli/__init__.py
+++ b/balancer/cli/__init__.py
@@ -26,15 +26,15 @@
 
 import click
 
-import dillport
-from dillport.cli.common import Trouble, settings_option
-from dillport.net.config import CONFIG
-from dillport.net.start import SETTINGS
+import balancer
+from balancer.cli.common import Trouble, settings_option
+from balancer.net.config import CONFIG
+from balancer.net.startup import SETTINGS
 
 MODULES = {  # of each word, in the order of the help
     "run": "node", "check": "node", "members": "members", "peers": "peers", "timeline": "timeline",
     "events": "timeline", "why": "timeline", "report": "timeline", "state": "state", "recovery": "state",
-    "lab": "lab", "demo": "lab",
+    "lab": "testbed", "demo": "testbed",
 }  # fmt: skip
 
 EPILOG = f"""\
@@ -57,7 +57,7 @@
 exit codes: 0 well; 1 a running node that cannot be asked;
             2 files or words that make no sense
 
-See deploy/dillport.toml for every key of the operators' settings.
+See deploy/operators.toml for every key of the operators' settings.
 """
 
 
@@ -72,14 +72,14 @@
         """The word of this very name: nothing is abbreviated."""
         if cmd_name not in MODULES:
             return None
-        found = getattr(import_module(f"dillport.cli.{MODULES[cmd_name]}"), cmd_name)
+        found = getattr(import_module(f"balancer.cli.{MODULES[cmd_name]}"), cmd_name)
         assert isinstance(found, click.Command)
         return found
 
 
 def _print_version(ctx: click.Context, param: click.Parameter, value: bool) -> None:
     if value and not ctx.resilient_parsing:
-        click.echo(f"dillport {_version()}")
+        click.echo(f"balancer {_version()}")
         ctx.exit()
 
 
@@ -99,7 +99,7 @@
     ctx.obj = settings
     if ctx.invoked_subcommand is not None:
         return 0
-    from dillport.cli.node import started
+    from balancer.cli.node import started
 
     return started(settings)
 
@@ -113,14 +113,14 @@
         if err.ctx is not None:
             pieces = err.ctx.command.collect_usage_pieces(err.ctx)
             print("usage:", err.ctx.command_path, *pieces, file=sys.stderr)
-        where = "dillport" if err.ctx is None else err.ctx.command_path
+        where = "balancer" if err.ctx is None else err.ctx.command_path
         print(f"{where}: error: {err.format_message()}", file=sys.stderr)
         return 2
     except Trouble as trouble:
         for line in trouble.lines:
-            print(f"dillport: {line}", file=sys.stderr)
+            print(f"balancer: {line}", file=sys.stderr)
         return trouble.code
-    except BrokenPipeError:  # as in `dillport members | head`
+    except BrokenPipeError:  # as in `balancer members | head`
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
         return 0
     return code
@@ -129,7 +129,7 @@
 def _carried_out(argv: list[str]) -> int:
     """As click's own `main` does, which would say and end all by itself."""
     try:
-        with words.make_context("dillport", argv) as ctx:
+        with words.make_context("balancer", argv) as ctx:
             return int(words.invoke(ctx))
     except click.exceptions.Exit as end:  # after --help or --version
         return end.exit_code
@@ -139,9 +139,9 @@
     from importlib import metadata
 
     try:
-        return metadata.version("dillport")
+        return metadata.version("snowloom-balancer")
     except metadata.PackageNotFoundError:  # run from its folder, not installed
-        return dillport.__version__
+        return balancer.__version__
 
 
 __all__ = ["SETTINGS", "main"]
--- a/balancer/cli/common.py
+++ b/balancer/cli/common.py
@@ -8,8 +8,8 @@
 
 import click
 
-from dillport.members import Address
-from dillport.net.start import SETTINGS
+from balancer.endpoints import Address
+from balancer.net.startup import SETTINGS
 
 PATH: click.Path = click.Path(path_type=Path)
 
--- a/balancer/cli/members.py
+++ b/balancer/cli/members.py
@@ -10,9 +10,17 @@
 
 import click
 
-from dillport.cli.common import PATH, Trouble, at, cell, columns, count, settings_option
-from dillport.net.config import read
-from dillport.net.start import read_operators
+from balancer.cli.common import (
+    PATH,
+    Trouble,
+    at,
+    cell,
+    columns,
+    count,
+    settings_option,
+)
+from balancer.net.config import read
+from balancer.net.startup import read_operators
 
 MEMBERS = "Show which servers the sources list, as a running node sees it."
 
@@ -39,7 +47,7 @@
 
 def _told(settings: Path | None, control: Path | None) -> dict[str, Any] | None:
     """What a running node says; None where there is none to ask, or none that answers by the settings."""
-    from dillport.net.control import ControlError, ask
+    from balancer.net.admin_socket import ControlError, ask
 
     if control is not None:
         try:
@@ -53,7 +61,7 @@
         try:
             return ask(operators.control.socket, "members")
         except ControlError as err:
-            print(f"dillport: {err}; what the files say instead:", file=sys.stderr)
+            print(f"balancer: {err}; what the files say instead:", file=sys.stderr)
     return None
 
 
--- a/balancer/cli/node.py
+++ b/balancer/cli/node.py
@@ -7,9 +7,15 @@
 
 import click
 
-from dillport.cli.common import Trouble, at, cell, count, settings_option
-from dillport.net.config import CONFIG, read
-from dillport.net.start import SETTINGS, read_operators, start
+from balancer.cli.common import (
+    Trouble,
+    at,
+    cell,
+    count,
+    settings_option,
+)
+from balancer.net.config import CONFIG, read
+from balancer.net.startup import SETTINGS, read_operators, start
 
 RUN = "Run one node until SIGTERM or SIGINT."
 CHECK = "Check the settings and the configuration, and say what is on."
@@ -24,8 +30,8 @@
 
 def started(settings: Path | None) -> int:
     """Run a node to its end; the exit code."""
-    from dillport.__main__ import held_hangups
-    from dillport.cli import BEGAN
+    from balancer.__main__ import held_hangups
+    from balancer.cli import BEGAN
 
     return start(settings, BEGAN, held_hangups())
 
--- a/balancer/cli/peers.py
+++ b/balancer/cli/peers.py
@@ -11,8 +11,15 @@
 
 import click
 
-from dillport.cli.common import PATH, Trouble, cell, columns, json_option, settings_option
-from dillport.net.start import read_operators
+from balancer.cli.common import (
+    PATH,
+    Trouble,
+    cell,
+    columns,
+    json_option,
+    settings_option,
+)
+from balancer.net.startup import read_operators
 
 WATCH_S = 1.0  # between two looks of `--watch`
 PEERS = "Show which other nodes are there, as a running node sees it."
@@ -27,7 +34,7 @@
 @json_option
 def peers(settings: Path | None, control: Path | None, watch: bool, as_json: bool) -> int:
     """The word."""
-    from dillport.net.control import ControlError, ask
+    from balancer.net.admin_socket import ControlError, ask
 
     if control is None:
         _, operators, wrong = read_operators(settings)
--- a/balancer/cli/state.py
+++ b/balancer/cli/state.py
@@ -9,11 +9,20 @@
 
 import click
 
-from dillport.cli.common import PATH, Trouble, Wrapped, cell, columns, count, json_option, settings_option
-from dillport.net.start import read_operators
+from balancer.cli.common import (
+    PATH,
+    Trouble,
+    Wrapped,
+    cell,
+    columns,
+    count,
+    json_option,
+    settings_option,
+)
+from balancer.net.startup import read_operators
 
 if TYPE_CHECKING:
-    from dillport.store.files import StoreFault
+    from balancer.store.files import StoreFault
 
 STATE = "Show, check or take away what a node keeps over a restart."
 SHOW = "Show what is there and what a start would believe."
@@ -38,8 +47,8 @@
 @json_option
 def show(settings: Path | None, directory: Path | None, as_json: bool) -> int:
     """The word."""
-    from dillport.store import inspect
-    from dillport.store.files import StoreFault
+    from balancer.store import inspect
+    from balancer.store.files import StoreFault
 
     try:
         told = inspect.show(_directory(settings, directory))
@@ -57,8 +66,8 @@
 @json_option
 def verify(settings: Path | None, directory: Path | None, as_json: bool) -> int:
     """The word."""
-    from dillport.store import inspect
-    from dillport.store.files import StoreFault
+    from balancer.store import inspect
+    from balancer.store.files import StoreFault
 
     where = _directory(settings, directory)
     try:
@@ -79,8 +88,8 @@
 @json_option
 def clear(settings: Path | None, directory: Path | None, yes: bool, as_json: bool) -> int:
     """The word."""
-    from dillport.store import inspect
-    from dillport.store.files import StoreFault
+    from balancer.store import inspect
+    from balancer.store.files import StoreFault
 
     where = _directory(settings, directory)
     if not yes:
@@ -107,7 +116,7 @@
 @json_option
 def recovery(settings: Path | None, control: Path | None, as_json: bool) -> int:
     """The word."""
-    from dillport.net.control import ControlError, ask
+    from balancer.net.admin_socket import ControlError, ask
 
     if control is None:
         _, operators, wrong = read_operators(settings)
@@ -137,7 +146,7 @@
     """The one that is named, or that of the settings."""
     missing = [name for name in ("msgspec", "apsw", "xxhash") if importlib.util.find_spec(name) is None]
     if missing:
-        raise Trouble(2, f"state: no package {', '.join(missing)}: the install `dillport[state]` has it")
+        raise Trouble(2, f"state: no package {', '.join(missing)}: the install `snowloom-balancer[state]` has it")
     if directory is not None:
         return str(directory)
     _, operators, wrong = read_operators(settings)
@@ -157,7 +166,7 @@
     node, owner = told["node"], told["owner"]
     print(f"{cell(told['directory'])}: memory {told['memory']}")
     if owner is not None:
-        print(f"held by process {owner}: dillport recovery asks the node")
+        print(f"held by process {owner}: balancer recovery asks the node")
     if node:
         print(f"node {cell(node['name'])}, life {node['incarnation']}, id {cell(node['id'])}")
     rows = [[cell(one.get(key)) for key in ("number", "bytes", "rows")] + [_said(one)]
--- a/balancer/cli/testbed.py
+++ b/balancer/cli/testbed.py
@@ -19,11 +19,11 @@
 
 import click
 
-import dillport
-from dillport.cli.common import PATH, Trouble
+import balancer
+from balancer.cli.common import PATH, Trouble
 
 SECONDS, LEAST = 20.0, 5.0  # how long a demo takes, and the shortest
-SCRIPTS = sorted(path.stem for path in Path(dillport.__file__).parent.glob("lab/scripts/*.toml"))
+SCRIPTS = sorted(path.stem for path in Path(balancer.__file__).parent.glob("testbed/scenarios/*.toml"))
 
 DEMO = "Run a small fleet on stand-ins and judge it."
 LAB = "Play scripts of faults on real processes; see lab --help."
@@ -35,13 +35,13 @@
 
 def _stand_ins(module: str) -> Any:
     """A module of the stand-ins; says so in plain words where it, or what it needs, is not there."""
-    name = f"dillport.lab.{module}"
+    name = f"balancer.testbed.{module}"
     try:
         return importlib.import_module(name)
     except ModuleNotFoundError as err:
         if err.name == "msgspec":
-            raise Trouble(2, "lab: no package msgspec: the install `dillport[timeline]` has it") from None
-        if err.name not in (name, "dillport.lab"):
+            raise Trouble(2, "lab: no package msgspec: the install `snowloom-balancer[timeline]` has it") from None
+        if err.name not in (name, "balancer.testbed"):
             raise
         raise Trouble(2, f"{module}: there is no {name} in this installation") from None
 
@@ -89,8 +89,8 @@
     if seeds < 1:
         raise click.UsageError(f"--seeds is {seeds}, it has to be 1 or more")
     if report is not None and importlib.util.find_spec("matplotlib") is None:
-        raise Trouble(2, "lab: no package matplotlib: the install `dillport[report]` has it")
-    lp, scripts = _stand_ins("play"), _stand_ins("script")
+        raise Trouble(2, "lab: no package matplotlib: the install `snowloom-balancer[report]` has it")
+    lp, scripts = _stand_ins("scenario_runner"), _stand_ins("scenario")
     import asyncio
 
     path, code = lp.found(script), 0
--- a/balancer/cli/timeline.py
+++ b/balancer/cli/timeline.py
@@ -17,9 +17,18 @@
 
 import click
 
-from dillport.cli.common import PATH, Trouble, Wrapped, cell, columns, count, json_option, settings_option
-from dillport.net.control import ControlError, ask
-from dillport.net.start import read_operators
+from balancer.cli.common import (
+    PATH,
+    Trouble,
+    Wrapped,
+    cell,
+    columns,
+    count,
+    json_option,
+    settings_option,
+)
+from balancer.net.admin_socket import ControlError, ask
+from balancer.net.startup import read_operators
 
 FOLLOW_S = 0.5  # between two questions of `events --follow`
 
@@ -104,7 +113,7 @@
 ) -> int:
     """The word."""
     if importlib.util.find_spec("matplotlib") is None:
-        raise Trouble(2, "report: no package matplotlib: the install `dillport[report]` has it")
+        raise Trouble(2, "report: no package matplotlib: the install `snowloom-balancer[report]` has it")
 
     def write(path: Path) -> None:
         try:
@@ -227,7 +236,7 @@
     while True:
         told = ask(path, "events", after=after)
         if told["missed"]:
-            print(f"dillport: {told['missed']} events were no longer kept", file=sys.stderr)
+            print(f"balancer: {told['missed']} events were no longer kept", file=sys.stderr)
         for event in told["events"]:
             print(json.dumps(event) if as_json else f"{clock(event['at'])}  {said(event)}")
         sys.stdout.flush()
@@ -267,7 +276,7 @@
 
 def write_report(path: Path, file: Path, more: dict[str, Any]) -> int:
     """Write the page; how many servers are on it. Raises OSError where the file cannot be written."""
-    from dillport.observe.page import LANES, page
+    from balancer.observability.html_report import LANES, page
 
     told = sorted(ask(path, "timeline", **more)["lines"], key=worst_first)
     rows = [row["name"] for row in told if row["scope"] == "server"]
--- /dev/null
+++ b/balancer/core/anomaly_detection/__init__.py
@@ -0,0 +1,1 @@
+"""Anomalies of backends, zones and classes against their baselines."""
--- a/balancer/core/anomaly_detection/detector.py
+++ b/balancer/core/anomaly_detection/detector.py
@@ -4,7 +4,7 @@
 `end`, which returns the events. It holds no clock and makes no I/O.
 
 Two kinds of test, both CUSUM (Page, Biometrika 1954; its delay against Lorden's bound, Annals 1971, is
-measured in benchmarks/departure.py):
+measured in benchmarks/anomaly_detection.py):
 
 - *Levels* (answer time by class, reported load) are logarithms. A row's mean is held against its peers now
   (the `RANK` part of their own running means, by kind, so that half of the fleet may depart and the rest
@@ -98,8 +98,8 @@
     BEGAN = "departure_began"
     CHANGED = "departure_changed"
     ENDED = "departure_ended"
-    BECAME = "recovery"  # no departure: the node itself is another state back (`decide/recovery`)
-    # Nor are these: what became of another node, or of this one among them (`Tell` in `decide/peers`).
+    BECAME = "recovery"  # no departure: the node itself is another state back (`core/recovery`)
+    # Nor are these: what became of another node, or of this one among them (`Tell` in `core/cluster/failure_detector`).
     PEER_JOINED = "peer_joined"
     PEER_SUSPECTED = "peer_suspected"
     PEER_FAILED = "peer_failed"
@@ -110,7 +110,7 @@
     PEER_YIELDED = "peer_yielded"
     PEER_RESUMED = "peer_resumed"
     PEER_FULL = "peer_full"
-    # What this node is cut off from, and what nodes disagree on (`Happened` in `decide/together`).
+    # What this node is cut off from, and what nodes disagree on (`Happened` in `core/cluster/gossip_coordinator`).
     CUT_BEGAN = "cut_began"
     CUT_ENDED = "cut_ended"
     DISAGREEMENT_BEGAN = "disagreement_began"
@@ -178,7 +178,7 @@
     evidence: dict[str, object]
 
     def json(self) -> dict[str, object]:
-        """One object of `dillport events --json`."""
+        """One object of `balancer events --json`."""
         return {
             "event": self.step.value, "id": self.id, "at": round(self.at_ms), "since": round(self.since_ms),
             "scope": self.scope.value, "subject": self.subject, "signal": self.signal.value,
--- a/balancer/core/cluster/anti_entropy.py
+++ b/balancer/core/cluster/anti_entropy.py
@@ -12,11 +12,11 @@
 from dataclasses import dataclass
 from hashlib import blake2b
 
-from dillport.members import Member
+from balancer.endpoints import Member
 
 LEVELS = 12
 LEAVES = 1 << LEVELS  # 10,000 entries: two or three a leaf
-DOWN = 3  # levels an answer goes down: benchmarks/views.py weighs 1 to 4
+DOWN = 3  # levels an answer goes down: benchmarks/node_state_gossip.py weighs 1 to 4
 MASK = (1 << 48) - 1
 DIGESTS, ENTRIES = 23, 13  # of a datagram: what fits 256 bytes beside names of 16
 ANSWERS = 16  # datagrams for one that came, at the most
--- a/balancer/core/cluster/failure_detector.py
+++ b/balancer/core/cluster/failure_detector.py
@@ -5,7 +5,7 @@
 what changed on the datagrams that go anyway (Das, Gupta, Motivala: "SWIM", 2002). From "Lifeguard" (Dadgar,
 Phillips, Currey, 2018): a node that is slow itself waits longer (local health), a suspicion ends sooner the
 more peers share it (dogpile), and whoever is written to is told first what is held against it (buddy).
-`benchmarks/peers.py` weighs each. What goes beyond the papers: the rest of each datagram is filled with
+`benchmarks/failure_detection.py` weighs each. What goes beyond the papers: the rest of each datagram is filled with
 entries in turn, so that a word lost everywhere is told again; each period one fallen peer or unheard seed is
 asked, so that cuts heal; a failure told of a peer heard just now begins a suspicion only; a node that stood
 still fails nobody before it was heard from again.
@@ -80,7 +80,7 @@
 
 
 class Message(NamedTuple):
-    """`words` as plain tuples, as `proto/gossip` reads and writes them."""
+    """`words` as plain tuples, as `protocol/gossip` reads and writes them."""
 
     kind: int
     seq: int
@@ -112,7 +112,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Stood:
-    """The own loop stood still (decide/pause.py)."""
+    """The own loop stood still (core/stall_detector.py)."""
 
     stood_ms: float
 
--- a/balancer/core/cluster/gossip_coordinator.py
+++ b/balancer/core/cluster/gossip_coordinator.py
@@ -1,8 +1,8 @@
-"""What a node does with its peers' words beside `decide/peers`: views, cuts, hearsay, shares, halves as one.
+"""What a node does with its peers' words beside `core/cluster/failure_detector`: views, cuts, hearsay, shares, halves as one.
 
 Whoever has the sockets hands in each right datagram's sections (`Came`), the state of the node each ROUND_MS
 (`Round`), and what the merge applied (`saw`); sections go out as bytes by the codec that it was given
-(`proto/goes_by`). A datagram counts only where its sender is there, at that address. Answers are bounded
+(`protocol/gossip_sections`). A datagram counts only where its sender is there, at that address. Answers are bounded
 by ANSWERS a round.
 """
 
@@ -13,14 +13,30 @@
 from random import Random
 from types import ModuleType
 
-from dillport.decide import cuts, hearsay, shares, views
-from dillport.decide.halves import Differ, Digests, Halves, Leaf
-from dillport.decide.membership import Apply, Listed, Source
-from dillport.decide.membership import State as Known
-from dillport.decide.peers import Peers, State
-from dillport.decide.spread import Turns
-from dillport.interface import Phase
-from dillport.members import Member
+from balancer.core.cluster import (
+    gossiped_removals as hearsay,
+)
+from balancer.core.cluster import (
+    node_state as views,
+)
+from balancer.core.cluster import (
+    partition_detector as cuts,
+)
+from balancer.core.cluster import (
+    quota_allocation as shares,
+)
+from balancer.core.cluster.anti_entropy import (
+    Differ,
+    Digests,
+    Halves,
+    Leaf,
+)
+from balancer.core.cluster.failure_detector import Peers, State
+from balancer.core.discovery.endpoint_merger import Apply, Listed, Source
+from balancer.core.discovery.endpoint_merger import State as Known
+from balancer.core.staggering import Turns
+from balancer.endpoints import Member
+from balancer.interface import Phase
 
 Sections = Sequence[tuple[int, bytes]]
 
--- a/balancer/core/cluster/gossiped_removals.py
+++ b/balancer/core/cluster/gossiped_removals.py
@@ -1,6 +1,6 @@
 """Drains and removals by peers' word, for a node whose own source is late or silent.
 
-A node that sees newer revisions told than its own asks its source at once (`Ask`, spread by `decide/spread`),
+A node that sees newer revisions told than its own asks its source at once (`Ask`, spread by `core/staggering`),
 and a few of those peers what drained or went since (`Question`). What they answer is their own source's word,
 with its revision, never what they were told. It is taken
 
@@ -13,7 +13,7 @@
 below for DISPROVED_MS, and no more than half of those that hear discovery stand by it, the word was wrong and
 is not taken again; where more do, the own source is the late one.
 
-What is taken goes to `decide/membership` as changes of a source of role "remove" (`PEERS`); one that is to
+What is taken goes to `core/discovery/endpoint_merger` as changes of a source of role "remove" (`PEERS`); one that is to
 be lifted is listed there as up, which adds nothing in that role.
 """
 
@@ -26,11 +26,11 @@
 from enum import Enum
 from random import Random
 
-from dillport.decide.membership import Listed, Role, Source
-from dillport.decide.spread import Turns
-from dillport.decide.views import NO_DISCOVERY, PEERS, Goes
-from dillport.interface import Phase
-from dillport.members import Listing, Member
+from balancer.core.cluster.node_state import NO_DISCOVERY, PEERS, Goes
+from balancer.core.discovery.endpoint_merger import Listed, Role, Source
+from balancer.core.staggering import Turns
+from balancer.endpoints import Listing, Member
+from balancer.interface import Phase
 
 NEWER_MS = 300.0  # after which a newer revision told is not just a moment's lag of the own source
 ASKED = 3  # peers asked a round
@@ -44,7 +44,7 @@
 
 
 class Rule(Enum):
-    """Whose word is enough; benchmarks/hearsay.py weighs them."""
+    """Whose word is enough; benchmarks/gossiped_removals.py weighs them."""
 
     NOBODY = "nobody"
     ONE = "any one"
--- a/balancer/core/cluster/node_state.py
+++ b/balancer/core/cluster/node_state.py
@@ -14,7 +14,7 @@
 
 The odd ones are those that differ from what most go by; where two are as many, both are named. A revision
 counts as seen when two nodes told it, where there are three: one that lies makes nobody else look late. What
-disagrees begins and ends by `decide/steady`, one event each.
+disagrees begins and ends by `core/hysteresis`, one event each.
 """
 
 from __future__ import annotations
@@ -27,9 +27,9 @@
 from random import Random
 from typing import NamedTuple
 
-from dillport.decide.membership import Source, State
-from dillport.decide.peers import INCARNATION_MAX, PEERS_MAX, _Rumours
-from dillport.decide.steady import Steady
+from balancer.core.cluster.failure_detector import INCARNATION_MAX, PEERS_MAX, _Rumours
+from balancer.core.discovery.endpoint_merger import Source, State
+from balancer.core.hysteresis import Steady
 
 ROUND_MS = 200.0
 FAN = 2  # peers a round
@@ -40,12 +40,12 @@
 SLOW = ("settings", "version", "order")  # old words look like these, where all change at once
 MARKS = 64  # of revisions seen, a source
 SHOWN = 8  # names of an event
-PEERS = "peers"  # the source of the merge that stands for them (`decide/hearsay`)
+PEERS = "peers"  # the source of the merge that stands for them (`core/cluster/gossiped_removals`)
 NO_DISCOVERY, BEHIND = 1, 2  # flags: no source of this node is in sync; it is late itself, and knows
 
 
 class Goes(NamedTuple):
-    """What a node goes by, in the order of the codec (`proto/goes_by`); `edition` rises with each change.
+    """What a node goes by, in the order of the codec (`protocol/gossip_sections`); `edition` rises with each change.
 
     `state`: the place of the state in `recovery.State`. `digest` 0: not to be compared, as where part of the
     list is still under way, remembered or told by peers. `files`: of the platform's settings and the
--- a/balancer/core/cluster/partition_detector.py
+++ b/balancer/core/cluster/partition_detector.py
@@ -5,7 +5,7 @@
 (they do not either). Where nobody is heard, or the peers themselves are silent, it is `UNKNOWN`.
 
 `MEANS` says what each means. Serving goes on in all, and the share of what is divided among the nodes
-(`decide/shares`) rises in none. Begins and ends are steady: what comes and goes each second is one cut.
+(`core/cluster/quota_allocation`) rises in none. Begins and ends are steady: what comes and goes each second is one cut.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
 from enum import Enum
 from typing import NamedTuple
 
-from dillport.decide.peers import Peers, State
-from dillport.decide.steady import Steady
-from dillport.decide.views import NO_DISCOVERY, Goes
+from balancer.core.cluster.failure_detector import Peers, State
+from balancer.core.cluster.node_state import NO_DISCOVERY, Goes
+from balancer.core.hysteresis import Steady
 
 BEGIN_MS, END_MS = 500.0, 1_500.0
 SUSPECT_MS = 1_500.0  # a peer suspect for so long is lost: with many nodes the failure comes later
@@ -58,7 +58,7 @@
     """What follows."""
 
     roles: Roles
-    drains: bool  # drains and removals are taken from peers (`decide/hearsay`)
+    drains: bool  # drains and removals are taken from peers (`core/cluster/gossiped_removals`)
 
 
 NOT_CUT = Means(Roles.KEEP, False)
--- a/balancer/core/cluster/quota_allocation.py
+++ b/balancer/core/cluster/quota_allocation.py
@@ -16,7 +16,7 @@
 it is sure, as whatever M was admitted by was told before BAR_MS were over; until then it divides by more. So
 all that take a share, M + 1 at most, divide by M + 1 at least.
 
-It rests on: a number is one node's (`decide/peers` names two that share one), G is the same, or greater,
+It rests on: a number is one node's (`core/cluster/failure_detector` names two that share one), G is the same, or greater,
 everywhere before a node of a new number starts, no datagram is over ACK_MS late, what was kept is kept, and
 not all G have forgotten a newcomer that none of them hears, for longer than BAR_MS.
 """
@@ -27,8 +27,8 @@
 from dataclasses import dataclass
 from math import ceil
 
-from dillport.decide.peers import SETTLE_MS
-from dillport.decide.recovery import BAR_MS
+from balancer.core.cluster.failure_detector import SETTLE_MS
+from balancer.core.recovery import BAR_MS
 
 FALL_MS = 60_000.0
 ACK_MS = 10_000.0
@@ -55,7 +55,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Left:
-    """A node said that it leaves; its own word, by itself or passed on (`decide/peers`)."""
+    """A node said that it leaves; its own word, by itself or passed on (`core/cluster/failure_detector`)."""
 
     number: int
     incarnation: int
--- a/balancer/core/cluster/report.py
+++ b/balancer/core/cluster/report.py
@@ -1,4 +1,4 @@
-"""What `dillport peers` says: who is there, in which state, since when, what each goes by, who disagrees on
+"""What `balancer peers` says: who is there, in which state, since when, what each goes by, who disagrees on
 what, what this node is cut off from, what it has taken from others.
 """
 
@@ -11,12 +11,12 @@
 from pathlib import Path
 from typing import Any
 
-from dillport.decide.membership import State as Known
-from dillport.decide.peers import Peers, State
-from dillport.decide.recovery import State as Back
-from dillport.decide.shares import Nodes
-from dillport.decide.together import Together
-from dillport.decide.views import BEHIND, NO_DISCOVERY, Goes
+from balancer.core.cluster.failure_detector import Peers, State
+from balancer.core.cluster.gossip_coordinator import Together
+from balancer.core.cluster.node_state import BEHIND, NO_DISCOVERY, Goes
+from balancer.core.cluster.quota_allocation import Nodes
+from balancer.core.discovery.endpoint_merger import State as Known
+from balancer.core.recovery import State as Back
 
 SHOWN = 64  # servers that are out by others' word
 BACK, KNOWN = ([one.value for one in kind] for kind in (Back, Known))
--- a/balancer/core/discovery/endpoint_merger.py
+++ b/balancer/core/discovery/endpoint_merger.py
@@ -27,8 +27,13 @@
 from enum import Enum
 from itertools import islice
 
-from dillport.interface import ListKind, Phase
-from dillport.members import Address, Fault, Listing, Member
+from balancer.endpoints import (
+    Address,
+    Fault,
+    Listing,
+    Member,
+)
+from balancer.interface import ListKind, Phase
 
 SLICE = 500  # entries of a whole list that are looked at in one go
 NEWS = 125  # the same, where each is a change, or the list is of over LARGE servers
@@ -489,7 +494,7 @@
     def _left_out(self, said: list[str]) -> None:
         self._out += [Say(text) for text in said[:MAX_SAID]]
         if len(said) > MAX_SAID:
-            self._out.append(Say(f"{len(said) - MAX_SAID} more left out like these; see dillport members"))
+            self._out.append(Say(f"{len(said) - MAX_SAID} more left out like these; see balancer members"))
 
     def _mass(self, source: Source, gone: int, before: int) -> None:
         if source.pieces:
--- a/balancer/core/discovery/etcd_watcher.py
+++ b/balancer/core/discovery/etcd_watcher.py
@@ -30,7 +30,7 @@
 count is twice as far off: a gateway that cannot count must not have all nodes read all of it for good.
 
 Where the operators say how many whole lists their cluster bears, each is asked for at the node's *turn*
-(`decide/spread`). Before its first list a node does not even connect until then. Later, after a compaction or
+(`core/staggering`). Before its first list a node does not even connect until then. Later, after a compaction or
 a count that does not fit, it goes on by a watch: from the present on where the old one is of no use, so that
 only what fell into the *gap* waits for the list. What was asked for in vain is asked for at a later turn, and
 what was refused at no other endpoint before.
@@ -47,11 +47,16 @@
 from enum import Enum
 from urllib.parse import urlsplit
 
-from dillport import interface as api
-from dillport.decide.backoff import Backoff
-from dillport.decide.membership import Heard, Listed, Refused, Silenced
-from dillport.decide.spread import Turns
-from dillport.members import Fault, Listing, Member
+from balancer import interface as api
+from balancer.core.backoff import Backoff
+from balancer.core.discovery.endpoint_merger import (
+    Heard,
+    Listed,
+    Refused,
+    Silenced,
+)
+from balancer.core.staggering import Turns
+from balancer.endpoints import Fault, Listing, Member
 
 CHECK_MS = 1000.0  # between two checks of the endpoint in use
 CHECK_WAIT_MS = 1500.0  # for a check's answer
--- a/balancer/core/discovery/merge_report.py
+++ b/balancer/core/discovery/merge_report.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from dillport.decide.membership import Membership
+from balancer.core.discovery.endpoint_merger import Membership
 
 
 def report(membership: Membership) -> dict[str, Any]:
--- a/balancer/core/discovery/platform_watcher.py
+++ b/balancer/core/discovery/platform_watcher.py
@@ -13,7 +13,7 @@
 import random
 from dataclasses import dataclass
 
-from dillport.decide.backoff import Backoff
+from balancer.core.backoff import Backoff
 
 FIRST_MS, MOST_MS = 100.0, 2000.0  # waits before a new try, doubled with each failure, jittered
 # Of the time to obey a drain, where lists are pushed: a call's patience, from its beginning to its answer's,
--- a/balancer/core/persistence/persisted_state.py
+++ b/balancer/core/persistence/persisted_state.py
@@ -25,7 +25,7 @@
 
 import msgspec
 
-from dillport.members import Fault, Listing, Member
+from balancer.endpoints import Fault, Listing, Member
 
 TABLES = ("self", "ends", "view", "sources", "usual", "limit", "weights", "ejections")
 URGENT = frozenset({"self", "ends"})
--- a/balancer/core/persistence/write_behind.py
+++ b/balancer/core/persistence/write_behind.py
@@ -19,7 +19,14 @@
 
 import msgspec
 
-from dillport.decide.kept import URGENT, End, Kept, Self, Server, Source
+from balancer.core.persistence.persisted_state import (
+    URGENT,
+    End,
+    Kept,
+    Self,
+    Server,
+    Source,
+)
 
 GROUP_MS = 50.0
 BATCH = 250  # changes of one write, about 1 ms of the loop
--- a/balancer/core/recovery.py
+++ b/balancer/core/recovery.py
@@ -184,7 +184,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StoodStill:
-    """The process did not run for so long (`decide/pause`)."""
+    """The process did not run for so long (`core/stall_detector`)."""
 
     stood_ms: float
 
--- a/balancer/core/shutdown_deadlines.py
+++ b/balancer/core/shutdown_deadlines.py
@@ -12,8 +12,8 @@
 
 from dataclasses import dataclass
 
-from dillport.decide.pause import SETTLE_MS
-from dillport.interface import Settings
+from balancer.core.stall_detector import SETTLE_MS
+from balancer.interface import Settings
 
 MOST_MS = 3_000.0  # of the longest deadline; what may wait for longer is failed at the end
 ACCEPT_MS = 500.0  # after the signal: over the 0.4 s in which connections come
--- a/balancer/endpoints.py
+++ b/balancer/endpoints.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from functools import lru_cache
 
-from dillport import interface as api
+from balancer import interface as api
 
 PHASES = {
     "in_service": api.Phase.UP,
--- a/balancer/net/admin_socket.py
+++ b/balancer/net/admin_socket.py
@@ -25,7 +25,7 @@
 from typing import TYPE_CHECKING, Any
 
 if TYPE_CHECKING:
-    from dillport.operators import Operators
+    from balancer.operator_settings import Operators
 
 log = logging.getLogger(__name__)
 
--- a/balancer/net/application.py
+++ b/balancer/net/application.py
@@ -1,10 +1,10 @@
 """Puts one node together and runs it: parts, signals, exit code. The only module that imports them all.
 
-- `run`: what `dillport run` does once its files are read.
+- `run`: what `balancer run` does once its files are read.
 - `serve`: the node from its first connection to its last answer.
 
 A node is started anew under load, with hundreds of others: what only the operators' file switches on is
-loaded by that file alone, and `tests/test_start.py` holds what the rest may load.
+loaded by that file alone, and `tests/system/test_startup_cost.py` holds what the rest may load.
 """
 
 from __future__ import annotations
@@ -21,22 +21,28 @@
 
 import uvloop
 
-from dillport.decide.admission import LEAST_SOCKETS, SPARE, places, shares, unread_budget
-from dillport.decide.membership import Listed, Source
-from dillport.net import clock
-from dillport.net.config import Config, ConfigError, load
-from dillport.net.fleet import Fleet
-from dillport.net.front import Front
-from dillport.net.listener import fit
-from dillport.net.node import Node
-from dillport.net.sources import platform
-from dillport.net.sources.platform import PlatformSource
+from balancer.core.connection_admission import (
+    LEAST_SOCKETS,
+    SPARE,
+    places,
+    shares,
+    unread_budget,
+)
+from balancer.core.discovery.endpoint_merger import Listed, Source
+from balancer.net import clock
+from balancer.net.config import Config, ConfigError, load
+from balancer.net.discovery import platform
+from balancer.net.discovery.platform import PlatformSource
+from balancer.net.endpoint_view import Fleet
+from balancer.net.http_server import Front
+from balancer.net.listener import fit
+from balancer.net.request_dispatcher import Node
 
 if TYPE_CHECKING:
     from pathlib import Path
 
-    from dillport.net.operators import Parts
-    from dillport.operators import Operators
+    from balancer.net.components import Parts
+    from balancer.operator_settings import Operators
 
 ENDING = (signal.SIGTERM, signal.SIGINT)
 LOG_LINES, LOG_TIME = 50, 10.0  # at most so many lines in so many seconds
@@ -116,9 +122,9 @@
     if not config.settings.must_ask:
         discovery.watch(True)
     if operators is not None:
-        from dillport.net.control import Control
-        from dillport.net.operators import Parts
-        from dillport.net.part import Running
+        from balancer.net.admin_socket import Control
+        from balancer.net.component import Running
+        from balancer.net.components import Parts
 
         running = Running(node, fleet, (listed,), Control(), name=config.name, parts=began or {})
         parts = Parts(path, operators, running)
@@ -149,11 +155,16 @@
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s")
     logging.getLogger().handlers[0].addFilter(Brake())
     if operators is not None and (wrong := clock.set_off(os.environ)):
-        print(f"dillport: {wrong}", file=sys.stderr)
+        print(f"balancer: {wrong}", file=sys.stderr)
         return 2
+    if operators is not None:
+        from balancer.net.startup import deprecation_warning  # loaded already where there is such a file
+
+        if warning := deprecation_warning():
+            logging.warning("%s", warning)
     wanted = config.client_sockets + config.upstream_sockets + SPARE
     if (there := fit(wanted)) < min(wanted, LEAST_SOCKETS):
-        print(f"dillport: limits: {there} descriptors (ulimit -n), {LEAST_SOCKETS} at least", file=sys.stderr)
+        print(f"balancer: limits: {there} descriptors (ulimit -n), {LEAST_SOCKETS} at least", file=sys.stderr)
         return 2
     if there < wanted:
         clients, upstream = shares(there)
@@ -165,6 +176,6 @@
     try:
         uvloop.run(serve(config, path, operators, hung_up, began))
     except OSError as err:
-        print(f"dillport: listen: {err}", file=sys.stderr)
+        print(f"balancer: listen: {err}", file=sys.stderr)
         return 2
     return 0
--- a/balancer/net/backend_pool.py
+++ b/balancer/net/backend_pool.py
@@ -14,11 +14,11 @@
 
 import httptools
 
-from dillport import interface as api
-from dillport.decide.admission import MOST_BODY, USUAL_BODY, LongBodies
-from dillport.decide.pause import STOOD_MS
-from dillport.interface import Status
-from dillport.members import Address, Member
+from balancer import interface as api
+from balancer.core.connection_admission import MOST_BODY, USUAL_BODY, LongBodies
+from balancer.core.stall_detector import STOOD_MS
+from balancer.endpoints import Address, Member
+from balancer.interface import Status
 
 log = logging.getLogger(__name__)
 
--- a/balancer/net/bulk_update.py
+++ b/balancer/net/bulk_update.py
@@ -12,12 +12,12 @@
 from collections.abc import Iterator
 from typing import TYPE_CHECKING
 
-from dillport import interface as api
-from dillport.decide.membership import Apply
-from dillport.laying import SLICE, lay
+from balancer import interface as api
+from balancer.core.discovery.endpoint_merger import Apply
+from balancer.policy.bulk_update import SLICE, lay
 
 if TYPE_CHECKING:
-    from dillport.net.node import Node
+    from balancer.net.request_dispatcher import Node
 
 log = logging.getLogger(__name__)
 
--- a/balancer/net/clock.py
+++ b/balancer/net/clock.py
@@ -5,7 +5,7 @@
 import time
 from collections.abc import Mapping
 
-TEST_CLOCK = "DILLPORT_TEST_CLOCK_MS"  # for tests alone, and read only where there is an operators' file
+TEST_CLOCK = "BALANCER_TEST_CLOCK_MS"  # for tests alone, and read only where there is an operators' file
 _off_ms = 0.0
 
 
--- a/balancer/net/cluster.py
+++ b/balancer/net/cluster.py
@@ -1,14 +1,14 @@
 """The other nodes, for a running one: what `[peers]` switches on, off and over.
 
-`PeersPart` holds the one UDP socket, carries out what `decide/peers` says and gives it what `proto/gossip`
-believes of what comes. It follows the settings, tells the time line, the log and `decide/recovery`, and
-answers `peers` on the control socket. What else nodes tell each other passes through to `net/together`.
+`PeersPart` holds the one UDP socket, carries out what `core/cluster/failure_detector` says and gives it what `protocol/gossip`
+believes of what comes. It follows the settings, tells the time line, the log and `core/recovery`, and
+answers `peers` on the control socket. What else nodes tell each other passes through to `net/cluster_gossip`.
 
 - *Who this node is*: with a memory that is whole it speaks at once, as the life that the memory counts. With
-  none, a lost or an older one it first asks what others hold of it; what they say goes to `decide/recovery`.
+  none, a lost or an older one it first asks what others hold of it; what they say goes to `core/recovery`.
   What it has to go by after a refutation is kept, too.
 - *Standing still*: before anything else of a turn is acted on, the decider is told that the loop stood
-  (`decide/pause`), and what lies in the socket is read before what time has brought.
+  (`core/stall_detector`), and what lies in the socket is read before what time has brought.
 - *Work*: at most TURN datagrams in one turn of the loop; requests go on between two. What a socket refuses to
   send is lost and counted: the decider bears loss.
 - An address that cannot be had is tried again: the process before may still drain.
@@ -25,18 +25,20 @@
 from random import Random
 from typing import Any
 
-from dillport.decide import peers as p
-from dillport.decide import recovery as r
-from dillport.decide import shares, together
-from dillport.decide.pause import Pause
-from dillport.decide.peers_report import figures, report
-from dillport.decide.views import ROUND_MS
-from dillport.members import Address
-from dillport.net.part import Running
-from dillport.net.together import Words
-from dillport.operators import Operators, PeersSettings
-from dillport.operators.peers import written
-from dillport.proto import goes_by, gossip
+from balancer.core import recovery as r
+from balancer.core.cluster import failure_detector as p
+from balancer.core.cluster import gossip_coordinator as together
+from balancer.core.cluster import quota_allocation as shares
+from balancer.core.cluster.node_state import ROUND_MS
+from balancer.core.cluster.report import figures, report
+from balancer.core.stall_detector import Pause
+from balancer.endpoints import Address
+from balancer.net.cluster_gossip import Words
+from balancer.net.component import Running
+from balancer.operator_settings import Operators, PeersSettings
+from balancer.operator_settings.peers import written
+from balancer.protocol import gossip
+from balancer.protocol import gossip_sections as goes_by
 
 log = logging.getLogger(__name__)
 
@@ -65,7 +67,7 @@
         self._writer: gossip.Writer | None = None
         self._reader = gossip.Reader(())
         self._pause = Pause(self.node.now(), 0.001)  # the least that it takes: a suspicion may last 0.6 s
-        self._told = 0  # the last incarnation that `decide/recovery` knows to be told
+        self._told = 0  # the last incarnation that `core/recovery` knows to be told
         self._wake: asyncio.TimerHandle | None = None
         self._wake_ms = float("inf")
         self._beat: asyncio.TimerHandle | None = None
--- a/balancer/net/cluster_gossip.py
+++ b/balancer/net/cluster_gossip.py
@@ -1,4 +1,4 @@
-"""What the other nodes' words lead to on a running node: `decide/together`, fed and carried out.
+"""What the other nodes' words lead to on a running node: `core/cluster/gossip_coordinator`, fed and carried out.
 
 `Words` hands it the sections of each datagram, how the node stands each round, and what the merge applied.
 What it says goes to the other nodes, the time line, the log, the merge and this node's discovery.
@@ -15,19 +15,22 @@
 from random import Random
 from typing import Any
 
-import dillport
-from dillport.decide import hearsay, membership, shares
-from dillport.decide import recovery as r
-from dillport.decide import together as t
-from dillport.decide.peers import Peers
-from dillport.decide.peers_report import digest, together, words
-from dillport.decide.spread import Turns
-from dillport.decide.views import PEERS
-from dillport.interface import Phase
-from dillport.net.part import Running
-from dillport.net.sources.platform import NAME as PLATFORM
-from dillport.operators import Operators
-from dillport.proto import goes_by, gossip
+import balancer
+from balancer.core import recovery as r
+from balancer.core.cluster import gossip_coordinator as t
+from balancer.core.cluster import gossiped_removals as hearsay
+from balancer.core.cluster import quota_allocation as shares
+from balancer.core.cluster.failure_detector import Peers
+from balancer.core.cluster.node_state import PEERS
+from balancer.core.cluster.report import digest, together, words
+from balancer.core.discovery import endpoint_merger as membership
+from balancer.core.staggering import Turns
+from balancer.interface import Phase
+from balancer.net.component import Running
+from balancer.net.discovery.platform import NAME as PLATFORM
+from balancer.operator_settings import Operators
+from balancer.protocol import gossip
+from balancer.protocol import gossip_sections as goes_by
 
 log = logging.getLogger(__name__)
 
@@ -88,7 +91,7 @@
         """How the node stands."""
         meter, merge = self.running.recovery, self.fleet.membership
         state = 0 if meter is None else STATES.index(meter.recovery.state)
-        version, zone, sources = dillport.__version__, self.node.settings.zone, list(merge.sources.values())
+        version, zone, sources = balancer.__version__, self.node.settings.zone, list(merge.sources.values())
         self.tell(t.Round(state, self._files, version, zone, sources, merge.view, self._silent()))
 
     def _silent(self) -> Mapping[str, tuple[int, int]]:
--- a/balancer/net/component.py
+++ b/balancer/net/component.py
@@ -8,22 +8,22 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, Protocol
 
-from dillport import interface as api
-from dillport.decide.membership import Source
-from dillport.net.control import Control
-from dillport.net.fleet import Fleet
-from dillport.net.node import Node
-from dillport.operators import Operators
-from dillport.relay.ports import Observer
+from balancer import interface as api
+from balancer.core.discovery.endpoint_merger import Source
+from balancer.net.admin_socket import Control
+from balancer.net.endpoint_view import Fleet
+from balancer.net.request_dispatcher import Node
+from balancer.operator_settings import Operators
+from balancer.ports import Observer
 
 if TYPE_CHECKING:
-    from dillport.net.peers import PeersPart
-    from dillport.net.recovery import RecoveryPart
-    from dillport.timeline.watch import Watch
+    from balancer.net.cluster import PeersPart
+    from balancer.net.recovery import RecoveryPart
+    from balancer.timeline.monitor import Watch
 
 log = logging.getLogger(__name__)
 
-PEERS = "peers"  # the merge's source that stands for other nodes' words (`decide/hearsay`)
+PEERS = "peers"  # the merge's source that stands for other nodes' words (`core/cluster/gossiped_removals`)
 BEFORE = 20  # events kept for a time line that is not on yet
 
 
@@ -97,7 +97,7 @@
     def tell(self, step: str, scope: str, subject: str, signal: str, about: dict[str, object]) -> None:
         """Something that is no departure of a server goes on the time line, as soon as that is on.
 
-        `step`, `scope` and `signal` are values of `decide/departure`, which comes with the time line.
+        `step`, `scope` and `signal` are values of `core/anomaly_detection/detector`, which comes with the time line.
         """
         self._count += 1  # told below 0: the departures' own numbers begin at 1
         self._told.append((self._count, self.node.now(), step, scope, subject, signal, about))
@@ -107,7 +107,12 @@
         """Tell a time line that is on what waits for it."""
         if self.watch is None or not self._told:
             return
-        from dillport.decide.departure import Scope, Signal, Step, Told
+        from balancer.core.anomaly_detection.detector import (
+            Scope,
+            Signal,
+            Step,
+            Told,
+        )
 
         while self._told:
             number, at, step, scope, subject, signal, about = self._told.popleft()
--- a/balancer/net/components.py
+++ b/balancer/net/components.py
@@ -12,12 +12,12 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, NamedTuple
 
-from dillport.net.part import Part, Running
-from dillport.net.reload import reread
-from dillport.operators import Operators
+from balancer.net.component import Part, Running
+from balancer.net.reload import reread
+from balancer.operator_settings import Operators
 
 if TYPE_CHECKING:
-    from dillport.decide.etcd_follow import EtcdConfig
+    from balancer.core.discovery.etcd_watcher import EtcdConfig
 
 log = logging.getLogger(__name__)
 
@@ -33,26 +33,26 @@
 
 
 def _recovery() -> Make:
-    from dillport.net.recovery import RecoveryPart
+    from balancer.net.recovery import RecoveryPart
 
     return RecoveryPart
 
 
 def _state() -> Make:
-    from dillport.net.state import StatePart
+    from balancer.net.persistence import StatePart
 
     return StatePart
 
 
 def _peers() -> Make:
-    from dillport.net.peers import PeersPart
+    from balancer.net.cluster import PeersPart
 
     return PeersPart
 
 
 def _etcd() -> Make:
-    from dillport.net.etcd import EtcdPart
-    from dillport.net.sources.etcd import EtcdSource
+    from balancer.net.discovery.etcd import EtcdSource
+    from balancer.net.etcd_component import EtcdPart
 
     def make(running: Running) -> Part:
         fleet, told = running.fleet, running.node.settings
@@ -66,19 +66,19 @@
 
 
 def _timeline() -> Make:
-    from dillport.net.timeline import TimelinePart
+    from balancer.net.timeline import TimelinePart
 
     return TimelinePart
 
 
 def _metrics() -> Make:
-    from dillport.net.metrics import MetricsPart
+    from balancer.net.metrics_server import MetricsPart
 
     return MetricsPart
 
 
 def _control() -> Make:
-    from dillport.net.control import ControlPart
+    from balancer.net.admin_socket import ControlPart
 
     return lambda running: ControlPart(running.control)
 
--- a/balancer/net/config.py
+++ b/balancer/net/config.py
@@ -8,10 +8,16 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from dillport import interface as api
-from dillport import settings as platform
-from dillport.decide.admission import SPARE, shares
-from dillport.members import Address, ListError, Listing, address, listing
+from balancer import interface as api
+from balancer import platform_settings as platform
+from balancer.core.connection_admission import SPARE, shares
+from balancer.endpoints import (
+    Address,
+    ListError,
+    Listing,
+    address,
+    listing,
+)
 
 PREFIX = "PROXY_"
 CONFIG = PREFIX + "CONFIG"
@@ -56,7 +62,7 @@
 def read(env: Mapping[str, str]) -> tuple[Config | None, list[str]]:
     """The configuration at the start, and what is wrong with it, a line a fault."""
     if not env.get(CONFIG):
-        return None, [f"{CONFIG} is missing: {WHAT_CONFIG_IS}; see dillport --help"]
+        return None, [f"{CONFIG} is missing: {WHAT_CONFIG_IS}; see balancer --help"]
     try:
         return load(env), []
     except ConfigError as err:
--- a/balancer/net/discovery/__init__.py
+++ b/balancer/net/discovery/__init__.py
@@ -1,2 +1,2 @@
 """Where the list of backends comes from, one module a source: connections and clocks; what to do is decided
-in `dillport.decide`, what bytes mean in `dillport.proto`."""
+in `balancer.core`, what bytes mean in `balancer.protocol`."""
--- a/balancer/net/discovery/etcd.py
+++ b/balancer/net/discovery/etcd.py
@@ -16,14 +16,19 @@
 from functools import partial
 from typing import cast
 
-from dillport.decide import etcd_follow as ef
-from dillport.decide.etcd_follow import EtcdConfig, Trouble
-from dillport.decide.membership import Heard, Listed, Refused, Silenced
-from dillport.decide.spread import Turns
-from dillport.members import Fault
-from dillport.proto import etcd_watch as ew
-from dillport.proto.etcd_entry import entry
-from dillport.proto.etcd_watch import Answer, Asks, Kind
+from balancer.core.discovery import etcd_watcher as ef
+from balancer.core.discovery.endpoint_merger import (
+    Heard,
+    Listed,
+    Refused,
+    Silenced,
+)
+from balancer.core.discovery.etcd_watcher import EtcdConfig, Trouble
+from balancer.core.staggering import Turns
+from balancer.endpoints import Fault
+from balancer.protocol import etcd_watch as ew
+from balancer.protocol.etcd_entry import entry
+from balancer.protocol.etcd_watch import Answer, Asks, Kind
 
 log = logging.getLogger(__name__)
 
--- a/balancer/net/discovery/platform.py
+++ b/balancer/net/discovery/platform.py
@@ -10,14 +10,20 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, cast
 
-from dillport.decide import membership, platform_follow
-from dillport.decide.platform_follow import PlatformFollow
-from dillport.members import Address, ListError, Listing, ListingBuilder
-from dillport.proto import platform_list
-from dillport.proto.platform_list import ListCall
+from balancer.core.discovery import endpoint_merger as membership
+from balancer.core.discovery import platform_watcher as platform_follow
+from balancer.core.discovery.platform_watcher import PlatformFollow
+from balancer.endpoints import (
+    Address,
+    ListError,
+    Listing,
+    ListingBuilder,
+)
+from balancer.protocol import platform_list
+from balancer.protocol.platform_list import ListCall
 
 if TYPE_CHECKING:
-    from dillport.proto.long_list import LongList
+    from balancer.protocol.large_list import LongList
 
 log = logging.getLogger(__name__)
 
@@ -35,7 +41,7 @@
 def _builder(line: bytes) -> ListingBuilder | LongList:
     if len(line) <= LONG:
         return ListingBuilder(json.loads(line))
-    from dillport.proto.long_list import LongList
+    from balancer.protocol.large_list import LongList
 
     return LongList(line)
 
@@ -98,7 +104,7 @@
             self.timer = self.loop.call_later(LOOK, self._silent, looks - 1)
             return
         if self.life.bare:
-            from dillport.net.sources.doubt import doubted
+            from balancer.net.discovery.watch_liveness import doubted
             return doubted(self, self._awake)
         self._warn("discovery is silent")
         self.close()
--- a/balancer/net/discovery/watch_liveness.py
+++ b/balancer/net/discovery/watch_liveness.py
@@ -10,9 +10,9 @@
 from collections.abc import Callable
 from typing import cast
 
-from dillport.decide.platform_follow import Due
-from dillport.members import Listing
-from dillport.net.sources.platform import Call, PlatformSource
+from balancer.core.discovery.platform_watcher import Due
+from balancer.endpoints import Listing
+from balancer.net.discovery.platform import Call, PlatformSource
 
 MOST = 2  # the oldest ones are kept: their beats come first
 
--- a/balancer/net/endpoint_view.py
+++ b/balancer/net/endpoint_view.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from dillport.decide import membership
-from dillport.decide.membership import Membership, Source
+from balancer.core.discovery import endpoint_merger as membership
+from balancer.core.discovery.endpoint_merger import Membership, Source
 
 log = logging.getLogger(__name__)
 
@@ -65,6 +65,6 @@
 
     def report(self) -> dict[str, Any]:
         """What the sources say of whom, for operators."""
-        from dillport.decide.membership_report import report
+        from balancer.core.discovery.merge_report import report
 
         return report(self.membership)
--- a/balancer/net/etcd_component.py
+++ b/balancer/net/etcd_component.py
@@ -8,12 +8,12 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from dillport.decide import membership
-from dillport.decide.etcd_follow import EtcdConfig
-from dillport.decide.membership import Role, Source
-from dillport.net.fleet import Fleet
-from dillport.net.part import PEERS
-from dillport.operators import EtcdSettings, Operators
+from balancer.core.discovery import endpoint_merger as membership
+from balancer.core.discovery.endpoint_merger import Role, Source
+from balancer.core.discovery.etcd_watcher import EtcdConfig
+from balancer.net.component import PEERS
+from balancer.net.endpoint_view import Fleet
+from balancer.operator_settings import EtcdSettings, Operators
 
 ETCD = "etcd"
 
--- a/balancer/net/http_server.py
+++ b/balancer/net/http_server.py
@@ -12,13 +12,19 @@
 
 import httptools
 
-from dillport import interface as api
-from dillport.decide.admission import LEAST_BUDGET, MOST_BODY, OVER, USUAL_BODY, UnreadAnswers
-from dillport.decide.shutdown import FRESH_MS, Ends
-from dillport.interface import Effect
-from dillport.members import Address
-from dillport.net.listener import Listener, Room
-from dillport.net.node import Node
+from balancer import interface as api
+from balancer.core.connection_admission import (
+    LEAST_BUDGET,
+    MOST_BODY,
+    OVER,
+    USUAL_BODY,
+    UnreadAnswers,
+)
+from balancer.core.shutdown_deadlines import FRESH_MS, Ends
+from balancer.endpoints import Address
+from balancer.interface import Effect
+from balancer.net.listener import Listener, Room
+from balancer.net.request_dispatcher import Node
 
 log = logging.getLogger(__name__)
 
--- a/balancer/net/listener.py
+++ b/balancer/net/listener.py
@@ -17,7 +17,7 @@
 from collections.abc import Callable
 from functools import partial
 
-from dillport.members import Address
+from balancer.endpoints import Address
 
 log = logging.getLogger(__name__)
 
--- a/balancer/net/metrics_server.py
+++ b/balancer/net/metrics_server.py
@@ -11,12 +11,12 @@
 import logging
 from collections.abc import Callable
 
-from dillport.decide.recovery import Recovery
-from dillport.members import Address
-from dillport.net.part import Running
-from dillport.observe.metrics import CONTENT_TYPE, Figures, Metrics
-from dillport.operators import Operators
-from dillport.timeline.watch import Watch
+from balancer.core.recovery import Recovery
+from balancer.endpoints import Address
+from balancer.net.component import Running
+from balancer.observability.metrics import CONTENT_TYPE, Figures, Metrics
+from balancer.operator_settings import Operators
+from balancer.timeline.monitor import Watch
 
 log = logging.getLogger(__name__)
 
--- a/balancer/net/persistence.py
+++ b/balancer/net/persistence.py
@@ -7,7 +7,7 @@
   row may differ wait in a queue and are looked at SLICE in one turn, removals and drains first.
 
 Where nothing can be kept the node serves on without memory: one line in the log for each fault and one when
-it is over, and `dillport recovery` says it as `store`. Bounds: a queue of names, a row a server.
+it is over, and `balancer recovery` says it as `store`. Bounds: a queue of names, a row a server.
 """
 
 from __future__ import annotations
@@ -22,17 +22,30 @@
 
 import msgspec
 
-from dillport import interface as api
-from dillport.decide import keeping as k
-from dillport.decide import kept, membership, recovery
-from dillport.decide.kept import Recalled, Server, recall, successor, without_ended
-from dillport.members import Listing, Member
-from dillport.net.clock import wall_ms
-from dillport.net.part import PEERS, Running
-from dillport.operators import Operators, StateSettings
-from dillport.store.engine import Change, Delete, Opened, Put
-from dillport.store.files import Files, StoreFault, Trouble
-from dillport.store.store import Store, StoreFull
+from balancer import interface as api
+from balancer.core import recovery
+from balancer.core.discovery import endpoint_merger as membership
+from balancer.core.persistence import persisted_state as kept
+from balancer.core.persistence import write_behind as k
+from balancer.core.persistence.persisted_state import (
+    Recalled,
+    Server,
+    recall,
+    successor,
+    without_ended,
+)
+from balancer.endpoints import Listing, Member
+from balancer.net.clock import wall_ms
+from balancer.net.component import PEERS, Running
+from balancer.operator_settings import Operators, StateSettings
+from balancer.store.engine import (
+    Change,
+    Delete,
+    Opened,
+    Put,
+)
+from balancer.store.files import Files, StoreFault, Trouble
+from balancer.store.store import Store, StoreFull
 
 log = logging.getLogger(__name__)
 T = TypeVar("T")
@@ -143,7 +156,7 @@
         await self._let_go()
 
     def report(self) -> dict[str, Any]:
-        """What `dillport recovery` says of the store."""
+        """What `balancer recovery` says of the store."""
         directory = None if self._wanted is None else str(self._wanted.directory)
         if self.memory is None:
             return {"directory": directory, "open": False, "trouble": self.trouble or None}
--- a/balancer/net/recovery.py
+++ b/balancer/net/recovery.py
@@ -1,6 +1,6 @@
 """How far a running node is back, measured: on wherever there is an operators' file.
 
-`RecoveryPart` feeds `decide/recovery` from what passes through the node (arrivals, ends, news of the list,
+`RecoveryPart` feeds `core/recovery` from what passes through the node (arrivals, ends, news of the list,
 pauses), answers `recovery` on the control socket and tells the log and the time line. Once the node is full
 it sees requests no more, until the process has stood still. It is bounded by the open requests.
 """
@@ -12,12 +12,12 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from dillport import interface as api
-from dillport.decide import membership
-from dillport.decide import recovery as r
-from dillport.decide.pause import STOOD_MS
-from dillport.net.part import PEERS, Running
-from dillport.operators import Operators
+from balancer import interface as api
+from balancer.core import recovery as r
+from balancer.core.discovery import endpoint_merger as membership
+from balancer.core.stall_detector import STOOD_MS
+from balancer.net.component import PEERS, Running
+from balancer.operator_settings import Operators
 
 log = logging.getLogger(__name__)
 
--- a/balancer/net/reload.py
+++ b/balancer/net/reload.py
@@ -6,7 +6,12 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from dillport.operators import Operators, OperatorsError, changes, load
+from balancer.operator_settings import (
+    Operators,
+    OperatorsError,
+    changes,
+    load,
+)
 
 log = logging.getLogger(__name__)
 
--- a/balancer/net/request_dispatcher.py
+++ b/balancer/net/request_dispatcher.py
@@ -11,21 +11,21 @@
 from functools import partial
 from typing import TYPE_CHECKING, Protocol
 
-from dillport import interface as api
-from dillport.decide.admission import LongBodies, long_budget
-from dillport.decide.membership import Apply
-from dillport.decide.pause import BEAT_MS, SETTLE_MS, Pause
-from dillport.decide.shutdown import Ends, ends
-from dillport.members import Member
-from dillport.net.clock import wall_ms
-from dillport.net.config import Config
-from dillport.net.upstream import Answer, Attempt, Pool
-from dillport.policy import Balancer
-from dillport.proto.class_path import ClassPaths
+from balancer import interface as api
+from balancer.core.connection_admission import LongBodies, long_budget
+from balancer.core.discovery.endpoint_merger import Apply
+from balancer.core.shutdown_deadlines import Ends, ends
+from balancer.core.stall_detector import BEAT_MS, SETTLE_MS, Pause
+from balancer.endpoints import Member
+from balancer.net.backend_pool import Answer, Attempt, Pool
+from balancer.net.clock import wall_ms
+from balancer.net.config import Config
+from balancer.policy.balancer import Balancer
+from balancer.protocol.class_path import ClassPaths
 
 if TYPE_CHECKING:
-    from dillport.net.laying import Laying
-    from dillport.relay.ports import Observer
+    from balancer.net.bulk_update import Laying
+    from balancer.ports import Observer
 
 log = logging.getLogger(__name__)
 
@@ -227,7 +227,7 @@
         if self.laying:
             self.laying.later.append(change)
         elif len(change.members) > LARGE and not self.balancer.index.order:
-            from dillport.net.laying import Laying
+            from balancer.net.bulk_update import Laying
 
             self.laying = Laying(self, change)
         else:
--- a/balancer/net/startup.py
+++ b/balancer/net/startup.py
@@ -13,16 +13,32 @@
 from collections.abc import Sequence
 from pathlib import Path
 
-from dillport.net.config import read
-from dillport.operators import Operators, OperatorsError
-from dillport.operators import load as load_operators
+from balancer.net.config import read
+from balancer.operator_settings import Operators, OperatorsError
+from balancer.operator_settings import load as load_operators
 
-SETTINGS = "DILLPORT_SETTINGS"
+SETTINGS = "BALANCER_SETTINGS"
+DEPRECATED_SETTINGS = "DILLPORT_SETTINGS"
+"""The name of the variable before the package was renamed; read where the new one is not set."""
+
+
+def settings_from_environment() -> str | None:
+    """The operators' file that the environment names; the new variable goes before the deprecated one."""
+    return os.environ.get(SETTINGS) or os.environ.get(DEPRECATED_SETTINGS)
+
+
+def deprecation_warning() -> str | None:
+    """What to log where the deprecated variable is set."""
+    if not os.environ.get(DEPRECATED_SETTINGS):
+        return None
+    if os.environ.get(SETTINGS):
+        return f"settings: {DEPRECATED_SETTINGS} is ignored: {SETTINGS} is set"
+    return f"settings: {DEPRECATED_SETTINGS} is deprecated: set {SETTINGS} instead"
 
 
 def read_operators(settings: Path | None) -> tuple[Path | None, Operators, list[str]]:
     """Where the operators' settings are, what they are, and what is wrong with them."""
-    named = settings or os.environ.get(SETTINGS)
+    named = settings or settings_from_environment()
     path = Path(named).absolute() if named else None
     try:
         return path, load_operators(path) if path else Operators(), []
@@ -37,14 +53,14 @@
     config, faults = read(os.environ)
     if config is None or wrong:
         for line in [*(["; ".join(faults)] if faults else []), *wrong]:
-            print(f"dillport: {line}", file=sys.stderr)
+            print(f"balancer: {line}", file=sys.stderr)
         return 2
     imports = time.monotonic()
     gc.disable()
-    from dillport.net import assemble
+    from balancer.net import application as assemble
 
     if path is not None:
-        from dillport.net.operators import load
+        from balancer.net.components import load
 
         load(operators)
     gc.enable()
--- a/balancer/net/timeline.py
+++ b/balancer/net/timeline.py
@@ -14,12 +14,12 @@
 from functools import partial
 from typing import Any
 
-from dillport import interface as api
-from dillport.decide.departure import Step, Told
-from dillport.net.part import Running
-from dillport.operators import Operators, TimelineSettings
-from dillport.timeline import views
-from dillport.timeline.watch import Watch
+from balancer import interface as api
+from balancer.core.anomaly_detection.detector import Step, Told
+from balancer.net.component import Running
+from balancer.operator_settings import Operators, TimelineSettings
+from balancer.timeline import queries as views
+from balancer.timeline.monitor import Watch
 
 log = logging.getLogger(__name__)
 
--- a/balancer/observability/metrics.py
+++ b/balancer/observability/metrics.py
@@ -21,11 +21,12 @@
 )  # fmt: skip
 from prometheus_client.openmetrics.exposition import CONTENT_TYPE_LATEST, generate_latest
 
-from dillport import interface as api
-from dillport.decide.recovery import Memory, Recovery, State
-from dillport.timeline import keys, sketch
-from dillport.timeline.record import OTHERS, Line, Recorder
-from dillport.timeline.watch import Watch
+from balancer import interface as api
+from balancer.core.recovery import Memory, Recovery, State
+from balancer.timeline import latency_histogram as sketch
+from balancer.timeline import schema as keys
+from balancer.timeline.monitor import Watch
+from balancer.timeline.recorder import OTHERS, Line, Recorder
 
 SERVERS = 50
 BOUNDS_S = (0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0)
--- a/balancer/operator_settings/__init__.py
+++ b/balancer/operator_settings/__init__.py
@@ -8,18 +8,18 @@
 - `checks`, `faults`: of values; where and what is wrong.
 
 `load` names ALL faults of a file at once, each with its key's path, what was found and what is allowed.
-`deploy/dillport.toml` is an example that explains each key.
+`deploy/operators.toml` is an example that explains each key.
 """
 
-from dillport.operators.control import ControlSettings
-from dillport.operators.faults import Fault, OperatorsError
-from dillport.operators.file import Operators, load, parse
-from dillport.operators.membership import EtcdSettings, Membership
-from dillport.operators.metrics import MetricsSettings
-from dillport.operators.peers import PeersSettings
-from dillport.operators.state import StateSettings
-from dillport.operators.table import changes
-from dillport.operators.timeline import TimelineSettings
+from balancer.operator_settings.control import ControlSettings
+from balancer.operator_settings.faults import Fault, OperatorsError
+from balancer.operator_settings.file import Operators, load, parse
+from balancer.operator_settings.membership import EtcdSettings, Membership
+from balancer.operator_settings.metrics import MetricsSettings
+from balancer.operator_settings.peers import PeersSettings
+from balancer.operator_settings.state import StateSettings
+from balancer.operator_settings.table import changes
+from balancer.operator_settings.timeline import TimelineSettings
 
 __all__ = [
     "ControlSettings", "EtcdSettings", "Fault", "Membership", "MetricsSettings", "Operators",
--- a/balancer/operator_settings/checks.py
+++ b/balancer/operator_settings/checks.py
@@ -15,7 +15,7 @@
 from typing import TypeVar
 from urllib.parse import urlsplit
 
-from dillport.operators.faults import At, shown
+from balancer.operator_settings.faults import At, shown
 
 MAX_SECRET = 4 * 1024  # bytes of a password file
 MAX_SOCKET = 100  # bytes of a Unix socket's path: the kernel takes 107
@@ -255,4 +255,4 @@
 def package(name: str, extra: str, at: At) -> None:
     """A package that a bare install leaves out, and the install that has it."""
     if importlib.util.find_spec(name) is None:
-        at.fault(f"no package {name}", f"the install `dillport[{extra}]`")
+        at.fault(f"no package {name}", f"the install `snowloom-balancer[{extra}]`")
--- a/balancer/operator_settings/control.py
+++ b/balancer/operator_settings/control.py
@@ -6,13 +6,13 @@
 from pathlib import Path
 from typing import Annotated
 
-from dillport.operators.checks import socket_path
-from dillport.operators.table import Table
+from balancer.operator_settings.checks import socket_path
+from balancer.operator_settings.table import Table
 
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class ControlSettings(Table):
-    """`[control]`: the Unix socket on which a running node answers `dillport members` and the like."""
+    """`[control]`: the Unix socket on which a running node answers `balancer members` and the like."""
 
     socket: Annotated[Path, socket_path] = Path("/run/dillport/control.sock")
 
--- a/balancer/operator_settings/file.py
+++ b/balancer/operator_settings/file.py
@@ -11,15 +11,20 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from dillport.operators.checks import opened
-from dillport.operators.control import ControlSettings
-from dillport.operators.faults import At, Fault, Faults, OperatorsError
-from dillport.operators.membership import Membership
-from dillport.operators.metrics import MetricsSettings
-from dillport.operators.peers import PeersSettings
-from dillport.operators.state import StateSettings
-from dillport.operators.table import Table, read_table, tables_of
-from dillport.operators.timeline import TimelineSettings
+from balancer.operator_settings.checks import opened
+from balancer.operator_settings.control import ControlSettings
+from balancer.operator_settings.faults import (
+    At,
+    Fault,
+    Faults,
+    OperatorsError,
+)
+from balancer.operator_settings.membership import Membership
+from balancer.operator_settings.metrics import MetricsSettings
+from balancer.operator_settings.peers import PeersSettings
+from balancer.operator_settings.state import StateSettings
+from balancer.operator_settings.table import Table, read_table, tables_of
+from balancer.operator_settings.timeline import TimelineSettings
 
 MAX_FILE = 256 * 1024  # bytes of the operators' file
 
--- a/balancer/operator_settings/membership.py
+++ b/balancer/operator_settings/membership.py
@@ -7,9 +7,19 @@
 from pathlib import Path
 from typing import Annotated, Any
 
-from dillport.operators.checks import array, certificates, choice, digest, readable, secret, text, url, whole
-from dillport.operators.faults import At
-from dillport.operators.table import Table
+from balancer.operator_settings.checks import (
+    array,
+    certificates,
+    choice,
+    digest,
+    readable,
+    secret,
+    text,
+    url,
+    whole,
+)
+from balancer.operator_settings.faults import At
+from balancer.operator_settings.table import Table
 
 
 @dataclass(slots=True, frozen=True, kw_only=True)
--- a/balancer/operator_settings/metrics.py
+++ b/balancer/operator_settings/metrics.py
@@ -7,9 +7,9 @@
 from dataclasses import dataclass
 from typing import Annotated, Any
 
-from dillport.operators.checks import address, package
-from dillport.operators.faults import At
-from dillport.operators.table import Table
+from balancer.operator_settings.checks import address, package
+from balancer.operator_settings.faults import At
+from balancer.operator_settings.table import Table
 
 
 @dataclass(slots=True, frozen=True, kw_only=True)
--- a/balancer/operator_settings/peers.py
+++ b/balancer/operator_settings/peers.py
@@ -9,9 +9,14 @@
 from pathlib import Path
 from typing import Annotated, Any
 
-from dillport.operators.checks import address, array, opened, readable
-from dillport.operators.faults import At, shown
-from dillport.operators.table import Table
+from balancer.operator_settings.checks import (
+    address,
+    array,
+    opened,
+    readable,
+)
+from balancer.operator_settings.faults import At, shown
+from balancer.operator_settings.table import Table
 
 KEYS = "a file of at most 4096 bytes with a key a line, 32 to 64 hexadecimal digits, the first of which signs"
 MAX_KEYS = 4 * 1024  # bytes of a key file
@@ -81,7 +86,7 @@
 
 def _keys(path: Path, at: At) -> str:
     """The file's text; a fault never shows what is in it."""
-    from dillport.proto.gossip import keys_of
+    from balancer.protocol.gossip import keys_of
 
     told = opened(path, at, KEYS, MAX_KEYS + 1)
     if told is None:
--- a/balancer/operator_settings/state.py
+++ b/balancer/operator_settings/state.py
@@ -8,9 +8,9 @@
 from pathlib import Path
 from typing import Annotated, Any
 
-from dillport.operators.checks import package, seconds
-from dillport.operators.faults import At, shown
-from dillport.operators.table import Table
+from balancer.operator_settings.checks import package, seconds
+from balancer.operator_settings.faults import At, shown
+from balancer.operator_settings.table import Table
 
 FOLDER = "the path of a folder that is there and may be written to"
 
--- a/balancer/operator_settings/table.py
+++ b/balancer/operator_settings/table.py
@@ -7,8 +7,8 @@
 from pathlib import Path
 from typing import Annotated, Any, ClassVar, TypeVar, cast, get_args, get_origin, get_type_hints
 
-from dillport.operators.checks import Check
-from dillport.operators.faults import At, shown
+from balancer.operator_settings.checks import Check
+from balancer.operator_settings.faults import At, shown
 
 K = TypeVar("K", bound="Table")
 
--- a/balancer/operator_settings/timeline.py
+++ b/balancer/operator_settings/timeline.py
@@ -6,9 +6,9 @@
 from dataclasses import dataclass
 from typing import Annotated, Any
 
-from dillport.operators.checks import package, whole
-from dillport.operators.faults import At
-from dillport.operators.table import Table
+from balancer.operator_settings.checks import package, whole
+from balancer.operator_settings.faults import At
+from balancer.operator_settings.table import Table
 
 
 @dataclass(slots=True, frozen=True, kw_only=True)
@@ -26,4 +26,4 @@
 
     def says(self) -> str:
         """What it may hold."""
-        return f"the time line of each server in {self.memory_mb} MB; see dillport timeline, events and why"
+        return f"the time line of each server in {self.memory_mb} MB; see balancer timeline, events and why"
--- a/balancer/platform_settings.py
+++ b/balancer/platform_settings.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import Any, Concatenate, ParamSpec, TypeVar, cast
 
-from dillport import interface as api
+from balancer import interface as api
 
 _EFFECTS = {"retryable": api.Effect.SAFE, "dedup": api.Effect.KEYED, "fragile": api.Effect.UNSAFE}
 _GROUPS = {"all": api.Group.ALL, "zone": api.Group.ZONE, "cell": api.Group.CELL}
--- a/balancer/policy/backend_index.py
+++ b/balancer/policy/backend_index.py
@@ -13,8 +13,8 @@
 from bisect import bisect_left
 from heapq import heapify, heappop, heappush
 
-from dillport import interface as api
-from dillport.state import Backend, Bag, Level
+from balancer import interface as api
+from balancer.policy.records import Backend, Bag, Level
 
 TURN = 64  # backends taken back in one go, and 16 times as many while none is ready: all may come at once
 
--- a/balancer/policy/balancer.py
+++ b/balancer/policy/balancer.py
@@ -1,4 +1,4 @@
-"""Every decision of one load-balancer node. Its types (settings, events, actions): dillport/interface.py.
+"""Every decision of one load-balancer node. Its types (settings, events, actions): balancer/interface.py.
 
 `_choose` is Join-Up-To(m) over the index of the window, `_pick` over a few that `_draw` found where the index
 does not serve: probes, the reserve, other zones, repeats bound to a group, panic. Both have the same pick and
@@ -12,9 +12,23 @@
 from dataclasses import replace
 from typing import Any
 
-from dillport import interface as api
-from dillport.index import Index, bounded, part, warmth, weight
-from dillport.state import WHOLE, Attempt, Backend, Class, Level, Request, Room
+from balancer import interface as api
+from balancer.policy.backend_index import (
+    Index,
+    bounded,
+    part,
+    warmth,
+    weight,
+)
+from balancer.policy.records import (
+    WHOLE,
+    Attempt,
+    Backend,
+    Class,
+    Level,
+    Request,
+    Room,
+)
 
 TRIFLE = 0.012  # a price of no more than this part of the result does not restrict the choice of backends
 SAMPLE = 3  # backends looked at in one round: the paper's lowest-estimate search, sampled
--- a/balancer/policy/bulk_update.py
+++ b/balancer/policy/bulk_update.py
@@ -3,7 +3,7 @@
 `handle` with a first list lays the node's part of the fleet out over all of it: 6 us a server, 60 ms for
 10,000. `lay` takes SLICE servers a step and ends in the very state that `handle` would have left, the random
 numbers drawn included; a test holds the two against one another. Until it has ended nothing else may go
-to the module, which knows some of the servers and feeds none: `net/laying` holds back what comes meanwhile.
+to the module, which knows some of the servers and feeds none: `net/bulk_update` holds back what comes meanwhile.
 """
 
 from __future__ import annotations
@@ -11,9 +11,16 @@
 import math
 from collections.abc import Generator, Sequence
 
-from dillport import interface as api
-from dillport.policy import FEEDERS, GOLDEN, ROUNDS, SAMPLE, SUBSET_MIN, Balancer
-from dillport.state import Backend
+from balancer import interface as api
+from balancer.policy.balancer import (
+    FEEDERS,
+    GOLDEN,
+    ROUNDS,
+    SAMPLE,
+    SUBSET_MIN,
+    Balancer,
+)
+from balancer.policy.records import Backend
 
 SLICE = 250  # servers in one step, 1 to 2 ms
 
--- a/balancer/policy/records.py
+++ b/balancer/policy/records.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from heapq import heapify, heappop, heappush
 
-from dillport import interface as api
+from balancer import interface as api
 
 WHOLE = 1 << 64  # in which inverses of weights are counted
 
--- a/balancer/ports.py
+++ b/balancer/ports.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 from typing import Protocol
 
-from dillport import interface as api
+from balancer import interface as api
 
 
 class Observer(Protocol):
--- a/balancer/protocol/etcd_entry.py
+++ b/balancer/protocol/etcd_entry.py
@@ -12,8 +12,14 @@
 
 import json
 
-from dillport.members import MAX_TEXT, Fault, ListError, Member, member
-from dillport.proto.etcd_watch import KeyValue
+from balancer.endpoints import (
+    MAX_TEXT,
+    Fault,
+    ListError,
+    Member,
+    member,
+)
+from balancer.protocol.etcd_watch import KeyValue
 
 FORMATS = ("member", "grpc-naming")
 MAX_VALUE = 64 * 1024  # bytes of a value; an entry has some hundred
--- a/balancer/protocol/gossip_sections.py
+++ b/balancer/protocol/gossip_sections.py
@@ -1,4 +1,4 @@
-"""The sections behind the words of a datagram (`proto/gossip`): what nodes go by, digests, removals.
+"""The sections behind the words of a datagram (`protocol/gossip`): what nodes go by, digests, removals.
 
     1 GOES_BY   name | incarnation, edition, number, state, flags, zone cut, nodes: numbers
                 | digest 4 | files 4 4 | version | zone | sources 1, each: which | order 4 | revision, state
--- a/balancer/protocol/large_list.py
+++ b/balancer/protocol/large_list.py
@@ -10,7 +10,7 @@
 import re
 from collections.abc import Iterator
 
-from dillport.members import Listing, ListingBuilder
+from balancer.endpoints import Listing, ListingBuilder
 
 STEP = 250  # entries, 1 to 2 ms
 
--- a/balancer/simulator/adapter.py
+++ b/balancer/simulator/adapter.py
@@ -6,10 +6,16 @@
 from collections.abc import Iterator
 from typing import TextIO
 
-from dillport import wire
-from dillport.interface import CallError, Event, Noted, Settings, SettingsError
-from dillport.policy import Balancer
-from dillport.settings import read
+from balancer.interface import (
+    CallError,
+    Event,
+    Noted,
+    Settings,
+    SettingsError,
+)
+from balancer.platform_settings import read
+from balancer.policy.balancer import Balancer
+from balancer.simulator import wire
 
 
 class Host:
@@ -102,7 +108,7 @@
     try:
         serve(sys.stdin, sys.stdout)
     except (wire.WireError, SettingsError, CallError, UnicodeDecodeError) as err:
-        print(f"dillport: {' '.join(str(err).split())}", file=sys.stderr)
+        print(f"balancer: {' '.join(str(err).split())}", file=sys.stderr)
         return 2
     return 0
 
--- a/balancer/simulator/wire.py
+++ b/balancer/simulator/wire.py
@@ -4,7 +4,7 @@
 
 import math
 
-from dillport import interface as api
+from balancer import interface as api
 
 _PHASES = {"up": api.Phase.UP, "draining": api.Phase.DRAINING, "removed": api.Phase.GONE}
 _LISTS = {
--- a/balancer/store/__init__.py
+++ b/balancer/store/__init__.py
@@ -4,7 +4,7 @@
 - `piece`: one SQLite file, sealed; every record carries a checksum, and what fails one is not believed.
 - `engine`: a directory with one owner; generations of the tables, segments of the journals. No thread.
 - `store`: the engine on a thread of its own, which commits in groups; the loop never waits for a disk.
-- `inspect`: what `dillport state show|verify|clear` does, as data.
+- `inspect`: what `balancer state show|verify|clear` does, as data.
 
 Nothing of it is loaded where the operators' file has no `[state]`. `docs/design/store.md` says what each kind
 of fault does to each kind of data.
--- a/balancer/store/engine.py
+++ b/balancer/store/engine.py
@@ -34,8 +34,20 @@
 
 import msgspec
 
-from dillport.store.files import Files, Held, StoreFault, Trouble, of_os
-from dillport.store.piece import FORMAT, Piece, Row, Seal, checksum
+from balancer.store.files import (
+    Files,
+    Held,
+    StoreFault,
+    Trouble,
+    of_os,
+)
+from balancer.store.sqlite_file import (
+    FORMAT,
+    Piece,
+    Row,
+    Seal,
+    checksum,
+)
 
 MAX_ROWS = 200_000
 MAX_VALUE = 64 * 1024  # bytes
--- a/balancer/store/files.py
+++ b/balancer/store/files.py
@@ -1,7 +1,7 @@
 """The file layer as a port: what the store asks of a directory, and the SQLite VFS that its files go through.
 
 `Real` is the machine's own. A test hands in another whose VFS fails at the n-th call, tears or loses what was
-not synced, or waits (`dillport/lab/disk_port.py`).
+not synced, or waits (`balancer/testbed/simulated_disk.py`).
 """
 
 from __future__ import annotations
--- a/balancer/store/inspect.py
+++ b/balancer/store/inspect.py
@@ -1,4 +1,4 @@
-"""What is in a store's directory, without a node: `dillport state show|verify|clear`, as data.
+"""What is in a store's directory, without a node: `balancer state show|verify|clear`, as data.
 
 All looks are at a copy, so that nothing of the directory changes, not even by SQLite's own recovery. While a
 node holds the directory there is nothing to be seen but its files: ask the node.
@@ -16,10 +16,15 @@
 
 import msgspec
 
-from dillport.decide.kept import Self, recall
-from dillport.store.engine import JOURNAL, OURS, TABLES
-from dillport.store.files import Real, StoreFault, Trouble, of_os
-from dillport.store.piece import FORMAT, Piece, Row
+from balancer.core.persistence.persisted_state import Self, recall
+from balancer.store.engine import JOURNAL, OURS, TABLES
+from balancer.store.files import (
+    Real,
+    StoreFault,
+    Trouble,
+    of_os,
+)
+from balancer.store.sqlite_file import FORMAT, Piece, Row
 
 COUNT = 1_000  # records of a journal read in one go
 
@@ -159,7 +164,7 @@
     """A copy of the store's files, taken while nobody may write, and what could not be copied."""
     faults: list[StoreFault] = []
     files = Real()
-    with tempfile.TemporaryDirectory(prefix="dillport-state-") as copy:
+    with tempfile.TemporaryDirectory(prefix="balancer-state-") as copy:
         copy = os.path.realpath(copy)
         held = files.lock(directory) if os.path.lexists(os.path.join(directory, "owner")) else None
         try:
--- a/balancer/store/sqlite_file.py
+++ b/balancer/store/sqlite_file.py
@@ -19,7 +19,12 @@
 import msgspec
 import xxhash
 
-from dillport.store.files import Files, StoreFault, Trouble, of_os
+from balancer.store.files import (
+    Files,
+    StoreFault,
+    Trouble,
+    of_os,
+)
 
 APPLICATION = 0x444C5053  # SQLite's application_id of these files
 FORMAT = 1  # of what is written; see engine.MIGRATIONS for the way up
--- a/balancer/store/store.py
+++ b/balancer/store/store.py
@@ -22,8 +22,23 @@
 
 import msgspec
 
-from dillport.store.engine import MAX_KEY, MAX_VALUE, NAME, Change, Delete, Engine, Opened, Put, Record
-from dillport.store.files import Files, Real, StoreFault, Trouble
+from balancer.store.engine import (
+    MAX_KEY,
+    MAX_VALUE,
+    NAME,
+    Change,
+    Delete,
+    Engine,
+    Opened,
+    Put,
+    Record,
+)
+from balancer.store.files import (
+    Files,
+    Real,
+    StoreFault,
+    Trouble,
+)
 
 MAX_WAITING = 20_000  # changes and records of a lane
 MAX_WAITING_BYTES = 8 * 1024 * 1024  # of a lane
--- a/balancer/testbed/backend_emulator.py
+++ b/balancer/testbed/backend_emulator.py
@@ -21,9 +21,8 @@
 
 import httptools
 
-from dillport.interface import Effect, Group
-from dillport.lab.cold import Pressure, warmth
-from dillport.lab.records import (
+from balancer.interface import Effect, Group
+from balancer.testbed.event_log import (
     Journal,
     LetGo,
     Ran,
@@ -35,7 +34,8 @@
     now_ms,
     unix_ms,
 )
-from dillport.lab.site import RequestClass, Site
+from balancer.testbed.service_profile import RequestClass, Site
+from balancer.testbed.slow_start_model import Pressure, warmth
 
 MAX_BODY = 64 * 1024
 MAX_KEYS = 100_000  # that a group remembers: the oldest go first
--- a/balancer/testbed/certificates.py
+++ b/balancer/testbed/certificates.py
@@ -12,7 +12,7 @@
 import trustme
 
 NAMES = ("127.0.0.1", "::1", "localhost")  # of the server
-NAMELESS = "client@dillport.invalid"  # the client's alternative name: trustme wants one, and no common name
+NAMELESS = "client@balancer.invalid"  # the client's alternative name: trustme wants one, and no common name
 
 
 @dataclass(slots=True, frozen=True)
--- a/balancer/testbed/cluster.py
+++ b/balancer/testbed/cluster.py
@@ -28,14 +28,11 @@
 from types import TracebackType
 from typing import Any, Protocol, Self
 
-import dillport
-from dillport.lab.clients import Clients, Front, Habits, draw
-from dillport.lab.datagrams import Datagrams, Hub
-from dillport.lab.datagrams import Path as Paths
-from dillport.lab.discovery import Agent, Discovery
-from dillport.lab.judge import Verdict, judge
-from dillport.lab.link import Link
-from dillport.lab.records import (
+import balancer
+from balancer.endpoints import Address
+from balancer.testbed.backend_emulator import Fleet, Machine, Server
+from balancer.testbed.discovery_emulator import Agent, Discovery
+from balancer.testbed.event_log import (
     HeldUp,
     Journal,
     NodeEnded,
@@ -44,11 +41,20 @@
     NodeStarted,
     now_ms,
 )
-from dillport.lab.servers import Fleet, Machine, Server
-from dillport.lab.site import Site
-from dillport.members import Address
+from balancer.testbed.invariant_checker import Verdict, judge
+from balancer.testbed.load_generator import (
+    Clients,
+    Front,
+    Habits,
+    draw,
+)
+from balancer.testbed.service_profile import Site
+from balancer.testbed.tcp_fault_proxy import Link
+from balancer.testbed.udp_fault_proxy import Datagrams, Hub
+from balancer.testbed.udp_fault_proxy import Path as Paths
 
-ROOT = Path(dillport.__file__).parents[1]
+ROOT = Path(balancer.__file__).parents[1]
+PACKAGE_NAMES = ("balancer", "dillport")  # of this version and of older ones
 READY_S = 20.0  # that a node gets to say that it is up
 LOG_LINES = 2_000  # of a node's log that are kept
 PEER_PORT = 7420  # for datagrams of other nodes; each node has a host of its own
@@ -59,6 +65,11 @@
 DURABLE_MS = 1_000.0  # after which what a node was told is taken to be on its disk
 
 
+def package_name(program: Path) -> str:
+    """The name of the package in a checkout, which may be of an older version."""
+    return next(name for name in PACKAGE_NAMES if (program / name).is_dir())
+
+
 class Registry(Protocol):
     """A source of the list that servers are entered in."""
 
@@ -128,10 +139,10 @@
         world.journal.add(NodeStarted(self.name, now_ms(), self.kept_ms))
         self.configure()
         self.agent.tell_known(self.known)
-        env = {k: v for k, v in os.environ.items() if not k.startswith(("PROXY_", "DILLPORT_"))}
+        env = {k: v for k, v in os.environ.items() if not k.startswith(("PROXY_", "BALANCER_", "DILLPORT_"))}
         env |= {"PROXY_CONFIG": str(self.path), **self.env}
         self.process = process = await asyncio.create_subprocess_exec(
-            "/bin/sh", "-c", NO_HANGUP, "sh", sys.executable, "-B", "-m", "dillport", *self.args,
+            "/bin/sh", "-c", NO_HANGUP, "sh", sys.executable, "-B", "-m", package_name(world.program), *self.args,
             cwd=world.program, env=env, stdin=asyncio.subprocess.DEVNULL, stdout=asyncio.subprocess.DEVNULL,
             stderr=asyncio.subprocess.PIPE, limit=1 << 20,
         )  # fmt: skip
--- a/balancer/testbed/demo.py
+++ b/balancer/testbed/demo.py
@@ -10,9 +10,9 @@
 from pathlib import Path
 from typing import TextIO
 
-from dillport.lab.judge import Verdict
-from dillport.lab.site import CLASSES, Site
-from dillport.lab.world import Step, World
+from balancer.testbed.cluster import Step, World
+from balancer.testbed.invariant_checker import Verdict
+from balancer.testbed.service_profile import CLASSES, Site
 
 RATE = 100.0
 NODES, SERVERS = 2, 6
@@ -80,7 +80,7 @@
         f"{NODES} nodes, {SERVERS} servers with 2 cores each, {RATE:.0f} requests a second"
         f" for {seconds:.0f} s, seed {seed}"
     )
-    with tempfile.TemporaryDirectory(prefix="dillport-demo-") as directory:
+    with tempfile.TemporaryDirectory(prefix="balancer-demo-") as directory:
         async with World(Path(directory), site=SITE, seed=seed, nodes=NODES, servers=SERVERS) as world:
             say("    0.0 s  all are up, clients begin")
             await world.play(RATE, seconds, script(seconds), lambda at, text: say(f"{at:7.1f} s  {text}"))
--- a/balancer/testbed/discovery_emulator.py
+++ b/balancer/testbed/discovery_emulator.py
@@ -18,8 +18,8 @@
 
 import httptools
 
-from dillport.lab.records import Journal, Told, now_ms
-from dillport.members import Address
+from balancer.endpoints import Address
+from balancer.testbed.event_log import Journal, Told, now_ms
 
 Entry = dict[str, Any]
 BEAT_MS = 2_000.0
--- a/balancer/testbed/dual_source_cluster.py
+++ b/balancer/testbed/dual_source_cluster.py
@@ -23,14 +23,14 @@
 from typing import Any
 from urllib.parse import urlsplit
 
-from dillport.lab.etcd.client import EtcdError, prefix_end
-from dillport.lab.etcd.shared import Record
-from dillport.lab.etcd.standin import StandIn
-from dillport.lab.etcd.store import Range
-from dillport.lab.records import Journal, Told, now_ms
-from dillport.lab.world import Node, World
-from dillport.members import Address
-from dillport.net import control
+from balancer.endpoints import Address
+from balancer.net import admin_socket as control
+from balancer.testbed.cluster import Node, World
+from balancer.testbed.etcd.client import EtcdError, prefix_end
+from balancer.testbed.etcd.shared import Record
+from balancer.testbed.etcd.standin import StandIn
+from balancer.testbed.etcd.store import Range
+from balancer.testbed.event_log import Journal, Told, now_ms
 
 PREFIX = "/dillport/members/"
 SOURCE = "etcd"  # the end of a path too
@@ -212,7 +212,7 @@
         self.etcd = StandIn(endpoints * self.node_count, seed=self.seed, quorum_wait_ms=5_400)
         self.writer = Writer(self.etcd, in_etcd)
         self.scribe = Scribe(self.journal, self.etcd, self._node_of, self._elsewhere)
-        self.sockets = Path(tempfile.mkdtemp(prefix="dillport-lab-"))
+        self.sockets = Path(tempfile.mkdtemp(prefix="balancer-lab-"))
         self._begun = False
 
     def on_platform(self, name: str) -> bool:
--- a/balancer/testbed/etcd/auth.py
+++ b/balancer/testbed/etcd/auth.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from dillport.lab.etcd.store import StoreError
+from balancer.testbed.etcd.store import StoreError
 
 
 @dataclass(slots=True)
--- a/balancer/testbed/etcd/gateway.py
+++ b/balancer/testbed/etcd/gateway.py
@@ -1,7 +1,7 @@
 """One endpoint of the stand-in: etcd's JSON gateway over HTTP/1.1, and the faults it can be told to have.
 
 What it answers is what etcd 3.4.23 answers, byte by byte but for ids and dates, and was
-measured there; tests/lab/test_etcd_gateway.py holds it to that and names the sources. Not obvious:
+measured there; tests/testbed/test_etcd_gateway.py holds it to that and names the sources. Not obvious:
 
 - With auth on, compaction, leases and status still let in who shows no token at all.
 - With auth on and certificates asked for, who shows one that has a common name is turned away, in plain text.
@@ -15,12 +15,31 @@
 import socket
 import ssl
 
-from dillport.lab.etcd import wire
-from dillport.lab.etcd.http import MAX_HEAD, Asked, Closed, Connection, chunk
-from dillport.lab.etcd.shared import Garbage, Record, Shared, names, now_ms
-from dillport.lab.etcd.store import Delete, Found, Op, Put, Range, StoreError
-from dillport.lab.etcd.stream import NO_LEADER, EndedError, Stream
-from dillport.lab.etcd.wire import Json, lean
+from balancer.testbed.etcd import wire
+from balancer.testbed.etcd.http import (
+    MAX_HEAD,
+    Asked,
+    Closed,
+    Connection,
+    chunk,
+)
+from balancer.testbed.etcd.shared import (
+    Garbage,
+    Record,
+    Shared,
+    names,
+    now_ms,
+)
+from balancer.testbed.etcd.store import (
+    Delete,
+    Found,
+    Op,
+    Put,
+    Range,
+    StoreError,
+)
+from balancer.testbed.etcd.stream import NO_LEADER, EndedError, Stream
+from balancer.testbed.etcd.wire import Json, lean
 
 FRAGMENT = 2 * 1024 * 1024  # bytes of events beyond which a line is cut, where the watch asked for it
 TIMED_OUT = "etcdserver: request timed out"
--- a/balancer/testbed/etcd/http.py
+++ b/balancer/testbed/etcd/http.py
@@ -12,8 +12,8 @@
 from dataclasses import dataclass
 from email.utils import formatdate
 
-from dillport.lab.etcd import wire
-from dillport.lab.etcd.wire import Json
+from balancer.testbed.etcd import wire
+from balancer.testbed.etcd.wire import Json
 
 BUFFER = 2048  # bytes; Go's, which decides how an answer is framed
 MAX_HEAD = 64 * 1024  # bytes of a request's head
--- a/balancer/testbed/etcd/shared.py
+++ b/balancer/testbed/etcd/shared.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from dillport.lab.etcd.auth import Auth
-from dillport.lab.etcd.store import Store
+from balancer.testbed.etcd.auth import Auth
+from balancer.testbed.etcd.store import Store
 
 MAX_RECORDS = 1_000_000
 MAX_LISTS = 10_000
--- a/balancer/testbed/etcd/standin.py
+++ b/balancer/testbed/etcd/standin.py
@@ -11,14 +11,27 @@
 from types import TracebackType
 from typing import Self
 
-from dillport.lab.certificates import Certificates
-from dillport.lab.etcd.auth import Auth, User
-from dillport.lab.etcd.client import EtcdError, prefix_end
-from dillport.lab.etcd.gateway import Endpoint
-from dillport.lab.etcd.shared import MAX_RECORDS, Garbage, Record, Shared, now_ms
-from dillport.lab.etcd.store import Backup, Delete, Op, Put, Store, StoreError
-from dillport.lab.etcd.stream import Stream
-from dillport.lab.ports import keep_port
+from balancer.testbed.certificates import Certificates
+from balancer.testbed.etcd.auth import Auth, User
+from balancer.testbed.etcd.client import EtcdError, prefix_end
+from balancer.testbed.etcd.gateway import Endpoint
+from balancer.testbed.etcd.shared import (
+    MAX_RECORDS,
+    Garbage,
+    Record,
+    Shared,
+    now_ms,
+)
+from balancer.testbed.etcd.store import (
+    Backup,
+    Delete,
+    Op,
+    Put,
+    Store,
+    StoreError,
+)
+from balancer.testbed.etcd.stream import Stream
+from balancer.testbed.port_reservation import keep_port
 
 
 class StandIn:
--- a/balancer/testbed/etcd/store.py
+++ b/balancer/testbed/etcd/store.py
@@ -1,7 +1,7 @@
 """What an etcd cluster holds, pure: keys with their history, compaction, leases; the clock is given to it.
 
 The rules are those of etcd 3.4 (its documentation, "Data model" and "API"), and what 3.4.23 was seen to
-do; tests/lab/test_etcd_gateway.py names which. Two of them are easy to miss:
+do; tests/testbed/test_etcd_gateway.py names which. Two of them are easy to miss:
 
 - A compaction at R drops a delete that happened at R itself, and a watch from R on is still let in: it
   never hears of that delete. Later releases of etcd mended it; 3.4.23 does this.
--- a/balancer/testbed/etcd/stream.py
+++ b/balancer/testbed/etcd/stream.py
@@ -16,11 +16,22 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from dillport.lab.etcd import wire
-from dillport.lab.etcd.http import BUFFER, Asked, Connection, chunk
-from dillport.lab.etcd.shared import Garbage, Record, Shared, names, now_ms
-from dillport.lab.etcd.store import Event, StoreError, inside
-from dillport.lab.etcd.wire import Json, lean
+from balancer.testbed.etcd import wire
+from balancer.testbed.etcd.http import (
+    BUFFER,
+    Asked,
+    Connection,
+    chunk,
+)
+from balancer.testbed.etcd.shared import (
+    Garbage,
+    Record,
+    Shared,
+    names,
+    now_ms,
+)
+from balancer.testbed.etcd.store import Event, StoreError, inside
+from balancer.testbed.etcd.wire import Json, lean
 
 BATCH = 1000  # revisions that a watch which is behind is told in one line
 ENDLESS = 64 * 1024 * 1024  # bytes after which a line that never ends falls silent
--- a/balancer/testbed/etcd/wire.py
+++ b/balancer/testbed/etcd/wire.py
@@ -14,7 +14,18 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from dillport.lab.etcd.store import Changed, Compare, Delete, Event, Found, KeyValue, Op, Put, Range, Target
+from balancer.testbed.etcd.store import (
+    Changed,
+    Compare,
+    Delete,
+    Event,
+    Found,
+    KeyValue,
+    Op,
+    Put,
+    Range,
+    Target,
+)
 
 HTTP_CODES = {
     2: "500 Internal Server Error",
--- a/balancer/testbed/fault_schedules.py
+++ b/balancer/testbed/fault_schedules.py
@@ -24,15 +24,15 @@
 from pathlib import Path
 from typing import cast
 
-from dillport.lab.clients import Habits
-from dillport.lab.discovery import HISTORY
-from dillport.lab.etcd.client import EtcdError
-from dillport.lab.etcd.shared import Garbage
-from dillport.lab.fleet_world import FleetWorld
-from dillport.lab.judge import Verdict
-from dillport.lab.records import HeldUp, Told
-from dillport.lab.servers import Machine
-from dillport.lab.world import Step, World
+from balancer.testbed.backend_emulator import Machine
+from balancer.testbed.cluster import Step, World
+from balancer.testbed.discovery_emulator import HISTORY
+from balancer.testbed.dual_source_cluster import FleetWorld
+from balancer.testbed.etcd.client import EtcdError
+from balancer.testbed.etcd.shared import Garbage
+from balancer.testbed.event_log import HeldUp, Told
+from balancer.testbed.invariant_checker import Verdict
+from balancer.testbed.load_generator import Habits
 
 SECONDS = 5.0
 CALM_S = 2.4  # at the end, without new faults; more than the grace
--- a/balancer/testbed/invariant_checker.py
+++ b/balancer/testbed/invariant_checker.py
@@ -15,9 +15,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from dillport.interface import Effect, Group
-from dillport.lab.cold import Pressure
-from dillport.lab.records import (
+from balancer.interface import Effect, Group
+from balancer.testbed.event_log import (
     Answered,
     Asked,
     ClientLeft,
@@ -41,7 +40,8 @@
     Wanted,
     words,
 )
-from dillport.lab.site import RequestClass, Site
+from balancer.testbed.service_profile import RequestClass, Site
+from balancer.testbed.slow_start_model import Pressure
 
 TITLES = {
     1: "every request is answered",
--- a/balancer/testbed/jut_model.py
+++ b/balancer/testbed/jut_model.py
@@ -18,8 +18,8 @@
 from heapq import heappop, heappush
 from statistics import mean, stdev
 
-from dillport import interface as api
-from dillport.policy import Balancer
+from balancer import interface as api
+from balancer.policy.balancer import Balancer
 
 UNIT_MS = 100.0  # the mean work on the module's clock
 FOREVER_MS = 1e9  # aim and deadline where only the pick is looked at
--- a/balancer/testbed/load_generator.py
+++ b/balancer/testbed/load_generator.py
@@ -18,11 +18,20 @@
 
 import httptools
 
-from dillport.interface import Effect, Group
-from dillport.lab.records import Answered, Asked, ClientLeft, Crossed, Journal, Unreached, Wanted, now_ms
-from dillport.lab.servers import RESET, form_of
-from dillport.lab.site import RequestClass, Site
-from dillport.members import Address
+from balancer.endpoints import Address
+from balancer.interface import Effect, Group
+from balancer.testbed.backend_emulator import RESET, form_of
+from balancer.testbed.event_log import (
+    Answered,
+    Asked,
+    ClientLeft,
+    Crossed,
+    Journal,
+    Unreached,
+    Wanted,
+    now_ms,
+)
+from balancer.testbed.service_profile import RequestClass, Site
 
 AFTER_MS = 1_500.0  # that an answer is still waited for past its time: over what the judge may allow for
 CONNECT_MS = 1_000.0
--- a/balancer/testbed/scenario.py
+++ b/balancer/testbed/scenario.py
@@ -27,11 +27,20 @@
 
 import msgspec
 
-from dillport.lab import disk, link
-from dillport.lab.clients import Habits
-from dillport.lab.fleet_world import SOURCE, FleetWorld
-from dillport.lab.judge import Verdict
-from dillport.lab.records import (
+from balancer.net import admin_socket as control
+from balancer.net.clock import TEST_CLOCK
+from balancer.testbed import disk_faults as disk
+from balancer.testbed import tcp_fault_proxy as link
+from balancer.testbed.backend_emulator import Machine, Server
+from balancer.testbed.cluster import (
+    DISCOVERY,
+    ROOT,
+    Node,
+    Step,
+    World,
+)
+from balancer.testbed.dual_source_cluster import SOURCE, FleetWorld
+from balancer.testbed.event_log import (
     Answered,
     Asked,
     NodeEnded,
@@ -42,11 +51,9 @@
     Wanted,
     now_ms,
 )
-from dillport.lab.servers import Machine, Server
-from dillport.lab.site import Rules, Site
-from dillport.lab.world import DISCOVERY, ROOT, Node, Step, World
-from dillport.net import control
-from dillport.net.clock import TEST_CLOCK
+from balancer.testbed.invariant_checker import Verdict
+from balancer.testbed.load_generator import Habits
+from balancer.testbed.service_profile import Rules, Site
 
 WINDOW_MS = 1_000.0  # over which service is compared with what it was
 SHORT = 0.05  # of the requests in time, by which it may fall short of that
@@ -73,7 +80,7 @@
 
 
 class Says(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """One `[[says]]`: what these nodes, or all, say of their return at the end (`dillport recovery`).
+    """One `[[says]]`: what these nodes, or all, say of their return at the end (`balancer recovery`).
 
     Their memory, and the least number of their life. Each must be confirmed or full by then.
     """
--- a/balancer/testbed/scenario_runner.py
+++ b/balancer/testbed/scenario_runner.py
@@ -1,6 +1,6 @@
 """A script of faults played on real processes, and what came of it: in lines for people, and as a picture.
 
-`dillport lab play` (`dillport.cli.lab`) is the command.
+`balancer lab play` (`balancer.cli.testbed`) is the command.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 from contextlib import AbstractContextManager
 from pathlib import Path
 
-from dillport.lab import script as sc
-from dillport.lab.script import Played, Script, Strike
+from balancer.testbed import scenario as sc
+from balancer.testbed.scenario import Played, Script, Strike
 
 SHOWN = 40  # lines of what is wrong
 LOOK = 0.25  # s between two words on how far it is
-SCRIPTS = Path(__file__).parent / "scripts"
+SCRIPTS = Path(__file__).parent / "scenarios"
 Say = Callable[[str], None]
 Look = Callable[[float], None]
 Onlooker = Callable[[float], AbstractContextManager[tuple[Say, Look | None]]]
@@ -42,7 +42,7 @@
             await asyncio.sleep(LOOK)
             look(min(script.seconds, time.monotonic() - begun))
 
-    directories = tempfile.TemporaryDirectory(prefix="dillport-play-")
+    directories = tempfile.TemporaryDirectory(prefix="balancer-play-")
     with directories as directory, onlooker(script.seconds) as (say, look):
         task = asyncio.create_task(looking(look))
         try:
--- a/balancer/testbed/service_profile.py
+++ b/balancer/testbed/service_profile.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from dillport.interface import Effect, Group
+from balancer.interface import Effect, Group
 
 _EFFECTS = {Effect.SAFE: "retryable", Effect.KEYED: "dedup", Effect.UNSAFE: "fragile"}
 
--- a/balancer/testbed/simulation/__init__.py
+++ b/balancer/testbed/simulation/__init__.py
@@ -10,8 +10,8 @@
 - `report`: what a run comes to. The same scenario gives the same report, always.
 """
 
-from dillport.lab.fleet.report import Report
-from dillport.lab.fleet.scenario import Scenario, Trouble, rough
-from dillport.lab.fleet.world import World, play
+from balancer.testbed.simulation.report import Report
+from balancer.testbed.simulation.scenario import Scenario, Trouble, rough
+from balancer.testbed.simulation.world import World, play
 
 __all__ = ["Report", "Scenario", "Trouble", "World", "play", "rough"]
--- a/balancer/testbed/simulation/policies.py
+++ b/balancer/testbed/simulation/policies.py
@@ -10,9 +10,9 @@
 import random
 from typing import Protocol
 
-from dillport import interface as api
-from dillport.lab.fleet.scenario import ScenarioError
-from dillport.policy import Balancer
+from balancer import interface as api
+from balancer.policy.balancer import Balancer
+from balancer.testbed.simulation.scenario import ScenarioError
 
 
 class Policy(Protocol):
--- a/balancer/testbed/simulation/report.py
+++ b/balancer/testbed/simulation/report.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from dillport.lab.fleet.scenario import Scenario
+from balancer.testbed.simulation.scenario import Scenario
 
 
 @dataclass(slots=True, frozen=True)
--- a/balancer/testbed/simulation/rules.py
+++ b/balancer/testbed/simulation/rules.py
@@ -12,9 +12,19 @@
 
 from __future__ import annotations
 
-from dillport.interface import NEVER_RAN, Effect, Group, Status
-from dillport.lab.fleet.servers import Ask, Server, Try, Want
-from dillport.lab.site import Site
+from balancer.interface import (
+    NEVER_RAN,
+    Effect,
+    Group,
+    Status,
+)
+from balancer.testbed.service_profile import Site
+from balancer.testbed.simulation.servers import (
+    Ask,
+    Server,
+    Try,
+    Want,
+)
 
 EXAMPLES = 5  # breaches that are told in words, of each rule
 
--- a/balancer/testbed/simulation/scenario.py
+++ b/balancer/testbed/simulation/scenario.py
@@ -9,8 +9,8 @@
 import random
 from dataclasses import dataclass, field, replace
 
-from dillport.interface import Effect
-from dillport.lab.site import RequestClass, Rules, Site
+from balancer.interface import Effect
+from balancer.testbed.service_profile import RequestClass, Rules, Site
 
 KINDS = ("drain", "crash", "cut", "silence", "burst", "fail")
 
--- a/balancer/testbed/simulation/servers.py
+++ b/balancer/testbed/simulation/servers.py
@@ -10,10 +10,10 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from dillport.interface import Entry, Phase, Report
-from dillport.lab.cold import Pressure, warmth
-from dillport.lab.fleet.scenario import Choke
-from dillport.lab.site import RequestClass, Rules
+from balancer.interface import Entry, Phase, Report
+from balancer.testbed.service_profile import RequestClass, Rules
+from balancer.testbed.simulation.scenario import Choke
+from balancer.testbed.slow_start_model import Pressure, warmth
 
 
 @dataclass(slots=True, eq=False)
--- a/balancer/testbed/simulation/world.py
+++ b/balancer/testbed/simulation/world.py
@@ -16,13 +16,18 @@
 from dataclasses import replace
 from typing import Any
 
-from dillport import interface as api
-from dillport.lab.fleet.policies import Policy, make
-from dillport.lab.fleet.report import Report
-from dillport.lab.fleet.rules import Rules
-from dillport.lab.fleet.scenario import Scenario, Trouble
-from dillport.lab.fleet.servers import Ask, Server, Try, Want
-from dillport.settings import read
+from balancer import interface as api
+from balancer.platform_settings import read
+from balancer.testbed.simulation.policies import Policy, make
+from balancer.testbed.simulation.report import Report
+from balancer.testbed.simulation.rules import Rules
+from balancer.testbed.simulation.scenario import Scenario, Trouble
+from balancer.testbed.simulation.servers import (
+    Ask,
+    Server,
+    Try,
+    Want,
+)
 
 JITTER = 0.2  # part of a trip's time that is chance
 OPEN_CONN = 0.5  # part of the attempts over a cut link that an open connection takes
--- a/balancer/testbed/slow_start_model.py
+++ b/balancer/testbed/slow_start_model.py
@@ -9,7 +9,7 @@
 import math
 from collections import deque
 
-from dillport.lab.site import Rules
+from balancer.testbed.service_profile import Rules
 
 
 def warmth(cold_share: float, warm_ms: float, age_ms: float) -> float:
--- a/balancer/testbed/tcp_fault_proxy.py
+++ b/balancer/testbed/tcp_fault_proxy.py
@@ -27,7 +27,7 @@
 from enum import Enum
 from typing import cast
 
-from dillport.members import Address
+from balancer.endpoints import Address
 
 HELD = 256 * 1024  # bytes held of one connection and way before its sender is no longer read
 RECORDS = 100_000
--- a/balancer/testbed/udp_fault_proxy.py
+++ b/balancer/testbed/udp_fault_proxy.py
@@ -21,8 +21,13 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, replace
 
-from dillport.lab.link import BOTH, HELD, Way, loopback
-from dillport.members import Address
+from balancer.endpoints import Address
+from balancer.testbed.tcp_fault_proxy import (
+    BOTH,
+    HELD,
+    Way,
+    loopback,
+)
 
 SENDERS = 256
 SWAP_MS = 100.0  # that one which is to be overtaken waits for the next at the most
--- a/balancer/timeline/monitor.py
+++ b/balancer/timeline/monitor.py
@@ -9,10 +9,16 @@
 from collections import deque
 from collections.abc import Callable, Sequence
 
-from dillport import interface as api
-from dillport.decide.departure import Departures, Row, Told
-from dillport.timeline import keys, sketch
-from dillport.timeline.record import SERVER, Closed, Look, Recorder
+from balancer import interface as api
+from balancer.core.anomaly_detection.detector import Departures, Row, Told
+from balancer.timeline import latency_histogram as sketch
+from balancer.timeline import schema as keys
+from balancer.timeline.recorder import (
+    SERVER,
+    Closed,
+    Look,
+    Recorder,
+)
 
 EVENTS = 2_000
 AFTER_RAMP_MS = 10_000.0  # from the end of its slow start on a server's answer times count
--- a/balancer/timeline/queries.py
+++ b/balancer/timeline/queries.py
@@ -5,10 +5,18 @@
 from collections.abc import Iterator
 from typing import Any
 
-from dillport.timeline import keys, sketch, trails
-from dillport.timeline.record import CLASS, NODE, ZONE, Line, Recorder
-from dillport.timeline.series import RESOLUTIONS_S, Bucket, finest
-from dillport.timeline.watch import Watch
+from balancer.timeline import latency_histogram as sketch
+from balancer.timeline import request_traces as trails
+from balancer.timeline import schema as keys
+from balancer.timeline.monitor import Watch
+from balancer.timeline.recorder import (
+    CLASS,
+    NODE,
+    ZONE,
+    Line,
+    Recorder,
+)
+from balancer.timeline.time_series import RESOLUTIONS_S, Bucket, finest
 
 MOST_POINTS = 600
 OVERVIEW_S = 6 * 3_600  # that an overview reaches over at the most
--- a/balancer/timeline/recorder.py
+++ b/balancer/timeline/recorder.py
@@ -16,12 +16,27 @@
 from dataclasses import dataclass
 from math import ceil, log
 
-from dillport import interface as api
-from dillport.timeline import keys
-from dillport.timeline.keys import STATUSES, TIMES, WHYS, WIDTH
-from dillport.timeline.series import STEPS, Gauges, Series, Spans
-from dillport.timeline.sketch import BINS, LEAST_MS, LOW, PER_STEP
-from dillport.timeline.trails import MOST, Trails
+from balancer import interface as api
+from balancer.timeline import schema as keys
+from balancer.timeline.latency_histogram import (
+    BINS,
+    LEAST_MS,
+    LOW,
+    PER_STEP,
+)
+from balancer.timeline.request_traces import MOST, Trails
+from balancer.timeline.schema import (
+    STATUSES,
+    TIMES,
+    WHYS,
+    WIDTH,
+)
+from balancer.timeline.time_series import (
+    STEPS,
+    Gauges,
+    Series,
+    Spans,
+)
 
 ENOUGH = 10  # outcomes with which a line closes at the next second
 WAIT_S = 5  # and how long it waits for them
--- a/balancer/timeline/request_traces.py
+++ b/balancer/timeline/request_traces.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from dillport import interface as api
+from balancer import interface as api
 
 MOST = 64  # events and actions of one request that are kept; what comes after is left out
 
--- a/balancer/timeline/schema.py
+++ b/balancer/timeline/schema.py
@@ -1,13 +1,13 @@
 """Numbers for all that is counted, so that a bucket is one small map from number to count.
 
 Below `TIMES` each number stands for a word: an attempt's outcome, a reason, a note. From `TIMES` on they are
-answer times: `WIDTH` numbers a class, one for each bin of `dillport.timeline.sketch`. Numbers are for memory
+answer times: `WIDTH` numbers a class, one for each bin of `balancer.timeline.latency_histogram`. Numbers are for memory
 alone and may change with the version; names are what is shown.
 """
 
 from __future__ import annotations
 
-from dillport.interface import Status, What, Why
+from balancer.interface import Status, What, Why
 
 TIMES = 1024
 WIDTH = 512
--- a/benchmarks/anomaly_detection.py
+++ b/benchmarks/anomaly_detection.py
@@ -1,6 +1,6 @@
 """How fast a departing server is named, against how often one is named without a cause. Virtual time.
 
-    python -m benchmarks.departure [--quick] [--part NAME] ... [--jobs N]
+    python -m benchmarks.anomaly_detection [--quick] [--part NAME] ... [--jobs N]
 
 Streams: each server answers at some rate in two classes, log-normal times (sigma 0.6), 10% spread between
 servers, a wander of 5% of each (an hour's daily wave of 50% over all), 0.1% errors. Parts:
@@ -25,9 +25,15 @@
 from statistics import median, pstdev
 from typing import Any
 
-from benchmarks.report import Row as Line
-from benchmarks.report import table
-from dillport.decide.departure import Departures, Row, Signal, Step, Told
+from balancer.core.anomaly_detection.detector import (
+    Departures,
+    Row,
+    Signal,
+    Step,
+    Told,
+)
+from benchmarks.result_table import Row as Line
+from benchmarks.result_table import table
 
 CLASSES = {"read": 40.0, "book": 120.0}  # ms
 SIGMA, SPREAD, WANDER, WAVE = 0.6, 0.10, 0.05, 0.5
@@ -277,7 +283,7 @@
 
 def main(argv: Sequence[str] | None = None) -> int:
     """The command; its exit code."""
-    parser = argparse.ArgumentParser(prog="benchmarks.departure", description=__doc__.partition("\n")[0])
+    parser = argparse.ArgumentParser(prog="benchmarks.anomaly_detection", description=__doc__.partition("\n")[0])
     parser.add_argument("--quick", action="store_true", help="smaller and shorter: to see that it runs")
     parser.add_argument("--part", action="append", choices=("delay", "quiet"), help="only this")
     parser.add_argument("--jobs", type=int, default=os.cpu_count() or 1, metavar="N", help="processes")
--- a/benchmarks/cap_guidance.py
+++ b/benchmarks/cap_guidance.py
@@ -1,6 +1,6 @@
 """What m does in a fleet: the module's own m, fixed ones, and guides from a node's own figures.
 
-    .venv-dev/bin/python -m benchmarks.guide --jobs 2
+    .venv-dev/bin/python -m benchmarks.cap_guidance --jobs 2
 
 For each size, load and spread of work (the work's standard deviation over its mean) the mean waiting in
 milliseconds and the service, with the same traffic for each guide.
@@ -13,12 +13,12 @@
 import multiprocessing
 from dataclasses import replace
 
-from dillport import interface as api
-from dillport.lab.fleet import Report, Scenario, play
-from dillport.lab.fleet.policies import Policy
-from dillport.lab.fleet.scenario import SITE
-from dillport.policy import EWMA, FEEDERS, Balancer
-from dillport.state import Backend, Request
+from balancer import interface as api
+from balancer.policy.balancer import EWMA, FEEDERS, Balancer
+from balancer.policy.records import Backend, Request
+from balancer.testbed.simulation import Report, Scenario, play
+from balancer.testbed.simulation.policies import Policy
+from balancer.testbed.simulation.scenario import SITE
 
 SIZES = ((10, 1), (10, 10), (100, 1), (100, 10), (100, 100), (1_000, 10))
 LOADS, SPREADS = (0.5, 0.75, 0.9), (0.5, 1.0, 3.0)
--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -1,6 +1,6 @@
 """What a decision costs, by the size of the fleet: a request, a change of the list, live weights of all.
 
-    python -m benchmarks.decide [--quick] [--part NAME] ... [--cores CORES]
+    python -m benchmarks.decision_cost [--quick] [--part NAME] ... [--cores CORES]
 
 The module alone (`Balancer.handle`), in this process, on a made-up fleet. All sizes take turns within one
 run, so that whatever else the machine does falls on all of them: go by the ratios. Parts: `request`,
@@ -22,9 +22,15 @@
 from dataclasses import replace
 from statistics import median
 
-from benchmarks.report import Row, cores, on, part_of, table
-from dillport import interface as api
-from dillport.policy import Balancer
+from balancer import interface as api
+from balancer.policy.balancer import Balancer
+from benchmarks.result_table import (
+    Row,
+    cores,
+    on,
+    part_of,
+    table,
+)
 
 SIZES = (4, 20, 100, 1_000, 10_000)
 GROUPS = (1, 20)
@@ -165,7 +171,7 @@
 
 def main(argv: Sequence[str] | None = None) -> int:
     """The command; its exit code."""
-    parser = argparse.ArgumentParser(prog="benchmarks.decide", description=__doc__.partition("\n")[0])
+    parser = argparse.ArgumentParser(prog="benchmarks.decision_cost", description=__doc__.partition("\n")[0])
     parts = {"request": request, "change": change, "weights": weights}
     parser.add_argument("--quick", action="store_true", help="fewer turns: to see that it runs")
     parser.add_argument("--part", action="append", choices=parts, help="only this; may be given often")
--- a/benchmarks/discovery_outage.py
+++ b/benchmarks/discovery_outage.py
@@ -12,9 +12,9 @@
 from bisect import bisect_left
 from collections.abc import Callable, Iterator
 
-from benchmarks.report import Row
-from dillport.decide import etcd_follow as ef
-from dillport.decide import platform_follow as pf
+from balancer.core.discovery import etcd_watcher as ef
+from balancer.core.discovery import platform_watcher as pf
+from benchmarks.result_table import Row
 
 NODES = 1000
 CALM_MS, OUTAGE_MS, AFTER_MS = 20_000.0, 60_000.0, 30_000.0
--- a/benchmarks/drain_delay.py
+++ b/benchmarks/drain_delay.py
@@ -15,14 +15,19 @@
 from pathlib import Path
 from statistics import median
 
-from benchmarks.report import Row, part_of
-from dillport.lab.clients import Habits
-from dillport.lab.etcd.cluster import EtcdCluster
-from dillport.lab.etcd.standin import StandIn
-from dillport.lab.records import HeldUp, Received, Wanted, now_ms
-from dillport.lab.servers import Machine
-from dillport.lab.site import CLASSES, Site
-from dillport.lab.world import Node, World
+from balancer.testbed.backend_emulator import Machine
+from balancer.testbed.cluster import Node, World
+from balancer.testbed.etcd.cluster import EtcdCluster
+from balancer.testbed.etcd.standin import StandIn
+from balancer.testbed.event_log import (
+    HeldUp,
+    Received,
+    Wanted,
+    now_ms,
+)
+from balancer.testbed.load_generator import Habits
+from balancer.testbed.service_profile import CLASSES, Site
+from benchmarks.result_table import Row, part_of
 
 PREFIX = "/dillport/members/"
 SERVERS = 4  # few, so that each gets a request every 8 ms: a late one would be seen
@@ -85,7 +90,7 @@
     path.write_text(f'[membership.etcd]\nendpoints = {json.dumps(etcd.endpoints)}\nprefix = "{PREFIX}"\n')
 
     def prepare(node: Node) -> None:
-        node.env["DILLPORT_SETTINGS"] = str(path)
+        node.env["BALANCER_SETTINGS"] = str(path)
 
     machine = Machine(cores=32, queue=64)
     async with World(
--- a/benchmarks/endpoint_updates.py
+++ b/benchmarks/endpoint_updates.py
@@ -1,6 +1,6 @@
 """Membership in figures: how fast a drain is obeyed, what 10,000 servers cost, what a change costs.
 
-    python -m benchmarks.membership [--quick] [--part NAME] ...
+    python -m benchmarks.endpoint_updates [--quick] [--part NAME] ...
 
 Parts: `drain`, `start`, `stall`, `turns`, `change`, `herd`; most tables are those of
 docs/operate/membership.md, that of `turns` is in docs/design/coming-back.md.
@@ -20,9 +20,28 @@
 
 import uvloop
 
-from benchmarks import changes, drains, fleet, herd, turns
-from benchmarks.report import Row, cores, on, table
-from dillport.lab.etcd.standin import StandIn
+from balancer.testbed.etcd.standin import StandIn
+from benchmarks import (
+    discovery_outage as herd,
+)
+from benchmarks import (
+    drain_delay as drains,
+)
+from benchmarks import (
+    list_change_cost as changes,
+)
+from benchmarks import (
+    list_processing_stalls as turns,
+)
+from benchmarks import (
+    proxy_fleet as fleet,
+)
+from benchmarks.result_table import (
+    Row,
+    cores,
+    on,
+    table,
+)
 
 RATE = 500.0  # requests a second while drains are measured
 
@@ -44,7 +63,7 @@
     async def drain(self) -> None:
         """From etcd's delete to the last first byte."""
         count = 20 if self.quick else 200
-        with tempfile.TemporaryDirectory(prefix="dillport-drain-") as name:
+        with tempfile.TemporaryDirectory(prefix="balancer-drain-") as name:
             async with StandIn() as standin:
                 got = await drains.drains(standin, Path(name), count, RATE, self.node)
             self.show(f"From a delete to the last request ({count} deletes, etcd's stand-in)", got.rows())
@@ -87,7 +106,7 @@
         "drain": Benchmark.drain, "start": Benchmark.start, "stall": Benchmark.stall,
         "turns": Benchmark.turns, "change": Benchmark.change, "herd": Benchmark.herd,
     }  # fmt: skip
-    parser = argparse.ArgumentParser(prog="benchmarks.membership", description=__doc__.partition("\n")[0])
+    parser = argparse.ArgumentParser(prog="benchmarks.endpoint_updates", description=__doc__.partition("\n")[0])
     parser.add_argument("--quick", action="store_true", help="smaller and once: to see that it runs")
     parser.add_argument("--part", action="append", choices=parts, help="only this; may be given often")
     text = "cores such as 1-3,5 for the process that is measured (as the system likes)"
--- a/benchmarks/failure_detection.py
+++ b/benchmarks/failure_detection.py
@@ -1,6 +1,6 @@
 """Who is there, in virtual time: how soon a death is known, what is called dead wrongly, and what it costs.
 
-    python -m benchmarks.peers [--part detect|calm|stalls|heal|codes|cpu] [--nodes N ...] [--loss P]
+    python -m benchmarks.failure_detection [--part detect|calm|stalls|heal|codes|cpu] [--nodes N ...] [--loss P]
 
 Deciders on one virtual clock; each datagram takes 0.3 to 3 ms or is lost. The codec is left out but for its
 sizes (and in `codes` and `cpu`). Nothing is asserted; docs/design/peers.md has the tables.
@@ -20,8 +20,8 @@
 from random import Random
 from statistics import mean
 
-from dillport.decide import peers as pr
-from dillport.proto import gossip
+from balancer.core.cluster import failure_detector as pr
+from balancer.protocol import gossip
 
 PERIOD = pr.PERIOD_MS
 
--- a/benchmarks/failure_detection_processes.py
+++ b/benchmarks/failure_detection_processes.py
@@ -1,6 +1,6 @@
 """What knowing each other costs real nodes, and how soon they all know of a death. Processes on one machine.
 
-    python -m benchmarks.peers_processes --nodes 20 --kills 5 --seconds 20
+    python -m benchmarks.failure_detection_processes --nodes 20 --kills 5 --seconds 20
 
 Prints, for a fleet without and with `[peers]`, the CPU of a node without requests (by the kernel's count) and
 its private memory, medians over all; datagrams that it sends; and how long after each SIGKILL the first and
@@ -18,9 +18,9 @@
 from pathlib import Path
 from typing import Any
 
-from dillport.lab.site import Site
-from dillport.lab.world import Node, World
-from dillport.net import control
+from balancer.net import admin_socket as control
+from balancer.testbed.cluster import Node, World
+from balancer.testbed.service_profile import Site
 
 TICK_S = 1 / os.sysconf("SC_CLK_TCK")
 
--- a/benchmarks/fault_schedules.py
+++ b/benchmarks/fault_schedules.py
@@ -1,6 +1,6 @@
 """Many seeded schedules of source faults, each on a world of its own with real nodes, and the judge's word.
 
-    python -m benchmarks.schedules --count 200 --jobs 4
+    python -m benchmarks.fault_schedules --count 200 --jobs 4
 
 Prints a line for each schedule that is not in order, with what went wrong, and a table of all. Exit 0 where
 no rule broke, no request went to a removed server after the grace, every source got up to date after its
@@ -22,8 +22,8 @@
 from multiprocessing import get_context
 from pathlib import Path
 
-from dillport.lab import schedules
-from dillport.lab.judge import TITLES
+from balancer.testbed import fault_schedules as schedules
+from balancer.testbed.invariant_checker import TITLES
 
 SECONDS = 8.0
 
@@ -55,7 +55,7 @@
 def one(seed: int, seconds: float) -> Outcome:
     """Run the schedule of a seed; what could not be run at all is a fault too."""
     schedule = schedules.draw(seed, seconds)
-    with tempfile.TemporaryDirectory(prefix="dillport-schedule-") as directory:
+    with tempfile.TemporaryDirectory(prefix="balancer-schedule-") as directory:
         try:
             result = asyncio.run(schedules.play(schedule, Path(directory)))
         except Exception as err:
@@ -98,7 +98,7 @@
 
 def main(argv: Sequence[str] | None = None) -> int:
     """Run them all; the exit code."""
-    parser = argparse.ArgumentParser("python -m benchmarks.schedules", description=__doc__.split("\n")[0])
+    parser = argparse.ArgumentParser("python -m benchmarks.fault_schedules", description=__doc__.split("\n")[0])
     parser.add_argument("--count", type=int, default=200, help="how many schedules (200)")
     parser.add_argument("--first", type=int, default=1, help="the first seed (1)")
     parser.add_argument("--jobs", type=int, default=4, help="processes, a world each (4)")
--- a/benchmarks/jut_paper.py
+++ b/benchmarks/jut_paper.py
@@ -1,6 +1,6 @@
-"""The numbers of the paper on Join-Up-To(m), with the module as its dispatcher (`dillport.lab.paper`).
+"""The numbers of the paper on Join-Up-To(m), with the module as its dispatcher (`balancer.testbed.jut_model`).
 
-    .venv-dev/bin/python -m benchmarks.paper --jobs 2
+    .venv-dev/bin/python -m benchmarks.jut_paper --jobs 2
 
 `table1` and `table2` set the paper's numbers beside those of its rule to the letter, `ours` the module as it
 stands, which takes m from an aim and also goes by its own attempts still out, in the same setting.
@@ -13,7 +13,14 @@
 from collections.abc import Sequence
 from typing import Any
 
-from dillport.lab.paper import Result, Run, best_m, confidence, limit, simulate
+from balancer.testbed.jut_model import (
+    Result,
+    Run,
+    best_m,
+    confidence,
+    limit,
+    simulate,
+)
 
 LOADS, DELTAS = (0.5, 0.8, 0.95), (0.4, 0.1, 0.025)
 TABLE_1 = {
--- a/benchmarks/list_change_cost.py
+++ b/benchmarks/list_change_cost.py
@@ -14,14 +14,20 @@
 from dataclasses import replace
 from statistics import median
 
-from benchmarks.report import Row, part_of
-from dillport.decide.membership import Apply, Listed, Membership, Role, Source
-from dillport.interface import Entry, ListUpdate, Phase
-from dillport.lab.site import Site
-from dillport.members import Listing, Member
-from dillport.net.upstream import Pool
-from dillport.policy import Balancer
-from dillport.settings import parse
+from balancer.core.discovery.endpoint_merger import (
+    Apply,
+    Listed,
+    Membership,
+    Role,
+    Source,
+)
+from balancer.endpoints import Listing, Member
+from balancer.interface import Entry, ListUpdate, Phase
+from balancer.net.backend_pool import Pool
+from balancer.platform_settings import parse
+from balancer.policy.balancer import Balancer
+from balancer.testbed.service_profile import Site
+from benchmarks.result_table import Row, part_of
 
 WHO, ORDER = "etcd", "1/0"
 LAYERS = ("merge alone", "merge and pool", "merge, pool and the module's handle")
--- a/benchmarks/list_processing_stalls.py
+++ b/benchmarks/list_processing_stalls.py
@@ -17,23 +17,23 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.child import Probe
-from benchmarks.report import Row, spread
-from dillport.decide.membership import Listed, Membership, Source
-from dillport.lab.site import Site
-from dillport.net import state
-from dillport.net.config import load
-from dillport.net.control import Control
-from dillport.net.fleet import Fleet
-from dillport.net.node import Node
-from dillport.net.part import Running
-from dillport.net.recovery import RecoveryPart
-from dillport.net.sources import platform
-from dillport.net.sources.platform import Call, PlatformSource
-from dillport.net.state import StatePart
-from dillport.net.upstream import Pool
-from dillport.operators import Operators, StateSettings
-from dillport.policy import Balancer
+from balancer.core.discovery.endpoint_merger import Listed, Membership, Source
+from balancer.net import persistence as state
+from balancer.net.admin_socket import Control
+from balancer.net.backend_pool import Pool
+from balancer.net.component import Running
+from balancer.net.config import load
+from balancer.net.discovery import platform
+from balancer.net.discovery.platform import Call, PlatformSource
+from balancer.net.endpoint_view import Fleet
+from balancer.net.persistence import StatePart
+from balancer.net.recovery import RecoveryPart
+from balancer.net.request_dispatcher import Node
+from balancer.operator_settings import Operators, StateSettings
+from balancer.policy.balancer import Balancer
+from balancer.testbed.service_profile import Site
+from benchmarks.measured_process import Probe
+from benchmarks.result_table import Row, spread
 
 NODES = 1000  # that share the fleet, as the settings say
 PARTS: dict[str, tuple[Any, tuple[str, ...]]] = {
@@ -102,7 +102,7 @@
             lags: dict[str, list[float]] = {}
             longest: dict[str, dict[str, float]] = {}
             for _ in range(runs):
-                with tempfile.TemporaryDirectory(prefix="dillport-turns-") as name:
+                with tempfile.TemporaryDirectory(prefix="balancer-turns-") as name:
                     for what, worst in (await run(Path(name), port, size, kept, probe, parts)).items():
                         lags.setdefault(what, []).append(worst[0])
                         for part, took in worst[1].items():
--- a/benchmarks/property_search.py
+++ b/benchmarks/property_search.py
@@ -1,6 +1,6 @@
 """New cases for the properties that the tests play on the same few hundred each time.
 
-    python -m benchmarks.properties --count 100000 --jobs 6
+    python -m benchmarks.property_search --count 100000 --jobs 6
 
 Cases drawn anew, `--count` of each property of the follower of etcd and of the merge, in blocks of BLOCK with
 a seed each. A case that fails is shrunk and printed with its block's seed, and `--first SEED --count 1`
@@ -24,8 +24,8 @@
 from hypothesis import HealthCheck, given, seed, settings
 from hypothesis.strategies import SearchStrategy
 
-from tests.decide import test_etcd_follow as follow
-from tests.decide import test_membership as merge
+from tests.core.discovery import test_endpoint_merger as merge
+from tests.core.discovery import test_etcd_watcher as follow
 
 BLOCK = 500  # cases of one seed: the search keeps what it has seen of a block
 
@@ -64,7 +64,7 @@
 
 def main(argv: Sequence[str] | None = None) -> int:
     """Play them all; the exit code."""
-    parser = argparse.ArgumentParser("python -m benchmarks.properties", description=__doc__.split("\n")[0])
+    parser = argparse.ArgumentParser("python -m benchmarks.property_search", description=__doc__.split("\n")[0])
     parser.add_argument("--count", type=int, default=100_000, help="cases of each property (100000)")
     parser.add_argument("--first", type=int, default=1, help="the first block's seed (1)")
     parser.add_argument("--jobs", type=int, default=4, help="processes (4)")
--- a/benchmarks/relay_cost.py
+++ b/benchmarks/relay_cost.py
@@ -1,6 +1,6 @@
 """A bare relay: the floor for a proxy on this runtime, beside which the node is measured.
 
-    python -m benchmarks.relay PORT HOST:PORT ...
+    python -m benchmarks.relay_cost PORT HOST:PORT ...
 
 uvloop and httptools as the node has them, each request to the next server in turn on a connection that is
 kept. There are no deadlines, limits, repeats, reports or lists: what the node costs beyond it is the node's.
--- a/benchmarks/routing_scale.py
+++ b/benchmarks/routing_scale.py
@@ -1,6 +1,6 @@
 """Routing at large scale, in virtual time: sizes and numbers of nodes, against plain policies.
 
-    .venv-dev/bin/python -m benchmarks.scale --jobs 2 --svg docs/design/routing-fleet.svg
+    .venv-dev/bin/python -m benchmarks.routing_scale --jobs 2 --svg docs/design/routing-fleet.svg
 
 Each run gets the same traffic whatever the policy. The arrivals of a run are bounded (`--requests`), so a
 large fleet is looked at for a shorter time: 10,000 servers at load 0.75 take 75,000 requests a second.
@@ -13,9 +13,14 @@
 from collections.abc import Iterable
 from pathlib import Path
 
-from benchmarks.picture import Panel, svg
-from dillport.lab.fleet import Report, Scenario, play, rough
-from dillport.lab.fleet.policies import POLICIES
+from balancer.testbed.simulation import (
+    Report,
+    Scenario,
+    play,
+    rough,
+)
+from balancer.testbed.simulation.policies import POLICIES
+from benchmarks.charts import Panel, svg
 
 SIZES, NODES = (10, 100, 1_000, 10_000), (1, 10, 100, 1_000)
 REQUESTS, LONGEST_S, LOAD = 200_000, 600.0, 0.75
--- a/benchmarks/shutdown_races.py
+++ b/benchmarks/shutdown_races.py
@@ -1,6 +1,6 @@
 """New orders of what may cross in a node, with more requests at once than the tests have.
 
-    python -m benchmarks.crossings --count 100000 --jobs 6
+    python -m benchmarks.shutdown_races --count 100000 --jobs 6
 
 Orders drawn anew, in blocks of BLOCK with a seed each, half of them on uvloop as the program runs and half on
 asyncio's own loop. An order in which something is wrong is printed with its block's seed, and `--first SEED
@@ -21,7 +21,7 @@
 from dataclasses import replace
 from multiprocessing import get_context
 
-from tests.system.crossings import Order, draw, found
+from tests.system.shutdown_races import Order, draw, found
 
 BLOCK = 250  # orders of one seed
 SHOWN = 3  # orders printed of each kind of fault
@@ -61,7 +61,7 @@
 
 def main(argv: Sequence[str] | None = None) -> int:
     """Play all blocks; the exit code."""
-    parser = argparse.ArgumentParser("python -m benchmarks.crossings", description=__doc__.split("\n")[0])
+    parser = argparse.ArgumentParser("python -m benchmarks.shutdown_races", description=__doc__.split("\n")[0])
     parser.add_argument("--count", type=int, default=20_000, help="how many orders (20000)")
     parser.add_argument("--first", type=int, default=1, help="the first block's seed (1)")
     parser.add_argument("--jobs", type=int, default=4, help="processes (4)")
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -30,12 +30,23 @@
 import msgspec
 import xxhash
 
-from benchmarks.report import Row, cores, on, part_of, table
-from dillport.decide import keeping as k
-from dillport.decide.kept import URGENT, Self, Server, recall
-from dillport.lab.disk_port import Disk, SimFiles
-from dillport.store.engine import Delete, Put
-from dillport.store.store import Store, StoreFull
+from balancer.core.persistence import write_behind as k
+from balancer.core.persistence.persisted_state import (
+    URGENT,
+    Self,
+    Server,
+    recall,
+)
+from balancer.store.engine import Delete, Put
+from balancer.store.store import Store, StoreFull
+from balancer.testbed.simulated_disk import Disk, SimFiles
+from benchmarks.result_table import (
+    Row,
+    cores,
+    on,
+    part_of,
+    table,
+)
 
 VALUE = b"x" * 120  # about a server's row
 SLICE = 250
--- a/tests/cli/test_state_commands.py
+++ b/tests/cli/test_state_commands.py
@@ -9,10 +9,10 @@
 
 import pytest
 
-from dillport.cli import main
-from dillport.decide.kept import Self, Server
-from dillport.net.control import Control
-from dillport.store.store import Store
+from balancer.cli import main
+from balancer.core.persistence.persisted_state import Self, Server
+from balancer.net.admin_socket import Control
+from balancer.store.store import Store
 
 
 @pytest.fixture
--- a/tests/compatibility/datagrams.py
+++ b/tests/compatibility/datagrams.py
@@ -4,7 +4,8 @@
 
 from typing import Any
 
-from dillport.proto import goes_by, gossip
+from balancer.protocol import gossip
+from balancer.protocol import gossip_sections as goes_by
 
 SECRET = bytes(range(32))
 MEMBERS = (
--- a/tests/compatibility/decision_streams.py
+++ b/tests/compatibility/decision_streams.py
@@ -12,13 +12,20 @@
 from dataclasses import replace
 from typing import Any
 
-from dillport import interface as api
-from dillport import wire
-from dillport.lab.fleet import scenario as simulation_scenario
-from dillport.lab.fleet.policies import Policy
-from dillport.lab.fleet.world import World
-from dillport.policy import Balancer
-from tests.helpers import BASE, KEYED, LOOKING, SAFE, UNSAFE, entry
+from balancer import interface as api
+from balancer.policy.balancer import Balancer
+from balancer.simulator import wire
+from balancer.testbed.simulation import scenario as simulation_scenario
+from balancer.testbed.simulation.policies import Policy
+from balancer.testbed.simulation.world import World
+from tests.helpers import (
+    BASE,
+    KEYED,
+    LOOKING,
+    SAFE,
+    UNSAFE,
+    entry,
+)
 
 DEAR = replace(SAFE, name="dear", value=400.0)
 CELL = replace(KEYED, name="cell", group=api.Group.CELL)
--- a/tests/compatibility/stored_data.py
+++ b/tests/compatibility/stored_data.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from dillport.decide.kept import (
+from balancer.core.persistence.persisted_state import (
     Ejection,
     End,
     Limit,
@@ -20,9 +20,9 @@
     Weight,
     recall,
 )
-from dillport.store import inspect
-from dillport.store.engine import Delete, Engine, Put
-from dillport.store.files import Real
+from balancer.store import inspect
+from balancer.store.engine import Delete, Engine, Put
+from balancer.store.files import Real
 
 WROTE_MS = 1_790_000_000_000
 """Wall clock of the first commit."""
--- a/tests/compatibility/test_datagrams.py
+++ b/tests/compatibility/test_datagrams.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from dillport.proto import gossip
+from balancer.protocol import gossip
 from tests.compatibility import datagrams
 
 RECORDED = json.loads((Path(__file__).parent / "fixtures" / "datagrams.json").read_text())
--- a/tests/compatibility/test_recorded_decisions.py
+++ b/tests/compatibility/test_recorded_decisions.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from dillport import policy
+from balancer.policy import balancer as policy
 from tests.compatibility import decision_streams as streams
 
 FIXTURE = json.loads((Path(__file__).parent / "fixtures" / "decisions.json").read_text())
--- a/tests/core/anomaly_detection/test_detector.py
+++ b/tests/core/anomaly_detection/test_detector.py
@@ -8,8 +8,15 @@
 
 import pytest
 
-from dillport.decide import departure
-from dillport.decide.departure import Departures, Row, Scope, Signal, Step, Told
+from balancer.core.anomaly_detection import detector as departure
+from balancer.core.anomaly_detection.detector import (
+    Departures,
+    Row,
+    Scope,
+    Signal,
+    Step,
+    Told,
+)
 
 USUAL = {"read": 40.0, "book": 120.0}
 WARM = 240  # s
--- a/tests/core/cluster/test_failure_detector.py
+++ b/tests/core/cluster/test_failure_detector.py
@@ -10,9 +10,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from benchmarks.peers import Net
-from dillport.decide import peers as pr
-from dillport.decide.peers import (
+from balancer.core.cluster import failure_detector as pr
+from balancer.core.cluster.failure_detector import (
     Heard,
     Keep,
     Kind,
@@ -29,7 +28,8 @@
     Word,
     greater,
 )
-from dillport.proto import gossip
+from balancer.protocol import gossip
+from benchmarks.failure_detection import Net
 
 A, B, C, D = (f"10.0.0.{number}:7946" for number in (1, 2, 3, 4))
 WORDS = st.builds(
--- a/tests/core/cluster/test_gossip_coordinator.py
+++ b/tests/core/cluster/test_gossip_coordinator.py
@@ -8,18 +8,44 @@
 
 import pytest
 
-from benchmarks.peers import Net
-from benchmarks.views import member, room
-from dillport.decide import hearsay, shares, together, views
-from dillport.decide import membership as ms
-from dillport.decide.membership import Apply, Continued, Listed, Membership, Silenced, Source
-from dillport.decide.peers import Leaving
-from dillport.decide.recovery import BAR_MS
-from dillport.decide.spread import Turns
-from dillport.decide.together import Came, Happened, Round, Say, Send, Together
-from dillport.interface import Phase
-from dillport.members import Listing
-from dillport.proto import goes_by, gossip
+from balancer.core.cluster import (
+    gossip_coordinator as together,
+)
+from balancer.core.cluster import (
+    gossiped_removals as hearsay,
+)
+from balancer.core.cluster import (
+    node_state as views,
+)
+from balancer.core.cluster import (
+    quota_allocation as shares,
+)
+from balancer.core.cluster.failure_detector import Leaving
+from balancer.core.cluster.gossip_coordinator import (
+    Came,
+    Happened,
+    Round,
+    Say,
+    Send,
+    Together,
+)
+from balancer.core.discovery import endpoint_merger as ms
+from balancer.core.discovery.endpoint_merger import (
+    Apply,
+    Continued,
+    Listed,
+    Membership,
+    Silenced,
+    Source,
+)
+from balancer.core.recovery import BAR_MS
+from balancer.core.staggering import Turns
+from balancer.endpoints import Listing
+from balancer.interface import Phase
+from balancer.protocol import gossip
+from balancer.protocol import gossip_sections as goes_by
+from benchmarks.failure_detection import Net
+from benchmarks.node_state_gossip import member, room
 
 SERVERS = 30
 
--- a/tests/core/cluster/test_gossiped_removals.py
+++ b/tests/core/cluster/test_gossiped_removals.py
@@ -8,15 +8,32 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from benchmarks.hearsay import ORDER, SERVERS, Town, fits, packed
-from benchmarks.views import goes, member, room
-from dillport.decide import hearsay
-from dillport.decide.hearsay import Answer, Ask, Asked, Hearsay, Out, Own, Question, Round, Rule, Told
-from dillport.decide.membership import Listed, Membership, Source
-from dillport.decide.spread import Turns
-from dillport.interface import Phase
-from dillport.members import Listing
-from dillport.proto import goes_by
+from balancer.core.cluster import gossiped_removals as hearsay
+from balancer.core.cluster.gossiped_removals import (
+    Answer,
+    Ask,
+    Asked,
+    Hearsay,
+    Out,
+    Own,
+    Question,
+    Round,
+    Rule,
+    Told,
+)
+from balancer.core.discovery.endpoint_merger import Listed, Membership, Source
+from balancer.core.staggering import Turns
+from balancer.endpoints import Listing
+from balancer.interface import Phase
+from balancer.protocol import gossip_sections as goes_by
+from benchmarks.gossiped_removals import (
+    ORDER,
+    SERVERS,
+    Town,
+    fits,
+    packed,
+)
+from benchmarks.node_state_gossip import goes, member, room
 
 VIEW = {f"server-{number}": member(number) for number in range(20)}
 WORDS = [goes(name, at, 9) for at, name in enumerate("bcdefghijk")]
--- a/tests/core/cluster/test_node_state.py
+++ b/tests/core/cluster/test_node_state.py
@@ -8,15 +8,51 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from benchmarks.views import World, cost, goes, member, room, search
-from dillport.decide import cuts, halves, hearsay, views
-from dillport.decide.cuts import Cuts, From, Roles, Saw, Verdict
-from dillport.decide.halves import Halves
-from dillport.decide.membership import Continued, Listed, Membership, Source
-from dillport.decide.steady import Steady
-from dillport.decide.views import Goes, Heard, Mine, Round, Views, newer
-from dillport.members import Listing
-from dillport.proto import gossip
+from balancer.core.cluster import (
+    anti_entropy as halves,
+)
+from balancer.core.cluster import (
+    gossiped_removals as hearsay,
+)
+from balancer.core.cluster import (
+    node_state as views,
+)
+from balancer.core.cluster import (
+    partition_detector as cuts,
+)
+from balancer.core.cluster.anti_entropy import Halves
+from balancer.core.cluster.node_state import (
+    Goes,
+    Heard,
+    Mine,
+    Round,
+    Views,
+    newer,
+)
+from balancer.core.cluster.partition_detector import (
+    Cuts,
+    From,
+    Roles,
+    Saw,
+    Verdict,
+)
+from balancer.core.discovery.endpoint_merger import (
+    Continued,
+    Listed,
+    Membership,
+    Source,
+)
+from balancer.core.hysteresis import Steady
+from balancer.endpoints import Listing
+from balancer.protocol import gossip
+from benchmarks.node_state_gossip import (
+    World,
+    cost,
+    goes,
+    member,
+    room,
+    search,
+)
 
 WORDS = st.builds(
     lambda its, edition, revision, digest: goes("b", 1, revision, digest, incarnation=its, edition=edition),
--- a/tests/core/cluster/test_quota_allocation.py
+++ b/tests/core/cluster/test_quota_allocation.py
@@ -10,11 +10,22 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from benchmarks.views import room
-from dillport.decide import shares
-from dillport.decide.recovery import BAR_MS
-from dillport.decide.shares import FALL_MS, Keep, Kept, Leaving, Left, Nodes, Shares, Stood, Ticked, Told
-from dillport.proto import goes_by
+from balancer.core.cluster import quota_allocation as shares
+from balancer.core.cluster.quota_allocation import (
+    FALL_MS,
+    Keep,
+    Kept,
+    Leaving,
+    Left,
+    Nodes,
+    Shares,
+    Stood,
+    Ticked,
+    Told,
+)
+from balancer.core.recovery import BAR_MS
+from balancer.protocol import gossip_sections as goes_by
+from benchmarks.node_state_gossip import room
 
 SETTLED = Kept(True, ())
 
--- a/tests/core/discovery/test_endpoint_merger.py
+++ b/tests/core/discovery/test_endpoint_merger.py
@@ -10,11 +10,16 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from dillport.decide import membership as m
-from dillport.decide.membership import Membership, Role, Source, State
-from dillport.decide.membership_report import report as report_of
-from dillport.interface import Entry, ListKind, Phase
-from dillport.members import Fault, Listing, Member
+from balancer.core.discovery import endpoint_merger as m
+from balancer.core.discovery.endpoint_merger import (
+    Membership,
+    Role,
+    Source,
+    State,
+)
+from balancer.core.discovery.merge_report import report as report_of
+from balancer.endpoints import Fault, Listing, Member
+from balancer.interface import Entry, ListKind, Phase
 
 UP, DRAINING, GONE = Phase.UP, Phase.DRAINING, Phase.GONE
 
--- a/tests/core/discovery/test_etcd_watcher.py
+++ b/tests/core/discovery/test_etcd_watcher.py
@@ -11,12 +11,24 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from dillport import interface as api
-from dillport.decide import etcd_follow as ef
-from dillport.decide.etcd_follow import CallFailed, Deliver, EtcdFollow, Phase, Position, Trouble
-from dillport.decide.membership import Heard, Listed, Refused, Silenced
-from dillport.decide.spread import Turns
-from dillport.members import Fault, Member
+from balancer import interface as api
+from balancer.core.discovery import etcd_watcher as ef
+from balancer.core.discovery.endpoint_merger import (
+    Heard,
+    Listed,
+    Refused,
+    Silenced,
+)
+from balancer.core.discovery.etcd_watcher import (
+    CallFailed,
+    Deliver,
+    EtcdFollow,
+    Phase,
+    Position,
+    Trouble,
+)
+from balancer.core.staggering import Turns
+from balancer.endpoints import Fault, Member
 
 
 def member(name: str, weight: float = 1.0, phase: api.Phase = api.Phase.UP) -> Member:
