--- a/tests/core/discovery/test_platform_watcher.py
+++ b/tests/core/discovery/test_platform_watcher.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from dillport.decide import platform_follow as p
-from dillport.decide.platform_follow import PlatformFollow
+from balancer.core.discovery import platform_watcher as p
+from balancer.core.discovery.platform_watcher import PlatformFollow
 
 LONG = p.MOST_MS / p.WAIT_PART  # ms to obey a drain that leave room for the longest wait
 
--- a/tests/core/test_connection_admission.py
+++ b/tests/core/test_connection_admission.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from dillport.decide.admission import (
+from balancer.core.connection_admission import (
     GRACE_MS,
     LEAST_BUDGET,
     LEAST_LONG,
--- a/tests/core/test_recovery.py
+++ b/tests/core/test_recovery.py
@@ -12,13 +12,20 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from dillport.decide import membership as m
-from dillport.decide import recovery as r
-from dillport.decide.membership import Membership, Source
-from dillport.decide.recovery import End, Kind, Memory, Meter, Recovery, State
-from dillport.interface import ListKind, Phase
-from dillport.members import Listing, Member
-from tests.decide.test_membership import member, whole
+from balancer.core import recovery as r
+from balancer.core.discovery import endpoint_merger as m
+from balancer.core.discovery.endpoint_merger import Membership, Source
+from balancer.core.recovery import (
+    End,
+    Kind,
+    Memory,
+    Meter,
+    Recovery,
+    State,
+)
+from balancer.endpoints import Listing, Member
+from balancer.interface import ListKind, Phase
+from tests.core.discovery.test_endpoint_merger import member, whole
 
 B, P, C, F = State.BLANK, State.PROVISIONAL, State.CONFIRMED, State.FULL
 DAY = 86_400_000.0
--- a/tests/core/test_shutdown_deadlines.py
+++ b/tests/core/test_shutdown_deadlines.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from dillport.decide.shutdown import Ends, ends
+from balancer.core.shutdown_deadlines import Ends, ends
 from tests.helpers import BASE, SAFE
 
 COME_MS = 400.0  # after SIGTERM, the terms' last new connection
--- a/tests/core/test_staggering.py
+++ b/tests/core/test_staggering.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from dillport.decide.spread import MOST_MS, Turns
+from balancer.core.staggering import MOST_MS, Turns
 
 
 def most(moments: list[float], within_ms: float) -> int:
--- a/tests/core/test_stall_detector.py
+++ b/tests/core/test_stall_detector.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from dillport.decide.pause import SETTLE_MS, STOOD_MS, Pause
+from balancer.core.stall_detector import SETTLE_MS, STOOD_MS, Pause
 
 
 def test_a_loop_that_turns_is_never_in_doubt() -> None:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from dillport import interface as api
-from dillport.policy import Balancer
+from balancer import interface as api
+from balancer.policy.balancer import Balancer
 
 SAFE = api.RequestClass("read", api.Effect.SAFE, aim=400.0, deadline=1000.0, value=1.0)
 KEYED = api.RequestClass(
--- a/tests/net/test_admin_socket.py
+++ b/tests/net/test_admin_socket.py
@@ -14,8 +14,8 @@
 
 import pytest
 
-from dillport.net import control
-from dillport.net.control import Control, ControlError, ask
+from balancer.net import admin_socket as control
+from balancer.net.admin_socket import Control, ControlError, ask
 
 WAIT = 10.0
 
--- a/tests/net/test_backend_pool.py
+++ b/tests/net/test_backend_pool.py
@@ -17,13 +17,18 @@
 import pytest
 import uvloop
 
-from dillport.decide.admission import USUAL_BODY
-from dillport.decide.pause import STOOD_MS
-from dillport.interface import Effect, Settings, Status
-from dillport.interface import RequestClass as Class
-from dillport.members import listing
-from dillport.net import upstream
-from dillport.net.upstream import KEEP, REST, Answer, Pool
+from balancer.core.connection_admission import USUAL_BODY
+from balancer.core.stall_detector import STOOD_MS
+from balancer.endpoints import listing
+from balancer.interface import Effect, Settings, Status
+from balancer.interface import RequestClass as Class
+from balancer.net import backend_pool as upstream
+from balancer.net.backend_pool import (
+    KEEP,
+    REST,
+    Answer,
+    Pool,
+)
 from tests.sockets import HOUR, WAIT, answer
 
 NewLoop = Callable[[], asyncio.AbstractEventLoop]
--- a/tests/net/test_bulk_update.py
+++ b/tests/net/test_bulk_update.py
@@ -10,19 +10,27 @@
 
 import pytest
 
-from benchmarks.fleet import Servers
-from dillport.decide import membership as m
-from dillport.interface import Action, ClientGone, Entry, Event, ListKind, Phase, Remembered
-from dillport.members import Listing, Member
-from dillport.net import node as node_module
-from dillport.net.config import load
-from dillport.net.fleet import Fleet
-from dillport.net.front import Front
-from dillport.net.node import Node
-from dillport.net.sources import platform
-from dillport.net.sources.platform import PlatformSource
-from tests.net.test_etcd_source import WAIT, run, until
-from tests.net.test_platform_source import Answers
+from balancer.core.discovery import endpoint_merger as m
+from balancer.endpoints import Listing, Member
+from balancer.interface import (
+    Action,
+    ClientGone,
+    Entry,
+    Event,
+    ListKind,
+    Phase,
+    Remembered,
+)
+from balancer.net import request_dispatcher as node_module
+from balancer.net.config import load
+from balancer.net.discovery import platform
+from balancer.net.discovery.platform import PlatformSource
+from balancer.net.endpoint_view import Fleet
+from balancer.net.http_server import Front
+from balancer.net.request_dispatcher import Node
+from benchmarks.proxy_fleet import Servers
+from tests.net.test_etcd_discovery import WAIT, run, until
+from tests.net.test_platform_discovery import Answers
 from tests.sockets import Client, configuration
 
 COUNT = 3_000
--- a/tests/net/test_client_gone.py
+++ b/tests/net/test_client_gone.py
@@ -13,15 +13,24 @@
 
 import pytest
 
-from dillport.decide.membership import Listed, Source
-from dillport.net import upstream
-from dillport.net.config import load
-from dillport.net.fleet import Fleet
-from dillport.net.front import Front
-from dillport.net.node import Node
-from tests.net.test_front import LOOPS, NewLoop
-from tests.net.test_front import run as run_on
-from tests.sockets import CLASSES, PATIENT, WAIT, Backend, Client, Message, answer, configuration
+from balancer.core.discovery.endpoint_merger import Listed, Source
+from balancer.net import backend_pool as upstream
+from balancer.net.config import load
+from balancer.net.endpoint_view import Fleet
+from balancer.net.http_server import Front
+from balancer.net.request_dispatcher import Node
+from tests.net.test_http_server import LOOPS, NewLoop
+from tests.net.test_http_server import run as run_on
+from tests.sockets import (
+    CLASSES,
+    PATIENT,
+    WAIT,
+    Backend,
+    Client,
+    Message,
+    answer,
+    configuration,
+)
 
 LEAVES = pytest.mark.parametrize("how", ["fin", "rst", "half"])
 CANCELS = pytest.mark.parametrize("cancel", [True, False])
--- a/tests/net/test_cluster.py
+++ b/tests/net/test_cluster.py
@@ -15,20 +15,20 @@
 
 import pytest
 
-from dillport import interface as api
-from dillport.decide import membership as ms
-from dillport.decide import peers as p
-from dillport.decide import recovery as r
-from dillport.decide.departure import Told
-from dillport.members import Listing, Member
-from dillport.net import peers as net
-from dillport.net.control import Control
-from dillport.net.fleet import Fleet
-from dillport.net.part import Running
-from dillport.net.peers import PeersPart
-from dillport.operators import Operators, PeersSettings, TimelineSettings
-from dillport.operators.peers import written
-from dillport.proto import gossip
+from balancer import interface as api
+from balancer.core import recovery as r
+from balancer.core.anomaly_detection.detector import Told
+from balancer.core.cluster import failure_detector as p
+from balancer.core.discovery import endpoint_merger as ms
+from balancer.endpoints import Listing, Member
+from balancer.net import cluster as net
+from balancer.net.admin_socket import Control
+from balancer.net.cluster import PeersPart
+from balancer.net.component import Running
+from balancer.net.endpoint_view import Fleet
+from balancer.operator_settings import Operators, PeersSettings, TimelineSettings
+from balancer.operator_settings.peers import written
+from balancer.protocol import gossip
 
 KEY, OLDER = "0123456789abcdef" * 2, "fedcba98" * 8
 KEYS = gossip.keys_of(KEY)
--- a/tests/net/test_components.py
+++ b/tests/net/test_components.py
@@ -10,10 +10,15 @@
 
 import pytest
 
-from dillport.net.control import Control
-from dillport.net.operators import KINDS, Kind, Parts
-from dillport.net.part import Observers, Running
-from dillport.operators import ControlSettings, MetricsSettings, Operators, TimelineSettings
+from balancer.net.admin_socket import Control
+from balancer.net.component import Observers, Running
+from balancer.net.components import KINDS, Kind, Parts
+from balancer.operator_settings import (
+    ControlSettings,
+    MetricsSettings,
+    Operators,
+    TimelineSettings,
+)
 
 ON = Operators(control=ControlSettings())
 FAULTS = [ValueError("a bad file"), ZeroDivisionError("a fault of the program")]
--- a/tests/net/test_endpoint_view.py
+++ b/tests/net/test_endpoint_view.py
@@ -9,15 +9,22 @@
 
 import pytest
 
-from dillport.decide import hearsay
-from dillport.decide.etcd_follow import EtcdConfig
-from dillport.decide.membership import Apply, Heard, Source
-from dillport.members import Member
-from dillport.net.etcd import ETCD, EtcdPart
-from dillport.net.fleet import Fleet
-from dillport.net.sources.etcd import EtcdSource
-from dillport.operators import EtcdSettings, Membership, Operators
-from tests.net.test_etcd_source import WAIT, Gateway, b64, run, until, value
+from balancer.core.cluster import gossiped_removals as hearsay
+from balancer.core.discovery.endpoint_merger import Apply, Heard, Source
+from balancer.core.discovery.etcd_watcher import EtcdConfig
+from balancer.endpoints import Member
+from balancer.net.discovery.etcd import EtcdSource
+from balancer.net.endpoint_view import Fleet
+from balancer.net.etcd_component import ETCD, EtcdPart
+from balancer.operator_settings import EtcdSettings, Membership, Operators
+from tests.net.test_etcd_discovery import (
+    WAIT,
+    Gateway,
+    b64,
+    run,
+    until,
+    value,
+)
 
 
 class Sink:
--- a/tests/net/test_graceful_shutdown.py
+++ b/tests/net/test_graceful_shutdown.py
@@ -13,11 +13,34 @@
 
 import pytest
 
-from dillport.decide.shutdown import Ends
-from dillport.net import front as front_module
-from dillport.net.front import GULP, STEP, SWEEP, ClientConnection, Front
-from tests.net.test_front import LOOPS, Deaf, NewLoop, fronting, large, run, stuff, until
-from tests.sockets import HOUR, PATIENT, WAIT, Backend, Client, Message, echo
+from balancer.core.shutdown_deadlines import Ends
+from balancer.net import http_server as front_module
+from balancer.net.http_server import (
+    GULP,
+    STEP,
+    SWEEP,
+    ClientConnection,
+    Front,
+)
+from tests.net.test_http_server import (
+    LOOPS,
+    Deaf,
+    NewLoop,
+    fronting,
+    large,
+    run,
+    stuff,
+    until,
+)
+from tests.sockets import (
+    HOUR,
+    PATIENT,
+    WAIT,
+    Backend,
+    Client,
+    Message,
+    echo,
+)
 
 IDS = itertools.count(1)
 __all__ = ["deaf"]
--- a/tests/net/test_long_bodies.py
+++ b/tests/net/test_long_bodies.py
@@ -8,11 +8,17 @@
 
 import pytest
 
-from dillport.decide.admission import MOST_BODY, USUAL_BODY
-from dillport.net.front import Front
+from balancer.core.connection_admission import MOST_BODY, USUAL_BODY
+from balancer.net.http_server import Front
 from tests.net.test_client_gone import run, until
-from tests.net.test_front import fronting
-from tests.sockets import PATIENT, Backend, Client, Message, answer
+from tests.net.test_http_server import fronting
+from tests.sockets import (
+    PATIENT,
+    Backend,
+    Client,
+    Message,
+    answer,
+)
 
 LONG = 97_290
 BODY = bytes(n * 7 % 251 for n in range(LONG))
--- a/tests/net/test_platform_discovery.py
+++ b/tests/net/test_platform_discovery.py
@@ -9,11 +9,16 @@
 
 import pytest
 
-from dillport.decide import platform_follow
-from dillport.decide.membership import Event, Heard, Listed, Spoiled
-from dillport.members import ListingBuilder
-from dillport.net.sources.platform import PlatformSource
-from tests.net.test_etcd_source import WAIT, run, until
+from balancer.core.discovery import platform_watcher as platform_follow
+from balancer.core.discovery.endpoint_merger import (
+    Event,
+    Heard,
+    Listed,
+    Spoiled,
+)
+from balancer.endpoints import ListingBuilder
+from balancer.net.discovery.platform import PlatformSource
+from tests.net.test_etcd_discovery import WAIT, run, until
 from tests.sockets import FakeDiscovery
 
 LONG = platform_follow.MOST_MS / platform_follow.WAIT_PART  # ms to obey a drain: room for the longest wait
--- a/tests/net/test_platform_recovery.py
+++ b/tests/net/test_platform_recovery.py
@@ -16,17 +16,23 @@
 
 import pytest
 
-from dillport.decide import membership
-from dillport.decide.membership import Silenced, Source
-from dillport.interface import Phase
-from dillport.members import listing
-from dillport.net import node as real
-from dillport.net.config import load
-from dillport.net.fleet import Fleet
-from dillport.net.front import Front
-from dillport.net.sources import platform
-from dillport.net.sources.platform import PlatformSource
-from tests.net.test_etcd_source import LOOPS, WAIT, Loop, run, until
+from balancer.core.discovery import endpoint_merger as membership
+from balancer.core.discovery.endpoint_merger import Silenced, Source
+from balancer.endpoints import listing
+from balancer.interface import Phase
+from balancer.net import request_dispatcher as real
+from balancer.net.config import load
+from balancer.net.discovery import platform
+from balancer.net.discovery.platform import PlatformSource
+from balancer.net.endpoint_view import Fleet
+from balancer.net.http_server import Front
+from tests.net.test_etcd_discovery import (
+    LOOPS,
+    WAIT,
+    Loop,
+    run,
+    until,
+)
 from tests.sockets import Backend, Client, configuration
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
--- a/tests/net/test_request_dispatcher.py
+++ b/tests/net/test_request_dispatcher.py
@@ -16,15 +16,31 @@
 
 import pytest
 
-from dillport.decide.membership import Listed, Source
-from dillport.interface import Arrival, Effect, Send, Settings, Status
-from dillport.interface import RequestClass as Class
-from dillport.members import ListError, Listing, listing, member
-from dillport.net.config import load
-from dillport.net.fleet import Fleet
-from dillport.net.front import Front
-from dillport.net.node import Node, Open
-from dillport.net.upstream import REST, Answer, Pool, parse_report
+from balancer.core.discovery.endpoint_merger import Listed, Source
+from balancer.endpoints import (
+    ListError,
+    Listing,
+    listing,
+    member,
+)
+from balancer.interface import (
+    Arrival,
+    Effect,
+    Send,
+    Settings,
+    Status,
+)
+from balancer.interface import RequestClass as Class
+from balancer.net.backend_pool import (
+    REST,
+    Answer,
+    Pool,
+    parse_report,
+)
+from balancer.net.config import load
+from balancer.net.endpoint_view import Fleet
+from balancer.net.http_server import Front
+from balancer.net.request_dispatcher import Node, Open
 from tests.sockets import (
     HOUR,
     PATIENT,
--- a/tests/net/test_slow_connections.py
+++ b/tests/net/test_slow_connections.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from dillport import interface as api
+from balancer import interface as api
 from tests.net.test_client_gone import Gate, fronting, run
 from tests.sockets import CLASSES, Backend, Client
 
--- a/tests/observability/test_html_report.py
+++ b/tests/observability/test_html_report.py
@@ -6,7 +6,7 @@
 from html.parser import HTMLParser
 from typing import Any
 
-from dillport.observe.page import LANES, page, spans
+from balancer.observability.html_report import LANES, page, spans
 
 EVIL = '<script>alert(1)</script>"&\x1b[31m$x$\u202e'
 AT = 1_796_000_000_000
--- a/tests/observability/test_metrics.py
+++ b/tests/observability/test_metrics.py
@@ -5,11 +5,18 @@
 from prometheus_client import Metric
 from prometheus_client.openmetrics.parser import text_string_to_metric_families
 
-from dillport import interface as api
-from dillport.decide.recovery import End, Ended, Kept, Recovery, Started, ViewChanged
-from dillport.interface import Status, Why
-from dillport.observe.metrics import SERVERS, Metrics
-from dillport.timeline.watch import Watch
+from balancer import interface as api
+from balancer.core.recovery import (
+    End,
+    Ended,
+    Kept,
+    Recovery,
+    Started,
+    ViewChanged,
+)
+from balancer.interface import Status, Why
+from balancer.observability.metrics import SERVERS, Metrics
+from balancer.timeline.monitor import Watch
 from tests.helpers import BASE
 
 NOW = 1_000_000.0
--- a/tests/policy/test_any_settings.py
+++ b/tests/policy/test_any_settings.py
@@ -11,10 +11,17 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from dillport import interface as api
-from dillport.policy import Balancer
-from dillport.settings import read
-from tests.helpers import LOOKING, SAFE, RuleChecker, answers, entry, node
+from balancer import interface as api
+from balancer.platform_settings import read
+from balancer.policy.balancer import Balancer
+from tests.helpers import (
+    LOOKING,
+    SAFE,
+    RuleChecker,
+    answers,
+    entry,
+    node,
+)
 
 ZONES = ["", "a", "b", "zürich 1", "-"]
 WORDS = {
--- a/tests/policy/test_bulk_update.py
+++ b/tests/policy/test_bulk_update.py
@@ -9,11 +9,16 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from dillport import interface as api
-from dillport import laying
-from dillport.policy import Balancer
+from balancer import interface as api
+from balancer.policy import bulk_update as laying
+from balancer.policy.balancer import Balancer
 from tests.helpers import entry
-from tests.policy.test_index import FLEETS, KINDS, PHASES, WEIGHTS
+from tests.policy.test_backend_index import (
+    FLEETS,
+    KINDS,
+    PHASES,
+    WEIGHTS,
+)
 
 FIELDS = (
     "entry", "estimate", "out", "slow", "fails", "until", "full", "busy", "listed", "near", "vouched", "rank",
--- a/tests/policy/test_learned_state.py
+++ b/tests/policy/test_learned_state.py
@@ -9,9 +9,21 @@
 
 import pytest
 
-from dillport import interface as api
-from dillport.policy import HALVES, LIMIT_LEAST, STALE, Balancer
-from tests.helpers import BASE, KEYED, SAFE, UNSAFE, entry, sends
+from balancer import interface as api
+from balancer.policy.balancer import (
+    HALVES,
+    LIMIT_LEAST,
+    STALE,
+    Balancer,
+)
+from tests.helpers import (
+    BASE,
+    KEYED,
+    SAFE,
+    UNSAFE,
+    entry,
+    sends,
+)
 
 NAMES = [f"b{n}" for n in range(6)]
 CFG = replace(BASE, classes=(SAFE, KEYED, UNSAFE), max_attempts=1)
--- a/tests/policy/test_overload.py
+++ b/tests/policy/test_overload.py
@@ -6,15 +6,26 @@
 
 import pytest
 
-from dillport import interface as api
-from dillport import policy
-from dillport.interface import Effect
-from dillport.lab.fleet.report import Report
-from dillport.lab.fleet.scenario import SITE, Choke, Scenario, Trouble
-from dillport.lab.fleet.world import play
-from dillport.lab.site import RequestClass
-from dillport.policy import SPARE, Balancer
-from tests.helpers import BASE, SAFE, entry, node, sends
+from balancer import interface as api
+from balancer.interface import Effect
+from balancer.policy import balancer as policy
+from balancer.policy.balancer import SPARE, Balancer
+from balancer.testbed.service_profile import RequestClass
+from balancer.testbed.simulation.report import Report
+from balancer.testbed.simulation.scenario import (
+    SITE,
+    Choke,
+    Scenario,
+    Trouble,
+)
+from balancer.testbed.simulation.world import play
+from tests.helpers import (
+    BASE,
+    SAFE,
+    entry,
+    node,
+    sends,
+)
 
 NAMES = [f"b{i}" for i in range(8)]
 DEAR = replace(SAFE, name="dear", value=400.0)
--- a/tests/policy/test_reasons.py
+++ b/tests/policy/test_reasons.py
@@ -6,10 +6,19 @@
 
 import pytest
 
-from dillport import interface as api
-from dillport.interface import Status, What, Why
-from dillport.policy import Balancer
-from tests.helpers import BASE, KEYED, LOOKING, UNSAFE, answers, entry, node, sends
+from balancer import interface as api
+from balancer.interface import Status, What, Why
+from balancer.policy.balancer import Balancer
+from tests.helpers import (
+    BASE,
+    KEYED,
+    LOOKING,
+    UNSAFE,
+    answers,
+    entry,
+    node,
+    sends,
+)
 from tests.policy.test_replay import FLEETS, Run
 
 IDLE = api.Report(0.0, 0.0)
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -10,10 +10,21 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from dillport import interface as api
-from dillport import policy
-from dillport.policy import Balancer
-from tests.helpers import BASE, KEYED, LOOKING, SAFE, ColdBudget, RuleChecker, answers, entry, node, sends
+from balancer import interface as api
+from balancer.policy import balancer as policy
+from balancer.policy.balancer import Balancer
+from tests.helpers import (
+    BASE,
+    KEYED,
+    LOOKING,
+    SAFE,
+    ColdBudget,
+    RuleChecker,
+    answers,
+    entry,
+    node,
+    sends,
+)
 
 ENDS = [s for s in api.Status if s is not api.Status.OK]
 
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -11,10 +11,19 @@
 
 import pytest
 
-from dillport import interface as api
-from dillport.policy import Balancer
-from dillport.state import WHOLE
-from tests.helpers import BASE, KEYED, LOOKING, SAFE, answers, entry, node, sends
+from balancer import interface as api
+from balancer.policy.balancer import Balancer
+from balancer.policy.records import WHOLE
+from tests.helpers import (
+    BASE,
+    KEYED,
+    LOOKING,
+    SAFE,
+    answers,
+    entry,
+    node,
+    sends,
+)
 
 NAMES = [f"b{i}" for i in range(8)]
 
--- a/tests/protocol/test_class_path.py
+++ b/tests/protocol/test_class_path.py
@@ -9,8 +9,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from dillport.interface import Effect, RequestClass
-from dillport.proto.class_path import ClassPaths
+from balancer.interface import Effect, RequestClass
+from balancer.protocol.class_path import ClassPaths
 
 
 def paths(*names: str) -> ClassPaths[RequestClass]:
--- a/tests/protocol/test_etcd_watch.py
+++ b/tests/protocol/test_etcd_watch.py
@@ -11,11 +11,18 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from dillport.interface import Phase
-from dillport.members import Fault, Member
-from dillport.proto import etcd_watch as ew
-from dillport.proto.etcd_entry import MAX_VALUE, entry
-from dillport.proto.etcd_watch import Answer, Asks, Header, KeyValue, Kind, Why
+from balancer.endpoints import Fault, Member
+from balancer.interface import Phase
+from balancer.protocol import etcd_watch as ew
+from balancer.protocol.etcd_entry import MAX_VALUE, entry
+from balancer.protocol.etcd_watch import (
+    Answer,
+    Asks,
+    Header,
+    KeyValue,
+    Kind,
+    Why,
+)
 
 CLUSTER = "18178654929822060267"
 HEAD = {"cluster_id": CLUSTER, "member_id": "17995607449936952425", "revision": "8", "raft_term": "2"}
--- a/tests/protocol/test_gossip.py
+++ b/tests/protocol/test_gossip.py
@@ -9,8 +9,16 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from dillport.proto import gossip
-from dillport.proto.gossip import Key, Read, Reader, Refused, Told, Writer, keys_of
+from balancer.protocol import gossip
+from balancer.protocol.gossip import (
+    Key,
+    Read,
+    Reader,
+    Refused,
+    Told,
+    Writer,
+    keys_of,
+)
 
 OLD, NEW = Key(b"o" * 32), Key(b"n" * 32)
 ADDRESSES = st.sampled_from(
--- a/tests/protocol/test_gossip_sections.py
+++ b/tests/protocol/test_gossip_sections.py
@@ -7,8 +7,16 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from dillport.decide.peers import Heard, Message, Peers, Send, State, Ticked
-from dillport.proto import goes_by, gossip
+from balancer.core.cluster.failure_detector import (
+    Heard,
+    Message,
+    Peers,
+    Send,
+    State,
+    Ticked,
+)
+from balancer.protocol import gossip
+from balancer.protocol import gossip_sections as goes_by
 
 KEY = gossip.Key(b"k" * 32)
 LONG, NUMBER, TEXT = st.integers(0, 2**32 - 1), st.integers(0, 2**64 - 1), st.text(max_size=12)
--- a/tests/protocol/test_large_list.py
+++ b/tests/protocol/test_large_list.py
@@ -10,9 +10,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from dillport.members import Listing, listing
-from dillport.proto import long_list
-from dillport.proto.long_list import LongList
+from balancer.endpoints import Listing, listing
+from balancer.protocol import large_list as long_list
+from balancer.protocol.large_list import LongList
 
 
 def read(line: bytes) -> tuple[Listing, int]:
--- a/tests/protocol/test_platform_list.py
+++ b/tests/protocol/test_platform_list.py
@@ -10,7 +10,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from dillport.proto import platform_list as p
+from balancer.protocol import platform_list as p
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
--- a/tests/system/shutdown_races.py
+++ b/tests/system/shutdown_races.py
@@ -29,13 +29,13 @@
 
 import uvloop
 
-from dillport import interface as api
-from dillport.decide.membership import Apply
-from dillport.members import Listing, Member
-from dillport.net.config import Config
-from dillport.net.front import ClientConnection, Front
-from dillport.net.node import Node, Watcher
-from dillport.net.upstream import Attempt, Connection
+from balancer import interface as api
+from balancer.core.discovery.endpoint_merger import Apply
+from balancer.endpoints import Listing, Member
+from balancer.net.backend_pool import Attempt, Connection
+from balancer.net.config import Config
+from balancer.net.http_server import ClientConnection, Front
+from balancer.net.request_dispatcher import Node, Watcher
 
 AIM, DEADLINE, GRACE = 500.0, 900.0, 200.0
 WAIT = 310.0  # over the grace, and what a request whose client left may still be sent on in
--- a/tests/system/test_cluster.py
+++ b/tests/system/test_cluster.py
@@ -10,11 +10,11 @@
 
 import pytest
 
-from dillport.cli import main
-from dillport.lab import demo
-from dillport.lab.clients import Habits
-from dillport.lab.judge import judge
-from dillport.lab.records import (
+from balancer.cli import main
+from balancer.testbed import demo
+from balancer.testbed.backend_emulator import Machine
+from balancer.testbed.cluster import Node, Step, World
+from balancer.testbed.event_log import (
     Answered,
     Asked,
     Journal,
@@ -25,9 +25,9 @@
     ServerStarted,
     Told,
 )
-from dillport.lab.servers import Machine
-from dillport.lab.world import Node, Step, World
-from tests.lab.world import of, run, until
+from balancer.testbed.invariant_checker import judge
+from balancer.testbed.load_generator import Habits
+from tests.testbed.cluster_fixtures import of, run, until
 
 
 def gone(node: Node) -> bool:
--- a/tests/system/test_etcd_cluster_replacement.py
+++ b/tests/system/test_etcd_cluster_replacement.py
@@ -13,13 +13,13 @@
 
 import pytest
 
-from dillport.lab.etcd.store import Backup
-from dillport.lab.fleet_world import FleetWorld
-from dillport.lab.records import Received
-from dillport.lab.site import Site
-from dillport.lab.world import Node, Step
-from dillport.net import control
-from tests.lab.world import of, until
+from balancer.net import admin_socket as control
+from balancer.testbed.cluster import Node, Step
+from balancer.testbed.dual_source_cluster import FleetWorld
+from balancer.testbed.etcd.store import Backup
+from balancer.testbed.event_log import Received
+from balancer.testbed.service_profile import Site
+from tests.testbed.cluster_fixtures import of, until
 
 
 @pytest.mark.parametrize("back", ["another", "older"])
--- a/tests/system/test_etcd_conformance.py
+++ b/tests/system/test_etcd_conformance.py
@@ -17,16 +17,21 @@
 
 import pytest
 
-from dillport.decide import etcd_follow as ef
-from dillport.decide.etcd_follow import EtcdConfig, Phase
-from dillport.decide.membership import Heard, Listed, Refused, Silenced
-from dillport.interface import Phase as MemberPhase
-from dillport.lab.certificates import make
-from dillport.lab.etcd.shared import Garbage
-from dillport.lab.etcd.standin import StandIn
-from dillport.members import Member
-from dillport.net.sources.etcd import EtcdSource
-from tests.lab.conftest import run
+from balancer.core.discovery import etcd_watcher as ef
+from balancer.core.discovery.endpoint_merger import (
+    Heard,
+    Listed,
+    Refused,
+    Silenced,
+)
+from balancer.core.discovery.etcd_watcher import EtcdConfig, Phase
+from balancer.endpoints import Member
+from balancer.interface import Phase as MemberPhase
+from balancer.net.discovery.etcd import EtcdSource
+from balancer.testbed.certificates import make
+from balancer.testbed.etcd.shared import Garbage
+from balancer.testbed.etcd.standin import StandIn
+from tests.testbed.conftest import run
 
 CHECK_MS = ef.CHECK_MS
 PREFIX = "/dillport/members/"
--- a/tests/system/test_fault_schedules.py
+++ b/tests/system/test_fault_schedules.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from dillport.lab import schedules
-from dillport.lab.schedules import INCIDENTS, Result
+from balancer.testbed import fault_schedules as schedules
+from balancer.testbed.fault_schedules import INCIDENTS, Result
 
 SEEDS = range(1, 21)
 AT_ONCE = 8
--- a/tests/system/test_membership.py
+++ b/tests/system/test_membership.py
@@ -17,14 +17,22 @@
 
 import pytest
 
-from dillport.lab.etcd.shared import Garbage
-from dillport.lab.fleet_world import PREFIX, FleetWorld
-from dillport.lab.judge import Verdict
-from dillport.lab.records import Answered, Asked, HeldUp, NodeHeldUp, Received, Told, now_ms
-from dillport.lab.site import Site
-from dillport.lab.world import Step
-from tests.lab.world import of
+from balancer.testbed.cluster import Step
+from balancer.testbed.dual_source_cluster import PREFIX, FleetWorld
+from balancer.testbed.etcd.shared import Garbage
+from balancer.testbed.event_log import (
+    Answered,
+    Asked,
+    HeldUp,
+    NodeHeldUp,
+    Received,
+    Told,
+    now_ms,
+)
+from balancer.testbed.invariant_checker import Verdict
+from balancer.testbed.service_profile import Site
 from tests.sockets import read_message
+from tests.testbed.cluster_fixtures import of
 
 RATE = 50.0
 SITE = Site(zones=("a",))  # all servers are as near as each other
--- a/tests/system/test_partial_removal.py
+++ b/tests/system/test_partial_removal.py
@@ -15,14 +15,21 @@
 from pathlib import Path
 from typing import Any, Self
 
-from dillport.interface import Effect
-from dillport.lab.clients import Habits
-from dillport.lab.fleet_world import PREFIX, FleetWorld
-from dillport.lab.records import Answered, Asked, Received, Replied, Told, now_ms
-from dillport.lab.servers import Machine
-from dillport.lab.site import RequestClass, Rules, Site
-from dillport.lab.world import Step
-from tests.lab.world import of
+from balancer.interface import Effect
+from balancer.testbed.backend_emulator import Machine
+from balancer.testbed.cluster import Step
+from balancer.testbed.dual_source_cluster import PREFIX, FleetWorld
+from balancer.testbed.event_log import (
+    Answered,
+    Asked,
+    Received,
+    Replied,
+    Told,
+    now_ms,
+)
+from balancer.testbed.load_generator import Habits
+from balancer.testbed.service_profile import RequestClass, Rules, Site
+from tests.testbed.cluster_fixtures import of
 
 # A cold server falls over by far less than it can do, so that whoever takes one for warm pushes it over.
 SITE = Site(
--- a/tests/system/test_process_stall.py
+++ b/tests/system/test_process_stall.py
@@ -6,8 +6,14 @@
 import signal
 from pathlib import Path
 
-from tests.lab.world import run
-from tests.sockets import PATIENT, WAIT, Backend, Rig, running
+from tests.sockets import (
+    PATIENT,
+    WAIT,
+    Backend,
+    Rig,
+    running,
+)
+from tests.testbed.cluster_fixtures import run
 
 STOOD = 1.4  # s, more than decide.pause.STOOD_MS
 
--- a/tests/system/test_restart.py
+++ b/tests/system/test_restart.py
@@ -13,12 +13,12 @@
 
 import pytest
 
-from dillport.lab.records import Received
-from dillport.lab.site import Site
-from dillport.lab.world import Node, World
-from dillport.net import control
-from dillport.store import inspect
-from tests.lab.world import of
+from balancer.net import admin_socket as control
+from balancer.store import inspect
+from balancer.testbed.cluster import Node, World
+from balancer.testbed.event_log import Received
+from balancer.testbed.service_profile import Site
+from tests.testbed.cluster_fixtures import of
 
 SITE = Site(zones=("a",))
 LIMIT_S, WAIT_S = 120.0, 30.0  # of a scenario, of one wait in it: for what hangs, not for what is slow
--- a/tests/test_benchmarks.py
+++ b/tests/test_benchmarks.py
@@ -9,20 +9,39 @@
 
 import pytest
 
-from benchmarks.coming_back import CASES, RULES, Returning, etcd, lists
-from benchmarks.decide import Subject
-from benchmarks.herd import crowd, herd
-from benchmarks.judged import longer
-from benchmarks.little import DAYS, QUESTIONS, other
-from benchmarks.proxies import FLOOR, Client, Figure, Line, Relay, servers
+from balancer.policy import balancer as policy
+from balancer.testbed.scenario import Row as ScriptRow
+from balancer.testbed.scenario import Script
+from balancer.testbed.simulation import Scenario
+from balancer.testbed.simulation.scenario import Trouble
+from balancer.testbed.simulation.world import play
+from benchmarks.decision_cost import Subject
+from benchmarks.discovery_outage import crowd, herd
+from benchmarks.fault_scenarios import longer
+from benchmarks.proxies import (
+    FLOOR,
+    Client,
+    Figure,
+    Line,
+    Relay,
+    servers,
+)
 from benchmarks.proxies import table as proxies_table
-from benchmarks.report import Row, cores, part_of, spread, table
-from dillport import policy
-from dillport.lab.fleet import Scenario
-from dillport.lab.fleet.scenario import Trouble
-from dillport.lab.fleet.world import play
-from dillport.lab.script import Row as ScriptRow
-from dillport.lab.script import Script
+from benchmarks.restart_recovery import (
+    CASES,
+    RULES,
+    Returning,
+    etcd,
+    lists,
+)
+from benchmarks.result_table import (
+    Row,
+    cores,
+    part_of,
+    spread,
+    table,
+)
+from benchmarks.sparse_traffic import DAYS, QUESTIONS, other
 
 
 def test_the_most_within_any_one_second_is_counted() -> None:
--- a/tests/test_endpoints.py
+++ b/tests/test_endpoints.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from dillport.members import address, listing
+from balancer.endpoints import address, listing
 
 GOOD = {"id": "good", "host_port": "127.0.0.1:1", "phase": "in_service"}
 
--- a/tests/test_platform_settings.py
+++ b/tests/test_platform_settings.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from dillport import interface as api
-from dillport import settings
+from balancer import interface as api
+from balancer import platform_settings as settings
 from tests.helpers import BOOT, INFO
 
 
--- a/tests/testbed/cluster_fixtures.py
+++ b/tests/testbed/cluster_fixtures.py
@@ -6,7 +6,7 @@
 from collections.abc import Awaitable, Callable
 from typing import Any, TypeVar
 
-from dillport.lab.records import Journal
+from balancer.testbed.event_log import Journal
 from tests.sockets import WAIT, Message, read_message
 
 T = TypeVar("T")
--- a/tests/testbed/test_backend_emulator.py
+++ b/tests/testbed/test_backend_emulator.py
@@ -9,9 +9,15 @@
 
 import pytest
 
-from dillport.interface import Effect
-from dillport.lab import servers
-from dillport.lab.records import (
+from balancer.interface import Effect
+from balancer.testbed import backend_emulator as servers
+from balancer.testbed.backend_emulator import (
+    Fleet,
+    Machine,
+    Memory,
+    Server,
+)
+from balancer.testbed.event_log import (
     Journal,
     LetGo,
     Ran,
@@ -21,9 +27,13 @@
     ServerStarted,
     TurnedAway,
 )
-from dillport.lab.servers import Fleet, Machine, Memory, Server
-from dillport.lab.site import RequestClass, Rules, Site
-from tests.lab.world import Wire, of, run, until
+from balancer.testbed.service_profile import RequestClass, Rules, Site
+from tests.testbed.cluster_fixtures import (
+    Wire,
+    of,
+    run,
+    until,
+)
 
 SITE = Site(
     classes=(
--- a/tests/testbed/test_discovery_emulator.py
+++ b/tests/testbed/test_discovery_emulator.py
@@ -10,10 +10,20 @@
 
 import pytest
 
-from dillport.lab import discovery as module
-from dillport.lab.discovery import Agent, Book, Discovery
-from dillport.lab.records import Journal, NodeStarted, Told, now_ms
-from tests.lab.world import Wire, of, run, until
+from balancer.testbed import discovery_emulator as module
+from balancer.testbed.discovery_emulator import Agent, Book, Discovery
+from balancer.testbed.event_log import (
+    Journal,
+    NodeStarted,
+    Told,
+    now_ms,
+)
+from tests.testbed.cluster_fixtures import (
+    Wire,
+    of,
+    run,
+    until,
+)
 
 Line = dict[str, Any]
 
--- a/tests/testbed/test_disk_faults.py
+++ b/tests/testbed/test_disk_faults.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from dillport.lab import disk
+from balancer.testbed import disk_faults as disk
 
 DATA = bytes(range(200))
 
--- a/tests/testbed/test_etcd_faults.py
+++ b/tests/testbed/test_etcd_faults.py
@@ -10,14 +10,28 @@
 
 import pytest
 
-from dillport.lab import certificates
-from dillport.lab.etcd import stream as streams
-from dillport.lab.etcd.client import Call, EtcdError, ask, b64, span
-from dillport.lab.etcd.shared import Garbage, now_ms
-from dillport.lab.etcd.standin import StandIn
-from dillport.lab.ports import keep_port
-from tests.lab.conftest import run
-from tests.lab.test_etcd_gateway import gone, kv, refused, silent, still_open, told, watch
+from balancer.testbed import certificates
+from balancer.testbed.etcd import stream as streams
+from balancer.testbed.etcd.client import (
+    Call,
+    EtcdError,
+    ask,
+    b64,
+    span,
+)
+from balancer.testbed.etcd.shared import Garbage, now_ms
+from balancer.testbed.etcd.standin import StandIn
+from balancer.testbed.port_reservation import keep_port
+from tests.testbed.conftest import run
+from tests.testbed.test_etcd_gateway import (
+    gone,
+    kv,
+    refused,
+    silent,
+    still_open,
+    told,
+    watch,
+)
 
 
 async def read(cluster: StandIn, member: int = 0, wait_s: float = 5, **more: Any) -> dict[str, Any]:
--- a/tests/testbed/test_etcd_gateway.py
+++ b/tests/testbed/test_etcd_gateway.py
@@ -15,11 +15,17 @@
 
 import pytest
 
-from dillport.lab.certificates import make
-from dillport.lab.etcd.client import Call, EtcdError, ask, b64, span
-from dillport.lab.etcd.cluster import EtcdCluster
-from dillport.lab.etcd.standin import StandIn
-from tests.lab.conftest import run
+from balancer.testbed.certificates import make
+from balancer.testbed.etcd.client import (
+    Call,
+    EtcdError,
+    ask,
+    b64,
+    span,
+)
+from balancer.testbed.etcd.cluster import EtcdCluster
+from balancer.testbed.etcd.standin import StandIn
+from tests.testbed.conftest import run
 
 QUIET = 0.15  # s without a word, where none is to come
 
--- a/tests/testbed/test_etcd_store.py
+++ b/tests/testbed/test_etcd_store.py
@@ -6,8 +6,18 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from dillport.lab.etcd import store as mvcc
-from dillport.lab.etcd.store import Compare, Delete, Found, KeyValue, Put, Range, Store, StoreError, Target
+from balancer.testbed.etcd import store as mvcc
+from balancer.testbed.etcd.store import (
+    Compare,
+    Delete,
+    Found,
+    KeyValue,
+    Put,
+    Range,
+    Store,
+    StoreError,
+    Target,
+)
 
 
 class Clock:
--- a/tests/testbed/test_event_log.py
+++ b/tests/testbed/test_event_log.py
@@ -5,10 +5,10 @@
 from types import SimpleNamespace
 from typing import Any
 
-from dillport.lab.etcd.shared import Record
-from dillport.lab.fleet_world import PREFIX, Scribe
-from dillport.lab.records import Journal, Told
-from tests.lab.world import of
+from balancer.testbed.dual_source_cluster import PREFIX, Scribe
+from balancer.testbed.etcd.shared import Record
+from balancer.testbed.event_log import Journal, Told
+from tests.testbed.cluster_fixtures import of
 
 END = PREFIX[:-1] + chr(ord(PREFIX[-1]) + 1)
 
--- a/tests/testbed/test_invariant_checker.py
+++ b/tests/testbed/test_invariant_checker.py
@@ -7,9 +7,8 @@
 
 import pytest
 
-from dillport.interface import Effect, Group
-from dillport.lab.judge import Verdict, judge
-from dillport.lab.records import (
+from balancer.interface import Effect, Group
+from balancer.testbed.event_log import (
     Answered,
     Asked,
     ClientLeft,
@@ -33,7 +32,8 @@
     Wanted,
     words,
 )
-from dillport.lab.site import RequestClass, Site
+from balancer.testbed.invariant_checker import Verdict, judge
+from balancer.testbed.service_profile import RequestClass, Site
 
 SITE = Site(
     classes=(
--- a/tests/testbed/test_load_generator.py
+++ b/tests/testbed/test_load_generator.py
@@ -11,10 +11,8 @@
 
 import pytest
 
-from dillport.interface import Effect, Group
-from dillport.lab.clients import Arrival, Clients, Connection, Front, Habits, Leave, draw
-from dillport.lab.judge import STARVED_MS, judge
-from dillport.lab.records import (
+from balancer.interface import Effect, Group
+from balancer.testbed.event_log import (
     Answered,
     Asked,
     ClientLeft,
@@ -26,9 +24,19 @@
     Wanted,
     now_ms,
 )
-from dillport.lab.site import RequestClass, Site
-from tests.lab.world import of, run, until
+from balancer.testbed.invariant_checker import STARVED_MS, judge
+from balancer.testbed.load_generator import (
+    Arrival,
+    Clients,
+    Connection,
+    Front,
+    Habits,
+    Leave,
+    draw,
+)
+from balancer.testbed.service_profile import RequestClass, Site
 from tests.sockets import Message, answer, read_message
+from tests.testbed.cluster_fixtures import of, run, until
 
 SITE = Site(
     classes=(
--- a/tests/testbed/test_scenario_runner.py
+++ b/tests/testbed/test_scenario_runner.py
@@ -7,9 +7,10 @@
 
 import pytest
 
-from dillport.cli import lab, main
-from dillport.lab import play
-from dillport.lab import script as sc
+from balancer.cli import main
+from balancer.cli import testbed as lab
+from balancer.testbed import scenario as sc
+from balancer.testbed import scenario_runner as play
 
 SMALL = """
 name = "small"
--- a/tests/testbed/test_tcp_fault_proxy.py
+++ b/tests/testbed/test_tcp_fault_proxy.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from dillport.lab.link import (
+from balancer.testbed.tcp_fault_proxy import (
     Blackhole,
     Delay,
     Fault,
--- a/tests/testbed/test_udp_fault_proxy.py
+++ b/tests/testbed/test_udp_fault_proxy.py
@@ -11,11 +11,11 @@
 
 import pytest
 
-from dillport.lab import datagrams
-from dillport.lab.datagrams import Datagrams, Hub
-from dillport.lab.link import BOTH, Way
-from dillport.members import Address
-from tests.lab.world import run, until
+from balancer.endpoints import Address
+from balancer.testbed import udp_fault_proxy as datagrams
+from balancer.testbed.tcp_fault_proxy import BOTH, Way
+from balancer.testbed.udp_fault_proxy import Datagrams, Hub
+from tests.testbed.cluster_fixtures import run, until
 
 QUIET = 0.1  # s in which nothing may come
 
--- a/tests/timeline/test_latency_histogram.py
+++ b/tests/timeline/test_latency_histogram.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from dillport.timeline import sketch
+from balancer.timeline import latency_histogram as sketch
 
 TIMES = st.lists(st.floats(sketch.LEAST_MS, 1e6), min_size=1, max_size=60)
 
--- a/tests/timeline/test_recorder.py
+++ b/tests/timeline/test_recorder.py
@@ -7,13 +7,29 @@
 
 import pytest
 
-from dillport import interface as api
-from dillport.interface import Phase, Status, What, Why
-from dillport.timeline import keys, sketch, trails, views
-from dillport.timeline.record import OTHERS, PAST, Recorder
-from dillport.timeline.series import Bucket
-from dillport.timeline.trails import MOST
-from dillport.timeline.watch import Watch
+from balancer import interface as api
+from balancer.interface import (
+    Phase,
+    Status,
+    What,
+    Why,
+)
+from balancer.timeline import (
+    latency_histogram as sketch,
+)
+from balancer.timeline import (
+    queries as views,
+)
+from balancer.timeline import (
+    request_traces as trails,
+)
+from balancer.timeline import (
+    schema as keys,
+)
+from balancer.timeline.monitor import Watch
+from balancer.timeline.recorder import OTHERS, PAST, Recorder
+from balancer.timeline.request_traces import MOST
+from balancer.timeline.time_series import Bucket
 from tests.helpers import BASE, SAFE, entry
 from tests.policy.test_replay import FLEETS, Run
 
