--- a/Makefile
+++ b/Makefile
@@ -11,8 +11,9 @@
 demo: .venv/.ready
 	.venv/bin/python -B -m balancer demo
 
-# Lint, types, tests.
+# Layout, lint, types, tests.
 test: .venv-dev/.ready
+	.venv-dev/bin/ruff format --check .
 	.venv-dev/bin/ruff check .
 	.venv-dev/bin/mypy
 	.venv-dev/bin/python -m pytest
--- a/balancer/cli/__init__.py
+++ b/balancer/cli/__init__.py
@@ -32,10 +32,19 @@
 from balancer.net.startup import SETTINGS
 
 MODULES = {  # of each word, in the order of the help
-    "run": "node", "check": "node", "members": "members", "peers": "peers", "timeline": "timeline",
-    "events": "timeline", "why": "timeline", "report": "timeline", "state": "state", "recovery": "state",
-    "lab": "testbed", "demo": "testbed",
-}  # fmt: skip
+    "run": "node",
+    "check": "node",
+    "members": "members",
+    "peers": "peers",
+    "timeline": "timeline",
+    "events": "timeline",
+    "why": "timeline",
+    "report": "timeline",
+    "state": "state",
+    "recovery": "state",
+    "lab": "testbed",
+    "demo": "testbed",
+}
 
 EPILOG = f"""\
 \b
@@ -84,15 +93,22 @@
 
 
 @click.command(
-    cls=Words, invoke_without_command=True, epilog=EPILOG, subcommand_metavar="[WORD ...]",
+    cls=Words,
+    invoke_without_command=True,
+    epilog=EPILOG,
+    subcommand_metavar="[WORD ...]",
     help="A load-balancer node. Without a word it does what run does.",
     context_settings={"help_option_names": ["-h", "--help"], "max_content_width": 100},
-)  # fmt: skip
+)
 @settings_option
 @click.option(
-    "--version", is_flag=True, is_eager=True, expose_value=False, callback=_print_version,
+    "--version",
+    is_flag=True,
+    is_eager=True,
+    expose_value=False,
+    callback=_print_version,
     help="Print the version and end.",
-)  # fmt: skip
+)
 @click.pass_context
 def words(ctx: click.Context, settings: Path | None) -> int:
     """The whole command line; without a word it runs a node."""
--- a/balancer/cli/common.py
+++ b/balancer/cli/common.py
@@ -35,9 +35,12 @@
 def settings_option(command: Wrapped) -> Wrapped:
     """`--settings FILE`, which is understood before a word and after it; after it goes first."""
     return click.option(
-        "--settings", metavar="FILE", type=PATH, callback=_or_before_the_word,
+        "--settings",
+        metavar="FILE",
+        type=PATH,
+        callback=_or_before_the_word,
         help=f"The operators' settings, a TOML file (or {SETTINGS}).",
-    )(command)  # fmt: skip
+    )(command)
 
 
 def json_option(command: Wrapped) -> Wrapped:
--- a/balancer/cli/members.py
+++ b/balancer/cli/members.py
@@ -28,10 +28,12 @@
 @click.command(help=MEMBERS, short_help=MEMBERS)
 @settings_option
 @click.option(
-    "--control", metavar="PATH", type=PATH,
+    "--control",
+    metavar="PATH",
+    type=PATH,
     help="The node's control socket; without it that of the settings is asked, and if no node answers there, "
     "the servers that the configuration knows at the start are shown.",
-)  # fmt: skip
+)
 @click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 def members(settings: Path | None, control: Path | None, as_json: bool) -> int:
     """The word."""
--- a/balancer/cli/state.py
+++ b/balancer/cli/state.py
@@ -146,7 +146,9 @@
     """The one that is named, or that of the settings."""
     missing = [name for name in ("msgspec", "apsw", "xxhash") if importlib.util.find_spec(name) is None]
     if missing:
-        raise Trouble(2, f"state: no package {', '.join(missing)}: the install `snowloom-balancer[state]` has it")
+        raise Trouble(
+            2, f"state: no package {', '.join(missing)}: the install `snowloom-balancer[state]` has it"
+        )
     if directory is not None:
         return str(directory)
     _, operators, wrong = read_operators(settings)
@@ -169,8 +171,10 @@
         print(f"held by process {owner}: balancer recovery asks the node")
     if node:
         print(f"node {cell(node['name'])}, life {node['incarnation']}, id {cell(node['id'])}")
-    rows = [[cell(one.get(key)) for key in ("number", "bytes", "rows")] + [_said(one)]
-            for one in told["generations"]]  # fmt: skip
+    rows = [
+        [cell(one.get(key)) for key in ("number", "bytes", "rows")] + [_said(one)]
+        for one in told["generations"]
+    ]
     if rows:
         columns([["GENERATION", "BYTES", "ROWS", ""], *rows])
     if told["tables"]:
--- a/balancer/cli/testbed.py
+++ b/balancer/cli/testbed.py
@@ -40,7 +40,9 @@
         return importlib.import_module(name)
     except ModuleNotFoundError as err:
         if err.name == "msgspec":
-            raise Trouble(2, "lab: no package msgspec: the install `snowloom-balancer[timeline]` has it") from None
+            raise Trouble(
+                2, "lab: no package msgspec: the install `snowloom-balancer[timeline]` has it"
+            ) from None
         if err.name not in (name, "balancer.testbed"):
             raise
         raise Trouble(2, f"{module}: there is no {name} in this installation") from None
--- a/balancer/cli/timeline.py
+++ b/balancer/cli/timeline.py
@@ -70,17 +70,24 @@
 
 @click.command(help=TIMELINE, short_help=TIMELINE)
 @click.argument(
-    "servers", metavar="[SERVER]...", nargs=-1,
+    "servers",
+    metavar="[SERVER]...",
+    nargs=-1,
     help="A server's id, zone:NAME, class:NAME or node; without one, an overview.",
-)  # fmt: skip
+)
 @between
 @click.option("--class", "class_name", metavar="CLASS", help="Answer times of this class alone.")
 @asking
 @json_option
 def timeline(
-    servers: tuple[str, ...], since: float | None, until: float | None, class_name: str | None,
-    settings: Path | None, control: Path | None, as_json: bool,
-) -> int:  # fmt: skip
+    servers: tuple[str, ...],
+    since: float | None,
+    until: float | None,
+    class_name: str | None,
+    settings: Path | None,
+    control: Path | None,
+    as_json: bool,
+) -> int:
     """The word."""
     given = _given(("from", since), ("to", until), ("class", class_name))
     return _asked(settings, control, lambda path: print_timeline(path, servers, given, as_json))
@@ -197,17 +204,37 @@
 def _line(row: dict[str, Any]) -> list[str]:
     counts, times = row["counts"], row.get("answer_ms", {})
     failed = sum(counts.get(name, 0) for name in ("error", "reset", "connect_failed"))
-    shown = [counts.get("ok", 0), failed, counts.get("full", 0), counts.get("timeout", 0),
-             counts.get("refused", 0), times.get("p50"), times.get("p99"), row.get("own"),
-             row.get("in_flight"), row.get("phase")]  # fmt: skip
+    shown = [
+        counts.get("ok", 0),
+        failed,
+        counts.get("full", 0),
+        counts.get("timeout", 0),
+        counts.get("refused", 0),
+        times.get("p50"),
+        times.get("p99"),
+        row.get("own"),
+        row.get("in_flight"),
+        row.get("phase"),
+    ]
     return [cell(value) for value in shown]
 
 
 HEAD = ["OK", "FAILED", "FULL", "TIMEOUT", "REFUSED", "P50 MS", "P99 MS", "OWN", "IN FLIGHT", "PHASE"]
 ORDINARY = {
-    "attempts", "ok", "error", "reset", "connect_failed", "full", "timeout", "refused", "lowest_below_m",
-    "arrived", "idle_sign", "crowded", "first_try",
-}  # fmt: skip
+    "attempts",
+    "ok",
+    "error",
+    "reset",
+    "connect_failed",
+    "full",
+    "timeout",
+    "refused",
+    "lowest_below_m",
+    "arrived",
+    "idle_sign",
+    "crowded",
+    "first_try",
+}
 
 
 def _points(told: dict[str, Any]) -> None:
@@ -286,4 +313,3 @@
     text = page(lanes, events, f"Servers until {until}", len(rows) - len(lanes))
     file.write_text(text, encoding="utf-8")
     return len(lanes)
-
--- a/balancer/core/anomaly_detection/detector.py
+++ b/balancer/core/anomaly_detection/detector.py
@@ -99,7 +99,8 @@
     CHANGED = "departure_changed"
     ENDED = "departure_ended"
     BECAME = "recovery"  # no departure: the node itself is another state back (`core/recovery`)
-    # Nor are these: what became of another node, or of this one among them (`Tell` in `core/cluster/failure_detector`).
+    # Nor are these: what became of another node, or of this one among them (`Tell` in
+    # `core/cluster/failure_detector`).
     PEER_JOINED = "peer_joined"
     PEER_SUSPECTED = "peer_suspected"
     PEER_FAILED = "peer_failed"
@@ -110,7 +111,8 @@
     PEER_YIELDED = "peer_yielded"
     PEER_RESUMED = "peer_resumed"
     PEER_FULL = "peer_full"
-    # What this node is cut off from, and what nodes disagree on (`Happened` in `core/cluster/gossip_coordinator`).
+    # What this node is cut off from, and what nodes disagree on (`Happened` in
+    # `core/cluster/gossip_coordinator`).
     CUT_BEGAN = "cut_began"
     CUT_ENDED = "cut_ended"
     DISAGREEMENT_BEGAN = "disagreement_began"
@@ -180,10 +182,15 @@
     def json(self) -> dict[str, object]:
         """One object of `balancer events --json`."""
         return {
-            "event": self.step.value, "id": self.id, "at": round(self.at_ms), "since": round(self.since_ms),
-            "scope": self.scope.value, "subject": self.subject, "signal": self.signal.value,
+            "event": self.step.value,
+            "id": self.id,
+            "at": round(self.at_ms),
+            "since": round(self.since_ms),
+            "scope": self.scope.value,
+            "subject": self.subject,
+            "signal": self.signal.value,
             "evidence": self.evidence,
-        }  # fmt: skip
+        }
 
 
 class Cusum:
@@ -233,8 +240,18 @@
     """What is known of one server."""
 
     __slots__ = (
-        "cell", "cells", "changes", "kind", "minute_ms", "name", "past", "seen_ms", "shares", "stale", "zone",
-    )  # fmt: skip
+        "cell",
+        "cells",
+        "changes",
+        "kind",
+        "minute_ms",
+        "name",
+        "past",
+        "seen_ms",
+        "shares",
+        "stale",
+        "zone",
+    )
 
     def __init__(self, name: str) -> None:
         self.name, self.zone, self.kind, self.cell = name, "", "", -1
@@ -540,8 +557,12 @@
         for signal in [s for s, since in self.waiting.items() if self.now_ms - since > 3 * HOLD_MS]:
             del self.waiting[signal]
 
-    def _begin_all(self, signal: Signal, new: dict[str, tuple[str, float, float, float]],
-                   suspects: dict[str, tuple[str, float, float, float]]) -> None:  # fmt: skip
+    def _begin_all(
+        self,
+        signal: Signal,
+        new: dict[str, tuple[str, float, float, float]],
+        suspects: dict[str, tuple[str, float, float, float]],
+    ) -> None:
         active = [s for s in self.servers.values() if self.now_ms - s.seen_ms <= QUIET_MS]
         group = self._shared(active, suspects) if len(suspects) >= GROUP_LEAST else None
         if group is None and len(suspects) >= max(GROUP_LEAST, ALL_PART * len(active)):
@@ -560,8 +581,9 @@
         best: tuple[float, Scope, str] | None = None
         for scope, read in (
             (Scope.CELL, lambda s: "" if s.cell < 0 else str(s.cell)),
-            (Scope.ZONE, lambda s: s.zone), (Scope.KIND, lambda s: s.kind),
-        ):  # fmt: skip
+            (Scope.ZONE, lambda s: s.zone),
+            (Scope.KIND, lambda s: s.kind),
+        ):
             groups: dict[str, list[int]] = {}
             for server in active:
                 count = groups.setdefault(read(server), [0, 0])
@@ -624,25 +646,31 @@
             out |= {
                 "value": round(read(min(700.0, usual + value)), 3),
                 "reference": round(read(min(700.0, usual)), 3),
-                "ratio": round(math.exp(value), 3), "score": round(score, 1), "threshold": H,
+                "ratio": round(math.exp(value), 3),
+                "score": round(score, 1),
+                "threshold": H,
                 "false_alarm_odds": float(f"{math.exp(-2 * K * min(score, 300.0)):.1e}"),
-            }  # fmt: skip
+            }
             if class_name:
                 out["class"] = class_name
         elif signal in SHARES:
             usual = max(SHARES[signal][0], self.shares[signal])
             out |= {
-                "value": round(value, 4), "reference": round(usual, 4), "score": round(score, 1),
-                "threshold": H_SHARE, "false_alarm_odds": float(f"{math.exp(-min(score, 300.0)):.1e}"),
-            }  # fmt: skip
+                "value": round(value, 4),
+                "reference": round(usual, 4),
+                "score": round(score, 1),
+                "threshold": H_SHARE,
+                "false_alarm_odds": float(f"{math.exp(-min(score, 300.0)):.1e}"),
+            }
         elif signal is Signal.STALE_REPORT:
             out |= {"value": value, "own_count_moved_by": score}
         else:
             out |= {"value": value, "window_ms": FLAP_MS}
         return out
 
-    def _open(self, signal: Signal, scope: Scope, subject: str,
-              found: dict[str, tuple[str, float, float, float]]) -> None:  # fmt: skip
+    def _open(
+        self, signal: Signal, scope: Scope, subject: str, found: dict[str, tuple[str, float, float, float]]
+    ) -> None:
         what = max(found.values(), key=lambda item: item[3])
         if scope is Scope.SERVER:
             what = found[subject]
@@ -663,8 +691,16 @@
                 event.evidence = {**event.evidence, "ended_as": f"part of event {self._count + 1}"}
                 self._end(event)
 
-    def _new(self, signal: Signal, scope: Scope, subject: str, since_ms: float, evidence: dict[str, object],
-             servers: set[str], class_name: str = "") -> Event | None:  # fmt: skip
+    def _new(
+        self,
+        signal: Signal,
+        scope: Scope,
+        subject: str,
+        since_ms: float,
+        evidence: dict[str, object],
+        servers: set[str],
+        class_name: str = "",
+    ) -> Event | None:
         if len(self.events) >= MOST_EVENTS:
             if len(self._skipped) < FORGOTTEN and (signal, subject) not in self._skipped:
                 self._skipped.add((signal, subject))
@@ -672,9 +708,17 @@
             return None
         self._count += 1
         event = Event(
-            self._count, scope, subject, signal, self.now_ms, since_ms, evidence, servers, class_name,
+            self._count,
+            scope,
+            subject,
+            signal,
+            self.now_ms,
+            since_ms,
+            evidence,
+            servers,
+            class_name,
             heard_ms=self.now_ms,
-        )  # fmt: skip
+        )
         self.events[event.id] = event
         self._tell(event, Step.BEGAN)
         return event
@@ -682,8 +726,18 @@
     def _tell(self, event: Event, step: Step) -> None:
         event.step, event.at_ms, event.told_ms = step, self.now_ms, self.now_ms
         event.told_value = float(event.evidence.get("value") or 0.0)  # type: ignore[arg-type]
-        self._out.append(Told(step, event.id, self.now_ms, event.since_ms, event.scope, event.subject,
-                              event.signal, dict(event.evidence)))  # fmt: skip
+        self._out.append(
+            Told(
+                step,
+                event.id,
+                self.now_ms,
+                event.since_ms,
+                event.scope,
+                event.subject,
+                event.signal,
+                dict(event.evidence),
+            )
+        )
 
     # --- the end of an event
 
@@ -775,8 +829,14 @@
             if not all(self.now_ms - reference.cusum.since_ms >= 2_000.0 for _, reference in up):
                 return
             name, reference = max(up, key=lambda item: item[1].cusum.mean)
-            self._new(Signal.ANSWER_TIME, Scope.ALL, "all", min(r.cusum.since_ms for _, r in up),
-                      self._of(reference) | {"classes": len(up)}, set())  # fmt: skip
+            self._new(
+                Signal.ANSWER_TIME,
+                Scope.ALL,
+                "all",
+                min(r.cusum.since_ms for _, r in up),
+                self._of(reference) | {"classes": len(up)},
+                set(),
+            )
             return
         for name, reference in fresh:
             if self.now_ms - reference.cusum.since_ms >= 3_000.0:  # the others may follow
@@ -795,8 +855,10 @@
         return {
             "value": round(math.exp(reference.base + step), 3),
             "reference": round(math.exp(reference.base), 3),
-            "ratio": round(math.exp(step), 3), "score": round(reference.cusum.score, 1), "threshold": H,
-        }  # fmt: skip
+            "ratio": round(math.exp(step), 3),
+            "score": round(reference.cusum.score, 1),
+            "threshold": H,
+        }
 
     # --- the node itself
 
--- a/balancer/core/cluster/anti_entropy.py
+++ b/balancer/core/cluster/anti_entropy.py
@@ -54,8 +54,15 @@
 def digest_of(member: Member) -> int:
     """What is compared of an entry: all but its age and its address, which may be each node's own."""
     entry = member.entry
-    said = (entry.backend, entry.zone, entry.cell, entry.kind, entry.phase.value, entry.weight,
-            entry.started_at)  # fmt: skip
+    said = (
+        entry.backend,
+        entry.zone,
+        entry.cell,
+        entry.kind,
+        entry.phase.value,
+        entry.weight,
+        entry.started_at,
+    )
     return int.from_bytes(blake2b(repr(said).encode(), digest_size=8).digest())
 
 
@@ -125,7 +132,10 @@
         theirs: Sequence[tuple[int, int]] = told.entries[:ENTRIES]
         held, mine = dict(theirs), self._leaves.get(told.place) or {}
         part = len(theirs) == ENTRIES  # what is not named there may be there all the same
-        names = [name for name, (key, digest) in mine.items()
-                 if (not part or key in held) and held.get(key) != digest & MASK]  # fmt: skip
+        names = [
+            name
+            for name, (key, digest) in mine.items()
+            if (not part or key in held) and held.get(key) != digest & MASK
+        ]
         missing = len(held.keys() - {key for key, _ in mine.values()})
         return Differ(tuple(names[:FOUND]), missing) if names or missing else None
--- a/balancer/core/cluster/failure_detector.py
+++ b/balancer/core/cluster/failure_detector.py
@@ -5,7 +5,8 @@
 what changed on the datagrams that go anyway (Das, Gupta, Motivala: "SWIM", 2002). From "Lifeguard" (Dadgar,
 Phillips, Currey, 2018): a node that is slow itself waits longer (local health), a suspicion ends sooner the
 more peers share it (dogpile), and whoever is written to is told first what is held against it (buddy).
-`benchmarks/failure_detection.py` weighs each. What goes beyond the papers: the rest of each datagram is filled with
+`benchmarks/failure_detection.py` weighs each. What goes beyond the papers: the rest of each datagram is
+filled with
 entries in turn, so that a word lost everywhere is told again; each period one fallen peer or unheard seed is
 asked, so that cuts heal; a failure told of a peer heard just now begins a suspicion only; a node that stood
 still fails nobody before it was heard from again.
@@ -243,10 +244,17 @@
     """
 
     def __init__(
-        self, name: str, address: str, seeds: Sequence[str], incarnation: int | None, random: Random,
-        cost: Callable[[tuple[str, int, int, str, int]], int], room: Callable[[str, Message], int],
-        options: Options | None = None, ask: bool = False,
-    ) -> None:  # fmt: skip
+        self,
+        name: str,
+        address: str,
+        seeds: Sequence[str],
+        incarnation: int | None,
+        random: Random,
+        cost: Callable[[tuple[str, int, int, str, int]], int],
+        room: Callable[[str, Message], int],
+        options: Options | None = None,
+        ask: bool = False,
+    ) -> None:
         if not name or not address or len(seeds) > SEEDS_MAX:
             raise ValueError(f"peers: a name, an address and at most {SEEDS_MAX} seeds, not {len(seeds)}")
         self.name, self.address = name, address
@@ -389,9 +397,7 @@
         well = (name for name in some if self.peers[name].word.state == State.ALIVE and name != probe.name)
         probe.helpers = tuple(well)[:HELPERS]  # one that is suspect would look like trouble here
         for name in probe.helpers:
-            self._send(
-                self.peers[name].word.address, Kind.RELAY, probe.seq, probe.name, peer.word.address
-            )
+            self._send(self.peers[name].word.address, Kind.RELAY, probe.seq, probe.name, peer.word.address)
 
     def _probed(self, now_ms: float, probe: _Probe) -> None:
         if probe.answered:
--- a/balancer/core/cluster/gossip_coordinator.py
+++ b/balancer/core/cluster/gossip_coordinator.py
@@ -1,8 +1,10 @@
-"""What a node does with its peers' words beside `core/cluster/failure_detector`: views, cuts, hearsay, shares, halves as one.
+"""What a node does with its peers' words beside `core/cluster/failure_detector`: views, cuts, hearsay,
+shares, halves as one.
 
 Whoever has the sockets hands in each right datagram's sections (`Came`), the state of the node each ROUND_MS
 (`Round`), and what the merge applied (`saw`); sections go out as bytes by the codec that it was given
-(`protocol/gossip_sections`). A datagram counts only where its sender is there, at that address. Answers are bounded
+(`protocol/gossip_sections`). A datagram counts only where its sender is there, at that address. Answers
+are bounded
 by ANSWERS a round.
 """
 
@@ -107,9 +109,17 @@
     """
 
     def __init__(
-        self, peers: Peers, number: int, group: int, kept: shares.Kept | None, turns: Turns, random: Random,
-        codec: ModuleType, room: int, alike: Collection[str] = (),
-    ) -> None:  # fmt: skip
+        self,
+        peers: Peers,
+        number: int,
+        group: int,
+        kept: shares.Kept | None,
+        turns: Turns,
+        random: Random,
+        codec: ModuleType,
+        room: int,
+        alike: Collection[str] = (),
+    ) -> None:
         self.peers, self.number, self.group, self.alike = peers, number, group, alike
         self.views = views.Views(peers.name, random, lambda word: 2 + len(codec.goes_by(word)), room)
         self.cuts, self.halves = cuts.Cuts(), Halves()
@@ -129,8 +139,11 @@
             return
         own = source.members
         out = [hearsay.Out(one.id, source.revision, True) for one in applied.removed if one.id not in own]
-        out += [hearsay.Out(one.id, source.revision, False) for one in applied.members
-                if one.id in own and own[one.id].entry.phase is Phase.DRAINING]  # fmt: skip
+        out += [
+            hearsay.Out(one.id, source.revision, False)
+            for one in applied.members
+            if one.id in own and own[one.id].entry.phase is Phase.DRAINING
+        ]
         self.hearsay.handle(now_ms, self._own(source, tuple(out)))
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
@@ -270,9 +283,20 @@
         flags, zone_cut = 0 if discovery else views.NO_DISCOVERY, cuts.zone_id(zone) if zone else 0
         sources = views.told_of(event.sources, self.alike)
         mine = views.Goes(
-            self.peers.name, self.peers.incarnation, 0, self.number, event.state, flags, zone_cut,
-            self.shares.count, digest, event.files, event.version, event.zone, sources,
-        )  # fmt: skip
+            self.peers.name,
+            self.peers.incarnation,
+            0,
+            self.number,
+            event.state,
+            flags,
+            zone_cut,
+            self.shares.count,
+            digest,
+            event.files,
+            event.version,
+            event.zone,
+            sources,
+        )
         self.views.handle(now_ms, views.Mine(mine))
         for action in self.views.handle(now_ms, views.Round(here)):
             match action:
--- a/balancer/core/cluster/gossiped_removals.py
+++ b/balancer/core/cluster/gossiped_removals.py
@@ -1,6 +1,7 @@
 """Drains and removals by peers' word, for a node whose own source is late or silent.
 
-A node that sees newer revisions told than its own asks its source at once (`Ask`, spread by `core/staggering`),
+A node that sees newer revisions told than its own asks its source at once (`Ask`, spread by
+`core/staggering`),
 and a few of those peers what drained or went since (`Question`). What they answer is their own source's word,
 with its revision, never what they were told. It is taken
 
@@ -13,7 +14,8 @@
 below for DISPROVED_MS, and no more than half of those that hear discovery stand by it, the word was wrong and
 is not taken again; where more do, the own source is the late one.
 
-What is taken goes to `core/discovery/endpoint_merger` as changes of a source of role "remove" (`PEERS`); one that is to
+What is taken goes to `core/discovery/endpoint_merger` as changes of a source of role "remove" (`PEERS`);
+one that is to
 be lifted is listed there as up, which adds nothing in that role.
 """
 
@@ -335,9 +337,11 @@
     def _seek(self, now_ms: float, event: Round, name: str, own: _Own) -> None:
         """Somebody has seen a newer list: the own source is asked, and those who have it."""
         told = {
-            word.name: revision for word in event.words
-            for of, order, revision, _ in word.sources if (of, order) == (name, own.order)
-        }  # fmt: skip
+            word.name: revision
+            for word in event.words
+            for of, order, revision, _ in word.sources
+            if (of, order) == (name, own.order)
+        }
         newer = [peer for peer, revision in told.items() if revision > own.revision and peer in event.here]
         if not newer or not own.order:
             own.behind_ms = own.ask_ms = math.inf
--- a/balancer/core/cluster/node_state.py
+++ b/balancer/core/cluster/node_state.py
@@ -45,7 +45,8 @@
 
 
 class Goes(NamedTuple):
-    """What a node goes by, in the order of the codec (`protocol/gossip_sections`); `edition` rises with each change.
+    """What a node goes by, in the order of the codec (`protocol/gossip_sections`); `edition` rises with
+    each change.
 
     `state`: the place of the state in `recovery.State`. `digest` 0: not to be compared, as where part of the
     list is still under way, remembered or told by peers. `files`: of the platform's settings and the
@@ -80,24 +81,26 @@
     return order_of(source.name if known else source.identity)
 
 
-def told_of(
-    sources: Iterable[Source], alike: Collection[str] = ()
-) -> tuple[tuple[str, int, int, int], ...]:
+def told_of(sources: Iterable[Source], alike: Collection[str] = ()) -> tuple[tuple[str, int, int, int], ...]:
     """What a word says of a node's own sources."""
     states = tuple(State)
     return tuple(
         (source.name, order_in(source, alike), source.revision or 0, states.index(source.state))
-        for source in sources if source.name != PEERS
-    )  # fmt: skip
+        for source in sources
+        if source.name != PEERS
+    )
 
 
 def comparable(sources: Iterable[Source]) -> bool:
     """Whether the view is all by the sources' word, so that its digest is to be told."""
     return not any(
-        source.pending or source.remembered or source.spoiled or source.faults
+        source.pending
+        or source.remembered
+        or source.spoiled
+        or source.faults
         or (source.name == PEERS and (source.members or source.removed))
         for source in sources
-    )  # fmt: skip
+    )
 
 
 def newer(held: Goes | None, told: Goes) -> Goes:
@@ -291,9 +294,11 @@
 
     def _revisions(self, source: str, order: int) -> dict[str, int]:
         return {
-            word.name: revision for word in self.there()
-            for of, its, revision, _ in word.sources if (of, its) == (source, order)
-        }  # fmt: skip
+            word.name: revision
+            for word in self.there()
+            for of, its, revision, _ in word.sources
+            if (of, its) == (source, order)
+        }
 
     def _judge(self, now_ms: float) -> list[Action]:
         mine = self.words.get(self.name)
@@ -322,8 +327,11 @@
         self.disagreements = found
         self._found = {key: self._found.get(key, now_ms) for key in found}
         slow = SLOW if self.turn_ms > HOLD_MS else ()
-        found = {key: its for key, its in found.items()
-                 if key[0] not in slow or now_ms - self._found[key] >= self.turn_ms}  # fmt: skip
+        found = {
+            key: its
+            for key, its in found.items()
+            if key[0] not in slow or now_ms - self._found[key] >= self.turn_ms
+        }
         began, ended = dict(self.steady.on), []
         fresh, over = self.steady.update(now_ms, found)
         for what, of in over:
@@ -348,8 +356,11 @@
         if not due:
             return None
         # Each judges itself, as the words of others may be old, and all are told.
-        late = {n: r for n, r in self._revisions(source, order).items()
-                if r < due[-1][1] and (n == self.name or self.words[n].flags & BEHIND)}  # fmt: skip
+        late = {
+            n: r
+            for n, r in self._revisions(source, order).items()
+            if r < due[-1][1] and (n == self.name or self.words[n].flags & BEHIND)
+        }
         if not late:
             return None
         least = min(late.values())
--- a/balancer/core/cluster/partition_detector.py
+++ b/balancer/core/cluster/partition_detector.py
@@ -5,7 +5,8 @@
 (they do not either). Where nobody is heard, or the peers themselves are silent, it is `UNKNOWN`.
 
 `MEANS` says what each means. Serving goes on in all, and the share of what is divided among the nodes
-(`core/cluster/quota_allocation`) rises in none. Begins and ends are steady: what comes and goes each second is one cut.
+(`core/cluster/quota_allocation`) rises in none. Begins and ends are steady: what comes and goes each
+second is one cut.
 """
 
 from __future__ import annotations
@@ -129,8 +130,9 @@
         """Of all that has begun: the strictest for roles; drains only where a peer is heard."""
         rows = [MEANS[of] for of, _ in self.cut] or [NOT_CUT]
         deaf = any((of, "") in self.cut for of in (From.PEERS, From.ALL))
-        return Means(max((row.roles for row in rows), key=STRICT.index),
-                     any(row.drains for row in rows) and not deaf)  # fmt: skip
+        return Means(
+            max((row.roles for row in rows), key=STRICT.index), any(row.drains for row in rows) and not deaf
+        )
 
     @property
     def may_keep_roles(self) -> bool:
@@ -157,10 +159,11 @@
 def heard_and_lost(peers: Peers, now_ms: float) -> tuple[int, tuple[str, ...]]:
     """How many peers are heard, and who is lost: failed, or suspect for long; who left is neither."""
     lost = tuple(
-        name for name, peer in peers.peers.items()
+        name
+        for name, peer in peers.peers.items()
         if peer.word.state == State.FAILED
         or (peer.word.state == State.SUSPECT and now_ms - peer.since_ms >= SUSPECT_MS)
-    )  # fmt: skip
+    )
     left = sum(peer.word.state == State.LEFT for peer in peers.peers.values())
     return len(peers.peers) - left - len(lost), lost
 
@@ -175,8 +178,11 @@
     if not saw.discovery:
         reach = sum(not word.flags & NO_DISCOVERY for word in saw.words)
         found[From.DISCOVERY, ""] = _verdict(reach, len(saw.words), "no source in sync")
-    silent = [zone for zone, (up, quiet) in sorted(saw.servers.items())[:ZONES]
-              if up >= SILENT_LEAST and quiet >= SILENT_PART * up]  # fmt: skip
+    silent = [
+        zone
+        for zone, (up, quiet) in sorted(saw.servers.items())[:ZONES]
+        if up >= SILENT_LEAST and quiet >= SILENT_PART * up
+    ]
     if silent and len(silent) == sum(up > 0 for up, _ in saw.servers.values()):
         reach = sum(not word.zone_cut for word in saw.words)
         found[From.SERVERS, ""] = _verdict(reach, len(saw.words), "nearly all servers silent")
--- a/balancer/core/cluster/quota_allocation.py
+++ b/balancer/core/cluster/quota_allocation.py
@@ -16,7 +16,8 @@
 it is sure, as whatever M was admitted by was told before BAR_MS were over; until then it divides by more. So
 all that take a share, M + 1 at most, divide by M + 1 at least.
 
-It rests on: a number is one node's (`core/cluster/failure_detector` names two that share one), G is the same, or greater,
+It rests on: a number is one node's (`core/cluster/failure_detector` names two that share one), G is the
+same, or greater,
 everywhere before a node of a new number starts, no datagram is over ACK_MS late, what was kept is kept, and
 not all G have forgotten a newcomer that none of them hears, for longer than BAR_MS.
 """
--- a/balancer/core/cluster/report.py
+++ b/balancer/core/cluster/report.py
@@ -39,15 +39,18 @@
         "goes_by": by.get(name, {}),
         "peers": [
             {
-                "name": who, "address": peer.word.address, "state": State(peer.word.state).name.lower(),
-                "since": round(peer.since_ms), "incarnation": peer.word.incarnation,
+                "name": who,
+                "address": peer.word.address,
+                "state": State(peer.word.state).name.lower(),
+                "since": round(peer.since_ms),
+                "incarnation": peer.word.incarnation,
                 "goes_by": by.get(who, {}),
             }
             for who, peer in rows
         ],
         **{key: [] if told is None else told[key] for key in ("cut", "disagreements", "taken")},
         "nodes": None if told is None else told["nodes"],
-    }  # fmt: skip
+    }
 
 
 def together(decider: Together, nodes: Nodes | None) -> dict[str, Any]:
@@ -61,8 +64,12 @@
             for (of, zone), (verdict, why) in cuts.items()
         ],
         "disagreements": [  # one without names is over, and not yet for long enough
-            {"what": key[0], "of": key[1], "names": sorted(odd[key].names) if key in odd else [],
-             "why": odd[key].why if key in odd else "not seen any more"}
+            {
+                "what": key[0],
+                "of": key[1],
+                "names": sorted(odd[key].names) if key in odd else [],
+                "why": odd[key].why if key in odd else "not seen any more",
+            }
             for key in views.steady.on
         ],
         "taken": [
@@ -70,7 +77,7 @@
             for (of, server), out in islice(taken.items(), SHOWN)
         ],
         "nodes": None if nodes is None else {"count": nodes.count, "takes": nodes.takes},
-    }  # fmt: skip
+    }
 
 
 def goes(word: Goes) -> dict[str, Any]:
@@ -78,8 +85,10 @@
     return {
         "number": word.number,
         "state": _named(BACK, word.state),
-        "sources": {of: {"revision": revision, "state": _named(KNOWN, state)}
-                    for of, _, revision, state in word.sources},
+        "sources": {
+            of: {"revision": revision, "state": _named(KNOWN, state)}
+            for of, _, revision, state in word.sources
+        },
         "list": f"{word.digest:08x}" if word.digest else None,
         "settings": f"{word.files[0]:08x}",
         "operators": f"{word.files[1]:08x}",
@@ -88,7 +97,7 @@
         "nodes": word.nodes,
         "behind": bool(word.flags & BEHIND),
         "discovery": not word.flags & NO_DISCOVERY,
-    }  # fmt: skip
+    }
 
 
 def _named(names: list[str], place: int) -> str:
--- a/balancer/core/connection_admission.py
+++ b/balancer/core/connection_admission.py
@@ -136,9 +136,10 @@
     def stalled(self, now_ms: float) -> list[Key]:
         """Those that have taken nothing for long, and whose last request's deadline is over."""
         return [
-            key for key, row in self._rows.items()
+            key
+            for key, row in self._rows.items()
             if now_ms - row.progress_ms > STALL_MS and now_ms > row.until_ms
-        ]  # fmt: skip
+        ]
 
     def excess(self, now_ms: float) -> list[Key]:
         """Those to end so that the rest fits the budget: the largest first of those that make no progress.
--- a/balancer/core/discovery/etcd_watcher.py
+++ b/balancer/core/discovery/etcd_watcher.py
@@ -30,7 +30,8 @@
 count is twice as far off: a gateway that cannot count must not have all nodes read all of it for good.
 
 Where the operators say how many whole lists their cluster bears, each is asked for at the node's *turn*
-(`core/staggering`). Before its first list a node does not even connect until then. Later, after a compaction or
+(`core/staggering`). Before its first list a node does not even connect until then. Later, after a
+compaction or
 a count that does not fit, it goes on by a watch: from the present on where the old one is of no use, so that
 only what fell into the *gap* waits for the list. What was asked for in vain is asked for at a later turn, and
 what was refused at no other endpoint before.
@@ -245,9 +246,17 @@
 
 
 Event = (
-    Started | Stopped | TimerFired | CheckAnswered | PageAnswered | WatchCreated | WatchSaid | WatchProgressed
-    | WatchCanceled | CallFailed
-)  # fmt: skip
+    Started
+    | Stopped
+    | TimerFired
+    | CheckAnswered
+    | PageAnswered
+    | WatchCreated
+    | WatchSaid
+    | WatchProgressed
+    | WatchCanceled
+    | CallFailed
+)
 
 # --- actions; `call` names what is asked in the events that answer it
 
--- a/balancer/core/discovery/merge_report.py
+++ b/balancer/core/discovery/merge_report.py
@@ -11,13 +11,20 @@
     """What each source says of whom, and the view; plain values for a table or JSON."""
     sources = [
         {
-            "name": s.name, "role": s.role.value, "state": s.state.value, "reason": s.reason,
-            "identity": s.identity, "revision": s.revision, "members": len(s.members),
-            "removed": len(s.removed), "unreadable": s.unreadable, "not_applied": s.old,
+            "name": s.name,
+            "role": s.role.value,
+            "state": s.state.value,
+            "reason": s.reason,
+            "identity": s.identity,
+            "revision": s.revision,
+            "members": len(s.members),
+            "removed": len(s.removed),
+            "unreadable": s.unreadable,
+            "not_applied": s.old,
             "silent_for_ms": None if s.heard_ms is None else round(membership.now_ms - s.heard_ms),
         }
         for s in membership.sources.values()
-    ]  # fmt: skip
+    ]
     names = dict.fromkeys(membership.view)
     for s in membership.sources.values():
         names.update(dict.fromkeys(s.members))
@@ -42,7 +49,11 @@
     shown = held or next(s.members[name] for s in membership.sources.values() if name in s.members)
     host, port = shown.address
     return {
-        "id": name, "address": f"[{host}]:{port}" if ":" in host else f"{host}:{port}", "phase": phase,
-        "zone": shown.entry.zone, "weight": shown.entry.weight, "started_at_ms": shown.entry.started_at,
+        "id": name,
+        "address": f"[{host}]:{port}" if ":" in host else f"{host}:{port}",
+        "phase": phase,
+        "zone": shown.entry.zone,
+        "weight": shown.entry.weight,
+        "started_at_ms": shown.entry.started_at,
         "sources": says,
-    }  # fmt: skip
+    }
--- a/balancer/core/persistence/persisted_state.py
+++ b/balancer/core/persistence/persisted_state.py
@@ -151,9 +151,14 @@
 
 
 def recall(
-    tables: Mapping[str, Mapping[str, bytes]], found: int, older: bool, wrote_ms: int, name: str, now_ms: int,
+    tables: Mapping[str, Mapping[str, bytes]],
+    found: int,
+    older: bool,
+    wrote_ms: int,
+    name: str,
+    now_ms: int,
     max_age_ms: float,
-) -> Recalled:  # fmt: skip
+) -> Recalled:
     """Read the tables of a store: `found` is the generation believed (0: none), `wrote_ms` its last commit.
 
     `older` says that a newer one is not believed; `name` is this node's, `now_ms` the wall clock. An age is
@@ -207,9 +212,14 @@
 
 
 _KINDS: dict[str, type] = {
-    "ends": End, "view": Server, "sources": Source, "usual": Usual, "limit": Limit, "weights": Weight,
+    "ends": End,
+    "view": Server,
+    "sources": Source,
+    "usual": Usual,
+    "limit": Limit,
+    "weights": Weight,
     "ejections": Ejection,
-}  # fmt: skip
+}
 
 
 def _me(rows: Mapping[str, bytes], out: Recalled) -> Self | None:
@@ -254,9 +264,12 @@
 
 
 def without_ended(
-    listed: Mapping[str, Member], revision: int | None, ends: Mapping[str, End], source: str,
+    listed: Mapping[str, Member],
+    revision: int | None,
+    ends: Mapping[str, End],
+    source: str,
     seen: tuple[int, Set[str]] | None = None,
-) -> Listing | None:  # fmt: skip
+) -> Listing | None:
     """What a source listed at that revision, less the servers whose end it told later; None: there is none.
 
     Of a source that has listed nothing (no revision) all ends count. An end does not age as a view does: a
--- a/balancer/core/recovery.py
+++ b/balancer/core/recovery.py
@@ -493,7 +493,10 @@
         """For operators. `since` is a clock time in ms; parts of the start come before the phases."""
         phases = [*self.parts.items(), *sorted(self.meter.phases.items(), key=lambda item: item[1])]
         return {
-            "state": self.state.value, "since": self.since_ms, "incarnation": self.incarnation,
-            "memory": self.memory.value, "waits_for": self.waits_for(now_ms),
+            "state": self.state.value,
+            "since": self.since_ms,
+            "incarnation": self.incarnation,
+            "memory": self.memory.value,
+            "waits_for": self.waits_for(now_ms),
             "phases": [{"name": name, "ms": round(ms, 1)} for name, ms in phases],
-        }  # fmt: skip
+        }
--- a/balancer/net/application.py
+++ b/balancer/net/application.py
@@ -78,9 +78,12 @@
 
 
 async def serve(
-    config: Config, path: Path | None = None, operators: Operators | None = None, hung_up: Sequence[int] = (),
+    config: Config,
+    path: Path | None = None,
+    operators: Operators | None = None,
+    hung_up: Sequence[int] = (),
     began: Mapping[str, float] | None = None,
-) -> None:  # fmt: skip
+) -> None:
     """Run until SIGTERM or SIGINT, then answer what was taken and return; SIGHUP reads the files again.
 
     `operators` is what was read from `path`, the operators' file; both are None where there is none.
@@ -92,9 +95,14 @@
     listed = Source(platform.NAME)
     fleet = Fleet(node, [listed])
     node.discovery = discovery = PlatformSource(
-        config.discovery, config.settings.must_ask, config.settings.drain_grace, node.now, fleet.hand,
-        lambda: fleet.resume(platform.NAME), node.list_failed,
-    )  # fmt: skip
+        config.discovery,
+        config.settings.must_ask,
+        config.settings.drain_grace,
+        node.now,
+        fleet.hand,
+        lambda: fleet.resume(platform.NAME),
+        node.list_failed,
+    )
     cap, over = places(config.client_sockets)
     front = Front(node, cap, unread_budget(config.memory_mb), over)
     parts: Parts | None = None
@@ -148,9 +156,12 @@
 
 
 def run(
-    config: Config, path: Path | None = None, operators: Operators | None = None, hung_up: Sequence[int] = (),
+    config: Config,
+    path: Path | None = None,
+    operators: Operators | None = None,
+    hung_up: Sequence[int] = (),
     began: Mapping[str, float] | None = None,
-) -> int:  # fmt: skip
+) -> int:
     """Run a node to its end; the exit code. One that cannot start says why in one line."""
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s")
     logging.getLogger().handlers[0].addFilter(Brake())
@@ -171,8 +182,11 @@
         config = replace(config, client_sockets=clients, upstream_sockets=upstream)
         logging.warning(
             "limits.sockets is %d, the process may hold %d (ulimit -n): %d for clients, %d for servers",
-            wanted, there, clients, upstream,
-        )  # fmt: skip
+            wanted,
+            there,
+            clients,
+            upstream,
+        )
     try:
         uvloop.run(serve(config, path, operators, hung_up, began))
     except OSError as err:
--- a/balancer/net/backend_pool.py
+++ b/balancer/net/backend_pool.py
@@ -29,10 +29,19 @@
 SWEEP = 0.1  # part of the idle limit between two looks for idle connections
 Data = bytes | Callable[[], bytes]  # a request, or what gives it as it is written, with the time left then
 FIELDS = {
-    "inflight": "in_flight", "active": "in_flight", "queue": "queue", "waiting": "queue", "util": "cpu",
-    "cpu": "cpu", "latency_ms": "mean_time", "avg_ms": "mean_time", "qps": "rate", "rps": "rate",
-    "eps": "error_rate", "err_rps": "error_rate",
-}  # fmt: skip
+    "inflight": "in_flight",
+    "active": "in_flight",
+    "queue": "queue",
+    "waiting": "queue",
+    "util": "cpu",
+    "cpu": "cpu",
+    "latency_ms": "mean_time",
+    "avg_ms": "mean_time",
+    "qps": "rate",
+    "rps": "rate",
+    "eps": "error_rate",
+    "err_rps": "error_rate",
+}
 
 
 def parse_report(value: str) -> api.Report:
--- a/balancer/net/cluster.py
+++ b/balancer/net/cluster.py
@@ -1,6 +1,7 @@
 """The other nodes, for a running one: what `[peers]` switches on, off and over.
 
-`PeersPart` holds the one UDP socket, carries out what `core/cluster/failure_detector` says and gives it what `protocol/gossip`
+`PeersPart` holds the one UDP socket, carries out what `core/cluster/failure_detector` says and gives it
+what `protocol/gossip`
 believes of what comes. It follows the settings, tells the time line, the log and `core/recovery`, and
 answers `peers` on the control socket. What else nodes tell each other passes through to `net/cluster_gossip`.
 
@@ -162,9 +163,15 @@
             life, whole = before.incarnation + 1, True
             seeds += [peer.word.address for peer in before.peers.values()]
         self.peers = p.Peers(
-            self.running.name, address, seeds[: p.SEEDS_MAX], life - 1, Random(), gossip.cost, gossip.room,
+            self.running.name,
+            address,
+            seeds[: p.SEEDS_MAX],
+            life - 1,
+            Random(),
+            gossip.cost,
+            gossip.room,
             ask=not whole,
-        )  # fmt: skip
+        )
         if self.words is None:
             self.words = Words(self.running, self.peers, self._send_words, self.counts)
         self.words.at(self.peers)
@@ -286,9 +293,7 @@
         if self.peers is not None and not self.peers.asking and not self.peers.yielded:
             self._put(to, self.peers.incarnation, p.Message(goes_by.KIND, 0, "", "", ()), sections)
 
-    def _put(
-        self, to: str, incarnation: int, message: p.Message, sections: gossip.Sections = ()
-    ) -> None:
+    def _put(self, to: str, incarnation: int, message: p.Message, sections: gossip.Sections = ()) -> None:
         assert self._writer is not None
         if self._socket is None:
             return
--- a/balancer/net/cluster_gossip.py
+++ b/balancer/net/cluster_gossip.py
@@ -1,4 +1,5 @@
-"""What the other nodes' words lead to on a running node: `core/cluster/gossip_coordinator`, fed and carried out.
+"""What the other nodes' words lead to on a running node: `core/cluster/gossip_coordinator`, fed and
+carried out.
 
 `Words` hands it the sections of each datagram, how the node stands each round, and what the merge applied.
 What it says goes to the other nodes, the time line, the log, the merge and this node's discovery.
@@ -49,10 +50,16 @@
         self.running, self.node, self.fleet, self.counts = running, running.node, running.fleet, counts
         told = self.node.settings
         self.decider = t.Together(
-            peers, told.me, told.group_size, None, Turns(told.me, told.group_size, BEARS), Random(), goes_by,
+            peers,
+            told.me,
+            told.group_size,
+            None,
+            Turns(told.me, told.group_size, BEARS),
+            Random(),
+            goes_by,
             gossip.room(running.name, gossip.Told(goes_by.KIND, 0, "", "", ())),
             () if told.must_ask else (PLATFORM,),  # where lists are pushed each node has an agent of its own
-        )  # fmt: skip
+        )
         self.nodes: shares.Nodes | None = None  # nothing is divided by it yet
         self._write = write
         self._files = digest(told, OWN[0]), 0
--- a/balancer/net/component.py
+++ b/balancer/net/component.py
@@ -97,7 +97,8 @@
     def tell(self, step: str, scope: str, subject: str, signal: str, about: dict[str, object]) -> None:
         """Something that is no departure of a server goes on the time line, as soon as that is on.
 
-        `step`, `scope` and `signal` are values of `core/anomaly_detection/detector`, which comes with the time line.
+        `step`, `scope` and `signal` are values of `core/anomaly_detection/detector`, which comes with the
+        time line.
         """
         self._count += 1  # told below 0: the departures' own numbers begin at 1
         self._told.append((self._count, self.node.now(), step, scope, subject, signal, about))
--- a/balancer/net/discovery/platform.py
+++ b/balancer/net/discovery/platform.py
@@ -105,6 +105,7 @@
             return
         if self.life.bare:
             from balancer.net.discovery.watch_liveness import doubted
+
             return doubted(self, self._awake)
         self._warn("discovery is silent")
         self.close()
@@ -201,9 +202,15 @@
     """Follows the list. `hand` takes what the merge has to know, `resume` is where to watch from."""
 
     def __init__(
-        self, address: Address, must_ask: bool, drain_grace_ms: float, now_ms: Callable[[], float],
-        hand: Callable[[membership.Event], None], resume: Callable[[], int | None], failed: Callable[[], None]
-    ) -> None:  # fmt: skip
+        self,
+        address: Address,
+        must_ask: bool,
+        drain_grace_ms: float,
+        now_ms: Callable[[], float],
+        hand: Callable[[membership.Event], None],
+        resume: Callable[[], int | None],
+        failed: Callable[[], None],
+    ) -> None:
         self.address, self.now_ms, self.hand, self.resume, self.failed = address, now_ms, hand, resume, failed
         self.follow = PlatformFollow(random.Random(), must_ask, drain_grace_ms)
         self.following: Call | None = None  # the watch, or the whole list that a watch goes on from
--- a/balancer/net/http_server.py
+++ b/balancer/net/http_server.py
@@ -40,16 +40,31 @@
 FEW = 1 / 8
 STEP = 0.02  # s between two looks at what is still owed, once the node ends
 SWEEP = 0.2  # s between two looks for connections whose time is up
-ASKS = frozenset({  # headers that a client's request has, and the front's question has not
-    b"request-id", b"request-timeout", b"tenant", b"idempotency-key", b"client-retry", b"work-hint",
-    b"request-info",
-})  # fmt: skip
+ASKS = frozenset(
+    {  # headers that a client's request has, and the front's question has not
+        b"request-id",
+        b"request-timeout",
+        b"tenant",
+        b"idempotency-key",
+        b"client-retry",
+        b"work-hint",
+        b"request-info",
+    }
+)
 ONCE = frozenset({b"request-id", b"idempotency-key", b"request-timeout", b"host"})
 REASONS = {
-    200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 408: "Request Timeout",
-    409: "Conflict", 413: "Content Too Large", 431: "Request Header Fields Too Large",
-    500: "Internal Server Error", 502: "Bad Gateway", 503: "Service Unavailable",
-}  # fmt: skip
+    200: "OK",
+    400: "Bad Request",
+    404: "Not Found",
+    405: "Method Not Allowed",
+    408: "Request Timeout",
+    409: "Conflict",
+    413: "Content Too Large",
+    431: "Request Header Fields Too Large",
+    500: "Internal Server Error",
+    502: "Bad Gateway",
+    503: "Service Unavailable",
+}
 TIMEOUT = re.compile(rb"(\d{1,12}(?:\.\d{1,6})?)([mu])")
 
 
--- a/balancer/net/metrics_server.py
+++ b/balancer/net/metrics_server.py
@@ -84,9 +84,11 @@
     """Serves the metrics of one time line at one address."""
 
     def __init__(
-        self, watch: Watch, recovery: Recovery | None = None,
+        self,
+        watch: Watch,
+        recovery: Recovery | None = None,
         peers: Callable[[], Figures | None] = lambda: None,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.metrics = Metrics(watch, recovery, peers)
         self._server: asyncio.Server | None = None
         self._tasks: set[asyncio.Task[None]] = set()
--- a/balancer/net/persistence.py
+++ b/balancer/net/persistence.py
@@ -163,10 +163,14 @@
         state = self.memory.store.state()
         slow = f"a write has taken {state.slow_ms / 1000:.0f} s so far" if state.slow_ms else ""
         return {
-            "directory": directory, "open": True, "trouble": state.reason or slow or None,
-            "waiting": state.waiting, "turned_away": state.turned_away, "commits": state.commits,
+            "directory": directory,
+            "open": True,
+            "trouble": state.reason or slow or None,
+            "waiting": state.waiting,
+            "turned_away": state.turned_away,
+            "commits": state.commits,
             "failures": state.failures,
-        }  # fmt: skip
+        }
 
     async def _let_go(self) -> None:
         memory, self.memory = self.memory, None
@@ -228,9 +232,12 @@
         self.keeping = k.Keeping(1000.0 * settings.every, self.max_age_ms)
         self.loop = asyncio.get_running_loop()
         self.store = Store(
-            str(settings.directory), self.loop.call_soon_threadsafe, None if files is None else files(),
-            kept.URGENT, _wall,
-        )  # fmt: skip
+            str(settings.directory),
+            self.loop.call_soon_threadsafe,
+            None if files is None else files(),
+            kept.URGENT,
+            _wall,
+        )
         self.began_ms = self.node.now()
         self._rows: dict[str, Server] = {}  # as they are kept, without order and times
         self._members: dict[str, list[Member]] = {}  # whom each source had listed, until it is handed over
@@ -355,13 +362,14 @@
     def _aged(name: str, recalled: Recalled) -> bool:
         """Whether it listed servers that are not believed any more."""
         rows = recalled.rows.get("view", {}).items()
-        return any(isinstance(row, Server) and name in row.sources and key not in recalled.view
-                   for key, row in rows)  # fmt: skip
+        return any(
+            isinstance(row, Server) and name in row.sources and key not in recalled.view for key, row in rows
+        )
 
     @staticmethod
     def _less(
         source: membership.Source, identity: str, revision: int, recalled: Recalled
-    ) -> membership.Listed | None:  # fmt: skip
+    ) -> membership.Listed | None:
         """Where the list that was kept is not to be had: the one that is there, but for later ends."""
         order = source.identity or identity
         if not order or identity not in ("", order):
@@ -481,10 +489,17 @@
         sources = [name for name, s in merge.items() if member.id in s.members and name != PEERS]
         age = 0 if entry.age_ms is None else int(entry.age_ms)
         return Server(
-            member.address[0], member.address[1], entry.zone[:LONGEST], max(-MOST, min(MOST, entry.cell)),
-            min(1e9, entry.weight), entry.phase is not api.Phase.UP, min(1e15, entry.started_at),
-            entry.kind[:LONGEST], tuple(sources[:16]), max(0, wall - age),
-        )  # fmt: skip
+            member.address[0],
+            member.address[1],
+            entry.zone[:LONGEST],
+            max(-MOST, min(MOST, entry.cell)),
+            min(1e9, entry.weight),
+            entry.phase is not api.Phase.UP,
+            min(1e15, entry.started_at),
+            entry.kind[:LONGEST],
+            tuple(sources[:16]),
+            max(0, wall - age),
+        )
 
     def _settled(self, source: membership.Source) -> bool:
         """Whether its word is in the view as a whole, and all of it was looked at."""
--- a/balancer/net/timeline.py
+++ b/balancer/net/timeline.py
@@ -77,8 +77,9 @@
 
     def _look(self, name: str) -> tuple[int, float, str] | None:
         backend = self.node.balancer.backends.get(name)
-        return None if backend is None else (backend.estimate, backend.entry.weight,
-        backend.entry.phase.value)
+        return (
+            None if backend is None else (backend.estimate, backend.entry.weight, backend.entry.phase.value)
+        )
 
     def _moved(self, name: str) -> None:
         if self.watch is not None:
--- a/balancer/observability/html_report.py
+++ b/balancer/observability/html_report.py
@@ -20,9 +20,13 @@
 LANES = 40
 FAILURES = ("error", "reset", "connect_failed", "full", "timeout")
 MARKS = {
-    "ejected": ("v", "tab:red"), "taken_back": ("^", "tab:green"), "started": ("D", "tab:purple"),
-    "up": (">", "tab:green"), "draining": ("s", "tab:orange"), "gone": ("x", "black"),
-}  # fmt: skip
+    "ejected": ("v", "tab:red"),
+    "taken_back": ("^", "tab:green"),
+    "started": ("D", "tab:purple"),
+    "up": (">", "tab:green"),
+    "draining": ("s", "tab:orange"),
+    "gone": ("x", "black"),
+}
 STYLE = """body{font:15px/1.45 system-ui,sans-serif;margin:2em auto;max-width:75em;color:#222}
 table{border-collapse:collapse}td,th{padding:.2em .8em;text-align:left;border-bottom:1px solid #ccc}
 svg{max-width:100%;height:auto}code{background:#f2f2f2;padding:0 .3em}"""
--- a/balancer/observability/metrics.py
+++ b/balancer/observability/metrics.py
@@ -18,7 +18,7 @@
     HistogramMetricFamily,
     Metric,
     StateSetMetricFamily,
-)  # fmt: skip
+)
 from prometheus_client.openmetrics.exposition import CONTENT_TYPE_LATEST, generate_latest
 
 from balancer import interface as api
@@ -40,9 +40,11 @@
     """The metrics of one time line."""
 
     def __init__(
-        self, watch: Watch, recovery: Recovery | None = None,
+        self,
+        watch: Watch,
+        recovery: Recovery | None = None,
         peers: Callable[[], Figures | None] = lambda: None,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.watch, self.recovery, self.peers = watch, recovery, peers
         self.shown: set[str] = set()
 
@@ -75,8 +77,14 @@
         out = CounterMetricFamily(
             "dillport_requests", "Requests by class and what became of them.", labels=["class", "result"]
         )
-        results = {"arrived": keys.ARRIVED, "served": keys.OK, "refused": keys.REFUSED,
-                   "failed": keys.FAILED, "late": keys.LATE, "client_gone": keys.GONE}  # fmt: skip
+        results = {
+            "arrived": keys.ARRIVED,
+            "served": keys.OK,
+            "refused": keys.REFUSED,
+            "failed": keys.FAILED,
+            "late": keys.LATE,
+            "client_gone": keys.GONE,
+        }
         for name, line in recorder.classes.items():
             for result, key in results.items():
                 out.add_metric([name, result], line.totals.get(key, 0))
@@ -136,8 +144,10 @@
         lines = recorder.servers
         self.shown &= lines.keys()
         if len(self.shown) < SERVERS:
-            rest = sorted((n for n in lines if n not in self.shown),
-                          key=lambda n: (-lines[n].totals.get(keys.ATTEMPTS, 0), n))  # fmt: skip
+            rest = sorted(
+                (n for n in lines if n not in self.shown),
+                key=lambda n: (-lines[n].totals.get(keys.ATTEMPTS, 0), n),
+            )
             self.shown.update(rest[: SERVERS - len(self.shown)])
         attempts = CounterMetricFamily(
             "dillport_server_attempts", "Attempts by server and how they ended.", labels=["server", "outcome"]
--- a/balancer/operator_settings/__init__.py
+++ b/balancer/operator_settings/__init__.py
@@ -22,6 +22,17 @@
 from balancer.operator_settings.timeline import TimelineSettings
 
 __all__ = [
-    "ControlSettings", "EtcdSettings", "Fault", "Membership", "MetricsSettings", "Operators",
-    "OperatorsError", "PeersSettings", "StateSettings", "TimelineSettings", "changes", "load", "parse",
-]  # fmt: skip
+    "ControlSettings",
+    "EtcdSettings",
+    "Fault",
+    "Membership",
+    "MetricsSettings",
+    "Operators",
+    "OperatorsError",
+    "PeersSettings",
+    "StateSettings",
+    "TimelineSettings",
+    "changes",
+    "load",
+    "parse",
+]
--- a/balancer/operator_settings/membership.py
+++ b/balancer/operator_settings/membership.py
@@ -68,9 +68,11 @@
         """Which etcd, what of it, what its word may do."""
         does = {"full": "add and remove servers", "add": "only add servers", "remove": "only remove servers"}
         login = f", logged in as {self.user}" if self.user else ""
-        clear = " WITHOUT TLS, so the password crosses the network in the clear" if (
-            login and self.endpoints[0].startswith("http:")
-        ) else ""  # fmt: skip
+        clear = (
+            " WITHOUT TLS, so the password crosses the network in the clear"
+            if (login and self.endpoints[0].startswith("http:"))
+            else ""
+        )
         turns = "" if self.bears is None else f"; all nodes ask for {self.bears} whole lists a second at most"
         return (
             f"etcd at {', '.join(self.endpoints)}{login}{clear}; keys under {self.prefix} in the form "
--- a/balancer/platform_settings.py
+++ b/balancer/platform_settings.py
@@ -18,9 +18,18 @@
 _REPORTS = {"inline": api.Reports.ANSWERS, "on_probe": api.Reports.PROBES, "off": api.Reports.NONE}
 _WEIGHTS = {"off": False, "nominal": True, "rough": True, "live": True}
 _CHARGES = (
-    "probe", "waste", "cross-zone", "late-fail", "handshake", "connection", "discovery", "fleet", "moves",
-    "origin", "peer",
-)  # fmt: skip
+    "probe",
+    "waste",
+    "cross-zone",
+    "late-fail",
+    "handshake",
+    "connection",
+    "discovery",
+    "fleet",
+    "moves",
+    "origin",
+    "peer",
+)
 
 _ROW = {"name": "x", "effect": "retryable", "give-up": 1.0}  # stands in for one that is no object
 
@@ -212,10 +221,7 @@
         tick=_number(raw, "", "granularity", 1.0),
         tenants=tuple(_tenant(table, index) for index, table in enumerate(_rows(raw, "projects"))),
         charges=api.Charges(
-            **{
-                name.replace("-", "_"): _number(charges, "charges.", name, 0.0)
-                for name in _CHARGES
-            }
+            **{name.replace("-", "_"): _number(charges, "charges.", name, 0.0) for name in _CHARGES}
         ),
         blend=api.Blend(
             whole=_number(blend, "blend.", "whole", 1.0),
--- a/balancer/policy/backend_index.py
+++ b/balancer/policy/backend_index.py
@@ -105,9 +105,14 @@
         side = int(b.full > self.choosy) if b.vouched else 2
         if b.level is not None:
             if (
-                b.inside and b.out == b.shelved and b.estimate == b.row and back <= now and warm <= now
-                and side == b.apart and mark == b.grade
-            ):  # fmt: skip
+                b.inside
+                and b.out == b.shelved
+                and b.estimate == b.row
+                and back <= now
+                and warm <= now
+                and side == b.apart
+                and mark == b.grade
+            ):
                 return
             self._unshelve(b, b.level)
         elif b.in_cold >= 0:
--- a/balancer/policy/balancer.py
+++ b/balancer/policy/balancer.py
@@ -78,8 +78,12 @@
 LOWEST, DRAWN, PANIC = api.Why.LOWEST_BELOW_M, api.Why.DRAWN_AT_CAP, api.Why.PANIC
 COLD, SPILT, FIRST, HELD = api.Why.COLD_ADMITTED, api.Why.SPILL, api.Why.FIRST_TRY, api.Why.HELD_AND_RELEASED
 LATE, BROKE, SPENT = api.Why.AIM_OUT_OF_REACH, api.Why.BUDGET_SPENT, api.Why.ATTEMPTS_SPENT
-ROOMLESS, NOBODY, SHED, ONCE = (api.Why.NO_ROOM_IN_TIME, api.Why.NOBODY_ELIGIBLE, api.Why.SHED_BY_SUCCESS,
-                                api.Why.NOT_REPEATABLE)
+ROOMLESS, NOBODY, SHED, ONCE = (
+    api.Why.NO_ROOM_IN_TIME,
+    api.Why.NOBODY_ELIGIBLE,
+    api.Why.SHED_BY_SUCCESS,
+    api.Why.NOT_REPEATABLE,
+)
 CROWDED = api.Why.SERVER_CROWDED
 EJECTED, PAUSED, IDLE = api.What.EJECTED, api.What.PAUSED, api.What.IDLE_SIGN
 JOINED, LEFT, DROPPED = api.What.JOINED_SUBSET, api.What.LEFT_SUBSET, api.What.DROPPED
@@ -121,14 +125,23 @@
         self.trust = 1.0  # share of sends answered within the aim; where the node looks, on an idle sign
         self.rtt = 2.0 * settings.tick  # usual round trip of a probe, until probes tell
         self.floors: dict[str, float] = {}  # least time an answer takes, for each zone: no load explains it
-        self.looks = (settings.probing and settings.reports is not api.Reports.NONE
-                      and settings.charges.probe * SAMPLE <= TRIFLE)
+        self.looks = (
+            settings.probing
+            and settings.reports is not api.Reports.NONE
+            and settings.charges.probe * SAMPLE <= TRIFLE
+        )
         self.density = sum(c.value / c.aim for c in settings.classes) * 4 / len(settings.classes)
         self.on: dict[type, Callable[[Any], None]] = {
-            api.Arrival: self._arrival, api.Outcome: self._outcome, api.Probed: self._probed,
-            api.Timer: self._timer, api.ListUpdate: self._list, api.ClientGone: self._gone,
-            api.StreamStarted: self._stream, api.PeerMessage: lambda event: None,
-            api.Remembered: self._remembered}
+            api.Arrival: self._arrival,
+            api.Outcome: self._outcome,
+            api.Probed: self._probed,
+            api.Timer: self._timer,
+            api.ListUpdate: self._list,
+            api.ClientGone: self._gone,
+            api.StreamStarted: self._stream,
+            api.PeerMessage: lambda event: None,
+            api.Remembered: self._remembered,
+        }
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
         """Decide on one event at the clock time `now` (it never goes back)."""
@@ -271,8 +284,15 @@
         """The chance of a warm one, over the number of backends that a request considers."""
         return COLD_PART * self.cfg.fall_multiple * len(self.index.order) / self.fleet
 
-    def _draw(self, req: Request, count: int, found: Iterable[Backend], among: int, crowd: float = math.inf,
-              panic: bool = False) -> list[Backend]:
+    def _draw(
+        self,
+        req: Request,
+        count: int,
+        found: Iterable[Backend],
+        among: int,
+        crowd: float = math.inf,
+        panic: bool = False,
+    ) -> list[Backend]:
         """Up to `count` eligible ones of some backends in random order; cold ones are thinned by `among`."""
         out: list[Backend] = []
         for b in found:
@@ -327,8 +347,14 @@
                 return False
         return True
 
-    def _panic(self, req: Request, count: int, stop: int, far: bool = False, crowd: float = math.inf,
-               ) -> list[Backend]:
+    def _panic(
+        self,
+        req: Request,
+        count: int,
+        stop: int,
+        far: bool = False,
+        crowd: float = math.inf,
+    ) -> list[Backend]:
         """Nothing this node feeds is eligible: its own view may be the culprit, so ejections are ignored."""
         names = min(stop, len(self.index.order))
         self._log(f"panic: {names} backends in view, none eligible, ignoring ejections")
@@ -466,8 +492,9 @@
         if bound and k > 3 * count:  # of a window this wide a draw would hardly meet them
             among = min(len(bound), 3 * count)
             some = (bound[at] for at in self._picks(len(bound), among))
-            pool = (self._draw(req, count, (b for b in some if b.inside or far), among, crowd)
-                    or self._draw(req, count, (bound[at] for at in self._picks(len(bound), among)), among))
+            pool = self._draw(req, count, (b for b in some if b.inside or far), among, crowd) or self._draw(
+                req, count, (bound[at] for at in self._picks(len(bound), among)), among
+            )
         elif bound or far:
             pool = self._draw(req, count, *self._some(count, 0, k, far), crowd)
         elif (b := self._choose(req, crowd, m)) is not None:
@@ -529,8 +556,9 @@
     def _look(self, req: Request) -> None:
         """Ask a few backends how they are; the request waits one round trip."""
         req.rounds, req.looks, k = req.rounds + 1, req.looks + 1, self.width
-        pool = (self._draw(req, SAMPLE, *self._some(SAMPLE, 0, k))
-                or self._draw(req, SAMPLE, *self._some(SAMPLE, k, 2 * k)))
+        pool = self._draw(req, SAMPLE, *self._some(SAMPLE, 0, k)) or self._draw(
+            req, SAMPLE, *self._some(SAMPLE, k, 2 * k)
+        )
         for b in pool or self._panic(req, SAMPLE, 2 * k):
             req.pending.add(b.entry.backend)
             if b.waiting is None:
@@ -589,11 +617,24 @@
 
     def _send(self, req: Request, b: Backend) -> None:
         """The one place where an attempt is made: drains, repeats, closed requests and limits end here."""
-        if (req.over or req.stream or b.entry.phase is not api.Phase.UP or not self._legal(req, b)
-                or len(req.attempts) >= self.cfg.max_attempts or self.now >= req.deadline):
-            self._finish(req, NOBODY if b.entry.phase is not api.Phase.UP else SPENT
-                         if len(req.attempts) >= self.cfg.max_attempts else LATE
-                         if self.now >= req.deadline else ONCE)
+        if (
+            req.over
+            or req.stream
+            or b.entry.phase is not api.Phase.UP
+            or not self._legal(req, b)
+            or len(req.attempts) >= self.cfg.max_attempts
+            or self.now >= req.deadline
+        ):
+            self._finish(
+                req,
+                NOBODY
+                if b.entry.phase is not api.Phase.UP
+                else SPENT
+                if len(req.attempts) >= self.cfg.max_attempts
+                else LATE
+                if self.now >= req.deadline
+                else ONCE,
+            )
             return
         why, cause = self.why, self.cause
         if b.level is None and why is not PANIC and self._warmth(b) < 1.0:
@@ -722,8 +763,11 @@
         if req.over or req.stream:
             return
         c = req.cls.cfg
-        harmless = (c.effect is api.Effect.SAFE or all(a.status in api.NEVER_RAN for a in req.attempts)
-                    or (c.effect is api.Effect.KEYED and c.group is api.Group.ALL))
+        harmless = (
+            c.effect is api.Effect.SAFE
+            or all(a.status in api.NEVER_RAN for a in req.attempts)
+            or (c.effect is api.Effect.KEYED and c.group is api.Group.ALL)
+        )
         away = self.cfg.max_retry_after
         if harmless and away > 0:  # until there is room; guards against clients that come back in step
             away = min(away, req.cls.usual * self.rng.uniform(*AWAY))
@@ -860,8 +904,10 @@
 
         Subsets start evenly laid over the nodes; changes move few.
         """
-        found = sorted((b for b in self.backends.values() if b.entry.phase is api.Phase.UP),
-                       key=lambda b: b.entry.backend)
+        found = sorted(
+            (b for b in self.backends.values() if b.entry.phase is api.Phase.UP),
+            key=lambda b: b.entry.backend,
+        )
         if not found:
             return
         n, near = len(found), [b for b in found if b.near] or found
--- a/balancer/policy/bulk_update.py
+++ b/balancer/policy/bulk_update.py
@@ -3,7 +3,8 @@
 `handle` with a first list lays the node's part of the fleet out over all of it: 6 us a server, 60 ms for
 10,000. `lay` takes SLICE servers a step and ends in the very state that `handle` would have left, the random
 numbers drawn included; a test holds the two against one another. Until it has ended nothing else may go
-to the module, which knows some of the servers and feeds none: `net/bulk_update` holds back what comes meanwhile.
+to the module, which knows some of the servers and feeds none: `net/bulk_update` holds back what comes
+meanwhile.
 """
 
 from __future__ import annotations
--- a/balancer/protocol/etcd_watch.py
+++ b/balancer/protocol/etcd_watch.py
@@ -182,8 +182,14 @@
 
 
 Message = (
-    RangePage | WatchCreated | WatchEvents | WatchProgress | WatchCanceled
-    | GatewayError | Authenticated | Broken
+    RangePage
+    | WatchCreated
+    | WatchEvents
+    | WatchProgress
+    | WatchCanceled
+    | GatewayError
+    | Authenticated
+    | Broken
 )
 
 
@@ -232,10 +238,15 @@
     def watch(self, start_revision: int, token: str = "") -> bytes:
         """A watch of everything below the prefix from `start_revision` on."""
         key, end = _text(self.prefix or b"\0"), _text(end_of(self.prefix))
-        body = {"create_request": {
-            "key": key, "range_end": end, "start_revision": str(start_revision),
-            "progress_notify": True, "fragment": True,
-        }}  # fmt: skip
+        body = {
+            "create_request": {
+                "key": key,
+                "range_end": end,
+                "start_revision": str(start_revision),
+                "progress_notify": True,
+                "fragment": True,
+            }
+        }
         return self._post("/v3/watch", body, token)
 
     def login(self, user: str, password: str) -> bytes:
--- a/balancer/protocol/gossip.py
+++ b/balancer/protocol/gossip.py
@@ -8,7 +8,8 @@
 is a byte of length, state 1, incarnation 4, accuser 2, name, address; whatever a later version puts behind
 that within the length is skipped.
 Behind the words, which a word of length 0 ends, come sections, each a byte of kind, one of length and that
-many (`protocol/gossip_sections`): the first readers skipped all of them, later ones skip kinds that they do not know,
+many (`protocol/gossip_sections`): the first readers skipped all of them, later ones skip kinds that they
+do not know,
 and one whose length points behind the end ends them.
 `least` is the oldest version of a reader that may take it: a later version raises it only where an older
 reader would be misled.
@@ -209,8 +210,11 @@
         key = self.keys[0]
         parts = [
             _HEAD.pack(VERSION, 1, key.id, self._counter >> 32, self._counter & 0xFFFFFFFF, incarnation),
-            self._name, _BODY.pack(kind, seq), _text(target), _address(address),
-        ]  # fmt: skip
+            self._name,
+            _BODY.pack(kind, seq),
+            _text(target),
+            _address(address),
+        ]
         for name, state, its, where, by in words:
             word = _WORD.pack(state, its, by) + _text(name) + _address(where)
             parts.append(bytes((len(word),)) + word)
--- a/balancer/protocol/gossip_sections.py
+++ b/balancer/protocol/gossip_sections.py
@@ -30,9 +30,20 @@
 
 # name, incarnation, edition, number, state, flags, zone cut, nodes, digest, files, version, zone, sources
 Goes = tuple[
-    str, int, int, int, int, int, int, int, int, tuple[int, int], str, str,
+    str,
+    int,
+    int,
+    int,
+    int,
+    int,
+    int,
+    int,
+    int,
+    tuple[int, int],
+    str,
+    str,
     tuple[tuple[str, int, int, int], ...],
-]  # fmt: skip
+]
 Counted = tuple[int, int, int, bool, bool, tuple[tuple[int, int, bool], ...]]
 
 
--- a/balancer/simulator/wire.py
+++ b/balancer/simulator/wire.py
@@ -30,9 +30,13 @@
 
 
 _VALUES = {
-    "active": "in_flight", "waiting": "queue", "cpu": "cpu", "avg_ms": "mean_time", "rps": "rate",
+    "active": "in_flight",
+    "waiting": "queue",
+    "cpu": "cpu",
+    "avg_ms": "mean_time",
+    "rps": "rate",
     "err_rps": "error_rate",
-}  # fmt: skip
+}
 
 
 def time(text: str) -> float:
--- a/balancer/store/engine.py
+++ b/balancer/store/engine.py
@@ -115,9 +115,13 @@
     """One directory, owned from `open` to `close`."""
 
     def __init__(
-        self, files: Files, directory: str, wall_ms: Callable[[], int],
-        migrations: Sequence[Migration] = MIGRATIONS, segment: int = SEGMENT,
-    ) -> None:  # fmt: skip
+        self,
+        files: Files,
+        directory: str,
+        wall_ms: Callable[[], int],
+        migrations: Sequence[Migration] = MIGRATIONS,
+        segment: int = SEGMENT,
+    ) -> None:
         self.files, self.directory, self.wall_ms = files, os.path.realpath(directory), wall_ms
         self.migrations, self.segment = migrations, segment
         self.tables: Tables = {}  # what is durable
@@ -255,9 +259,11 @@
         over = {(table, key): row for table, key, row in more}
         # One row after another, with the interpreter let go of at each: a long list would hold up the loop.
         kept = (
-            (table, key, row) for table, found in self.tables.items() for key, row in found.items()
+            (table, key, row)
+            for table, found in self.tables.items()
+            for key, row in found.items()
             if (table, key) not in over
-        )  # fmt: skip
+        )
         added = ((*at, row) for at, row in over.items() if row is not None)
         seal = seal or Seal(self._seal.rows, self._seal.digest, self._seal.stamp, self.wall_ms())
         number = self.generation + 1
--- a/balancer/store/files.py
+++ b/balancer/store/files.py
@@ -39,10 +39,16 @@
 def of_os(err: OSError, where: str) -> StoreFault:
     """The fault that an error of the system stands for."""
     kinds = {
-        errno.ENOSPC: Trouble.FULL, errno.EDQUOT: Trouble.FULL, errno.EROFS: Trouble.READ_ONLY,
-        errno.EACCES: Trouble.READ_ONLY, errno.EPERM: Trouble.READ_ONLY, errno.ENOENT: Trouble.GONE,
-        errno.ELOOP: Trouble.FOREIGN, errno.EISDIR: Trouble.FOREIGN, errno.ENOTDIR: Trouble.FOREIGN,
-    }  # fmt: skip
+        errno.ENOSPC: Trouble.FULL,
+        errno.EDQUOT: Trouble.FULL,
+        errno.EROFS: Trouble.READ_ONLY,
+        errno.EACCES: Trouble.READ_ONLY,
+        errno.EPERM: Trouble.READ_ONLY,
+        errno.ENOENT: Trouble.GONE,
+        errno.ELOOP: Trouble.FOREIGN,
+        errno.EISDIR: Trouble.FOREIGN,
+        errno.ENOTDIR: Trouble.FOREIGN,
+    }
     return StoreFault(kinds.get(err.errno or 0, Trouble.FAILED), where, err.strerror or str(err))
 
 
--- a/balancer/store/inspect.py
+++ b/balancer/store/inspect.py
@@ -38,9 +38,18 @@
     """
     owner, names = _owner(directory), _names(directory)
     out: dict[str, Any] = {
-        "directory": directory, "owner": owner, "format": FORMAT, "believed": None, "memory": "none",
-        "older": False, "node": None, "tables": {}, "generations": [], "journals": [], "faults": [],
-    }  # fmt: skip
+        "directory": directory,
+        "owner": owner,
+        "format": FORMAT,
+        "believed": None,
+        "memory": "none",
+        "older": False,
+        "node": None,
+        "tables": {},
+        "generations": [],
+        "journals": [],
+        "faults": [],
+    }
     if owner is not None:
         out["memory"] = "in use"
         out["generations"] = [{"number": n, "bytes": _bytes(directory, name)} for n, name in _numbered(names)]
--- a/balancer/store/sqlite_file.py
+++ b/balancer/store/sqlite_file.py
@@ -29,14 +29,22 @@
 APPLICATION = 0x444C5053  # SQLite's application_id of these files
 FORMAT = 1  # of what is written; see engine.MIGRATIONS for the way up
 _TROUBLES: dict[type, Trouble] = {
-    apsw.FullError: Trouble.FULL, apsw.ReadOnlyError: Trouble.READ_ONLY,
-    apsw.PermissionsError: Trouble.READ_ONLY, apsw.BusyError: Trouble.OWNED,
-    apsw.LockedError: Trouble.OWNED, apsw.CantOpenError: Trouble.FOREIGN,
-    apsw.CorruptError: Trouble.SPOILED, apsw.NotADBError: Trouble.SPOILED, apsw.SQLError: Trouble.SPOILED,
-    apsw.ConstraintError: Trouble.SPOILED, apsw.MismatchError: Trouble.SPOILED, ValueError: Trouble.SPOILED,
-    TypeError: Trouble.SPOILED, msgspec.ValidationError: Trouble.SPOILED,
+    apsw.FullError: Trouble.FULL,
+    apsw.ReadOnlyError: Trouble.READ_ONLY,
+    apsw.PermissionsError: Trouble.READ_ONLY,
+    apsw.BusyError: Trouble.OWNED,
+    apsw.LockedError: Trouble.OWNED,
+    apsw.CantOpenError: Trouble.FOREIGN,
+    apsw.CorruptError: Trouble.SPOILED,
+    apsw.NotADBError: Trouble.SPOILED,
+    apsw.SQLError: Trouble.SPOILED,
+    apsw.ConstraintError: Trouble.SPOILED,
+    apsw.MismatchError: Trouble.SPOILED,
+    ValueError: Trouble.SPOILED,
+    TypeError: Trouble.SPOILED,
+    msgspec.ValidationError: Trouble.SPOILED,
     msgspec.DecodeError: Trouble.SPOILED,
-}  # fmt: skip
+}
 
 
 class Row(NamedTuple):
@@ -134,9 +142,11 @@
     # --- writing ---
 
     def commit(
-        self, seal: Seal, rows: Iterable[tuple[str, str, Row | None]] = (),
+        self,
+        seal: Seal,
+        rows: Iterable[tuple[str, str, Row | None]] = (),
         records: Iterable[tuple[int, int, bytes]] = (),
-    ) -> None:  # fmt: skip
+    ) -> None:
         """One transaction, durable once this returns. None takes a row away. Raises StoreFault."""
         run = self._db.execute
         with told(self.path):
--- a/balancer/store/store.py
+++ b/balancer/store/store.py
@@ -108,10 +108,13 @@
     """A directory, from `open` to `close`. All but these two return at once, on any thread."""
 
     def __init__(
-        self, directory: str, hand_over: HandOver, files: Files | None = None,
+        self,
+        directory: str,
+        hand_over: HandOver,
+        files: Files | None = None,
         urgent: frozenset[str] = frozenset(),
         wall_ms: Callable[[], int] = lambda: time.time_ns() // 1_000_000,
-    ) -> None:  # fmt: skip
+    ) -> None:
         """`urgent` tables are written before all else."""
         self.engine = Engine(files or Real(), directory, wall_ms)
         self._hand_over, self._urgent_tables = hand_over, urgent
@@ -223,10 +226,15 @@
         began, trouble = self._began, self._trouble
         slow = time.monotonic() - began if began else 0.0
         return StoreState(
-            trouble.trouble if trouble else None, str(trouble or ""), sum(lane.count for lane in self._lanes),
-            sum(lane.size for lane in self._lanes), self._turned_away, self._commits, self._failures,
+            trouble.trouble if trouble else None,
+            str(trouble or ""),
+            sum(lane.count for lane in self._lanes),
+            sum(lane.size for lane in self._lanes),
+            self._turned_away,
+            self._commits,
+            self._failures,
             int(slow * 1000) if slow > SLOW else 0,
-        )  # fmt: skip
+        )
 
     def _take(self, lane: _Lane, work: _Work) -> None:
         with self._turn:
--- a/balancer/testbed/backend_emulator.py
+++ b/balancer/testbed/backend_emulator.py
@@ -104,9 +104,18 @@
     """One attempt that a server holds."""
 
     __slots__ = (
-        "began_at_ms", "connection", "cost_ms", "key", "name", "over_at_ms", "repeat", "request", "taken",
-        "timer", "work_ms",
-    )  # fmt: skip
+        "began_at_ms",
+        "connection",
+        "cost_ms",
+        "key",
+        "name",
+        "over_at_ms",
+        "repeat",
+        "request",
+        "taken",
+        "timer",
+        "work_ms",
+    )
 
     def __init__(self, connection: Connection, name: str, request: str, key: str, work_ms: float) -> None:
         self.connection: Connection | None = connection
@@ -242,9 +251,18 @@
     """One app server. `start` brings up its process, cold or warm; the verbs below it are scripted faults."""
 
     def __init__(
-        self, name: str, site: Site, journal: Journal, memory: Memory, *, machine: Machine | None = None,
-        zone: str = "a", cell: int = 0, host: str = "127.0.0.1", seed: int = 0,
-    ) -> None:  # fmt: skip
+        self,
+        name: str,
+        site: Site,
+        journal: Journal,
+        memory: Memory,
+        *,
+        machine: Machine | None = None,
+        zone: str = "a",
+        cell: int = 0,
+        host: str = "127.0.0.1",
+        seed: int = 0,
+    ) -> None:
         self.name, self.site, self.journal, self.memory = name, site, journal, memory
         self.machine = machine or Machine()
         self.zone, self.cell, self.host, self.port, self.seed = zone, cell, host, 0, seed
@@ -285,10 +303,17 @@
         self.pressure = Pressure(rules, self.machine.capacity, self.cold_share, self.warm_ms)
         self.journal.add(
             ServerStarted(
-                self.name, self.incarnation, self.started_at_ms, self.zone, self.cell, self.machine.capacity,
-                self.cold_share, self.warm_ms, self.up_since_ms,
+                self.name,
+                self.incarnation,
+                self.started_at_ms,
+                self.zone,
+                self.cell,
+                self.machine.capacity,
+                self.cold_share,
+                self.warm_ms,
+                self.up_since_ms,
             )
-        )  # fmt: skip
+        )
         self._look()
 
     def end(self, how: str = "stopped") -> None:
@@ -391,9 +416,15 @@
     def member(self, phase: str = "in_service") -> dict[str, Any]:
         """Its entry in discovery's list."""
         return {
-            "id": self.name, "host_port": f"{self.host}:{self.port}", "locality": self.zone, "flavor": "m",
-            "cell": self.cell, "phase": phase, "size": self.machine.capacity, "up_since_ms": self.up_since_ms,
-        }  # fmt: skip
+            "id": self.name,
+            "host_port": f"{self.host}:{self.port}",
+            "locality": self.zone,
+            "flavor": "m",
+            "cell": self.cell,
+            "phase": phase,
+            "size": self.machine.capacity,
+            "up_since_ms": self.up_since_ms,
+        }
 
     def _look(self) -> None:
         """Look at the load now and then; answers report it some time later."""
@@ -429,15 +460,30 @@
         self._received(connection, self._attempt(), request, key, "", 0.0, first, None)
 
     def _received(
-        self, connection: Connection, attempt: str, request: str, key: str, form: str, work_ms: float,
-        first: float, last: float | None,
-    ) -> None:  # fmt: skip
+        self,
+        connection: Connection,
+        attempt: str,
+        request: str,
+        key: str,
+        form: str,
+        work_ms: float,
+        first: float,
+        last: float | None,
+    ) -> None:
         self.journal.add(
             Received(
-                self.name, self.incarnation, connection.number, attempt, request, key, form, work_ms, first,
+                self.name,
+                self.incarnation,
+                connection.number,
+                attempt,
+                request,
+                key,
+                form,
+                work_ms,
+                first,
                 last,
             )
-        )  # fmt: skip
+        )
 
     def receive(
         self, connection: Connection, form: str, target: str, headers: dict[str, str], first: float
@@ -521,10 +567,17 @@
     def _ran(self, job: Job, ended: float | None) -> None:
         self.journal.add(
             Ran(
-                self.name, self.incarnation, job.name, job.request, job.key, job.began_at_ms, ended,
-                job.cost_ms, job.repeat,
+                self.name,
+                self.incarnation,
+                job.name,
+                job.request,
+                job.key,
+                job.began_at_ms,
+                ended,
+                job.cost_ms,
+                job.repeat,
             )
-        )  # fmt: skip
+        )
 
     def _done(self, job: Job) -> None:
         if self.hung:
@@ -576,9 +629,16 @@
         cell = index // len(zones) // 8 * len(zones) + place
         host = f"127.{self.net}.{index // 250}.{index % 250 + 1}"
         server = Server(
-            name, self.site, self.journal, self.memory, machine=machine, zone=zones[place], cell=cell,
-            host=host, seed=self.seed,
-        )  # fmt: skip
+            name,
+            self.site,
+            self.journal,
+            self.memory,
+            machine=machine,
+            zone=zones[place],
+            cell=cell,
+            host=host,
+            seed=self.seed,
+        )
         self.servers[name] = server
         return server
 
--- a/balancer/testbed/cluster.py
+++ b/balancer/testbed/cluster.py
@@ -118,12 +118,14 @@
         if not (self.known and world.known_stays):
             self.known = self.agent.known()
         table = {
-            "name": self.name, "listen": f"{self.host}:{self.port}", "discovery": self.agent.identity,
+            "name": self.name,
+            "listen": f"{self.host}:{self.port}",
+            "discovery": self.agent.identity,
             "seed": f"{world.rng.getrandbits(64):016x}",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
             "known": self.known,
             "settings": world.site.settings(self.number, world.node_count),
-        }  # fmt: skip
+        }
         self.path.write_text(json.dumps(table), encoding="utf-8")
 
     async def start(self, slow_s: float = 0.0) -> None:
@@ -142,10 +144,22 @@
         env = {k: v for k, v in os.environ.items() if not k.startswith(("PROXY_", "BALANCER_", "DILLPORT_"))}
         env |= {"PROXY_CONFIG": str(self.path), **self.env}
         self.process = process = await asyncio.create_subprocess_exec(
-            "/bin/sh", "-c", NO_HANGUP, "sh", sys.executable, "-B", "-m", package_name(world.program), *self.args,
-            cwd=world.program, env=env, stdin=asyncio.subprocess.DEVNULL, stdout=asyncio.subprocess.DEVNULL,
-            stderr=asyncio.subprocess.PIPE, limit=1 << 20,
-        )  # fmt: skip
+            "/bin/sh",
+            "-c",
+            NO_HANGUP,
+            "sh",
+            sys.executable,
+            "-B",
+            "-m",
+            package_name(world.program),
+            *self.args,
+            cwd=world.program,
+            env=env,
+            stdin=asyncio.subprocess.DEVNULL,
+            stdout=asyncio.subprocess.DEVNULL,
+            stderr=asyncio.subprocess.PIPE,
+            limit=1 << 20,
+        )
         self._keep(self._read(process))
         self._keep(self._watch(process))
         if slow_s:
@@ -309,11 +323,20 @@
     """
 
     def __init__(
-        self, directory: Path, *, site: Site | None = None, seed: int = 1, nodes: int = 1, servers: int = 6,
-        machine: Machine | None = None, habits: Habits | None = None, notice_s: float = 1.0,
+        self,
+        directory: Path,
+        *,
+        site: Site | None = None,
+        seed: int = 1,
+        nodes: int = 1,
+        servers: int = 6,
+        machine: Machine | None = None,
+        habits: Habits | None = None,
+        notice_s: float = 1.0,
         prepare: Callable[[Node], Awaitable[object] | object] | None = None,
-        wired: Collection[tuple[str, str]] = (), program: Path = ROOT,
-    ) -> None:  # fmt: skip
+        wired: Collection[tuple[str, str]] = (),
+        program: Path = ROOT,
+    ) -> None:
         self.program = program
         self.memory = self.known_stays = self.gossip = False
         self.hub: Hub | None = None
@@ -413,9 +436,12 @@
     # --- a run
 
     async def play(
-        self, rate: float, seconds: float, script: Iterable[Step] = (),
+        self,
+        rate: float,
+        seconds: float,
+        script: Iterable[Step] = (),
         tell: Callable[[float, str], None] | None = None,
-    ) -> None:  # fmt: skip
+    ) -> None:
         """Clients ask for so long, the script takes place; returns once the last client has its end."""
         arrivals = draw(self.site, rate, seconds, self.seed, self.habits)
         self.started_at_ms = now_ms()
--- a/balancer/testbed/demo.py
+++ b/balancer/testbed/demo.py
@@ -62,8 +62,13 @@
             f"  {state.get(name, '')}"
         )
     several = sum(count for number, count in verdict.attempts.items() if number > 1)
-    out += ["", f"tries that took more than one attempt: {several}", f"requests sent to a removed server "
-            f"after the grace: {verdict.sent_to_removed}", "", *verdict.lines()]  # fmt: skip
+    out += [
+        "",
+        f"tries that took more than one attempt: {several}",
+        f"requests sent to a removed server after the grace: {verdict.sent_to_removed}",
+        "",
+        *verdict.lines(),
+    ]
     for breach in verdict.breaches[:SHOWN]:
         out += ["", *breach.lines()]
     return out
@@ -91,4 +96,3 @@
     for line in ["", *report(verdict, state)]:
         say(line)
     return 0 if verdict.ok else 1
-
--- a/balancer/testbed/dual_source_cluster.py
+++ b/balancer/testbed/dual_source_cluster.py
@@ -50,9 +50,12 @@
     """
 
     def __init__(
-        self, journal: Journal, cluster: StandIn, node_of: Callable[[int], str],
+        self,
+        journal: Journal,
+        cluster: StandIn,
+        node_of: Callable[[int], str],
         listed_elsewhere: Callable[[str, str], bool],
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.journal, self.cluster, self.node_of = journal, cluster, node_of
         self.listed_elsewhere = listed_elsewhere
         self.epochs: dict[str, int] = {}
@@ -201,10 +204,16 @@
     """
 
     def __init__(
-        self, directory: Path, *, endpoints: int = 2, role: str = "full",
-        bears: int | None = None, platform: Callable[[str], bool] = lambda name: True,
-        in_etcd: Callable[[str], bool] = lambda name: True, **more: Any,
-    ) -> None:  # fmt: skip
+        self,
+        directory: Path,
+        *,
+        endpoints: int = 2,
+        role: str = "full",
+        bears: int | None = None,
+        platform: Callable[[str], bool] = lambda name: True,
+        in_etcd: Callable[[str], bool] = lambda name: True,
+        **more: Any,
+    ) -> None:
         self._next = more.pop("prepare", None)
         super().__init__(directory, prepare=self._prepare, **more)
         self.per_node, self.role, self.bears = endpoints, role, bears
@@ -309,8 +318,13 @@
         lines = ["[control]", f"socket = {json.dumps(str(self.sockets / node.name))}"]
         if etcd:
             urls = [f"http://{host}:{port}" for host, port in self._reached(node.name)]
-            lines += ["[membership.etcd]", f"endpoints = {json.dumps(urls)}", f'prefix = "{PREFIX}"',
-                      f"epoch = {epoch}", f'role = "{self.role}"']  # fmt: skip
+            lines += [
+                "[membership.etcd]",
+                f"endpoints = {json.dumps(urls)}",
+                f'prefix = "{PREFIX}"',
+                f"epoch = {epoch}",
+                f'role = "{self.role}"',
+            ]
             lines += [] if self.bears is None else [f"bears = {self.bears}"]
         self.settings_of(node).write_text("\n".join(lines) + "\n", encoding="utf-8")
         if self.role == "add":
@@ -354,8 +368,10 @@
     async def _behind(self, node: Node) -> list[str]:
         raw, members = PREFIX.encode(), (await self.report(node))["members"]
         keys = self.etcd.store.range(Range(raw, prefix_end(raw))).kvs
-        there = {SOURCE: {name for name, _ in _names(kv.key.decode() for kv in keys)},
-                 self.discovery.source: set(node.agent.book.members)}  # fmt: skip
+        there = {
+            SOURCE: {name for name, _ in _names(kv.key.decode() for kv in keys)},
+            self.discovery.source: set(node.agent.book.members),
+        }
         out = []
         for source, names in there.items():
             says = {row["id"] for row in members if row["sources"].get(source) in ("up", "draining")}
--- a/balancer/testbed/etcd/store.py
+++ b/balancer/testbed/etcd/store.py
@@ -263,9 +263,7 @@
             kvs = [KeyValue(kv.key, b"", kv.created, kv.modified, kv.version, kv.lease) for kv in kvs]
         return Found(tuple(kvs), more, count)
 
-    def events(
-        self, first: int, view: int, *, live: bool = False
-    ) -> Iterator[tuple[int, tuple[Event, ...]]]:
+    def events(self, first: int, view: int, *, live: bool = False) -> Iterator[tuple[int, tuple[Event, ...]]]:
         """What happened from revision `first` up to `view`, one revision at a time.
 
         A delete at the very revision of a compaction is not among it (see above), but for who is told `live`:
--- a/balancer/testbed/etcd/stream.py
+++ b/balancer/testbed/etcd/stream.py
@@ -257,10 +257,11 @@
             if self.shared.garbled:
                 told = zip(piece, written, strict=True)
                 written = [
-                    row if event.deleted
+                    row
+                    if event.deleted
                     else row | {"kv": self.endpoint.garble(event.now.key, wire.key_value(event.now))}
                     for event, row in told
-                ]  # fmt: skip
+                ]
             more = index < len(pieces) - 1
             self.say(header=header, watch_id=watch.id, fragment=more, events=written)
 
--- a/balancer/testbed/event_log.py
+++ b/balancer/testbed/event_log.py
@@ -260,18 +260,50 @@
 
 
 Record = (
-    Wanted | Asked | Crossed | Answered | ClientLeft | Unreached | ServerStarted | ServerEnded | Received
-    | TurnedAway | Ran | Replied | LetGo | Told | NodeStarted | NodeSignalled | NodeEnded
-    | NodeHeldUp | HeldUp
-)  # fmt: skip
+    Wanted
+    | Asked
+    | Crossed
+    | Answered
+    | ClientLeft
+    | Unreached
+    | ServerStarted
+    | ServerEnded
+    | Received
+    | TurnedAway
+    | Ran
+    | Replied
+    | LetGo
+    | Told
+    | NodeStarted
+    | NodeSignalled
+    | NodeEnded
+    | NodeHeldUp
+    | HeldUp
+)
 KINDS: dict[str, type[Any]] = {
     kind.__name__: kind
     for kind in (
-        Wanted, Asked, Crossed, Answered, ClientLeft, Unreached, ServerStarted, ServerEnded, Received,
-        TurnedAway, Ran, Replied, LetGo, Told, NodeStarted, NodeSignalled, NodeEnded, NodeHeldUp,
+        Wanted,
+        Asked,
+        Crossed,
+        Answered,
+        ClientLeft,
+        Unreached,
+        ServerStarted,
+        ServerEnded,
+        Received,
+        TurnedAway,
+        Ran,
+        Replied,
+        LetGo,
+        Told,
+        NodeStarted,
+        NodeSignalled,
+        NodeEnded,
+        NodeHeldUp,
         HeldUp,
     )
-}  # fmt: skip
+}
 
 
 class JournalError(ValueError):
--- a/balancer/testbed/fault_schedules.py
+++ b/balancer/testbed/fault_schedules.py
@@ -94,8 +94,9 @@
         everyone = frozenset(self.names)
         some = frozenset(rng.sample(self.names, 9))
         others = frozenset(rng.sample(self.names, 9)) | (everyone - some)
-        self.platform, self.etcd = rng.choice(((everyone, everyone), (some, everyone), (everyone, some),
-                                               (some, others)))  # fmt: skip
+        self.platform, self.etcd = rng.choice(
+            ((everyone, everyone), (some, everyone), (everyone, some), (some, others))
+        )
         self.off: dict[str, set[str]] = {}  # by server: the sources that took it off
         self.dead: set[str] = set()
         self.bursts: list[tuple[float, float, float]] = []
@@ -118,11 +119,13 @@
     def some_members(self) -> tuple[str, Callable[[FleetWorld], list[int]]]:
         """Endpoints: one of a node's, all of a node's, or all."""
         node, place = self.rng.randrange(self.nodes), self.rng.randrange(2)
-        return self.rng.choice((
-            (f"endpoint {place} of n{node}", lambda w: [w.member(node, place)]),
-            (f"all endpoints of n{node}", lambda w: w.members(node)),
-            ("all endpoints", lambda w: w.members()),
-        ))  # fmt: skip
+        return self.rng.choice(
+            (
+                (f"endpoint {place} of n{node}", lambda w: [w.member(node, place)]),
+                (f"all endpoints of n{node}", lambda w: w.members(node)),
+                ("all endpoints", lambda w: w.members()),
+            )
+        )
 
     def each(self, act: Callable[[FleetWorld, int], object], pick: Callable[[FleetWorld], list[int]]) -> Act:
         """Do it to each of some endpoints."""
@@ -185,8 +188,11 @@
         names = self.rng.sample(sorted(self.off), min(2, len(self.off)))
         for name in names:
             for source in sorted(self.off.pop(name)):
-                self.at(at_s, f"{source} lists {name} anew",
-                        partial(_enter, source=source, names=[name], phase="in_service"))  # fmt: skip
+                self.at(
+                    at_s,
+                    f"{source} lists {name} anew",
+                    partial(_enter, source=source, names=[name], phase="in_service"),
+                )
 
     def restart(self, at_s: float) -> None:
         """A server dies and is there again, cold."""
@@ -213,8 +219,11 @@
         node = f"n{self.rng.randrange(self.nodes)}"
         self.take_off(at_s, self.free()[:3], self.rng.choice(("terminated", "terminating")), "platform")
         self.at(at_s + 0.2, f"discovery of {node} tells its oldest list", partial(_older, node=node))
-        self.at(at_s + 0.4, f"discovery of {node} replays all but 1",
-                lambda w: w.discovery.agents[node].replay(HISTORY, 1))  # fmt: skip
+        self.at(
+            at_s + 0.4,
+            f"discovery of {node} replays all but 1",
+            lambda w: w.discovery.agents[node].replay(HISTORY, 1),
+        )
 
     def drop(self, at_s: float) -> None:
         """Connections end."""
@@ -229,33 +238,53 @@
     def freeze(self, at_s: float) -> None:
         """Endpoints stand still."""
         text, pick = self.some_members()
-        self.during(at_s, f"{text} frozen", self.each(lambda w, i: w.etcd.freeze(i), pick),
-                    self.each(lambda w, i: w.etcd.thaw(i), pick))  # fmt: skip
+        self.during(
+            at_s,
+            f"{text} frozen",
+            self.each(lambda w, i: w.etcd.freeze(i), pick),
+            self.each(lambda w, i: w.etcd.thaw(i), pick),
+        )
 
     def stall(self, at_s: float) -> None:
         """Endpoints say nothing."""
         text, pick = self.some_members()
-        self.during(at_s, f"{text} stalled", self.each(lambda w, i: w.etcd.stall(i), pick),
-                    self.each(lambda w, i: w.etcd.stall(i, on=False), pick))  # fmt: skip
+        self.during(
+            at_s,
+            f"{text} stalled",
+            self.each(lambda w, i: w.etcd.stall(i), pick),
+            self.each(lambda w, i: w.etcd.stall(i, on=False), pick),
+        )
 
     def lag(self, at_s: float) -> None:
         """Endpoints are behind."""
         text, pick = self.some_members()
         by = self.rng.choice((1, 5, 50))
-        self.during(at_s, f"{text} lags by {by}", self.each(lambda w, i: w.etcd.lag(i, by), pick),
-                    self.each(lambda w, i: w.etcd.lag(i, 0), pick))  # fmt: skip
+        self.during(
+            at_s,
+            f"{text} lags by {by}",
+            self.each(lambda w, i: w.etcd.lag(i, by), pick),
+            self.each(lambda w, i: w.etcd.lag(i, 0), pick),
+        )
 
     def cut(self, at_s: float) -> None:
         """Endpoints are cut off from the others: of more than half, nobody has a quorum."""
         text, pick = self.some_members()
-        self.during(at_s, f"{text} without quorum", self.each(lambda w, i: w.etcd.cut_off(i), pick),
-                    self.each(lambda w, i: w.etcd.cut_off(i, on=False), pick))  # fmt: skip
+        self.during(
+            at_s,
+            f"{text} without quorum",
+            self.each(lambda w, i: w.etcd.cut_off(i), pick),
+            self.each(lambda w, i: w.etcd.cut_off(i, on=False), pick),
+        )
 
     def twice(self, at_s: float) -> None:
         """Events are told twice."""
         text, pick = self.some_members()
-        self.during(at_s, f"{text} tells twice", self.each(lambda w, i: w.etcd.twice(i), pick),
-                    self.each(lambda w, i: w.etcd.twice(i, on=False), pick))  # fmt: skip
+        self.during(
+            at_s,
+            f"{text} tells twice",
+            self.each(lambda w, i: w.etcd.twice(i), pick),
+            self.each(lambda w, i: w.etcd.twice(i, on=False), pick),
+        )
 
     def replay(self, at_s: float) -> None:
         """Old events are told once more: all of them, or but for the last few."""
@@ -289,8 +318,13 @@
         if self.rng.random() < 0.5:
             self.at(at_s, what, self.each(lambda w, i: w.etcd.spoil(i, kind), pick))
             return
-        self.during(at_s, f"{what} for a list", self.each(lambda w, i: w.etcd.spoil_ranges(i, kind), pick),
-                    self.each(lambda w, i: w.etcd.spoil_ranges(i, None), pick), 600.0)  # fmt: skip
+        self.during(
+            at_s,
+            f"{what} for a list",
+            self.each(lambda w, i: w.etcd.spoil_ranges(i, kind), pick),
+            self.each(lambda w, i: w.etcd.spoil_ranges(i, None), pick),
+            600.0,
+        )
         self.at(at_s + 0.05, "and drops", self.each(lambda w, i: w.etcd.drop(i), pick))
 
     def bounce(self, at_s: float) -> None:
@@ -309,24 +343,32 @@
         if pick == 0:
             self.at(at_s, f"discovery of {node} drops", lambda w: w.discovery.agents[node].drop())
         elif pick == 1:
-            self.during(at_s, f"discovery of {node} stalls",
-                        lambda w: w.discovery.agents[node].stall(True),
-                        lambda w: w.discovery.agents[node].stall(False))  # fmt: skip
+            self.during(
+                at_s,
+                f"discovery of {node} stalls",
+                lambda w: w.discovery.agents[node].stall(True),
+                lambda w: w.discovery.agents[node].stall(False),
+            )
         elif pick == 2:
-            self.during(at_s, f"discovery of {node} is silent",
-                        lambda w: w.discovery.agents[node].silence(True),
-                        lambda w: w.discovery.agents[node].silence(False))  # fmt: skip
+            self.during(
+                at_s,
+                f"discovery of {node} is silent",
+                lambda w: w.discovery.agents[node].silence(True),
+                lambda w: w.discovery.agents[node].silence(False),
+            )
         elif pick == 3:
-            self.during(at_s, f"discovery of {node} refuses",
-                        lambda w: w.discovery.agents[node].refuse(True),
-                        lambda w: w.discovery.agents[node].refuse(False))  # fmt: skip
+            self.during(
+                at_s,
+                f"discovery of {node} refuses",
+                lambda w: w.discovery.agents[node].refuse(True),
+                lambda w: w.discovery.agents[node].refuse(False),
+            )
         elif pick == 4:
             self.at(at_s, f"discovery of {node} replays", lambda w: w.discovery.agents[node].replay(5))
         elif pick == 5:
             self.at(at_s, f"discovery of {node} tells its oldest list", partial(_older, node=node))
         elif pick == 6:
-            self.at(at_s, f"discovery of {node} says garbage",
-                    lambda w: w.discovery.agents[node].garble())  # fmt: skip
+            self.at(at_s, f"discovery of {node} says garbage", lambda w: w.discovery.agents[node].garble())
         else:
             late = self.rng.uniform(50.0, 900.0)
             self.at(at_s, f"discovery of {node} is {late:.0f} ms late", partial(_late, node=node, ms=late))
@@ -334,10 +376,28 @@
 
 # How often each is drawn, in parts.
 INCIDENTS: dict[str, int] = {
-    "delete": 4, "drain": 3, "half": 1, "again": 3, "restart": 2, "hidden": 2, "stale": 2, "drop": 2,
-    "out": 2, "freeze": 2, "stall": 1, "lag": 2, "cut": 2, "twice": 1, "replay": 2, "compact": 2, "cancel": 1,
-    "fragment": 1, "garbage": 2, "bounce": 2, "discovery": 5,
-}  # fmt: skip
+    "delete": 4,
+    "drain": 3,
+    "half": 1,
+    "again": 3,
+    "restart": 2,
+    "hidden": 2,
+    "stale": 2,
+    "drop": 2,
+    "out": 2,
+    "freeze": 2,
+    "stall": 1,
+    "lag": 2,
+    "cut": 2,
+    "twice": 1,
+    "replay": 2,
+    "compact": 2,
+    "cancel": 1,
+    "fragment": 1,
+    "garbage": 2,
+    "bounce": 2,
+    "discovery": 5,
+}
 
 
 def _enter(world: FleetWorld, source: str, names: list[str], phase: str) -> None:
@@ -392,16 +452,25 @@
     """Run a schedule in a world of its own; `directory` is to be empty, and takes its files."""
     directory.mkdir(parents=True, exist_ok=True)
     world = FleetWorld(
-        directory, seed=schedule.seed, nodes=schedule.nodes, servers=SERVERS, machine=MACHINE,
-        habits=schedule.habits, platform=lambda name: name in schedule.platform,
+        directory,
+        seed=schedule.seed,
+        nodes=schedule.nodes,
+        servers=SERVERS,
+        machine=MACHINE,
+        habits=schedule.habits,
+        platform=lambda name: name in schedule.platform,
         in_etcd=lambda name: name in schedule.etcd,
-    )  # fmt: skip
+    )
     async with world:
         await world.play(rate, schedule.seconds, schedule.steps)
         stale = await world.current(CONVERGE_S)
         journal = world.journal
         gone = {(t.node, t.server) for t in journal if isinstance(t, Told) and t.phase != "up"}
         late = max((h.late_ms for h in journal if isinstance(h, HeldUp)), default=0.0)
-        crashes = [f"{node.name}: {line}" for node in world.nodes for line in node.log
-                   if "Traceback" in line or "decision on" in line]  # fmt: skip
+        crashes = [
+            f"{node.name}: {line}"
+            for node in world.nodes
+            for line in node.log
+            if "Traceback" in line or "decision on" in line
+        ]
         return Result(schedule, world.verdict(), len(gone), late, stale, crashes)
--- a/balancer/testbed/invariant_checker.py
+++ b/balancer/testbed/invariant_checker.py
@@ -501,8 +501,11 @@
 
     def _drains(self) -> None:
         barred, grace = _Barred(), self.rules.grace_ms
-        moments = [(r.first_byte_at_ms if isinstance(r, Received) else r.at_ms, r) for r in self.records
-                   if isinstance(r, (Received, Told, NodeStarted))]  # fmt: skip
+        moments = [
+            (r.first_byte_at_ms if isinstance(r, Received) else r.at_ms, r)
+            for r in self.records
+            if isinstance(r, (Received, Told, NodeStarted))
+        ]
         for at, r in sorted(moments, key=lambda pair: pair[0]):
             if isinstance(r, NodeStarted):
                 barred.forget(r.node, r.kept_ms)
@@ -518,8 +521,11 @@
                 self._breach(3, r.request, text, [told, r])
 
     def _cold(self) -> None:
-        informed = {(r.node, r.server, r.up_since_ms): r for r in reversed(self.records)
-                    if isinstance(r, Told) and r.phase == "up"}  # fmt: skip
+        informed = {
+            (r.node, r.server, r.up_since_ms): r
+            for r in reversed(self.records)
+            if isinstance(r, Told) and r.phase == "up"
+        }
         got: dict[tuple[str, int], list[Received]] = {}
         for r in self.records:
             if isinstance(r, Received) and r.last_byte_at_ms is not None:
--- a/balancer/testbed/jut_model.py
+++ b/balancer/testbed/jut_model.py
@@ -25,8 +25,27 @@
 FOREVER_MS = 1e9  # aim and deadline where only the pick is looked at
 WARM_UP = 0.1  # part of the arrivals that is not counted
 # Student's t, 97.5%, by degrees of freedom from 1 to 19; the normal's beyond.
-_T = (12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160, 2.145,
-      2.131, 2.120, 2.110, 2.101, 2.093)  # fmt: skip
+_T = (
+    12.706,
+    4.303,
+    3.182,
+    2.776,
+    2.571,
+    2.447,
+    2.365,
+    2.306,
+    2.262,
+    2.228,
+    2.201,
+    2.179,
+    2.160,
+    2.145,
+    2.131,
+    2.120,
+    2.110,
+    2.101,
+    2.093,
+)
 ARRIVES, LEAVES, TELLS = 0, 1, 2
 
 
--- a/balancer/testbed/load_generator.py
+++ b/balancer/testbed/load_generator.py
@@ -317,9 +317,12 @@
                 self.journal.add(Unreached(name, connection.node, at))
                 return UNREACHED
             lines = [
-                f"{cls.method} {target} HTTP/1.1", "Host: api.internal", f"Request-Id: {name}",
-                f"Tenant: {arrival.tenant}", f"Request-Timeout: {max(1, int((give_up - at) * 1000))}u",
-            ]  # fmt: skip
+                f"{cls.method} {target} HTTP/1.1",
+                "Host: api.internal",
+                f"Request-Id: {name}",
+                f"Tenant: {arrival.tenant}",
+                f"Request-Timeout: {max(1, int((give_up - at) * 1000))}u",
+            ]
             if arrival.key:
                 lines.append(f"Idempotency-Key: {arrival.key}")
             if cls.method == "POST":
@@ -329,10 +332,17 @@
             form = form_of(cls.method, target, body)
             self.journal.add(
                 Asked(
-                    name, arrival.name, connection.node, cls.name, arrival.key, arrival.tenant, form, at,
+                    name,
+                    arrival.name,
+                    connection.node,
+                    cls.name,
+                    arrival.key,
+                    arrival.tenant,
+                    form,
+                    at,
                     give_up,
                 )
-            )  # fmt: skip
+            )
             done = connection.ask(name, "\r\n".join(lines).encode() + b"\r\n\r\n" + body)
             patience = arrival.leaves_ms
             wait = give_up + AFTER_MS - at if patience is None else patience
--- a/balancer/testbed/scenario.py
+++ b/balancer/testbed/scenario.py
@@ -496,8 +496,11 @@
         wrong.append("says: found it without a memory; allowed: beside state = true")
     if script is not None:
         named = [name for says in script.says for name in says.names or ()]
-        wrong += [f"says: names: found {name!r:.60}; allowed: n0 to n{script.nodes - 1}"
-                  for name in named if name not in _there(script, "node")]  # fmt: skip
+        wrong += [
+            f"says: names: found {name!r:.60}; allowed: n0 to n{script.nodes - 1}"
+            for name in named
+            if name not in _there(script, "node")
+        ]
     if script is not None and script.state and script.etcd:
         wrong.append("state: found it beside etcd; allowed: one of them")
     if wrong or script is None:
@@ -566,7 +569,13 @@
             groups, step = [(name,) for name in names], row.spread_s / (len(names) - 1)
         out += [
             Strike(
-                row.at_s + at * step, row.kind, group, nodes, row.for_s, row.value, row.way or "both",
+                row.at_s + at * step,
+                row.kind,
+                group,
+                nodes,
+                row.for_s,
+                row.value,
+                row.way or "both",
                 row.wipe,
             )
             for at, group in enumerate(groups)
@@ -610,10 +619,15 @@
 
 
 async def play(
-    script: Script, seed: int, directory: Path, strikes: Sequence[Strike] | None = None,
-    tell: Callable[[float, str], None] | None = None, program: Path = ROOT,
-    watch: Callable[[World], object] | None = None, habits: Habits | None = None,
-) -> Played:  # fmt: skip
+    script: Script,
+    seed: int,
+    directory: Path,
+    strikes: Sequence[Strike] | None = None,
+    tell: Callable[[float, str], None] | None = None,
+    program: Path = ROOT,
+    watch: Callable[[World], object] | None = None,
+    habits: Habits | None = None,
+) -> Played:
     """Play a script on a world of its own, or some of its strikes alone.
 
     `program` is the checkout whose nodes run; `watch` gets the world before it is played, and once more
@@ -633,10 +647,17 @@
     site = Site(zones=script.zones, rules=Rules(cold_share=script.cold))
     make: Callable[..., World] = FleetWorld if script.etcd else World
     world = make(
-        directory, site=site, seed=seed, nodes=script.nodes, servers=script.servers, notice_s=script.notice_s,
-        machine=Machine(cores=script.cores, speed=script.speed), habits=habits or Habits(),
-        wired=sorted(wired), program=program,
-    )  # fmt: skip
+        directory,
+        site=site,
+        seed=seed,
+        nodes=script.nodes,
+        servers=script.servers,
+        notice_s=script.notice_s,
+        machine=Machine(cores=script.cores, speed=script.speed),
+        habits=habits or Habits(),
+        wired=sorted(wired),
+        program=program,
+    )
     world.memory, world.known_stays, world.gossip = script.state, script.known == "first", script.peers
     returns: dict[str, dict[str, Any]] = {}
     async with world:
@@ -652,8 +673,12 @@
             watch(world)
         more = (*_crowded(script, world.fleet.servers.values()), *_said(script, returns))
         records, verdict = list(world.journal), world.verdict()
-        crashes = [f"{node.name}: {line}" for node in world.nodes for line in node.log
-                   if "Traceback" in line or "decision on" in line]  # fmt: skip
+        crashes = [
+            f"{node.name}: {line}"
+            for node in world.nodes
+            for line in node.log
+            if "Traceback" in line or "decision on" in line
+        ]
     at0, moments = world.started_at_ms, sorted({one.at_s for one in struck})
     full = tuple((at, full_service(records, at0 + moments[0] * 1000, at0 + at * 1000)) for at in moments)
     held = [line for breach in verdict.breaches[:1] for line in beliefs(records, breach.evidence)]
@@ -661,9 +686,18 @@
     rows = tuple(_rows(records, at0))
     lost = spent(records, struck, at0)
     return Played(
-        seed, tuple(struck), verdict, tuple(crashes), total.worth, full, rows, tuple(held), lost,
-        (*_over(script, records, lost, verdict.pushed), *more), returns,
-    )  # fmt: skip
+        seed,
+        tuple(struck),
+        verdict,
+        tuple(crashes),
+        total.worth,
+        full,
+        rows,
+        tuple(held),
+        lost,
+        (*_over(script, records, lost, verdict.pushed), *more),
+        returns,
+    )
 
 
 def _crowded(script: Script, servers: Iterable[Server]) -> Iterable[str]:
@@ -699,8 +733,11 @@
 
 def spent(records: Iterable[Record], strikes: Iterable[Strike], at0: float) -> tuple[int, int]:
     """Attempts that came to servers while a strike made these fail, vanish or slow, and all attempts."""
-    bad = [(set(one.names), at0 + one.at_s * 1000, at0 + (one.at_s + (one.for_s or 1e6)) * 1000)
-           for one in strikes if one.kind in ("fail", "vanish", "slow")]  # fmt: skip
+    bad = [
+        (set(one.names), at0 + one.at_s * 1000, at0 + (one.at_s + (one.for_s or 1e6)) * 1000)
+        for one in strikes
+        if one.kind in ("fail", "vanish", "slow")
+    ]
     got = [r for r in records if isinstance(r, Received)]
     lost = sum(any(r.server in names and a <= r.first_byte_at_ms < b for names, a, b in bad) for r in got)
     return lost, len(got)
--- a/balancer/testbed/scenario_runner.py
+++ b/balancer/testbed/scenario_runner.py
@@ -89,9 +89,11 @@
         for number, moment in enumerate(sorted({strike.at_s for strike in got.strikes})[:12]):
             kinds = sorted({strike.kind for strike in got.strikes if strike.at_s == moment})
             above.annotate(
-                ", ".join(kinds), (moment, 0.97 - 0.05 * (number % 4)), xycoords=("data", "axes fraction"),
+                ", ".join(kinds),
+                (moment, 0.97 - 0.05 * (number % 4)),
+                xycoords=("data", "axes fraction"),
                 fontsize=7,
-            )  # fmt: skip
+            )
         above.set_ylabel("requests a second")
         above.legend(loc="lower left", fontsize=8)
         below.set_ylabel("nodes alive")
--- a/balancer/testbed/service_profile.py
+++ b/balancer/testbed/service_profile.py
@@ -91,21 +91,41 @@
         rules = self.rules
         return {
             "request-classes": [
-                {"name": c.name, "effect": _EFFECTS[c.effect], "objective": c.aim_ms, "give-up": c.give_up_ms,
-                 "value": c.worth, "group": c.group.value, "memory-span": c.memory_ms}
+                {
+                    "name": c.name,
+                    "effect": _EFFECTS[c.effect],
+                    "objective": c.aim_ms,
+                    "give-up": c.give_up_ms,
+                    "value": c.worth,
+                    "group": c.group.value,
+                    "memory-span": c.memory_ms,
+                }
                 for c in self.classes
             ],
             "limits": {
-                "cancel": True, "second-copies": False, "most-tries": rules.max_attempts,
-                "conn-idle": self.idle_ms, "connect-timeout": self.connect_ms, "streams-per-conn": 1,
-                "retry-after": True, "max-retry-after": self.max_retry_after_ms,
+                "cancel": True,
+                "second-copies": False,
+                "most-tries": rules.max_attempts,
+                "conn-idle": self.idle_ms,
+                "connect-timeout": self.connect_ms,
+                "streams-per-conn": 1,
+                "retry-after": True,
+                "max-retry-after": self.max_retry_after_ms,
             },
             "rules": {
-                "drain-grace": rules.grace_ms, "answer-slack": rules.slack_ms, "cold-share": rules.cold_share,
-                "ramp-time": rules.warm_ms, "fall": rules.fall_ms, "fall-multiple": rules.fall_multiple,
+                "drain-grace": rules.grace_ms,
+                "answer-slack": rules.slack_ms,
+                "cold-share": rules.cold_share,
+                "ramp-time": rules.warm_ms,
+                "fall": rules.fall_ms,
+                "fall-multiple": rules.fall_multiple,
             },
             "load-info": {"how": "inline", "names": ["waiting", "active"]},
-            "discovery": "automatic", "weight-source": "nominal", "client-habits": {"marks-retry": True},
-            "failure-domains": list(self.zones), "zone": self.zones[me % len(self.zones)],
-            "me": me, "group-size": nodes,
-        }  # fmt: skip
+            "discovery": "automatic",
+            "weight-source": "nominal",
+            "client-habits": {"marks-retry": True},
+            "failure-domains": list(self.zones),
+            "zone": self.zones[me % len(self.zones)],
+            "me": me,
+            "group-size": nodes,
+        }
--- a/balancer/testbed/simulation/policies.py
+++ b/balancer/testbed/simulation/policies.py
@@ -134,8 +134,11 @@
 
 
 POLICIES: dict[str, type[Balancer] | type[Plain]] = {
-    "module": Balancer, "random": Plain, "two choices": TwoChoices, "least own": LeastOwn,
-}  # fmt: skip
+    "module": Balancer,
+    "random": Plain,
+    "two choices": TwoChoices,
+    "least own": LeastOwn,
+}
 
 
 def make(name: str, settings: api.Settings, seed: int) -> Policy:
--- a/balancer/testbed/simulation/scenario.py
+++ b/balancer/testbed/simulation/scenario.py
@@ -119,8 +119,9 @@
         return replace(self, seconds=min(self.seconds, requests / self.rate / 1_000))
 
 
-def rough(seed: int, servers: int = 10, nodes: int = 1, seconds: float = 30.0,
-          policy: str = "module") -> Scenario:  # fmt: skip
+def rough(
+    seed: int, servers: int = 10, nodes: int = 1, seconds: float = 30.0, policy: str = "module"
+) -> Scenario:
     """A scenario with every kind of trouble, drawn from the seed; a tenth of the servers drains or dies."""
     rng, whole = random.Random(f"{seed}/rough"), seconds * 1_000
     troubles = []
@@ -133,7 +134,15 @@
     size = rng.uniform(1.4, 2.2)
     troubles.append(Trouble("burst", rng.uniform(0.6, 0.8) * whole, 0.1 * whole, size=size))
     return Scenario(
-        servers, nodes, seconds, rng.uniform(0.5, 0.75), policy, seed, noise=0.05, room=rng.choice((4, 16)),
-        cross_price=rng.choice((0.0, 0.02)), speed_spread=rng.uniform(0.05, 0.25),
+        servers,
+        nodes,
+        seconds,
+        rng.uniform(0.5, 0.75),
+        policy,
+        seed,
+        noise=0.05,
+        room=rng.choice((4, 16)),
+        cross_price=rng.choice((0.0, 0.02)),
+        speed_spread=rng.uniform(0.05, 0.25),
         troubles=tuple(sorted(troubles, key=lambda t: (t.at_ms, t.kind, t.which))),
-    )  # fmt: skip
+    )
--- a/balancer/testbed/simulation/servers.py
+++ b/balancer/testbed/simulation/servers.py
@@ -59,9 +59,19 @@
 class Server:
     """One server, through all of its processes."""
 
-    def __init__(self, name: str, number: int, zone: str, cores: int, speed: float, room: int,
-                 rules: Rules, report_ms: float, offset: float, choke: Choke | None = None,
-                 ) -> None:  # fmt: skip
+    def __init__(
+        self,
+        name: str,
+        number: int,
+        zone: str,
+        cores: int,
+        speed: float,
+        room: int,
+        rules: Rules,
+        report_ms: float,
+        offset: float,
+        choke: Choke | None = None,
+    ) -> None:
         self.name, self.number, self.zone = name, number, zone
         self.cores, self.speed, self.room, self.rules = cores, speed, room * cores, rules
         self.phase, self.up, self.started_ms, self.life = Phase.UP, True, 0.0, 0
--- a/balancer/testbed/simulation/world.py
+++ b/balancer/testbed/simulation/world.py
@@ -86,8 +86,18 @@
     def _place(self, name: str, number: int, speed: float, rng: random.Random) -> Server:
         sc, zones = self.scenario, self.site.zones
         offset = rng.uniform(0.0, sc.report_ms)
-        server = Server(name, number, zones[number % len(zones)], sc.cores, speed, sc.room, self.site.rules,
-                        sc.report_ms, offset, sc.choke)  # fmt: skip
+        server = Server(
+            name,
+            number,
+            zones[number % len(zones)],
+            sc.cores,
+            speed,
+            sc.room,
+            self.site.rules,
+            sc.report_ms,
+            offset,
+            sc.choke,
+        )
         self.servers[name] = server
         self.places[number : number + 1] = [name]
         return server
@@ -259,8 +269,12 @@
             report = one.server.report(self.now, self.scenario.noise, self.chance)
             if not ask.answers:
                 self._answer(ask, "served")
-        self._handle(node, api.Outcome(ask.id, one.number, one.server.name, status, self.now - one.sent_ms,
-                                       ask.answers > 0, report))  # fmt: skip
+        self._handle(
+            node,
+            api.Outcome(
+                ask.id, one.number, one.server.name, status, self.now - one.sent_ms, ask.answers > 0, report
+            ),
+        )
 
     # --- network and servers
 
@@ -382,8 +396,11 @@
 
     def _weigh(self, _: None) -> None:
         """The list tells all weights anew."""
-        entries = [replace(server.entry, weight=server.live) for server in self.servers.values()
-                   if server.up and server.phase is api.Phase.UP]  # fmt: skip
+        entries = [
+            replace(server.entry, weight=server.live)
+            for server in self.servers.values()
+            if server.up and server.phase is api.Phase.UP
+        ]
         for node in self.nodes:
             when = max(node.heard_ms, self.now + self.chance.uniform(*self.scenario.list_ms))
             if not any(start <= when < end for start, end in self.silences):
@@ -416,14 +433,25 @@
             return waits[min(len(waits) - 1, int(share * len(waits)))] if waits else 0.0
 
         return Report(
-            self.scenario, self.asked, self.served, self.refused, self.failed, self.retried, self.attempts,
+            self.scenario,
+            self.asked,
+            self.served,
+            self.refused,
+            self.failed,
+            self.retried,
+            self.attempts,
             self.worth / self.worth_asked if self.worth_asked else 0.0,
-            sum(waits) / len(waits) if waits else 0.0, part(0.5), part(0.99),
+            sum(waits) / len(waits) if waits else 0.0,
+            part(0.5),
+            part(0.99),
             max(received) * len(self.places) / max(1, sum(received)),
             (self.rules.counts[0], self.rules.counts[1], self.rules.counts[2], self.rules.counts[3]),
-            tuple(self.rules.told), sum(s.chokes for s in self.servers.values()), self.errors, self.digest,
+            tuple(self.rules.told),
+            sum(s.chokes for s in self.servers.values()),
+            self.errors,
+            self.digest,
             self.cpu_s * 1e6 / max(1, self.asked),
-        )  # fmt: skip
+        )
 
 
 def play(scenario: Scenario, maker: Maker = make, timed: bool = False) -> Report:
--- a/balancer/timeline/monitor.py
+++ b/balancer/timeline/monitor.py
@@ -81,12 +81,19 @@
             times[self.names[number]] = sketch.moments(bins)
         gauges = closed.gauges
         return Row(
-            line.name, line.zone, line.kind, line.cell, times,
-            answers=counts.get(keys.OK, 0), errors=sum(counts.get(key, 0) for key in keys.ERRORS),
-            turned_away=counts.get(keys.TURNED_AWAY, 0), silent=counts.get(keys.TIMED_OUT, 0),
+            line.name,
+            line.zone,
+            line.kind,
+            line.cell,
+            times,
+            answers=counts.get(keys.OK, 0),
+            errors=sum(counts.get(key, 0) for key in keys.ERRORS),
+            turned_away=counts.get(keys.TURNED_AWAY, 0),
+            silent=counts.get(keys.TIMED_OUT, 0),
             load=gauges.in_flight if gauges.in_flight is not None else gauges.queue,
             changes=counts.get(keys.STARTED, 0) + counts.get(keys.PHASED, 0),
-            same=line.same, same_ms=now_ms - line.same_ms if line.same else 0.0,
+            same=line.same,
+            same_ms=now_ms - line.same_ms if line.same else 0.0,
             spread=line.same_high - line.same_low,
             cold=line.started_at > 0 and now_ms < line.started_at + self.ramp_ms + AFTER_RAMP_MS,
-        )  # fmt: skip
+        )
--- a/balancer/timeline/queries.py
+++ b/balancer/timeline/queries.py
@@ -86,10 +86,14 @@
             for at, what, count, span in line.notes or ()
         ]
         return {
-            "server": line.name, "scope": line.scope, "zone": line.zone, "kind": line.kind,
-            "resolution_s": RESOLUTIONS_S[resolution], "notes": notes,
+            "server": line.name,
+            "scope": line.scope,
+            "zone": line.zone,
+            "kind": line.kind,
+            "resolution_s": RESOLUTIONS_S[resolution],
+            "notes": notes,
             "points": (point(bucket, number) for bucket in buckets),
-        }  # fmt: skip
+        }
     return {"lines": overview(recorder, since, until, number)}
 
 
@@ -117,8 +121,12 @@
     first = watch.told - len(watch.events)
     skip = max(0, after - first)
     told = (one.json() for one in list(watch.events)[skip:])
-    return {"next": watch.told, "missed": max(0, first - after), "left_out": watch.departures.left_out,
-            "events": told}  # fmt: skip
+    return {
+        "next": watch.told,
+        "missed": max(0, first - after),
+        "left_out": watch.departures.left_out,
+        "events": told,
+    }
 
 
 def why(watch: Watch, asked: dict[str, Any]) -> dict[str, Any]:
--- a/balancer/timeline/recorder.py
+++ b/balancer/timeline/recorder.py
@@ -60,10 +60,31 @@
     """What is counted of one server, class or zone, or of the node."""
 
     __slots__ = (
-        "arrived", "cell", "counts", "done", "gauges", "kind", "most", "name", "notes", "own",
-        "same", "same_high", "same_low", "same_ms", "scope", "sent", "series", "since", "started_at",
-        "told_in_flight", "told_queue", "totals", "touched", "zone",
-    )  # fmt: skip
+        "arrived",
+        "cell",
+        "counts",
+        "done",
+        "gauges",
+        "kind",
+        "most",
+        "name",
+        "notes",
+        "own",
+        "same",
+        "same_high",
+        "same_low",
+        "same_ms",
+        "scope",
+        "sent",
+        "series",
+        "since",
+        "started_at",
+        "told_in_flight",
+        "told_queue",
+        "totals",
+        "touched",
+        "zone",
+    )
 
     def __init__(self, scope: str, name: str, zone: str = "", kind: str = "", cell: int = -1) -> None:
         self.scope, self.name, self.zone, self.kind, self.cell = scope, name, zone, kind, cell
--- a/balancer/timeline/request_traces.py
+++ b/balancer/timeline/request_traces.py
@@ -52,9 +52,16 @@
     """A trail for operators, in JSON's own types."""
     event: api.Arrival = trail[0]
     rows: list[dict[str, Any]] = [
-        {"at": trail[1], "action": "arrived", "why": "", "backend": "", "class": event.class_name,
-         "within_ms": round(event.deadline - trail[1], 3), "retry": event.is_retry}
-    ]  # fmt: skip
+        {
+            "at": trail[1],
+            "action": "arrived",
+            "why": "",
+            "backend": "",
+            "class": event.class_name,
+            "within_ms": round(event.deadline - trail[1], 3),
+            "retry": event.is_retry,
+        }
+    ]
     rows += [_row(at, what) for at, what in zip(trail[2::2], trail[3::2], strict=True)]
     return {"request": event.request, "decisions": rows, "left_out": len(trail) >= MOST, "over": over}
 
@@ -63,16 +70,32 @@
     match what:
         case api.Send():
             return {
-                "at": at, "action": "send", "why": what.why.value, "backend": what.backend,
-                "cause": what.cause.value, "among": what.among, "left_out_as_crowded": what.crowded,
+                "at": at,
+                "action": "send",
+                "why": what.why.value,
+                "backend": what.backend,
+                "cause": what.cause.value,
+                "among": what.among,
+                "left_out_as_crowded": what.crowded,
                 "timeout_ms": what.timeout,
-            }  # fmt: skip
+            }
         case api.Outcome():
-            return {"at": at, "action": "outcome", "why": what.status.value, "backend": what.backend,
-                    "took_ms": what.duration, "attempt": what.attempt}  # fmt: skip
+            return {
+                "at": at,
+                "action": "outcome",
+                "why": what.status.value,
+                "backend": what.backend,
+                "took_ms": what.duration,
+                "attempt": what.attempt,
+            }
         case api.Refuse():
-            return {"at": at, "action": "refuse", "why": what.why.value, "backend": "",
-                    "retry_after_ms": what.retry_after}  # fmt: skip
+            return {
+                "at": at,
+                "action": "refuse",
+                "why": what.why.value,
+                "backend": "",
+                "retry_after_ms": what.retry_after,
+            }
         case api.Fail():
             return {"at": at, "action": "fail", "why": what.why.value, "backend": ""}
         case _:
--- a/balancer/timeline/schema.py
+++ b/balancer/timeline/schema.py
@@ -1,7 +1,8 @@
 """Numbers for all that is counted, so that a bucket is one small map from number to count.
 
 Below `TIMES` each number stands for a word: an attempt's outcome, a reason, a note. From `TIMES` on they are
-answer times: `WIDTH` numbers a class, one for each bin of `balancer.timeline.latency_histogram`. Numbers are for memory
+answer times: `WIDTH` numbers a class, one for each bin of `balancer.timeline.latency_histogram`. Numbers
+are for memory
 alone and may change with the version; names are what is shown.
 """
 
@@ -19,12 +20,22 @@
 WHAT: dict[What, int] = {what: WHATS + what.number for what in What}
 REFUSED, FAILED, ARRIVED, CROWDED, LATE, GONE, STARTED, PHASED = range(128, 136)
 
-NAMES: dict[int, str] = {
-    ATTEMPTS: "attempts", REFUSED: "refused", FAILED: "failed", ARRIVED: "arrived", CROWDED: "crowded",
-    LATE: "late", GONE: "client_gone", STARTED: "started", PHASED: "phase_changed",
-} | {n: s.value for s, n in STATUS.items()} | {n: w.value for w, n in WHY.items()} | {
-    n: w.value for w, n in WHAT.items()
-}  # fmt: skip
+NAMES: dict[int, str] = (
+    {
+        ATTEMPTS: "attempts",
+        REFUSED: "refused",
+        FAILED: "failed",
+        ARRIVED: "arrived",
+        CROWDED: "crowded",
+        LATE: "late",
+        GONE: "client_gone",
+        STARTED: "started",
+        PHASED: "phase_changed",
+    }
+    | {n: s.value for s, n in STATUS.items()}
+    | {n: w.value for w, n in WHY.items()}
+    | {n: w.value for w, n in WHAT.items()}
+)
 """What is shown for a number below `TIMES`."""
 
 OK = STATUS[Status.OK]
--- a/balancer/timeline/time_series.py
+++ b/balancer/timeline/time_series.py
@@ -23,10 +23,18 @@
 FULL = Spans((600, 10_800, 172_800))
 # What goes first where the memory is short, step by step: the fine buckets of longer ago, then coarser ones.
 STEPS = (
-    FULL, Spans((300, 10_800, 172_800)), Spans((300, 5_400, 172_800)), Spans((180, 3_600, 86_400)),
-    Spans((120, 1_800, 43_200)), Spans((120, 1_200, 21_600)), Spans((90, 900, 10_800)),
-    Spans((60, 600, 7_200)), Spans((30, 300, 3_600)), Spans((20, 120, 1_800)), Spans((10, 60, 600)),
-)  # fmt: skip
+    FULL,
+    Spans((300, 10_800, 172_800)),
+    Spans((300, 5_400, 172_800)),
+    Spans((180, 3_600, 86_400)),
+    Spans((120, 1_800, 43_200)),
+    Spans((120, 1_200, 21_600)),
+    Spans((90, 900, 10_800)),
+    Spans((60, 600, 7_200)),
+    Spans((30, 300, 3_600)),
+    Spans((20, 120, 1_800)),
+    Spans((10, 60, 600)),
+)
 
 
 @dataclass(slots=True)
--- a/benchmarks/anomaly_detection.py
+++ b/benchmarks/anomaly_detection.py
@@ -283,7 +283,9 @@
 
 def main(argv: Sequence[str] | None = None) -> int:
     """The command; its exit code."""
-    parser = argparse.ArgumentParser(prog="benchmarks.anomaly_detection", description=__doc__.partition("\n")[0])
+    parser = argparse.ArgumentParser(
+        prog="benchmarks.anomaly_detection", description=__doc__.partition("\n")[0]
+    )
     parser.add_argument("--quick", action="store_true", help="smaller and shorter: to see that it runs")
     parser.add_argument("--part", action="append", choices=("delay", "quiet"), help="only this")
     parser.add_argument("--jobs", type=int, default=os.cpu_count() or 1, metavar="N", help="processes")
--- a/benchmarks/cap_guidance.py
+++ b/benchmarks/cap_guidance.py
@@ -103,8 +103,15 @@
             for load in LOADS:
                 for spread in SPREADS:
                     classes = tuple(replace(c, spread=spread) for c in SITE.classes)
-                    scenario = Scenario(servers, nodes, 600.0, load, seed=1, noise=args.noise,
-                                        site=replace(SITE, classes=classes))  # fmt: skip
+                    scenario = Scenario(
+                        servers,
+                        nodes,
+                        600.0,
+                        load,
+                        seed=1,
+                        noise=args.noise,
+                        site=replace(SITE, classes=classes),
+                    )
                     scenario = scenario.bounded(args.requests)
                     reports = pool.map(one, [(scenario, name) for name in names], chunksize=1)
                     cells = [f"{r.wait_mean_ms:.0f} ({r.service:.3f})" for r in reports]
--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -43,9 +43,14 @@
     for name, aim, value in (("lookup", 250.0, 12.0), ("list", 1500.0, 1.0), ("order", 1200.0, 1.0))
 )
 SETTINGS = api.Settings(
-    classes=CLASSES, reports=api.Reports.ANSWERS, cold_share=0.3, ramp_time=9_000.0, fall_multiple=3.0,
-    weighted=True, live_weights=True,
-)  # fmt: skip
+    classes=CLASSES,
+    reports=api.Reports.ANSWERS,
+    cold_share=0.3,
+    ramp_time=9_000.0,
+    fall_multiple=3.0,
+    weighted=True,
+    live_weights=True,
+)
 
 
 def server(number: int, weight: float = 1.0, phase: api.Phase = api.Phase.UP) -> api.Entry:
@@ -139,10 +144,14 @@
         for at, subject in enumerate(subjects):
             for _ in range(TURN // 10):
                 number = subject.rng.randrange(subject.size)
-                for kind, entry in enumerate((
-                    server(number, subject.rng.uniform(0.3, 1.0)), server(number, phase=api.Phase.DRAINING),
-                    server(number, phase=api.Phase.GONE), server(number),
-                )):  # fmt: skip
+                for kind, entry in enumerate(
+                    (
+                        server(number, subject.rng.uniform(0.3, 1.0)),
+                        server(number, phase=api.Phase.DRAINING),
+                        server(number, phase=api.Phase.GONE),
+                        server(number),
+                    )
+                ):
                     spent[kind][at].append(subject.tell([entry]))
     gc.unfreeze()
     for name, figures in zip(kinds, spent, strict=True):
--- a/benchmarks/drain_delay.py
+++ b/benchmarks/drain_delay.py
@@ -94,9 +94,15 @@
 
     machine = Machine(cores=32, queue=64)
     async with World(
-        directory, site=SITE, seed=2, nodes=1, servers=SERVERS, machine=machine, habits=Habits(retries=0),
+        directory,
+        site=SITE,
+        seed=2,
+        nodes=1,
+        servers=SERVERS,
+        machine=machine,
+        habits=Habits(retries=0),
         prepare=prepare,
-    ) as world:  # fmt: skip
+    ) as world:
         pin(world.nodes[0], where)
         entries = {name: json.dumps(s.member()).encode() for name, s in world.fleet.servers.items()}
         for name, entry in entries.items():
@@ -124,14 +130,17 @@
         if isinstance(etcd, StandIn):
             key = PREFIX + delete.server
             delete.written_ms = next(
-                r.at_ms for r in etcd.records
+                r.at_ms
+                for r in etcd.records
                 if r.kind == "watch" and key in r.deleted and r.at_ms >= delete.asked_ms
-            )  # fmt: skip
+            )
         times = [
-            r.first_byte_at_ms for r in records
-            if isinstance(r, Received) and r.server == delete.server
+            r.first_byte_at_ms
+            for r in records
+            if isinstance(r, Received)
+            and r.server == delete.server
             and delete.asked_ms <= r.first_byte_at_ms < delete.put_back_ms
-        ]  # fmt: skip
+        ]
         delete.count, delete.last_ms = len(times), max(times, default=None)
     wanted = [r.at_ms for r in records if isinstance(r, Wanted)]
     held = [r for r in records if isinstance(r, HeldUp) and r.at_ms > deletes[0].asked_ms]
@@ -139,5 +148,3 @@
     total = verdict.classes["all"]
     asked = (len(wanted) - 1) / (wanted[-1] - wanted[0]) * 1000
     return Drains(deletes, asked, total.in_time / total.asked, late)
-
-
--- a/benchmarks/endpoint_updates.py
+++ b/benchmarks/endpoint_updates.py
@@ -103,10 +103,16 @@
 def main(argv: Sequence[str] | None = None) -> int:
     """The command; its exit code."""
     parts: dict[str, Callable[[Benchmark], Coroutine[Any, Any, None]]] = {
-        "drain": Benchmark.drain, "start": Benchmark.start, "stall": Benchmark.stall,
-        "turns": Benchmark.turns, "change": Benchmark.change, "herd": Benchmark.herd,
-    }  # fmt: skip
-    parser = argparse.ArgumentParser(prog="benchmarks.endpoint_updates", description=__doc__.partition("\n")[0])
+        "drain": Benchmark.drain,
+        "start": Benchmark.start,
+        "stall": Benchmark.stall,
+        "turns": Benchmark.turns,
+        "change": Benchmark.change,
+        "herd": Benchmark.herd,
+    }
+    parser = argparse.ArgumentParser(
+        prog="benchmarks.endpoint_updates", description=__doc__.partition("\n")[0]
+    )
     parser.add_argument("--quick", action="store_true", help="smaller and once: to see that it runs")
     parser.add_argument("--part", action="append", choices=parts, help="only this; may be given often")
     text = "cores such as 1-3,5 for the process that is measured (as the system likes)"
--- a/benchmarks/failure_detection.py
+++ b/benchmarks/failure_detection.py
@@ -1,6 +1,7 @@
 """Who is there, in virtual time: how soon a death is known, what is called dead wrongly, and what it costs.
 
-    python -m benchmarks.failure_detection [--part detect|calm|stalls|heal|codes|cpu] [--nodes N ...] [--loss P]
+    python -m benchmarks.failure_detection [--part detect|calm|stalls|heal|codes|cpu] [--nodes N ...]
+    [--loss P]
 
 Deciders on one virtual clock; each datagram takes 0.3 to 3 ms or is lost. The codec is left out but for its
 sizes (and in `codes` and `cpu`). Nothing is asserted; docs/design/peers.md has the tables.
@@ -30,9 +31,14 @@
     """Nodes n0, n1, ... that know each other from the start, unless `cold`."""
 
     def __init__(
-        self, count: int, seed: int, loss: float = 0.0, options: pr.Options | None = None, cold: bool = False,
+        self,
+        count: int,
+        seed: int,
+        loss: float = 0.0,
+        options: pr.Options | None = None,
+        cold: bool = False,
         delay_ms: tuple[float, float] = (0.3, 3.0),
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.random, self.loss, self.options, self.delay_ms = Random(seed), loss, options, delay_ms
         self.now = 0.0
         self.heap: list[tuple[float, int, str, object]] = []
@@ -138,9 +144,16 @@
 
 def detect(sizes: Sequence[int], seeds: int, loss: float, options: pr.Options | None = None) -> None:
     """One node dies: the first suspicion, the first failure, and failed at all others."""
-    _head("nodes", "first probe unanswered, s", "SWIM's e/(e-1) periods, and one", "first failed, s",
-          "known by all, s (worst)", "suspicion at least, s", "datagrams/s a node",
-          "bytes/s a node")  # fmt: skip
+    _head(
+        "nodes",
+        "first probe unanswered, s",
+        "SWIM's e/(e-1) periods, and one",
+        "first failed, s",
+        "known by all, s (worst)",
+        "suspicion at least, s",
+        "datagrams/s a node",
+        "bytes/s a node",
+    )
     for size in sizes:
         rows = []
         for seed in range(seeds if size <= 200 else 2 if size <= 1_000 else 1):
@@ -166,13 +179,29 @@
             first = {w: min((at for at, what in of if what == w), default=math.nan) for w in _BAD}
             seconds = (rates[2] - 1_000) / 1_000
             node = next(iter(net.nodes.values()))
-            rows.append([first["suspected"] - died, first["failed"] - died, net.now - died,
-                         node.suspicion_ms(pr.SHARERS), rates[0] / size / max(seconds, 0.05),
-                         rates[1] / size / max(seconds, 0.05)])  # fmt: skip
+            rows.append(
+                [
+                    first["suspected"] - died,
+                    first["failed"] - died,
+                    net.now - died,
+                    node.suspicion_ms(pr.SHARERS),
+                    rates[0] / size / max(seconds, 0.05),
+                    rates[1] / size / max(seconds, 0.05),
+                ]
+            )
         by = list(zip(*rows, strict=True))
-        _line([size, mean(by[0]) / 1e3, PERIOD * (1 / (1 - (1 - 1 / (size - 1)) ** (size - 1)) + 0.5) / 1e3,
-               mean(by[1]) / 1e3, f"{mean(by[2]) / 1e3:.2f} ({max(by[2]) / 1e3:.2f})", mean(by[3]) / 1e3,
-               mean(by[4]), round(mean(by[5]))])  # fmt: skip
+        _line(
+            [
+                size,
+                mean(by[0]) / 1e3,
+                PERIOD * (1 / (1 - (1 - 1 / (size - 1)) ** (size - 1)) + 0.5) / 1e3,
+                mean(by[1]) / 1e3,
+                f"{mean(by[2]) / 1e3:.2f} ({max(by[2]) / 1e3:.2f})",
+                mean(by[3]) / 1e3,
+                mean(by[4]),
+                round(mean(by[5])),
+            ]
+        )
 
 
 _BAD = ("suspected", "failed")
@@ -189,9 +218,19 @@
 
 def wrongs(size: int, seconds: float, loss: float, stalling: float, names: Sequence[str]) -> None:
     """Nobody dies: what is suspected and failed all the same; `stalling`: the part that stalls at times."""
-    _head("variant", "nodes", "minutes", "loss", "stalling", "suspicions of healthy/h", "healthy failed/h",
-          "stalled ones failed/h", "failed by a stalled one first", "datagrams/s a node",
-          "bytes/s a node")  # fmt: skip
+    _head(
+        "variant",
+        "nodes",
+        "minutes",
+        "loss",
+        "stalling",
+        "suspicions of healthy/h",
+        "healthy failed/h",
+        "stalled ones failed/h",
+        "failed by a stalled one first",
+        "datagrams/s a node",
+        "bytes/s a node",
+    )
     for name in names:
         net = Net(size, 7, loss, VARIANTS[name])
         bad = {f"n{number}" for number in range(3, 3 + round(size * stalling))}
@@ -205,9 +244,21 @@
         firsts = net.firsts  # one false failure is one, however many then hear of it
         kinds = Counter((what, of in bad) for what, of, _ in firsts)
         blamed = sum(by in bad and of not in bad for (what, of, _), by in firsts.items() if what == "failed")
-        _line([name, size, seconds / 60, loss, stalling, kinds["suspected", False] / hours,
-               kinds["failed", False] / hours, kinds["failed", True] / hours, blamed,
-               net.sent / size / seconds, round(net.bytes / size / seconds)])  # fmt: skip
+        _line(
+            [
+                name,
+                size,
+                seconds / 60,
+                loss,
+                stalling,
+                kinds["suspected", False] / hours,
+                kinds["failed", False] / hours,
+                kinds["failed", True] / hours,
+                blamed,
+                net.sent / size / seconds,
+                round(net.bytes / size / seconds),
+            ]
+        )
 
 
 def heal(sizes: Sequence[int]) -> None:
--- a/benchmarks/failure_detection_processes.py
+++ b/benchmarks/failure_detection_processes.py
@@ -63,8 +63,11 @@
     for node in nodes:
         while True:
             told = (await asked(node, "events"))["events"]
-            found = [e["at"] for e in told if (e["event"], e["subject"]) == ("peer_failed", dead.name)
-                     and e["at"] >= since_ms]  # fmt: skip
+            found = [
+                e["at"]
+                for e in told
+                if (e["event"], e["subject"]) == ("peer_failed", dead.name) and e["at"] >= since_ms
+            ]
             if found:
                 out.append(found[0] - since_ms)
                 break
@@ -82,8 +85,9 @@
 async def fleet(nodes: int, kills: int, seconds: float, peers: bool) -> None:
     """One fleet, measured."""
     with tempfile.TemporaryDirectory() as directory:
-        world = World(Path(directory), site=Site(zones=("a",)), nodes=nodes, servers=2,
-                      prepare=None if peers else bare)  # fmt: skip
+        world = World(
+            Path(directory), site=Site(zones=("a",)), nodes=nodes, servers=2, prepare=None if peers else bare
+        )
         world.gossip = peers
         async with world:
             if peers:
@@ -95,8 +99,10 @@
             await asyncio.sleep(seconds)
             took = time.monotonic() - began
             used = [100 * (cpu_s(n) - b) / took for n, b in zip(world.nodes, before, strict=True)]
-            rate = [((await asked(n, "peers"))["datagrams"]["sent"] - s) / took
-                    for n, s in zip(world.nodes, sent, strict=False)]  # fmt: skip
+            rate = [
+                ((await asked(n, "peers"))["datagrams"]["sent"] - s) / took
+                for n, s in zip(world.nodes, sent, strict=False)
+            ]
             memory = statistics.median(kib(node) for node in world.nodes) / 1024
             cost = f"CPU of a node {statistics.median(used):.2f}% of a core (most {max(used):.2f})"
             more = f", {statistics.median(rate):.1f} datagrams/s sent" if rate else ""
--- a/benchmarks/fault_scenarios.py
+++ b/benchmarks/fault_scenarios.py
@@ -1,6 +1,7 @@
 """The judge over many seeds of the scripts of hard days, on real processes.
 
-`python -m benchmarks.restart_recovery --part judge [--seeds N] [--script NAME] [--at-once N] [--long S]` prints
+`python -m benchmarks.restart_recovery --part judge [--seeds N] [--script NAME] [--at-once N] [--long S]`
+prints
 whatever is wrong as it comes, each with its seed and the command that plays it again, then a row a script.
 Plays run side by side, each in a process with a lab of its own. `--long`: how long outages and pauses last.
 """
@@ -79,10 +80,15 @@
     late = [r.late_ms for r in worlds[0].journal if isinstance(r, HeldUp | NodeHeldUp)]
     full = [one["ms"] for told in got.returns.values() for one in told["phases"] if one["name"] == "full"]
     return Judged(
-        name, seed, tuple(got.wrong(script.least)), Counter(one.rule for one in got.verdict.breaches),
-        got.worth, max(server.busiest for server in worlds[0].fleet.servers.values()), tuple(full),
+        name,
+        seed,
+        tuple(got.wrong(script.least)),
+        Counter(one.rule for one in got.verdict.breaches),
+        got.worth,
+        max(server.busiest for server in worlds[0].fleet.servers.values()),
+        tuple(full),
         max(late, default=0.0),
-    )  # fmt: skip
+    )
 
 
 def again(one: Judged, long_s: float) -> str:
@@ -102,7 +108,7 @@
 
 def table(
     names: Sequence[str], seeds: Sequence[int], at_once: int, long_s: float
-) -> Iterator[tuple[str, ...]]:  # fmt: skip
+) -> Iterator[tuple[str, ...]]:
     """The rows, once all is played; each play is told as it ends."""
     got: dict[str, list[Judged]] = {name: [] for name in names}
     for one in plays(names, seeds, at_once, long_s):
@@ -112,17 +118,27 @@
             print(*(f"    {line}" for line in one.wrong[:SHOWN]), sep="\n", flush=True)
         else:
             print(f"{one.script}, seed {one.seed}: worth in time {one.worth:.1%}", flush=True)
-    yield ("script", "seeds", "wrong in", "breaches", "worth in time: median (least)",
-           "full, as nodes say, s: median (worst)", "most connections a second at a server",
-           "lab or node late at worst, ms: median (worst)")  # fmt: skip
+    yield (
+        "script",
+        "seeds",
+        "wrong in",
+        "breaches",
+        "worth in time: median (least)",
+        "full, as nodes say, s: median (worst)",
+        "most connections a second at a server",
+        "lab or node late at worst, ms: median (worst)",
+    )
     for name, ones in got.items():
         rules = sum((one.rules for one in ones), Counter[int]())
         full = [ms / 1000 for one in ones for ms in one.full_ms]
         worth, late = [one.worth for one in ones], [one.late_ms for one in ones]
         yield (
-            name, str(len(ones)), str(sum(bool(one.wrong) for one in ones)),
+            name,
+            str(len(ones)),
+            str(sum(bool(one.wrong) for one in ones)),
             ", ".join(f"{many} of rule {rule}" for rule, many in sorted(rules.items())) or "none",
             f"{median(worth):.1%} ({min(worth):.1%})",
             f"{median(full):.1f} ({max(full):.1f})" if full else "-",
-            str(max(one.busiest for one in ones)), f"{median(late):.0f} ({max(late):.0f})",
-        )  # fmt: skip
+            str(max(one.busiest for one in ones)),
+            f"{median(late):.0f} ({max(late):.0f})",
+        )
--- a/benchmarks/fault_schedules.py
+++ b/benchmarks/fault_schedules.py
@@ -63,11 +63,20 @@
     verdict, faults = result.verdict, result.faults()
     total = verdict.classes["all"]
     return Outcome(
-        seed, [*schedule.lines(), *faults] if faults else [], Counter(b.rule for b in verdict.breaches),
-        total.asked, total.in_time, (total.worth_in_time, total.worth_asked),
-        sum(s.received for s in verdict.servers.values()), result.removals, verdict.sent_to_removed,
-        len(result.stale), len(result.crashes), result.late_ms, schedule.kinds,
-    )  # fmt: skip
+        seed,
+        [*schedule.lines(), *faults] if faults else [],
+        Counter(b.rule for b in verdict.breaches),
+        total.asked,
+        total.in_time,
+        (total.worth_in_time, total.worth_asked),
+        sum(s.received for s in verdict.servers.values()),
+        result.removals,
+        verdict.sent_to_removed,
+        len(result.stale),
+        len(result.crashes),
+        result.late_ms,
+        schedule.kinds,
+    )
 
 
 def table(outcomes: Sequence[Outcome]) -> list[str]:
@@ -98,7 +107,9 @@
 
 def main(argv: Sequence[str] | None = None) -> int:
     """Run them all; the exit code."""
-    parser = argparse.ArgumentParser("python -m benchmarks.fault_schedules", description=__doc__.split("\n")[0])
+    parser = argparse.ArgumentParser(
+        "python -m benchmarks.fault_schedules", description=__doc__.split("\n")[0]
+    )
     parser.add_argument("--count", type=int, default=200, help="how many schedules (200)")
     parser.add_argument("--first", type=int, default=1, help="the first seed (1)")
     parser.add_argument("--jobs", type=int, default=4, help="processes, a world each (4)")
--- a/benchmarks/gossiped_removals.py
+++ b/benchmarks/gossiped_removals.py
@@ -3,7 +3,8 @@
 
     python -m benchmarks.gossiped_removals [--nodes N] [--seeds N]
 
-The world of benchmarks/node_state_gossip.py with each node's merge. Discovery's word reaches a node at once, or never; a
+The world of benchmarks/node_state_gossip.py with each node's merge. Discovery's word reaches a node at
+once, or never; a
 cut-off one knows that its source is silent after SILENT_MS. Nothing is asserted; docs/design/peers.md has the
 tables.
 """
@@ -154,8 +155,14 @@
 
 def drains(size: int, seeds: int) -> None:
     """A server drains 1 s and 10 s after the first nodes lost discovery: when they know."""
-    _head("rule", "hear discovery", "loss", "drained after 1 s: known, s (worst)",
-          "after 10 s: known, s (worst)", "asks of discovery")  # fmt: skip
+    _head(
+        "rule",
+        "hear discovery",
+        "loss",
+        "drained after 1 s: known, s (worst)",
+        "after 10 s: known, s (worst)",
+        "asks of discovery",
+    )
     for rule in Rule:
         for hears, loss in ((size - 1, 0.0), (size - 1, 0.3), (size // 2, 0.0), (2, 0.0), (1, 0.0)):
             times: list[list[float]] = [[], []]
--- a/benchmarks/jut_paper.py
+++ b/benchmarks/jut_paper.py
@@ -1,4 +1,5 @@
-"""The numbers of the paper on Join-Up-To(m), with the module as its dispatcher (`balancer.testbed.jut_model`).
+"""The numbers of the paper on Join-Up-To(m), with the module as its dispatcher
+(`balancer.testbed.jut_model`).
 
     .venv-dev/bin/python -m benchmarks.jut_paper --jobs 2
 
@@ -24,9 +25,11 @@
 
 LOADS, DELTAS = (0.5, 0.8, 0.95), (0.4, 0.1, 0.025)
 TABLE_1 = {
-    0.0: (2.0, 5.0, 20.0), 0.4: (1.2170, 1.5451, 1.7287), 0.1: (1.6886, 2.7712, 3.6549),
+    0.0: (2.0, 5.0, 20.0),
+    0.4: (1.2170, 1.5451, 1.7287),
+    0.1: (1.6886, 2.7712, 3.6549),
     0.025: (1.9069, 3.9658, 6.9149),
-}  # fmt: skip
+}
 TABLE_2 = {100: (5.3145, 7.28e-3), 1_000: (5.4347, 1.75e-3), 10_000: (5.4450, 5.95e-4)}
 SETTING_2 = (0.8, 0.05, 10)  # load, delta, m
 AIMS = (5.0, 20.0)  # in mean works
@@ -56,8 +59,17 @@
         mean, half, words = shown(pool.map(simulate, plan, chunksize=1))
         paper, conf = TABLE_2[servers]
         held = "yes" if abs(mean - paper) <= half + conf else "no"
-        rows.append((f"{servers:,}", str(runs), f"{arrivals:,}", words, f"{paper:.4f} ± {conf:.4f}",
-                     f"{mean - paper:+.4f}", held))  # fmt: skip
+        rows.append(
+            (
+                f"{servers:,}",
+                str(runs),
+                f"{arrivals:,}",
+                words,
+                f"{paper:.4f} ± {conf:.4f}",
+                f"{mean - paper:+.4f}",
+                held,
+            )
+        )
     head = ("servers", "runs", "arrivals a run", "simulated", "paper", "difference", "within the sum of both")
     return table(head, rows)
 
@@ -80,10 +92,28 @@
             mean, _, words = shown(pool.map(simulate, plan, chunksize=1))
             formula = limit(load, delta, m) if delta else 1 / (1 - load)
             off, wrong = mean / paper - 1, mean / formula - 1
-            rows.append((f"{delta:g}", f"{load:g}", str(m) if delta else "-", words, f"{paper:.4f}",
-                         f"{off:+.2%}", f"{formula:.4f}", f"{wrong:+.2%}"))  # fmt: skip
-    head = ("delta", "load", "m_opt", f"simulated, N {servers:,}", "paper's Table 1", "off by",
-            "paper's Corollary 4", "off by")  # fmt: skip
+            rows.append(
+                (
+                    f"{delta:g}",
+                    f"{load:g}",
+                    str(m) if delta else "-",
+                    words,
+                    f"{paper:.4f}",
+                    f"{off:+.2%}",
+                    f"{formula:.4f}",
+                    f"{wrong:+.2%}",
+                )
+            )
+    head = (
+        "delta",
+        "load",
+        "m_opt",
+        f"simulated, N {servers:,}",
+        "paper's Table 1",
+        "off by",
+        "paper's Corollary 4",
+        "off by",
+    )
     return table(head, rows)
 
 
@@ -96,8 +126,9 @@
             cells = [f"{delta:g}", f"{load:g}", str(m)]
             seeds = range(1, runs + 1)
             plans = [[Run(servers, load, delta, m, arrivals, seed) for seed in seeds]]
-            plans += [[Run(servers, load, delta, 0, arrivals, seed, False, aim) for seed in seeds]
-                      for aim in AIMS]  # fmt: skip
+            plans += [
+                [Run(servers, load, delta, 0, arrivals, seed, False, aim) for seed in seeds] for aim in AIMS
+            ]
             for plan in plans:
                 results = pool.map(simulate, plan, chunksize=1)
                 answered = sum(r.served for r in results) / sum(r.asked for r in results)
--- a/benchmarks/list_processing_stalls.py
+++ b/benchmarks/list_processing_stalls.py
@@ -37,11 +37,13 @@
 
 NODES = 1000  # that share the fleet, as the settings say
 PARTS: dict[str, tuple[Any, tuple[str, ...]]] = {
-    "read": (Call, ("_read", "data_received")), "merge": (Membership, ("handle",)),
-    "pool": (Pool, ("update",)), "module": (Balancer, ("handle",)),
+    "read": (Call, ("_read", "data_received")),
+    "merge": (Membership, ("handle",)),
+    "pool": (Pool, ("update",)),
+    "module": (Balancer, ("handle",)),
     "keeping": (state.Memory, ("_heard", "_work", "_sync", "_begin", "_tell")),
     "learned": (Balancer, ("learned",)),
-}  # fmt: skip
+}
 
 
 class Parts:
@@ -83,10 +85,18 @@
     def tell(cls, size: int, revision: int, weight: float) -> None:
         """Have this list told from now on."""
         rows = [
-            {"id": f"s-{n:08x}", "host_port": f"10.{n >> 16}.{n >> 8 & 255}.{n & 255}:8080",
-             "locality": "ab"[n % 2], "flavor": "m", "cell": n // 16, "phase": "in_service", "size": weight,
-             "up_since_ms": 0} for n in range(size)
-        ]  # fmt: skip
+            {
+                "id": f"s-{n:08x}",
+                "host_port": f"10.{n >> 16}.{n >> 8 & 255}.{n & 255}:8080",
+                "locality": "ab"[n % 2],
+                "flavor": "m",
+                "cell": n // 16,
+                "phase": "in_service",
+                "size": weight,
+                "up_since_ms": 0,
+            }
+            for n in range(size)
+        ]
         body = json.dumps({"revision": revision, "complete": True, "members": rows}).encode()
         cls.answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
 
@@ -121,9 +131,13 @@
 
     def __init__(self, path: Path, port: int, kept: bool) -> None:
         table = {
-            "name": "n0", "listen": "127.0.0.1:0", "discovery": f"127.0.0.1:{port}", "seed": "1",
-            "settings": Site().settings(0, NODES), "known": {"revision": 0, "complete": True, "members": []},
-        }  # fmt: skip
+            "name": "n0",
+            "listen": "127.0.0.1:0",
+            "discovery": f"127.0.0.1:{port}",
+            "seed": "1",
+            "settings": Site().settings(0, NODES),
+            "known": {"revision": 0, "complete": True, "members": []},
+        }
         (path / "node.json").write_text(json.dumps(table))
         config = load({"PROXY_CONFIG": str(path / "node.json")})
         self.node, source = Node(config), Source(platform.NAME)
@@ -131,9 +145,14 @@
         identity = platform.identity(config.discovery)
         self.fleet.hand(Listed(platform.NAME, identity, config.known, saved=True))
         self.source = PlatformSource(
-            config.discovery, False, 1000.0, self.node.now, self.fleet.hand,
-            lambda: self.fleet.resume(platform.NAME), lambda: None,
-        )  # fmt: skip
+            config.discovery,
+            False,
+            1000.0,
+            self.node.now,
+            self.fleet.hand,
+            lambda: self.fleet.resume(platform.NAME),
+            lambda: None,
+        )
         running = Running(self.node, self.fleet, (source,), Control(), name="n0", parts={"imports": 1.0})
         self.recovery = RecoveryPart(running) if kept else None
         self.state = StatePart(running) if kept else None
--- a/benchmarks/measured_process.py
+++ b/benchmarks/measured_process.py
@@ -94,8 +94,13 @@
     listed = Source(platform.NAME)
     fleet = Fleet(sink, [listed])
     discovery = PlatformSource(
-        config.discovery, False, config.settings.drain_grace, sink.now, fleet.hand,
-        lambda: fleet.resume(platform.NAME), lambda: None,
+        config.discovery,
+        False,
+        config.settings.drain_grace,
+        sink.now,
+        fleet.hand,
+        lambda: fleet.resume(platform.NAME),
+        lambda: None,
     )
     etcd = EtcdPart(fleet, (listed,), lambda table, seen: EtcdSource(table, fleet.hand, seen=seen))
     control = Control()
--- a/benchmarks/node_state_gossip.py
+++ b/benchmarks/node_state_gossip.py
@@ -3,7 +3,8 @@
 
     python -m benchmarks.node_state_gossip [--part halves|words|cuts] [--nodes N ...] [--seeds N] [--loss P]
 
-As benchmarks/failure_detection.py, whose world it goes on from; rounds of all nodes fall together. Nothing is asserted;
+As benchmarks/failure_detection.py, whose world it goes on from; rounds of all nodes fall together. Nothing
+is asserted;
 docs/design/peers.md has the tables.
 """
 
@@ -85,7 +86,6 @@
                     self.views[send.to].handle(self.now, views.Heard(send.words))
         return self.now - start
 
-
     def after_round(self) -> None:
         """For what goes on from here."""
 
@@ -147,9 +147,17 @@
 
 def words(sizes: Sequence[int], seeds: int, loss: float) -> None:
     """All change, then one; who lags; how long until all know it, and until it is named."""
-    _head("nodes", "one changed, known to all, s", "all changed, known to all, s",
-          "named meanwhile", "one behind, named by all, s", "another list, named by all, s", "over, s",
-          "datagrams/s a node", "bytes/s a node")  # fmt: skip
+    _head(
+        "nodes",
+        "one changed, known to all, s",
+        "all changed, known to all, s",
+        "named meanwhile",
+        "one behind, named by all, s",
+        "another list, named by all, s",
+        "over, s",
+        "datagrams/s a node",
+        "bytes/s a node",
+    )
     for size in sizes:
         rows = []
         for seed in range(seeds):
@@ -185,8 +193,18 @@
             world.say(names["n1"], goes("n1", 1, 3, files=(1, 3)))
             over = world.rounds(60_000, named("list", False))
             seconds = (world.now - start) / 1e3
-            rows.append((one / 1e3, every / 1e3, wrong, late / 1e3, bad / 1e3, over / 1e3,
-                         world.datagrams / size / seconds, world.section_bytes / size / seconds))  # fmt: skip
+            rows.append(
+                (
+                    one / 1e3,
+                    every / 1e3,
+                    wrong,
+                    late / 1e3,
+                    bad / 1e3,
+                    over / 1e3,
+                    world.datagrams / size / seconds,
+                    world.section_bytes / size / seconds,
+                )
+            )
         _line([size, *(mean(column) for column in zip(*rows, strict=True))])
 
 
--- a/benchmarks/property_search.py
+++ b/benchmarks/property_search.py
@@ -49,9 +49,13 @@
     wanted = PROPERTIES[name]
     drawn = given(*wanted.cases)(wanted.test.hypothesis.inner_test)  # type: ignore[attr-defined]
     ways = settings(
-        max_examples=cases, deadline=None, derandomize=False, database=None, print_blob=False,
+        max_examples=cases,
+        deadline=None,
+        derandomize=False,
+        database=None,
+        print_blob=False,
         suppress_health_check=list(HealthCheck),
-    )  # fmt: skip
+    )
     said = io.StringIO()
     try:
         with redirect_stdout(said):
@@ -64,7 +68,9 @@
 
 def main(argv: Sequence[str] | None = None) -> int:
     """Play them all; the exit code."""
-    parser = argparse.ArgumentParser("python -m benchmarks.property_search", description=__doc__.split("\n")[0])
+    parser = argparse.ArgumentParser(
+        "python -m benchmarks.property_search", description=__doc__.split("\n")[0]
+    )
     parser.add_argument("--count", type=int, default=100_000, help="cases of each property (100000)")
     parser.add_argument("--first", type=int, default=1, help="the first block's seed (1)")
     parser.add_argument("--jobs", type=int, default=4, help="processes (4)")
--- a/benchmarks/proxies.py
+++ b/benchmarks/proxies.py
@@ -2,7 +2,8 @@
 
     python -m benchmarks.proxies [--quick] [--servers N] ... [--node-cores CORES] [--lab-cores CORES]
 
-The relay (`benchmarks.relay_cost`) is the floor for this runtime: uvloop and httptools, each request to the next
+The relay (`benchmarks.relay_cost`) is the floor for this runtime: uvloop and httptools, each request to
+the next
 server in turn, no deadlines and no decisions. The node's ratio to it in the same run is the figure. Both have
 one process, keep their connections and have the same stand-in servers, which answer all at once. 16 clients
 ask on connections they keep, each again as soon as it has its answer. Each proxy in turn, on loopback.
@@ -196,9 +197,12 @@
     user, kernel = (after - was for after, was in zip(ticks_after, ticks, strict=True))
     spent = cpu_after - cpu
     return Figure(
-        spent * 1000 / (served + refused), kernel / max(1.0, user + kernel), served / took,
-        spent / 1000 / took, refused,
-    )  # fmt: skip
+        spent * 1000 / (served + refused),
+        kernel / max(1.0, user + kernel),
+        served / took,
+        spent / 1000 / took,
+        refused,
+    )
 
 
 def free_port() -> int:
@@ -229,7 +233,13 @@
     async def run(self, addresses: list[tuple[str, int]]) -> AsyncIterator[tuple[int, int]]:
         """Its port and its process's id."""
         port = free_port()
-        words = [sys.executable, "-m", "benchmarks.relay_cost", str(port), *(f"{h}:{p}" for h, p in addresses)]
+        words = [
+            sys.executable,
+            "-m",
+            "benchmarks.relay_cost",
+            str(port),
+            *(f"{h}:{p}" for h, p in addresses),
+        ]
         with on(self.where):
             process = subprocess.Popen(words)
         try:
@@ -250,10 +260,18 @@
     async def run(self, addresses: list[tuple[str, int]]) -> AsyncIterator[tuple[int, int]]:
         """Its port and its process's id."""
         entries: list[dict[str, Any]] = [
-            {"id": f"s-{n:08x}", "host_port": f"{host}:{port}", "locality": SITE.zones[n % 2], "flavor": "m",
-             "cell": n // 16, "phase": "in_service", "size": 2.0, "up_since_ms": 0}
+            {
+                "id": f"s-{n:08x}",
+                "host_port": f"{host}:{port}",
+                "locality": SITE.zones[n % 2],
+                "flavor": "m",
+                "cell": n // 16,
+                "phase": "in_service",
+                "size": 2.0,
+                "up_since_ms": 0,
+            }
             for n, (host, port) in enumerate(addresses)
-        ]  # fmt: skip
+        ]
         async with (
             sources(entries, KNOWN, self.group, SOCKETS) as told,
             Measured(["balancer"], told.env, self.where) as node,
--- a/benchmarks/proxy_fleet.py
+++ b/benchmarks/proxy_fleet.py
@@ -89,10 +89,18 @@
             server = await loop.create_server(Plain, host, 0, backlog=16)
             self._servers.append(server)
             port = server.sockets[0].getsockname()[1]
-            self.entries.append({
-                "id": f"s-{number:08x}", "host_port": f"{host}:{port}", "locality": SITE.zones[number % 2],
-                "flavor": "m", "cell": number // 16, "phase": "in_service", "size": 2.0, "up_since_ms": 0,
-            })  # fmt: skip
+            self.entries.append(
+                {
+                    "id": f"s-{number:08x}",
+                    "host_port": f"{host}:{port}",
+                    "locality": SITE.zones[number % 2],
+                    "flavor": "m",
+                    "cell": number // 16,
+                    "phase": "in_service",
+                    "size": 2.0,
+                    "up_since_ms": 0,
+                }
+            )
         return self
 
     async def __aexit__(
@@ -154,10 +162,14 @@
             known = entries if source == KNOWN else []
             revision = 41 if source == KNOWN else 0
             config = {
-                "name": "n0", "listen": "127.0.0.1:0", "discovery": agent.identity, "seed": "1",
-                "limits": {"sockets": sockets}, "settings": SITE.settings(0, nodes),
+                "name": "n0",
+                "listen": "127.0.0.1:0",
+                "discovery": agent.identity,
+                "seed": "1",
+                "limits": {"sockets": sockets},
+                "settings": SITE.settings(0, nodes),
                 "known": {"revision": revision, "complete": True, "members": known},
-            }  # fmt: skip
+            }
             (directory / "node.json").write_text(json.dumps(config))
             try:
                 yield Sources(directory, discovery, agent, etcd, env)
@@ -180,9 +192,15 @@
         with on(self.where):
             self.began_ms = now_ms()
             self.process = await asyncio.create_subprocess_exec(
-                sys.executable, "-B", "-m", *self.words, env=self.env, stdin=asyncio.subprocess.DEVNULL,
-                stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.PIPE,
-            )  # fmt: skip
+                sys.executable,
+                "-B",
+                "-m",
+                *self.words,
+                env=self.env,
+                stdin=asyncio.subprocess.DEVNULL,
+                stdout=asyncio.subprocess.PIPE,
+                stderr=asyncio.subprocess.PIPE,
+            )
         assert self.process.stderr is not None
         async with asyncio.timeout(START_S):
             while line := (await self.process.stderr.readline()).decode().strip():
--- a/benchmarks/restart_comparison.py
+++ b/benchmarks/restart_comparison.py
@@ -1,6 +1,7 @@
 """Real processes that come back: an older text of the program beside the one of now, in one run.
 
-`python -m benchmarks.restart_recovery --part processes` prints it. Each case is a script (`balancer/testbed/scenario`)
+`python -m benchmarks.restart_recovery --part processes` prints it. Each case is a script
+(`balancer/testbed/scenario`)
 played on both; the older text keeps no memory, so a directory that is lost is a plain restart to it. All
 figures are the lab's own, from its records, but the phases, which `balancer recovery` tells.
 """
@@ -170,9 +171,18 @@
     cases: Sequence[str], nodes: int, servers: int, rate: float, seed: int, revision: str | None
 ) -> Iterator[tuple[str, ...]]:
     """The rows; the older text first where a revision names one."""
-    yield ("killed at once", "text", "first answer, s: median (worst)", "full, s: median (worst)",
-           "worth in time", "connects a second at a server: mean, peak of all, peak of one", "breaches",
-           "memory", "phases told, ms: median", "lab late, ms")  # fmt: skip
+    yield (
+        "killed at once",
+        "text",
+        "first answer, s: median (worst)",
+        "full, s: median (worst)",
+        "worth in time",
+        "connects a second at a server: mean, peak of all, peak of one",
+        "breaches",
+        "memory",
+        "phases told, ms: median",
+        "lab late, ms",
+    )
     with tempfile.TemporaryDirectory(prefix="balancer-older-") as directory:
         texts = [("now", ROOT)]
         if revision is not None:
@@ -188,9 +198,7 @@
 def _row(case: str, name: str, played: sc.Script, seed: int, program: Path) -> tuple[str, ...]:
     watch = Watch()
     with tempfile.TemporaryDirectory(prefix="balancer-back-") as directory:
-        play = sc.play(
-            played, seed, Path(directory), program=program, watch=watch, habits=Habits(uses=USES)
-        )
+        play = sc.play(played, seed, Path(directory), program=program, watch=watch, habits=Habits(uses=USES))
         got = asyncio.run(play)
     for breach in got.verdict.breaches:
         print(f"{case}, {name}:", *breach.lines(), sep="\n    ", file=sys.stderr)
@@ -203,10 +211,14 @@
             phases.setdefault(phase["name"], []).append(phase["ms"])
     rules = Counter(breach.rule for breach in got.verdict.breaches)
     return (
-        case, name, _times(first), _times(full), f"{got.worth:.1%}",
+        case,
+        name,
+        _times(first),
+        _times(full),
+        f"{got.worth:.1%}",
         f"{steady:.1f}, {all_of:.1f}, {one_of:.0f}",
         ", ".join(f"{many} of rule {rule}" for rule, many in sorted(rules.items())) or "none",
         ", ".join(f"{many} {kind}" for kind, many in kinds.items()) or "-",
         ", ".join(f"{what} {median(ms):.0f}" for what, ms in phases.items()) or "-",
         f"{watch.late_ms():.0f}",
-    )  # fmt: skip
+    )
--- a/benchmarks/restart_recovery.py
+++ b/benchmarks/restart_recovery.py
@@ -9,8 +9,10 @@
 - `lists`: what a central discovery that bears 50 whole lists a second is asked for, blank start of all nodes.
 - `etcd`: the same of etcd, by the follower that a node runs, with `bears` left out and set; and once more
   where all have a list, and their watches are compacted at one moment.
-- `processes`, only when asked for: real ones (`benchmarks/restart_comparison.py`), an older text beside that of now.
-- `judge`, only when asked for: the judge over all hard days' scripts on many seeds (`benchmarks/fault_scenarios.py`).
+- `processes`, only when asked for: real ones (`benchmarks/restart_comparison.py`), an older text beside
+that of now.
+- `judge`, only when asked for: the judge over all hard days' scripts on many seeds
+(`benchmarks/fault_scenarios.py`).
 - `first`: one request a node right after a common blank start: the paper's rule on one common order, as it is
   written, and the module's own order.
 """
@@ -248,9 +250,17 @@
 
 def fleet(nodes: int, servers: int, seeds: int, cases: Iterable[Case]) -> Iterator[tuple[str, ...]]:
     """The rows of the first part."""
-    yield ("case", "rules", "first answer of a node, ms: median (worst)", "full service, s: median (worst)",
-           "worth lost", "connects a second at one server: most, mean, most before",
-           "first requests in 100 ms", "clients back in 100 ms, over arrivals", "cold pushed")  # fmt: skip
+    yield (
+        "case",
+        "rules",
+        "first answer of a node, ms: median (worst)",
+        "full service, s: median (worst)",
+        "worth lost",
+        "connects a second at one server: most, mean, most before",
+        "first requests in 100 ms",
+        "clients back in 100 ms, over arrivals",
+        "cold pushed",
+    )
     for case in cases:
         for new in (False, True):
             runs = []
@@ -260,13 +270,22 @@
                 runs.append(Returning(scenario, case, new).run())
             first = [ms for run in runs for ms in run.first_ms]
             full = [run.full_ms / 1000 for run in runs]
-            most, mean, steady = (max(r.connects[0] for r in runs), median(r.connects[1] for r in runs),
-                                  max(r.connects[2] for r in runs))  # fmt: skip
-            yield (case.name, "new" if new else "before", f"{median(first):.0f} ({max(first):.0f})",
-                   f"{median(full):.1f} ({max(full):.1f})", f"{median(r.lost for r in runs):.1%}",
-                   f"{most}, {mean:.1f}, {steady}", str(max(r.firsts for r in runs)),
-                   f"{max(r.back for r in runs):.2f}x",
-                   str(sum(r.pushed for r in runs)))  # fmt: skip
+            most, mean, steady = (
+                max(r.connects[0] for r in runs),
+                median(r.connects[1] for r in runs),
+                max(r.connects[2] for r in runs),
+            )
+            yield (
+                case.name,
+                "new" if new else "before",
+                f"{median(first):.0f} ({max(first):.0f})",
+                f"{median(full):.1f} ({max(full):.1f})",
+                f"{median(r.lost for r in runs):.1%}",
+                f"{most}, {mean:.1f}, {steady}",
+                str(max(r.firsts for r in runs)),
+                f"{max(r.back for r in runs):.2f}x",
+                str(sum(r.pushed for r in runs)),
+            )
 
 
 # --- discovery
@@ -352,9 +371,14 @@
 
 def lists(nodes: int, seeds: int) -> Iterator[tuple[str, ...]]:
     """The rows of the second part."""
-    yield ("discovery away for", "rules", "calls a node", "refused a node",
-           "most calls in 100 ms once it is there, over what it bears",
-           "last node listed, s: median (worst)")  # fmt: skip
+    yield (
+        "discovery away for",
+        "rules",
+        "calls a node",
+        "refused a node",
+        "most calls in 100 ms once it is there, over what it bears",
+        "last node listed, s: median (worst)",
+    )
     for away_ms in (0.0, 5_000.0, 60_000.0):
         for rule, words in RULES.items():
             calls, refused, most, last = [], [], [], []
@@ -370,9 +394,14 @@
                 refused.append(lister.refused / nodes)
                 most.append(crowd(back, 100.0) / (BEARS / 10))
                 last.append((max(node.listed_ms for node in fleet) - away_ms) / 1000)
-            yield (f"{away_ms / 1000:.0f} s", words, f"{median(calls):.1f}", f"{median(refused):.1f}",
-                   f"{max(most):.0f}x",
-                   f"{median(last):.0f} ({max(last):.0f})")  # fmt: skip
+            yield (
+                f"{away_ms / 1000:.0f} s",
+                words,
+                f"{median(calls):.1f}",
+                f"{median(refused):.1f}",
+                f"{max(most):.0f}x",
+                f"{median(last):.0f} ({max(last):.0f})",
+            )
 
 
 # --- etcd
@@ -456,9 +485,15 @@
 
 def etcd(nodes: int, seeds: int) -> Iterator[tuple[str, ...]]:
     """The rows of etcd."""
-    yield ("what happens to all nodes", "rules", "whole lists asked for a node", "refused a node",
-           "most in 100 ms once it is there, over what it bears", "a node is listed, s: median (worst)",
-           "hears news, s: median (worst)")  # fmt: skip
+    yield (
+        "what happens to all nodes",
+        "rules",
+        "whole lists asked for a node",
+        "refused a node",
+        "most in 100 ms once it is there, over what it bears",
+        "a node is listed, s: median (worst)",
+        "hears news, s: median (worst)",
+    )
     for away_ms, words in ((0.0, "start"), (60_000.0, "start, etcd away 60 s"), (-1.0, "watches compacted")):
         for rule, turns in ETCD_RULES.items():
             if away_ms < 0 and isinstance(turns(0, nodes), AtOnce):
@@ -482,9 +517,15 @@
                 most.append(crowd([at for at in lister.asked if at >= away_ms], 100.0) / (BEARS / 10))
                 listed += [(node.listed_ms - since) / 1000 for node in fleet]
                 news += [(node.news_ms - since) / 1000 for node in fleet]
-            yield (words, rule, f"{median(calls):.1f}", f"{median(refused):.1f}", f"{max(most):.0f}x",
-                   f"{median(listed):.1f} ({max(listed):.1f})",
-                   f"{median(news):.1f} ({max(news):.1f})")  # fmt: skip
+            yield (
+                words,
+                rule,
+                f"{median(calls):.1f}",
+                f"{median(refused):.1f}",
+                f"{max(most):.0f}x",
+                f"{median(listed):.1f} ({max(listed):.1f})",
+                f"{median(news):.1f} ({max(news):.1f})",
+            )
 
 
 # --- first requests
@@ -510,9 +551,10 @@
         return next(a.backend for a in acts if isinstance(a, api.Send))
 
     rules: dict[str, Callable[[int, int], str]] = {
-        "lowest count, ties by place": lowest, "the paper's: ties at random": chance,
+        "lowest count, ties by place": lowest,
+        "the paper's: ties at random": chance,
         "the module: own order by number, ties at random": module,
-    }  # fmt: skip
+    }
     for name, rule in rules.items():
         most, none = [], []
         for seed in range(1, seeds + 1):
@@ -522,10 +564,7 @@
         yield name, f"{max(most)}", f"{max(most) * servers / nodes:.1f}x", f"{median(none):.0f} of {servers}"
 
 
-SITE_CLASSES = [
-    api.RequestClass(c.name, c.effect, c.aim_ms, c.give_up_ms, c.worth)
-    for c in SITE.classes
-]
+SITE_CLASSES = [api.RequestClass(c.name, c.effect, c.aim_ms, c.give_up_ms, c.worth) for c in SITE.classes]
 
 
 PARTS = ("fleet", "lists", "etcd", "first", "processes", "judge")
--- a/benchmarks/routing_scale.py
+++ b/benchmarks/routing_scale.py
@@ -34,8 +34,11 @@
     """Equal work and a steady load, for each size, number of nodes and policy."""
     return [
         Scenario(servers, nodes, LONGEST_S, LOAD, policy, seed=1).bounded(requests)
-        for servers in SIZES for nodes in NODES if servers * nodes <= most for policy in POLICIES
-    ]  # fmt: skip
+        for servers in SIZES
+        for nodes in NODES
+        if servers * nodes <= most
+        for policy in POLICIES
+    ]
 
 
 def troubled(requests: int) -> list[Scenario]:
@@ -51,17 +54,45 @@
 
 def table(reports: Iterable[Report]) -> list[str]:
     """The runs as a table in Markdown."""
-    head = ("servers", "nodes", "policy", "requests", "seconds", "service", "waiting, mean ms", "p50", "p99",
-            "attempts a request", "refused", "failed", "largest share", "rules 1 to 4", "CPU us")  # fmt: skip
+    head = (
+        "servers",
+        "nodes",
+        "policy",
+        "requests",
+        "seconds",
+        "service",
+        "waiting, mean ms",
+        "p50",
+        "p99",
+        "attempts a request",
+        "refused",
+        "failed",
+        "largest share",
+        "rules 1 to 4",
+        "CPU us",
+    )
     lines = [head, tuple("---" for _ in head)]
     for r in reports:
         s = r.scenario
-        lines.append((
-            f"{s.servers:,}", f"{s.nodes:,}", s.policy, f"{r.asked:,}", f"{s.seconds:.1f}",
-            f"{r.service:.3f}", f"{r.wait_mean_ms:.1f}", f"{r.wait_p50_ms:.1f}", f"{r.wait_p99_ms:.0f}",
-            f"{r.attempts / max(1, r.asked):.2f}", f"{r.refused / r.asked:.1%}", f"{r.failed / r.asked:.1%}",
-            f"{r.largest_share:.2f}", " ".join(map(str, r.rules)), f"{r.cpu_us:.0f}",
-        ))  # fmt: skip
+        lines.append(
+            (
+                f"{s.servers:,}",
+                f"{s.nodes:,}",
+                s.policy,
+                f"{r.asked:,}",
+                f"{s.seconds:.1f}",
+                f"{r.service:.3f}",
+                f"{r.wait_mean_ms:.1f}",
+                f"{r.wait_p50_ms:.1f}",
+                f"{r.wait_p99_ms:.0f}",
+                f"{r.attempts / max(1, r.asked):.2f}",
+                f"{r.refused / r.asked:.1%}",
+                f"{r.failed / r.asked:.1%}",
+                f"{r.largest_share:.2f}",
+                " ".join(map(str, r.rules)),
+                f"{r.cpu_us:.0f}",
+            )
+        )
     return [f"| {' | '.join(line)} |" for line in lines]
 
 
--- a/benchmarks/scenario_comparison.py
+++ b/benchmarks/scenario_comparison.py
@@ -1,6 +1,7 @@
 """Fifty real nodes through the hard days of a fleet: what is served, when all is again, what it costs.
 
-    python -m benchmarks.scenario_comparison --nodes 50 --servers 40 [--before ../older/checkout] [--script herd]
+    python -m benchmarks.scenario_comparison --nodes 50 --servers 40 [--before ../older/checkout] [--script
+    herd]
     python -m benchmarks.scenario_comparison --script quiet --nodes 40 --servers 40 --rate 4 --seconds 120 \
         --failing 1
 
@@ -73,18 +74,31 @@
 
 
 def played(
-    name: str, nodes: int, servers: int, rate: float, seed: int, program: Path,
-    seconds: float | None = None, failing: int | None = None,
-) -> str:  # fmt: skip
+    name: str,
+    nodes: int,
+    servers: int,
+    rate: float,
+    seed: int,
+    program: Path,
+    seconds: float | None = None,
+    failing: int | None = None,
+) -> str:
     """One script, larger; its figures in a line."""
     small = sc.parse((SCRIPTS / f"{name}.toml").read_bytes())
-    faults = tuple(msgspec.structs.replace(row, names=None, part=row.part or len(row.names) / small.servers)
-                   if row.names else row for row in small.fault)  # fmt: skip
-    script = msgspec.structs.replace(small, nodes=nodes, servers=servers, rate=rate, fault=faults,
-                                     seconds=seconds or small.seconds)  # fmt: skip
+    faults = tuple(
+        msgspec.structs.replace(row, names=None, part=row.part or len(row.names) / small.servers)
+        if row.names
+        else row
+        for row in small.fault
+    )
+    script = msgspec.structs.replace(
+        small, nodes=nodes, servers=servers, rate=rate, fault=faults, seconds=seconds or small.seconds
+    )
     if failing is not None:
-        one = [msgspec.structs.replace(row, part=None, count=failing) if row.kind == "fail" else row
-               for row in script.fault]  # fmt: skip
+        one = [
+            msgspec.structs.replace(row, part=None, count=failing) if row.kind == "fail" else row
+            for row in script.fault
+        ]
         script = msgspec.structs.replace(script, fault=tuple(one))
     watch = Watch()
     with tempfile.TemporaryDirectory(prefix="balancer-fleet-") as directory:
@@ -119,8 +133,9 @@
     rows = []
     for name in args.script or names:
         for version, program in versions:
-            figures = played(name, args.nodes, args.servers, args.rate, args.seed, program, args.seconds,
-                             args.failing)
+            figures = played(
+                name, args.nodes, args.servers, args.rate, args.seed, program, args.seconds, args.failing
+            )
             rows.append(Row(f"{name}, {version}", figures))
     title = f"{args.nodes} nodes, {args.servers} servers, {args.rate:.0f} requests a second"
     print("\n".join(table(title, rows)))
--- a/benchmarks/shutdown_races.py
+++ b/benchmarks/shutdown_races.py
@@ -61,7 +61,9 @@
 
 def main(argv: Sequence[str] | None = None) -> int:
     """Play all blocks; the exit code."""
-    parser = argparse.ArgumentParser("python -m benchmarks.shutdown_races", description=__doc__.split("\n")[0])
+    parser = argparse.ArgumentParser(
+        "python -m benchmarks.shutdown_races", description=__doc__.split("\n")[0]
+    )
     parser.add_argument("--count", type=int, default=20_000, help="how many orders (20000)")
     parser.add_argument("--first", type=int, default=1, help="the first block's seed (1)")
     parser.add_argument("--jobs", type=int, default=4, help="processes (4)")
--- a/benchmarks/sparse_traffic.py
+++ b/benchmarks/sparse_traffic.py
@@ -35,9 +35,17 @@
     RequestClass("book", Effect.KEYED, 1_800, 5_000, share=0.32, work_ms=190),
 )
 BASE = Scenario(
-    servers=SERVERS, nodes=NODES, seconds=SECONDS, load=0.65, cores=3, room=6, list_ms=(100.0, 900.0),
-    site=replace(SITE, classes=CLASSES), live_ms=700.0, choke=Choke(),
-)  # fmt: skip
+    servers=SERVERS,
+    nodes=NODES,
+    seconds=SECONDS,
+    load=0.65,
+    cores=3,
+    room=6,
+    list_ms=(100.0, 900.0),
+    site=replace(SITE, classes=CLASSES),
+    live_ms=700.0,
+    choke=Choke(),
+)
 
 
 def _some(kind: str, part: float, at_ms: float, length_ms: float, size: float = 1.0) -> tuple[Trouble, ...]:
@@ -55,7 +63,7 @@
     "silence": replace(
         BASE, troubles=(Trouble("silence", 5_000, 8_000), Trouble("burst", 5_500, 2_500, size=1.8))
     ),
-}  # fmt: skip
+}
 
 
 @dataclass(slots=True, frozen=True)
@@ -73,16 +81,20 @@
     "limit": Question("least requests out at a node", "LIMIT_LEAST", (2.0, 3.0, 6.0), ("calm", "burst")),
     "hold": Question("usual times held for room", "HOLD", (0.5, 2.0, 3.0), ("calm", "burst")),
     "spare": Question(
-        "requests a core from which a server is spared", "SPARE", ((1.0, 2.5), (2.0, 3.0), (1e8, 1e9)),
+        "requests a core from which a server is spared",
+        "SPARE",
+        ((1.0, 2.5), (2.0, 3.0), (1e8, 1e9)),
         ("calm", "burst", "restarts", "silence"),
     ),
     "eject": Question(
-        "failures in a row that chance explains less often eject", "CHANCE", (0.1, 0.01, 0.0001),
+        "failures in a row that chance explains less often eject",
+        "CHANCE",
+        (0.1, 0.01, 0.0001),
         ("noise", "failing"),
     ),
     "cold": Question("part of a cold server's room that is used", "COLD_PART", (0.25, 0.75), ("restarts",)),
     "first": Question("first share of sends that are trusted", "THROTTLE", (1.1, 1.8), ("burst", "restarts")),
-}  # fmt: skip
+}
 
 
 @contextmanager
@@ -108,13 +120,16 @@
     """One line of a table."""
     broken = sum(sum(run.rules) for run in runs)
     cells = (
-        day, value, f"{mean(run.service for run in runs):.3f}",
+        day,
+        value,
+        f"{mean(run.service for run in runs):.3f}",
         f"{100 * mean(run.refused / run.asked for run in runs):.1f}%",
         f"{100 * mean(run.failed / run.asked for run in runs):.1f}%",
         f"{mean(run.chokes for run in runs):.1f}",
         f"{100 * mean(run.errors / run.attempts for run in runs):.1f}%",
-        f"{mean(run.largest_share for run in runs):.2f}", str(broken),
-    )  # fmt: skip
+        f"{mean(run.largest_share for run in runs):.2f}",
+        str(broken),
+    )
     return f"| {' | '.join(cells)} |"
 
 
--- a/benchmarks/startup.py
+++ b/benchmarks/startup.py
@@ -4,7 +4,8 @@
 
 In turn, in copies of the package: the loop and the parser alone (imported, a listener opened); the node with
 the byte code that `build` in deploy/balancer.toml makes; the same with a memory and a control socket by an
-operators' file (it needs the install snowloom-balancer[state]); the node that compiles its own source. Wall and CPU
+operators' file (it needs the install snowloom-balancer[state]); the node that compiles its own source.
+Wall and CPU
 time from the start of the process to the line "serves on", medians, and their ratio to the libraries.
 """
 
@@ -45,28 +46,38 @@
     classes = [{"name": "read", "effect": "retryable", "give-up": 4000, "objective": 3000}]
     limits = {"cancel": True, "conn-idle": 60_000, "connect-timeout": 1000, "most-tries": 4}
     settings = {
-        "request-classes": classes, "limits": limits | {"streams-per-conn": 1}, "zone": "a",
-        "load-info": {"how": "inline", "names": ["waiting"]}, "discovery": "automatic",
+        "request-classes": classes,
+        "limits": limits | {"streams-per-conn": 1},
+        "zone": "a",
+        "load-info": {"how": "inline", "names": ["waiting"]},
+        "discovery": "automatic",
         "rules": {"drain-grace": 2000, "answer-slack": 20},
-    }  # fmt: skip
+    }
     members = [
         {"id": f"s-{n}", "host_port": f"127.0.0.1:{9000 + n}", "phase": "in_service", "locality": "a"}
         for n in range(200)
     ]
     return {
-        "name": "n0", "listen": "127.0.0.1:0", "discovery": f"127.0.0.1:{discovery}", "seed": "1",
-        "limits": {"memory_mb": 80, "sockets": 640}, "settings": settings,
+        "name": "n0",
+        "listen": "127.0.0.1:0",
+        "discovery": f"127.0.0.1:{discovery}",
+        "seed": "1",
+        "limits": {"memory_mb": 80, "sockets": 640},
+        "settings": settings,
         "known": {"revision": 1, "complete": True, "members": members},
-    }  # fmt: skip
+    }
 
 
 def started(words: Sequence[str], folder: Path, env: dict[str, str], core: int | None) -> tuple[float, float]:
     """Seconds from the start of a process to its line, and of CPU time until it was killed right then."""
     before, begun = resource.getrusage(resource.RUSAGE_CHILDREN), time.perf_counter()
     process = subprocess.Popen(
-        [sys.executable, "-B", *words], cwd=folder, env=env, stderr=subprocess.PIPE,
+        [sys.executable, "-B", *words],
+        cwd=folder,
+        env=env,
+        stderr=subprocess.PIPE,
         preexec_fn=None if core is None else lambda: os.sched_setaffinity(0, {core}),
-    )  # fmt: skip
+    )
     assert process.stderr is not None
     while b"serves on" not in (line := process.stderr.readline()):
         if not line:
@@ -93,7 +104,11 @@
             shutil.copytree(ROOT / "balancer", folder / kind / "balancer", ignore=bare)
         mode = py_compile.PycInvalidationMode.CHECKED_HASH
         compileall.compile_dir(folder / "with", quiet=1, invalidation_mode=mode)
-        env = {k: v for k, v in os.environ.items() if not k.startswith(("PROXY_", "BALANCER_", "DILLPORT_", "PYTHON"))}
+        env = {
+            k: v
+            for k, v in os.environ.items()
+            if not k.startswith(("PROXY_", "BALANCER_", "DILLPORT_", "PYTHON"))
+        }
         env["PROXY_CONFIG"] = str(config)
         (folder / "state").mkdir()
         tables = f'[control]\nsocket = "{folder}/c.sock"\n[state]\ndirectory = "state"\n'
@@ -102,7 +117,8 @@
             "libraries alone": (["-c", ALONE], folder),
             "node with byte code": (["-m", "balancer"], folder / "with"),
             "the same, [control] and [state]": (
-                ["-m", "balancer", "--settings", str(folder / "s.toml")], folder / "with",
+                ["-m", "balancer", "--settings", str(folder / "s.toml")],
+                folder / "with",
             ),
             "node without": (["-m", "balancer"], folder / "without"),
         }
