--- a/benchmarks/timeline_overhead.py
+++ b/benchmarks/timeline_overhead.py
@@ -1,6 +1,7 @@
 """What the time line costs a whole node: CPU time of a request and memory, off and on by turns in one run.
 
-    python -m benchmarks.timeline_overhead [--quick] [--servers N] ... [--node-cores CORES] [--lab-cores CORES]
+    python -m benchmarks.timeline_overhead [--quick] [--servers N] ... [--node-cores CORES] [--lab-cores
+    CORES]
 
 The clients and stand-in servers are those of `benchmarks.proxies`. The figure is the median of the ratios of
 neighbouring runs: a machine whose speed drifts moves both. A further run on a node with a probe in its loop
@@ -42,14 +43,27 @@
 def entries_of(addresses: list[tuple[str, int]]) -> list[dict[str, Any]]:
     """The list."""
     return [
-        {"id": f"s-{n:08x}", "host_port": f"{host}:{port}", "locality": SITE.zones[n % 2], "flavor": "m",
-         "cell": n // 16, "phase": "in_service", "size": 2.0, "up_since_ms": 0}
+        {
+            "id": f"s-{n:08x}",
+            "host_port": f"{host}:{port}",
+            "locality": SITE.zones[n % 2],
+            "flavor": "m",
+            "cell": n // 16,
+            "phase": "in_service",
+            "size": 2.0,
+            "up_since_ms": 0,
+        }
         for n, (host, port) in enumerate(addresses)
-    ]  # fmt: skip
+    ]
 
 
-async def one(entries: list[dict[str, Any]], watched: bool, words: list[str], where: set[int], seconds: float,
-              ) -> tuple[float, float, float]:  # fmt: skip
+async def one(
+    entries: list[dict[str, Any]],
+    watched: bool,
+    words: list[str],
+    where: set[int],
+    seconds: float,
+) -> tuple[float, float, float]:
     """CPU us a request, memory in MB, and the longest stall in ms where there is a probe, of one run."""
     async with sources(entries, KNOWN, 1, SOCKETS) as told:
         settings = Path(told.env["BALANCER_SETTINGS"])
@@ -82,8 +96,9 @@
         spread = f"{min(ratios):.2f} to {max(ratios):.2f}"
         yield Row(
             f"{len(entries):,} servers: CPU us a request, off and on",
-            f"{median(cpu[0]):.0f}, {median(cpu[1]):.0f}; ratio {median(ratios):.3f} ({spread})", "1.05",
-        )  # fmt: skip
+            f"{median(cpu[0]):.0f}, {median(cpu[1]):.0f}; ratio {median(ratios):.3f} ({spread})",
+            "1.05",
+        )
         named = f"{len(entries):,} servers"
         yield Row(f"{named}: MB, off and on", f"{memory[0]:.1f}, {memory[1]:.1f}", "+24 at 1,000")
         yield Row(f"{named}: longest stall, off and on", f"{stalls[0]:.1f}, {stalls[1]:.1f} ms", "5")
@@ -91,7 +106,9 @@
 
 def main(argv: Sequence[str] | None = None) -> int:
     """The command; its exit code."""
-    parser = argparse.ArgumentParser(prog="benchmarks.timeline_overhead", description=__doc__.partition("\n")[0])
+    parser = argparse.ArgumentParser(
+        prog="benchmarks.timeline_overhead", description=__doc__.partition("\n")[0]
+    )
     parser.add_argument("--quick", action="store_true", help="shorter and once: to see that it runs")
     parser.add_argument("--servers", type=int, action="append", metavar="N", help="only at this size")
     parser.add_argument("--node-cores", type=cores, default=set(), metavar="CORES", help="for the node")
--- a/tests/cli/test_command_line.py
+++ b/tests/cli/test_command_line.py
@@ -52,9 +52,14 @@
     """The program's output for these words; `env` are further variables."""
     bare = {k: v for k, v in os.environ.items() if not k.startswith(("PROXY_", "BALANCER_", "DILLPORT_"))}
     return subprocess.run(
-        [sys.executable, "-B", "-m", "balancer", *map(str, words)], cwd=ROOT, capture_output=True, text=True,
-        env=bare | {k: str(v) for k, v in env.items()}, timeout=WAIT, check=False,
-    )  # fmt: skip
+        [sys.executable, "-B", "-m", "balancer", *map(str, words)],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        env=bare | {k: str(v) for k, v in env.items()},
+        timeout=WAIT,
+        check=False,
+    )
 
 
 @pytest.fixture
@@ -124,12 +129,24 @@
 @pytest.mark.parametrize(
     ("words", "node"),
     [
-        ("", ""), ("run", ""), ("--settings a", "a"), ("run --settings a", "a"), ("--settings a run", "a"),
-        ("--settings a run --settings b", "b"), ("--settings run", "run"), ("check", None), ("run run", None),
-        ("--settings", None), ("--settings --json", None), ("run --help", None), ("--settings=a", None),
-        ("--settings a check", None), ("run a", None), ("--version", None),
+        ("", ""),
+        ("run", ""),
+        ("--settings a", "a"),
+        ("run --settings a", "a"),
+        ("--settings a run", "a"),
+        ("--settings a run --settings b", "b"),
+        ("--settings run", "run"),
+        ("check", None),
+        ("run run", None),
+        ("--settings", None),
+        ("--settings --json", None),
+        ("run --help", None),
+        ("--settings=a", None),
+        ("--settings a check", None),
+        ("run a", None),
+        ("--version", None),
     ],
-)  # fmt: skip
+)
 def test_a_start_is_told_from_the_other_words_as_the_command_line_does(
     words: str, node: str | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -177,9 +194,11 @@
     got = says("check", "--settings", settings, PROXY_CONFIG=config)
     assert (got.returncode, got.stderr) == (0, "")
     for part in (
-        "2 servers known", "3 classes: read, pay, once", f"control: a control socket at {tmp_path}/c.sock",
+        "2 servers known",
+        "3 classes: read, pay, once",
+        f"control: a control socket at {tmp_path}/c.sock",
         "membership.etcd: etcd at http://127.0.0.1:2379",
-    ):  # fmt: skip
+    ):
         assert part in got.stdout
     bare = says("check", PROXY_CONFIG=config)
     assert bare.returncode == 0 and "settings: none" in bare.stdout
@@ -212,7 +231,9 @@
     assert missing.returncode == 2 and "none.toml': No such file" in missing.stderr
 
 
-def test_deprecated_settings_variable_is_read_where_the_new_one_is_not_set(config: Path, tmp_path: Path) -> None:
+def test_deprecated_settings_variable_is_read_where_the_new_one_is_not_set(
+    config: Path, tmp_path: Path
+) -> None:
     old = written(tmp_path / "old.toml", f"[control]\nsocket = '{tmp_path}/old.sock'\n")
     new = written(tmp_path / "new.toml", f"[control]\nsocket = '{tmp_path}/new.sock'\n")
     alone = says("check", PROXY_CONFIG=config, DILLPORT_SETTINGS=old)
@@ -229,9 +250,13 @@
     ],
 )
 def test_deprecated_settings_variable_is_named_in_one_log_line(
-    config: Path, tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture,
-    new: str, said: str,
-) -> None:  # fmt: skip
+    config: Path,
+    tmp_path: Path,
+    monkeypatch: pytest.MonkeyPatch,
+    caplog: pytest.LogCaptureFixture,
+    new: str,
+    said: str,
+) -> None:
     def close(work: Coroutine[Any, Any, None]) -> None:
         work.close()
 
@@ -287,8 +312,11 @@
 def test_a_reader_that_leaves_early_is_no_trouble(config: Path) -> None:
     got = subprocess.run(
         ["/bin/sh", "-c", f"{sys.executable} -B -m balancer members | true"],
-        cwd=ROOT, env=os.environ | {"PROXY_CONFIG": str(config)}, capture_output=True, check=False,
-    )  # fmt: skip
+        cwd=ROOT,
+        env=os.environ | {"PROXY_CONFIG": str(config)},
+        capture_output=True,
+        check=False,
+    )
     assert got.stderr == b""
 
 
--- a/tests/cli/test_state_commands.py
+++ b/tests/cli/test_state_commands.py
@@ -86,10 +86,14 @@
     tmp_path: Path, capsys: pytest.CaptureFixture[str], as_json: bool
 ) -> None:
     told: dict[str, Any] = {
-        "state": "provisional", "since": 5, "incarnation": 2, "memory": "kept", "waits_for": ["a source"],
+        "state": "provisional",
+        "since": 5,
+        "incarnation": 2,
+        "memory": "kept",
+        "waits_for": ["a source"],
         "phases": [{"name": "imports", "ms": 20.0}],
         "store": {"directory": "/d", "open": True, "trouble": "it is full"},
-    }  # fmt: skip
+    }
 
     async def test() -> tuple[int, str, str]:
         control = Control()
--- a/tests/compatibility/datagrams.py
+++ b/tests/compatibility/datagrams.py
@@ -14,9 +14,20 @@
     ("d", 0, 0, "host.internal:80", 0),
 )
 GOES_BY = (
-    "node-7", 11, 2, 300, 3, 5, 70_000, 200, 0xDEADBEEF, (0x01020304, 0xFFFFFFFF), "0.1.0", "zone-b",
+    "node-7",
+    11,
+    2,
+    300,
+    3,
+    5,
+    70_000,
+    200,
+    0xDEADBEEF,
+    (0x01020304, 0xFFFFFFFF),
+    "0.1.0",
+    "zone-b",
     (("platform", 4, 99, 1), ("etcd", 0xFFFFFFFF, 2**64 - 1, 2), ("x", 1, 2, 3)),
-)  # fmt: skip
+)
 COUNTED = (3, 12, 11, True, False, ((1, 5, False), (2, 2**32 - 1, True)))
 DIGESTS = [(0, 0), (17, 2**48 - 1), (65_535, 123_456_789_012)]
 LEAF = (9, [(2**64 - 1, 2**48 - 1), (0, 1)])
--- a/tests/compatibility/exported_names.py
+++ b/tests/compatibility/exported_names.py
@@ -89,9 +89,15 @@
 def stored_names() -> dict[str, Any]:
     """Tables, the order of the fields of each row, and numbers of the file formats."""
     rows: dict[str, type[msgspec.Struct]] = {
-        "self": kept.Self, "view": kept.Server, "ends": kept.End, "sources": kept.Source, "usual": kept.Usual,
-        "limit": kept.Limit, "weights": kept.Weight, "ejections": kept.Ejection,
-    }  # fmt: skip
+        "self": kept.Self,
+        "view": kept.Server,
+        "ends": kept.End,
+        "sources": kept.Source,
+        "usual": kept.Usual,
+        "limit": kept.Limit,
+        "weights": kept.Weight,
+        "ejections": kept.Ejection,
+    }
     return {
         "tables": list(kept.TABLES),
         "urgent": sorted(kept.URGENT),
@@ -101,9 +107,14 @@
         "gossip_version": gossip.VERSION,
         "gossip_size": gossip.SIZE,
         "sections": [
-            goes_by.GOES_BY, goes_by.COUNTED, goes_by.HALVES, goes_by.LEAF, goes_by.OUT, goes_by.SINCE,
+            goes_by.GOES_BY,
+            goes_by.COUNTED,
+            goes_by.HALVES,
+            goes_by.LEAF,
+            goes_by.OUT,
+            goes_by.SINCE,
         ],
-    }  # fmt: skip
+    }
 
 
 def metric_names() -> dict[str, list[str]]:
@@ -169,9 +180,15 @@
 
 async def _run(environment: dict[str, str], *words: str) -> list[Any]:
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "balancer", *words, cwd=ROOT, env=environment,
-        stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.PIPE,
-    )  # fmt: skip
+        sys.executable,
+        "-m",
+        "balancer",
+        *words,
+        cwd=ROOT,
+        env=environment,
+        stdout=asyncio.subprocess.PIPE,
+        stderr=asyncio.subprocess.PIPE,
+    )
     out, errors = await process.communicate()
     assert process.returncode == 0, (words, errors.decode())
     text, found = out.decode().strip(), []
@@ -203,8 +220,10 @@
         "recovery": ["recovery", "--json"],
         "state show": ["state", "show", "--directory", str(directory), "--json"],
     }
-    return {name: sorted({path for told in await _run(environment, *words) for path in shape(told)})
-            for name, words in commands.items()}  # fmt: skip
+    return {
+        name: sorted({path for told in await _run(environment, *words) for path in shape(told)})
+        for name, words in commands.items()
+    }
 
 
 async def json_keys(folder: Path) -> dict[str, list[str]]:
--- a/tests/compatibility/stored_data.py
+++ b/tests/compatibility/stored_data.py
@@ -132,9 +132,7 @@
     verified = [line.replace(str(directory), "DIRECTORY") for line in inspect.verify(str(directory))]
     engine = Engine(Real(), str(directory), lambda: READ_MS, segment=16_000)
     opened = engine.open()
-    tables = {
-        table: {key: row.value for key, row in rows.items()} for table, rows in engine.tables.items()
-    }
+    tables = {table: {key: row.value for key, row in rows.items()} for table, rows in engine.tables.items()}
     recalls = {}
     for node, now_ms in (("n0", READ_MS), ("n0", WROTE_MS - 5_000), ("other", READ_MS)):
         found = recall(tables, opened.found, opened.older, opened.wrote_ms, node, now_ms, MAX_AGE_MS)
--- a/tests/core/anomaly_detection/test_detector.py
+++ b/tests/core/anomaly_detection/test_detector.py
@@ -41,18 +41,23 @@
             n = sum(rng.random() < self.rate / 40 for _ in range(20))
             bad = sum(rng.random() < errors for _ in range(n))
             row.errors += bad
-            logs = [math.log(usual * factors.get(cls, 1.0)) + self.own[name] + rng.gauss(0, 0.6)
-                    for _ in range(n - bad)]  # fmt: skip
+            logs = [
+                math.log(usual * factors.get(cls, 1.0)) + self.own[name] + rng.gauss(0, 0.6)
+                for _ in range(n - bad)
+            ]
             if logs:
                 row.times[cls] = (len(logs), sum(logs), sum(x * x for x in logs))
                 row.answers += len(logs)
         return row
 
-    def play(self, seconds: int,
-             factors: Callable[[str, int], dict[str, float]] = lambda name, at: {},
-             errors: Callable[[str], float] = lambda name: 0.001,
-             alter: Callable[[Row], Row | None] = lambda r: r,
-             stall_ms: float = 0.0) -> list[Told]:  # fmt: skip
+    def play(
+        self,
+        seconds: int,
+        factors: Callable[[str, int], dict[str, float]] = lambda name, at: {},
+        errors: Callable[[str], float] = lambda name: 0.001,
+        alter: Callable[[Row], Row | None] = lambda r: r,
+        stall_ms: float = 0.0,
+    ) -> list[Told]:
         """So many seconds; what was told in them."""
         before = len(self.told)
         for at in range(seconds):
@@ -189,8 +194,11 @@
 def test_nothing_that_the_node_did_raises_one() -> None:
     """A server that is left alone has no rows; the others have more, and are a little slower, all alike."""
     streams = Streams(15).calm()
-    told = streams.play(60, lambda name, at: dict.fromkeys(USUAL, 1.15),
-                        alter=lambda row: None if row.server in ("s1", "s2", "s3") else row)  # fmt: skip
+    told = streams.play(
+        60,
+        lambda name, at: dict.fromkeys(USUAL, 1.15),
+        alter=lambda row: None if row.server in ("s1", "s2", "s3") else row,
+    )
     assert began(told) == []
 
 
--- a/tests/core/cluster/test_failure_detector.py
+++ b/tests/core/cluster/test_failure_detector.py
@@ -101,13 +101,23 @@
 
 
 @given(
-    st.integers(0, 9), st.integers(0, 2**32 - 1), st.sampled_from(["a", "b", ""]),
+    st.integers(0, 9),
+    st.integers(0, 2**32 - 1),
+    st.sampled_from(["a", "b", ""]),
     st.sampled_from([A, C, "", "x:y"]),
-    st.lists(st.tuples(
-        st.sampled_from(["a", "b", "c", "", "ä" * 32]), st.integers(0, 255), st.integers(0, 2**32 - 1),
-        st.sampled_from([A, B, "", "x" * 64]), st.integers(0, 65_535),
-    ), max_size=5), st.integers(0, 2**32 - 1), st.booleans(),
-)  # fmt: skip
+    st.lists(
+        st.tuples(
+            st.sampled_from(["a", "b", "c", "", "ä" * 32]),
+            st.integers(0, 255),
+            st.integers(0, 2**32 - 1),
+            st.sampled_from([A, B, "", "x" * 64]),
+            st.integers(0, 65_535),
+        ),
+        max_size=5,
+    ),
+    st.integers(0, 2**32 - 1),
+    st.booleans(),
+)
 def test_no_message_raises_and_every_answer_fits(
     kind: int, seq: int, target: str, address: str, words: list[Word], its: int, fresh: bool
 ) -> None:
--- a/tests/core/cluster/test_gossiped_removals.py
+++ b/tests/core/cluster/test_gossiped_removals.py
@@ -61,11 +61,18 @@
 @pytest.mark.parametrize(
     ("in_sync", "senders", "hearing", "taken"),
     [
-        (True, "b", 10, 0), (True, "bb", 10, 0), (False, "b", 10, 0), (True, "b", 1, 0), (False, "b", 1, 2),
-        (True, "bc", 10, 5), (False, "bc", 10, 5), (False, "bcdefg", 10, 20), (False, "bc", 3, 20),
+        (True, "b", 10, 0),
+        (True, "bb", 10, 0),
+        (False, "b", 10, 0),
+        (True, "b", 1, 0),
+        (False, "b", 1, 2),
+        (True, "bc", 10, 5),
+        (False, "bc", 10, 5),
+        (False, "bcdefg", 10, 20),
+        (False, "bc", 3, 20),
         (True, "bc", 3, 5),
     ],
-)  # fmt: skip
+)
 def test_how_many_are_taken_by_whose_word(in_sync: bool, senders: str, hearing: int, taken: int) -> None:
     assert len(told(node(1, in_sync), 0, senders, *VIEW, words=hearing)) == taken
 
@@ -150,8 +157,10 @@
     st.tuples(
         st.sampled_from("bcdx"), st.integers(0, 25), st.integers(1, 30), st.booleans(), st.integers(5, 6)
     ),
-    st.integers(1, 20), st.booleans(), st.floats(0, 6_000),
-)  # fmt: skip
+    st.integers(1, 20),
+    st.booleans(),
+    st.floats(0, 6_000),
+)
 
 
 @settings(max_examples=200, deadline=None)
@@ -203,8 +212,9 @@
     assert first.listing.complete  # the source begins anew
 
 
-@pytest.mark.parametrize(("hears", "rule", "knows"), [(9, Rule.TAKEN, True), (1, Rule.TAKEN, True),
-                                                      (9, Rule.NOBODY, False)])  # fmt: skip
+@pytest.mark.parametrize(
+    ("hears", "rule", "knows"), [(9, Rule.TAKEN, True), (1, Rule.TAKEN, True), (9, Rule.NOBODY, False)]
+)
 def test_one_cut_off_from_discovery_hears_of_a_drain_and_of_a_removal(
     hears: int, rule: Rule, knows: bool
 ) -> None:
--- a/tests/core/cluster/test_node_state.py
+++ b/tests/core/cluster/test_node_state.py
@@ -56,8 +56,11 @@
 
 WORDS = st.builds(
     lambda its, edition, revision, digest: goes("b", 1, revision, digest, incarnation=its, edition=edition),
-    st.integers(1, 2), st.integers(1, 3), st.integers(1, 3), st.integers(0, 2),
-)  # fmt: skip
+    st.integers(1, 2),
+    st.integers(1, 3),
+    st.integers(1, 3),
+    st.integers(0, 2),
+)
 
 
 def node(*others: Goes, mine: Goes | None = None) -> Views:
@@ -208,8 +211,9 @@
 @settings(max_examples=60, deadline=None)
 @given(
     st.dictionaries(st.integers(0, 60), st.integers(1, 3)),
-    st.dictionaries(st.integers(0, 60), st.integers(1, 3)), st.integers(1, 4),
-)  # fmt: skip
+    st.dictionaries(st.integers(0, 60), st.integers(1, 3)),
+    st.integers(1, 4),
+)
 def test_what_differs_is_found_and_nothing_else(
     one: dict[int, int], other: dict[int, int], down: int
 ) -> None:
@@ -260,9 +264,10 @@
     (
         Saw(0, ("b",), False, {"z": (4, 4)}),
         dict.fromkeys((From.PEERS, From.DISCOVERY, From.SERVERS, From.ALL), Verdict.UNKNOWN),
-        Roles.END, False,
+        Roles.END,
+        False,
     ),
-]  # fmt: skip
+]
 
 
 @pytest.mark.parametrize(("saw", "of", "roles", "keeps"), CASES)
--- a/tests/core/cluster/test_quota_allocation.py
+++ b/tests/core/cluster/test_quota_allocation.py
@@ -211,12 +211,16 @@
 
 NODE = st.integers(0, 4)
 STEP = st.one_of(
-    st.tuples(st.just("tell"), NODE, NODE), st.tuples(st.just("late"), NODE, NODE),
-    st.tuples(st.just("arrive"), NODE, NODE), st.tuples(st.just("meet"), st.integers(0, 31), NODE),
-    st.tuples(st.just("wait"), st.integers(0, 5), NODE), st.tuples(st.just("restart"), NODE, NODE),
-    st.tuples(st.just("forget"), NODE, NODE), st.tuples(st.just("leave"), NODE, st.integers(0, 31)),
+    st.tuples(st.just("tell"), NODE, NODE),
+    st.tuples(st.just("late"), NODE, NODE),
+    st.tuples(st.just("arrive"), NODE, NODE),
+    st.tuples(st.just("meet"), st.integers(0, 31), NODE),
+    st.tuples(st.just("wait"), st.integers(0, 5), NODE),
+    st.tuples(st.just("restart"), NODE, NODE),
+    st.tuples(st.just("forget"), NODE, NODE),
+    st.tuples(st.just("leave"), NODE, st.integers(0, 31)),
     st.tuples(st.just("stood"), NODE, NODE),
-)  # fmt: skip
+)
 WAITS = (1_000.0, 5_000.0, 9_000.0, 11_000.0, BAR_MS, FALL_MS)
 
 
--- a/tests/core/discovery/test_endpoint_merger.py
+++ b/tests/core/discovery/test_endpoint_merger.py
@@ -27,8 +27,13 @@
 def member(name: str, phase: Phase = UP, port: int = 0, **over: Any) -> Member:
     """An entry; its port follows from its name."""
     table: dict[str, Any] = {
-        "backend": name, "zone": "a", "cell": 0, "weight": 1.0, "phase": phase, "started_at": 0.0,
-    }  # fmt: skip
+        "backend": name,
+        "zone": "a",
+        "cell": 0,
+        "weight": 1.0,
+        "phase": phase,
+        "started_at": 0.0,
+    }
     return Member(Entry(**(table | over)), ("127.0.0.1", port or 1000 + sum(map(ord, name))))
 
 
@@ -230,33 +235,60 @@
 # What holds where the first source and the second say so, by the role of the second (the first may do all).
 TABLE = {
     Role.FULL: {
-        ("nothing", "nothing"): None, ("nothing", "up"): "up",
-        ("nothing", "draining"): "draining", ("nothing", "removed"): None,
-        ("up", "nothing"): "up", ("up", "up"): "up", ("up", "draining"): "draining", ("up", "removed"): None,
-        ("draining", "nothing"): "draining", ("draining", "up"): "draining",
-        ("draining", "draining"): "draining", ("draining", "removed"): None,
-        ("removed", "nothing"): None, ("removed", "up"): None,
-        ("removed", "draining"): None, ("removed", "removed"): None,
+        ("nothing", "nothing"): None,
+        ("nothing", "up"): "up",
+        ("nothing", "draining"): "draining",
+        ("nothing", "removed"): None,
+        ("up", "nothing"): "up",
+        ("up", "up"): "up",
+        ("up", "draining"): "draining",
+        ("up", "removed"): None,
+        ("draining", "nothing"): "draining",
+        ("draining", "up"): "draining",
+        ("draining", "draining"): "draining",
+        ("draining", "removed"): None,
+        ("removed", "nothing"): None,
+        ("removed", "up"): None,
+        ("removed", "draining"): None,
+        ("removed", "removed"): None,
     },
     Role.ADD: {
-        ("nothing", "nothing"): None, ("nothing", "up"): "up",
-        ("nothing", "draining"): "draining", ("nothing", "removed"): None,
-        ("up", "nothing"): "up", ("up", "up"): "up", ("up", "draining"): "up", ("up", "removed"): "up",
-        ("draining", "nothing"): "draining", ("draining", "up"): "draining",
-        ("draining", "draining"): "draining", ("draining", "removed"): "draining",
-        ("removed", "nothing"): None, ("removed", "up"): None,
-        ("removed", "draining"): None, ("removed", "removed"): None,
+        ("nothing", "nothing"): None,
+        ("nothing", "up"): "up",
+        ("nothing", "draining"): "draining",
+        ("nothing", "removed"): None,
+        ("up", "nothing"): "up",
+        ("up", "up"): "up",
+        ("up", "draining"): "up",
+        ("up", "removed"): "up",
+        ("draining", "nothing"): "draining",
+        ("draining", "up"): "draining",
+        ("draining", "draining"): "draining",
+        ("draining", "removed"): "draining",
+        ("removed", "nothing"): None,
+        ("removed", "up"): None,
+        ("removed", "draining"): None,
+        ("removed", "removed"): None,
     },
     Role.REMOVE: {
-        ("nothing", "nothing"): None, ("nothing", "up"): None,
-        ("nothing", "draining"): None, ("nothing", "removed"): None,
-        ("up", "nothing"): "up", ("up", "up"): "up", ("up", "draining"): "draining", ("up", "removed"): None,
-        ("draining", "nothing"): "draining", ("draining", "up"): "draining",
-        ("draining", "draining"): "draining", ("draining", "removed"): None,
-        ("removed", "nothing"): None, ("removed", "up"): None,
-        ("removed", "draining"): None, ("removed", "removed"): None,
+        ("nothing", "nothing"): None,
+        ("nothing", "up"): None,
+        ("nothing", "draining"): None,
+        ("nothing", "removed"): None,
+        ("up", "nothing"): "up",
+        ("up", "up"): "up",
+        ("up", "draining"): "draining",
+        ("up", "removed"): None,
+        ("draining", "nothing"): "draining",
+        ("draining", "up"): "draining",
+        ("draining", "draining"): "draining",
+        ("draining", "removed"): None,
+        ("removed", "nothing"): None,
+        ("removed", "up"): None,
+        ("removed", "draining"): None,
+        ("removed", "removed"): None,
     },
-}  # fmt: skip
+}
 
 
 @pytest.mark.parametrize("role", Role)
@@ -365,8 +397,9 @@
     assert report["sources"][0]["unreadable"] == 2
     assert report["faults"] == [{"source": "platform", "key": "a", "reason": "no port"}]
     assert [line.text for line in rig.lines] == [
-        "platform: entry 'c' left out: phase is 'odd'", "platform: entry 'a' left out: no port",
-    ]  # fmt: skip
+        "platform: entry 'c' left out: phase is 'odd'",
+        "platform: entry 'a' left out: no port",
+    ]
     rig.list("platform", changes(3, member("a", weight=2.0)))
     assert rig.told["a"].entry.weight == 2.0 and not report_of(rig.membership)["faults"]
     rig.list("platform", whole(4, member("b")))
--- a/tests/core/discovery/test_etcd_watcher.py
+++ b/tests/core/discovery/test_etcd_watcher.py
@@ -88,9 +88,14 @@
         self.do(CallFailed(self.call(kind), why, "test"))
 
     def page(
-        self, revision: int, *rows: ef.Row, cluster: str = "1", last: bytes = b"z", more: bool = False,
+        self,
+        revision: int,
+        *rows: ef.Row,
+        cluster: str = "1",
+        last: bytes = b"z",
+        more: bool = False,
         keys: int | None = None,
-    ) -> None:  # fmt: skip
+    ) -> None:
         at, count = Position(cluster, revision), len(rows) if keys is None else keys
         self.do(ef.PageAnswered(self.call(ef.Range), at, rows, last, more, count))
 
@@ -1283,9 +1288,22 @@
 @given(*CASES)
 @example(4848, 2, [(0, 151), (6, 130), (0, 191), (6, 101), (2, 47), (4, 13)])
 @example(4848, 2, [(0, 151), (6, 130), (0, 191), (6, 101), (2, 47), (4, 1)])
-@example(2187, 2, [
-    (2, 4), (0, 1659), (2, 3848), (2, 4000), (0, 358), (3, 1), (2, 2588), (6, 166), (2, 168), (4, 240),
-])  # fmt: skip
+@example(
+    2187,
+    2,
+    [
+        (2, 4),
+        (0, 1659),
+        (2, 3848),
+        (2, 4000),
+        (0, 358),
+        (3, 1),
+        (2, 2588),
+        (6, 166),
+        (2, 168),
+        (4, 240),
+    ],
+)
 def test_what_is_delivered_is_a_state_that_etcd_had(
     seed: int, endpoints: int, steps: list[tuple[int, int]]
 ) -> None:
--- a/tests/core/persistence/test_write_behind.py
+++ b/tests/core/persistence/test_write_behind.py
@@ -86,7 +86,7 @@
 
     @rule(
         names=st.sets(st.sampled_from("abcdef"), min_size=1), what=st.sampled_from(["up", "draining", "gone"])
-    )  # fmt: skip
+    )
     def changed(self, names: set[str], what: str) -> None:
         self.revision += 1
         order = sorted(names)
@@ -275,9 +275,10 @@
 
 def test_a_clock_a_day_back_or_ahead_is_clamped_and_said() -> None:
     rows: dict[tuple[str, str], Kept] = {
-        ("view", "a"): server(), ("ejections", "a"): Ejection(NOW + 5_000, 1, NOW),
+        ("view", "a"): server(),
+        ("ejections", "a"): Ejection(NOW + 5_000, 1, NOW),
         ("limit", "node"): Limit(9, NOW),
-    }  # fmt: skip
+    }
     back = recalled(rows, NOW - DAY_MS)
     assert back.view["a"].age_ms == 0 and back.clock_behind_ms == DAY_MS and "86400 s behind" in back.said[0]
     assert back.ejections == {"a": 5_000} and back.limit is not None
--- a/tests/core/test_recovery.py
+++ b/tests/core/test_recovery.py
@@ -154,9 +154,14 @@
     assert node.handle(10_000.0, r.OthersKnew(8)) == [] and node.incarnation == 8
 
 
-@pytest.mark.parametrize(("kept", "fault", "memory"), [
-    (KEPT, "", Memory.OLDER), (None, "", Memory.OLDER), (None, "spoiled", Memory.LOST),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("kept", "fault", "memory"),
+    [
+        (KEPT, "", Memory.OLDER),
+        (None, "", Memory.OLDER),
+        (None, "spoiled", Memory.LOST),
+    ],
+)
 def test_a_pause_counts_whether_it_comes_before_or_after_what_was_kept_is_read(
     kept: r.Kept | None, fault: str, memory: Memory
 ) -> None:
@@ -239,10 +244,19 @@
 
 STARTS = [(None, ""), (None, "torn"), (KEPT, ""), (r.Kept(7, -9 * DAY), "")]
 STORY: list[r.Event] = [
-    r.ViewChanged(0, 0), r.ViewChanged(4, 0), r.ViewChanged(4, 4), r.SourceSpoke(), r.StoodStill(5_000.0),
-    r.OthersKnew(0), r.OthersKnew(7), r.OthersKnew(8), r.OthersKnew(20), r.Reminded(), r.Due(),
+    r.ViewChanged(0, 0),
+    r.ViewChanged(4, 0),
+    r.ViewChanged(4, 4),
+    r.SourceSpoke(),
+    r.StoodStill(5_000.0),
+    r.OthersKnew(0),
+    r.OthersKnew(7),
+    r.OthersKnew(8),
+    r.OthersKnew(20),
+    r.Reminded(),
+    r.Due(),
     r.Ended("read", End.SERVED),
-]  # fmt: skip
+]
 
 
 def test_no_story_of_four_events_breaks_what_must_always_hold() -> None:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -40,8 +40,13 @@
 def entry(name: str, **over: Any) -> api.Entry:
     """A listed backend, warm and up unless told otherwise."""
     table: dict[str, Any] = {
-        "backend": name, "zone": "a", "cell": 0, "weight": 1.0, "phase": api.Phase.UP, "started_at": 0.0,
-    }  # fmt: skip
+        "backend": name,
+        "zone": "a",
+        "cell": 0,
+        "weight": 1.0,
+        "phase": api.Phase.UP,
+        "started_at": 0.0,
+    }
     return api.Entry(**(table | over))
 
 
@@ -117,9 +122,8 @@
     def overdue(self, now: float) -> list[str]:
         """Requests that should have had their final answer by now."""
         return [
-            name for name, r in self.seen.items()
-            if not r.ended and now > r.deadline + self.cfg.answer_slack
-        ]  # fmt: skip
+            name for name, r in self.seen.items() if not r.ended and now > r.deadline + self.cfg.answer_slack
+        ]
 
     def _send(self, now: float, act: api.Send) -> None:
         r = self.seen[act.request]
--- a/tests/net/test_any_settings.py
+++ b/tests/net/test_any_settings.py
@@ -18,9 +18,15 @@
 
 IDS = ["s-1", "7", "b 2", "ø/日本", "a\nb", "x" * 256, "%s", "{0}"]
 ROWS: list[dict[str, Any]] = [
-    {"locality": ""}, {"locality": "zürich 1", "cell": 10**18}, {"cell": -3, "size": 0}, {"size": 1e300},
-    {"flavor": "", "up_since_ms": 1.5}, {"up_since_ms": 10**13}, {"size": 1e-300}, {"new": [None, {}]},
-]  # fmt: skip
+    {"locality": ""},
+    {"locality": "zürich 1", "cell": 10**18},
+    {"cell": -3, "size": 0},
+    {"size": 1e300},
+    {"flavor": "", "up_since_ms": 1.5},
+    {"up_since_ms": 10**13},
+    {"size": 1e-300},
+    {"new": [None, {}]},
+]
 
 
 @pytest.mark.parametrize("seed", range(12))
--- a/tests/net/test_backend_pool.py
+++ b/tests/net/test_backend_pool.py
@@ -402,10 +402,13 @@
         (b"HTTP/1.1 102 P\r\n\r\n" + answer(b"", "503 Busy", "Not-Started: 1"), Status.FULL, True),
         (b"HTTP/1.1 103 E\r\nContent-Length: 9000000\r\n\r\n" + answer(b"mine"), Status.OK, True),
         (b"HTTP/1.1 102 P\r\nNot-Started: 1\r\n\r\n" + answer(b"", "503 Busy"), Status.ERROR, True),
-        (b"HTTP/1.1 503 Busy\r\nTransfer-Encoding: chunked\r\n\r\n0\r\nNot-Started: 1\r\n\r\n",
-         Status.ERROR, True),
+        (
+            b"HTTP/1.1 503 Busy\r\nTransfer-Encoding: chunked\r\n\r\n0\r\nNot-Started: 1\r\n\r\n",
+            Status.ERROR,
+            True,
+        ),
     ],
-)  # fmt: skip
+)
 def test_what_stands_round_an_answer(text: bytes, status: Status, kept: bool) -> None:
     """In one packet, and byte by byte up to the answer's end."""
 
--- a/tests/net/test_bulk_update.py
+++ b/tests/net/test_bulk_update.py
@@ -65,9 +65,14 @@
         discovery = Answers(b"200 OK", body)
         await discovery.start()
         PlatformSource(
-            ("127.0.0.1", discovery.port), False, 1000.0, self.node.now,
-            lambda event: self.fleet.hand(self.here(event)), lambda: None, lambda: None,
-        ).fetch()  # fmt: skip
+            ("127.0.0.1", discovery.port),
+            False,
+            1000.0,
+            self.node.now,
+            lambda event: self.fleet.hand(self.here(event)),
+            lambda: None,
+            lambda: None,
+        ).fetch()
 
     def here(self, event: m.Event) -> m.Event:
         """All discoveries are one."""
--- a/tests/net/test_client_gone.py
+++ b/tests/net/test_client_gone.py
@@ -171,8 +171,13 @@
                 sock, _ = await loop.sock_accept(server)
                 sock.setblocking(False)
                 out = front.node.open
-                await until(lambda: [r for r in out.values() if (a := r.attempts[0].attempt) and a.connection
-                                     and a.connection.blocked])  # fmt: skip
+                await until(
+                    lambda: [
+                        r
+                        for r in out.values()
+                        if (a := r.attempts[0].attempt) and a.connection and a.connection.blocked
+                    ]
+                )
                 await go(front, client, how)
                 came = 0
                 with contextlib.suppress(ConnectionError):
--- a/tests/net/test_cluster.py
+++ b/tests/net/test_cluster.py
@@ -266,11 +266,15 @@
 @pytest.mark.parametrize(
     ("text", "family", "found"),
     [
-        ("10.0.0.1:7", socket.AF_INET, ("10.0.0.1", 7)), ("[::1]:7", socket.AF_INET6, ("::1", 7)),
-        ("localhost:7", socket.AF_INET, None), ("[::1]:7", socket.AF_INET, None), ("", socket.AF_INET, None),
-        ("10.0.0.1:70000", socket.AF_INET, None), ("10.0.0.1:0", socket.AF_INET, None),
+        ("10.0.0.1:7", socket.AF_INET, ("10.0.0.1", 7)),
+        ("[::1]:7", socket.AF_INET6, ("::1", 7)),
+        ("localhost:7", socket.AF_INET, None),
+        ("[::1]:7", socket.AF_INET, None),
+        ("", socket.AF_INET, None),
+        ("10.0.0.1:70000", socket.AF_INET, None),
+        ("10.0.0.1:0", socket.AF_INET, None),
     ],
-)  # fmt: skip
+)
 def test_a_name_is_never_looked_up(text: str, family: int, found: object) -> None:
     assert net._target(text, family) == found
 
--- a/tests/net/test_graceful_shutdown.py
+++ b/tests/net/test_graceful_shutdown.py
@@ -453,9 +453,12 @@
 @WAYS
 @pytest.mark.parametrize("answer_first", [True, False])
 def test_clients_that_leave_in_a_burst_as_their_answers_come_leave_nothing(
-    tmp_path: Path, new_loop: NewLoop, leave: Callable[[socket.socket], None], answer_first: bool,
+    tmp_path: Path,
+    new_loop: NewLoop,
+    leave: Callable[[socket.socket], None],
+    answer_first: bool,
     caplog: pytest.LogCaptureFixture,
-) -> None:  # fmt: skip
+) -> None:
     """Answers and leavings lie in the kernel before the node's loop turns."""
     waiting: list[tuple[Backend, Message, asyncio.StreamWriter]] = []
 
--- a/tests/net/test_http_server.py
+++ b/tests/net/test_http_server.py
@@ -67,9 +67,13 @@
 
 @contextlib.asynccontextmanager
 async def fronting(
-    tmp: Path, *backends: Backend, limit: int = 50, budget: int = 1 << 20, over: int = OVER,
+    tmp: Path,
+    *backends: Backend,
+    limit: int = 50,
+    budget: int = 1 << 20,
+    over: int = OVER,
     settings: Mapping[str, Any] = MappingProxyType({}),
-) -> AsyncIterator[Front]:  # fmt: skip
+) -> AsyncIterator[Front]:
     """A front with its node in this process; `settings` replace others of that name."""
     for backend in backends:
         await backend.start()
@@ -369,9 +373,7 @@
 
 
 @LOOPS
-def test_without_a_descriptor_clients_get_503_and_then_all_is_well(
-    tmp_path: Path, new_loop: NewLoop
-) -> None:
+def test_without_a_descriptor_clients_get_503_and_then_all_is_well(tmp_path: Path, new_loop: NewLoop) -> None:
     async def test() -> None:
         async with fronting(tmp_path, Backend("b0")) as front:
             here = Client(*await asyncio.open_connection(*front.address))
--- a/tests/net/test_other_deployments.py
+++ b/tests/net/test_other_deployments.py
@@ -20,10 +20,16 @@
 def classes(*names: str) -> list[dict[str, Any]]:
     """Classes of these names, of all effects in turn."""
     return [
-        {"name": name, "effect": EFFECTS[at % 3], "group": "all", "memory-span": 3000, "give-up": 4000,
-         "objective": 3000}
+        {
+            "name": name,
+            "effect": EFFECTS[at % 3],
+            "group": "all",
+            "memory-span": 3000,
+            "give-up": 4000,
+            "objective": 3000,
+        }
         for at, name in enumerate(names)
-    ]  # fmt: skip
+    ]
 
 
 def test_classes_of_any_name_are_served(tmp_path: Path) -> None:
@@ -172,9 +178,10 @@
         backend = Backend("b0")
         await backend.start()
         over: dict[str, Any] = {
-            "limits": LIMITS | {"probing": True}, "charges": {"probe": 0.001},
+            "limits": LIMITS | {"probing": True},
+            "charges": {"probe": 0.001},
             "load-info": {"how": how, "names": ["active"]},
-        }  # fmt: skip
+        }
         async with fronting(tmp_path, backend.member(), **over) as front:
             assert not front.node.balancer.looks
             client = Client(*await asyncio.open_connection(*front.address))
--- a/tests/net/test_platform_recovery.py
+++ b/tests/net/test_platform_recovery.py
@@ -108,9 +108,14 @@
         self.told: list[membership.Event] = []
         self.fleet.listeners.append(lambda event, _: self.told.append(event))
         self.source = PlatformSource(
-            agent.address, False, grace_ms, self.now, self.fleet.hand,
-            lambda: self.fleet.resume(platform.NAME), lambda: None,
-        )  # fmt: skip
+            agent.address,
+            False,
+            grace_ms,
+            self.now,
+            self.fleet.hand,
+            lambda: self.fleet.resume(platform.NAME),
+            lambda: None,
+        )
 
     def now(self) -> float:
         return time.monotonic() * 1000
@@ -498,9 +503,14 @@
         identity = platform.identity(agent.address)
         fleet.hand(membership.Listed(platform.NAME, identity, config.known, saved=True))
         source = PlatformSource(
-            agent.address, False, config.settings.drain_grace, node.now, fleet.hand,
-            lambda: fleet.resume(platform.NAME), node.list_failed,
-        )  # fmt: skip
+            agent.address,
+            False,
+            config.settings.drain_grace,
+            node.now,
+            fleet.hand,
+            lambda: fleet.resume(platform.NAME),
+            node.list_failed,
+        )
         source.watch(True)
         watch = await agent.watched()
         front = Front(node, 9)
@@ -539,9 +549,7 @@
 
 
 @pytest.mark.parametrize("says", ["a beat", "an old change", "the same list"])
-def test_an_answer_that_brings_nothing_new_ends_the_waits_that_had_grown(
-    says: str, tmp_path: Path
-) -> None:
+def test_an_answer_that_brings_nothing_new_ends_the_waits_that_had_grown(says: str, tmp_path: Path) -> None:
     """Guards against a wait of up to 15 s for a watch that falls silent long after an outage."""
 
     async def test() -> None:
@@ -556,9 +564,14 @@
         identity = platform.identity(agent.address)
         known = listing(json.loads(agent.list))
         node.discovery = source = PlatformSource(
-            agent.address, True, settings.drain_grace, node.now, fleet.hand,
-            lambda: fleet.resume(platform.NAME), node.list_failed,
-        )  # fmt: skip
+            agent.address,
+            True,
+            settings.drain_grace,
+            node.now,
+            fleet.hand,
+            lambda: fleet.resume(platform.NAME),
+            node.list_failed,
+        )
         fleet.hand(membership.Listed(platform.NAME, identity, known, saved=True))
         await agent.watched()
         await until(lambda: not fleet.membership.sources[platform.NAME].remembered)
--- a/tests/net/test_request_dispatcher.py
+++ b/tests/net/test_request_dispatcher.py
@@ -729,8 +729,12 @@
         (b"POST /once HTTP/1.1\r\nRequest-Id: 1\r\nContent-Length: -1\r\n\r\n", 400),
         (b"POST /once HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400),
         (b"POST /once HTTP/1.1\r\nRequest-Id: 1\r\nContent-Length: 1048577\r\n\r\n" + b"x" * 65537, 413),
-        (b"POST /once HTTP/1.1\r\nRequest-Id: 1\r\nTransfer-Encoding: chunked\r\n\r\n"
-         + (b"10000\r\n" + b"x" * 65536 + b"\r\n") * 16 + b"1\r\nx\r\n", 413),
+        (
+            b"POST /once HTTP/1.1\r\nRequest-Id: 1\r\nTransfer-Encoding: chunked\r\n\r\n"
+            + (b"10000\r\n" + b"x" * 65536 + b"\r\n") * 16
+            + b"1\r\nx\r\n",
+            413,
+        ),
         (b"POST /once HTTP/1.1\r\nRequest-Id: 1\r\nContent-Length: 60000000\r\n\r\n", 413),  # at its head
         (b"POST /once HTTP/1.1\r\nRequest-Id: 1\r\nContent-Length: %b3\r\n\r\nabc" % (b"0" * 5000), 413),
         (b"GET /read HTTP/1.1\r\nRequest-Id: 1\r\nRequest-Id: 2\r\n\r\n", 400),
--- a/tests/observability/test_html_report.py
+++ b/tests/observability/test_html_report.py
@@ -24,8 +24,16 @@
 def event(
     number: int, scope: str, subject: str, step: str = "departure_began", at: int = AT + 9_000
 ) -> dict[str, Any]:
-    return {"event": step, "id": number, "at": at, "since": AT + 4_000, "scope": scope, "subject": subject,
-            "signal": "answer_time", "evidence": {"ratio": 3.1}}  # fmt: skip
+    return {
+        "event": step,
+        "id": number,
+        "at": at,
+        "since": AT + 4_000,
+        "scope": scope,
+        "subject": subject,
+        "signal": "answer_time",
+        "evidence": {"ratio": 3.1},
+    }
 
 
 class Tags(HTMLParser):
--- a/tests/observability/test_metrics.py
+++ b/tests/observability/test_metrics.py
@@ -56,8 +56,14 @@
 
 
 def test_who_is_there_is_among_them() -> None:
-    figures = {"states": {"alive": 2.0, "failed": 1.0}, "events": {"failed": 3.0}, "datagrams": {"sent": 7.0},
-               "refused": {"code": 5.0}, "cuts": {"discovery": 1.0}, "disagreements": {}}  # fmt: skip
+    figures = {
+        "states": {"alive": 2.0, "failed": 1.0},
+        "events": {"failed": 3.0},
+        "datagrams": {"sent": 7.0},
+        "refused": {"code": 5.0},
+        "cuts": {"discovery": 1.0},
+        "disagreements": {},
+    }
     got = read(Metrics(Watch(BASE, 8.0), peers=lambda: figures))
     assert value(got["dillport_peers"], "", state="failed") == 1
     assert value(got["dillport_peer_events"], "_total", event="failed") == 3
--- a/tests/operator_settings/test_operators.py
+++ b/tests/operator_settings/test_operators.py
@@ -77,9 +77,13 @@
     mine = serialization.load_pem_private_key(key.read_bytes(), None)
     assert isinstance(mine, ec.EllipticCurvePrivateKey)
     new = x509.CertificateBuilder(
-        old.subject, old.subject, mine.public_key(), x509.random_serial_number(),
-        old.not_valid_before_utc, old.not_valid_after_utc - datetime.timedelta(days=1),
-    )  # fmt: skip
+        old.subject,
+        old.subject,
+        mine.public_key(),
+        x509.random_serial_number(),
+        old.not_valid_before_utc,
+        old.not_valid_after_utc - datetime.timedelta(days=1),
+    )
     return new.sign(mine, hashes.SHA256()).public_bytes(serialization.Encoding.PEM)
 
 
@@ -112,17 +116,31 @@
 
 def test_every_key_of_etcd_arrives(folder: Path) -> None:
     told = etcd(
-        endpoints=["https://Etcd-1:2379/", "https://[::1]:2380"], prefix="svc/", format="grpc-naming",
-        ca="tls.crt", cert=str(folder / "tls.crt"), key="tls.key", user="node", password_file="password",
-        epoch=3, role="remove", bears=50,
-    )  # fmt: skip
+        endpoints=["https://Etcd-1:2379/", "https://[::1]:2380"],
+        prefix="svc/",
+        format="grpc-naming",
+        ca="tls.crt",
+        cert=str(folder / "tls.crt"),
+        key="tls.key",
+        user="node",
+        password_file="password",
+        epoch=3,
+        role="remove",
+        bears=50,
+    )
     whole = parse(told, folder)
     got = whole.membership.etcd
     assert got is not None
     assert got.endpoints == ("https://etcd-1:2379", "https://[::1]:2380") and got.prefix == "svc/"
     assert got.ca == got.cert == folder / "tls.crt" and got.key == folder / "tls.key"
     assert (got.format, got.user, got.password, got.epoch, got.role, got.bears) == (
-        "grpc-naming", "node", SECRET, 3, "remove", 50)  # fmt: skip
+        "grpc-naming",
+        "node",
+        SECRET,
+        3,
+        "remove",
+        50,
+    )
     assert etcd_config(got).bears == 50 and "50 whole lists a second" in got.says()
     assert SECRET not in repr(whole) + str(whole) + "".join(whole.on())
 
@@ -135,29 +153,44 @@
 HTTPS = {"endpoints": ["https://a:1"]}
 BAD: dict[str, list[tuple[object, str]]] = {
     "endpoints": [
-        ("http://a:1", r"found 'http://a:1'; allowed: an array of 1 to 16"), ([], "found an array of 0"),
+        ("http://a:1", r"found 'http://a:1'; allowed: an array of 1 to 16"),
+        ([], "found an array of 0"),
         ([f"http://a:{n}" for n in range(1, 18)], "found an array of 17"),
     ],
     "prefix": [("", "1 to 512"), ("/members", 'ends in "/"'), ("a\n/", "printable"), (7, "found 7")],
-    "format": [("etcd", "found 'etcd'; allowed: \"member\" or \"grpc-naming\""), ([], "allowed")],
+    "format": [("etcd", 'found \'etcd\'; allowed: "member" or "grpc-naming"'), ([], "allowed")],
     "ca": [("nowhere", "nowhere': No such file"), (".", "no plain file"), ("a\0", "null"), (7, "a number")],
     "cert": [("nowhere", "nowhere': No such file")],
     "key": [("nowhere", "nowhere': No such file"), ("", "found ''")],
     "user": [("", "1 to 256"), (True, "found True")],
     "password_file": [
-        ("nowhere", "No such file"), ("empty", "an empty first line"), ("long", "at most 4096 bytes"),
-        ("latin", "not UTF-8"), ({"password": SECRET}, "found a table"),
+        ("nowhere", "No such file"),
+        ("empty", "an empty first line"),
+        ("long", "at most 4096 bytes"),
+        ("latin", "not UTF-8"),
+        ({"password": SECRET}, "found a table"),
+    ],
+    "epoch": [
+        (-1, "found -1; allowed: a whole number from 0 on"),
+        (1.0, "found 1.0"),
+        (True, "found True"),
+        (2**400, "a number of 401 bits"),
     ],
-    "epoch": [(-1, "found -1; allowed: a whole number from 0 on"), (1.0, "found 1.0"), (True, "found True"),
-              (2**400, "a number of 401 bits")],
     "bears": [(0, "found 0; allowed: a whole number from 1 on"), (2.5, "found 2.5"), ("50", "found '50'")],
     "role": [("both", '"full" or "add" or "remove"'), (datetime.date(2026, 1, 1), "found datetime.date")],
-}  # fmt: skip
+}
 GOOD: dict[str, object] = HTTPS | {
-    "prefix": "p/", "format": "member", "ca": "tls.crt", "cert": "tls.crt", "key": "tls.key", "user": "u",
-    "password_file": "password", "epoch": 1, "role": "add",
+    "prefix": "p/",
+    "format": "member",
+    "ca": "tls.crt",
+    "cert": "tls.crt",
+    "key": "tls.key",
+    "user": "u",
+    "password_file": "password",
+    "epoch": 1,
+    "role": "add",
     "bears": 50,
-}  # fmt: skip
+}
 
 
 @pytest.mark.parametrize(("name", "value", "named"), [(k, v, n) for k, rows in BAD.items() for v, n in rows])
@@ -169,9 +202,23 @@
 
 @pytest.mark.parametrize(
     "url",
-    ["a:1", "ftp://a:1", "http://a", "http://:1", "http://a:0", "http://a:65536", "http://a:1/x", "http://a:1?x",
-     "http://[::::]:1", "http://a b:1", "//a:1", "http://[::1:2", 5, ""],
-)  # fmt: skip
+    [
+        "a:1",
+        "ftp://a:1",
+        "http://a",
+        "http://:1",
+        "http://a:0",
+        "http://a:65536",
+        "http://a:1/x",
+        "http://a:1?x",
+        "http://[::::]:1",
+        "http://a b:1",
+        "//a:1",
+        "http://[::1:2",
+        5,
+        "",
+    ],
+)
 def test_a_url_needs_scheme_host_port_and_nothing_else(folder: Path, url: object) -> None:
     found = faults(etcd(endpoints=["http://ok:1", url]), folder)
     assert list(found) == ["membership.etcd.endpoints[1]"]
@@ -207,10 +254,13 @@
     folder: Path, capfd: pytest.CaptureFixture[str]
 ) -> None:
     key = serialization.load_pem_private_key((folder / "tls.key").read_bytes(), None)
-    (folder / "locked.key").write_bytes(key.private_bytes(
-        serialization.Encoding.PEM, serialization.PrivateFormat.TraditionalOpenSSL,
-        serialization.BestAvailableEncryption(b"x"),
-    ))  # fmt: skip
+    (folder / "locked.key").write_bytes(
+        key.private_bytes(
+            serialization.Encoding.PEM,
+            serialization.PrivateFormat.TraditionalOpenSSL,
+            serialization.BestAvailableEncryption(b"x"),
+        )
+    )
     assert list(faults(etcd(**HTTPS, cert="tls.crt", key="locked.key"), folder)) == ["membership.etcd.cert"]
     assert "pass phrase" not in "".join(capfd.readouterr())
 
@@ -247,9 +297,10 @@
 
 
 KNOWN = {
-    "control": "membership, control, timeline, metrics, state, peers", "etcd": "etcd",
+    "control": "membership, control, timeline, metrics, state, peers",
+    "etcd": "etcd",
     "endpoints": "endpoints, prefix, format, ca, cert, key, user, password_file, epoch, role, bears",
-}  # fmt: skip
+}
 
 
 @pytest.mark.parametrize(
@@ -290,10 +341,12 @@
 NAMES = st.sampled_from(["membership", "etcd", "control", "socket", *BAD]) | st.text(max_size=5)
 VALUES = st.recursive(
     st.sampled_from([None, True, 2**400, datetime.date(2026, 1, 1)])
-    | st.integers() | st.floats() | st.text(max_size=9),
+    | st.integers()
+    | st.floats()
+    | st.text(max_size=9),
     lambda inner: st.lists(inner, max_size=3) | st.dictionaries(NAMES, inner, max_size=4),
     max_leaves=12,
-)  # fmt: skip
+)
 
 
 @settings(max_examples=300, deadline=None)
@@ -391,8 +444,13 @@
 
 
 def test_peers_arrive_with_their_keys_which_nobody_is_shown(tmp_path: Path) -> None:
-    raw = peers(tmp_path, f"# new\n{KEY}\n{OLDER}\n", listen="0.0.0.0:7000", address="10.0.0.1:7001",
-                seeds=["10.0.0.1:7001", "10.0.0.2:7001"])  # fmt: skip
+    raw = peers(
+        tmp_path,
+        f"# new\n{KEY}\n{OLDER}\n",
+        listen="0.0.0.0:7000",
+        address="10.0.0.1:7001",
+        seeds=["10.0.0.1:7001", "10.0.0.2:7001"],
+    )
     one, other = parse(raw, tmp_path), parse(peers(tmp_path, OLDER), tmp_path)
     got = one.peers
     assert got is not None and KEY in got.keys and got.address == ("10.0.0.1", 7001)
--- a/tests/policy/reference_selection.py
+++ b/tests/policy/reference_selection.py
@@ -1,4 +1,5 @@
-"""The choice of a backend, plain and slow: what balancer/policy/backend_index.py has to come to after any events.
+"""The choice of a backend, plain and slow: what balancer/policy/backend_index.py has to come to after any
+events.
 
 Every function looks at all there is and keeps nothing. Random draws are the caller's: the cold backends that
 were admitted are an argument, and where a draw is left the answer is every backend's chance.
@@ -52,9 +53,13 @@
 
 
 def eligible(
-    members: Iterable[Backend], now: float, cfg: api.Settings, crowd: float, dense: bool,
+    members: Iterable[Backend],
+    now: float,
+    cfg: api.Settings,
+    crowd: float,
+    dense: bool,
     admitted: Collection[Backend],
-) -> list[Backend]:  # fmt: skip
+) -> list[Backend]:
     """Those of a window that a request may go to; cold ones only where the draw has admitted them."""
     out = []
     for b in members:
--- a/tests/policy/test_any_settings.py
+++ b/tests/policy/test_any_settings.py
@@ -25,9 +25,13 @@
 
 ZONES = ["", "a", "b", "zürich 1", "-"]
 WORDS = {
-    api.Effect.SAFE: "retryable", api.Effect.KEYED: "dedup", api.Effect.UNSAFE: "fragile",
-    api.Reports.ANSWERS: "inline", api.Reports.PROBES: "on_probe", api.Reports.NONE: "off",
-}  # fmt: skip
+    api.Effect.SAFE: "retryable",
+    api.Effect.KEYED: "dedup",
+    api.Effect.UNSAFE: "fragile",
+    api.Reports.ANSWERS: "inline",
+    api.Reports.PROBES: "on_probe",
+    api.Reports.NONE: "off",
+}
 TRIES = [1, 1, 2, 3, 8]
 
 
@@ -35,13 +39,17 @@
     """A class as a site file may have it."""
     deadline = rng.choice([60.0, 61.5, 200.0, 1_000.0, 4_000.0, 30_000.0])
     return api.RequestClass(
-        f"k{number}", rng.choice(list(api.Effect)),
+        f"k{number}",
+        rng.choice(list(api.Effect)),
         aim=rng.choice([deadline, deadline, 0.5 * deadline, 0.01 * deadline, 2 * deadline]),
-        deadline=deadline, value=rng.choice([0.0, 0.1, 1.0, 1.0, 12.0, 1e6]),
-        late_worth=rng.choice([0.0, 0.0, 0.3, 1.0]), group=rng.choice(list(api.Group)),
+        deadline=deadline,
+        value=rng.choice([0.0, 0.1, 1.0, 1.0, 12.0, 1e6]),
+        late_worth=rng.choice([0.0, 0.0, 0.3, 1.0]),
+        group=rng.choice(list(api.Group)),
         memory_span=rng.choice([0.0, 1.0, deadline / 3, deadline, 10 * deadline]),
-        aim_stretch=rng.choice([0.0, 0.0, 3.0]), streamed=rng.random() < 0.1,
-    )  # fmt: skip
+        aim_stretch=rng.choice([0.0, 0.0, 3.0]),
+        streamed=rng.random() < 0.1,
+    )
 
 
 def any_settings(rng: random.Random) -> api.Settings:
@@ -52,20 +60,33 @@
     zones = tuple(rng.sample(ZONES[1:], rng.randint(0, 4)))
     return api.Settings(
         classes=tuple(any_class(rng, number) for number in range(rng.choice([1, 2, 3, 12]))),
-        me=rng.randrange(group_size), group_size=group_size, zone=rng.choice(ZONES),
+        me=rng.randrange(group_size),
+        group_size=group_size,
+        zone=rng.choice(ZONES),
         tick=rng.choice([0.1, 1.0, 5.0, 20.0]),
         tenants=tuple(api.Tenant(f"Ø {i}", 50.0 * (i % 2), 0.1) for i in range(rng.choice([0, 1, 40]))),
         charges=api.Charges(probe=rng.choice([0.0, 0.01]), cross_zone=rng.choice([0.0, 0.01, 0.02, 0.5])),
-        must_ask=rng.random() < 0.3, reports=reports, probing=probing, may_cancel=rng.random() < 0.6,
-        second_copies=rng.random() < 0.5, max_attempts=rng.choice(TRIES),
+        must_ask=rng.random() < 0.3,
+        reports=reports,
+        probing=probing,
+        may_cancel=rng.random() < 0.6,
+        second_copies=rng.random() < 0.5,
+        max_attempts=rng.choice(TRIES),
         max_retry_after=rng.choice([0.0, 1.0, 2_000.0]),
-        ask_within=rng.choice([100.0, 10_000.0]), drain_grace=rng.choice([50.0, 500.0, 10_000.0]),
-        cold_share=rng.choice([0.0, 0.0, 0.3, 1.0]), ramp_time=rng.choice([0.0, 1.0, 8_800.0, 1e6]),
-        fall_window=rng.choice([1.0, 1_000.0, 1e5]), fall_multiple=rng.choice([0.01, 1.0, 3.0, 100.0]),
-        weighted=live or rng.random() < 0.5, live_weights=live, zones=zones,
-        connect_timeout=rng.choice([1.0, 60.0, 500.0]), retries_marked=rng.random() < 0.5,
-        max_open=rng.choice([1, 50, 20_000]), conn_idle=rng.choice([0.0, 300.0, 10_000.0]),
-    )  # fmt: skip
+        ask_within=rng.choice([100.0, 10_000.0]),
+        drain_grace=rng.choice([50.0, 500.0, 10_000.0]),
+        cold_share=rng.choice([0.0, 0.0, 0.3, 1.0]),
+        ramp_time=rng.choice([0.0, 1.0, 8_800.0, 1e6]),
+        fall_window=rng.choice([1.0, 1_000.0, 1e5]),
+        fall_multiple=rng.choice([0.01, 1.0, 3.0, 100.0]),
+        weighted=live or rng.random() < 0.5,
+        live_weights=live,
+        zones=zones,
+        connect_timeout=rng.choice([1.0, 60.0, 500.0]),
+        retries_marked=rng.random() < 0.5,
+        max_open=rng.choice([1, 50, 20_000]),
+        conn_idle=rng.choice([0.0, 300.0, 10_000.0]),
+    )
 
 
 class Day:
@@ -93,11 +114,15 @@
         rng = self.rng
         up = [api.Phase.UP] * 6 + [api.Phase.DRAINING, api.Phase.GONE]
         return entry(
-            name, zone=rng.choice(ZONES), cell=rng.choice([-1, 0, 1, 10**12]), phase=rng.choice(up),
-            weight=rng.choice([0.0, 1e-9, 0.4, 1.0, 1.0, 3.7, 1e300]), kind=rng.choice(["", "x"]),
+            name,
+            zone=rng.choice(ZONES),
+            cell=rng.choice([-1, 0, 1, 10**12]),
+            phase=rng.choice(up),
+            weight=rng.choice([0.0, 1e-9, 0.4, 1.0, 1.0, 3.7, 1e300]),
+            kind=rng.choice(["", "x"]),
             started_at=rng.choice([0.0, 0.0, self.now - rng.uniform(0, 9e3), self.now, self.now + 5e3]),
             age_ms=rng.choice([None, None, None, 0.0, 1e5]),
-        )  # fmt: skip
+        )
 
     def tell(self, ev: api.Event, odd: bool = False) -> None:
         """One event; an odd one is of what the node does not have, and changes nothing for the judge."""
@@ -155,11 +180,17 @@
                 self.serial += 1
                 kind = rng.choice(self.cfg.classes)
                 left = kind.deadline * rng.choice([1.0, 1.0, 1.0, 0.5, rng.random(), 1.5, 0.0, -1.0])
-                self.tell(api.Arrival(
-                    f"r{self.serial}", kind.name, self.now + left, rng.random() < 0.3,
-                    rng.choice([None, "", "k"]), rng.choice([None, "t0", "nobody"]),
-                    rng.choice([None, None, 0.0, kind.aim / 2, 1e9]),
-                ))  # fmt: skip
+                self.tell(
+                    api.Arrival(
+                        f"r{self.serial}",
+                        kind.name,
+                        self.now + left,
+                        rng.random() < 0.3,
+                        rng.choice([None, "", "k"]),
+                        rng.choice([None, "t0", "nobody"]),
+                        rng.choice([None, None, 0.0, kind.aim / 2, 1e9]),
+                    )
+                )
         elif roll < 0.65 and self.live:
             self.resolve(rng.randrange(len(self.live)), rng.choice([*api.Status, api.Status.OK]))
         elif roll < 0.72:
@@ -245,29 +276,59 @@
 def told(cfg: api.Settings) -> str:
     """Such settings as the platform words them."""
     classes = [
-        {"name": c.name, "effect": WORDS[c.effect], "group": c.group.value, "objective": c.aim,
-         "give-up": c.deadline, "value": c.value, "late-worth": c.late_worth, "memory-span": c.memory_span,
-         "streamed": c.streamed, "aim-stretch": c.aim_stretch}
+        {
+            "name": c.name,
+            "effect": WORDS[c.effect],
+            "group": c.group.value,
+            "objective": c.aim,
+            "give-up": c.deadline,
+            "value": c.value,
+            "late-worth": c.late_worth,
+            "memory-span": c.memory_span,
+            "streamed": c.streamed,
+            "aim-stretch": c.aim_stretch,
+        }
         for c in cfg.classes
-    ]  # fmt: skip
-    return json.dumps({
-        "request-classes": classes, "me": cfg.me, "group-size": cfg.group_size, "zone": cfg.zone,
-        "granularity": cfg.tick, "failure-domains": cfg.zones,
-        "projects": [{"name": t.name, "quota-per-s": t.quota_per_s, "share": t.share} for t in cfg.tenants],
-        "charges": {"probe": cfg.charges.probe, "cross-zone": cfg.charges.cross_zone},
-        "discovery": "subscribe" if cfg.must_ask else "automatic",
-        "load-info": {"how": WORDS[cfg.reports], "names": []},
-        "limits": {
-            "probing": cfg.probing, "cancel": cfg.may_cancel, "second-copies": cfg.second_copies,
-            "most-tries": cfg.max_attempts, "retry-after": True, "max-retry-after": cfg.max_retry_after,
-            "connect-timeout": cfg.connect_timeout, "max-open": cfg.max_open, "conn-idle": cfg.conn_idle},
-        "rules": {
-            "ask-within": cfg.ask_within, "drain-grace": cfg.drain_grace, "cold-share": cfg.cold_share,
-            "ramp-time": cfg.ramp_time, "fall": cfg.fall_window, "fall-multiple": cfg.fall_multiple,
-            "answer-slack": cfg.answer_slack},
-        "weight-source": "live" if cfg.live_weights else "rough" if cfg.weighted else "off",
-        "client-habits": {"marks-retry": cfg.retries_marked}, "family-info": {"passes-deadline": True},
-    })  # fmt: skip
+    ]
+    return json.dumps(
+        {
+            "request-classes": classes,
+            "me": cfg.me,
+            "group-size": cfg.group_size,
+            "zone": cfg.zone,
+            "granularity": cfg.tick,
+            "failure-domains": cfg.zones,
+            "projects": [
+                {"name": t.name, "quota-per-s": t.quota_per_s, "share": t.share} for t in cfg.tenants
+            ],
+            "charges": {"probe": cfg.charges.probe, "cross-zone": cfg.charges.cross_zone},
+            "discovery": "subscribe" if cfg.must_ask else "automatic",
+            "load-info": {"how": WORDS[cfg.reports], "names": []},
+            "limits": {
+                "probing": cfg.probing,
+                "cancel": cfg.may_cancel,
+                "second-copies": cfg.second_copies,
+                "most-tries": cfg.max_attempts,
+                "retry-after": True,
+                "max-retry-after": cfg.max_retry_after,
+                "connect-timeout": cfg.connect_timeout,
+                "max-open": cfg.max_open,
+                "conn-idle": cfg.conn_idle,
+            },
+            "rules": {
+                "ask-within": cfg.ask_within,
+                "drain-grace": cfg.drain_grace,
+                "cold-share": cfg.cold_share,
+                "ramp-time": cfg.ramp_time,
+                "fall": cfg.fall_window,
+                "fall-multiple": cfg.fall_multiple,
+                "answer-slack": cfg.answer_slack,
+            },
+            "weight-source": "live" if cfg.live_weights else "rough" if cfg.weighted else "off",
+            "client-habits": {"marks-retry": cfg.retries_marked},
+            "family-info": {"passes-deadline": True},
+        }
+    )
 
 
 @pytest.mark.parametrize("seed", range(50))
--- a/tests/policy/test_backend_index.py
+++ b/tests/policy/test_backend_index.py
@@ -181,9 +181,14 @@
         rng = self.rng
         born = rng.choice((0.0, 0.0, 0.0, self.now, self.now - rng.uniform(0, 12_000), self.now + 50))
         return entry(
-            name, zone=rng.choice("aabc"), cell=rng.randrange(3), weight=rng.choice(WEIGHTS),
-            started_at=max(0.0, born), phase=rng.choice(PHASES), kind=rng.choice(KINDS),
-        )  # fmt: skip
+            name,
+            zone=rng.choice("aabc"),
+            cell=rng.randrange(3),
+            weight=rng.choice(WEIGHTS),
+            started_at=max(0.0, born),
+            phase=rng.choice(PHASES),
+            kind=rng.choice(KINDS),
+        )
 
     def list(self, kind: api.ListKind, count: int) -> None:
         """A list or some changes; some ids may be new, some come twice."""
@@ -264,9 +269,11 @@
 
 @settings(max_examples=250, deadline=None, derandomize=True, database=None)
 @given(
-    st.integers(0, len(FLEETS) - 1), st.integers(0, 10**6), st.integers(0, 40),
+    st.integers(0, len(FLEETS) - 1),
+    st.integers(0, 10**6),
+    st.integers(0, 40),
     st.lists(st.tuples(st.sampled_from(sorted(DEEDS)), st.integers(1, 9)), max_size=25),
-)  # fmt: skip
+)
 def test_the_index_is_what_a_plain_look_says(
     kind: int, seed: int, size: int, deeds: list[tuple[str, int]]
 ) -> None:
--- a/tests/policy/test_bulk_update.py
+++ b/tests/policy/test_bulk_update.py
@@ -21,9 +21,29 @@
 )
 
 FIELDS = (
-    "entry", "estimate", "out", "slow", "fails", "until", "full", "busy", "listed", "near", "vouched", "rank",
-    "tally", "inside", "apart", "shelved", "row", "grade", "in_row", "in_rack", "in_cold", "due",
-)  # fmt: skip
+    "entry",
+    "estimate",
+    "out",
+    "slow",
+    "fails",
+    "until",
+    "full",
+    "busy",
+    "listed",
+    "near",
+    "vouched",
+    "rank",
+    "tally",
+    "inside",
+    "apart",
+    "shelved",
+    "row",
+    "grade",
+    "in_row",
+    "in_rack",
+    "in_cold",
+    "due",
+)
 
 
 def state(balancer: Balancer) -> dict[str, Any]:
@@ -32,35 +52,50 @@
     names = {name: tuple(getattr(b, field) for field in FIELDS) for name, b in balancer.backends.items()}
     shelves = [
         (number, out, estimate, [b.entry.backend for b in row])
-        for number, shelf in enumerate(index.shelves) for out, level in shelf.items()
+        for number, shelf in enumerate(index.shelves)
+        for out, level in shelf.items()
         for estimate, row in level.rows.items()
-    ]  # fmt: skip
+    ]
     groups = {key: [b.entry.backend for b in bag.items] for key, bag in index.groups.items()}
     own = ("width", "spill", "fleet", "listed", "least", "ease", "limit", "token", "now", "bad")
     return {
-        "backends": names, "order": balancer.order, "shelves": shelves, "groups": groups,
-        "cold": [b.entry.backend for b in index.cold], "window": (index.size, index.home, index.waiting),
-        "rooms": repr(balancer.rooms), "random": balancer.rng.getstate(),
+        "backends": names,
+        "order": balancer.order,
+        "shelves": shelves,
+        "groups": groups,
+        "cold": [b.entry.backend for b in index.cold],
+        "window": (index.size, index.home, index.waiting),
+        "rooms": repr(balancer.rooms),
+        "random": balancer.rng.getstate(),
         "own": {name: getattr(balancer, name) for name in own},
-    }  # fmt: skip
+    }
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(
-    st.integers(0, 2**32), st.integers(0, 60), st.sampled_from([1, 3, 250]), st.integers(0, len(FLEETS) - 1),
-    st.sampled_from([api.ListKind.CHANGES, api.ListKind.SAVED]), st.sampled_from([None, 0.0, 9_000.0]),
-)  # fmt: skip
+    st.integers(0, 2**32),
+    st.integers(0, 60),
+    st.sampled_from([1, 3, 250]),
+    st.integers(0, len(FLEETS) - 1),
+    st.sampled_from([api.ListKind.CHANGES, api.ListKind.SAVED]),
+    st.sampled_from([None, 0.0, 9_000.0]),
+)
 def test_in_steps_it_ends_as_in_one_go(
     seed: int, count: int, step: int, fleet: int, kind: api.ListKind, age: float | None
 ) -> None:
     rng, cfg = random.Random(seed), replace(FLEETS[fleet], must_ask=seed % 2 > 0)
     entries = [
         replace(
-            entry(f"s{n}", zone=rng.choice("ab")), phase=rng.choice(PHASES), weight=rng.choice(WEIGHTS),
-            kind=rng.choice(KINDS), started_at=rng.choice((0.0, 9_500.0, 99_000.0)),
-            age_ms=age if rng.random() < 0.5 else None, cell=n % 4,
-        ) for n in rng.sample(range(1_000), count)
-    ]  # fmt: skip
+            entry(f"s{n}", zone=rng.choice("ab")),
+            phase=rng.choice(PHASES),
+            weight=rng.choice(WEIGHTS),
+            kind=rng.choice(KINDS),
+            started_at=rng.choice((0.0, 9_500.0, 99_000.0)),
+            age_ms=age if rng.random() < 0.5 else None,
+            cell=n % 4,
+        )
+        for n in rng.sample(range(1_000), count)
+    ]
     one, two = Balancer(cfg, seed), Balancer(cfg, seed)
     drains = [replace(one, phase=api.Phase.DRAINING) for one in entries[::7]]  # told of ahead of the list
     for balancer in (one, two) if kind is api.ListKind.CHANGES else ():
--- a/tests/policy/test_learned_state.py
+++ b/tests/policy/test_learned_state.py
@@ -159,8 +159,10 @@
 
 def test_each_kept_figure_halves_in_its_time() -> None:
     reads: list[Callable[[Balancer], float]] = [
-        lambda n: n.limit, lambda n: n.backends["b1"].slow, lambda n: n.classes["read"].usual
-    ]  # fmt: skip
+        lambda n: n.limit,
+        lambda n: n.backends["b1"].slow,
+        lambda n: n.classes["read"].usual,
+    ]
     figures = (LIMIT_LEAST, 64.0), (1.0, 3.0), (SAFE.aim / 4, 50.0)
     for half, read, (fresh, kept) in zip(HALVES, reads, figures, strict=True):
         assert read(recalls(0.0)) == pytest.approx(kept)
--- a/tests/policy/test_overload.py
+++ b/tests/policy/test_overload.py
@@ -45,11 +45,20 @@
     """A hundred nodes before twenty servers that turn slow for long once they held too many."""
     return play(
         Scenario(
-            servers=20, nodes=100, seconds=22, load=0.75, cores=3, seed=seed, site=WIDE, room=6,
-            list_ms=(100, 900), live_ms=700, choke=Choke(),
+            servers=20,
+            nodes=100,
+            seconds=22,
+            load=0.75,
+            cores=3,
+            seed=seed,
+            site=WIDE,
+            room=6,
+            list_ms=(100, 900),
+            live_ms=700,
+            choke=Choke(),
             troubles=(Trouble("burst", 6_000, 5_000, size=2.2),),
         )
-    )  # fmt: skip
+    )
 
 
 def test_a_burst_does_not_jam_a_fleet_for_long(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/policy/test_reasons.py
+++ b/tests/policy/test_reasons.py
@@ -24,13 +24,23 @@
 IDLE = api.Report(0.0, 0.0)
 
 
-def arrive(b: Balancer, name: str = "r", cls: str = "read", now: float = 1000.0, left: float = 1000.0,
-           ) -> list[api.Action]:  # fmt: skip
+def arrive(
+    b: Balancer,
+    name: str = "r",
+    cls: str = "read",
+    now: float = 1000.0,
+    left: float = 1000.0,
+) -> list[api.Action]:
     return b.handle(now, api.Arrival(name, cls, now + left, key=name))
 
 
-def end(b: Balancer, status: Status, name: str = "r", now: float = 1010.0, took: float = 10.0,
-        ) -> list[api.Action]:  # fmt: skip
+def end(
+    b: Balancer,
+    status: Status,
+    name: str = "r",
+    now: float = 1010.0,
+    took: float = 10.0,
+) -> list[api.Action]:
     backend = b.requests[name].attempts[0].backend.entry.backend
     return b.handle(now, api.Outcome(name, 0, backend, status, took, status is Status.OK))
 
@@ -221,5 +231,3 @@
                 assert action.why is not Why.UNSTATED, (name, action)
             if isinstance(action, api.Send):
                 assert action.cause is not Why.UNSTATED and action.among >= 1, (name, action)
-
-
--- a/tests/policy/test_replay.py
+++ b/tests/policy/test_replay.py
@@ -1,6 +1,7 @@
 """The same events and seed give the same actions, whatever they tell of their reasons.
 
-The digests were taken from the text before actions carried reasons (`balancer/policy/balancer.py` of 1,025 lines). A
+The digests were taken from the text before actions carried reasons (`balancer/policy/balancer.py` of 1,025
+lines). A
 change that is meant to alter decisions sets them anew and says so; one that is not must leave them. Crowded
 servers are spared since, many nodes before few servers have lower limits, and a request whose client has left
 is held no more: no server is drawn for it (`shared`, `crowd`); nobody waits for probes past the time in which
@@ -31,8 +32,14 @@
 )
 
 DEAR, CELL = replace(SAFE, name="dear", value=400.0), replace(KEYED, name="cell", group=api.Group.CELL)
-LIVE = replace(BASE, classes=(SAFE, DEAR, KEYED, CELL), weighted=True, live_weights=True, max_attempts=4,
-               max_retry_after=500.0)  # fmt: skip
+LIVE = replace(
+    BASE,
+    classes=(SAFE, DEAR, KEYED, CELL),
+    weighted=True,
+    live_weights=True,
+    max_attempts=4,
+    max_retry_after=500.0,
+)
 FLEETS = {
     "live": LIVE,
     "shared": replace(LIVE, group_size=8, charges=api.Charges(cross_zone=0.05)),
@@ -117,9 +124,13 @@
     def listed(self, name: str) -> api.Entry:
         rng = self.rng
         return entry(
-            name, zone=rng.choice("ab"), cell=rng.randint(0, 2), phase=rng.choice(PHASES),
-            weight=rng.choice((1.0, 0.5, 3.0)), started_at=rng.choice((0.0, 0.0, self.now)),
-        )  # fmt: skip
+            name,
+            zone=rng.choice("ab"),
+            cell=rng.randint(0, 2),
+            phase=rng.choice(PHASES),
+            weight=rng.choice((1.0, 0.5, 3.0)),
+            started_at=rng.choice((0.0, 0.0, self.now)),
+        )
 
     def feed(self, event: api.Event, at: float | None = None) -> None:
         at = self.now if at is None else at
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -40,8 +40,13 @@
     probes: list[str] = []
 
     def listed(name: str) -> api.Entry:
-        return entry(name, zone=rng.choice("ab"), cell=rng.randint(0, 2), phase=rng.choice(phases),
-                     started_at=rng.choice([0.0, now - rng.uniform(0, 8000)]))  # fmt: skip
+        return entry(
+            name,
+            zone=rng.choice("ab"),
+            cell=rng.randint(0, 2),
+            phase=rng.choice(phases),
+            started_at=rng.choice([0.0, now - rng.uniform(0, 8000)]),
+        )
 
     def tell(ev: api.Event) -> None:
         check.event(now, ev)
@@ -155,9 +160,11 @@
 def test_a_keyed_repeat_says_until_when_it_may_be_written() -> None:
     """Counted from the first attempt that may have run; what surely never ran binds nothing."""
     for effect, first, bound in (
-        (api.Effect.KEYED, api.Status.RESET, True), (api.Effect.KEYED, api.Status.FULL, False),
-        (api.Effect.SAFE, api.Status.RESET, False), (api.Effect.UNSAFE, api.Status.FULL, False),
-    ):  # fmt: skip
+        (api.Effect.KEYED, api.Status.RESET, True),
+        (api.Effect.KEYED, api.Status.FULL, False),
+        (api.Effect.SAFE, api.Status.RESET, False),
+        (api.Effect.UNSAFE, api.Status.FULL, False),
+    ):
         b = node(replace(BASE, classes=(replace(KEYED, effect=effect),)), ["x", "y", "z"])
         sent = sends(b.handle(1000.0, api.Arrival("r", "pay", 2000.0)))
         assert sent[0].begin_by == math.inf
--- a/tests/policy/test_scale.py
+++ b/tests/policy/test_scale.py
@@ -1,7 +1,8 @@
 """The decision at large sizes: what one event costs, and the hard cases of a fleet of thousands.
 
 Cost is counted in executed lines of the module, the same on every machine; what runs inside C (a list's
-insert, a sort) is not in it. Measured times are in benchmarks/decision_cost.py, and the run of a million arrivals,
+insert, a sort) is not in it. Measured times are in benchmarks/decision_cost.py, and the run of a million
+arrivals,
 which is one of 100,000 here.
 """
 
@@ -161,13 +162,15 @@
         def told(entries: list[api.Entry], b: Balancer = b) -> Callable[[], object]:
             return lambda: b.handle(50_001.0, api.ListUpdate(api.ListKind.CHANGES, entries))
 
-        cost.append([
-            lines(told([entry(n, weight=0.3) for n in some])),
-            lines(told([entry(n, phase=api.Phase.DRAINING) for n in some[:5]])),
-            lines(told([entry(n, phase=api.Phase.GONE) for n in some[:5]])),
-            lines(told([entry(n) for n in some[:5]])),
-            lines(told([entry(n, zone="b") for n in some[:5]])),
-        ])  # fmt: skip
+        cost.append(
+            [
+                lines(told([entry(n, weight=0.3) for n in some])),
+                lines(told([entry(n, phase=api.Phase.DRAINING) for n in some[:5]])),
+                lines(told([entry(n, phase=api.Phase.GONE) for n in some[:5]])),
+                lines(told([entry(n) for n in some[:5]])),
+                lines(told([entry(n, zone="b") for n in some[:5]])),
+            ]
+        )
     assert all(large < 1.5 * small for small, large in zip(*cost, strict=True)), cost
 
 
@@ -449,10 +452,14 @@
         if i % 2000 == 0:
             heaps = [len(level.heap) for shelf in b.index.shelves for level in shelf.values()]
             now = {
-                "requests": len(b.requests), "held": len(b.held), "timers": len(b.timers),
-                "heap": max(heaps, default=0), "away": len(b.index.away), "backends": len(b.backends),
+                "requests": len(b.requests),
+                "held": len(b.held),
+                "timers": len(b.timers),
+                "heap": max(heaps, default=0),
+                "away": len(b.index.away),
+                "backends": len(b.backends),
                 "levels": sum(map(len, b.index.shelves)),
-            }  # fmt: skip
+            }
             most |= Counter(now)
             check(b)
     assert most["backends"] == 50 and most["away"] <= 2 * 50 + TURN and most["heap"] <= 2 * 50 + 17
--- a/tests/protocol/test_etcd_watch.py
+++ b/tests/protocol/test_etcd_watch.py
@@ -298,9 +298,25 @@
 
 
 KEYS = [
-    "result", "header", "kvs", "events", "kv", "key", "value", "mod_revision", "error", "cluster_id",
-    "canceled", "created", "type", "code", "message", "token", "Op", "id",
-]  # fmt: skip
+    "result",
+    "header",
+    "kvs",
+    "events",
+    "kv",
+    "key",
+    "value",
+    "mod_revision",
+    "error",
+    "cluster_id",
+    "canceled",
+    "created",
+    "type",
+    "code",
+    "message",
+    "token",
+    "Op",
+    "id",
+]
 LEAVES = st.none() | st.booleans() | st.integers() | st.sampled_from(["8", "YQ==", "DELETE", "é", ""])
 
 
--- a/tests/protocol/test_gossip.py
+++ b/tests/protocol/test_gossip.py
@@ -28,9 +28,13 @@
     st.text(max_size=16), st.integers(0, 255), st.integers(0, 2**32 - 1), ADDRESSES, st.integers(0, 65_535)
 )
 MESSAGES = st.builds(
-    Told, st.integers(0, 255), st.integers(0, 2**32 - 1), st.text(max_size=8), ADDRESSES,
+    Told,
+    st.integers(0, 255),
+    st.integers(0, 2**32 - 1),
+    st.text(max_size=8),
+    ADDRESSES,
     st.lists(WORDS, max_size=2).map(tuple),
-)  # fmt: skip
+)
 PING = Told(1, 7, "b", "", (("c", 1, 5, "10.0.0.3:7946", 9),))
 
 
--- a/tests/protocol/test_gossip_sections.py
+++ b/tests/protocol/test_gossip_sections.py
@@ -21,11 +21,16 @@
 KEY = gossip.Key(b"k" * 32)
 LONG, NUMBER, TEXT = st.integers(0, 2**32 - 1), st.integers(0, 2**64 - 1), st.text(max_size=12)
 GOES: st.SearchStrategy[goes_by.Goes] = st.tuples(
-    st.text(min_size=1, max_size=12), *[NUMBER] * 7, LONG, st.tuples(LONG, LONG), TEXT, TEXT,
-    st.lists(
-        st.tuples(st.sampled_from(["platform", "etcd", "x", ""]), LONG, NUMBER, NUMBER), max_size=4
-    ).map(tuple),
-)  # fmt: skip
+    st.text(min_size=1, max_size=12),
+    *[NUMBER] * 7,
+    LONG,
+    st.tuples(LONG, LONG),
+    TEXT,
+    TEXT,
+    st.lists(st.tuples(st.sampled_from(["platform", "etcd", "x", ""]), LONG, NUMBER, NUMBER), max_size=4).map(
+        tuple
+    ),
+)
 
 
 @given(GOES, st.binary(max_size=9))
--- a/tests/protocol/test_large_list.py
+++ b/tests/protocol/test_large_list.py
@@ -31,11 +31,12 @@
 FRAMES = st.fixed_dictionaries(
     {},
     optional={
-        "revision": st.sampled_from([0, 7, 1.5, None, True]), "complete": st.sampled_from([True, False, "x"]),
+        "revision": st.sampled_from([0, 7, 1.5, None, True]),
+        "complete": st.sampled_from([True, False, "x"]),
         "members": st.sampled_from([[], {}, None, rows(1), rows(7), [1, "]", {"id": "}"}], [[], [[]]]]),
         'odd "name"': st.sampled_from([None, {"members": [1, 2]}, "[,]"]),
     },
-)  # fmt: skip
+)
 
 
 @settings(max_examples=600, deadline=None, derandomize=True)
--- a/tests/protocol/test_platform_list.py
+++ b/tests/protocol/test_platform_list.py
@@ -100,7 +100,7 @@
 
 ROWS = [
     {"id": "s-{1", "host_port": "10.1.0.18:80", "phase": "in_service", "size": 1.0},
-    {"id": "s\\\"]}2", "host_port": "10.1.0.19:80", "phase": "terminating", "odd": {"a": [[], {}]}},
+    {"id": 's\\"]}2', "host_port": "10.1.0.19:80", "phase": "terminating", "odd": {"a": [[], {}]}},
     {"id": "\\\\", "host_port": "é:1", "phase": "terminated"},
 ]
 LISTS: list[dict[str, Any]] = [
@@ -108,9 +108,16 @@
     for n, rows in enumerate([ROWS, [], ROWS[1:2], ROWS[2:], [ROWS[0]] * 3], 1)
 ]
 FORMS: list[dict[str, Any]] = [
-    {}, {"separators": (",", ":")}, {"indent": 0}, {"indent": 1}, {"indent": 4}, {"indent": "\t"},
-    {"indent": 2, "ensure_ascii": False}, {"indent": 2, "separators": (",", ":")}, {"indent": "\r"},
-]  # fmt: skip
+    {},
+    {"separators": (",", ":")},
+    {"indent": 0},
+    {"indent": 1},
+    {"indent": 4},
+    {"indent": "\t"},
+    {"indent": 2, "ensure_ascii": False},
+    {"indent": 2, "separators": (",", ":")},
+    {"indent": "\r"},
+]
 
 
 def objects(messages: list[p.Message]) -> list[Any]:
@@ -163,10 +170,18 @@
 @pytest.mark.parametrize(
     "garbage",
     [
-        b"{", b'{"revision": 2,', b'{\n "revision": 2,\n "members": [', b'{"a": "}', b"}", b"]]]",
-        b'{"a": "\\', b"nonsense {", b'{"a": 1}}', b"{\n]\n]",
+        b"{",
+        b'{"revision": 2,',
+        b'{\n "revision": 2,\n "members": [',
+        b'{"a": "}',
+        b"}",
+        b"]]]",
+        b'{"a": "\\',
+        b"nonsense {",
+        b'{"a": 1}}',
+        b"{\n]\n]",
     ],
-)  # fmt: skip
+)
 @pytest.mark.parametrize("behind", [b"", b"\n", b"\r\n"])
 def test_garbage_swallows_nothing_behind_it(garbage: bytes, behind: bytes) -> None:
     """It is handed on as it is, so that the whole list is asked for, and the line behind it is read."""
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -104,7 +104,10 @@
 def test_bad_input_ends_the_process_with_one_line() -> None:
     got = subprocess.run(
         [sys.executable, "-m", "balancer.simulator.adapter"],
-        input="HELLO\n", capture_output=True, text=True, check=False,
+        input="HELLO\n",
+        capture_output=True,
+        text=True,
+        check=False,
     )
     assert got.returncode == 2 and got.stderr.count("\n") == 1 and "Traceback" not in got.stderr
 
@@ -184,11 +187,14 @@
     outs = {
         subprocess.run(
             [sys.executable, "-m", "balancer.simulator.adapter"],
-            input=_script(), capture_output=True, text=True, check=True,
+            input=_script(),
+            capture_output=True,
+            text=True,
+            check=True,
             env={**os.environ, "PYTHONHASHSEED": seed, "PYTHONPATH": str(Path(__file__).parents[2])},
         ).stdout
         for seed in ("0", "1", "77")
-    }  # fmt: skip
+    }
     assert len(outs) == 1
 
 
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -22,14 +22,24 @@
 IDS = itertools.count(1)
 CLASSES: list[dict[str, Any]] = [
     {"name": "read", "effect": "retryable", "give-up": 4000, "objective": 3000},
-    {"name": "pay", "effect": "dedup", "group": "zone", "memory-span": 3000, "give-up": 4000,
-     "objective": 3000},
+    {
+        "name": "pay",
+        "effect": "dedup",
+        "group": "zone",
+        "memory-span": 3000,
+        "give-up": 4000,
+        "objective": 3000,
+    },
     {"name": "once", "effect": "fragile", "give-up": 4000, "objective": 3000},
-]  # fmt: skip
+]
 PATIENT = {"request-classes": [c | {"give-up": HOUR, "objective": HOUR} for c in CLASSES]}
 LIMITS: dict[str, Any] = {
-    "cancel": True, "conn-idle": HOUR, "connect-timeout": 1000, "most-tries": 4, "streams-per-conn": 1,
-}  # fmt: skip
+    "cancel": True,
+    "conn-idle": HOUR,
+    "connect-timeout": 1000,
+    "most-tries": 4,
+    "streams-per-conn": 1,
+}
 
 
 @dataclass
@@ -108,8 +118,16 @@
 
     def member(self, **over: Any) -> dict[str, Any]:
         """Its entry in the list."""
-        table = {"id": self.name, "host_port": f"127.0.0.1:{self.port}", "locality": "a", "flavor": "m",
-                 "cell": 0, "phase": "in_service", "size": 1.0, "up_since_ms": 0}  # fmt: skip
+        table = {
+            "id": self.name,
+            "host_port": f"127.0.0.1:{self.port}",
+            "locality": "a",
+            "flavor": "m",
+            "cell": 0,
+            "phase": "in_service",
+            "size": 1.0,
+            "up_since_ms": 0,
+        }
         return table | over
 
 
@@ -237,17 +255,22 @@
 def configuration(members: list[dict[str, Any]], discovery: int, **over: Any) -> dict[str, Any]:
     """A node's configuration; `limits` and others replace the settings of that name."""
     settings = {
-        "request-classes": CLASSES, "limits": LIMITS | over.pop("limits", {}), "zone": "a",
-        "load-info": {"how": "inline", "names": ["waiting", "active"]}, "discovery": "automatic",
+        "request-classes": CLASSES,
+        "limits": LIMITS | over.pop("limits", {}),
+        "zone": "a",
+        "load-info": {"how": "inline", "names": ["waiting", "active"]},
+        "discovery": "automatic",
         "rules": {"drain-grace": 2000, "answer-slack": 20},
-    }  # fmt: skip
+    }
     return {
-        "name": "n0", "listen": "127.0.0.1:0", "discovery": f"127.0.0.1:{discovery}",
+        "name": "n0",
+        "listen": "127.0.0.1:0",
+        "discovery": f"127.0.0.1:{discovery}",
         "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": over.pop("sockets", 1024)},
         "known": {"revision": 41, "complete": True, "members": members},
         "settings": settings | over,
-    }  # fmt: skip
+    }
 
 
 async def spawn(
@@ -260,10 +283,16 @@
     env = {k: v for k, v in os.environ.items() if not k.startswith("PROXY_")}
     env |= {f"PROXY_{k.upper()}": v for k, v in told.items()}
     return await asyncio.create_subprocess_exec(
-        sys.executable, "-B", "-m", "balancer", cwd=ROOT, env=env | {"PROXY_CONFIG": str(path)},
-        stdout=asyncio.subprocess.DEVNULL, stderr=asyncio.subprocess.PIPE,
+        sys.executable,
+        "-B",
+        "-m",
+        "balancer",
+        cwd=ROOT,
+        env=env | {"PROXY_CONFIG": str(path)},
+        stdout=asyncio.subprocess.DEVNULL,
+        stderr=asyncio.subprocess.PIPE,
         preexec_fn=descriptors and (lambda: resource.setrlimit(resource.RLIMIT_NOFILE, descriptors)),
-    )  # fmt: skip
+    )
 
 
 @contextlib.asynccontextmanager
--- a/tests/system/shutdown_races.py
+++ b/tests/system/shutdown_races.py
@@ -609,8 +609,11 @@
         if asker.left_ms is not None and sent.at_ms - asker.left_ms > SLACK:
             late = sent.at_ms - asker.left_ms
             waited = not any(s.at_ms <= asker.left_ms for s in before)
-            self._fault(name, f"sent to {server.name} {late:.0f} ms after its client left"
-                              f"{', when nothing of it had been written' if waited else ''}")  # fmt: skip
+            self._fault(
+                name,
+                f"sent to {server.name} {late:.0f} ms after its client left"
+                f"{', when nothing of it had been written' if waited else ''}",
+            )
         if asker.answers:
             self._fault(name, f"sent to {server.name} after its answer")
         if server.drained_ms is not None and sent.at_ms - server.drained_ms > GRACE:
--- a/tests/system/test_cluster.py
+++ b/tests/system/test_cluster.py
@@ -36,8 +36,6 @@
     return node.process.returncode is not None and not Path(f"/proc/{node.process.pid}").exists()
 
 
-
-
 def test_a_drain_a_death_and_a_cold_start_break_no_rule(tmp_path: Path) -> None:
     async def test() -> None:
         async with World(tmp_path, seed=3, nodes=2, servers=5) as world:
@@ -56,8 +54,11 @@
             assert total.asked > 200 and total.worth > 0.9 and total.in_time > 0.9 * total.asked
             assert {a.node for a in of(journal, Asked)} == {"n0", "n1"}
             assert {(t.server, t.phase) for t in of(journal, Told)} >= {
-                ("s2", "draining"), ("s2", "gone"), ("s5", "gone"), ("s6", "up"),
-            }  # fmt: skip
+                ("s2", "draining"),
+                ("s2", "gone"),
+                ("s5", "gone"),
+                ("s6", "up"),
+            }
             assert got.servers["s6"].received > 0 and of(journal, ServerStarted)[-1].cold_share < 1
             assert not any("Traceback" in line for node in world.nodes for line in node.log)
             # The same verdict from what was written down.
--- a/tests/system/test_cluster_faults.py
+++ b/tests/system/test_cluster_faults.py
@@ -57,7 +57,7 @@
             watched.append(world)
             world.later(1.0, lambda: world.enter("s1", phase="terminating"))
 
-    text = "seconds = 6.5\nnodes = 3\nservers = 2\nzones = [\"a\"]\n"
+    text = 'seconds = 6.5\nnodes = 3\nservers = 2\nzones = ["a"]\n'
     text += fault(0.5, "silent", names=["discovery"], nodes=["n1"], for_s=3.6)
     text += fault(0.6, "silent", names=["discovery"], nodes=["n2"], for_s=3.4, way="back")
     text += fault(4.6, "cut", names=["discovery"], nodes=["n0"], for_s=0.5)
@@ -114,8 +114,9 @@
     before = resource.getrlimit(resource.RLIMIT_FSIZE)[0]
     assert seen[1:4] == [77, True, before]
     assert seen[4:] == [
-        {"n0": [], "n1": ["of n1"], "n2": ["of n1"], "n3": ["of n3"], "n4": ["of n4"]}, [None, "-30000"]
-    ]  # fmt: skip
+        {"n0": [], "n1": ["of n1"], "n2": ["of n1"], "n3": ["of n3"], "n4": ["of n4"]},
+        [None, "-30000"],
+    ]
     slow = [r for r in of(world.journal, NodeSignalled) if r.node == "n0"][:3]
     assert [r.signal for r in slow] == ["SIGKILL", "SIGSTOP", "SIGCONT"]
     assert slow[2].at_ms - slow[1].at_ms >= 1_490 and len(of(world.journal, NodeStarted)) == 5 + 2 + 2 + 2
--- a/tests/system/test_etcd_cluster_replacement.py
+++ b/tests/system/test_etcd_cluster_replacement.py
@@ -29,9 +29,14 @@
             out.write(f"[state]\ndirectory = {json.dumps(str(node.state))}\nevery = 1\n")
 
     world = FleetWorld(
-        tmp_path, site=Site(zones=("a",)), seed=3, nodes=2, servers=6, platform=lambda name: False,
+        tmp_path,
+        site=Site(zones=("a",)),
+        seed=3,
+        nodes=2,
+        servers=6,
+        platform=lambda name: False,
         prepare=remembers,
-    )  # fmt: skip
+    )
     world.memory = True  # by its settings file above; the judge holds what was told before the kill
 
     async def life(node: Node) -> None:
--- a/tests/system/test_membership.py
+++ b/tests/system/test_membership.py
@@ -212,8 +212,14 @@
 @scenario
 async def older_lists(path: Path) -> None:
     """Both sources tell a whole list that is older than the view."""
-    async with FleetWorld(path, site=SITE, seed=33, servers=8, platform={"s1", "s2", "s3", "s4"}.__contains__,
-                          in_etcd={"s4", "s5", "s6", "s7", "s8"}.__contains__) as world:  # fmt: skip
+    async with FleetWorld(
+        path,
+        site=SITE,
+        seed=33,
+        servers=8,
+        platform={"s1", "s2", "s3", "s4"}.__contains__,
+        in_etcd={"s4", "s5", "s6", "s7", "s8"}.__contains__,
+    ) as world:
         agent = world.discovery.agents["n0"]
         await renew(world, 60)
 
@@ -351,8 +357,11 @@
             world.reset(node, epoch=1)
 
         raised: list[float] = []
-        script = [on(0.3, lambda w: w.etcd.restore(backup)), on(0.4, lambda w: off(w, "s4")),
-                  on(0.5, raise_epoch)]  # fmt: skip
+        script = [
+            on(0.3, lambda w: w.etcd.restore(backup)),
+            on(0.4, lambda w: off(w, "s4")),
+            on(0.5, raise_epoch),
+        ]
         await world.play(RATE / 2, 19.0, script)
         judged(world)
         epoch_s = (raised[0] - world.started_at_ms) / 1000
@@ -434,8 +443,11 @@
         assert status == 503 and after is not None and float(after) > 0 and took < 1_000
         assert not sent(world, "s1 s2 s3 s4 s5 s6", ended + 0.3, 3.8)
         begun = {a.request: a.at_ms for a in of(world.journal, Asked)}
-        empty = [a for a in of(world.journal, Answered)
-                 if ended + 0.1 < (begun[a.request] - world.started_at_ms) / 1000 < 3.8]  # fmt: skip
+        empty = [
+            a
+            for a in of(world.journal, Answered)
+            if ended + 0.1 < (begun[a.request] - world.started_at_ms) / 1000 < 3.8
+        ]
         assert len(empty) > 20 and {a.status for a in empty} == {503}
         assert statistics.median(a.at_ms - begun[a.request] for a in empty) < 100
         assert sent(world, "s1 s2", 4.0) > 5  # and it comes back by itself
@@ -445,8 +457,9 @@
 async def leases_of_a_source_that_only_adds(path: Path) -> None:
     """`role = "add"`: whom the platform lists stays, and whom etcd alone listed goes."""
     few = {"s1", "s2", "s3"}
-    async with FleetWorld(path, site=SITE, seed=41, servers=6, platform=few.__contains__,
-                          role="add") as world:  # fmt: skip
+    async with FleetWorld(
+        path, site=SITE, seed=41, servers=6, platform=few.__contains__, role="add"
+    ) as world:
         await lease(world, *(f"s{n}" for n in range(1, 7)))
         script = [on(0.8, lambda w: w.etcd.lose_leases()), on(1.0, lambda w: off(w, "s1"))]
         await world.play(RATE, 3.6, script)
@@ -523,8 +536,14 @@
         assert {"s3", "s4", "s5", "s6", "s7"} <= {f["key"] for f in report["faults"]}
         (twin,) = [m for m in report["members"] if m["id"] in ("s8", "twin") and m["phase"] == "up"]
         assert twin["address"] == f"{world.fleet['s8'].host}:{world.fleet['s8'].port}"
-        for key, why in (("s3", "not JSON"), ("s4", "address"), ("s5", "not JSON"), ("s6", "2000000 bytes"),
-                         ("s7", "not base64"), ("s6/x", "a / in it")):  # fmt: skip
+        for key, why in (
+            ("s3", "not JSON"),
+            ("s4", "address"),
+            ("s5", "not JSON"),
+            ("s6", "2000000 bytes"),
+            ("s7", "not base64"),
+            ("s6/x", "a / in it"),
+        ):
             assert any(f"entry '{key}' left out" in line and why in line for line in node.log), key
         assert not await world.current()
 
--- a/tests/system/test_partial_removal.py
+++ b/tests/system/test_partial_removal.py
@@ -38,9 +38,10 @@
         RequestClass("order", Effect.KEYED, 5_000, 6_000, share=0.3, work_ms=20, spread=0.3),
         RequestClass("charge", Effect.UNSAFE, 5_000, 6_000, share=0.2, work_ms=20, spread=0.3),
     ),
-    zones=("a",), connect_ms=5_000,
+    zones=("a",),
+    connect_ms=5_000,
     rules=Rules(fall_multiple=0.1, fall_ms=2_000, cold_share=0.9, warm_ms=60_000),
-)  # fmt: skip
+)
 
 
 class Crowd(Site):
@@ -84,8 +85,15 @@
 
     def entry(self, phase: str = "in_service") -> dict[str, object]:
         """What the list says of it."""
-        return {"id": self.name, "host_port": f"{self.address[0]}:{self.address[1]}", "phase": phase,
-                "locality": "a", "cell": 0, "size": 0.05, "flavor": "m"}  # fmt: skip
+        return {
+            "id": self.name,
+            "host_port": f"{self.address[0]}:{self.address[1]}",
+            "phase": phase,
+            "locality": "a",
+            "cell": 0,
+            "size": 0.05,
+            "flavor": "m",
+        }
 
     def open(self) -> None:
         """From now on take connections, and note what comes on them."""
--- a/tests/system/test_peers.py
+++ b/tests/system/test_peers.py
@@ -130,9 +130,7 @@
             assert all(one.keys() == keys for one in told["peers"])
 
 
-def run(
-    path: Path, nodes: int, scenario: Callable[[Fleet], Awaitable[None]], memory: bool = False
-) -> None:
+def run(path: Path, nodes: int, scenario: Callable[[Fleet], Awaitable[None]], memory: bool = False) -> None:
     async def test() -> None:
         world = World(path, site=Site(zones=("a",)), seed=3, nodes=nodes, servers=4)
         world.gossip, world.memory = True, memory
@@ -205,8 +203,13 @@
             await fleet.see(nodes, nodes)
             told = [e for e in (await fleet.asked(one, "events", after=begun))["events"]]
             # Hearing others again and a suspicion from its beginning take longer than this.
-            own = [e for e in told if e["event"] == "peer_failed" and stopped_ms < e["at"] < went_ms + 500
-                   and not e["evidence"]["why"].startswith("told by")]  # fmt: skip
+            own = [
+                e
+                for e in told
+                if e["event"] == "peer_failed"
+                and stopped_ms < e["at"] < went_ms + 500
+                and not e["evidence"]["why"].startswith("told by")
+            ]
             assert not own, told
             last = [e["event"] for e in told if e["subject"] == other.name and e["at"] <= stopped_ms]
             if last[-1] == "peer_suspected":
--- a/tests/system/test_signals.py
+++ b/tests/system/test_signals.py
@@ -88,9 +88,16 @@
         path = tmp_path / "c.json"
         path.write_text(json.dumps(configuration([], 1)))
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-B", "-X", "importtime", "-m", "balancer", cwd=ROOT,
-            env=dict(os.environ) | {"PROXY_CONFIG": str(path)}, stderr=asyncio.subprocess.PIPE,
-        )  # fmt: skip
+            sys.executable,
+            "-B",
+            "-X",
+            "importtime",
+            "-m",
+            "balancer",
+            cwd=ROOT,
+            env=dict(os.environ) | {"PROXY_CONFIG": str(path)},
+            stderr=asyncio.subprocess.PIPE,
+        )
         assert process.stderr is not None
         said, sent = "", False
         async with asyncio.timeout(WAIT):
@@ -191,5 +198,3 @@
             assert await client.ended() == b"" and await rig.end() == 0
 
     run(test)
-
-
--- a/tests/system/test_staggered_start.py
+++ b/tests/system/test_staggered_start.py
@@ -24,7 +24,8 @@
     """That a node asks no sooner than its turn holds on any machine. By their turns any four of them lie a
     second apart: only where one was that late may a fourth come within 100 ms, and be refused.
 
-    Without the wait of `core/discovery/etcd_watcher._turn_wait` it fails; with `bears` left out all ask at once.
+    Without the wait of `core/discovery/etcd_watcher._turn_wait` it fails; with `bears` left out all ask at
+    once.
     """
 
     async def play() -> None:
--- a/tests/system/test_startup_cost.py
+++ b/tests/system/test_startup_cost.py
@@ -30,14 +30,35 @@
 WITH_PERSISTENCE = 100, 292_300, 94
 """The same of a start with [state] and [control]: 283,770 bytes before, and 3%."""
 SPARED = {  # what only a word, the operators' file or another program needs
-    "argparse", "click", "tomllib", "difflib", "pathlib", "balancer.cli", "balancer.operator_settings",
-    "balancer.net.components", "balancer.net.admin_socket", "balancer.net.etcd_component", "balancer.net.discovery.etcd",
-    "balancer.core.discovery.etcd_watcher", "balancer.protocol.etcd_watch", "balancer.timeline", "balancer.observability",
-    "balancer.simulator.wire", "msgspec", "balancer.net.cluster", "balancer.core.cluster.failure_detector", "balancer.protocol.gossip",
-}  # fmt: skip
+    "argparse",
+    "click",
+    "tomllib",
+    "difflib",
+    "pathlib",
+    "balancer.cli",
+    "balancer.operator_settings",
+    "balancer.net.components",
+    "balancer.net.admin_socket",
+    "balancer.net.etcd_component",
+    "balancer.net.discovery.etcd",
+    "balancer.core.discovery.etcd_watcher",
+    "balancer.protocol.etcd_watch",
+    "balancer.timeline",
+    "balancer.observability",
+    "balancer.simulator.wire",
+    "msgspec",
+    "balancer.net.cluster",
+    "balancer.core.cluster.failure_detector",
+    "balancer.protocol.gossip",
+}
 SWITCHED_ON = {  # of these, what a node with a memory and a control socket needs
-    "tomllib", "pathlib", "balancer.operator_settings", "balancer.net.components", "balancer.net.admin_socket", "msgspec",
-}  # fmt: skip
+    "tomllib",
+    "pathlib",
+    "balancer.operator_settings",
+    "balancer.net.components",
+    "balancer.net.admin_socket",
+    "msgspec",
+}
 
 
 async def loaded(path: Path, *words: str) -> set[str]:
@@ -47,9 +68,17 @@
     path.write_text(json.dumps(configuration([], discovery.port)))
     env = {k: v for k, v in os.environ.items() if not k.startswith(("PROXY_", "BALANCER_", "DILLPORT_"))}
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-B", "-X", "importtime", "-m", "balancer", *words, cwd=ROOT,
-        env=env | {"PROXY_CONFIG": str(path)}, stderr=asyncio.subprocess.PIPE,
-    )  # fmt: skip
+        sys.executable,
+        "-B",
+        "-X",
+        "importtime",
+        "-m",
+        "balancer",
+        *words,
+        cwd=ROOT,
+        env=env | {"PROXY_CONFIG": str(path)},
+        stderr=asyncio.subprocess.PIPE,
+    )
     assert process.stderr is not None and discovery.server is not None
     found = set[str]()
     try:
@@ -89,7 +118,12 @@
     found = asyncio.run(loaded(tmp_path / "c.json", *words))
     assert "balancer.policy.balancer" in found and not found & SPARED
     modules, size, classes = weight(found)
-    assert modules <= MODULES and size <= CODE_BYTES and classes <= DATACLASSES, (modules, size, classes, found)
+    assert modules <= MODULES and size <= CODE_BYTES and classes <= DATACLASSES, (
+        modules,
+        size,
+        classes,
+        found,
+    )
 
 
 @pytest.mark.parametrize("words", ["--settings FILE", "run --settings FILE"])
@@ -100,7 +134,9 @@
     settings.write_text(f'[control]\nsocket = "{tmp_path}/c.sock"\n[state]\ndirectory = "state"\n')
     found = asyncio.run(loaded(tmp_path / "c.json", *words.replace("FILE", str(settings)).split()))
     assert {"balancer.net.admin_socket", "balancer.net.persistence"} <= found
-    assert not found & (SPARED - SWITCHED_ON | {"hashlib", "secrets", "balancer.core.anomaly_detection.detector"})
+    assert not found & (
+        SPARED - SWITCHED_ON | {"hashlib", "secrets", "balancer.core.anomaly_detection.detector"}
+    )
     got = weight(found)
     assert all(there <= most for there, most in zip(got, WITH_PERSISTENCE, strict=True)), (got, found)
 
@@ -110,7 +146,11 @@
     (tmp_path / "peers.key").write_text("0123456789abcdef" * 2)
     settings.write_text('[peers]\nlisten = "127.0.0.1:0"\nkey_file = "peers.key"\n')
     found = asyncio.run(loaded(tmp_path / "c.json", "--settings", str(settings)))
-    assert {"balancer.net.cluster", "balancer.core.cluster.failure_detector", "balancer.protocol.gossip"} <= found
+    assert {
+        "balancer.net.cluster",
+        "balancer.core.cluster.failure_detector",
+        "balancer.protocol.gossip",
+    } <= found
 
 
 @pytest.mark.parametrize(("words", "begun"), [([], "balancer.interface"), (["run"], "uvloop")])
@@ -123,9 +163,17 @@
         path, env = tmp_path / "c.json", dict(os.environ) | {"PROXY_CONFIG": str(tmp_path / "c.json")}
         path.write_text(json.dumps(configuration([], 1)))
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-B", "-X", "importtime", "-m", "balancer", *words, cwd=ROOT, env=env,
+            sys.executable,
+            "-B",
+            "-X",
+            "importtime",
+            "-m",
+            "balancer",
+            *words,
+            cwd=ROOT,
+            env=env,
             stderr=asyncio.subprocess.PIPE,
-        )  # fmt: skip
+        )
         assert process.stderr is not None
         said, hung_up = list[str](), False
         try:
--- a/tests/system/test_timeline.py
+++ b/tests/system/test_timeline.py
@@ -57,8 +57,12 @@
 
 
 @contextlib.asynccontextmanager
-async def world(tmp: Path, monkeypatch: pytest.MonkeyPatch, seed: int = 1, memory_mb: int = 8,
-                ) -> AsyncIterator[tuple[Rig, Servers, Path]]:  # fmt: skip
+async def world(
+    tmp: Path,
+    monkeypatch: pytest.MonkeyPatch,
+    seed: int = 1,
+    memory_mb: int = 8,
+) -> AsyncIterator[tuple[Rig, Servers, Path]]:
     """A node with the time line on, servers, and where to ask it."""
     path, settings = tmp / "c.sock", tmp / "balancer.toml"
     settings.write_text(f'[control]\nsocket = "{path}"\n[timeline]\nmemory_mb = {memory_mb}\n')
@@ -127,9 +131,15 @@
 async def says(*words: str) -> tuple[int, str, str]:
     """The program's exit code and output."""
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-B", "-m", "balancer", *words, cwd=ROOT,
-        stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.PIPE,
-    )  # fmt: skip
+        sys.executable,
+        "-B",
+        "-m",
+        "balancer",
+        *words,
+        cwd=ROOT,
+        stdout=asyncio.subprocess.PIPE,
+        stderr=asyncio.subprocess.PIPE,
+    )
     out, err = await process.communicate()
     return process.returncode or 0, out.decode(), err.decode()
 
@@ -279,8 +289,6 @@
     run(test)
 
 
-
-
 async def scrape(port: int, head: bytes = b"GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n") -> bytes:
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(head)
--- a/tests/test_benchmarks.py
+++ b/tests/test_benchmarks.py
@@ -183,12 +183,23 @@
 
 
 def test_what_goes_on_over_the_end_of_an_outage_lasts_as_much_longer() -> None:
-    rows = [("kill", 1.0, 0.0), ("die", 2.0, 0.5), ("lists silent", 2.0, 4.0), ("stand", 3.0, 2.0),
-            ("vanish", 2.5, 5.0), ("kill", 5.0, 0.0)]  # fmt: skip
+    rows = [
+        ("kill", 1.0, 0.0),
+        ("die", 2.0, 0.5),
+        ("lists silent", 2.0, 4.0),
+        ("stand", 3.0, 2.0),
+        ("vanish", 2.5, 5.0),
+        ("kill", 5.0, 0.0),
+    ]
     fault = tuple(ScriptRow(at_s, kind, for_s=for_s) for kind, at_s, for_s in rows)
     script = longer(Script("x", 9.0, 10.0, 2, 2, fault=fault), 60.0)
     assert script.seconds == 67.0 and [(row.at_s, row.for_s) for row in script.fault] == [
-        (1.0, 0.0), (2.0, 0.5), (2.0, 62.0), (3.0, 60.0), (2.5, 63.0), (63.0, 0.0),
-    ]  # fmt: skip
+        (1.0, 0.0),
+        (2.0, 0.5),
+        (2.0, 62.0),
+        (3.0, 60.0),
+        (2.5, 63.0),
+        (63.0, 0.0),
+    ]
     still = Script("x", 9.0, 10.0, 2, 2, fault=fault[:2])
     assert longer(still, 60.0) is still
--- a/tests/test_platform_settings.py
+++ b/tests/test_platform_settings.py
@@ -52,13 +52,19 @@
 
 def test_all_faults_are_named_at_once() -> None:
     rows = [
-        {"name": "a", "effect": "odd", "give-up": "long", "objective": 0, "streamed": 1}, 7,
+        {"name": "a", "effect": "odd", "give-up": "long", "objective": 0, "streamed": 1},
+        7,
         {"effect": "dedup", "give-up": 0},
-    ]  # fmt: skip
+    ]
     told: dict[str, object] = {
-        "request-classes": rows, "group-size": 2.5, "charges": 3, "zone": 4, "kinds": "k",
-        "rules": {"cold-share": 1.5, "fall": -1}, "projects": [{"share": -1}],
-    }  # fmt: skip
+        "request-classes": rows,
+        "group-size": 2.5,
+        "charges": 3,
+        "zone": 4,
+        "kinds": "k",
+        "rules": {"cold-share": 1.5, "fall": -1},
+        "projects": [{"share": -1}],
+    }
     assert set(settings.faults(INFO | told)) == {
         "request-classes[1] makes no sense: 7",
         "request-classes[0].effect makes no sense: 'odd'",
@@ -86,18 +92,34 @@
         "charges": {"peer": 0.01, "moves": 0.02, "origin": 0.03, "fleet": 0.04, "discovery": 0.05},
         "client-habits": {"marks-retry": True},
         "family-info": {"warm-keys": True, "passes-deadline": True},
-        "kinds": ["k"], "failure-domains": ["a", "b"],
-    }  # fmt: skip
+        "kinds": ["k"],
+        "failure-domains": ["a", "b"],
+    }
     told["limits"] = {
-        "conn-idle": 5000.0, "streams-per-conn": 7, "max-open": 9, "cpu-us-per-s": 8000,
-        "cpu-us-per-request": 2.5, "peers": True, "retry-after": True, "max-retry-after": 250.0,
-    }  # fmt: skip
+        "conn-idle": 5000.0,
+        "streams-per-conn": 7,
+        "max-open": 9,
+        "cpu-us-per-s": 8000,
+        "cpu-us-per-request": 2.5,
+        "peers": True,
+        "retry-after": True,
+        "max-retry-after": 250.0,
+    }
     got = settings.read(json.dumps(told))
     assert (got.blend.nines, got.blend.top_nines, got.blend.slow_end, got.blend.miss_allowed) == (
-        0.2, 4.0, 0.3, 0.02)  # fmt: skip
+        0.2,
+        4.0,
+        0.3,
+        0.02,
+    )
     charges = got.charges
     assert (charges.peer, charges.moves, charges.origin, charges.fleet, charges.discovery) == (
-        0.01, 0.02, 0.03, 0.04, 0.05)  # fmt: skip
+        0.01,
+        0.02,
+        0.03,
+        0.04,
+        0.05,
+    )
     assert got.retries_marked and got.warm_keys and got.passes_deadline and got.peers
     assert got.kinds == ("k",) and got.zones == ("a", "b")
     assert (got.conn_idle, got.streams_per_conn, got.max_open) == (5000.0, 7, 9)
--- a/tests/testbed/test_backend_emulator.py
+++ b/tests/testbed/test_backend_emulator.py
@@ -318,10 +318,13 @@
 
 @pytest.mark.parametrize(
     "data",
-    [b"POST /pay/x HTTP/1.1\r\nRequest-Id: p\r\nContent-Length: 70000\r\n\r\n" + b"x" * 70_000,
-     2 * b"GET /long/x HTTP/1.1\r\nRequest-Id: r\r\n\r\n", b"nonsense\r\n\r\n"],
+    [
+        b"POST /pay/x HTTP/1.1\r\nRequest-Id: p\r\nContent-Length: 70000\r\n\r\n" + b"x" * 70_000,
+        2 * b"GET /long/x HTTP/1.1\r\nRequest-Id: r\r\n\r\n",
+        b"nonsense\r\n\r\n",
+    ],
     ids=["too large", "two at once", "no HTTP"],
-)  # fmt: skip
+)
 def test_resets_what_is_no_single_request(data: bytes) -> None:
     async def test() -> None:
         async with fleet() as world:
--- a/tests/testbed/test_discovery_emulator.py
+++ b/tests/testbed/test_discovery_emulator.py
@@ -342,9 +342,7 @@
             r.journal.add(NodeStarted("n0", now_ms()))  # it was on its way to the process before
             r.agent.tell_known(r.agent.known())  # which a file tells, past the path
             now = of(r.journal, Told)[before + len(told) :]
-            assert [(t.server, t.phase) for t in now] == [
-                ("c", "up"), ("a", "draining"), ("b", "draining")
-            ]  # fmt: skip
+            assert [(t.server, t.phase) for t in now] == [("c", "up"), ("a", "draining"), ("b", "draining")]
             r.publish(entry("a"))  # the path is still at fault
             await watch.line()
             assert len(of(r.journal, Told)) == before + len(told) + len(now)
--- a/tests/testbed/test_etcd_faults.py
+++ b/tests/testbed/test_etcd_faults.py
@@ -260,8 +260,10 @@
             # What could not be read tells nothing, and a list names it all the same.
             puts = [(one.kind, one.put) for one in etcd.records]
             assert puts == [("watch", ()), ("range", ("a",))] * 2 + [
-                ("watch", ("a",)), ("range", ("a",)), ("watch", ()),
-            ]  # fmt: skip
+                ("watch", ("a",)),
+                ("range", ("a",)),
+                ("watch", ()),
+            ]
 
     run(test)
 
--- a/tests/testbed/test_event_log.py
+++ b/tests/testbed/test_event_log.py
@@ -17,9 +17,10 @@
     """Guards against a judge for whom a node that counts is told that all are gone."""
     row = SimpleNamespace(value=b'{"phase": "in_service", "host_port": "127.0.0.1:1"}')
     cluster: Any = SimpleNamespace(
-        shared=SimpleNamespace(cluster_id=7), members=[SimpleNamespace(cluster_id=None)],
+        shared=SimpleNamespace(cluster_id=7),
+        members=[SimpleNamespace(cluster_id=None)],
         store=SimpleNamespace(get=lambda key, revision: row),
-    )  # fmt: skip
+    )
     journal = Journal()
     scribe = Scribe(journal, cluster, lambda endpoint: "n0", lambda node, name: False)
 
--- a/tests/testbed/test_invariant_checker.py
+++ b/tests/testbed/test_invariant_checker.py
@@ -127,14 +127,22 @@
 
 def test_clean_story() -> None:
     got = verdict(
-        served("r1", "read", 100), served("p1", "pay", 150, "s1"), served("o1", "once", 200),
+        served("r1", "read", 100),
+        served("p1", "pay", 150, "s1"),
+        served("o1", "once", 200),
         # Turned away, then served elsewhere; refused after being turned away: all harmless.
-        asked("o2", "once", 300), attempt("o2", "s0", 302, "turned"), attempt("o2", "s1", 330),
+        asked("o2", "once", 300),
+        attempt("o2", "s0", 302, "turned"),
+        attempt("o2", "s1", 330),
         answered("o2", 360, "s1"),
-        asked("o3", "once", 400), attempt("o3", "s0", 402, "turned"), answered("o3", 440, status=503),
-        asked("r2", "read", 500), attempt("r2", "s0", 502, "let go", 300), attempt("r2", "s1", 803),
+        asked("o3", "once", 400),
+        attempt("o3", "s0", 402, "turned"),
+        answered("o3", 440, status=503),
+        asked("r2", "read", 500),
+        attempt("r2", "s0", 502, "let go", 300),
+        attempt("r2", "s1", 803),
         answered("r2", 830, "s1"),
-    )  # fmt: skip
+    )
     assert got.ok and all("kept" in line for line in got.lines())
     total = got.classes["all"]
     assert (total.asked, total.in_time, total.late, total.refused) == (6, 4, 1, 1)
@@ -261,9 +269,11 @@
 @pytest.mark.parametrize(("body", "why"), [("s0 r1", "another request's"), ("hello", "nobody's")])
 def test_served_with_what_no_server_made(body: str, why: str) -> None:
     got = verdict(
-        served("r1", "read", 50), asked("r9", "read", 100), attempt("r9", "s0", 102),
+        served("r1", "read", 50),
+        asked("r9", "read", 100),
+        attempt("r9", "s0", 102),
         Answered("r9", 150, 200, True, body),
-    )  # fmt: skip
+    )
     one(got, 1, "r9", "no server made")
 
 
@@ -278,10 +288,18 @@
     one(verdict(lost, slow[:1], NodeEnded("n0", 45, -9)), 1, "r9", "without an answer")
     ended = verdict(lost, NodeSignalled("n0", 149, "SIGTERM"), NodeEnded("n0", 152, 0))
     one(ended, 1, "r9", "without an answer")
-    assert verdict(NodeSignalled("n0", 100, "SIGTERM"), asked("r9", "read", 500),
-                   NodeSignalled("n0", 600, "SIGKILL"), NodeEnded("n0", 601, -9)).ok  # fmt: skip
-    late = verdict(NodeSignalled("n0", 100, "SIGTERM"), asked("r9", "read", 500),
-                   NodeSignalled("n0", 900, "SIGKILL"), NodeEnded("n0", 901, -9))  # fmt: skip
+    assert verdict(
+        NodeSignalled("n0", 100, "SIGTERM"),
+        asked("r9", "read", 500),
+        NodeSignalled("n0", 600, "SIGKILL"),
+        NodeEnded("n0", 601, -9),
+    ).ok
+    late = verdict(
+        NodeSignalled("n0", 100, "SIGTERM"),
+        asked("r9", "read", 500),
+        NodeSignalled("n0", 900, "SIGKILL"),
+        NodeEnded("n0", 901, -9),
+    )
     one(late, 1, "r9", "no answer")
 
 
@@ -304,25 +322,42 @@
 
 
 def test_unsafe_sent_again() -> None:
-    got = verdict(asked("o9", "once", 100), attempt("o9", "s0", 102, "let go"), attempt("o9", "s2", 200),
-                  answered("o9", 230, "s2"))  # fmt: skip
+    got = verdict(
+        asked("o9", "once", 100),
+        attempt("o9", "s0", 102, "let go"),
+        attempt("o9", "s2", 200),
+        answered("o9", 230, "s2"),
+    )
     one(got, 2, "o9", "unsafe, it may have run on s0 and was sent again to s2")
-    error = verdict(asked("o9", "once", 100), attempt("o9", "s0", 102, "error"), attempt("o9", "s1", 200),
-                    answered("o9", 230, "s1"))  # fmt: skip
+    error = verdict(
+        asked("o9", "once", 100),
+        attempt("o9", "s0", 102, "error"),
+        attempt("o9", "s1", 200),
+        answered("o9", 230, "s1"),
+    )
     one(error, 2, "o9", "may have run on s0")
 
 
 def test_what_never_came_whole_never_ran() -> None:
-    assert verdict(asked("o9", "once", 100), attempt("o9", "s0", 102, "cut"), attempt("o9", "s1", 200),
-                   answered("o9", 230, "s1")).ok  # fmt: skip
-    assert verdict(asked("o9", "once", 100), attempt("o9", "s0", 102, "cut"),
-                   answered("o9", 230, status=503)).ok  # fmt: skip
+    assert verdict(
+        asked("o9", "once", 100),
+        attempt("o9", "s0", 102, "cut"),
+        attempt("o9", "s1", 200),
+        answered("o9", 230, "s1"),
+    ).ok
+    assert verdict(
+        asked("o9", "once", 100), attempt("o9", "s0", 102, "cut"), answered("o9", 230, status=503)
+    ).ok
 
 
 def pay(second: str, at: float, cls: str = "pay") -> Verdict:
     """A keyed request that was let go at s0 is sent again."""
-    return verdict(asked("p9", cls, 100), attempt("p9", "s0", 102, "let go", key="k-p9"),
-                   attempt("p9", second, at, key="k-p9"), answered("p9", at + 30, second))  # fmt: skip
+    return verdict(
+        asked("p9", cls, 100),
+        attempt("p9", "s0", 102, "let go", key="k-p9"),
+        attempt("p9", second, at, key="k-p9"),
+        answered("p9", at + 30, second),
+    )
 
 
 def test_keyed_within_group_and_memory() -> None:
@@ -336,30 +371,48 @@
 @pytest.mark.parametrize("cls", ["once", "pay"])
 def test_refused_though_it_may_have_run(cls: str) -> None:
     key = "k-x9" if cls == "pay" else ""
-    got = verdict(asked("x9", cls, 100), attempt("x9", "s0", 102, "let go", key=key),
-                  answered("x9", 400, status=429))  # fmt: skip
+    got = verdict(
+        asked("x9", cls, 100), attempt("x9", "s0", 102, "let go", key=key), answered("x9", 400, status=429)
+    )
     one(got, 2, "x9", "refused, though it may have run on s0")
-    failed = verdict(asked("x9", cls, 100), attempt("x9", "s0", 102, "let go", key=key),
-                     answered("x9", 400, status=502))  # fmt: skip
+    failed = verdict(
+        asked("x9", cls, 100), attempt("x9", "s0", 102, "let go", key=key), answered("x9", 400, status=502)
+    )
     assert failed.ok and failed.classes[cls].failed == 1
 
 
 def test_refusals_that_are_harmless() -> None:
-    assert verdict(asked("r9", "read", 100), attempt("r9", "s0", 102, "let go"),
-                   answered("r9", 400, status=503)).ok  # fmt: skip
-    assert verdict(asked("x9", "any", 100), attempt("x9", "s0", 102, "let go", key="k-x9"),
-                   answered("x9", 400, status=503)).ok  # fmt: skip
+    assert verdict(
+        asked("r9", "read", 100), attempt("r9", "s0", 102, "let go"), answered("r9", 400, status=503)
+    ).ok
+    assert verdict(
+        asked("x9", "any", 100),
+        attempt("x9", "s0", 102, "let go", key="k-x9"),
+        answered("x9", 400, status=503),
+    ).ok
 
 
 def test_two_copies_out_at_once() -> None:
-    got = verdict(asked("r9", "read", 100), attempt("r9", "s0", 102, took=400), attempt("r9", "s1", 200),
-                  answered("r9", 230, "s1"))  # fmt: skip
+    got = verdict(
+        asked("r9", "read", 100),
+        attempt("r9", "s0", 102, took=400),
+        attempt("r9", "s1", 200),
+        answered("r9", 230, "s1"),
+    )
     one(got, 2, "r9", "a second copy went to s1 while s0 held the first")
-    out = verdict(asked("r9", "read", 100), attempt("r9", "s0", 102, "out"), attempt("r9", "s1", 200),
-                  answered("r9", 230, "s1"))  # fmt: skip
+    out = verdict(
+        asked("r9", "read", 100),
+        attempt("r9", "s0", 102, "out"),
+        attempt("r9", "s1", 200),
+        answered("r9", 230, "s1"),
+    )
     one(out, 2, "r9", "a second copy")
-    near = verdict(asked("r9", "read", 100), attempt("r9", "s0", 102, "let go", 120),
-                   attempt("r9", "s1", 200), answered("r9", 230, "s1"))  # fmt: skip
+    near = verdict(
+        asked("r9", "read", 100),
+        attempt("r9", "s0", 102, "let go", 120),
+        attempt("r9", "s1", 200),
+        answered("r9", 230, "s1"),
+    )
     assert near.ok  # the end of the first was on its way
 
 
@@ -467,9 +520,11 @@
 
 
 def test_turned_away_counts_as_sent() -> None:
-    turned: list[Record] = [TurnedAway("s4", r.attempt, r.request, r.at_ms, "full")
-                            if isinstance(r, Replied) else r for r in burst(180, 5.5)
-                            if not isinstance(r, (Ran, Answered))]  # fmt: skip
+    turned: list[Record] = [
+        TurnedAway("s4", r.attempt, r.request, r.at_ms, "full") if isinstance(r, Replied) else r
+        for r in burst(180, 5.5)
+        if not isinstance(r, (Ran, Answered))
+    ]
     refused: list[Record] = [Answered(f"r{n}", 1_030 + n * 5.5, 503, True) for n in range(180)]
     one(verdict(turned, refused), 4, "s4", "of what it may be sent")
 
--- a/tests/testbed/test_jut_model.py
+++ b/tests/testbed/test_jut_model.py
@@ -1,4 +1,5 @@
-"""The paper's setting with the module as its dispatcher, short; benchmarks/jut_paper.py has the whole tables."""
+"""The paper's setting with the module as its dispatcher, short; benchmarks/jut_paper.py has the whole
+tables."""
 
 from __future__ import annotations
 
--- a/tests/testbed/test_load_generator.py
+++ b/tests/testbed/test_load_generator.py
@@ -178,10 +178,18 @@
 
 @pytest.mark.parametrize(
     ("cls", "first", "again"),
-    [("read", REFUSED, True), ("once", REFUSED, True), ("pay", REFUSED, True), ("read", FAILED, True),
-     ("any", FAILED, True), ("pay", FAILED, False), ("once", FAILED, False), ("once", b"", False),
-     ("read", b"", True)],
-)  # fmt: skip
+    [
+        ("read", REFUSED, True),
+        ("once", REFUSED, True),
+        ("pay", REFUSED, True),
+        ("read", FAILED, True),
+        ("any", FAILED, True),
+        ("pay", FAILED, False),
+        ("once", FAILED, False),
+        ("once", b"", False),
+        ("read", b"", True),
+    ],
+)
 def test_retries_by_itself_where_that_is_harmless(cls: str, first: bytes, again: bool) -> None:
     async def test() -> None:
         async with rig(first, OK) as world:
--- a/tests/testbed/test_scenario.py
+++ b/tests/testbed/test_scenario.py
@@ -43,16 +43,26 @@
     with pytest.raises(sc.ScriptError) as caught:
         sc.parse(text)
     lines = str(caught.value).splitlines()
-    for part in ("rate", "[0]: kind: found 'explode'; allowed: kill", "[1]: for_s", "[1]: found 2 of names",
-                 "[2]:", "[3]: Object contains unknown field `node`"):  # fmt: skip
+    for part in (
+        "rate",
+        "[0]: kind: found 'explode'; allowed: kill",
+        "[1]: for_s",
+        "[1]: found 2 of names",
+        "[2]:",
+        "[3]: Object contains unknown field `node`",
+    ):
         assert any(part in line for line in lines), (part, lines)
     both = HEAD + b"state = true\netcd = true\n"
     says = HEAD + b'[[says]]\nnames = ["n9"]\nmemory = "kept"\n'
     table = HEAD + b"[fault]\n"
     for raw, part in (
-        (b"\xff", "not TOML"), (both, "beside etcd"), (b"x = [", "not TOML"), (table, "[[fault]]"),
-        (says, "says: found it without a memory"), (says, "says: names: found 'n9'; allowed: n0 to n3"),
-    ):  # fmt: skip
+        (b"\xff", "not TOML"),
+        (both, "beside etcd"),
+        (b"x = [", "not TOML"),
+        (table, "[[fault]]"),
+        (says, "says: found it without a memory"),
+        (says, "says: names: found 'n9'; allowed: n0 to n3"),
+    ):
         with pytest.raises(sc.ScriptError, match=part.replace("[", r"\[")):
             sc.parse(raw)
 
@@ -72,19 +82,28 @@
     with pytest.raises(sc.ScriptError) as caught:
         sc.parse(text)
     lines = str(caught.value).splitlines()
-    for line, part in zip(lines[4:], (
-        "names: found 'etcd'; allowed: s1 to s6, discovery", "way: found it beside 'reset'; allowed: silent",
-        "wipe: found it beside 'stand'; allowed: kill, terminate", "value: found -1 beside 'stand'",
-        "found one node", "names: found 's1'; allowed: n0 to n3",
-    ), strict=True):  # fmt: skip
+    for line, part in zip(
+        lines[4:],
+        (
+            "names: found 'etcd'; allowed: s1 to s6, discovery",
+            "way: found it beside 'reset'; allowed: silent",
+            "wipe: found it beside 'stand'; allowed: kill, terminate",
+            "value: found -1 beside 'stand'",
+            "found one node",
+            "names: found 's1'; allowed: n0 to n3",
+        ),
+        strict=True,
+    ):
         assert part in line, line
     assert len(lines) == 10 and "n0 to n3" in lines[0] and "n0 to n3" in lines[1] and "a, b" in lines[2]
     assert "strikes no path" in lines[3]
 
 
 def test_a_seed_strikes_the_same_and_another_one_others() -> None:
-    script = sc.parse(HEAD + b'[[fault]]\nat_s = 1\nkind = "kill"\npart = 0.5\nspread_s = 2\n'
-                      b'[[fault]]\nat_s = 2\nkind = "reset"\nzone = "b"\n')  # fmt: skip
+    script = sc.parse(
+        HEAD + b'[[fault]]\nat_s = 1\nkind = "kill"\npart = 0.5\nspread_s = 2\n'
+        b'[[fault]]\nat_s = 2\nkind = "reset"\nzone = "b"\n'
+    )
     first = sc.draw(script, 1)
     assert first == sc.draw(script, 1)
     assert len({tuple(sc.draw(script, seed)) for seed in range(20)}) > 3
@@ -117,12 +136,15 @@
 def test_what_each_process_had_been_told_is_shown_as_of_the_breach() -> None:
     got = Received("s1", 1, 1, "a", "r", "", "", 1.0, 500.0, 501.0)
     records: list[Record] = [
-        NodeStarted("n0", 0.0), NodeStarted("n1", 0.0),
-        Told("n0", "platform", "x", 41, "s1", "up", 10.0), Told("n1", "platform", "x", 41, "s1", "up", 10.0),
-        Told("n1", "platform", "x", 42, "s1", "gone", 300.0), NodeEnded("n0", 400.0, -9),
+        NodeStarted("n0", 0.0),
+        NodeStarted("n1", 0.0),
+        Told("n0", "platform", "x", 41, "s1", "up", 10.0),
+        Told("n1", "platform", "x", 41, "s1", "up", 10.0),
+        Told("n1", "platform", "x", 42, "s1", "gone", 300.0),
+        NodeEnded("n0", 400.0, -9),
         Told("n0", "platform", "x", 43, "s1", "gone", 600.0),
         Told("n0", "platform", "x", 42, "s2", "up", 20.0),
-    ]  # fmt: skip
+    ]
     assert sc.beliefs(records, [got]) == [
         "n0, down, had been told: s1 up since 490 ms, revision 41 of platform",
         "n1, up, had been told: s1 gone since 200 ms, revision 42 of platform",
@@ -147,8 +169,11 @@
     def got(server: str, at: float) -> Received:
         return Received(server, 1, 1, "a", "r", "", "", 1.0, at, at)
 
-    strikes = [sc.Strike(1.0, "fail", ("s1",), for_s=1.0), sc.Strike(3.0, "vanish", ("s2",)),
-               sc.Strike(0.0, "drain", ("s3",))]  # fmt: skip
+    strikes = [
+        sc.Strike(1.0, "fail", ("s1",), for_s=1.0),
+        sc.Strike(3.0, "vanish", ("s2",)),
+        sc.Strike(0.0, "drain", ("s3",)),
+    ]
     times = (("s1", 1_900.0), ("s1", 2_000.0), ("s1", 2_999.0), ("s2", 3_999.0), ("s2", 4_000.0), ("s3", 5.0))
     records: list[Record] = [got(server, at) for server, at in times]
     assert sc.spent(records, strikes, 1_000.0) == (3, 6)
@@ -169,8 +194,9 @@
     good = {"memory": "older", "incarnation": 2, "state": "confirmed"}
     told = {"n0": good, "n1": good | {"memory": "kept"}, "n2": good | {"state": "provisional"}}
     assert [line.split(";")[0] for line in sc._said(script, told)] == [
-        "n1 says memory kept, life 2, confirmed", "n2 says memory older, life 2, provisional",
-    ]  # fmt: skip
+        "n1 says memory kept, life 2, confirmed",
+        "n2 says memory older, life 2, provisional",
+    ]
     told |= {"n1": good, "n2": good | {"incarnation": 1}}
     assert len([*sc._said(script, told)]) == 1 and len([*sc._said(script, {})]) == 3
     assert not [*sc._said(script, told | {"n2": good})]
--- a/tests/testbed/test_scenario_runner.py
+++ b/tests/testbed/test_scenario_runner.py
@@ -38,8 +38,12 @@
     assert main(["lab", "play", str(script), "--report", str(drawn)]) == 0
     text, looked_at = capsys.readouterr()
     assert looked_at == "", "nobody looks on"
-    for part in ("1.00 s  kill n1", "small, seed 1:", "rule 4, no cold server is pushed over: kept",
-                 "full service again"):  # fmt: skip
+    for part in (
+        "1.00 s  kill n1",
+        "small, seed 1:",
+        "rule 4, no cold server is pushed over: kept",
+        "full service again",
+    ):
         assert part in text, text
     picture = drawn.read_text()
     assert picture.startswith("<?xml") and "</svg>" in picture
@@ -72,8 +76,9 @@
 ) -> None:
     script = tmp_path / "s.toml"
     script.write_text(SMALL.format(least="least = 0.9"))
-    monkeypatch.setattr(sc.Played, "wrong", lambda self, least: ["n1 died"] * any(
-        "n1" in one.names for one in self.strikes))  # fmt: skip
+    monkeypatch.setattr(
+        sc.Played, "wrong", lambda self, least: ["n1 died"] * any("n1" in one.names for one in self.strikes)
+    )
     assert main(["lab", "play", str(script), "--shrink"]) == 1
     assert "1 of 2 faults are enough:\n    1.00 s  kill n1" in capsys.readouterr().out
 
--- a/tests/testbed/test_simulation.py
+++ b/tests/testbed/test_simulation.py
@@ -127,11 +127,15 @@
     first = play(ROUGH[0], timed=True)
     assert play(ROUGH[0]) == first and first.cpu_us > 0
     assert play(replace(ROUGH[0], seed=2)).digest != first.digest
-    code = ("from balancer.testbed.simulation import play, rough\n"
-            "print(play(rough(1, 10, 2, 15.0)).digest)")  # fmt: skip
+    code = "from balancer.testbed.simulation import play, rough\nprint(play(rough(1, 10, 2, 15.0)).digest)"
     for seed in ("1", "2"):
-        done = subprocess.run([sys.executable, "-c", code], env=os.environ | {"PYTHONHASHSEED": seed},
-                              capture_output=True, text=True, check=True)  # fmt: skip
+        done = subprocess.run(
+            [sys.executable, "-c", code],
+            env=os.environ | {"PYTHONHASHSEED": seed},
+            capture_output=True,
+            text=True,
+            check=True,
+        )
         assert int(done.stdout) == first.digest
 
 
@@ -144,8 +148,10 @@
 
 
 def test_knowing_more_waits_less() -> None:
-    waits = {policy: play(replace(STEADY, nodes=1, policy=policy)).wait_mean_ms
-             for policy in ("random", "two choices", "least own", "module")}  # fmt: skip
+    waits = {
+        policy: play(replace(STEADY, nodes=1, policy=policy)).wait_mean_ms
+        for policy in ("random", "two choices", "least own", "module")
+    }
     assert waits["random"] > 2 * waits["two choices"] > 2 * waits["least own"] and waits["module"] < 40
 
 
--- a/tests/timeline/test_recorder.py
+++ b/tests/timeline/test_recorder.py
@@ -49,8 +49,16 @@
         pass
 
 
-def request(r: Recorder, name: str, server: str, now: float = NOW, status: Status = Status.OK,
-            took: float = 20.0, report: api.Report | None = None, closed: bool = True) -> None:  # fmt: skip
+def request(
+    r: Recorder,
+    name: str,
+    server: str,
+    now: float = NOW,
+    status: Status = Status.OK,
+    took: float = 20.0,
+    report: api.Report | None = None,
+    closed: bool = True,
+) -> None:
     send = api.Send(name, server, 0.0, Why.LOWEST_BELOW_M, Why.FIRST_TRY, 3)
     r.saw(now, api.Arrival(name, "read", now + 1_000), [send])
     r.saw(now + took, api.Outcome(name, 0, server, status, took, closed, report), [])
@@ -197,9 +205,13 @@
     r.saw(NOW + 30, ended, [api.Refuse("q", 80.0, Why.BUDGET_SPENT)])
     told = views.why(w, {"request": "q"})
     assert [(s["action"], s["why"], s["backend"]) for s in told["decisions"]] == [
-        ("arrived", "", ""), ("send", "drawn_at_cap", "a"), ("outcome", "full", "a"),
-        ("send", "panic", "b"), ("outcome", "error", "b"), ("refuse", "budget_spent", ""),
-    ]  # fmt: skip
+        ("arrived", "", ""),
+        ("send", "drawn_at_cap", "a"),
+        ("outcome", "full", "a"),
+        ("send", "panic", "b"),
+        ("outcome", "error", "b"),
+        ("refuse", "budget_spent", ""),
+    ]
     assert told["decisions"][1]["among"] == 5 and told["decisions"][1]["left_out_as_crowded"] == 2
     assert told["decisions"][3]["cause"] == "repeat_after_full" and told["over"]
     assert "nothing is kept" in views.why(w, {"request": "nobody"})["error"]
--- a/tests/timeline/test_time_series.py
+++ b/tests/timeline/test_time_series.py
@@ -23,9 +23,14 @@
 
 COUNTS = st.dictionaries(st.integers(0, 4_000), st.integers(1, 10**9), max_size=12)
 GAUGES = st.builds(
-    Gauges, st.integers(0, 1_000), st.none() | st.floats(0, 1e6), st.none() | st.floats(0, 1e6),
-    st.none() | st.integers(0, 99), st.none() | st.floats(0, 9), st.none() | st.text(max_size=9),
-)  # fmt: skip
+    Gauges,
+    st.integers(0, 1_000),
+    st.none() | st.floats(0, 1e6),
+    st.none() | st.floats(0, 1e6),
+    st.none() | st.integers(0, 99),
+    st.none() | st.floats(0, 9),
+    st.none() | st.text(max_size=9),
+)
 
 
 @given(COUNTS, GAUGES)
