--- a/balancer/cli/members.py
+++ b/balancer/cli/members.py
@@ -78,14 +78,16 @@
             {
                 "id": member.id,
                 "address": at(member.address),
-                "phase": member.entry.phase.value,
-                "zone": member.entry.zone,
-                "weight": member.entry.weight,
-                "sources": {"configuration": member.entry.phase.value},
+                "phase": member.endpoint.phase.value,
+                "zone": member.endpoint.zone,
+                "weight": member.endpoint.weight,
+                "sources": {"configuration": member.endpoint.phase.value},
             }
-            for member in known.members
+            for member in known.records
+        ],
+        "faults": [
+            {"source": "configuration", "key": f.key, "reason": f.reason} for f in known.invalid_entries
         ],
-        "faults": [{"source": "configuration", "key": f.key, "reason": f.reason} for f in known.faults],
     }
 
 
--- a/balancer/cli/node.py
+++ b/balancer/cli/node.py
@@ -46,10 +46,10 @@
         print(f"configuration {os.environ[CONFIG]}: no fault")
         print(f"  {cell(config.name or 'a node without a name')} listens on {at(config.listen)}")
         print(f"  discovery is at {at(config.discovery)}")
-        print(f"  {count(len(config.known.members), 'server')} known at the start")
+        print(f"  {count(len(config.known.records), 'server')} known at the start")
         names = ", ".join(cls.name for cls in config.settings.classes)
         print(f"  {count(len(config.settings.classes), 'class', 'es')}: {names}")
-        for fault in config.known.faults:
+        for fault in config.known.invalid_entries:
             print(f"  the server {cell(fault.key)} cannot be read and is left out: {cell(fault.reason)}")
     if path is None:
         print(f"settings: none (neither --settings nor {SETTINGS}): all that they could switch on is off")
--- a/balancer/core/cluster/anti_entropy.py
+++ b/balancer/core/cluster/anti_entropy.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from hashlib import blake2b
 
-from balancer.endpoints import Member
+from balancer.endpoints import EndpointRecord
 
 LEVELS = 12
 LEAVES = 1 << LEVELS  # 10,000 entries: two or three a leaf
@@ -51,17 +51,17 @@
     return int.from_bytes(blake2b(name.encode(), digest_size=8).digest())
 
 
-def digest_of(member: Member) -> int:
+def digest_of(member: EndpointRecord) -> int:
     """What is compared of an entry: all but its age and its address, which may be each node's own."""
-    entry = member.entry
+    entry = member.endpoint
     said = (
-        entry.backend,
+        entry.id,
         entry.zone,
         entry.cell,
         entry.kind,
         entry.phase.value,
         entry.weight,
-        entry.started_at,
+        entry.started_at_ms,
     )
     return int.from_bytes(blake2b(repr(said).encode(), digest_size=8).digest())
 
@@ -82,7 +82,7 @@
         """Of the whole list, 32 bits, as it goes into a word (`views.Goes`); 0: it is empty."""
         return self._tree[1] & 0xFFFFFFFF
 
-    def apply(self, members: Iterable[Member], removed: Iterable[Member]) -> None:
+    def apply(self, members: Iterable[EndpointRecord], removed: Iterable[EndpointRecord]) -> None:
         """What changed in the view."""
         for member in members:
             self._put(member.id, digest_of(member))
--- a/balancer/core/cluster/gossip_coordinator.py
+++ b/balancer/core/cluster/gossip_coordinator.py
@@ -2,7 +2,8 @@
 shares, halves as one.
 
 Whoever has the sockets hands in each right datagram's sections (`Came`), the state of the node each ROUND_MS
-(`Round`), and what the merge applied (`saw`); sections go out as bytes by the codec that it was given
+(`Round`), and what the merge applied (`on_source_applied`); sections go out as bytes by the codec that it
+was given
 (`protocol/gossip_sections`). A datagram counts only where its sender is there, at that address. Answers
 are bounded
 by ANSWERS a round.
@@ -37,7 +38,7 @@
 from balancer.core.discovery.endpoint_merger import Apply, Listed, Source
 from balancer.core.discovery.endpoint_merger import State as Known
 from balancer.core.staggering import Turns
-from balancer.endpoints import Member
+from balancer.endpoints import EndpointRecord
 from balancer.interface import Phase
 
 Sections = Sequence[tuple[int, bytes]]
@@ -68,7 +69,7 @@
     version: str
     zone: str
     sources: Sequence[Source]
-    view: Mapping[str, Member]
+    view: Mapping[str, EndpointRecord]
     servers: Mapping[str, tuple[int, int]] = field(default_factory=dict)
 
 
@@ -130,7 +131,7 @@
         self._answers = 0
         self._out: list[Action] = []
 
-    def saw(self, now_ms: float, source: Source, applied: Apply) -> None:
+    def on_source_applied(self, now_ms: float, source: Source, applied: Apply) -> None:
         """What the merge applied by a source's word. That of peers is not told on, nor is what they had said
         before of a server that this source says something else of: an echo would pass for one more witness.
         """
@@ -142,7 +143,7 @@
         out += [
             hearsay.Out(one.id, source.revision, False)
             for one in applied.members
-            if one.id in own and own[one.id].entry.phase is Phase.DRAINING
+            if one.id in own and own[one.id].endpoint.phase is Phase.DRAINING
         ]
         self.hearsay.handle(now_ms, self._own(source, tuple(out)))
 
--- a/balancer/core/cluster/gossiped_removals.py
+++ b/balancer/core/cluster/gossiped_removals.py
@@ -31,7 +31,7 @@
 from balancer.core.cluster.node_state import NO_DISCOVERY, PEERS, Goes
 from balancer.core.discovery.endpoint_merger import Listed, Role, Source
 from balancer.core.staggering import Turns
-from balancer.endpoints import Listing, Member
+from balancer.endpoints import EndpointList, EndpointRecord
 from balancer.interface import Phase
 
 NEWER_MS = 300.0  # after which a newer revision told is not just a moment's lag of the own source
@@ -101,7 +101,7 @@
 
     words: Sequence[Goes]
     here: Mapping[str, str]
-    view: Mapping[str, Member]
+    view: Mapping[str, EndpointRecord]
 
 
 Event = Own | Told | Asked | Round
@@ -175,8 +175,8 @@
         self._lies: OrderedDict[tuple[str, str, int], None] = OrderedDict()
         self._claimed: dict[Key, float] = {}  # since
         self._lifted: set[str] = set()
-        self._listed: dict[str, Member] = {}  # of PEERS, by server, as they were when they were taken
-        self._view: Mapping[str, Member] = {}
+        self._listed: dict[str, EndpointRecord] = {}  # of PEERS, by server, as they were when they were taken
+        self._view: Mapping[str, EndpointRecord] = {}
         self._turns, self._random, self._fits, self._rule = turns, random, fits, rule
         self._revision = 0
         self._out: list[Action] = []
@@ -265,7 +265,7 @@
             self._weigh(now_ms, key, hearing)
         up = len(self.taken)
         if len(self.claims) > up:
-            up += sum(member.entry.phase is Phase.UP for member in event.view.values())
+            up += sum(member.endpoint.phase is Phase.UP for member in event.view.values())
         for key, by in self.claims.items():
             if key in self.taken or key[1] not in event.view or not self._enough(key[0], len(by), hearing):
                 continue
@@ -321,13 +321,13 @@
             return
         if not self._revision:
             self._revision = 1
-            self._out.append(Listed(PEERS, PEERS, Listing(1, True, ())))
+            self._out.append(Listed(PEERS, PEERS, EndpointList(1, True, ())))
         self._revision += 1
         self._listed |= {server: self._view[server] for server in fresh}
         named = [_as(self._listed[server], Phase.DRAINING) for server in fresh if not out[server].gone]
         named += [_as(self._listed.pop(server), Phase.UP) for server in lifted]
         gone = tuple(server for server in fresh if out[server].gone)
-        self._out.append(Listed(PEERS, PEERS, Listing(self._revision, False, tuple(named), gone)))
+        self._out.append(Listed(PEERS, PEERS, EndpointList(self._revision, False, tuple(named), gone)))
         self._lifted.update(lifted)
         if len(self._lifted) > LIFTED and not self.taken:
             self._lifted.clear()
@@ -360,8 +360,8 @@
                 self._out.append(Question(event.here[peer], name, own.order, max(0, own.revision)))
 
 
-def _as(member: Member, phase: Phase) -> Member:
-    return Member(replace(member.entry, phase=phase), member.address)
+def _as(member: EndpointRecord, phase: Phase) -> EndpointRecord:
+    return EndpointRecord(replace(member.endpoint, phase=phase), member.address)
 
 
 def _what(out: Out) -> str:
--- a/balancer/core/discovery/endpoint_merger.py
+++ b/balancer/core/discovery/endpoint_merger.py
@@ -29,11 +29,11 @@
 
 from balancer.endpoints import (
     Address,
-    Fault,
-    Listing,
-    Member,
+    EndpointList,
+    EndpointRecord,
+    InvalidEntry,
 )
-from balancer.interface import ListKind, Phase
+from balancer.interface import EndpointUpdateKind, Phase
 
 SLICE = 500  # entries of a whole list that are looked at in one go
 NEWS = 125  # the same, where each is a change, or the list is of over LARGE servers
@@ -72,7 +72,7 @@
 
     source: str
     identity: str
-    listing: Listing
+    listing: EndpointList
     saved: bool = False  # out of what the node was given or had kept at its start
     age_ms: float = 0.0  # of what was saved: how long ago the source said so, or 0 where nobody knows
     watched: bool = False  # by a watch, which tells things in their order: a call may be overtaken by it
@@ -144,9 +144,9 @@
     `revision` counts the changes of the view; it has nothing to do with any source's.
     """
 
-    kind: ListKind
-    members: tuple[Member, ...]
-    removed: tuple[Member, ...]
+    kind: EndpointUpdateKind
+    members: tuple[EndpointRecord, ...]
+    removed: tuple[EndpointRecord, ...]
     revision: int
 
 
@@ -184,12 +184,12 @@
     behind: bool = False  # it went back: that it lives does not show that its last word is current
     heard_ms: float | None = None
     reason: str = ""  # why it is silent or refused
-    members: dict[str, Member] = field(default_factory=dict, repr=False)
+    members: dict[str, EndpointRecord] = field(default_factory=dict, repr=False)
     removed: dict[str, None] = field(default_factory=dict, repr=False)  # until it lists them anew
-    faults: dict[str, Fault] = field(default_factory=dict, repr=False)
+    faults: dict[str, InvalidEntry] = field(default_factory=dict, repr=False)
     unreadable: int = 0  # entries that could not be read, ever
     old: int = 0  # listings that were not applied, as they were not newer
-    pending: dict[str, Member] = field(default_factory=dict, repr=False)  # the rest of a whole list
+    pending: dict[str, EndpointRecord] = field(default_factory=dict, repr=False)  # the rest of a whole list
 
     @property
     def whole(self) -> bool:
@@ -197,10 +197,14 @@
         return self.revision is not None and not self.spoiled
 
 
-def vouched(member: Member, age_ms: float | None = None) -> Member:
+def vouched(member: EndpointRecord, age_ms: float | None = None) -> EndpointRecord:
     """The same, by a source's word (None) or by a memory of that age."""
-    entry = member.entry
-    return member if entry.age_ms == age_ms else Member(replace(entry, age_ms=age_ms), member.address)
+    entry = member.endpoint
+    return (
+        member
+        if entry.cached_age_ms == age_ms
+        else EndpointRecord(replace(entry, cached_age_ms=age_ms), member.address)
+    )
 
 
 def _by_name(sources: Sequence[Source]) -> dict[str, Source]:
@@ -215,13 +219,13 @@
 
     def __init__(self, sources: Sequence[Source]) -> None:
         self.sources = _by_name(sources)
-        self.view: dict[str, Member] = {}  # in force: up or draining
+        self.view: dict[str, EndpointRecord] = {}  # in force: up or draining
         self.revision = 0  # of the view
         self.shadowed: set[str] = set()  # listed, up, and left out: another is up at the same address
         self._at: dict[Address, dict[str, None]] = {}  # who is up at an address, in the order they came
         self._where: dict[str, Address] = {}  # and the other way round
         self._contested: dict[Address, None] = {}  # where that changed, and others are or were up
-        self._fresh: dict[str, Member] = {}  # changes of a whole list that are not told yet
+        self._fresh: dict[str, EndpointRecord] = {}  # changes of a whole list that are not told yet
         self._first = False  # the whole list that is looked at is the first
         self._large = False  # and is of over LARGE servers: nobody who is up is told of before its end
         self.now_ms = 0.0
@@ -270,7 +274,7 @@
         touched = {*self.view, *self.shadowed}
         for source in before.values():
             touched |= source.members.keys() | source.removed.keys()
-        self._apply(sorted(touched), ListKind.CHANGES)
+        self._apply(sorted(touched), EndpointUpdateKind.INCREMENTAL)
 
     # --- order
 
@@ -278,7 +282,7 @@
         listing = event.listing
         source.heard_ms = self.now_ms
         if event.identity != source.identity:
-            if not listing.complete:
+            if not listing.is_complete:
                 self._old(source, "changes of an order that has not begun here")
                 return
             if source.identity is not None:
@@ -286,13 +290,13 @@
                 self._out.append(Say(text, loud=True))
             self._begin(source, event.identity)
         newer = source.revision is None or listing.revision > source.revision
-        if listing.complete:
+        if listing.is_complete:
             # An equal one is taken where something may have been lost on the way: a line, or a piece.
             if newer or (listing.revision == source.revision and (source.spoiled or source.pieces)):
                 self._whole(source, listing, event.saved, event.age_ms)
             elif listing.revision == source.revision:
                 self._current(source)
-                self._apply([], ListKind.CHANGES)
+                self._apply([], EndpointUpdateKind.INCREMENTAL)
                 self._confirm(source)
             else:
                 what = f"its whole list is of revision {listing.revision}, older than {source.revision}"
@@ -326,7 +330,9 @@
     def _current(self, source: Source) -> None:
         if source.state in (State.SILENT, State.REFUSED):
             self._out.append(Say(f"{source.name}: in sync again"))
-            self._apply([], ListKind.CHANGES)  # that it may be asked again soon, though nothing has changed
+            self._apply(
+                [], EndpointUpdateKind.INCREMENTAL
+            )  # that it may be asked again soon, though nothing has changed
         source.state, source.reason, source.behind = State.IN_SYNC, "", False
 
     def _confirm(self, source: Source) -> None:
@@ -345,32 +351,32 @@
 
     # --- what was listed
 
-    def _whole(self, source: Source, listing: Listing, saved: bool, age_ms: float) -> None:
+    def _whole(self, source: Source, listing: EndpointList, saved: bool, age_ms: float) -> None:
         """Removals and drains at once; the rest in slices, as one of thousands would hold the loop."""
-        named, leaving, up = dict[str, Member](), list[str](), Phase.UP
-        for member in listing.members:
-            entry = member.entry
-            named[entry.backend] = member
+        named, leaving, up = dict[str, EndpointRecord](), list[str](), Phase.UP
+        for member in listing.records:
+            entry = member.endpoint
+            named[entry.id] = member
             if entry.phase is not up:
-                leaving.append(entry.backend)
+                leaving.append(entry.id)
         large, first = len(named) > LARGE, not self._where
         source.aged_ms = min(max(0.0, age_ms), MOST_AGE_MS) if saved else None
         if saved and not large:
             named = {name: vouched(m, source.aged_ms) for name, m in named.items()}
         source.confirms, source.remembered = source.remembered or large, saved
-        unread = {fault.key for fault in listing.faults}
+        unread = {fault.key for fault in listing.invalid_entries}
         listed = source.members | source.pending
         gone = [name for name in listed if name not in named and name not in unread]
-        gone += [name for name in listing.removed if name not in listed]
+        gone += [name for name in listing.removed_ids if name not in listed]
         source.revision, source.spoiled, source.faults = listing.revision, False, {}
         kept = [last for name, last in source.pending.items() if name in unread]
         self._take(source, kept)
         source.pending, before = {}, len(listed)
-        touched = [last.entry.backend for last in kept]
+        touched = [last.endpoint.id for last in kept]
         touched += self._remove(source, gone)
-        touched += self._unreadable(source, listing.faults)
+        touched += self._unreadable(source, listing.invalid_entries)
         for name in leaving:
-            if named[name].entry.phase is up:
+            if named[name].endpoint.phase is up:
                 continue  # named twice: the later entry holds
             source.members[name] = vouched(named[name], source.aged_ms)
             source.removed.pop(name, None)
@@ -379,12 +385,14 @@
         if not saved:
             self._current(source)
             if touched:
-                self._apply(touched, ListKind.CHANGES)
+                self._apply(touched, EndpointUpdateKind.INCREMENTAL)
         else:
             source.state = State.UNHEARD
-            source.spoiled = bool(listing.faults)  # whoever was left out may be readable at the source
+            source.spoiled = bool(
+                listing.invalid_entries
+            )  # whoever was left out may be readable at the source
             # A whole list for whoever is told: of several that are remembered the first alone can be one.
-            kind = ListKind.CHANGES if self.view else ListKind.SAVED
+            kind = EndpointUpdateKind.INCREMENTAL if self.view else EndpointUpdateKind.CACHED
             if not large:
                 self._take(source, named.values())
                 self._apply([*touched, *named], kind)
@@ -423,34 +431,34 @@
         self._share(self._fresh)
         self._flush()
 
-    def _take(self, source: Source, members: Iterable[Member]) -> None:
+    def _take(self, source: Source, members: Iterable[EndpointRecord]) -> None:
         for member in members:
-            name = member.entry.backend
+            name = member.endpoint.id
             source.members[name] = member
             source.removed.pop(name, None)
             source.faults.pop(name, None)
 
-    def _changes(self, source: Source, listing: Listing) -> None:
+    def _changes(self, source: Source, listing: EndpointList) -> None:
         """Many at once, as where weights are live, wait in slices too; removals and drains do not."""
         source.revision = listing.revision
         before = len(source.members)
-        touched = self._remove(source, listing.removed)
-        touched += self._unreadable(source, listing.faults)
-        now, later = list(listing.members), list[Member]()
+        touched = self._remove(source, listing.removed_ids)
+        touched += self._unreadable(source, listing.invalid_entries)
+        now, later = list(listing.records), list[EndpointRecord]()
         if len(now) > SLICE:
-            later = [m for m in now if m.entry.phase is Phase.UP]
-            now = [m for m in now if m.entry.phase is not Phase.UP]
+            later = [m for m in now if m.endpoint.phase is Phase.UP]
+            now = [m for m in now if m.endpoint.phase is not Phase.UP]
         self._take(source, now)
-        touched += [m.entry.backend for m in now]
+        touched += [m.endpoint.id for m in now]
         for name in touched:
             source.pending.pop(name, None)  # older than what has just been said
-        self._mass(source, len(listing.removed), before)
+        self._mass(source, len(listing.removed_ids), before)
         self._current(source)
         if touched or not later:
-            self._apply(touched, ListKind.CHANGES)
+            self._apply(touched, EndpointUpdateKind.INCREMENTAL)
         if later:
             source.aged_ms, source.confirms = None, source.confirms or len(later) > LARGE  # vouched for
-            source.pending |= {m.entry.backend: m for m in later}
+            source.pending |= {m.endpoint.id: m for m in later}
             self._continue()
         self._confirm(source)
 
@@ -471,7 +479,7 @@
                 source.removed[name] = None  # it would be used again; its turn comes when nobody lists it
         return out
 
-    def _unreadable(self, source: Source, faults: Iterable[Fault]) -> list[str]:
+    def _unreadable(self, source: Source, faults: Iterable[InvalidEntry]) -> list[str]:
         """An entry that cannot be read costs nothing but itself; that it drains is obeyed all the same."""
         touched, said = [], []
         for fault in faults:
@@ -480,11 +488,11 @@
             if len(source.faults) < MAX_FAULTS:
                 source.faults[fault.key] = fault
             said.append(f"{source.name}: entry {fault.key!r:.300} left out: {fault.reason:.300}")
-            if not fault.leaving:
+            if not fault.is_draining:
                 continue
             if (last := source.members.get(fault.key)) is not None:
-                entry = replace(last.entry, phase=Phase.DRAINING)
-                source.members[fault.key] = Member(entry, last.address)
+                entry = replace(last.endpoint, phase=Phase.DRAINING)
+                source.members[fault.key] = EndpointRecord(entry, last.address)
                 touched.append(fault.key)
             else:
                 touched += self._remove(source, [fault.key])
@@ -505,37 +513,43 @@
 
     # --- the view
 
-    def _resolve(self, name: str) -> Member | None:
+    def _resolve(self, name: str) -> EndpointRecord | None:
         """What holds of a backend over all sources; None: it is not to be used."""
-        found: Member | None = None
+        found: EndpointRecord | None = None
         drains, started, ages = False, 0.0, list[float | None]()
         for source in self.sources.values():
             if name in source.removed:
                 return None
             if (said := source.members.get(name)) is None:
                 continue
-            leaving = said.entry.phase is not Phase.UP
+            leaving = said.endpoint.phase is not Phase.UP
             if source.role is Role.REMOVE:
                 drains = drains or leaving
                 continue
             if source.role is Role.FULL:
                 drains = drains or leaving
-            started = max(started, said.entry.started_at)
-            ages.append(said.entry.age_ms)
-            if found is None or (found.entry.phase is not Phase.UP and not leaving and not drains):
+            started = max(started, said.endpoint.started_at_ms)
+            ages.append(said.endpoint.cached_age_ms)
+            if found is None or (found.endpoint.phase is not Phase.UP and not leaving and not drains):
                 found = said
         if found is None:
             return None
-        phase = Phase.DRAINING if drains else found.entry.phase
+        phase = Phase.DRAINING if drains else found.endpoint.phase
         age = None if None in ages else min(age for age in ages if age is not None)
-        if (phase, started, age) != (found.entry.phase, found.entry.started_at, found.entry.age_ms):
-            found = Member(replace(found.entry, phase=phase, started_at=started, age_ms=age), found.address)
+        if (phase, started, age) != (
+            found.endpoint.phase,
+            found.endpoint.started_at_ms,
+            found.endpoint.cached_age_ms,
+        ):
+            found = EndpointRecord(
+                replace(found.endpoint, phase=phase, started_at_ms=started, cached_age_ms=age), found.address
+            )
         return found
 
-    def _settle(self, name: str, changes: dict[str, Member]) -> None:
+    def _settle(self, name: str, changes: dict[str, EndpointRecord]) -> None:
         """Bring the view of one backend up to date, and note what changed; `_share` has to follow."""
         now = self._resolve(name)
-        up = now.address if now is not None and now.entry.phase is Phase.UP else None
+        up = now.address if now is not None and now.endpoint.phase is Phase.UP else None
         was = self._where.get(name)
         if was is not None and was != up:
             del self._where[name]
@@ -553,7 +567,7 @@
                 return
         self._put(name, now, changes)
 
-    def _share(self, changes: dict[str, Member]) -> None:
+    def _share(self, changes: dict[str, EndpointRecord]) -> None:
         """Of several that are up at one address one is used: the latest start, then whoever came last.
 
         There is one process, and it would get the work, and the cold start's budget, of each of its names.
@@ -565,7 +579,9 @@
             found = [(name, now) for name in self._at.get(address, ()) if (now := self._resolve(name))]
             if not found:
                 continue  # all of them left
-            winner = max(enumerate(found), key=lambda item: (item[1][1].entry.started_at, item[0]))[1][0]
+            winner = max(enumerate(found), key=lambda item: (item[1][1].endpoint.started_at_ms, item[0]))[1][
+                0
+            ]
             for name, now in found:
                 if name == winner:
                     self.shadowed.discard(name)
@@ -578,16 +594,16 @@
                 self._put(name, None, changes)
         self._left_out(said)
 
-    def _put(self, name: str, now: Member | None, changes: dict[str, Member]) -> None:
+    def _put(self, name: str, now: EndpointRecord | None, changes: dict[str, EndpointRecord]) -> None:
         held = self.view.get(name)
         if now is not None:
             if held != now:
                 self.view[name] = changes[name] = now
         elif held is not None:
             del self.view[name]
-            changes[name] = Member(replace(held.entry, phase=Phase.GONE), held.address)
+            changes[name] = EndpointRecord(replace(held.endpoint, phase=Phase.REMOVED), held.address)
 
-    def _apply(self, touched: Iterable[str], kind: ListKind) -> None:
+    def _apply(self, touched: Iterable[str], kind: EndpointUpdateKind) -> None:
         touched = list(touched)
         # Those of a whole list that is under way are in the view, and not yet told.
         changes = {name: self._fresh.pop(name) for name in touched if name in self._fresh}
@@ -597,18 +613,18 @@
         for name in changes.keys() & self._fresh.keys():
             del self._fresh[name]
         if self._first and self._large:
-            self._fresh |= {name: now for name, now in changes.items() if now.entry.phase is Phase.UP}
-            changes = {name: now for name, now in changes.items() if now.entry.phase is not Phase.UP}
+            self._fresh |= {name: now for name, now in changes.items() if now.endpoint.phase is Phase.UP}
+            changes = {name: now for name, now in changes.items() if now.endpoint.phase is not Phase.UP}
         self._tell(changes, kind)
 
     def _flush(self) -> None:
         changes, self._fresh = self._fresh, {}
-        self._tell(changes, ListKind.CHANGES)
+        self._tell(changes, EndpointUpdateKind.INCREMENTAL)
 
-    def _tell(self, changes: dict[str, Member], kind: ListKind) -> None:
+    def _tell(self, changes: dict[str, EndpointRecord], kind: EndpointUpdateKind) -> None:
         self.revision += bool(changes)
-        by = {phase: list[Member]() for phase in Phase}
+        by = {phase: list[EndpointRecord]() for phase in Phase}
         for member in changes.values():
-            by[member.entry.phase].append(member)
+            by[member.endpoint.phase].append(member)
         there = *by[Phase.DRAINING], *by[Phase.UP]
-        self._out.append(Apply(kind, there, tuple(by[Phase.GONE]), self.revision))
+        self._out.append(Apply(kind, there, tuple(by[Phase.REMOVED]), self.revision))
--- a/balancer/core/discovery/etcd_watcher.py
+++ b/balancer/core/discovery/etcd_watcher.py
@@ -57,7 +57,7 @@
     Silenced,
 )
 from balancer.core.staggering import Turns
-from balancer.endpoints import Fault, Listing, Member
+from balancer.endpoints import EndpointList, EndpointRecord, InvalidEntry
 
 CHECK_MS = 1000.0  # between two checks of the endpoint in use
 CHECK_WAIT_MS = 1500.0  # for a check's answer
@@ -116,7 +116,9 @@
     return host, port, parts.scheme == "https"
 
 
-Row = Member | Fault | str  # a member, an entry that cannot be read, or the id of one that is gone
+Row = (
+    EndpointRecord | InvalidEntry | str
+)  # a member, an entry that cannot be read, or the id of one that is gone
 
 
 class Trouble(Enum):
@@ -702,14 +704,16 @@
         if told_of and (self.seen > self.whole or self.again_whole or self.gap):
             # The rest of a revision that was cut between fragments, or what a watch lost on the way to it: a
             # whole list of a revision that was seen says nothing new to the membership, changes of it do.
-            gone = self.members - {m.id for m in listing.members} - {f.key for f in listing.faults}
-            listing = Listing(revision, False, listing.members, tuple(gone), listing.faults)
+            gone = self.members - {m.id for m in listing.records} - {f.key for f in listing.invalid_entries}
+            listing = EndpointList(revision, False, listing.records, tuple(gone), listing.invalid_entries)
         if self.talking != self.cluster:
             if self.cluster is not None:
                 self.former.append(self.cluster)
             self.cluster, self.term, self.members = self.talking, 0, set()
         before = self.members
-        self.members = {m.id for m in listing.members} | {f.key for f in listing.faults if f.key in before}
+        self.members = {m.id for m in listing.records} | {
+            f.key for f in listing.invalid_entries if f.key in before
+        }
         self._loud(len(before), 0, len(before - self.members), revision)
         keys = {_name(row) for row in rows}
         vain = self.again_whole and keys == self.keys
@@ -769,9 +773,9 @@
             self.seen = max(self.seen, newest)
             listing = _listing(self.seen, False, rows)
             before, ended = self.chain or (len(self.members), 0)
-            gone = self.members.intersection(listing.removed)
+            gone = self.members.intersection(listing.removed_ids)
             self.members -= gone
-            self.members.update(m.id for m in listing.members)
+            self.members.update(m.id for m in listing.records)
             self._loud(before, ended, len(gone), newest)
             self.chain = before, ended + len(gone)
             self._deliver(Listed(self.source, self.identity, listing))
@@ -996,7 +1000,7 @@
 
 def _name(row: Row) -> str:
     """What stands for the row's key."""
-    return row if isinstance(row, str) else row.key if isinstance(row, Fault) else row.id
+    return row if isinstance(row, str) else row.key if isinstance(row, InvalidEntry) else row.id
 
 
 def _verdict(trouble: Trouble) -> Verdict:
@@ -1004,24 +1008,26 @@
     return Verdict.DENIED if denied else Verdict.DEAD
 
 
-def _listing(revision: int, complete: bool, rows: Sequence[Row]) -> Listing:
+def _listing(revision: int, complete: bool, rows: Sequence[Row]) -> EndpointList:
     """The rows as a list; of several on one id the last one holds, with a fault beside what it spoils."""
-    members: dict[str, Member] = {}
+    members: dict[str, EndpointRecord] = {}
     removed: dict[str, None] = {}
-    faults: dict[str, Fault] = {}
+    faults: dict[str, InvalidEntry] = {}
     for row in rows:
         match row:
-            case Member():
+            case EndpointRecord():
                 removed.pop(row.id, None)
                 faults.pop(row.id, None)
                 members[row.id] = row
-            case Fault():
+            case InvalidEntry():
                 faults[row.key] = row
-                if row.leaving and (last := members.get(row.key)) is not None:
-                    members[row.key] = replace(last, entry=replace(last.entry, phase=api.Phase.DRAINING))
+                if row.is_draining and (last := members.get(row.key)) is not None:
+                    members[row.key] = replace(
+                        last, endpoint=replace(last.endpoint, phase=api.Phase.DRAINING)
+                    )
             case _:
                 members.pop(row, None)
                 faults.pop(row, None)
                 removed[row] = None
     gone = () if complete else tuple(removed)
-    return Listing(revision, complete, tuple(members.values()), gone, tuple(faults.values()))
+    return EndpointList(revision, complete, tuple(members.values()), gone, tuple(faults.values()))
--- a/balancer/core/discovery/merge_report.py
+++ b/balancer/core/discovery/merge_report.py
@@ -41,19 +41,21 @@
     says = {}
     for s in membership.sources.values():
         if name in s.members:
-            says[s.name] = s.members[name].entry.phase.value
+            says[s.name] = s.members[name].endpoint.phase.value
         elif name in s.removed:
             says[s.name] = "removed"
     held = membership.view.get(name)
-    phase = "shadowed" if name in membership.shadowed else "gone" if held is None else held.entry.phase.value
+    phase = (
+        "shadowed" if name in membership.shadowed else "gone" if held is None else held.endpoint.phase.value
+    )
     shown = held or next(s.members[name] for s in membership.sources.values() if name in s.members)
     host, port = shown.address
     return {
         "id": name,
         "address": f"[{host}]:{port}" if ":" in host else f"{host}:{port}",
         "phase": phase,
-        "zone": shown.entry.zone,
-        "weight": shown.entry.weight,
-        "started_at_ms": shown.entry.started_at,
+        "zone": shown.endpoint.zone,
+        "weight": shown.endpoint.weight,
+        "started_at_ms": shown.endpoint.started_at_ms,
         "sources": says,
     }
--- a/balancer/core/persistence/persisted_state.py
+++ b/balancer/core/persistence/persisted_state.py
@@ -25,7 +25,7 @@
 
 import msgspec
 
-from balancer.endpoints import Fault, Listing, Member
+from balancer.endpoints import EndpointList, EndpointRecord, InvalidEntry
 
 TABLES = ("self", "ends", "view", "sources", "usual", "limit", "weights", "ejections")
 URGENT = frozenset({"self", "ends"})
@@ -264,12 +264,12 @@
 
 
 def without_ended(
-    listed: Mapping[str, Member],
+    listed: Mapping[str, EndpointRecord],
     revision: int | None,
     ends: Mapping[str, End],
     source: str,
     seen: tuple[int, Set[str]] | None = None,
-) -> Listing | None:
+) -> EndpointList | None:
     """What a source listed at that revision, less the servers whose end it told later; None: there is none.
 
     Of a source that has listed nothing (no revision) all ends count. An end does not age as a view does: a
@@ -289,7 +289,7 @@
     gone = tuple(name for name, end in later.items() if end.gone)
     reason = f"{len(listed) - len(left)} servers ended after it: the whole list is needed"
     newest = max([at, *(end.revision for end in later.values())])
-    return Listing(newest, True, left, gone, (Fault("(kept)", reason),))
+    return EndpointList(newest, True, left, gone, (InvalidEntry("(kept)", reason),))
 
 
 def successor(recalled: Recalled, name: str, fresh_id: str, generation: int, now_ms: int) -> Self:
--- a/balancer/core/shutdown_deadlines.py
+++ b/balancer/core/shutdown_deadlines.py
@@ -32,7 +32,7 @@
 
 def ends(settings: Settings, now_ms: float, age_ms: float = 0.0) -> Ends:
     """The times for a signal that is seen now and may have come `age_ms` before."""
-    longest = min(MOST_MS, max((cls.deadline for cls in settings.classes), default=MOST_MS))
+    longest = min(MOST_MS, max((cls.deadline_ms for cls in settings.classes), default=MOST_MS))
     last = max(now_ms - age_ms + longest + LAST_MS, now_ms + LEAST_MS)
     # The signal may as well have come just now: connections are accepted as long as they can be answered.
     return Ends(min(now_ms + ACCEPT_MS, last - SETTLE_MS), last)
--- a/balancer/endpoints.py
+++ b/balancer/endpoints.py
@@ -13,13 +13,13 @@
 PHASES = {
     "in_service": api.Phase.UP,
     "terminating": api.Phase.DRAINING,
-    "terminated": api.Phase.GONE,
+    "terminated": api.Phase.REMOVED,
 }
 _INTERFACE = re.compile(r"[A-Za-z0-9._-]{1,15}")  # Linux allows 15 bytes
-MAX_TEXT = 256  # characters of an id, a zone or a kind: what a list holds has a bound
+MAX_TEXT_CHARACTERS = 256  # characters of an id, a zone or a kind: what a list holds has a bound
 
 
-class ListError(ValueError):
+class EndpointListError(ValueError):
     """An entry or a line of the list makes no sense."""
 
 
@@ -27,20 +27,20 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Member:
+class EndpointRecord:
     """One backend as a list names it: the module's entry, never changed once made, and where it listens."""
 
-    entry: api.Entry
+    endpoint: api.Endpoint
     address: Address
 
     @property
     def id(self) -> str:
         """Its name, the same at every node and in every source."""
-        return self.entry.backend
+        return self.endpoint.id
 
 
 @dataclass(slots=True, frozen=True)
-class Fault:
+class InvalidEntry:
     """An entry that cannot be read. `key` is its id as far as it has one, else its place in the list.
 
     `leaving` says that the entry, unreadable as it is, names a backend that drains: that much is obeyed.
@@ -48,11 +48,11 @@
 
     key: str
     reason: str
-    leaving: bool = False
+    is_draining: bool = False
 
 
 @dataclass(slots=True, frozen=True)
-class Listing:
+class EndpointList:
     """A whole list (`complete`), or the changes since the one before.
 
     `members` are up or draining, `removed` are gone; a whole list removes whoever it does not name. Entries
@@ -60,13 +60,13 @@
     """
 
     revision: int
-    complete: bool
-    members: tuple[Member, ...]
-    removed: tuple[str, ...] = ()
-    faults: tuple[Fault, ...] = ()
+    is_complete: bool
+    records: tuple[EndpointRecord, ...]
+    removed_ids: tuple[str, ...] = ()
+    invalid_entries: tuple[InvalidEntry, ...] = ()
 
 
-def address(value: object) -> Address:
+def parse_address(value: object) -> Address:
     """`HOST:PORT` with a literal address, as there is no DNS; raises ValueError."""
     if not isinstance(value, str):
         raise ValueError(f"{value!r:.120} is not text")
@@ -88,8 +88,8 @@
 def _text(value: object, what: str) -> str:
     if not isinstance(value, str):
         raise ValueError(f"{what} is not text: {value!r:.120}")
-    if len(value) > MAX_TEXT:
-        raise ValueError(f"{what} is longer than {MAX_TEXT} characters")
+    if len(value) > MAX_TEXT_CHARACTERS:
+        raise ValueError(f"{what} is longer than {MAX_TEXT_CHARACTERS} characters")
     return value
 
 
@@ -102,10 +102,10 @@
         raise ValueError(f"{what} is too large: {value!r:.120}") from None
 
 
-def member(row: object, name: str | None = None) -> Member:
+def parse_record(row: object, name: str | None = None) -> EndpointRecord:
     """An entry in discovery's form; `name` is its id where the list has it elsewhere. Raises ListError."""
     if not isinstance(row, dict):
-        raise ListError(f"not an object: {row!r:.120}")
+        raise EndpointListError(f"not an object: {row!r:.120}")
     try:
         told = row.get("id", name)
         if not isinstance(told, str) or not told:
@@ -117,39 +117,39 @@
         cell = row.get("cell", -1)
         if isinstance(cell, bool) or not isinstance(cell, int):
             raise ValueError(f"cell is no whole number: {cell!r:.120}")
-        entry = api.Entry(
-            backend=_text(told, "id"),
+        entry = api.Endpoint(
+            id=_text(told, "id"),
             zone=_text(row.get("locality", ""), "locality"),
             cell=cell,
             weight=_number(row.get("size", 1.0), "size"),
             phase=PHASES[row["phase"]],
-            started_at=_number(row.get("up_since_ms", 0), "up_since_ms"),
+            started_at_ms=_number(row.get("up_since_ms", 0), "up_since_ms"),
             kind=_text(row.get("flavor", ""), "flavor"),
         )
-        where = address(row.get("host_port"))
+        where = parse_address(row.get("host_port"))
         if not where[1]:
             raise ValueError("host_port has port 0")
-        return Member(entry, where)
+        return EndpointRecord(entry, where)
     except (TypeError, ValueError) as err:
-        raise ListError(str(err)) from None
+        raise EndpointListError(str(err)) from None
 
 
-class ListingBuilder:
+class EndpointListParser:
     """Reads a list piece by piece, so that one of thousands of entries need not be read in one go."""
 
     def __init__(self, raw: object) -> None:
         """`raw` is a list in discovery's form; raises ListError where that much cannot be read."""
         if not isinstance(raw, dict) or not isinstance(raw.get("members"), list):
-            raise ListError(f"not a list: {raw!r:.120}")
+            raise EndpointListError(f"not a list: {raw!r:.120}")
         revision, complete = raw.get("revision"), raw.get("complete", False)
         if isinstance(revision, bool) or not isinstance(revision, int) or not isinstance(complete, bool):
-            raise ListError(f"not a list: {raw!r:.120}")
-        self.revision, self.complete = revision, complete
+            raise EndpointListError(f"not a list: {raw!r:.120}")
+        self.revision, self.is_complete = revision, complete
         self._rows: list[object] = raw["members"]
         self._next = 0
-        self._members: dict[str, Member] = {}
+        self._members: dict[str, EndpointRecord] = {}
         self._removed: dict[str, None] = {}
-        self._faults: list[Fault] = []
+        self._faults: list[InvalidEntry] = []
 
     def read(self, count: int) -> bool:
         """Read up to `count` further entries; whether the list is whole by now."""
@@ -166,24 +166,24 @@
             self._members.pop(name, None)
             return
         try:
-            found = member(row)
-        except ListError as err:
+            found = parse_record(row)
+        except EndpointListError as err:
             leaving = isinstance(row, dict) and row.get("phase") == "terminating"
             key = name if isinstance(name, str) and name else f"entry {index}"
-            self._faults.append(Fault(key, str(err), leaving))
+            self._faults.append(InvalidEntry(key, str(err), leaving))
             return
         self._removed.pop(found.id, None)
         self._members[found.id] = found  # named twice: the later entry holds
 
-    def listing(self) -> Listing:
+    def result(self) -> EndpointList:
         """What was read."""
         members, removed, faults = tuple(self._members.values()), tuple(self._removed), tuple(self._faults)
-        return Listing(self.revision, self.complete, members, removed, faults)
+        return EndpointList(self.revision, self.is_complete, members, removed, faults)
 
 
-def listing(raw: object) -> Listing:
+def parse_endpoint_list(raw: object) -> EndpointList:
     """A list in discovery's form, in one go; raises ListError where not even its frame can be read."""
-    builder = ListingBuilder(raw)
+    builder = EndpointListParser(raw)
     while not builder.read(1000):
         pass
-    return builder.listing()
+    return builder.result()
--- a/balancer/interface.py
+++ b/balancer/interface.py
@@ -18,15 +18,15 @@
     """The library was called in a way its contract rules out."""
 
 
-class Effect(Enum):
+class Idempotency(Enum):
     """How often a request of a class may take effect."""
 
-    SAFE = "safe"
+    IDEMPOTENT = "safe"
     KEYED = "keyed"
-    UNSAFE = "unsafe"
+    NON_IDEMPOTENT = "unsafe"
 
 
-class Group(Enum):
+class DeduplicationScope(Enum):
     """Which backends together drop repeats of a keyed request."""
 
     ALL = "all"
@@ -39,19 +39,19 @@
 
     UP = "up"
     DRAINING = "draining"
-    GONE = "gone"
+    REMOVED = "gone"
 
 
-class ListKind(Enum):
+class EndpointUpdateKind(Enum):
     """What a list event brings."""
 
-    CHANGES = "changes"
-    FULL = "full"
-    SAVED = "saved"
+    INCREMENTAL = "changes"
+    SNAPSHOT = "full"
+    CACHED = "saved"
     FAILED = "failed"
 
 
-class Numbered(Enum):
+class NumberedEnum(Enum):
     """Words with numbers from 0 on, in their order: what counts them need not hash them, which is slow."""
 
     number: int
@@ -60,80 +60,84 @@
         self.number = len(type(self).__members__)
 
 
-class Status(Numbered):
+class AttemptStatus(NumberedEnum):
     """How an attempt or a probe ended."""
 
     OK = "ok"
     ERROR = "error"
-    FULL = "full"
+    REJECTED = "full"
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    MOOT = "moot"
+    NOT_STARTED = "moot"
 
 
-NEVER_RAN = frozenset({Status.FULL, Status.CONNECT_FAILED, Status.MOOT})
+NO_EFFECT_STATUSES = frozenset(
+    {AttemptStatus.REJECTED, AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_STARTED}
+)
 """Outcomes that prove the attempt had no effect; every other one leaves it open."""
 
 
-class Reports(Enum):
+class LoadReportSource(Enum):
     """How load reports reach a node."""
 
-    ANSWERS = "answers"
+    RESPONSES = "answers"
     PROBES = "probes"
     NONE = "none"
 
 
-class Why(Numbered):
+class DecisionReason(NumberedEnum):
     """Why an action was taken, in the field's words."""
 
-    UNSTATED = "unstated"
+    UNSPECIFIED = "unstated"
     # How the server of an attempt was found.
-    LOWEST_BELOW_M = "lowest_below_m"  # the lowest estimate of those that were eligible, under m
+    LOWEST_ESTIMATE_BELOW_CAP = "lowest_below_m"  # the lowest estimate of those that were eligible, under m
     DRAWN_AT_CAP = "drawn_at_cap"  # all had reached m: drawn by weight
-    COLD_ADMITTED = "cold_admitted"  # a cold one, within what slow start lets through
-    SPILL = "spill"  # another zone's, as the own one does worse by more than the price
+    SLOW_START_ADMITTED = "cold_admitted"  # a cold one, within what slow start lets through
+    OTHER_ZONE = "spill"  # another zone's, as the own one does worse by more than the price
     PANIC = "panic"  # nobody was eligible: ejections were ignored
     # What brought the attempt about.
-    FIRST_TRY = "first_try"
-    HELD_AND_RELEASED = "held_and_released"  # it had waited for room under the concurrency limit
-    REPEAT_AFTER_ERROR = "repeat_after_error"
-    REPEAT_AFTER_FULL = "repeat_after_full"
-    REPEAT_AFTER_TIMEOUT = "repeat_after_timeout"
-    REPEAT_AFTER_CONNECT_FAILED = "repeat_after_connect_failed"
-    REPEAT_AFTER_RESET = "repeat_after_reset"
-    REPEAT_AFTER_CANCELLED = "repeat_after_cancelled"
-    REPEAT_AFTER_MOOT = "repeat_after_moot"
+    FIRST_ATTEMPT = "first_try"
+    DEQUEUED = "held_and_released"  # it had waited for room under the concurrency limit
+    RETRY_AFTER_ERROR = "repeat_after_error"
+    RETRY_AFTER_REJECTED = "repeat_after_full"
+    RETRY_AFTER_TIMEOUT = "repeat_after_timeout"
+    RETRY_AFTER_CONNECT_FAILED = "repeat_after_connect_failed"
+    RETRY_AFTER_RESET = "repeat_after_reset"
+    RETRY_AFTER_CANCELLED = "repeat_after_cancelled"
+    RETRY_AFTER_NOT_STARTED = "repeat_after_moot"
     # Why a request was refused or failed.
-    AIM_OUT_OF_REACH = "aim_out_of_reach"  # no answer can come before it is worthless
-    BUDGET_SPENT = "budget_spent"  # the retry budget
-    ATTEMPTS_SPENT = "attempts_spent"  # as many as the settings allow
-    NO_ROOM_IN_TIME = "no_room_in_time"  # it was held, and no room came
-    NOBODY_ELIGIBLE = "nobody_eligible"
-    NOT_REPEATABLE = "not_repeatable"  # another attempt might double its effect
-    SHED_BY_SUCCESS = "shed_by_success"  # in fractions, as too few of the node's sends succeed
-    SERVER_CROWDED = "server_crowded"  # in fractions, as the server found holds many requests a core
-
-
-REPEATS: dict[Status | None, Why] = {
-    status: Why(f"repeat_after_{status.value}") for status in Status if status is not Status.OK
+    OBJECTIVE_UNREACHABLE = "aim_out_of_reach"  # no answer can come before it is worthless
+    RETRY_BUDGET_EXHAUSTED = "budget_spent"  # the retry budget
+    ATTEMPTS_EXHAUSTED = "attempts_spent"  # as many as the settings allow
+    QUEUE_TIMEOUT = "no_room_in_time"  # it was held, and no room came
+    NO_ELIGIBLE_BACKEND = "nobody_eligible"
+    NOT_RETRYABLE = "not_repeatable"  # another attempt might double its effect
+    SHED_BY_SUCCESS_RATE = "shed_by_success"  # in fractions, as too few of the node's sends succeed
+    BACKEND_OVERLOADED = "server_crowded"  # in fractions, as the server found holds many requests a core
+
+
+RETRY_REASONS: dict[AttemptStatus | None, DecisionReason] = {
+    status: DecisionReason(f"repeat_after_{status.value}")
+    for status in AttemptStatus
+    if status is not AttemptStatus.OK
 }
 """What a further attempt is called, by how the last one ended."""
 
 
-class What(Numbered):
+class BackendDecision(NumberedEnum):
     """What the node decided about a server without a request."""
 
     EJECTED = "ejected"  # left alone for its failures
-    TAKEN_BACK = "taken_back"  # its ejection is over
+    READMITTED = "taken_back"  # its ejection is over
     PAUSED = "paused"  # left alone for a moment: it turned away, or its probe is overdue
-    IDLE_SIGN = "idle_sign"  # it showed idle: the estimate of its load was set anew
+    REPORTED_IDLE = "idle_sign"  # it showed idle: the estimate of its load was set anew
     JOINED_SUBSET = "joined_subset"  # of the servers that this node sends to
     LEFT_SUBSET = "left_subset"
-    COLD = "cold"  # it started: slow start thins out what it gets
-    WARM = "warm"  # slow start is over
-    DROPPED = "dropped"  # memory alone vouched for it, and it did not answer
+    SLOW_START_BEGAN = "cold"  # it started: slow start thins out what it gets
+    SLOW_START_ENDED = "warm"  # slow start is over
+    UNCONFIRMED_DROPPED = "dropped"  # memory alone vouched for it, and it did not answer
 
 
 @dataclass(slots=True, frozen=True)
@@ -141,15 +145,15 @@
     """One class of request and what it asks for."""
 
     name: str
-    effect: Effect
-    aim: float
-    deadline: float
-    value: float = 1.0
-    late_worth: float = 0.0
-    group: Group = Group.ALL
-    memory_span: float = 0.0
-    streamed: bool = False
-    aim_stretch: float = 0.0
+    idempotency: Idempotency
+    latency_objective_ms: float
+    deadline_ms: float
+    priority_weight: float = 1.0
+    late_priority_weight: float = 0.0
+    deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
+    deduplication_window_ms: float = 0.0
+    is_streamed: bool = False
+    latency_objective_stretch: float = 0.0
 
 
 @dataclass(slots=True, frozen=True)
@@ -162,7 +166,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Charges:
+class Prices:
     """Prices, as fractions of the result for one unit per request."""
 
     probe: float = 0.0
@@ -179,17 +183,17 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Blend:
+class ScoreWeights:
     """Weights of the parts of the result."""
 
-    whole: float = 1.0
+    total: float = 1.0
     worst_window: float = 0.0
     worst_class: float = 0.0
     worst_tenant: float = 0.0
     nines: float = 0.0
     top_nines: float = 3.0
-    slow_end: float = 0.0
-    miss_allowed: float = 0.0
+    slow_tail: float = 0.0
+    allowed_miss_rate: float = 0.0
 
 
 @dataclass(slots=True, frozen=True)
@@ -197,111 +201,111 @@
     """What a node is told at start."""
 
     classes: tuple[RequestClass, ...]
-    me: int = 0
-    group_size: int = 1
+    node_index: int = 0
+    node_count: int = 1
     zone: str = ""
-    tick: float = 1.0
+    tick_ms: float = 1.0
     tenants: tuple[Tenant, ...] = ()
-    charges: Charges = field(default_factory=Charges)
-    blend: Blend = field(default_factory=Blend)
-    over_share_worth: float = 1.0
-    worth_by_work: bool = False
-    must_ask: bool = False
-    reports: Reports = Reports.NONE
-    report_fields: tuple[str, ...] = ()
-    probing: bool = False
+    prices: Prices = field(default_factory=Prices)
+    score_weights: ScoreWeights = field(default_factory=ScoreWeights)
+    over_quota_weight: float = 1.0
+    is_weighted_by_work: bool = False
+    must_poll: bool = False
+    load_report_source: LoadReportSource = LoadReportSource.NONE
+    load_report_fields: tuple[str, ...] = ()
+    probing_enabled: bool = False
     may_cancel: bool = True
-    second_copies: bool = False
+    may_hedge: bool = False
     max_attempts: int = 3
-    max_retry_after: float = 0.0
-    answer_slack: float = 5.0
-    ask_within: float = 10_000.0
-    drain_grace: float = 1_000.0
-    cold_share: float = 0.0
-    ramp_time: float = 60_000.0
-    fall_window: float = 1_000.0
-    fall_multiple: float = 1.0
-    weighted: bool = False
-    live_weights: bool = False
-    connect_timeout: float = 250.0
+    max_retry_after_ms: float = 0.0
+    response_slack_ms: float = 5.0
+    poll_within_ms: float = 10_000.0
+    drain_grace_ms: float = 1_000.0
+    slow_start_initial_fraction: float = 0.0
+    slow_start_duration_ms: float = 60_000.0
+    overload_window_ms: float = 1_000.0
+    overload_multiple: float = 1.0
+    has_weights: bool = False
+    has_live_weights: bool = False
+    connect_timeout_ms: float = 250.0
     zones: tuple[str, ...] = ()
-    kinds: tuple[str, ...] = ()
-    retries_marked: bool = False
-    warm_keys: bool = False
-    passes_deadline: bool = True
-    peers: bool = False
-    conn_idle: float = 60_000.0
-    streams_per_conn: int = 1
-    max_open: int = 20_000
+    backend_kinds: tuple[str, ...] = ()
+    are_retries_marked: bool = False
+    has_warm_keys: bool = False
+    forwards_deadline: bool = True
+    may_message_peers: bool = False
+    connection_idle_ms: float = 60_000.0
+    streams_per_connection: int = 1
+    max_open_requests: int = 20_000
     cpu_us_per_s: float = 0.0
     cpu_us_per_request: float = 0.0
 
 
 @dataclass(slots=True)
-class Report:
+class LoadReport:
     """A load report; a value the site does not report is None."""
 
     in_flight: float | None = None
-    queue: float | None = None
-    cpu: float | None = None
-    mean_time: float | None = None
-    rate: float | None = None
-    error_rate: float | None = None
+    queued: float | None = None
+    cpu_load: float | None = None
+    mean_time_ms: float | None = None
+    requests_per_s: float | None = None
+    errors_per_s: float | None = None
 
 
 @dataclass(slots=True)
-class Entry:
+class Endpoint:
     """One backend as the list gives it."""
 
-    backend: str
+    id: str
     zone: str
     cell: int
     weight: float
     phase: Phase
-    started_at: float
+    started_at_ms: float
     kind: str = ""
-    age_ms: float | None = None
+    cached_age_ms: float | None = None
     """How long ago a source vouched for it, where memory alone does now; None: a source does."""
 
 
 @dataclass(slots=True)
-class Learned:
+class LearnedState:
     """What a node has learned of its site, as plain data that can outlive its process.
 
     By class the usual time and its mean deviation, in milliseconds; the concurrency limit; by server how slow
     it is (mean time over the usual one), where that is far from 1, and the milliseconds left of an ejection.
     """
 
-    usual: dict[str, tuple[float, float]] = field(default_factory=dict)
-    limit: float = 0.0
-    slow: dict[str, float] = field(default_factory=dict)
-    ejected: dict[str, float] = field(default_factory=dict)
+    expected_latency_ms: dict[str, tuple[float, float]] = field(default_factory=dict)
+    concurrency_limit: float = 0.0
+    slowness: dict[str, float] = field(default_factory=dict)
+    ejection_left_ms: dict[str, float] = field(default_factory=dict)
 
 
 # --- events -----------------------------------------------------------------------------------------
 
 
 @dataclass(slots=True)
-class ListUpdate:
+class EndpointsUpdated:
     """News of the backends; `FAILED` carries none."""
 
-    kind: ListKind
-    entries: list[Entry]
+    kind: EndpointUpdateKind
+    endpoints: list[Endpoint]
     revision: int = 0
 
 
 @dataclass(slots=True)
-class Arrival:
+class RequestArrived:
     """A client's request: one final answer is now owed before `deadline`."""
 
     request: str
     class_name: str
-    deadline: float
+    deadline_ms: float
     is_retry: bool = False
-    key: str | None = None
+    idempotency_key: str | None = None
     tenant: str | None = None
     work_hint: float | None = None
-    writes: bool = False
+    is_write: bool = False
 
 
 @dataclass(slots=True)
@@ -311,48 +315,48 @@
     request: str
     attempt: int
     backend: str = ""
-    duration: float = 0.0
+    duration_ms: float = 0.0
 
 
 @dataclass(slots=True)
-class Outcome:
+class AttemptFinished:
     """The end of one attempt; `closed` says the request has its final answer."""
 
     request: str
     attempt: int
     backend: str
-    status: Status
-    duration: float
-    closed: bool
-    report: Report | None = None
+    status: AttemptStatus
+    duration_ms: float
+    is_request_closed: bool
+    load_report: LoadReport | None = None
 
 
 @dataclass(slots=True)
-class ClientGone:
+class ClientLeft:
     """The client left; no answer is owed any more."""
 
     request: str
 
 
 @dataclass(slots=True)
-class Timer:
+class TimerFired:
     """A timer set earlier came due."""
 
     token: int
 
 
 @dataclass(slots=True)
-class Probed:
+class ProbeFinished:
     """The result of one probe."""
 
     backend: str
-    status: Status
-    duration: float
-    report: Report | None = None
+    status: AttemptStatus
+    duration_ms: float
+    load_report: LoadReport | None = None
 
 
 @dataclass(slots=True)
-class PeerMessage:
+class PeerMessageReceived:
     """A message of another node."""
 
     sender: int
@@ -360,22 +364,30 @@
 
 
 @dataclass(slots=True)
-class Remembered:
+class LearnedStateRestored:
     """What an earlier process of this node had learned, `age_ms` ago; told after the list kept with it."""
 
-    learned: Learned
+    state: LearnedState
     age_ms: float
 
 
 Event = (
-    ListUpdate | Arrival | StreamStarted | Outcome | ClientGone | Timer | Probed | PeerMessage | Remembered
+    EndpointsUpdated
+    | RequestArrived
+    | StreamStarted
+    | AttemptFinished
+    | ClientLeft
+    | TimerFired
+    | ProbeFinished
+    | PeerMessageReceived
+    | LearnedStateRestored
 )
 
 # --- actions ----------------------------------------------------------------------------------------
 
 
 @dataclass(slots=True)
-class Send:
+class SendAttempt:
     """Start an attempt; a time-out of 0 lasts until the client gives up. One not begun by `begin_by` is moot.
 
     `why` says how the server was found, `cause` what brought the attempt about; it was found among so many
@@ -385,33 +397,33 @@
 
     request: str
     backend: str
-    timeout: float
-    why: Why = field(default=Why.UNSTATED, compare=False)
-    cause: Why = field(default=Why.UNSTATED, compare=False)
-    among: int = field(default=0, compare=False)
-    crowded: int = field(default=0, compare=False)
-    begin_by: float = math.inf
+    timeout_ms: float
+    reason: DecisionReason = field(default=DecisionReason.UNSPECIFIED, compare=False)
+    cause: DecisionReason = field(default=DecisionReason.UNSPECIFIED, compare=False)
+    eligible_count: int = field(default=0, compare=False)
+    overloaded_count: int = field(default=0, compare=False)
+    start_before_ms: float = math.inf
 
 
 @dataclass(slots=True)
-class Refuse:
+class RejectRequest:
     """Final answer: turned away, a retry is harmless."""
 
     request: str
-    retry_after: float = 0.0
-    why: Why = field(default=Why.UNSTATED, compare=False)
+    retry_after_ms: float = 0.0
+    reason: DecisionReason = field(default=DecisionReason.UNSPECIFIED, compare=False)
 
 
 @dataclass(slots=True)
-class Fail:
+class FailRequest:
     """Final answer: failed, nothing promised."""
 
     request: str
-    why: Why = field(default=Why.UNSTATED, compare=False)
+    reason: DecisionReason = field(default=DecisionReason.UNSPECIFIED, compare=False)
 
 
 @dataclass(slots=True)
-class Cancel:
+class CancelAttempt:
     """Stop waiting for an attempt."""
 
     request: str
@@ -422,53 +434,53 @@
 class SetTimer:
     """Ask for a `Timer` event."""
 
-    when: float
+    at_ms: float
     token: int
 
 
 @dataclass(slots=True)
-class Probe:
+class SendProbe:
     """Ask a backend how it is."""
 
     backend: str
 
 
 @dataclass(slots=True)
-class Subscribe:
+class SubscribeToEndpoints:
     """Ask to be told of list changes from now on, or no longer."""
 
-    on: bool = True
+    is_enabled: bool = True
 
 
 @dataclass(slots=True)
-class ListAll:
+class FetchSnapshot:
     """Ask for the whole list once."""
 
 
 @dataclass(slots=True)
-class CloseIdle:
+class CloseIdleConnections:
     """Close this node's idle connections to a backend."""
 
     backend: str
 
 
 @dataclass(slots=True)
-class Tell:
+class SendPeerMessage:
     """Send bytes to one node, or to all where `node` is None."""
 
-    node: int | None
+    node_index: int | None
     content: bytes
 
 
 @dataclass(slots=True)
-class Log:
+class WriteLog:
     """A line for the people on call."""
 
     text: str
 
 
 @dataclass(slots=True)
-class Noted:
+class NoteBackendDecision:
     """Nothing to do: what was decided about a server, for those who watch.
 
     `count` is of what led to it (failures in a row); for an empty `backend`, of servers that this holds for.
@@ -476,11 +488,22 @@
     """
 
     backend: str
-    what: What
+    decision: BackendDecision
     count: int = 0
-    span_ms: float = 0.0
+    duration_ms: float = 0.0
 
 
 Action = (
-    Send | Refuse | Fail | Cancel | SetTimer | Probe | Subscribe | ListAll | CloseIdle | Tell | Log | Noted
+    SendAttempt
+    | RejectRequest
+    | FailRequest
+    | CancelAttempt
+    | SetTimer
+    | SendProbe
+    | SubscribeToEndpoints
+    | FetchSnapshot
+    | CloseIdleConnections
+    | SendPeerMessage
+    | WriteLog
+    | NoteBackendDecision
 )
--- a/balancer/net/application.py
+++ b/balancer/net/application.py
@@ -96,8 +96,8 @@
     fleet = Fleet(node, [listed])
     node.discovery = discovery = PlatformSource(
         config.discovery,
-        config.settings.must_ask,
-        config.settings.drain_grace,
+        config.settings.must_poll,
+        config.settings.drain_grace_ms,
         node.now,
         fleet.hand,
         lambda: fleet.resume(platform.NAME),
@@ -127,7 +127,7 @@
     if hung_up:
         loop.call_soon(hangup)
     fleet.hand(Listed(platform.NAME, platform.identity(config.discovery), config.known, saved=True))
-    if not config.settings.must_ask:
+    if not config.settings.must_poll:
         discovery.watch(True)
     if operators is not None:
         from balancer.net.admin_socket import Control
--- a/balancer/net/backend_pool.py
+++ b/balancer/net/backend_pool.py
@@ -17,8 +17,8 @@
 from balancer import interface as api
 from balancer.core.connection_admission import MOST_BODY, USUAL_BODY, LongBodies
 from balancer.core.stall_detector import STOOD_MS
-from balancer.endpoints import Address, Member
-from balancer.interface import Status
+from balancer.endpoints import Address, EndpointRecord
+from balancer.interface import AttemptStatus
 
 log = logging.getLogger(__name__)
 
@@ -31,23 +31,23 @@
 FIELDS = {
     "inflight": "in_flight",
     "active": "in_flight",
-    "queue": "queue",
-    "waiting": "queue",
-    "util": "cpu",
-    "cpu": "cpu",
-    "latency_ms": "mean_time",
-    "avg_ms": "mean_time",
-    "qps": "rate",
-    "rps": "rate",
-    "eps": "error_rate",
-    "err_rps": "error_rate",
+    "queue": "queued",
+    "waiting": "queued",
+    "util": "cpu_load",
+    "cpu": "cpu_load",
+    "latency_ms": "mean_time_ms",
+    "avg_ms": "mean_time_ms",
+    "qps": "requests_per_s",
+    "rps": "requests_per_s",
+    "eps": "errors_per_s",
+    "err_rps": "errors_per_s",
 }
 
 
-def parse_report(value: str) -> api.Report:
+def parse_report(value: str) -> api.LoadReport:
     """A load report header; fields of other names are skipped. Raises ValueError."""
     form, _, rest = value.partition(" ")
-    out = api.Report()
+    out = api.LoadReport()
     try:
         if form != "TEXT":
             raise ValueError(form)
@@ -67,8 +67,8 @@
 class Answer:
     """How an attempt ended; `body` and `content_type` are those of a backend's 200."""
 
-    status: Status
-    report: api.Report | None = None
+    status: AttemptStatus
+    report: api.LoadReport | None = None
     body: bytes = b""
     content_type: bytes = b""
 
@@ -157,7 +157,7 @@
             self.handed = True
             self.transport, _ = await loop.create_connection(lambda: self, sock=self.sock)
         except (OSError, TimeoutError):
-            self._fail(Status.CONNECT_FAILED)
+            self._fail(AttemptStatus.CONNECT_FAILED)
             return
         if self.closed:
             self.transport.abort()
@@ -179,9 +179,9 @@
             # Guards against sending to a backend that was taken off the list while the attempt waited, and,
             # where the process stood still, may have been: the timer can come before that is read.
             self.resting = None
-            self._fail(Status.MOOT)
+            self._fail(AttemptStatus.NOT_STARTED)
         elif not self.clean:
-            self._fail(Status.CONNECT_FAILED)
+            self._fail(AttemptStatus.CONNECT_FAILED)
         else:
             self.resting = None
             self.write(attempt)
@@ -200,7 +200,7 @@
             return isinstance(err, BlockingIOError)
         return False
 
-    def _fail(self, status: Status) -> None:
+    def _fail(self, status: AttemptStatus) -> None:
         attempt, self.attempt, resting = self.attempt, None, self.resting
         self.close()
         if attempt is not None and resting is not None:
@@ -251,30 +251,30 @@
         self._reset()
         # Guards against an effect doubled by a repeat whose connection came up after its window had ended.
         if time.monotonic() > attempt.begin_by:
-            self._fail(Status.MOOT)
+            self._fail(AttemptStatus.NOT_STARTED)
             return
         data, attempt.data = attempt.data, b""
         # The transport alone holds what has not left: guards memory, as bodies may be long.
         if not (data := data if isinstance(data, bytes) else data()):
-            self._fail(Status.MOOT)  # its request is over
+            self._fail(AttemptStatus.NOT_STARTED)  # its request is over
             return
         self.transport.write(data)
         self.wrote = True
         # Guards against calling a reset what never left: a write that fails at once closes the transport.
         if self.transport.is_closing():
-            self._fail(Status.CONNECT_FAILED)
+            self._fail(AttemptStatus.CONNECT_FAILED)
         elif self.blocked and attempt.begin_by < math.inf:
             self.pool.loop.call_later(attempt.begin_by - time.monotonic(), self._late, attempt)
 
     def _late(self, attempt: Attempt) -> None:
         """Its window has ended: guards against an effect doubled by one whose last byte is still here."""
         if self.attempt is attempt and self.blocked:
-            self._fail(Status.MOOT)
+            self._fail(AttemptStatus.NOT_STARTED)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """A break before the request's last byte has left proves that it never ran; after, it may have."""
         self.transport = None  # nothing to abort: asyncio's own would end a second time, with a traceback
-        self._fail(Status.RESET if self.wrote and not self.blocked else Status.CONNECT_FAILED)
+        self._fail(AttemptStatus.RESET if self.wrote and not self.blocked else AttemptStatus.CONNECT_FAILED)
 
     def eof_received(self) -> None:
         """The end of an answer whose head names none (RFC 9112, 6.3); of all else it is a break."""
@@ -287,7 +287,7 @@
     def data_received(self, data: bytes) -> None:
         """Read the answer; bytes that belong to none spoil the connection."""
         if self.attempt is None or not self.wrote:
-            self._fail(Status.CONNECT_FAILED)  # an attempt that waits for the connection never ran
+            self._fail(AttemptStatus.CONNECT_FAILED)  # an attempt that waits for the connection never ran
             return
         fault = ""
         try:
@@ -300,12 +300,12 @@
         if self.complete and self.code == 200 and self.blocked:
             # Guards against serving what no backend made for it: none begins before the request's last byte.
             log.warning("backend %s:%d: an answer before the request was written", *self.address)
-            self._fail(Status.CONNECT_FAILED)
+            self._fail(AttemptStatus.CONNECT_FAILED)
         elif self.complete:
             self._finish(not fault and not self.excess)
         elif fault or self.large or self.head > MAX_HEAD or self.bytes - self.size > MAX_REST:
             log.warning("backend %s:%d: %s", *self.address, fault or "answer too large")
-            self._fail(Status.RESET)
+            self._fail(AttemptStatus.RESET)
 
     # --- httptools
 
@@ -365,11 +365,11 @@
                 report = parse_report(self.load.decode("latin-1"))
             except ValueError as err:
                 log.warning("backend %s:%d: %s", *self.address, err)
-        answer = Answer(Status.ERROR, report)
+        answer = Answer(AttemptStatus.ERROR, report)
         if self.code == 200 and not self.large:
-            answer = Answer(Status.OK, report, b"".join(self.body), self.content_type)
+            answer = Answer(AttemptStatus.OK, report, b"".join(self.body), self.content_type)
         elif self.code in (503, 504) and self.not_started and not self.large:
-            answer.status = Status.FULL
+            answer.status = AttemptStatus.REJECTED
         self._forget()
         self.pool.release(self, clean and self.keep_alive and not self.blocked)
         attempt.end(answer)
@@ -381,22 +381,22 @@
     def __init__(self, settings: api.Settings, limit: int, long: LongBodies | None = None) -> None:
         """At most `limit` connections; their long bodies count into `long`."""
         self.long = long or LongBodies()
-        self.connect_timeout = settings.connect_timeout / 1000
-        self.idle_limit = settings.conn_idle / 1000
+        self.connect_timeout = settings.connect_timeout_ms / 1000
+        self.idle_limit = settings.connection_idle_ms / 1000
         self.limit, self.count = limit, 0
         self.hosts: dict[str, Host] = {}
         self.sweeper: asyncio.TimerHandle | None = None
         self.loop = asyncio.get_running_loop()
 
-    def update(self, members: Iterable[Member], removed: Iterable[str] = ()) -> None:
+    def update(self, members: Iterable[EndpointRecord], removed: Iterable[str] = ()) -> None:
         """Take the changes of the view: idle connections to what leaves or moves go."""
         for name in removed:
             self._remove(name)
         for member in members:
-            name = member.entry.backend
+            name = member.endpoint.id
             if (host := self.hosts.get(name)) is None:
                 host = self.hosts[name] = Host(member.address)
-            host.up = member.entry.phase is api.Phase.UP
+            host.up = member.endpoint.phase is api.Phase.UP
             if not host.up or host.address != member.address:
                 self.close_idle(name)
             host.address = member.address
@@ -444,13 +444,13 @@
     def connect(self, host: Host, attempt: Attempt) -> None:
         """Begin an attempt on a new connection."""
         if not host.up or (self.count >= self.limit and not self._evict()):
-            attempt.end(Answer(Status.MOOT))
+            attempt.end(Answer(AttemptStatus.NOT_STARTED))
             return
         try:
             connection = Connection(self, host)
         except OSError as err:  # guards the count of connections when no descriptor is left
             log.warning("no socket for a backend: %s", err)
-            attempt.end(Answer(Status.MOOT))
+            attempt.end(Answer(AttemptStatus.NOT_STARTED))
             return
         self.count += 1
         connection.attempt, attempt.connection = attempt, connection
--- a/balancer/net/bulk_update.py
+++ b/balancer/net/bulk_update.py
@@ -28,8 +28,8 @@
     def __init__(self, node: Node, change: Apply) -> None:
         self.node, self.change = node, change
         self.later: list[Apply] = []  # changes of the view that came behind it
-        if change.kind is not api.ListKind.CHANGES:
-            node.event(api.ListUpdate(change.kind, [], change.revision))
+        if change.kind is not api.EndpointUpdateKind.INCREMENTAL:
+            node.event(api.EndpointsUpdated(change.kind, [], change.revision))
         self._steps = self._run()
         node.loop.call_soon(self._step)
 
@@ -45,7 +45,7 @@
             return
         finally:
             gc.freeze()  # guards the loop against collections that look through all that a list makes
-        self.node.laid(api.ListUpdate(api.ListKind.CHANGES, [], self.change.revision))
+        self.node.laid(api.EndpointsUpdated(api.EndpointUpdateKind.INCREMENTAL, [], self.change.revision))
 
     def _run(self) -> Iterator[None]:
         node, change, balancer = self.node, self.change, self.node.balancer
@@ -53,7 +53,7 @@
             self.later.insert(0, change)
             return
         node.update((), change.removed)
-        entries = [m.entry for m in (*change.removed, *change.members)]
+        entries = [m.endpoint for m in (*change.removed, *change.members)]
         yield
         for at in range(0, len(change.members), SLICE):
             node.update(change.members[at : at + SLICE], ())
@@ -61,6 +61,8 @@
         balancer.now = node.now()
         noted = yield from lay(balancer, entries)
         for at in range(0, len(entries), SLICE):
-            part = api.ListUpdate(api.ListKind.CHANGES, entries[at : at + SLICE], change.revision)
+            part = api.EndpointsUpdated(
+                api.EndpointUpdateKind.INCREMENTAL, entries[at : at + SLICE], change.revision
+            )
             node.show(node.now(), part, noted if at + SLICE >= len(entries) else [])
             yield
--- a/balancer/net/cluster_gossip.py
+++ b/balancer/net/cluster_gossip.py
@@ -51,14 +51,14 @@
         told = self.node.settings
         self.decider = t.Together(
             peers,
-            told.me,
-            told.group_size,
+            told.node_index,
+            told.node_count,
             None,
-            Turns(told.me, told.group_size, BEARS),
+            Turns(told.node_index, told.node_count, BEARS),
             Random(),
             goes_by,
             gossip.room(running.name, gossip.Told(goes_by.KIND, 0, "", "", ())),
-            () if told.must_ask else (PLATFORM,),  # where lists are pushed each node has an agent of its own
+            () if told.must_poll else (PLATFORM,),  # where lists are pushed each node has an agent of its own
         )
         self.nodes: shares.Nodes | None = None  # nothing is divided by it yet
         self._write = write
@@ -118,7 +118,7 @@
             source = self.fleet.membership.sources.get(event.source)
         for action in actions:
             if isinstance(action, membership.Apply):
-                self.decider.saw(self.node.now(), source or hearsay.source(), action)
+                self.decider.on_source_applied(self.node.now(), source or hearsay.source(), action)
 
     # --- what was decided
 
--- a/balancer/net/component.py
+++ b/balancer/net/component.py
@@ -60,11 +60,11 @@
         """The node pays for a call in between only where there are several."""
         self.node.observer = None if not self.all else self.all[0] if len(self.all) == 1 else self
 
-    def saw(self, now_ms: float, event: api.Event, actions: Sequence[api.Action]) -> None:
+    def on_decision(self, now_ms: float, event: api.Event, actions: Sequence[api.Action]) -> None:
         """As `Observer`."""
         for observer in self.all:
             try:
-                observer.saw(now_ms, event, actions)
+                observer.on_decision(now_ms, event, actions)
             except Exception:  # guards the others against the fault of one
                 log.exception("an observer failed on %s and is taken off", type(event).__name__)
                 self.remove(observer)
--- a/balancer/net/components.py
+++ b/balancer/net/components.py
@@ -58,7 +58,7 @@
         fleet, told = running.fleet, running.node.settings
 
         def source(config: EtcdConfig, seen: tuple[str, int] | None) -> EtcdSource:
-            return EtcdSource(config, fleet.hand, seen=seen, me=told.me, nodes=told.group_size)
+            return EtcdSource(config, fleet.hand, seen=seen, me=told.node_index, nodes=told.node_count)
 
         return EtcdPart(fleet, running.listed, source)
 
--- a/balancer/net/config.py
+++ b/balancer/net/config.py
@@ -13,10 +13,10 @@
 from balancer.core.connection_admission import SPARE, shares
 from balancer.endpoints import (
     Address,
-    ListError,
-    Listing,
-    address,
-    listing,
+    EndpointList,
+    EndpointListError,
+    parse_address,
+    parse_endpoint_list,
 )
 
 PREFIX = "PROXY_"
@@ -42,7 +42,7 @@
     discovery: Address
     seed: int
     settings: api.Settings
-    known: Listing
+    known: EndpointList
     client_sockets: int
     upstream_sockets: int
     memory_mb: float
@@ -54,7 +54,7 @@
     if value is None:
         raise ConfigError(f"{name} is missing")
     try:
-        return address(value)
+        return parse_address(value)
     except ValueError:
         raise ConfigError(f"{name} makes no sense: {value!r:.120}") from None
 
@@ -167,9 +167,9 @@
         raise ConfigError(f"seed makes no sense: {seed!r:.120}") from None
 
 
-def _known(raw: Mapping[str, Any]) -> Listing:
+def _known(raw: Mapping[str, Any]) -> EndpointList:
     try:
-        known = listing(raw.get("known", {"revision": 0, "complete": True, "members": []}))
-    except ListError as err:
+        known = parse_endpoint_list(raw.get("known", {"revision": 0, "complete": True, "members": []}))
+    except EndpointListError as err:
         raise ConfigError(f"known: {err}") from None
-    return replace(known, complete=True)
+    return replace(known, is_complete=True)
--- a/balancer/net/discovery/etcd.py
+++ b/balancer/net/discovery/etcd.py
@@ -25,7 +25,7 @@
 )
 from balancer.core.discovery.etcd_watcher import EtcdConfig, Trouble
 from balancer.core.staggering import Turns
-from balancer.endpoints import Fault
+from balancer.endpoints import InvalidEntry
 from balancer.protocol import etcd_watch as ew
 from balancer.protocol.etcd_entry import entry
 from balancer.protocol.etcd_watch import Answer, Asks, Kind
@@ -302,7 +302,7 @@
         for start in range(0, len(message.kvs), ROWS):
             rows += [entry(kv, self.prefix, self.config.format) for kv in message.kvs[start : start + ROWS]]
             await asyncio.sleep(0)
-        rows += [Fault(f"/entry {n}", reason) for n, reason in enumerate(message.unreadable)]
+        rows += [InvalidEntry(f"/entry {n}", reason) for n, reason in enumerate(message.unreadable)]
         last = message.kvs[-1].key if message.kvs else b""
         at = _position(message.header)
         return ef.PageAnswered(action.call, at, tuple(rows), last, message.more, message.count)
--- a/balancer/net/discovery/platform.py
+++ b/balancer/net/discovery/platform.py
@@ -15,9 +15,9 @@
 from balancer.core.discovery.platform_watcher import PlatformFollow
 from balancer.endpoints import (
     Address,
-    ListError,
-    Listing,
-    ListingBuilder,
+    EndpointList,
+    EndpointListError,
+    EndpointListParser,
 )
 from balancer.protocol import platform_list
 from balancer.protocol.platform_list import ListCall
@@ -38,9 +38,9 @@
     return f"{address[0]}:{address[1]}"
 
 
-def _builder(line: bytes) -> ListingBuilder | LongList:
+def _builder(line: bytes) -> EndpointListParser | LongList:
     if len(line) <= LONG:
-        return ListingBuilder(json.loads(line))
+        return EndpointListParser(json.loads(line))
     from balancer.protocol.large_list import LongList
 
     return LongList(line)
@@ -55,7 +55,7 @@
         self.transport: asyncio.Transport | None = None
         self.timer: asyncio.TimerHandle | None = None
         self.lines: deque[bytes] = deque()
-        self.builder: ListingBuilder | LongList | None = None  # of a list read over several turns
+        self.builder: EndpointListParser | LongList | None = None  # of a list read over several turns
         self.whole = self.over = self.dropped = self.slow = False
         self.loop = asyncio.get_running_loop()
         self.life = owner.follow.life(owner.now_ms())
@@ -157,7 +157,7 @@
                     self.loop.call_soon(self._read)
                     return
             except Exception as err:
-                if not isinstance(err, (ListError, ValueError, RecursionError)):
+                if not isinstance(err, (EndpointListError, ValueError, RecursionError)):
                     log.exception("discovery: a line was not read")  # guards the lines behind it
                 # What it said is lost, and later changes do not repeat it: only the whole list will do.
                 self.whole = False
@@ -166,7 +166,7 @@
                 self.owner.spoiled(f"{err}"[:200])
                 self.close()
                 break
-            listing, self.builder = self.builder.listing(), None
+            listing, self.builder = self.builder.result(), None
             self.owner.listed(listing, self.watch)
         if not self.dropped:
             self._end()
@@ -246,7 +246,7 @@
         if self.resume() is not None:
             self._follow(platform_follow.Answered())
 
-    def listed(self, listing: Listing, watched: bool) -> None:
+    def listed(self, listing: EndpointList, watched: bool) -> None:
         """A list, or a line of the watch. It is no answer if nothing can be watched after it."""
         self.hand(membership.Listed(NAME, identity(self.address), listing, watched=watched))
         if self.resume() is not None:
--- a/balancer/net/discovery/watch_liveness.py
+++ b/balancer/net/discovery/watch_liveness.py
@@ -11,7 +11,7 @@
 from typing import cast
 
 from balancer.core.discovery.platform_watcher import Due
-from balancer.endpoints import Listing
+from balancer.endpoints import EndpointList
 from balancer.net.discovery.platform import Call, PlatformSource
 
 MOST = 2  # the oldest ones are kept: their beats come first
@@ -29,7 +29,7 @@
         if self._goes_on():
             self.source.beat()
 
-    def listed(self, listing: Listing, watched: bool) -> None:
+    def listed(self, listing: EndpointList, watched: bool) -> None:
         """It was a quiet one, and is told a change."""
         if self._goes_on():
             self.source.listed(listing, watched)
--- a/balancer/net/http_server.py
+++ b/balancer/net/http_server.py
@@ -22,7 +22,7 @@
 )
 from balancer.core.shutdown_deadlines import FRESH_MS, Ends
 from balancer.endpoints import Address
-from balancer.interface import Effect
+from balancer.interface import Idempotency
 from balancer.net.listener import Listener, Room
 from balancer.net.request_dispatcher import Node
 
@@ -354,16 +354,16 @@
             return
         if cls is None:
             raise BadRequest(404, "unknown class")
-        if method != (b"GET" if cls.effect is Effect.SAFE else b"POST"):
+        if method != (b"GET" if cls.idempotency is Idempotency.IDEMPOTENT else b"POST"):
             raise BadRequest(405, "the method does not go with the class")
-        if cls.effect is Effect.KEYED and not headers.get(b"idempotency-key"):
+        if cls.idempotency is Idempotency.KEYED and not headers.get(b"idempotency-key"):
             raise BadRequest(400, "no Idempotency-Key")
         name = headers.get(b"request-id", b"").decode("latin-1")
         if not name:
             raise BadRequest(400, "no Request-Id")
         if name in node.open or name in node.named:
             raise BadRequest(409, "Request-Id is in use")
-        wait = cls.deadline
+        wait = cls.deadline_ms
         if b"request-timeout" in headers:
             wait = min(wait, parse_timeout(headers[b"request-timeout"]))
         if self.front.ends is not None:
@@ -374,17 +374,17 @@
             # Guards the descriptors, open requests and memory: nothing ran, so turning it away is harmless.
             self._write(503, b"too many requests\n")
             return
-        event = api.Arrival(
+        event = api.RequestArrived(
             request=name,
             class_name=cls.name,
-            deadline=now + wait,
+            deadline_ms=now + wait,
             is_retry=headers.get(b"client-retry") == b"1",
-            key=key[0] if key else None,
+            idempotency_key=key[0] if key else None,
             tenant=headers[b"tenant"].decode("latin-1") if b"tenant" in headers else None,
             work_hint=self._hint(),
-            writes=cls.effect is not Effect.SAFE,
+            is_write=cls.idempotency is not Idempotency.IDEMPOTENT,
         )
-        self.request, self.until = name, max(self.until, event.deadline)
+        self.request, self.until = name, max(self.until, event.deadline_ms)
         target, body, self.body = self.raw or self.target, b"".join(self.body), []
         node.arrival(event, self, partial(render, method, target, headers, body))
 
--- a/balancer/net/persistence.py
+++ b/balancer/net/persistence.py
@@ -34,7 +34,7 @@
     successor,
     without_ended,
 )
-from balancer.endpoints import Listing, Member
+from balancer.endpoints import EndpointList, EndpointRecord
 from balancer.net.clock import wall_ms
 from balancer.net.component import PEERS, Running
 from balancer.operator_settings import Operators, StateSettings
@@ -240,7 +240,9 @@
         )
         self.began_ms = self.node.now()
         self._rows: dict[str, Server] = {}  # as they are kept, without order and times
-        self._members: dict[str, list[Member]] = {}  # whom each source had listed, until it is handed over
+        self._members: dict[
+            str, list[EndpointRecord]
+        ] = {}  # whom each source had listed, until it is handed over
         self._ages: dict[str, float] = {}  # the most of them
         self._queue: dict[str, str] = {}  # names to look at, and the source whose word it was
         self._first: dict[str, str] = {}  # those of them that leave
@@ -333,7 +335,7 @@
             meter.begin(told, fault, incarnation, float(_wall()))
         for name, kept_source in recalled.sources.items():
             if (listed := self._listed(name, kept_source, recalled)) is not None:
-                count, age = len(listed.listing.members), listed.age_ms / 1000
+                count, age = len(listed.listing.records), listed.age_ms / 1000
                 log.info("state: %s listed %d servers %.0f s ago", name, count, age)
                 self.fleet.hand(listed)
 
@@ -356,7 +358,7 @@
             return self._less(source, identity, revision, recalled)
         age_ms = self._ages.get(name, 0.0)
         self._whole[name] = identity, revision
-        return membership.Listed(name, identity, Listing(revision, True, members, gone), True, age_ms)
+        return membership.Listed(name, identity, EndpointList(revision, True, members, gone), True, age_ms)
 
     @staticmethod
     def _aged(name: str, recalled: Recalled) -> bool:
@@ -387,13 +389,13 @@
         at = [row.at_ms for row in recalled.usual.values()] + [row.at_ms for row in recalled.weights.values()]
         at += [] if recalled.limit is None else [recalled.limit.at_ms]
         age = max([0.0, *(float(_wall() - one) for one in at)]) + recalled.clock_behind_ms
-        learned = api.Learned(
+        learned = api.LearnedState(
             {name: (row.usual_ms, row.dev_ms) for name, row in recalled.usual.items()},
             recalled.limit.limit if recalled.limit is not None else self.node.balancer.limit,
             {name: row.slow for name, row in recalled.weights.items()},
             {name: left + age for name, left in recalled.ejections.items()},
         )
-        self.node.event(api.Remembered(learned, age))
+        self.node.event(api.LearnedStateRestored(learned, age))
 
     def _sync(self, recalled: Recalled | None) -> None:
         """What changed while the directory was not had."""
@@ -417,9 +419,9 @@
                 up, members = api.Phase.UP, action.members
                 for member in action.removed:
                     self._first[member.id] = self._last
-                leaving = [m.entry.backend for m in members if m.entry.phase is not up]
+                leaving = [m.endpoint.id for m in members if m.endpoint.phase is not up]
                 self._first |= dict.fromkeys(leaving, self._last)
-                rest = [m.entry.backend for m in members if m.entry.phase is up]
+                rest = [m.endpoint.id for m in members if m.endpoint.phase is up]
                 self._queue |= dict.fromkeys(rest, self._last)
         if self._first or self._queue:
             if not self._working:
@@ -462,7 +464,7 @@
                     by.setdefault(source, ([], []))[1].append(name)
                 continue
             row = self._row(member, wall)
-            remembered = member.entry.age_ms is not None and not row.draining
+            remembered = member.endpoint.cached_age_ms is not None and not row.draining
             if remembered or self._rows.get(name) == _plain(row) or not self._writable(name):
                 continue
             self._rows[name] = _plain(row)
@@ -484,10 +486,10 @@
         self._odd = self._odd or not good
         return good
 
-    def _row(self, member: Member, wall: int) -> Server:
-        entry, merge = member.entry, self.fleet.membership.sources
+    def _row(self, member: EndpointRecord, wall: int) -> Server:
+        entry, merge = member.endpoint, self.fleet.membership.sources
         sources = [name for name, s in merge.items() if member.id in s.members and name != PEERS]
-        age = 0 if entry.age_ms is None else int(entry.age_ms)
+        age = 0 if entry.cached_age_ms is None else int(entry.cached_age_ms)
         return Server(
             member.address[0],
             member.address[1],
@@ -495,7 +497,7 @@
             max(-MOST, min(MOST, entry.cell)),
             min(1e9, entry.weight),
             entry.phase is not api.Phase.UP,
-            min(1e15, entry.started_at),
+            min(1e15, entry.started_at_ms),
             entry.kind[:LONGEST],
             tuple(sources[:16]),
             max(0, wall - age),
@@ -569,12 +571,12 @@
         rows: dict[k.Key, kept.Kept | None] = {
             at: None for at in self.keeping.state.learned if at[0] in ("weights", "ejections")
         }
-        rows["limit", "node"] = kept.Limit(min(1e9, learned.limit), now)
-        for name, (usual, dev) in learned.usual.items():
+        rows["limit", "node"] = kept.Limit(min(1e9, learned.concurrency_limit), now)
+        for name, (usual, dev) in learned.expected_latency_ms.items():
             rows["usual", name] = kept.Usual(min(1e12, usual), min(1e12, dev), now)
-        for name, slow in learned.slow.items():
+        for name, slow in learned.slowness.items():
             rows["weights", name] = kept.Weight(min(1e9, slow), now)
-        for name, left in learned.ejected.items():
+        for name, left in learned.ejection_left_ms.items():
             found = self.node.balancer.backends.get(name)
             fails = 0 if found is None else found.fails
             rows["ejections", name] = kept.Ejection(now + int(left), fails, now)
@@ -626,9 +628,9 @@
     return msgspec.structs.replace(row, order=0, confirmed_ms=0)
 
 
-def _member(name: str, row: Server, source: str, end: kept.End | None) -> Member:
+def _member(name: str, row: Server, source: str, end: kept.End | None) -> EndpointRecord:
     """What a source had said of a server; a drain is that source's who told it."""
     drains = row.draining and (end is None or end.gone or end.source in (source, NOBODY))
     phase = api.Phase.DRAINING if drains else api.Phase.UP
-    entry = api.Entry(name, row.zone, row.cell, row.weight, phase, row.started_ms, row.kind)
-    return Member(entry, (row.host, row.port))
+    entry = api.Endpoint(name, row.zone, row.cell, row.weight, phase, row.started_ms, row.kind)
+    return EndpointRecord(entry, (row.host, row.port))
--- a/balancer/net/recovery.py
+++ b/balancer/net/recovery.py
@@ -23,7 +23,9 @@
 
 EVERY = 0.25  # s between two looks
 LATE_MS = 50.0  # before a request's deadline: whoever leaves then was not answered in time
-NO_CONNECT = frozenset({api.Status.CONNECT_FAILED, api.Status.MOOT, api.Status.CANCELLED})
+NO_CONNECT = frozenset(
+    {api.AttemptStatus.CONNECT_FAILED, api.AttemptStatus.NOT_STARTED, api.AttemptStatus.CANCELLED}
+)
 
 
 class RecoveryPart:
@@ -84,26 +86,29 @@
 
     # --- what passes
 
-    def saw(self, now_ms: float, event: api.Event, actions: Sequence[api.Action]) -> None:
+    def on_decision(self, now_ms: float, event: api.Event, actions: Sequence[api.Action]) -> None:
         """As `Observer`."""
-        if isinstance(event, api.Arrival):
-            self._open[event.request] = event.class_name, event.deadline
-        elif isinstance(event, api.Outcome):
+        if isinstance(event, api.RequestArrived):
+            self._open[event.request] = event.class_name, event.deadline_ms
+        elif isinstance(event, api.AttemptFinished):
             if event.status not in NO_CONNECT:
                 self._part("first connects")
             if event.request in self._open:
-                if event.status is api.Status.OK:
+                if event.status is api.AttemptStatus.OK:
                     self._end(event.request, r.End.SERVED)
-                elif event.status is api.Status.FULL:
+                elif event.status is api.AttemptStatus.REJECTED:
                     self._full.add(event.request)
-        elif isinstance(event, api.ClientGone) and (found := self._open.get(event.request)) is not None:
+        elif isinstance(event, api.ClientLeft) and (found := self._open.get(event.request)) is not None:
             if now_ms >= found[1] - LATE_MS:
                 self._end(event.request, r.End.FAILED)
             else:
                 self._forget(event.request)
         for action in actions:
-            if isinstance(action, (api.Refuse, api.Fail)) and action.request in self._open:
-                room = action.request not in self._full and action.why is not api.Why.SERVER_CROWDED
+            if isinstance(action, (api.RejectRequest, api.FailRequest)) and action.request in self._open:
+                room = (
+                    action.request not in self._full
+                    and action.reason is not api.DecisionReason.BACKEND_OVERLOADED
+                )
                 self._end(action.request, r.End.FAILED if room else r.End.TURNED_AWAY)
 
     def _end(self, request: str, end: r.End) -> None:
--- a/balancer/net/request_dispatcher.py
+++ b/balancer/net/request_dispatcher.py
@@ -16,7 +16,7 @@
 from balancer.core.discovery.endpoint_merger import Apply
 from balancer.core.shutdown_deadlines import Ends, ends
 from balancer.core.stall_detector import BEAT_MS, SETTLE_MS, Pause
-from balancer.endpoints import Member
+from balancer.endpoints import EndpointRecord
 from balancer.net.backend_pool import Answer, Attempt, Pool
 from balancer.net.clock import wall_ms
 from balancer.net.config import Config
@@ -32,7 +32,7 @@
 READ = 0.001  # s: the loop reads its sockets at least once meanwhile
 MARGIN = 10.0  # ms before a client's limit at which the last answer is due: it counted from its own send
 LARGE = 1_000  # servers of a first list that are taken in one turn of the loop, 5 ms; more go in slices
-FIRST = api.ListUpdate, api.Remembered  # what goes ahead of all else
+FIRST = api.EndpointsUpdated, api.LearnedStateRestored  # what goes ahead of all else
 
 
 def _nothing(wait: float) -> bytes:
@@ -94,7 +94,7 @@
         self.settings = config.settings
         self.class_paths = ClassPaths(config.settings.classes)
         # This program carries out no probes: a request whose decision waited for one would wait in vain.
-        self.balancer = Balancer(replace(config.settings, probing=False), config.seed)
+        self.balancer = Balancer(replace(config.settings, probing_enabled=False), config.seed)
         self.loop = asyncio.get_running_loop()
         # The clock is monotonic and set to Unix time once, at the start: it can read `up_since_ms` as it is.
         self._zero = wall_ms() - time.monotonic() * 1000
@@ -107,7 +107,7 @@
         self.ready = self.stopping = False
         self._events: deque[api.Event] = deque()
         self._busy = False
-        self._pause = Pause(self.now(), config.settings.drain_grace)
+        self._pause = Pause(self.now(), config.settings.drain_grace_ms)
         self._held: list[api.Event] = []  # while it is in doubt, or what it had kept is being read
         self.named: set[str] = set()  # the requests of these: guards against mixing two of one id
         self._waits = False
@@ -182,7 +182,7 @@
         """Show whoever watches what was decided."""
         try:
             if self.observer is not None:
-                self.observer.saw(now, event, actions)
+                self.observer.on_decision(now, event, actions)
         except Exception:  # guards requests against whoever only watches
             log.exception("the observer failed on %s and is taken off", type(event).__name__)
             self.observer = None
@@ -191,15 +191,15 @@
         """Fail a request and have the module forget it: what it counts as out would stay so for good."""
         request = self.open[name]
         self._answer(name, lambda client: client.failed())
-        self.event(api.ClientGone(name))
+        self.event(api.ClientLeft(name))
         for item in request.attempts:
-            self._stop(item, api.Status.CANCELLED)
+            self._stop(item, api.AttemptStatus.CANCELLED)
 
-    def arrival(self, event: api.Arrival, client: Client, render: Callable[[float], bytes]) -> None:
+    def arrival(self, event: api.RequestArrived, client: Client, render: Callable[[float], bytes]) -> None:
         """A client's request has come; `render` gives its bytes for a backend, told for how long."""
         self._turned()
-        event.deadline -= self._pause.age_ms
-        request = self.open[event.request] = Open(client, event.deadline - MARGIN, render)
+        event.deadline_ms -= self._pause.age_ms
+        request = self.open[event.request] = Open(client, event.deadline_ms - MARGIN, render)
         # What is held back is the module's to refuse, as soon as it is let go.
         least = 2 * SETTLE_MS if self._pause.hold else 0.0
         wait = max(least, request.deadline - self.now()) / 1000
@@ -208,7 +208,7 @@
 
     def full(self) -> bool:
         """Whether the node holds as many requests as it may."""
-        return len(self.open) >= self.settings.max_open
+        return len(self.open) >= self.settings.max_open_requests
 
     def gone(self, name: str) -> None:
         """The client has left."""
@@ -219,8 +219,8 @@
         # its connection has come up, or the rest of it has found room, for a client that is not there.
         for item in request.attempts:
             if item.attempt is not None and not item.attempt.left:
-                self._stop(item, api.Status.MOOT)
-        self.event(api.ClientGone(name))
+                self._stop(item, api.AttemptStatus.NOT_STARTED)
+        self.event(api.ClientLeft(name))
 
     def apply(self, change: Apply) -> None:
         """A change of the view: what leaves first, then who drains, then the rest."""
@@ -232,19 +232,19 @@
             self.laying = Laying(self, change)
         else:
             self.update(change.members, change.removed)
-            entries = [m.entry for m in (*change.removed, *change.members)]
-            self.laid(api.ListUpdate(change.kind, entries, change.revision))
+            entries = [m.endpoint for m in (*change.removed, *change.members)]
+            self.laid(api.EndpointsUpdated(change.kind, entries, change.revision))
 
-    def update(self, members: Sequence[Member], removed: Sequence[Member]) -> None:
+    def update(self, members: Sequence[EndpointRecord], removed: Sequence[EndpointRecord]) -> None:
         """Tell the pool of a change, and whoever has to know of those that have moved."""
         if self.moved is not None:
             for member in members:
-                host = self.pool.hosts.get(member.entry.backend)
+                host = self.pool.hosts.get(member.endpoint.id)
                 if host is not None and host.address != member.address:
-                    self.moved(member.entry.backend)
-        self.pool.update(members, [m.entry.backend for m in removed])
+                    self.moved(member.endpoint.id)
+        self.pool.update(members, [m.endpoint.id for m in removed])
 
-    def laid(self, event: api.ListUpdate) -> None:
+    def laid(self, event: api.EndpointsUpdated) -> None:
         """The pool knows of all: the module's turn, or the last word of a list that was laid out for it."""
         done, self.laying = self.laying, None
         self.event(event)
@@ -256,7 +256,7 @@
 
     def list_failed(self) -> None:
         """A call that the module asked for has failed."""
-        self.event(api.ListUpdate(api.ListKind.FAILED, []))
+        self.event(api.EndpointsUpdated(api.EndpointUpdateKind.FAILED, []))
 
     def stop(self) -> Ends:
         """It is told to end: until when it accepts, by when all is answered."""
@@ -279,91 +279,97 @@
 
     def _act(self, action: api.Action) -> None:
         match action:
-            case api.Send():
+            case api.SendAttempt():
                 self._send(action)
             case api.SetTimer():
-                wait = max(0.0, action.when - self.now()) / 1000
-                self.loop.call_later(wait, self.event, api.Timer(action.token))
-            case api.Refuse():
-                self._answer(action.request, lambda client: client.refused(action.retry_after))
-            case api.Fail():
+                wait = max(0.0, action.at_ms - self.now()) / 1000
+                self.loop.call_later(wait, self.event, api.TimerFired(action.token))
+            case api.RejectRequest():
+                self._answer(action.request, lambda client: client.refused(action.retry_after_ms))
+            case api.FailRequest():
                 self._answer(action.request, lambda client: client.failed())
-            case api.Cancel():
+            case api.CancelAttempt():
                 self._cancel(action)
-            case api.CloseIdle():
+            case api.CloseIdleConnections():
                 self.pool.close_idle(action.backend)
-            case api.Subscribe() if self.discovery is not None:
-                self.discovery.watch(action.on)
-            case api.ListAll() if self.discovery is not None:
+            case api.SubscribeToEndpoints() if self.discovery is not None:
+                self.discovery.watch(action.is_enabled)
+            case api.FetchSnapshot() if self.discovery is not None:
                 self.discovery.fetch()
-            case api.Log():
+            case api.WriteLog():
                 log.info("%s", action.text)
-            case api.Noted():
+            case api.NoteBackendDecision():
                 pass  # for those who watch
             case _:
                 log.error("not carried out: %r", action)
 
-    def _send(self, action: api.Send) -> None:
+    def _send(self, action: api.SendAttempt) -> None:
         request, now = self.open.get(action.request), self.now()
         number = len(request.attempts) if request else -1  # the last one, of a request that is over here
         item = Try(action.request, number, action.backend, now)
         if request is None:
-            self._outcome(item, Answer(api.Status.MOOT))
+            self._outcome(item, Answer(api.AttemptStatus.NOT_STARTED))
             return
         request.attempts.append(item)
         left = request.deadline - now
-        wait = min(action.timeout, left) if action.timeout else left
+        wait = min(action.timeout_ms, left) if action.timeout_ms else left
         if request.answered or action.backend not in self.pool.hosts or wait <= 0:
-            self._outcome(item, Answer(api.Status.MOOT))
+            self._outcome(item, Answer(api.AttemptStatus.NOT_STARTED))
             return
         item.timer = self.loop.call_later(wait / 1000, self._timeout, item)
-        begin_by = (action.begin_by - self._zero) / 1000
+        begin_by = (action.start_before_ms - self._zero) / 1000
         until, done = now + wait, partial(self._outcome, item)
         attempt = self.pool.start(action.backend, lambda: request.render(until - self.now()), done, begin_by)
         item.attempt = None if item.over else attempt
 
     def _timeout(self, item: Try, last: bool = False) -> None:
-        link, status = item.attempt.connection if item.attempt else None, api.Status.TIMEOUT
+        link, status = item.attempt.connection if item.attempt else None, api.AttemptStatus.TIMEOUT
         if item.attempt is None or not item.attempt.left:
             # Nothing whole has left: it never ran. Guards a backend against being taken for out of reach
             # where its connection still had time to come up, or waits at this node.
-            late = self.now() - item.sent >= self.settings.connect_timeout
+            late = self.now() - item.sent >= self.settings.connect_timeout_ms
             late = late and (link is None or link.resting is None)
-            status = api.Status.CONNECT_FAILED if late else api.Status.MOOT
+            status = api.AttemptStatus.CONNECT_FAILED if late else api.AttemptStatus.NOT_STARTED
         elif link is not None and not (last or link.clean):
             # Guards an answer that lies in the kernel: where the loop stood still its timers may come first.
             item.timer = self.loop.call_later(READ, self._timeout, item, True)
             return
         self._stop(item, status)
 
-    def _stop(self, item: Try, status: api.Status) -> None:
+    def _stop(self, item: Try, status: api.AttemptStatus) -> None:
         """End an attempt from this side, if it is out."""
         if not item.over:
             if item.attempt is not None:
                 item.attempt.drop()
             self._outcome(item, Answer(status))
 
-    def _cancel(self, action: api.Cancel) -> None:
+    def _cancel(self, action: api.CancelAttempt) -> None:
         request = self.open.get(action.request)
         if request is None or action.attempt >= len(request.attempts):
             # Never made, as the decision failed half-way: guards the module's counts of what is out.
-            self.event(api.Outcome(action.request, action.attempt, "", api.Status.CANCELLED, 0.0, True))
+            self.event(
+                api.AttemptFinished(
+                    action.request, action.attempt, "", api.AttemptStatus.CANCELLED, 0.0, True
+                )
+            )
             return
-        self._stop(request.attempts[action.attempt], api.Status.CANCELLED)
+        self._stop(request.attempts[action.attempt], api.AttemptStatus.CANCELLED)
 
     def _outcome(self, item: Try, answer: Answer) -> None:
         """The one outcome of an attempt; a backend's whole answer goes to the client and ends the request."""
         item.over, item.attempt = True, None
         if item.timer is not None:
             item.timer.cancel()
-        if answer.status is api.Status.OK:
+        if answer.status is api.AttemptStatus.OK:
             self._answer(item.request, lambda client: client.served(answer.body, answer.content_type))
         request = self.open.get(item.request)
         closed = request is None or request.answered
         if request is not None and closed:
             self._forget(item.request, request)
         status, took = answer.status, self.now() - item.sent
-        self.event(api.Outcome(item.request, item.number, item.backend, status, took, closed, answer.report))
+        self.event(
+            api.AttemptFinished(item.request, item.number, item.backend, status, took, closed, answer.report)
+        )
 
     def _deadline(self, name: str) -> None:
         """The client's time is up: end what is out, and answer whatever the module did not."""
@@ -374,7 +380,7 @@
             self._timeout(item, True)
         if name in self.open and not request.answered:
             self._answer(name, lambda client: client.failed())
-            self.event(api.ClientGone(name))
+            self.event(api.ClientLeft(name))
 
     def _answer(self, name: str, tell: Callable[[Client], None]) -> None:
         request = self.open.get(name)
--- a/balancer/net/timeline.py
+++ b/balancer/net/timeline.py
@@ -58,7 +58,9 @@
         self.watch = Watch(self.node.settings, settings.memory_mb, self._look)
         # The node has had its first list by now: without it no line would know its zone.
         known = [backend.entry for backend in self.node.balancer.backends.values()]
-        self.watch.saw(self.node.now(), api.ListUpdate(api.ListKind.FULL, known), [])
+        self.watch.on_decision(
+            self.node.now(), api.EndpointsUpdated(api.EndpointUpdateKind.SNAPSHOT, known), []
+        )
         self.watch.listeners.append(self._say)
         for name, view in WORDS.items():
             self.control.register_with(name, partial(view, self.watch))
--- a/balancer/observability/metrics.py
+++ b/balancer/observability/metrics.py
@@ -120,8 +120,12 @@
         for request in list(notable)[-RECENT:]:
             trail = notable[request]
             last = trail[-1]
-            if trail[0].class_name == name and isinstance(last, api.Outcome) and last.status is api.Status.OK:
-                seconds = last.duration / 1000
+            if (
+                trail[0].class_name == name
+                and isinstance(last, api.AttemptFinished)
+                and last.status is api.AttemptStatus.OK
+            ):
+                seconds = last.duration_ms / 1000
                 shown = "".join(c if c.isascii() and c.isprintable() else "?" for c in request[:64])
                 out[_bin(seconds)] = Exemplar({"request_id": shown}, seconds, trail[-2] / 1000)
         return out
--- a/balancer/platform_settings.py
+++ b/balancer/platform_settings.py
@@ -13,9 +13,21 @@
 
 from balancer import interface as api
 
-_EFFECTS = {"retryable": api.Effect.SAFE, "dedup": api.Effect.KEYED, "fragile": api.Effect.UNSAFE}
-_GROUPS = {"all": api.Group.ALL, "zone": api.Group.ZONE, "cell": api.Group.CELL}
-_REPORTS = {"inline": api.Reports.ANSWERS, "on_probe": api.Reports.PROBES, "off": api.Reports.NONE}
+_EFFECTS = {
+    "retryable": api.Idempotency.IDEMPOTENT,
+    "dedup": api.Idempotency.KEYED,
+    "fragile": api.Idempotency.NON_IDEMPOTENT,
+}
+_GROUPS = {
+    "all": api.DeduplicationScope.ALL,
+    "zone": api.DeduplicationScope.ZONE,
+    "cell": api.DeduplicationScope.CELL,
+}
+_REPORTS = {
+    "inline": api.LoadReportSource.RESPONSES,
+    "on_probe": api.LoadReportSource.PROBES,
+    "off": api.LoadReportSource.NONE,
+}
 _WEIGHTS = {"off": False, "nominal": True, "rough": True, "live": True}
 _CHARGES = (
     "probe",
@@ -158,18 +170,18 @@
     deadline = _number(table, where, "give-up", None)
     out = api.RequestClass(
         name=_text(table, where, "name", None),
-        effect=_choice(table, where, "effect", _EFFECTS, None),
-        aim=_number(table, where, "objective", deadline),
-        deadline=deadline,
-        value=_number(table, where, "value", 1.0),
-        late_worth=_number(table, where, "late-worth", 0.0),
+        idempotency=_choice(table, where, "effect", _EFFECTS, None),
+        latency_objective_ms=_number(table, where, "objective", deadline),
+        deadline_ms=deadline,
+        priority_weight=_number(table, where, "value", 1.0),
+        late_priority_weight=_number(table, where, "late-worth", 0.0),
         # Untold, only the smallest group drops a repeat and forgets it at once: the cautious reading.
-        group=_choice(table, where, "group", _GROUPS, "cell"),
-        memory_span=_number(table, where, "memory-span", 0.0),
-        streamed=_flag(table, where, "streamed", False),
-        aim_stretch=_number(table, where, "aim-stretch", 0.0),
+        deduplication_scope=_choice(table, where, "group", _GROUPS, "cell"),
+        deduplication_window_ms=_number(table, where, "memory-span", 0.0),
+        is_streamed=_flag(table, where, "streamed", False),
+        latency_objective_stretch=_number(table, where, "aim-stretch", 0.0),
     )
-    for name, value in (("give-up", out.deadline), ("objective", out.aim)):
+    for name, value in (("give-up", out.deadline_ms), ("objective", out.latency_objective_ms)):
         if value <= 0 and name in table:
             _say(table, _fault(where, name, value))
     return out
@@ -215,53 +227,53 @@
         _say(rules, _fault("rules.", "cold-share", cold_share))
     return api.Settings(
         classes=tuple(_class(table, index) for index, table in enumerate(classes)),
-        me=me,
-        group_size=group_size,
+        node_index=me,
+        node_count=group_size,
         zone=_text(raw, "", "zone", ""),
-        tick=_number(raw, "", "granularity", 1.0),
+        tick_ms=_number(raw, "", "granularity", 1.0),
         tenants=tuple(_tenant(table, index) for index, table in enumerate(_rows(raw, "projects"))),
-        charges=api.Charges(
+        prices=api.Prices(
             **{name.replace("-", "_"): _number(charges, "charges.", name, 0.0) for name in _CHARGES}
         ),
-        blend=api.Blend(
-            whole=_number(blend, "blend.", "whole", 1.0),
+        score_weights=api.ScoreWeights(
+            total=_number(blend, "blend.", "whole", 1.0),
             worst_window=_number(blend, "blend.", "worst-window", 0.0),
             worst_class=_number(blend, "blend.", "worst-class", 0.0),
             worst_tenant=_number(blend, "blend.", "worst-tenant", 0.0),
             nines=_number(blend, "blend.", "nines", 0.0),
             top_nines=_number(blend, "blend.", "top-nines", 3.0),
-            slow_end=_number(blend, "blend.", "slow-end", 0.0),
-            miss_allowed=_number(blend, "blend.", "miss-allowed", 0.0),
+            slow_tail=_number(blend, "blend.", "slow-end", 0.0),
+            allowed_miss_rate=_number(blend, "blend.", "miss-allowed", 0.0),
         ),
-        over_share_worth=_number(raw, "", "over-share-worth", 1.0),
-        worth_by_work=_choice(raw, "", "worth-by", {"request": False, "work": True}, "request"),
-        must_ask=_choice(raw, "", "discovery", {"automatic": False, "subscribe": True}, "subscribe"),
-        reports=_choice(load, "load-info.", "how", _REPORTS, "off"),
-        report_fields=_texts(load, "load-info.", "names"),
-        probing=_flag(limits, "limits.", "probing", False),
+        over_quota_weight=_number(raw, "", "over-share-worth", 1.0),
+        is_weighted_by_work=_choice(raw, "", "worth-by", {"request": False, "work": True}, "request"),
+        must_poll=_choice(raw, "", "discovery", {"automatic": False, "subscribe": True}, "subscribe"),
+        load_report_source=_choice(load, "load-info.", "how", _REPORTS, "off"),
+        load_report_fields=_texts(load, "load-info.", "names"),
+        probing_enabled=_flag(limits, "limits.", "probing", False),
         may_cancel=_flag(limits, "limits.", "cancel", False),
-        second_copies=_flag(limits, "limits.", "second-copies", False),
+        may_hedge=_flag(limits, "limits.", "second-copies", False),
         max_attempts=_whole(limits, "limits.", "most-tries", 1, 1),
-        max_retry_after=_number(limits, "limits.", "max-retry-after", 0.0) if heeded else 0.0,
-        answer_slack=_number(rules, "rules.", "answer-slack", 0.0),
-        ask_within=_number(rules, "rules.", "ask-within", 10_000.0),
-        drain_grace=_number(rules, "rules.", "drain-grace", 0.0),
-        cold_share=cold_share,
-        ramp_time=ramp_time,
-        fall_window=_number(rules, "rules.", "fall", 1_000.0),
-        fall_multiple=_number(rules, "rules.", "fall-multiple", 1.0),
-        weighted=_choice(raw, "", "weight-source", _WEIGHTS, "off"),
-        live_weights=raw.get("weight-source") == "live",
-        connect_timeout=_number(limits, "limits.", "connect-timeout", 250.0),
+        max_retry_after_ms=_number(limits, "limits.", "max-retry-after", 0.0) if heeded else 0.0,
+        response_slack_ms=_number(rules, "rules.", "answer-slack", 0.0),
+        poll_within_ms=_number(rules, "rules.", "ask-within", 10_000.0),
+        drain_grace_ms=_number(rules, "rules.", "drain-grace", 0.0),
+        slow_start_initial_fraction=cold_share,
+        slow_start_duration_ms=ramp_time,
+        overload_window_ms=_number(rules, "rules.", "fall", 1_000.0),
+        overload_multiple=_number(rules, "rules.", "fall-multiple", 1.0),
+        has_weights=_choice(raw, "", "weight-source", _WEIGHTS, "off"),
+        has_live_weights=raw.get("weight-source") == "live",
+        connect_timeout_ms=_number(limits, "limits.", "connect-timeout", 250.0),
         zones=_texts(raw, "", "failure-domains"),
-        kinds=_texts(raw, "", "kinds"),
-        retries_marked=_flag(_table(raw, "client-habits"), "client-habits.", "marks-retry", False),
-        warm_keys=_flag(family, "family-info.", "warm-keys", False),
-        passes_deadline=_flag(family, "family-info.", "passes-deadline", False),
-        peers=_flag(limits, "limits.", "peers", False),
-        conn_idle=_number(limits, "limits.", "conn-idle", 0.0),
-        streams_per_conn=_whole(limits, "limits.", "streams-per-conn", 1, 1),
-        max_open=_whole(limits, "limits.", "max-open", 20_000, 1),
+        backend_kinds=_texts(raw, "", "kinds"),
+        are_retries_marked=_flag(_table(raw, "client-habits"), "client-habits.", "marks-retry", False),
+        has_warm_keys=_flag(family, "family-info.", "warm-keys", False),
+        forwards_deadline=_flag(family, "family-info.", "passes-deadline", False),
+        may_message_peers=_flag(limits, "limits.", "peers", False),
+        connection_idle_ms=_number(limits, "limits.", "conn-idle", 0.0),
+        streams_per_connection=_whole(limits, "limits.", "streams-per-conn", 1, 1),
+        max_open_requests=_whole(limits, "limits.", "max-open", 20_000, 1),
         cpu_us_per_s=_number(limits, "limits.", "cpu-us-per-s", 0.0),
         cpu_us_per_request=_number(limits, "limits.", "cpu-us-per-request", 0.0),
     )
--- a/balancer/policy/backend_index.py
+++ b/balancer/policy/backend_index.py
@@ -37,17 +37,19 @@
         self.cold: list[Backend] = []
         self.away: list[tuple[float, int, Backend]] = []  # a heap; some no longer hold
         # All of it by zone or by cell, for the classes whose repeats are dropped by such a group.
-        self.kinds: tuple[api.Group, ...] = ()
-        self.groups: dict[tuple[api.Group, object], Bag] = {}
+        self.kinds: tuple[api.DeduplicationScope, ...] = ()
+        self.groups: dict[tuple[api.DeduplicationScope, object], Bag] = {}
         self.waiting = 0  # entries in it that hold; there are no more than twice as many and TURN
         self._entries = 0
-        self.news: list[tuple[Backend, api.What]] = []  # what has become of some, until somebody reads it
+        self.news: list[
+            tuple[Backend, api.BackendDecision]
+        ] = []  # what has become of some, until somebody reads it
 
     # --- the order and its window
 
     def insert(self, b: Backend, now: float) -> int:
         """A backend comes up; its rank says where in the order. Returns its place."""
-        key = (not b.near, b.rank, b.entry.backend, b)
+        key = (not b.near, b.rank, b.entry.id, b)
         at = bisect_left(self.order, key[:3])
         self.order.insert(at, key)
         self.home += b.near
@@ -60,7 +62,7 @@
 
     def remove(self, b: Backend, now: float) -> int:
         """A backend is up no longer; returns its place. Has to be called before its entry changes."""
-        at = bisect_left(self.order, (not b.near, b.rank, b.entry.backend))
+        at = bisect_left(self.order, (not b.near, b.rank, b.entry.id))
         del self.order[at]
         self.home -= b.near
         for kind in self.kinds:
@@ -98,7 +100,7 @@
     def place(self, b: Backend, now: float) -> None:
         """Put a backend where it belongs."""
         back = b.until if b.until > b.busy else b.busy
-        warm = b.entry.started_at + self.ramp_time if b.entry.started_at > 0 < self.ramp_time else 0.0
+        warm = b.entry.started_at_ms + self.ramp_time if b.entry.started_at_ms > 0 < self.ramp_time else 0.0
         if b.inside and b.due == (back if back > now else warm) and b.due > now:
             return  # away or cold, as it was
         mark, was_cold, was_away = grade(b), False, False
@@ -137,12 +139,12 @@
             self.cold.append(b)
             self._wait(b, warm)
             if not was_cold:
-                self.news.append((b, api.What.COLD))
+                self.news.append((b, api.BackendDecision.SLOW_START_BEGAN))
             return
         if was_cold:
-            self.news.append((b, api.What.WARM))
+            self.news.append((b, api.BackendDecision.SLOW_START_ENDED))
         elif was_away and b.until >= b.busy:
-            self.news.append((b, api.What.TAKEN_BACK))
+            self.news.append((b, api.BackendDecision.READMITTED))
         b.apart, b.grade = side, mark
         self._shelve(b)
 
@@ -189,15 +191,15 @@
             turn += 1
 
 
-def part(entry: api.Entry, kind: api.Group) -> object:
+def part(entry: api.Endpoint, kind: api.DeduplicationScope) -> object:
     """Which group of a kind a backend belongs to."""
-    return entry.zone if kind is api.Group.ZONE else entry.cell
+    return entry.zone if kind is api.DeduplicationScope.ZONE else entry.cell
 
 
-def warmth(entry: api.Entry, now: float, cold_share: float, ramp_time: float) -> float:
+def warmth(entry: api.Endpoint, now: float, cold_share: float, ramp_time: float) -> float:
     """The part of its capacity that a backend surely has by now."""
-    age = now - entry.started_at
-    if entry.started_at <= 0 or ramp_time <= 0 or age >= ramp_time:
+    age = now - entry.started_at_ms
+    if entry.started_at_ms <= 0 or ramp_time <= 0 or age >= ramp_time:
         return 1.0
     return cold_share + (1.0 - cold_share) * max(0.0, age) / ramp_time
 
--- a/balancer/policy/balancer.py
+++ b/balancer/policy/balancer.py
@@ -73,21 +73,50 @@
 STALE = 60_000.0  # age at which one of memory alone is looked beyond half of the time, for one of less age
 HALVES = (10_000.0, 60_000.0, 3_600_000.0)  # ms in which half fades of: the limit, slowness, usual times
 LOG_EVERY = 10_000.0  # a node logs at most one line in this time
-OK, FULL, TIMEOUT = api.Status.OK, api.Status.FULL, api.Status.TIMEOUT  # a plain name is looked up faster
-CANCELLED, MOOT, CONNECT_FAILED = api.Status.CANCELLED, api.Status.MOOT, api.Status.CONNECT_FAILED
-LOWEST, DRAWN, PANIC = api.Why.LOWEST_BELOW_M, api.Why.DRAWN_AT_CAP, api.Why.PANIC
-COLD, SPILT, FIRST, HELD = api.Why.COLD_ADMITTED, api.Why.SPILL, api.Why.FIRST_TRY, api.Why.HELD_AND_RELEASED
-LATE, BROKE, SPENT = api.Why.AIM_OUT_OF_REACH, api.Why.BUDGET_SPENT, api.Why.ATTEMPTS_SPENT
+OK, FULL, TIMEOUT = (
+    api.AttemptStatus.OK,
+    api.AttemptStatus.REJECTED,
+    api.AttemptStatus.TIMEOUT,
+)  # a plain name is looked up faster
+CANCELLED, MOOT, CONNECT_FAILED = (
+    api.AttemptStatus.CANCELLED,
+    api.AttemptStatus.NOT_STARTED,
+    api.AttemptStatus.CONNECT_FAILED,
+)
+LOWEST, DRAWN, PANIC = (
+    api.DecisionReason.LOWEST_ESTIMATE_BELOW_CAP,
+    api.DecisionReason.DRAWN_AT_CAP,
+    api.DecisionReason.PANIC,
+)
+COLD, SPILT, FIRST, HELD = (
+    api.DecisionReason.SLOW_START_ADMITTED,
+    api.DecisionReason.OTHER_ZONE,
+    api.DecisionReason.FIRST_ATTEMPT,
+    api.DecisionReason.DEQUEUED,
+)
+LATE, BROKE, SPENT = (
+    api.DecisionReason.OBJECTIVE_UNREACHABLE,
+    api.DecisionReason.RETRY_BUDGET_EXHAUSTED,
+    api.DecisionReason.ATTEMPTS_EXHAUSTED,
+)
 ROOMLESS, NOBODY, SHED, ONCE = (
-    api.Why.NO_ROOM_IN_TIME,
-    api.Why.NOBODY_ELIGIBLE,
-    api.Why.SHED_BY_SUCCESS,
-    api.Why.NOT_REPEATABLE,
+    api.DecisionReason.QUEUE_TIMEOUT,
+    api.DecisionReason.NO_ELIGIBLE_BACKEND,
+    api.DecisionReason.SHED_BY_SUCCESS_RATE,
+    api.DecisionReason.NOT_RETRYABLE,
+)
+CROWDED = api.DecisionReason.BACKEND_OVERLOADED
+EJECTED, PAUSED, IDLE = (
+    api.BackendDecision.EJECTED,
+    api.BackendDecision.PAUSED,
+    api.BackendDecision.REPORTED_IDLE,
 )
-CROWDED = api.Why.SERVER_CROWDED
-EJECTED, PAUSED, IDLE = api.What.EJECTED, api.What.PAUSED, api.What.IDLE_SIGN
-JOINED, LEFT, DROPPED = api.What.JOINED_SUBSET, api.What.LEFT_SUBSET, api.What.DROPPED
-SPOILT = frozenset({api.Status.ERROR, api.Status.RESET})  # failures that say nothing of load
+JOINED, LEFT, DROPPED = (
+    api.BackendDecision.JOINED_SUBSET,
+    api.BackendDecision.LEFT_SUBSET,
+    api.BackendDecision.UNCONFIRMED_DROPPED,
+)
+SPOILT = frozenset({api.AttemptStatus.ERROR, api.AttemptStatus.RESET})  # failures that say nothing of load
 
 
 class Balancer:
@@ -102,15 +131,19 @@
         self.acts: list[api.Action] = []
         self.why, self.cause, self.among, self.crowded = LOWEST, FIRST, 0, 0  # of the choice in the making
         self.panicked = False
-        self.classes = {c.name: Class(c, max(USUAL_LEAST, c.aim / 4)) for c in settings.classes}
-        self.longest_aim = max(c.aim for c in settings.classes)
-        self.index = Index(settings.ramp_time, CHOOSY)
-        keyed = {c.group: None for c in settings.classes if c.effect is api.Effect.KEYED}
-        self.index.kinds = tuple(group for group in keyed if group is not api.Group.ALL)
+        self.classes = {
+            c.name: Class(c, max(USUAL_LEAST, c.latency_objective_ms / 4)) for c in settings.classes
+        }
+        self.longest_aim = max(c.latency_objective_ms for c in settings.classes)
+        self.index = Index(settings.slow_start_duration_ms, CHOOSY)
+        keyed = {
+            c.deduplication_scope: None for c in settings.classes if c.idempotency is api.Idempotency.KEYED
+        }
+        self.index.kinds = tuple(group for group in keyed if group is not api.DeduplicationScope.ALL)
         self.width = 0  # so many of the first in the order are in the subset
         self.bad, self.spill = [0.0, 0.0], 0.0  # share gone bad near and far; share of requests sent far
         self.fleet = 0.0  # most backends listed, for long: what a warm one's share is measured by
-        self.fade = max(FADE * settings.ramp_time, 1.0)
+        self.fade = max(FADE * settings.slow_start_duration_ms, 1.0)
         self.backends: dict[str, Backend] = {}
         self.requests: dict[str, Request] = {}
         self.held: dict[str, Request] = {}
@@ -123,24 +156,28 @@
         self.lost = 0.0  # share of attempts that got no answer of late
         self.failing = 0.0  # share of attempts that failed of late, for want of room left out
         self.trust = 1.0  # share of sends answered within the aim; where the node looks, on an idle sign
-        self.rtt = 2.0 * settings.tick  # usual round trip of a probe, until probes tell
+        self.rtt = 2.0 * settings.tick_ms  # usual round trip of a probe, until probes tell
         self.floors: dict[str, float] = {}  # least time an answer takes, for each zone: no load explains it
         self.looks = (
-            settings.probing
-            and settings.reports is not api.Reports.NONE
-            and settings.charges.probe * SAMPLE <= TRIFLE
+            settings.probing_enabled
+            and settings.load_report_source is not api.LoadReportSource.NONE
+            and settings.prices.probe * SAMPLE <= TRIFLE
+        )
+        self.density = (
+            sum(c.priority_weight / c.latency_objective_ms for c in settings.classes)
+            * 4
+            / len(settings.classes)
         )
-        self.density = sum(c.value / c.aim for c in settings.classes) * 4 / len(settings.classes)
         self.on: dict[type, Callable[[Any], None]] = {
-            api.Arrival: self._arrival,
-            api.Outcome: self._outcome,
-            api.Probed: self._probed,
-            api.Timer: self._timer,
-            api.ListUpdate: self._list,
-            api.ClientGone: self._gone,
+            api.RequestArrived: self._arrival,
+            api.AttemptFinished: self._outcome,
+            api.ProbeFinished: self._probed,
+            api.TimerFired: self._timer,
+            api.EndpointsUpdated: self._list,
+            api.ClientLeft: self._gone,
             api.StreamStarted: self._stream,
-            api.PeerMessage: lambda event: None,
-            api.Remembered: self._remembered,
+            api.PeerMessageReceived: lambda event: None,
+            api.LearnedStateRestored: self._remembered,
         }
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
@@ -150,7 +187,7 @@
         self.now, self.acts = now, []
         handler(event)
         if news := self.index.news:
-            self.acts += [api.Noted(b.entry.backend, what) for b, what in news]
+            self.acts += [api.NoteBackendDecision(b.entry.id, what) for b, what in news]
             news.clear()
         return self.acts
 
@@ -162,19 +199,21 @@
             return self.rng.choice([b for b in pool if b.estimate == low])
         return self.rng.choices(pool, [weight(b) / (1 + b.out) for b in pool])[0]
 
-    def _report(self, b: Backend, report: api.Report | None, fresh: bool) -> None:
+    def _report(self, b: Backend, report: api.LoadReport | None, fresh: bool) -> None:
         """An idle sign zeroes the estimate, but for own attempts still out: a late sign knows none."""
-        load = None if report is None else report.queue if report.in_flight is None else report.in_flight
+        load = None if report is None else report.queued if report.in_flight is None else report.in_flight
         if load is not None and load < 0.5:
             if b.estimate != b.out:
-                self.acts.append(api.Noted(b.entry.backend, IDLE, b.estimate - b.out))
+                self.acts.append(api.NoteBackendDecision(b.entry.id, IDLE, b.estimate - b.out))
             b.estimate = 0 if self.literal else b.out
         elif load is not None and fresh:  # the bound is known anew: a probe is one round trip old
             b.estimate = max(b.out, round(load))
 
     def _cap(self, req: Request) -> int:
         """m: how many requests can stand in line and the last still meet its aim."""
-        return self.literal or max(1, int(req.cls.cfg.aim / (SPREAD * max(req.cls.usual, 1e-9))))
+        return self.literal or max(
+            1, int(req.cls.cfg.latency_objective_ms / (SPREAD * max(req.cls.usual, 1e-9)))
+        )
 
     def _choose(self, req: Request, crowd: float, m: int) -> Backend | None:
         """JUT(m) over all that are eligible in the window, off the index.
@@ -199,7 +238,9 @@
                     over += level.size
         # Memory alone vouches for some: one safe request at a time shows whether they are there and warm, and
         # bookings go to them where nobody else is left.
-        if (kept := index.shelves[2]) and ((alone := not count) or req.cls.cfg.effect is api.Effect.SAFE):
+        if (kept := index.shelves[2]) and (
+            (alone := not count) or req.cls.cfg.idempotency is api.Idempotency.IDEMPOTENT
+        ):
             for out, level in kept.items():
                 if out <= crowd and (alone or not out):
                     levels.append((out, level))
@@ -282,7 +323,7 @@
 
     def _cold_chance(self) -> float:
         """The chance of a warm one, over the number of backends that a request considers."""
-        return COLD_PART * self.cfg.fall_multiple * len(self.index.order) / self.fleet
+        return COLD_PART * self.cfg.overload_multiple * len(self.index.order) / self.fleet
 
     def _draw(
         self,
@@ -331,7 +372,9 @@
                 yield at
 
     def _warmth(self, b: Backend) -> float:
-        return warmth(b.entry, self.now, self.cfg.cold_share, self.cfg.ramp_time)
+        return warmth(
+            b.entry, self.now, self.cfg.slow_start_initial_fraction, self.cfg.slow_start_duration_ms
+        )
 
     def _legal(self, req: Request, b: Backend) -> bool:
         """May this request go to this backend without taking effect twice? One attempt is out at a time."""
@@ -339,11 +382,19 @@
         for a in req.attempts:
             if a.status is None:
                 return False
-            if a.status in api.NEVER_RAN or c.effect is api.Effect.SAFE:
+            if a.status in api.NO_EFFECT_STATUSES or c.idempotency is api.Idempotency.IDEMPOTENT:
                 continue
-            apart = here.zone != a.there.zone if c.group is api.Group.ZONE else here.cell != a.there.cell
-            late = self.now - a.sent > c.memory_span - 2 * self.cfg.tick
-            if c.effect is api.Effect.UNSAFE or late or (apart and c.group is not api.Group.ALL):
+            apart = (
+                here.zone != a.there.zone
+                if c.deduplication_scope is api.DeduplicationScope.ZONE
+                else here.cell != a.there.cell
+            )
+            late = self.now - a.sent > c.deduplication_window_ms - 2 * self.cfg.tick_ms
+            if (
+                c.idempotency is api.Idempotency.NON_IDEMPOTENT
+                or late
+                or (apart and c.deduplication_scope is not api.DeduplicationScope.ALL)
+            ):
                 return False
         return True
 
@@ -375,15 +426,15 @@
         if more > 0:
             self._eject(b, int(more))
 
-    def _dropped(self, b: Backend, status: api.Status) -> bool:
+    def _dropped(self, b: Backend, status: api.AttemptStatus) -> bool:
         """One of memory alone did not answer: gone until a source lists it anew, but for half of the list.
 
         That half guards a node whose own network is at fault.
         """
-        if b.vouched or status is api.Status.ERROR or 2 * len(self.index.order) <= self.fleet:
+        if b.vouched or status is api.AttemptStatus.ERROR or 2 * len(self.index.order) <= self.fleet:
             return False
-        self.acts.append(api.Noted(b.entry.backend, DROPPED))
-        self._entry(b, replace(b.entry, phase=api.Phase.GONE), False)
+        self.acts.append(api.NoteBackendDecision(b.entry.id, DROPPED))
+        self._entry(b, replace(b.entry, phase=api.Phase.REMOVED), False)
         return True
 
     def _eject(self, b: Backend, doublings: int) -> None:
@@ -396,19 +447,23 @@
             return
         time = self.longest_aim * 2 ** min(doublings, EJECT_MAX - 1)
         b.until = self.now + time * self.rng.uniform(0.5, 1.5)
-        self.acts.append(api.Noted(b.entry.backend, EJECTED, b.fails, b.until - self.now))
+        self.acts.append(api.NoteBackendDecision(b.entry.id, EJECTED, b.fails, b.until - self.now))
 
-    def _arrival(self, ev: api.Arrival) -> None:
+    def _arrival(self, ev: api.RequestArrived) -> None:
         if (cls := self.classes.get(ev.class_name)) is None:
             raise api.CallError(f"unknown class: {ev.class_name!r}")
-        left, c, work = ev.deadline - self.now, cls.cfg, ev.work_hint or 0.0
-        aim = c.deadline if c.late_worth > 0 else c.aim + c.aim_stretch * work - self._age(ev, cls, left)
-        useful = min(ev.deadline, self.now + aim)
-        density = c.value / cls.usual
+        left, c, work = ev.deadline_ms - self.now, cls.cfg, ev.work_hint or 0.0
+        aim = (
+            c.deadline_ms
+            if c.late_priority_weight > 0
+            else c.latency_objective_ms + c.latency_objective_stretch * work - self._age(ev, cls, left)
+        )
+        useful = min(ev.deadline_ms, self.now + aim)
+        density = c.priority_weight / cls.usual
         self.density += EWMA / 2 * (density - self.density)
         self.bank, self.arrived = min(RETRY_BANK, self.bank + RETRY_SHARE), self.arrived + 1
         dense = density > BYPASS * self.density or self.literal > 0
-        req = Request(ev.request, cls, ev.work_hint, ev.deadline, useful, dense)
+        req = Request(ev.request, cls, ev.work_hint, ev.deadline_ms, useful, dense)
         self.requests[ev.request] = req
         # What cannot meet its aim is shed at once: cheaper for all than a failure after the aim.
         if self._fits(req):
@@ -416,18 +471,18 @@
         else:
             self._finish(req, LATE)
 
-    def _age(self, ev: api.Arrival, cls: Class, left: float) -> float:
+    def _age(self, ev: api.RequestArrived, cls: Class, left: float) -> float:
         """First tries all get the same time; a retry gets what is left of the deadline, which tells its age.
 
         Guards against refusing every first try once one retry came with more time than first tries have, and
         where retries are marked against taking those for old whose clients only give up early.
         """
-        same, marked = abs(left - cls.allowance) <= 2 * self.cfg.tick, self.cfg.retries_marked
+        same, marked = abs(left - cls.allowance) <= 2 * self.cfg.tick_ms, self.cfg.are_retries_marked
         if not (marked and ev.is_retry):
             cls.votes += 1 if same else -1
             if cls.votes < 0:
                 cls.allowance, cls.votes, same = left, 1, True
-        return 0.0 if same or (marked and not ev.is_retry) else max(0.0, cls.cfg.deadline - left)
+        return 0.0 if same or (marked and not ev.is_retry) else max(0.0, cls.cfg.deadline_ms - left)
 
     def _fits(self, req: Request, ahead: float = 0.0) -> bool:
         """Can it still be served before its aim, after `ahead` of waiting?"""
@@ -482,7 +537,7 @@
         far = far and 0 < index.home < n
         crowd = math.inf if req.dense else self.limit / k
         # Every node takes its part of what a backend may be given after it showed idle.
-        m, count = max(1, self._cap(req) // self.cfg.group_size), min(k, WIDE)
+        m, count = max(1, self._cap(req) // self.cfg.node_count), min(k, WIDE)
         bound = self._bound(req) if req.attempts else []
         if bound is None:
             self._finish(req, ONCE)
@@ -498,9 +553,9 @@
         elif bound or far:
             pool = self._draw(req, count, *self._some(count, 0, k, far), crowd)
         elif (b := self._choose(req, crowd, m)) is not None:
-            if not b.vouched and (age := b.entry.age_ms or 0.0) > self.rng.random() * (age + STALE):
+            if not b.vouched and (age := b.entry.cached_age_ms or 0.0) > self.rng.random() * (age + STALE):
                 other = self._choose(req, crowd, m) or b
-                b = other if other.vouched or (other.entry.age_ms or 0.0) < age else b
+                b = other if other.vouched or (other.entry.cached_age_ms or 0.0) < age else b
             if req.dense or not self._spared(b):
                 self._send(req, b)
             else:
@@ -512,7 +567,9 @@
             self._send(req, b)
             return
         found = pool or self._panic(req, count, 2 * k, far, crowd)
-        found = [b for b in found if b.vouched or req.cls.cfg.effect is api.Effect.SAFE] or found
+        found = [
+            b for b in found if b.vouched or req.cls.cfg.idempotency is api.Idempotency.IDEMPOTENT
+        ] or found
         pool = [b for b in found if b.out * len(found) <= sum(x.out for x in found)]
         if not req.dense and found and not (pool := [b for b in pool if not self._spared(b)]):
             self._finish(req, CROWDED)
@@ -541,13 +598,15 @@
         """The backends that a repeat is bound to; empty: to none in particular; None: it may go nowhere."""
         c, out = req.cls.cfg, list[Backend]()
         for a in req.attempts:
-            if a.status in api.NEVER_RAN or (c.effect is api.Effect.SAFE and a.status is not None):
+            if a.status in api.NO_EFFECT_STATUSES or (
+                c.idempotency is api.Idempotency.IDEMPOTENT and a.status is not None
+            ):
                 continue
-            late = self.now - a.sent > c.memory_span - 2 * self.cfg.tick
-            if a.status is None or c.effect is api.Effect.UNSAFE or late:
+            late = self.now - a.sent > c.deduplication_window_ms - 2 * self.cfg.tick_ms
+            if a.status is None or c.idempotency is api.Idempotency.NON_IDEMPOTENT or late:
                 return None
-            if c.group is not api.Group.ALL:
-                group = self.index.groups.get((c.group, part(a.there, c.group)))
+            if c.deduplication_scope is not api.DeduplicationScope.ALL:
+                group = self.index.groups.get((c.deduplication_scope, part(a.there, c.deduplication_scope)))
                 if group is None:
                     return None
                 out = group.items
@@ -560,13 +619,13 @@
             req, SAMPLE, *self._some(SAMPLE, k, 2 * k)
         )
         for b in pool or self._panic(req, SAMPLE, 2 * k):
-            req.pending.add(b.entry.backend)
+            req.pending.add(b.entry.id)
             if b.waiting is None:
                 b.waiting = []
-                self.acts.append(api.Probe(b.entry.backend))
+                self.acts.append(api.SendProbe(b.entry.id))
             b.waiting.append(req)
         end = req.useful - FIT * (req.hint or req.cls.usual)  # from then on it could not be served in time
-        self._at(min(end, self.now + PATIENCE * self.rtt + self.cfg.tick), self._overdue, (req, req.looks))
+        self._at(min(end, self.now + PATIENCE * self.rtt + self.cfg.tick_ms), self._overdue, (req, req.looks))
         if not req.pending:
             self._settle(req)
 
@@ -576,16 +635,16 @@
         if req.looks == look and req.pending:
             for b in [known[name] for name in sorted(req.pending & known.keys()) if self._fits(req)]:
                 b.until = max(b.until, self.now + req.cls.usual * self.rng.uniform(0.5, 1.5))
-                self.acts.append(api.Noted(b.entry.backend, PAUSED, 0, b.until - self.now))
+                self.acts.append(api.NoteBackendDecision(b.entry.id, PAUSED, 0, b.until - self.now))
             self._settle(req)
 
-    def _probed(self, ev: api.Probed) -> None:
+    def _probed(self, ev: api.ProbeFinished) -> None:
         if (b := self.backends.get(ev.backend)) is None:
             return  # gone meanwhile; what waits for it is overdue before long
         waiting, b.waiting = b.waiting or [], None
         if ev.status is OK:
-            self.rtt += EWMA * (ev.duration - self.rtt)
-            self._report(b, ev.report, True)
+            self.rtt += EWMA * (ev.duration_ms - self.rtt)
+            self._report(b, ev.load_report, True)
             b.until, b.vouched = min(b.until, self.now), True
             self._place(b)
         elif not self._dropped(b, ev.status):
@@ -640,28 +699,35 @@
         if b.level is None and why is not PANIC and self._warmth(b) < 1.0:
             why = COLD
         if req.attempts:
-            cause = api.REPEATS.get(req.attempts[-1].status, cause)
+            cause = api.RETRY_REASONS.get(req.attempts[-1].status, cause)
         req.attempts.append(Attempt(b, b.entry, self.now, b.estimate == 0 or not self.looks))
         req.out, b.out, self.out, b.estimate = req.out + 1, b.out + 1, self.out + 1, b.estimate + 1
         self.index.count(b)
         # An answer after the aim is worth nothing: give up just before, so that the failure is not late.
-        c, left, tick = req.cls.cfg, req.useful - self.now, self.cfg.tick
+        c, left, tick = req.cls.cfg, req.useful - self.now, self.cfg.tick_ms
         stop = max(tick, left - 2 * tick) if req.useful < req.deadline else 0.0
         # Guards against answers that get lost: one that may come late is asked for again while it has worth.
-        if self.lost > LOSSY and c.late_worth > 0 and c.effect is not api.Effect.UNSAFE:
-            cut = max(c.aim / 2, req.cls.usual + 4 * req.cls.dev)
+        if (
+            self.lost > LOSSY
+            and c.late_priority_weight > 0
+            and c.idempotency is not api.Idempotency.NON_IDEMPOTENT
+        ):
+            cut = max(c.latency_objective_ms / 2, req.cls.usual + 4 * req.cls.dev)
             if cut + req.cls.usual < left:
                 stop, req.attempts[-1].cut = cut, True
         end = self._window(req)
-        self.acts.append(api.Send(req.id, b.entry.backend, stop, why, cause, self.among, self.crowded, end))
+        self.acts.append(api.SendAttempt(req.id, b.entry.id, stop, why, cause, self.among, self.crowded, end))
 
     def _window(self, req: Request) -> float:
         """Until when a keyed request may be written once more, as its connection may come up late."""
-        c, ran = req.cls.cfg, [a.sent for a in req.attempts if a.status not in (None, *api.NEVER_RAN)]
-        keyed = ran and c.effect is api.Effect.KEYED
-        return min(ran) + c.memory_span - 2 * self.cfg.tick if keyed else math.inf
+        c, ran = (
+            req.cls.cfg,
+            [a.sent for a in req.attempts if a.status not in (None, *api.NO_EFFECT_STATUSES)],
+        )
+        keyed = ran and c.idempotency is api.Idempotency.KEYED
+        return min(ran) + c.deduplication_window_ms - 2 * self.cfg.tick_ms if keyed else math.inf
 
-    def _outcome(self, ev: api.Outcome) -> None:
+    def _outcome(self, ev: api.AttemptFinished) -> None:
         req = self.requests.get(ev.request)
         if req is None or ev.attempt >= len(req.attempts) or req.attempts[ev.attempt].status is not None:
             return
@@ -669,65 +735,65 @@
         attempt.status, b = ev.status, attempt.backend
         req.out, b.out, self.out = req.out - 1, b.out - 1, self.out - 1
         if ev.status is OK:  # who turns away or fails and calls itself idle is not believed
-            self._report(b, ev.report, False)
+            self._report(b, ev.load_report, False)
         if ev.status not in (CANCELLED, MOOT):  # these tell nothing of the backend
             self._learn(req, attempt, ev)
             if ev.status not in SPOILT:
                 self._steer(req.cls, ev, b.entry.zone)
         self._place(b)
-        if not b.out and b.entry.phase is api.Phase.GONE and self.backends.get(b.entry.backend) is b:
-            del self.backends[b.entry.backend]
-        if ev.closed or req.over:
+        if not b.out and b.entry.phase is api.Phase.REMOVED and self.backends.get(b.entry.id) is b:
+            del self.backends[b.entry.id]
+        if ev.is_request_closed or req.over:
             self._close(req)
         else:
             self._again(req)
         self._release()
 
-    def _learn(self, req: Request, attempt: Attempt, ev: api.Outcome) -> None:
+    def _learn(self, req: Request, attempt: Attempt, ev: api.AttemptFinished) -> None:
         b, cls = attempt.backend, req.cls
         b.full += EWMA * ((ev.status is FULL) - b.full)
         if ev.status is not FULL:
             self.failing += EWMA / 4 * ((ev.status is not OK) - self.failing)
         if attempt.fair and ev.status in (OK, FULL, TIMEOUT):
-            good = ev.status is OK and ev.duration <= cls.cfg.aim
+            good = ev.status is OK and ev.duration_ms <= cls.cfg.latency_objective_ms
             self.lost += EWMA * ((ev.status is TIMEOUT) - self.lost)
             # A backend without room says nothing of the next one, an answer lost nothing of the load.
             if good or self.looks or not (attempt.cut or ev.status is FULL):
                 self.trust += EWMA * (1 + self.looks) * (good - self.trust)
-            b.slow += EWMA * ((ev.duration if good else cls.cfg.aim) / cls.usual - b.slow)
+            b.slow += EWMA * ((ev.duration_ms if good else cls.cfg.latency_objective_ms) / cls.usual - b.slow)
             far = not b.near
             self.bad[far] += EWMA * (1 - good - self.bad[far])
-            gain = SPILL * (self.bad[0] - self.bad[1] - self.cfg.charges.cross_zone)
+            gain = SPILL * (self.bad[0] - self.bad[1] - self.cfg.prices.cross_zone)
             self.spill = max(0.0, min(1.0, self.spill + gain))
         if ev.status is OK:
             b.fails, b.vouched = 0, True
             if attempt.fair:
-                cls.dev += EWMA * (abs(ev.duration - cls.usual) - cls.dev)
+                cls.dev += EWMA * (abs(ev.duration_ms - cls.usual) - cls.dev)
                 # Guards against a division by nothing after thousands of answers that took no time.
-                cls.usual = max(USUAL_LEAST, cls.usual + EWMA * (ev.duration - cls.usual))
+                cls.usual = max(USUAL_LEAST, cls.usual + EWMA * (ev.duration_ms - cls.usual))
         elif ev.status is FULL:
             b.busy = self.now + cls.usual * self.rng.uniform(0.5, 1.5)
-            self.acts.append(api.Noted(b.entry.backend, PAUSED, 0, b.busy - self.now))
+            self.acts.append(api.NoteBackendDecision(b.entry.id, PAUSED, 0, b.busy - self.now))
         elif attempt.cut or not self._dropped(b, ev.status):
             self._failed(b, LATE_CHANCE if ev.status is CONNECT_FAILED else CHANCE)
             if ev.status is CONNECT_FAILED:
                 # Those that only come up late eject where that is no chance: guards against leaving most of a
                 # fleet alone where connections are slow. One that was refused, or broke, tells it by itself.
-                if ev.duration < REFUSED * self.cfg.connect_timeout:
+                if ev.duration_ms < REFUSED * self.cfg.connect_timeout_ms:
                     self._eject(b, b.fails - 1)
                 b.busy = max(b.busy, b.until)
 
-    def _steer(self, cls: Class, ev: api.Outcome, zone: str) -> None:
+    def _steer(self, cls: Class, ev: api.AttemptFinished, zone: str) -> None:
         """The concurrency limit: in proportion to how near answers are to the tightest aim.
 
         Guards against crowding a fleet until it turns slow, which takes far longer to undo. It rises only
         while it binds: quiet nodes whose limit floats up would flood the fleet when a burst comes.
         The way there and back is left out: guards against a limit that aims near the round trip keep down.
         """
-        aim, took = cls.cfg.aim, cls.cfg.aim
+        aim, took = cls.cfg.latency_objective_ms, cls.cfg.latency_objective_ms
         floor = self.floors.get(zone, aim / 2)
         if ev.status is OK:
-            took = ev.duration
+            took = ev.duration_ms
             floor = self.floors[zone] = min(took, floor + FLOOR_RISE * took)
         floor = min(floor, aim / 2)
         late = (took - floor) / (NEAR * (aim - floor))
@@ -758,20 +824,22 @@
             spent = len(req.attempts) >= self.cfg.max_attempts
             self._finish(req, SPENT if spent else BROKE if self.bank < cost else LATE)
 
-    def _finish(self, req: Request, why: api.Why) -> None:
+    def _finish(self, req: Request, why: api.DecisionReason) -> None:
         """The one place where a final answer is given: a refusal only while a repeat does no harm."""
         if req.over or req.stream:
             return
         c = req.cls.cfg
         harmless = (
-            c.effect is api.Effect.SAFE
-            or all(a.status in api.NEVER_RAN for a in req.attempts)
-            or (c.effect is api.Effect.KEYED and c.group is api.Group.ALL)
+            c.idempotency is api.Idempotency.IDEMPOTENT
+            or all(a.status in api.NO_EFFECT_STATUSES for a in req.attempts)
+            or (
+                c.idempotency is api.Idempotency.KEYED and c.deduplication_scope is api.DeduplicationScope.ALL
+            )
         )
-        away = self.cfg.max_retry_after
+        away = self.cfg.max_retry_after_ms
         if harmless and away > 0:  # until there is room; guards against clients that come back in step
             away = min(away, req.cls.usual * self.rng.uniform(*AWAY))
-        self.acts.append(api.Refuse(req.id, away, why) if harmless else api.Fail(req.id, why))
+        self.acts.append(api.RejectRequest(req.id, away, why) if harmless else api.FailRequest(req.id, why))
         self.shed += 1
         if self.arrived >= 50 and self.shed > self.arrived / 4:  # worth a line to the people on call
             self._log(f"shedding: {self.shed} of {self.arrived} requests refused or failed")
@@ -782,11 +850,11 @@
         req.over, req.pending = True, set()
         self.held.pop(req.id, None)  # no room is looked for, and none missed, for a client that has left
         if req.out and self.cfg.may_cancel and not req.stream:
-            self.acts.append(api.Cancel(req.id, len(req.attempts) - 1))
+            self.acts.append(api.CancelAttempt(req.id, len(req.attempts) - 1))
         if not req.out:
             self.requests.pop(req.id, None)
 
-    def _gone(self, ev: api.ClientGone) -> None:
+    def _gone(self, ev: api.ClientLeft) -> None:
         if (req := self.requests.get(ev.request)) is not None and not req.over:
             self._close(req)
 
@@ -799,7 +867,7 @@
         self.timers[self.token] = (call, what)
         self.acts.append(api.SetTimer(when, self.token))
 
-    def _timer(self, ev: api.Timer) -> None:
+    def _timer(self, ev: api.TimerFired) -> None:
         call, what = self.timers.pop(ev.token, (lambda _: None, None))
         call(what)
 
@@ -811,7 +879,7 @@
     def _log(self, text: str) -> None:
         if self.now - self.logged >= LOG_EVERY:
             self.logged, self.arrived, self.shed = self.now, 0, 0
-            self.acts.append(api.Log(text))
+            self.acts.append(api.WriteLog(text))
 
     def _place(self, b: Backend) -> None:
         """Something that a choice goes by has changed: keep the index true, and the sums of live weights."""
@@ -820,24 +888,24 @@
         if b.tally is not None and (b.full > CHOOSY) is not (b.tally[1] < 0):
             self._tally(b)
 
-    def _list(self, ev: api.ListUpdate) -> None:
-        if ev.kind is api.ListKind.FAILED:  # back off with jitter; the last list stays in force
+    def _list(self, ev: api.EndpointsUpdated) -> None:
+        if ev.kind is api.EndpointUpdateKind.FAILED:  # back off with jitter; the last list stays in force
             self.asks_failed = min(self.asks_failed + 1, EJECT_MAX)
-            wait = self.cfg.ask_within / 32 * 2**self.asks_failed * self.rng.uniform(0.5, 1.5)
+            wait = self.cfg.poll_within_ms / 32 * 2**self.asks_failed * self.rng.uniform(0.5, 1.5)
             self._at(self.now + wait, self._ask, None)
             self._log(f"list: call failed {self.asks_failed} times, asking again in {wait / 1000:.1f} s")
             return
         self.asks_failed = 0
-        if ev.kind is api.ListKind.SAVED and self.cfg.must_ask:
-            self._at(self.now + self.rng.uniform(0.0, self.cfg.ask_within / 2), self._ask, None)
+        if ev.kind is api.EndpointUpdateKind.CACHED and self.cfg.must_poll:
+            self._at(self.now + self.rng.uniform(0.0, self.cfg.poll_within_ms / 2), self._ask, None)
         first = not self.index.order
-        if ev.kind is not api.ListKind.CHANGES:
-            gone = self.backends.keys() - {e.backend for e in ev.entries}
+        if ev.kind is not api.EndpointUpdateKind.INCREMENTAL:
+            gone = self.backends.keys() - {e.id for e in ev.endpoints}
             for b in [self.backends[name] for name in sorted(gone)]:
-                self._entry(b, replace(b.entry, phase=api.Phase.GONE), first)
-        for entry in ev.entries:
-            if (known := self.backends.get(entry.backend)) is None and entry.phase is not api.Phase.GONE:
-                known = self.backends[entry.backend] = Backend(entry, vouched=entry.age_ms is None)
+                self._entry(b, replace(b.entry, phase=api.Phase.REMOVED), first)
+        for entry in ev.endpoints:
+            if (known := self.backends.get(entry.id)) is None and entry.phase is not api.Phase.REMOVED:
+                known = self.backends[entry.id] = Backend(entry, vouched=entry.cached_age_ms is None)
             if known is not None:
                 self._entry(known, entry, first)
         if first:
@@ -848,32 +916,32 @@
         if self.fleet > n:
             self.fleet -= (self.fleet - n) * min(1.0, (self.now - self.listed) / self.fade)
         self.fleet = max(self.fleet, n)
-        if self.cfg.live_weights and n:
+        if self.cfg.has_live_weights and n:
             self._relax()
         self.listed = self.now
         # Small subsets keep connections few and own counts telling.
         # Where the node looks: more than a request looks at would only fill the backends' connection tables.
-        subset = max(SUBSET_MIN, math.ceil(FEEDERS * n / self.cfg.group_size))
+        subset = max(SUBSET_MIN, math.ceil(FEEDERS * n / self.cfg.node_count))
         self.width = min(n, SAMPLE * ROUNDS if self.looks else subset)
         if first and n:
-            self.acts.append(api.Noted("", JOINED, self.width))
+            self.acts.append(api.NoteBackendDecision("", JOINED, self.width))
         else:
             self._subset(was, self.width)
-        self.least = LIMIT_LEAST * max(LIMIT_PART, n / self.cfg.group_size) * self.ease
+        self.least = LIMIT_LEAST * max(LIMIT_PART, n / self.cfg.node_count) * self.ease
         self.index.resize(0 if self.looks else max(self.width, self.out), self.now)
 
-    def _entry(self, b: Backend, entry: api.Entry, first: bool) -> None:
+    def _entry(self, b: Backend, entry: api.Endpoint, first: bool) -> None:
         """What the list says of one backend. The first ones wait until all are there to be laid out."""
         was, up = b.entry.phase is api.Phase.UP and b.listed, entry.phase is api.Phase.UP
-        if entry.started_at > b.entry.started_at:  # restarted: what was known is void
+        if entry.started_at_ms > b.entry.started_at_ms:  # restarted: what was known is void
             b.estimate, b.fails, b.until, b.slow = b.out, 0, 0.0, 1.0
         moved = entry.zone != b.entry.zone or entry.cell != b.entry.cell
         if was and (not up or moved):
             if (at := self.index.remove(b, self.now)) < self.width:
-                self.acts.append(api.Noted(entry.backend, LEFT))
+                self.acts.append(api.NoteBackendDecision(entry.id, LEFT))
                 self._subset(self.width - 1, self.width)
             b.listed = False
-        b.entry, b.near, b.vouched = entry, self._near(entry), b.vouched or entry.age_ms is None
+        b.entry, b.near, b.vouched = entry, self._near(entry), b.vouched or entry.cached_age_ms is None
         if up and not b.listed:
             if not moved or not was:
                 b.rank = self.rng.random()
@@ -884,9 +952,9 @@
         elif up:
             self._place(b)
         self._tally(b)
-        if entry.phase is api.Phase.GONE and not b.out:
+        if entry.phase is api.Phase.REMOVED and not b.out:
             # Guards against a table that grows for as long as backends are replaced under new names.
-            self.backends.pop(entry.backend, None)
+            self.backends.pop(entry.id, None)
 
     def _subset(self, was: int, now: int, at: int = -1) -> None:
         """Tell who joined or left, as the subset went from so many of the first in the order to so many.
@@ -895,9 +963,9 @@
         """
         order = self.index.order
         if at >= 0:
-            self.acts.append(api.Noted(order[at][2], JOINED))
+            self.acts.append(api.NoteBackendDecision(order[at][2], JOINED))
         for name, what in [(e[2], JOINED) for e in order[was:now]] + [(e[2], LEFT) for e in order[now:was]]:
-            self.acts.append(api.Noted(name, what))
+            self.acts.append(api.NoteBackendDecision(name, what))
 
     def _lay(self) -> None:
         """The first list: this node's own order of it, the first `width` the subset, the next its reserve.
@@ -906,20 +974,20 @@
         """
         found = sorted(
             (b for b in self.backends.values() if b.entry.phase is api.Phase.UP),
-            key=lambda b: b.entry.backend,
+            key=lambda b: b.entry.id,
         )
         if not found:
             return
         n, near = len(found), [b for b in found if b.near] or found
-        k = min(n, max(SUBSET_MIN, math.ceil(FEEDERS * n / self.cfg.group_size)))
-        turn = self.cfg.me * GOLDEN % 1.0
+        k = min(n, max(SUBSET_MIN, math.ceil(FEEDERS * n / self.cfg.node_count)))
+        turn = self.cfg.node_index * GOLDEN % 1.0
         # One out of each stretch, not the same in all: by steps of two, all nodes might feed one half alone.
         parts = min(k, len(near))
         places = [(j + (turn + j * GOLDEN) % 1.0) / parts for j in range(parts)]
         even = [near[int(at * len(near)) % len(near)] for at in places]
-        chosen = {b.entry.backend for b in even}
-        rest = [b for b in found if b.entry.backend not in chosen]
-        order = list({b.entry.backend: b for b in even}.values()) + self.rng.sample(rest, len(rest))
+        chosen = {b.entry.id for b in even}
+        rest = [b for b in found if b.entry.id not in chosen]
+        order = list({b.entry.id: b for b in even}.values()) + self.rng.sample(rest, len(rest))
         for at, b in enumerate(order):
             b.rank, b.listed = (at + 0.5) / n, True
             self.index.insert(b, self.now)
@@ -930,7 +998,7 @@
 
         One that turns away is left out: what it turns away is no room.
         """
-        if not self.cfg.live_weights:
+        if not self.cfg.has_live_weights:
             return
         if b.tally is not None and b.tally[1] >= 0:
             room = self.rooms[b.tally[0]]
@@ -966,28 +1034,35 @@
         elif self.held or self.out + 2 > self.limit:
             self.ease = min(most, self.ease * (1 + rise * part))
 
-    def learned(self, now: float) -> api.Learned:
+    def learned(self, now: float) -> api.LearnedState:
         """What is worth keeping over a restart; `Remembered` brings it back."""
         times = {name: (cls.usual, cls.dev) for name, cls in self.classes.items()}
         slow = {name: b.slow for name, b in self.backends.items() if not 1 - EWMA < b.slow < 1 + EWMA}
         away = {name: b.until - now for name, b in self.backends.items() if now < b.until}
-        return api.Learned(times, self.limit, slow, away)
+        return api.LearnedState(times, self.limit, slow, away)
 
-    def _remembered(self, ev: api.Remembered) -> None:
+    def _remembered(self, ev: api.LearnedStateRestored) -> None:
         """It fades towards what a first start has; ejections end when they would have. Before any answer."""
-        kept, age, most = ev.learned, max(0.0, ev.age_ms), self.longest_aim * 2**EJECT_MAX
+        kept, age, most = ev.state, max(0.0, ev.age_ms), self.longest_aim * 2**EJECT_MAX
         fast, slowly, late = (0.5 ** min(64.0, age / half) for half in HALVES)
-        self.limit += fast * (min(self.cfg.max_open, max(self.least, kept.limit)) - self.limit)
-        for cls in [self.classes[name] for name in kept.usual if name in self.classes]:
-            usual, dev = (min(cls.cfg.aim / 2, max(USUAL_LEAST, ms)) for ms in kept.usual[cls.cfg.name])
+        self.limit += fast * (
+            min(self.cfg.max_open_requests, max(self.least, kept.concurrency_limit)) - self.limit
+        )
+        for cls in [self.classes[name] for name in kept.expected_latency_ms if name in self.classes]:
+            usual, dev = (
+                min(cls.cfg.latency_objective_ms / 2, max(USUAL_LEAST, ms))
+                for ms in kept.expected_latency_ms[cls.cfg.name]
+            )
             cls.usual, cls.dev = cls.usual + late * (usual - cls.usual), late * dev
-        for name, b in [(n, b) for n, b in self.backends.items() if n in kept.slow or n in kept.ejected]:
-            b.slow = 1.0 + slowly * (min(100.0, max(0.01, kept.slow.get(name, 1.0))) - 1.0)
-            b.until = self.now + min(most, max(0.0, kept.ejected.get(name, 0.0) - age))
+        for name, b in [
+            (n, b) for n, b in self.backends.items() if n in kept.slowness or n in kept.ejection_left_ms
+        ]:
+            b.slow = 1.0 + slowly * (min(100.0, max(0.01, kept.slowness.get(name, 1.0))) - 1.0)
+            b.until = self.now + min(most, max(0.0, kept.ejection_left_ms.get(name, 0.0) - age))
             self._place(b)
 
     def _ask(self, _: None) -> None:
-        self.acts.append(api.Subscribe())
+        self.acts.append(api.SubscribeToEndpoints())
 
-    def _near(self, entry: api.Entry) -> bool:
-        return self.cfg.charges.cross_zone <= TRIFLE or entry.zone == self.cfg.zone
+    def _near(self, entry: api.Endpoint) -> bool:
+        return self.cfg.prices.cross_zone <= TRIFLE or entry.zone == self.cfg.zone
--- a/balancer/policy/bulk_update.py
+++ b/balancer/policy/bulk_update.py
@@ -26,16 +26,16 @@
 SLICE = 250  # servers in one step, 1 to 2 ms
 
 
-def lay(balancer: Balancer, entries: Sequence[api.Entry]) -> Generator[None, None, list[api.Action]]:
+def lay(balancer: Balancer, entries: Sequence[api.Endpoint]) -> Generator[None, None, list[api.Action]]:
     """Take the entries of a first list; returns what is noted of it. `handle` of no changes has to follow.
 
     Of a saved list `handle` is told before, without the entries.
     """
     backends, index = balancer.backends, balancer.index
     for at, entry in enumerate(entries, 1):
-        b = backends.get(entry.backend)
-        if b is None and entry.phase is not api.Phase.GONE:
-            b = backends[entry.backend] = Backend(entry, vouched=entry.age_ms is None)
+        b = backends.get(entry.id)
+        if b is None and entry.phase is not api.Phase.REMOVED:
+            b = backends[entry.id] = Backend(entry, vouched=entry.cached_age_ms is None)
         if b is not None:
             balancer._entry(b, entry, True)
         if not at % SLICE:
@@ -47,13 +47,13 @@
     found = [backends[name] for name in names]
     near = [b for b in found if b.near] or found
     n = len(found)
-    wanted = max(SUBSET_MIN, math.ceil(FEEDERS * n / balancer.cfg.group_size))
+    wanted = max(SUBSET_MIN, math.ceil(FEEDERS * n / balancer.cfg.node_count))
     k = min(n, wanted)
-    turn = balancer.cfg.me * GOLDEN % 1.0
+    turn = balancer.cfg.node_index * GOLDEN % 1.0
     parts = min(k, len(near))
     places = ((j + (turn + j * GOLDEN) % 1.0) / parts for j in range(parts))
-    chosen = {b.entry.backend: b for b in (near[int(at * len(near)) % len(near)] for at in places)}
-    rest = [b for b in found if b.entry.backend not in chosen]
+    chosen = {b.entry.id: b for b in (near[int(at * len(near)) % len(near)] for at in places)}
+    rest = [b for b in found if b.entry.id not in chosen]
     yield
     order = list(chosen.values())
     # `rng.sample` of all of them, to the letter.
@@ -74,4 +74,6 @@
     while index.size < min(n, size):
         index.resize(min(size, index.size + SLICE), balancer.now)
         yield
-    return [api.Noted("", api.What.JOINED_SUBSET, balancer.width)]  # `handle` finds that nobody has joined
+    return [
+        api.NoteBackendDecision("", api.BackendDecision.JOINED_SUBSET, balancer.width)
+    ]  # `handle` finds that nobody has joined
--- a/balancer/policy/records.py
+++ b/balancer/policy/records.py
@@ -15,7 +15,7 @@
 class Backend:
     """What this node knows of one backend; made when it is first listed."""
 
-    entry: api.Entry
+    entry: api.Endpoint
     estimate: int = 0  # the paper's upper bound: own sends since it last showed idle
     out: int = 0  # own attempts still out
     slow: float = 1.0  # mean time of its answers over the usual time of their class
@@ -137,10 +137,10 @@
     """One attempt of a request."""
 
     backend: Backend
-    there: api.Entry  # as it was listed at the send: under its id it may come up elsewhere
+    there: api.Endpoint  # as it was listed at the send: under its id it may come up elsewhere
     sent: float
     fair: bool  # its time and fate tell of the backend: it showed idle, or nobody looked
-    status: api.Status | None = None
+    status: api.AttemptStatus | None = None
     cut: bool = False  # given less time than would still be useful, as answers get lost
 
 
--- a/balancer/protocol/large_list.py
+++ b/balancer/protocol/large_list.py
@@ -10,7 +10,7 @@
 import re
 from collections.abc import Iterator
 
-from balancer.endpoints import Listing, ListingBuilder
+from balancer.endpoints import EndpointList, EndpointListParser
 
 STEP = 250  # entries, 1 to 2 ms
 
@@ -23,17 +23,17 @@
 
     def __init__(self, line: bytes) -> None:
         self._line = line
-        self._builder: ListingBuilder | None = None
+        self._builder: EndpointListParser | None = None
         self._steps = self._run()
 
     def read(self, count: int) -> bool:
         """Take a step, whatever the count; whether the list is whole. The last step does nothing else."""
         return next(self._steps, True)
 
-    def listing(self) -> Listing:
+    def result(self) -> EndpointList:
         """What was read."""
         assert self._builder is not None
-        return self._builder.listing()
+        return self._builder.result()
 
     def _run(self) -> Iterator[bool]:
         raw: dict[str, object] = {}
@@ -63,7 +63,7 @@
             at = _skip(text, at + 1)
         if _after(text, at, "}") != len(text):
             raise json.JSONDecodeError("Extra data", text, at)
-        self._builder = ListingBuilder(raw)
+        self._builder = EndpointListParser(raw)
         yield False
         taken, at = raw["members"], 0
         while not self._builder.read(STEP):
--- a/balancer/simulator/adapter.py
+++ b/balancer/simulator/adapter.py
@@ -9,7 +9,7 @@
 from balancer.interface import (
     CallError,
     Event,
-    Noted,
+    NoteBackendDecision,
     Settings,
     SettingsError,
 )
@@ -55,7 +55,7 @@
                 out.append(f"EXCEPTION {type(err).__name__}: {' '.join(str(err).split())[:200]}")
                 speaking = who
                 continue
-            told = [wire.action(action) for action in actions if type(action) is not Noted]
+            told = [wire.action(action) for action in actions if type(action) is not NoteBackendDecision]
             if told:
                 if who != speaking:
                     out.append(f"SPEAKING {who}")
@@ -79,10 +79,10 @@
     @staticmethod
     def _event(line: str, word: str, settings: Settings, lines: Iterator[str]) -> Event:
         if word != "DIRECTORY_UPDATE":
-            return wire.event(line, settings.report_fields)
+            return wire.event(line, settings.load_report_fields)
         update, count = wire.list_update(line)
         for _ in range(count):
-            update.entries.append(wire.entry(next(lines, "")))
+            update.endpoints.append(wire.entry(next(lines, "")))
         return update
 
 
--- a/balancer/simulator/wire.py
+++ b/balancer/simulator/wire.py
@@ -6,22 +6,22 @@
 
 from balancer import interface as api
 
-_PHASES = {"up": api.Phase.UP, "draining": api.Phase.DRAINING, "removed": api.Phase.GONE}
+_PHASES = {"up": api.Phase.UP, "draining": api.Phase.DRAINING, "removed": api.Phase.REMOVED}
 _LISTS = {
-    "diff": api.ListKind.CHANGES,
-    "snapshot": api.ListKind.FULL,
-    "disk": api.ListKind.SAVED,
-    "error": api.ListKind.FAILED,
+    "diff": api.EndpointUpdateKind.INCREMENTAL,
+    "snapshot": api.EndpointUpdateKind.SNAPSHOT,
+    "disk": api.EndpointUpdateKind.CACHED,
+    "error": api.EndpointUpdateKind.FAILED,
 }
 _STATUSES = {
-    "pass": api.Status.OK,
-    "fault": api.Status.ERROR,
-    "no_room": api.Status.FULL,
-    "too_slow": api.Status.TIMEOUT,
-    "no_route": api.Status.CONNECT_FAILED,
-    "cut": api.Status.RESET,
-    "undone": api.Status.CANCELLED,
-    "stale_send": api.Status.MOOT,
+    "pass": api.AttemptStatus.OK,
+    "fault": api.AttemptStatus.ERROR,
+    "no_room": api.AttemptStatus.REJECTED,
+    "too_slow": api.AttemptStatus.TIMEOUT,
+    "no_route": api.AttemptStatus.CONNECT_FAILED,
+    "cut": api.AttemptStatus.RESET,
+    "undone": api.AttemptStatus.CANCELLED,
+    "stale_send": api.AttemptStatus.NOT_STARTED,
 }
 
 
@@ -31,11 +31,11 @@
 
 _VALUES = {
     "active": "in_flight",
-    "waiting": "queue",
-    "cpu": "cpu",
-    "avg_ms": "mean_time",
-    "rps": "rate",
-    "err_rps": "error_rate",
+    "waiting": "queued",
+    "cpu": "cpu_load",
+    "avg_ms": "mean_time_ms",
+    "rps": "requests_per_s",
+    "err_rps": "errors_per_s",
 }
 
 
@@ -47,25 +47,25 @@
     return value
 
 
-def report(text: str, names: tuple[str, ...]) -> api.Report | None:
+def report(text: str, names: tuple[str, ...]) -> api.LoadReport | None:
     """A load report; values of a name that is not on the wire page are skipped."""
     if text == "-":
         return None
-    out = api.Report()
+    out = api.LoadReport()
     for name, value in zip(names, text.split(","), strict=True):
         if value != "-" and name in _VALUES:
             setattr(out, _VALUES[name], time(value))
     return out
 
 
-def entry(line: str) -> api.Entry:
+def entry(line: str) -> api.Endpoint:
     """One ENTRY line of a list."""
     try:
         word, stripe, kind, backend, scale, phase, started, zone = line.split(" ")
         weight = 1.0 if scale == "-" else time(scale)
         if word != "ENTRY" or not backend or weight < 0:
             raise ValueError(line)
-        return api.Entry(
+        return api.Endpoint(
             backend,
             zone,
             -1 if stripe == "-" else int(stripe),
@@ -78,7 +78,7 @@
         raise WireError(f"malformed list entry: {line[:120]!r}") from None
 
 
-def list_update(line: str) -> tuple[api.ListUpdate, int]:
+def list_update(line: str) -> tuple[api.EndpointsUpdated, int]:
     """A DIRECTORY_UPDATE line and the number of ENTRY lines that follow it."""
     parts = line.split(" ")
     try:
@@ -87,7 +87,7 @@
         rows = 0 if count == "-" else int(count)
         if rows < 0:
             raise ValueError(count)
-        return api.ListUpdate(_LISTS[mode], [], number), rows
+        return api.EndpointsUpdated(_LISTS[mode], [], number), rows
     except (ValueError, KeyError):
         raise WireError(f"malformed list update: {line[:120]!r}") from None
 
@@ -99,17 +99,17 @@
     try:
         if word == "SAMPLED":
             _, reason, duration, backend, gauge = parts
-            return api.Probed(backend, _STATUSES[reason], time(duration), report(gauge, names))
+            return api.ProbeFinished(backend, _STATUSES[reason], time(duration), report(gauge, names))
         if word == "RESOLVED":
             _, ref, go, backend, reason, duration, closed, gauge = parts
-            return api.Outcome(
+            return api.AttemptFinished(
                 ref, int(go), backend, _STATUSES[reason], time(duration), closed == "1", report(gauge, names)
             )
         if word == "WAKE":
-            return api.Timer(int(parts[1]))
+            return api.TimerFired(int(parts[1]))
         if word == "ORDER":
             _, ref, again, key, deadline, tenant, hint, kind, mutates = parts
-            return api.Arrival(
+            return api.RequestArrived(
                 ref,
                 kind,
                 time(deadline),
@@ -120,12 +120,12 @@
                 mutates == "1",
             )
         if word == "CANCELLED_BY_CLIENT":
-            return api.ClientGone(parts[1])
+            return api.ClientLeft(parts[1])
         if word == "ACCEPTED":
             _, ref, go, backend, duration = parts
             return api.StreamStarted(ref, int(go), backend, time(duration))
         if word == "HEARD":
-            return api.PeerMessage(int(parts[1]), b"" if parts[2] == "-" else bytes.fromhex(parts[2]))
+            return api.PeerMessageReceived(int(parts[1]), b"" if parts[2] == "-" else bytes.fromhex(parts[2]))
     except (ValueError, KeyError, IndexError):
         raise WireError(f"malformed line: {line[:120]!r}") from None
     raise WireError(f"unknown message: {line[:120]!r}")
@@ -134,24 +134,24 @@
 def action(act: api.Action) -> str:
     """The wire line of an action."""
     kind = type(act)
-    if kind is api.Probe:
+    if kind is api.SendProbe:
         return f"INSPECT {act.backend}"  # type: ignore[union-attr]
-    if isinstance(act, api.Send):
-        return f"PLACE {act.request} {round(act.timeout, 3)} {act.backend}"
+    if isinstance(act, api.SendAttempt):
+        return f"PLACE {act.request} {round(act.timeout_ms, 3)} {act.backend}"
     if isinstance(act, api.SetTimer):
-        return f"NOTIFY_ME {round(act.when, 3)} {act.token}"
-    if isinstance(act, api.Refuse):
-        return f"PUSH_BACK {act.request} {round(act.retry_after, 3)}"
-    if isinstance(act, api.Fail):
+        return f"NOTIFY_ME {round(act.at_ms, 3)} {act.token}"
+    if isinstance(act, api.RejectRequest):
+        return f"PUSH_BACK {act.request} {round(act.retry_after_ms, 3)}"
+    if isinstance(act, api.FailRequest):
         return f"SURRENDER {act.request}"
-    if isinstance(act, api.Cancel):
+    if isinstance(act, api.CancelAttempt):
         return f"ABANDON {act.request} {act.attempt}"
-    if isinstance(act, api.Log):
+    if isinstance(act, api.WriteLog):
         return "LOG " + " ".join(act.text.split())
-    if isinstance(act, api.CloseIdle):
+    if isinstance(act, api.CloseIdleConnections):
         return f"SHUT_IDLE {act.backend}"
-    if isinstance(act, api.Tell):
-        return f"WRITE_PEER {'all' if act.node is None else act.node} {act.content.hex() or '-'}"
-    if isinstance(act, api.Subscribe):
-        return f"TAIL {int(act.on)}"
+    if isinstance(act, api.SendPeerMessage):
+        return f"WRITE_PEER {'all' if act.node_index is None else act.node_index} {act.content.hex() or '-'}"
+    if isinstance(act, api.SubscribeToEndpoints):
+        return f"TAIL {int(act.is_enabled)}"
     return "LIST_ALL"
--- a/balancer/testbed/backend_emulator.py
+++ b/balancer/testbed/backend_emulator.py
@@ -21,7 +21,7 @@
 
 import httptools
 
-from balancer.interface import Effect, Group
+from balancer.interface import DeduplicationScope, Idempotency
 from balancer.testbed.event_log import (
     Journal,
     LetGo,
@@ -511,7 +511,7 @@
         if not self.hung and (reason := self._refuses(connection)):
             self._turn_away(job, reason)
             return
-        if cls.effect is Effect.KEYED:
+        if cls.effect is Idempotency.KEYED:
             scope = self._scope(cls, key)
             job.repeat = not self.memory.take(scope, at, cls.memory_ms)
             job.taken, job.work_ms = ("", 0.0) if job.repeat else (scope, work)
@@ -520,7 +520,11 @@
 
     def _scope(self, cls: RequestClass, key: str) -> str:
         """The key as the group that drops its repeats knows it."""
-        where = {Group.ALL: "", Group.ZONE: self.zone, Group.CELL: str(self.cell)}[cls.group]
+        where = {
+            DeduplicationScope.ALL: "",
+            DeduplicationScope.ZONE: self.zone,
+            DeduplicationScope.CELL: str(self.cell),
+        }[cls.group]
         return f"{cls.name} {where} {key}"
 
     def _refuses(self, connection: Connection) -> str:
--- a/balancer/testbed/invariant_checker.py
+++ b/balancer/testbed/invariant_checker.py
@@ -15,7 +15,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from balancer.interface import Effect, Group
+from balancer.interface import DeduplicationScope, Idempotency
 from balancer.testbed.event_log import (
     Answered,
     Asked,
@@ -468,14 +468,18 @@
         overlap = earlier.end_ms - again
         if overlap > self._slack(again, min(earlier.end_ms, self.end_ms)):
             return f"a second copy went to {here} while {there} held the first on an open connection"
-        if not earlier.may_have_run or cls is None or cls.effect is Effect.SAFE:
+        if not earlier.may_have_run or cls is None or cls.effect is Idempotency.IDEMPOTENT:
             return ""
-        if cls.effect is Effect.UNSAFE:
+        if cls.effect is Idempotency.NON_IDEMPOTENT:
             return f"unsafe, it may have run on {there} and was sent again to {here}"
         a = self.starts.get((there, earlier.got.incarnation))
         b = self.starts.get((here, later.got.incarnation))
-        apart = a is None or b is None or (a.zone != b.zone if cls.group is Group.ZONE else a.cell != b.cell)
-        if cls.group is not Group.ALL and apart:
+        apart = (
+            a is None
+            or b is None
+            or (a.zone != b.zone if cls.group is DeduplicationScope.ZONE else a.cell != b.cell)
+        )
+        if cls.group is not DeduplicationScope.ALL and apart:
             return f"it may have run on {there} and was sent again to {here}, outside the {cls.group.value}"
         if again - sent > cls.memory_ms + self._slack(again):
             return f"it may have run on {there} and was sent again {again - sent:.0f} ms later"
@@ -485,9 +489,9 @@
         cls = self.site.find(request.asked[0].class_name)
         refused = [a for a in request.answered if a.whole and a.status in (429, 503)]
         risky = [a for a in request.attempts if a.may_have_run]
-        if not refused or not risky or cls is None or cls.effect is Effect.SAFE:
+        if not refused or not risky or cls is None or cls.effect is Idempotency.IDEMPOTENT:
             return
-        if not (cls.effect is Effect.KEYED and cls.group is Group.ALL):
+        if not (cls.effect is Idempotency.KEYED and cls.group is DeduplicationScope.ALL):
             text = f"refused, though it may have run on {risky[0].got.server}"
             self._breach(2, name, text, request.records())
 
--- a/balancer/testbed/jut_model.py
+++ b/balancer/testbed/jut_model.py
@@ -96,8 +96,10 @@
     def settings(self) -> api.Settings:
         """One class without an end, or with the aim."""
         aim = FOREVER_MS if self.literal else self.aim * UNIT_MS
-        cls = api.RequestClass("job", api.Effect.SAFE, aim, FOREVER_MS)
-        return api.Settings((cls,), reports=api.Reports.ANSWERS, report_fields=("in_flight",))
+        cls = api.RequestClass("job", api.Idempotency.IDEMPOTENT, aim, FOREVER_MS)
+        return api.Settings(
+            (cls,), load_report_source=api.LoadReportSource.RESPONSES, load_report_fields=("in_flight",)
+        )
 
 
 @dataclass(slots=True, frozen=True)
@@ -115,8 +117,8 @@
     node = Balancer(run.settings(), run.seed + 1, run.m if run.literal else 0)
     names = [f"s{number}" for number in range(run.servers)]
     number_of = {name: number for number, name in enumerate(names)}
-    entries = [api.Entry(name, "", 0, 1.0, api.Phase.UP, 0.0) for name in names]
-    node.handle(0.0, api.ListUpdate(api.ListKind.FULL, entries))
+    entries = [api.Endpoint(name, "", 0, 1.0, api.Phase.UP, 0.0) for name in names]
+    node.handle(0.0, api.EndpointsUpdated(api.EndpointUpdateKind.SNAPSHOT, entries))
     queues: list[deque[tuple[int, float]]] = [deque() for _ in names]
     idle = [0] * run.servers  # counts the stretches of idleness: a message belongs to one
     heap: list[tuple[float, int, int, int]] = []
@@ -124,12 +126,12 @@
     began: dict[int, tuple[float, float]] = {}
     rate, tell = run.servers * run.load, run.delta / (1 - run.load)
     first = int(WARM_UP * run.arrivals)
-    idle_report = api.Report(in_flight=0.0)
+    idle_report = api.LoadReport(in_flight=0.0)
     timers: list[tuple[float, int]] = []
 
     def act(now: float, actions: list[api.Action]) -> None:
         for action in actions:
-            if isinstance(action, api.Send):
+            if isinstance(action, api.SendAttempt):
                 job, at = int(action.request), number_of[action.backend]
                 queue = queues[at]
                 queue.append((job, now))
@@ -137,10 +139,10 @@
                     idle[at] += 1
                     heappush(heap, (now + began[job][1], LEAVES, at, 0))
             elif isinstance(action, api.SetTimer):
-                heappush(timers, (action.when / UNIT_MS, action.token))
-            elif isinstance(action, api.Refuse | api.Fail) and not run.literal:
+                heappush(timers, (action.at_ms / UNIT_MS, action.token))
+            elif isinstance(action, api.RejectRequest | api.FailRequest) and not run.literal:
                 del began[int(action.request)]
-            elif not isinstance(action, api.Log | api.Noted):
+            elif not isinstance(action, api.WriteLog | api.NoteBackendDecision):
                 raise ValueError(f"the paper knows no {action!r}")
 
     if tell:
@@ -150,14 +152,14 @@
     while began or serial < run.arrivals:
         if timers and (not heap or timers[0][0] <= heap[0][0]):
             now, token = heappop(timers)
-            act(now, node.handle(now * UNIT_MS, api.Timer(token)))
+            act(now, node.handle(now * UNIT_MS, api.TimerFired(token)))
             continue
         now, kind, at, stretch = heappop(heap)
         clock = now * UNIT_MS
         if kind == ARRIVES:
             serial += 1
             began[serial] = now, run.work(rng)
-            act(now, node.handle(clock, api.Arrival(str(serial), "job", clock + FOREVER_MS)))
+            act(now, node.handle(clock, api.RequestArrived(str(serial), "job", clock + FOREVER_MS)))
             if serial < run.arrivals:
                 heappush(heap, (now + rng.expovariate(rate), ARRIVES, 0, 0))
         elif kind == LEAVES:
@@ -172,9 +174,14 @@
             elif tell:
                 heappush(heap, (now + rng.expovariate(tell), TELLS, at, idle[at]))
             took = (now - sent) * UNIT_MS
-            act(now, node.handle(clock, api.Outcome(str(job), 0, names[at], api.Status.OK, took, True)))
+            act(
+                now,
+                node.handle(
+                    clock, api.AttemptFinished(str(job), 0, names[at], api.AttemptStatus.OK, took, True)
+                ),
+            )
         elif stretch == idle[at] and not queues[at]:
-            act(now, node.handle(clock, api.Probed(names[at], api.Status.OK, 0.0, idle_report)))
+            act(now, node.handle(clock, api.ProbeFinished(names[at], api.AttemptStatus.OK, 0.0, idle_report)))
             heappush(heap, (now + rng.expovariate(tell), TELLS, at, stretch))
     return Result(total / max(1, served), served, run.arrivals - first)
 
--- a/balancer/testbed/load_generator.py
+++ b/balancer/testbed/load_generator.py
@@ -19,7 +19,7 @@
 import httptools
 
 from balancer.endpoints import Address
-from balancer.interface import Effect, Group
+from balancer.interface import DeduplicationScope, Idempotency
 from balancer.testbed.backend_emulator import RESET, form_of
 from balancer.testbed.event_log import (
     Answered,
@@ -85,7 +85,7 @@
         cls = rng.choices(site.classes, shares)[0]
         patience = rng.uniform(0.1, 0.9) * cls.aim_ms if rng.random() < habits.leaves else None
         name, tenant = f"{seed:04x}{len(out):012x}", rng.choice(habits.tenants)
-        key = f"key-{name}" if cls.effect is Effect.KEYED else ""
+        key = f"key-{name}" if cls.effect is Idempotency.KEYED else ""
         how = habits.leaves_by[len(out) % len(habits.leaves_by)]
         out.append(Arrival(at * 1000, name, cls, key, tenant, patience, how))
     return out
@@ -398,6 +398,6 @@
 
 def _harmless(cls: RequestClass, outcome: Outcome) -> bool:
     """Whether a client may try again by itself."""
-    if outcome.refused or outcome is UNREACHED or cls.effect is Effect.SAFE:
+    if outcome.refused or outcome is UNREACHED or cls.effect is Idempotency.IDEMPOTENT:
         return True
-    return cls.effect is Effect.KEYED and cls.group is Group.ALL
+    return cls.effect is Idempotency.KEYED and cls.group is DeduplicationScope.ALL
--- a/balancer/testbed/service_profile.py
+++ b/balancer/testbed/service_profile.py
@@ -10,9 +10,13 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from balancer.interface import Effect, Group
+from balancer.interface import DeduplicationScope, Idempotency
 
-_EFFECTS = {Effect.SAFE: "retryable", Effect.KEYED: "dedup", Effect.UNSAFE: "fragile"}
+_EFFECTS = {
+    Idempotency.IDEMPOTENT: "retryable",
+    Idempotency.KEYED: "dedup",
+    Idempotency.NON_IDEMPOTENT: "fragile",
+}
 
 
 @dataclass(slots=True, frozen=True)
@@ -24,14 +28,14 @@
     """
 
     name: str
-    effect: Effect
+    effect: Idempotency
     aim_ms: float
     give_up_ms: float
     worth: float = 1.0
     share: float = 1.0
     work_ms: float = 20.0
     spread: float = 1.0
-    group: Group = Group.ZONE
+    group: DeduplicationScope = DeduplicationScope.ZONE
     memory_ms: float = 2_500.0
 
     def work(self, rng: random.Random) -> float:
@@ -44,7 +48,7 @@
     @property
     def method(self) -> str:
         """The method goes with the class."""
-        return "GET" if self.effect is Effect.SAFE else "POST"
+        return "GET" if self.effect is Idempotency.IDEMPOTENT else "POST"
 
 
 @dataclass(slots=True, frozen=True)
@@ -62,10 +66,10 @@
 
 
 CLASSES = (
-    RequestClass("lookup", Effect.SAFE, 250, 500, worth=12, share=0.2, work_ms=8),
-    RequestClass("search", Effect.SAFE, 1_200, 3_000, share=0.45, work_ms=30),
-    RequestClass("order", Effect.KEYED, 1_200, 3_000, share=0.25, work_ms=40),
-    RequestClass("charge", Effect.UNSAFE, 1_200, 3_000, share=0.1, work_ms=40),
+    RequestClass("lookup", Idempotency.IDEMPOTENT, 250, 500, worth=12, share=0.2, work_ms=8),
+    RequestClass("search", Idempotency.IDEMPOTENT, 1_200, 3_000, share=0.45, work_ms=30),
+    RequestClass("order", Idempotency.KEYED, 1_200, 3_000, share=0.25, work_ms=40),
+    RequestClass("charge", Idempotency.NON_IDEMPOTENT, 1_200, 3_000, share=0.1, work_ms=40),
 )
 
 
--- a/balancer/testbed/simulation/policies.py
+++ b/balancer/testbed/simulation/policies.py
@@ -34,32 +34,32 @@
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
         """Decide on one event."""
-        if isinstance(event, api.Arrival):
+        if isinstance(event, api.RequestArrived):
             self.open[event.request] = []
             return self._send(event.request)
-        if isinstance(event, api.Outcome):
+        if isinstance(event, api.AttemptFinished):
             self._count(event.backend, -1)
-            if event.closed:
+            if event.is_request_closed:
                 self.open.pop(event.request, None)
             elif event.request in self.open:
-                if event.status in api.NEVER_RAN:
+                if event.status in api.NO_EFFECT_STATUSES:
                     return self._send(event.request)
                 del self.open[event.request]
-                return [api.Fail(event.request)]
-        elif isinstance(event, api.ListUpdate):
-            for entry in event.entries:
-                (self._add if entry.phase is api.Phase.UP else self._remove)(entry.backend)
+                return [api.FailRequest(event.request)]
+        elif isinstance(event, api.EndpointsUpdated):
+            for entry in event.endpoints:
+                (self._add if entry.phase is api.Phase.UP else self._remove)(entry.id)
         return []
 
     def _send(self, request: str) -> list[api.Action]:
         tried = self.open[request]
         if not self.up or len(tried) >= self.most:
             del self.open[request]
-            return [api.Refuse(request)]
+            return [api.RejectRequest(request)]
         name = self.choose()
         tried.append(name)
         self._count(name, 1)
-        return [api.Send(request, name, 0.0)]
+        return [api.SendAttempt(request, name, 0.0)]
 
     def choose(self) -> str:
         """One of those that are up."""
--- a/balancer/testbed/simulation/rules.py
+++ b/balancer/testbed/simulation/rules.py
@@ -13,10 +13,10 @@
 from __future__ import annotations
 
 from balancer.interface import (
-    NEVER_RAN,
-    Effect,
-    Group,
-    Status,
+    NO_EFFECT_STATUSES,
+    AttemptStatus,
+    DeduplicationScope,
+    Idempotency,
 )
 from balancer.testbed.service_profile import Site
 from balancer.testbed.simulation.servers import (
@@ -62,10 +62,10 @@
             late = now - barred_ms
             self.breach(3, ask.id, f"{ask.id} was sent to {server.name} {late:.0f} ms after its removal")
 
-    def ended(self, one: Try, status: Status) -> None:
+    def ended(self, one: Try, status: AttemptStatus) -> None:
         """An attempt ends for the node."""
         one.over = True
-        one.left = status not in NEVER_RAN
+        one.left = status not in NO_EFFECT_STATUSES
 
     def ran(self, now: float, want: Want, zone: str) -> None:
         """A request begins to run: an effect, unless servers of the zone know it."""
@@ -78,10 +78,14 @@
     def _runs_again(self, want: Want, zone: str, at_ms: float, other: str, now: float) -> bool:
         """Whether what ran in one zone at that time takes effect again in the other one now."""
         cls = want.cls
-        if cls.effect is Effect.SAFE:
+        if cls.effect is Idempotency.IDEMPOTENT:
             return False
-        apart = cls.group is not Group.ALL and zone != other
-        return cls.effect is Effect.UNSAFE or apart or now - at_ms > cls.memory_ms + self.rules.slack_ms
+        apart = cls.group is not DeduplicationScope.ALL and zone != other
+        return (
+            cls.effect is Idempotency.NON_IDEMPOTENT
+            or apart
+            or now - at_ms > cls.memory_ms + self.rules.slack_ms
+        )
 
     def answered(self, now: float, ask: Ask, refused: bool = False) -> None:
         """A node gives an answer. A client may ask again for what was refused."""
@@ -91,7 +95,9 @@
         if now > ask.deadline_ms + self.rules.slack_ms:
             self.breach(1, ask.id, f"{ask.id} was answered {now - ask.deadline_ms:.0f} ms after its deadline")
         cls = ask.want.cls
-        harmless = cls.effect is Effect.SAFE or (cls.effect is Effect.KEYED and cls.group is Group.ALL)
+        harmless = cls.effect is Idempotency.IDEMPOTENT or (
+            cls.effect is Idempotency.KEYED and cls.group is DeduplicationScope.ALL
+        )
         if refused and not harmless and any(one.left for one in ask.tries):
             self.breach(2, ask.id, f"{ask.id} was refused though it may have run")
 
--- a/balancer/testbed/simulation/scenario.py
+++ b/balancer/testbed/simulation/scenario.py
@@ -9,16 +9,16 @@
 import random
 from dataclasses import dataclass, field, replace
 
-from balancer.interface import Effect
+from balancer.interface import Idempotency
 from balancer.testbed.service_profile import RequestClass, Rules, Site
 
 KINDS = ("drain", "crash", "cut", "silence", "burst", "fail")
 
 SITE = Site(
     classes=(
-        RequestClass("read", Effect.SAFE, 1_000, 3_000, share=0.6, work_ms=100),
-        RequestClass("order", Effect.KEYED, 1_200, 3_000, share=0.25, work_ms=100),
-        RequestClass("charge", Effect.UNSAFE, 1_200, 3_000, share=0.15, work_ms=100),
+        RequestClass("read", Idempotency.IDEMPOTENT, 1_000, 3_000, share=0.6, work_ms=100),
+        RequestClass("order", Idempotency.KEYED, 1_200, 3_000, share=0.25, work_ms=100),
+        RequestClass("charge", Idempotency.NON_IDEMPOTENT, 1_200, 3_000, share=0.15, work_ms=100),
     ),
     rules=Rules(),
 )
--- a/balancer/testbed/simulation/servers.py
+++ b/balancer/testbed/simulation/servers.py
@@ -10,7 +10,7 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from balancer.interface import Entry, Phase, Report
+from balancer.interface import Endpoint, LoadReport, Phase
 from balancer.testbed.service_profile import RequestClass, Rules
 from balancer.testbed.simulation.scenario import Choke
 from balancer.testbed.slow_start_model import Pressure, warmth
@@ -86,10 +86,10 @@
         self._shown, self._turn, self._offset, self._every = 0, -1, offset, report_ms
 
     @property
-    def entry(self) -> Entry:
+    def entry(self) -> Endpoint:
         """As the list has it now."""
         weight = float(self.cores)
-        return Entry(self.name, self.zone, self.number // 6, weight, self.phase, self.started_ms)
+        return Endpoint(self.name, self.zone, self.number // 6, weight, self.phase, self.started_ms)
 
     def start(self, now: float) -> None:
         """A new process, cold."""
@@ -140,13 +140,13 @@
         self._look(now)
         del self.running[one]
 
-    def report(self, now: float, noise: float, rng: random.Random) -> Report:
+    def report(self, now: float, noise: float, rng: random.Random) -> LoadReport:
         """What it says of itself: as it was when it was last refreshed, and not always right."""
         self._look(now)
         shown = self._shown
         if noise and (chance := rng.random()) < noise:
             shown = max(0, shown + (1 if chance < noise / 2 else -1))
-        return Report(in_flight=float(shown))
+        return LoadReport(in_flight=float(shown))
 
     def pushed(self, now: float, one: Try) -> bool:
         """Work reached it while cold: whether that breaks its budget, by nodes that knew of its start."""
