--- a/balancer/testbed/simulation/world.py
+++ b/balancer/testbed/simulation/world.py
@@ -108,7 +108,7 @@
         if self.scenario.live_ms:
             told["weight-source"] = "live"
         settings = read(json.dumps(told))
-        return replace(settings, charges=replace(settings.charges, cross_zone=self.scenario.cross_price))
+        return replace(settings, prices=replace(settings.prices, cross_zone=self.scenario.cross_price))
 
     # --- time
 
@@ -121,7 +121,7 @@
         """All of it, until the last request has its answer or has run out of time."""
         entries = [server.entry for server in self.servers.values()]
         for node in self.nodes:
-            self._handle(node, api.ListUpdate(api.ListKind.FULL, entries))
+            self._handle(node, api.EndpointsUpdated(api.EndpointUpdateKind.SNAPSHOT, entries))
         self.cpu_s = 0.0
         for trouble in self.scenario.troubles:
             self._plan(trouble)
@@ -162,7 +162,7 @@
         self.open[ask.id] = ask
         self.at(ask.deadline_ms + self.site.rules.slack_ms + 1.0, self._overdue, ask)
         cls = ask.want.cls
-        self._handle(self.nodes[ask.node], api.Arrival(ask.id, cls.name, ask.deadline_ms, ask.retry))
+        self._handle(self.nodes[ask.node], api.RequestArrived(ask.id, cls.name, ask.deadline_ms, ask.retry))
 
     def _overdue(self, ask: Ask) -> None:
         if not ask.answers:
@@ -204,34 +204,36 @@
             actions = node.policy.handle(self.now, event)
         for action in actions:
             match action:
-                case api.Send():
+                case api.SendAttempt():
                     self._send(node, action)
                 case api.SetTimer():
-                    self.at(max(self.now, action.when), self._timer, (node, action.token))
-                case api.Refuse() | api.Fail():
+                    self.at(max(self.now, action.at_ms), self._timer, (node, action.token))
+                case api.RejectRequest() | api.FailRequest():
                     self._final(action)
-                case api.Cancel():
+                case api.CancelAttempt():
                     ask = self.open.get(action.request)
                     if ask is not None and not ask.tries[action.attempt].over:
-                        self.at(self.now, self._outcome, (ask.tries[action.attempt], api.Status.CANCELLED))
-                case api.Log() | api.Subscribe() | api.Noted():
+                        self.at(
+                            self.now, self._outcome, (ask.tries[action.attempt], api.AttemptStatus.CANCELLED)
+                        )
+                case api.WriteLog() | api.SubscribeToEndpoints() | api.NoteBackendDecision():
                     pass
                 case _:
                     raise FleetError(f"node {node.number} asked for {action!r}, which no setting allows")
 
-    def _final(self, action: api.Refuse | api.Fail) -> None:
+    def _final(self, action: api.RejectRequest | api.FailRequest) -> None:
         ask = self.open.get(action.request)
         if ask is None:
             self.rules.breach(1, action.request, f"{action.request} got an answer after its end")
-        elif isinstance(action, api.Refuse):
-            self._answer(ask, "refused", action.retry_after)
+        elif isinstance(action, api.RejectRequest):
+            self._answer(ask, "refused", action.retry_after_ms)
         else:
             self._answer(ask, "failed")
 
     def _timer(self, what: tuple[Node, int]) -> None:
-        self._handle(what[0], api.Timer(what[1]))
+        self._handle(what[0], api.TimerFired(what[1]))
 
-    def _send(self, node: Node, action: api.Send) -> None:
+    def _send(self, node: Node, action: api.SendAttempt) -> None:
         server = self.servers.get(action.backend)
         ask = self.open.get(action.request)
         if server is None:
@@ -245,19 +247,21 @@
         ask.tries.append(one)
         self.attempts += 1
         self.digest = zlib.crc32(f"{self.now!r} {ask.id} {server.name}".encode(), self.digest)
-        until = min(ask.deadline_ms, self.now + action.timeout) if action.timeout > 0 else ask.deadline_ms
+        until = (
+            min(ask.deadline_ms, self.now + action.timeout_ms) if action.timeout_ms > 0 else ask.deadline_ms
+        )
         trip = self._trip(node, server)
         if trip is None:
             if self.chance.random() < OPEN_CONN:
-                self.at(until, self._outcome, (one, api.Status.TIMEOUT))
+                self.at(until, self._outcome, (one, api.AttemptStatus.TIMEOUT))
             else:
                 connect = self.now + self.site.connect_ms
-                self.at(min(until, connect), self._outcome, (one, api.Status.CONNECT_FAILED))
+                self.at(min(until, connect), self._outcome, (one, api.AttemptStatus.CONNECT_FAILED))
             return
-        self.at(until, self._outcome, (one, api.Status.TIMEOUT))
+        self.at(until, self._outcome, (one, api.AttemptStatus.TIMEOUT))
         self.at(self.now + trip, self._reaches, one)
 
-    def _outcome(self, what: tuple[Try, api.Status]) -> None:
+    def _outcome(self, what: tuple[Try, api.AttemptStatus]) -> None:
         """An attempt ends for its node, by the first word that reaches it."""
         one, status = what
         if one.over:
@@ -265,13 +269,13 @@
         ask, node = one.ask, self.nodes[one.ask.node]
         self.rules.ended(one, status)
         report = None
-        if status is api.Status.OK:
+        if status is api.AttemptStatus.OK:
             report = one.server.report(self.now, self.scenario.noise, self.chance)
             if not ask.answers:
                 self._answer(ask, "served")
         self._handle(
             node,
-            api.Outcome(
+            api.AttemptFinished(
                 ask.id, one.number, one.server.name, status, self.now - one.sent_ms, ask.answers > 0, report
             ),
         )
@@ -287,7 +291,7 @@
                 return None
         return self.scenario.cross_ms * (1 + JITTER * self.chance.random())
 
-    def _back(self, one: Try, status: api.Status) -> None:
+    def _back(self, one: Try, status: api.AttemptStatus) -> None:
         trip = self._trip(self.nodes[one.ask.node], one.server)
         if trip is not None:  # else the node hears nothing until its time is over
             self.at(self.now + trip, self._outcome, (one, status))
@@ -295,17 +299,17 @@
     def _reaches(self, one: Try) -> None:
         server = one.server
         if not server.up:
-            self._back(one, api.Status.CONNECT_FAILED)
+            self._back(one, api.AttemptStatus.CONNECT_FAILED)
             return
         if server.pushed(self.now, one):
             self.rules.pushed(server)
         if server.failing and self.chance.random() < server.failing:
             self.errors += 1
-            self._back(one, api.Status.ERROR)
+            self._back(one, api.AttemptStatus.ERROR)
         elif server.offer(self.now, one):
             self._begin(server)
         else:
-            self._back(one, api.Status.FULL)
+            self._back(one, api.AttemptStatus.REJECTED)
 
     def _begin(self, server: Server) -> None:
         for one in server.begin(self.now):
@@ -317,12 +321,12 @@
         if one.life != server.life:
             return  # it ended with the process
         server.done(self.now, one)
-        self._back(one, api.Status.OK)
+        self._back(one, api.AttemptStatus.OK)
         self._begin(server)
 
     def _stop(self, server: Server) -> None:
         for one in server.stop():
-            self._back(one, api.Status.RESET)
+            self._back(one, api.AttemptStatus.RESET)
 
     def _start(self, server: Server) -> None:
         server.start(self.now)
@@ -359,7 +363,7 @@
         self.at(last + rules.grace_ms + trouble.length_ms, self._replaced, server)
 
     def _gone(self, server: Server) -> None:
-        server.phase = api.Phase.GONE
+        server.phase = api.Phase.REMOVED
         self._tell(server)
         self._stop(server)
 
@@ -378,7 +382,7 @@
         self.at(self.now + trouble.length_ms, self._start, server)
 
     def _missed(self, server: Server) -> None:
-        server.phase = api.Phase.GONE
+        server.phase = api.Phase.REMOVED
         self._tell(server)
 
     def _tell(self, server: Server) -> float:
@@ -409,20 +413,20 @@
         if self.now < self.end_ms:
             self.at(self.now + self.scenario.live_ms, self._weigh, None)
 
-    def _weighed(self, what: tuple[Node, list[api.Entry]]) -> None:
+    def _weighed(self, what: tuple[Node, list[api.Endpoint]]) -> None:
         node, entries = what
-        known = [e for e in entries if e.backend not in node.barred]
-        self._handle(node, api.ListUpdate(api.ListKind.CHANGES, known))
+        known = [e for e in entries if e.id not in node.barred]
+        self._handle(node, api.EndpointsUpdated(api.EndpointUpdateKind.INCREMENTAL, known))
 
-    def _told(self, what: tuple[Node, api.Entry]) -> None:
+    def _told(self, what: tuple[Node, api.Endpoint]) -> None:
         node, entry = what
         if entry.phase is api.Phase.UP:
-            node.barred.pop(entry.backend, None)
-            node.starts[entry.backend] = entry.started_at
+            node.barred.pop(entry.id, None)
+            node.starts[entry.id] = entry.started_at_ms
         else:
-            node.barred.setdefault(entry.backend, self.now)
-            node.starts.pop(entry.backend, None)
-        self._handle(node, api.ListUpdate(api.ListKind.CHANGES, [entry]))
+            node.barred.setdefault(entry.id, self.now)
+            node.starts.pop(entry.id, None)
+        self._handle(node, api.EndpointsUpdated(api.EndpointUpdateKind.INCREMENTAL, [entry]))
 
     # --- the end
 
--- a/balancer/timeline/monitor.py
+++ b/balancer/timeline/monitor.py
@@ -31,13 +31,13 @@
 
     def __init__(self, settings: api.Settings, memory_mb: float, look: Look = lambda name: None) -> None:
         self.names = [c.name for c in settings.classes]
-        self.ramp_ms = settings.ramp_time
+        self.ramp_ms = settings.slow_start_duration_ms
         self.recorder = Recorder(self.names, memory_mb, look)
         self.departures = Departures()
         self.events: deque[Told] = deque(maxlen=EVENTS)
         self.told = 0  # events so far
         self.listeners: list[Listener] = []
-        self.saw = self.recorder.saw
+        self.on_decision = self.recorder.on_decision
         self._open = False
 
     def tell(self, told: Told) -> None:
--- a/balancer/timeline/recorder.py
+++ b/balancer/timeline/recorder.py
@@ -1,6 +1,7 @@
 """`Recorder`: fills the lines of servers, classes, zones and the node from what the observer's port shows.
 
-`saw` counts; nothing is packed or merged there. `begin` and `step` close what has gathered, some lines at a
+`on_decision` counts; nothing is packed or merged there. `begin` and `step` close what has gathered, some
+lines at a
 time, so that a node with thousands of servers has no long turn. A line closes once it holds `ENOUGH` outcomes
 or `WAIT_S` have passed: servers with little traffic cost little, and their finest buckets are that long.
 
@@ -48,8 +49,13 @@
 OTHERS = "(other servers)"
 PAST = 64  # lines of earlier lives kept
 # A plain name is found faster.
-Outcome, Arrival, Send, Noted = api.Outcome, api.Arrival, api.Send, api.Noted
-OK, FIRST = api.Status.OK, api.Why.FIRST_TRY
+Outcome, Arrival, Send, Noted = (
+    api.AttemptFinished,
+    api.RequestArrived,
+    api.SendAttempt,
+    api.NoteBackendDecision,
+)
+OK, FIRST = api.AttemptStatus.OK, api.DecisionReason.FIRST_ATTEMPT
 SERVER, CLASS, ZONE, NODE = "server", "class", "zone", "node"
 
 Look = Callable[[str], tuple[int, float, str] | None]
@@ -133,7 +139,7 @@
         self.servers: dict[str, Line] = {}
         self.zones: dict[str, Line] = {}
         self.past: deque[Line] = deque(maxlen=PAST)
-        self.entries: dict[str, api.Entry] = {}
+        self.entries: dict[str, api.Endpoint] = {}
         self.trails = Trails(1, 1)
         self.live = self.trails.live
         self.crowded = 0
@@ -163,7 +169,7 @@
 
     # --- the port
 
-    def saw(self, now_ms: float, event: api.Event, actions: Sequence[api.Action]) -> None:
+    def on_decision(self, now_ms: float, event: api.Event, actions: Sequence[api.Action]) -> None:
         """Count an event and what was made of it: twice for each request, so calls are few."""
         kind = type(event)
         if kind is Outcome:
@@ -172,20 +178,20 @@
             line = self.classes[event.class_name]  # type: ignore[union-attr]
             line.arrived += 1
             self.live[event.request] = [event, now_ms]  # type: ignore[union-attr]
-        elif kind is api.ListUpdate:
+        elif kind is api.EndpointsUpdated:
             self._listed(now_ms, event)  # type: ignore[arg-type]
-        elif kind is api.ClientGone:
+        elif kind is api.ClientLeft:
             self._gone(now_ms, event)  # type: ignore[arg-type]
         for action in actions:
             what = type(action)
             if what is Send:
                 self._send(now_ms, action)  # type: ignore[arg-type]
-            elif what is api.Refuse or what is api.Fail:
+            elif what is api.RejectRequest or what is api.FailRequest:
                 self._answer(now_ms, action)  # type: ignore[arg-type]
             elif what is Noted:
                 self._noted(now_ms, action)  # type: ignore[arg-type]
 
-    def _send(self, now_ms: float, action: api.Send) -> None:
+    def _send(self, now_ms: float, action: api.SendAttempt) -> None:
         line = self.servers.get(action.backend)
         if line is None:
             line = self._new(action.backend)
@@ -193,13 +199,13 @@
         if not counts:
             self._touch(line)
         line.sent += 1
-        key = WHYS + action.why.number
+        key = WHYS + action.reason.number
         counts[key] = counts.get(key, 0) + 1
         line.own = own = line.own + 1
         if own > line.most:
             line.most = own
-        if action.crowded:
-            self.crowded += action.crowded
+        if action.overloaded_count:
+            self.crowded += action.overloaded_count
         trail = self.live.get(action.request)
         if trail is not None and len(trail) < MOST:
             if len(trail) > 2 or action.cause is not FIRST:
@@ -207,7 +213,7 @@
                 counts[key] = counts.get(key, 0) + 1
             trail += (now_ms, action)
 
-    def _outcome(self, now_ms: float, event: api.Outcome) -> None:
+    def _outcome(self, now_ms: float, event: api.AttemptFinished) -> None:
         line = self.servers.get(event.backend)
         if line is None:
             line = self._new(event.backend)
@@ -226,22 +232,22 @@
             arrival = trail[0]
             late = False
             if status is OK:
-                ms = event.duration
+                ms = event.duration_ms
                 at = ceil(log(ms) * PER_STEP) - LOW if ms > LEAST_MS else 0
                 key = self.numbers[arrival.class_name] + (at if at < BINS else BINS - 1)
                 counts[key] = counts.get(key, 0) + 1
-                if now_ms > arrival.deadline:
+                if now_ms > arrival.deadline_ms:
                     late = True
                     self._of_class(arrival, keys.LATE)
             if len(trail) < MOST:
                 trail += (now_ms, event)
-            if event.closed:
+            if event.is_request_closed:
                 self.trails.end(request, late or len(trail) > 6)
-        report = event.report
+        report = event.load_report
         if report is not None:
             gauges = line.gauges
             gauges.in_flight = in_flight = report.in_flight
-            gauges.queue = queue = report.queue
+            gauges.queue = queue = report.queued
             if in_flight == line.told_in_flight and queue == line.told_queue:
                 line.same += 1
                 if line.own < line.same_low:
@@ -252,58 +258,61 @@
                 line.told_in_flight, line.told_queue, line.same, line.same_ms = in_flight, queue, 1, now_ms
                 line.same_low = line.same_high = line.own
 
-    def _of_class(self, event: api.Arrival, *what: int) -> None:
+    def _of_class(self, event: api.RequestArrived, *what: int) -> None:
         counts = self.classes[event.class_name].counts
         for key in what:
             counts[key] = counts.get(key, 0) + 1
 
-    def _answer(self, now_ms: float, action: api.Refuse | api.Fail) -> None:
+    def _answer(self, now_ms: float, action: api.RejectRequest | api.FailRequest) -> None:
         trail = self.live.get(action.request)
         if trail is not None:
-            refused = type(action) is api.Refuse
-            self._of_class(trail[0], keys.REFUSED if refused else keys.FAILED, WHYS + action.why.number)
+            refused = type(action) is api.RejectRequest
+            self._of_class(trail[0], keys.REFUSED if refused else keys.FAILED, WHYS + action.reason.number)
             trail += (now_ms, action)
             self.trails.end(action.request, True)
 
-    def _gone(self, now_ms: float, event: api.ClientGone) -> None:
+    def _gone(self, now_ms: float, event: api.ClientLeft) -> None:
         trail = self.live.get(event.request)
         if trail is not None:
-            late = now_ms >= trail[0].deadline - 50.0
+            late = now_ms >= trail[0].deadline_ms - 50.0
             self._of_class(trail[0], keys.LATE if late else keys.GONE)
             trail += (now_ms, event)
             self.trails.end(event.request, True)
 
-    def _noted(self, now_ms: float, action: api.Noted) -> None:
-        key = keys.WHAT[action.what]
+    def _noted(self, now_ms: float, action: api.NoteBackendDecision) -> None:
+        key = keys.WHAT[action.decision]
         if not action.backend:
             self.node.counts[key] = self.node.counts.get(key, 0) + action.count
             return
         line = self._line(action.backend)
         line.counts[key] = line.counts.get(key, 0) + 1
-        if action.what is not api.What.IDLE_SIGN and action.what is not api.What.PAUSED:  # counted alone
-            line.note(now_ms, action.what.value, action.count, action.span_ms)
-
-    def _listed(self, now_ms: float, event: api.ListUpdate) -> None:
-        if event.kind is api.ListKind.FAILED:
+        if (
+            action.decision is not api.BackendDecision.REPORTED_IDLE
+            and action.decision is not api.BackendDecision.PAUSED
+        ):  # counted alone
+            line.note(now_ms, action.decision.value, action.count, action.duration_ms)
+
+    def _listed(self, now_ms: float, event: api.EndpointsUpdated) -> None:
+        if event.kind is api.EndpointUpdateKind.FAILED:
             return
-        if event.kind is not api.ListKind.CHANGES:
-            named = {entry.backend for entry in event.entries}
+        if event.kind is not api.EndpointUpdateKind.INCREMENTAL:
+            named = {entry.id for entry in event.endpoints}
             for name in [name for name in self.entries if name not in named]:
                 del self.entries[name]
-        for entry in event.entries:
-            was, line = self.entries.get(entry.backend), self.servers.get(entry.backend)
-            if entry.phase is api.Phase.GONE:
-                self.entries.pop(entry.backend, None)
+        for entry in event.endpoints:
+            was, line = self.entries.get(entry.id), self.servers.get(entry.id)
+            if entry.phase is api.Phase.REMOVED:
+                self.entries.pop(entry.id, None)
             else:
-                self.entries[entry.backend] = entry
+                self.entries[entry.id] = entry
             if line is None:
                 continue
             line.zone, line.kind, line.cell = entry.zone, entry.kind, entry.cell
             if was is None or was.phase is not entry.phase:
                 self._mark(line, now_ms, keys.PHASED, entry.phase.value)
-            if entry.started_at > line.started_at > 0 or (was and entry.started_at > was.started_at):
+            if entry.started_at_ms > line.started_at > 0 or (was and entry.started_at_ms > was.started_at_ms):
                 self._mark(line, now_ms, keys.STARTED, "started")
-            line.started_at = entry.started_at
+            line.started_at = entry.started_at_ms
 
     def _mark(self, line: Line, now_ms: float, key: int, words: str) -> None:
         self._touch(line)
@@ -344,7 +353,7 @@
         line = self.servers[name] = Line(SERVER, name)
         if (entry := self.entries.get(name)) is not None:
             line.zone, line.kind, line.cell = entry.zone, entry.kind, entry.cell
-            line.started_at = entry.started_at
+            line.started_at = entry.started_at_ms
         return line
 
     def _forget(self) -> bool:
--- a/balancer/timeline/request_traces.py
+++ b/balancer/timeline/request_traces.py
@@ -50,7 +50,7 @@
 
 def told(trail: Trail, over: bool) -> dict[str, Any]:
     """A trail for operators, in JSON's own types."""
-    event: api.Arrival = trail[0]
+    event: api.RequestArrived = trail[0]
     rows: list[dict[str, Any]] = [
         {
             "at": trail[1],
@@ -58,7 +58,7 @@
             "why": "",
             "backend": "",
             "class": event.class_name,
-            "within_ms": round(event.deadline - trail[1], 3),
+            "within_ms": round(event.deadline_ms - trail[1], 3),
             "retry": event.is_retry,
         }
     ]
@@ -68,35 +68,35 @@
 
 def _row(at: float, what: api.Event | api.Action) -> dict[str, Any]:
     match what:
-        case api.Send():
+        case api.SendAttempt():
             return {
                 "at": at,
                 "action": "send",
-                "why": what.why.value,
+                "why": what.reason.value,
                 "backend": what.backend,
                 "cause": what.cause.value,
-                "among": what.among,
-                "left_out_as_crowded": what.crowded,
-                "timeout_ms": what.timeout,
+                "among": what.eligible_count,
+                "left_out_as_crowded": what.overloaded_count,
+                "timeout_ms": what.timeout_ms,
             }
-        case api.Outcome():
+        case api.AttemptFinished():
             return {
                 "at": at,
                 "action": "outcome",
                 "why": what.status.value,
                 "backend": what.backend,
-                "took_ms": what.duration,
+                "took_ms": what.duration_ms,
                 "attempt": what.attempt,
             }
-        case api.Refuse():
+        case api.RejectRequest():
             return {
                 "at": at,
                 "action": "refuse",
-                "why": what.why.value,
+                "why": what.reason.value,
                 "backend": "",
-                "retry_after_ms": what.retry_after,
+                "retry_after_ms": what.retry_after_ms,
             }
-        case api.Fail():
-            return {"at": at, "action": "fail", "why": what.why.value, "backend": ""}
+        case api.FailRequest():
+            return {"at": at, "action": "fail", "why": what.reason.value, "backend": ""}
         case _:
             return {"at": at, "action": "client_gone_or_time_up", "why": "", "backend": ""}
--- a/balancer/timeline/schema.py
+++ b/balancer/timeline/schema.py
@@ -8,16 +8,16 @@
 
 from __future__ import annotations
 
-from balancer.interface import Status, What, Why
+from balancer.interface import AttemptStatus, BackendDecision, DecisionReason
 
 TIMES = 1024
 WIDTH = 512
 
 ATTEMPTS = 0
 STATUSES, WHYS, WHATS = 1, 32, 96  # plus the word's own number
-STATUS: dict[Status, int] = {status: STATUSES + status.number for status in Status}
-WHY: dict[Why, int] = {why: WHYS + why.number for why in Why}
-WHAT: dict[What, int] = {what: WHATS + what.number for what in What}
+STATUS: dict[AttemptStatus, int] = {status: STATUSES + status.number for status in AttemptStatus}
+WHY: dict[DecisionReason, int] = {why: WHYS + why.number for why in DecisionReason}
+WHAT: dict[BackendDecision, int] = {what: WHATS + what.number for what in BackendDecision}
 REFUSED, FAILED, ARRIVED, CROWDED, LATE, GONE, STARTED, PHASED = range(128, 136)
 
 NAMES: dict[int, str] = (
@@ -38,10 +38,10 @@
 )
 """What is shown for a number below `TIMES`."""
 
-OK = STATUS[Status.OK]
+OK = STATUS[AttemptStatus.OK]
 OUTCOMES = tuple(STATUS.values())
-ERRORS = tuple(STATUS[s] for s in (Status.ERROR, Status.RESET, Status.CONNECT_FAILED))
-TURNED_AWAY, TIMED_OUT = STATUS[Status.FULL], STATUS[Status.TIMEOUT]
+ERRORS = tuple(STATUS[s] for s in (AttemptStatus.ERROR, AttemptStatus.RESET, AttemptStatus.CONNECT_FAILED))
+TURNED_AWAY, TIMED_OUT = STATUS[AttemptStatus.REJECTED], STATUS[AttemptStatus.TIMEOUT]
 REASONS = tuple(WHY.values())
 
 
--- a/benchmarks/cap_guidance.py
+++ b/benchmarks/cap_guidance.py
@@ -31,7 +31,7 @@
     told = 1
 
     def _cap(self, req: Request) -> int:
-        return self.told * self.cfg.group_size  # the dispatcher's share of it is the whole again
+        return self.told * self.cfg.node_count  # the dispatcher's share of it is the whole again
 
 
 class Told(Balancer):
@@ -41,7 +41,7 @@
         super().__init__(settings, seed)
         self.signs, self.square = 0.1, 2.0
 
-    def _report(self, b: Backend, report: api.Report | None, fresh: bool) -> None:
+    def _report(self, b: Backend, report: api.LoadReport | None, fresh: bool) -> None:
         idle = report is not None and report.in_flight is not None and report.in_flight < 0.5
         self.signs += EWMA / 10 * (idle - self.signs)
         super()._report(b, report, fresh)
@@ -53,22 +53,22 @@
         return max(1, min(best, math.floor(1 / delta)))
 
     def _cap(self, req: Request) -> int:
-        return self._guide(self.signs) * self.cfg.group_size
+        return self._guide(self.signs) * self.cfg.node_count
 
 
 class Feeders(Balancer):
     """The module's m, shared by those that feed a server and not by the whole group."""
 
     def _cap(self, req: Request) -> int:
-        sharing = min(FEEDERS, self.cfg.group_size)
-        return max(1, super()._cap(req) // sharing) * self.cfg.group_size
+        sharing = min(FEEDERS, self.cfg.node_count)
+        return max(1, super()._cap(req) // sharing) * self.cfg.node_count
 
 
 class Whole(Balancer):
     """The module's m, not shared."""
 
     def _cap(self, req: Request) -> int:
-        return super()._cap(req) * self.cfg.group_size
+        return super()._cap(req) * self.cfg.node_count
 
 
 GUIDES: dict[str, type[Balancer]] = {"own": Balancer, "by feeders": Feeders, "unshared": Whole, "paper": Told}
--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -39,23 +39,25 @@
 PIECES = (100, 250, 500, 1_000, 2_000, 10_000)
 AIM_US, AIM_RATIO, AIM_CHANGE_US, AIM_PIECE_MS = 40.0, 2.0, 100.0, 5.0
 CLASSES = tuple(
-    api.RequestClass(name, api.Effect.SAFE, aim=aim, deadline=2 * aim, value=value)
+    api.RequestClass(
+        name, api.Idempotency.IDEMPOTENT, latency_objective_ms=aim, deadline_ms=2 * aim, priority_weight=value
+    )
     for name, aim, value in (("lookup", 250.0, 12.0), ("list", 1500.0, 1.0), ("order", 1200.0, 1.0))
 )
 SETTINGS = api.Settings(
     classes=CLASSES,
-    reports=api.Reports.ANSWERS,
-    cold_share=0.3,
-    ramp_time=9_000.0,
-    fall_multiple=3.0,
-    weighted=True,
-    live_weights=True,
+    load_report_source=api.LoadReportSource.RESPONSES,
+    slow_start_initial_fraction=0.3,
+    slow_start_duration_ms=9_000.0,
+    overload_multiple=3.0,
+    has_weights=True,
+    has_live_weights=True,
 )
 
 
-def server(number: int, weight: float = 1.0, phase: api.Phase = api.Phase.UP) -> api.Entry:
+def server(number: int, weight: float = 1.0, phase: api.Phase = api.Phase.UP) -> api.Endpoint:
     """One of a fleet."""
-    return api.Entry(f"s{number:06d}", "a", 0, weight, phase, 0.0, "m")
+    return api.Endpoint(f"s{number:06d}", "a", 0, weight, phase, 0.0, "m")
 
 
 class Subject:
@@ -64,8 +66,10 @@
     def __init__(self, size: int, group: int, out: int) -> None:
         self.size, self.count, self.now = size, out, 1000.0
         self.rng = random.Random(size + out)
-        self.node = Balancer(replace(SETTINGS, group_size=group), 1)
-        self.node.handle(self.now, api.ListUpdate(api.ListKind.FULL, [server(n) for n in range(size)]))
+        self.node = Balancer(replace(SETTINGS, node_count=group), 1)
+        self.node.handle(
+            self.now, api.EndpointsUpdated(api.EndpointUpdateKind.SNAPSHOT, [server(n) for n in range(size)])
+        )
         self.ids = itertools.count()
         self.live: deque[tuple[str, str]] = deque()
         self.spent: list[float] = []
@@ -75,9 +79,9 @@
     def _arrive(self) -> None:
         self.node.limit = self.node.least = 1e9  # what is out is set by the measurement
         rid = f"r{next(self.ids)}"
-        event = api.Arrival(rid, self.rng.choice(CLASSES).name, self.now + 1000.0)
+        event = api.RequestArrived(rid, self.rng.choice(CLASSES).name, self.now + 1000.0)
         for act in self.node.handle(self.now, event):
-            if isinstance(act, api.Send):
+            if isinstance(act, api.SendAttempt):
                 self.live.append((rid, act.backend))
 
     def requests(self) -> None:
@@ -89,8 +93,8 @@
             self._arrive()
             spent += time.perf_counter_ns() - began
             rid, backend = self.live.popleft()
-            load = api.Report(in_flight=float(self.rng.randrange(3)), queue=0.0)
-            event = api.Outcome(rid, 0, backend, api.Status.OK, 40.0, True, load)
+            load = api.LoadReport(in_flight=float(self.rng.randrange(3)), queued=0.0)
+            event = api.AttemptFinished(rid, 0, backend, api.AttemptStatus.OK, 40.0, True, load)
             began = time.perf_counter_ns()
             self.node.handle(self.now, event)
             spent += time.perf_counter_ns() - began
@@ -98,10 +102,10 @@
             raise RuntimeError(f"{self.count} should be out, {len(self.live)} are: some were refused")
         self.spent.append(spent / TURN / 1000)
 
-    def tell(self, entries: list[api.Entry]) -> float:
+    def tell(self, entries: list[api.Endpoint]) -> float:
         """Some changes in one event; the time, in microseconds."""
         self.now += 1.0
-        event = api.ListUpdate(api.ListKind.CHANGES, entries)
+        event = api.EndpointsUpdated(api.EndpointUpdateKind.INCREMENTAL, entries)
         began = time.perf_counter_ns()
         self.node.handle(self.now, event)
         return (time.perf_counter_ns() - began) / 1000
@@ -148,7 +152,7 @@
                     (
                         server(number, subject.rng.uniform(0.3, 1.0)),
                         server(number, phase=api.Phase.DRAINING),
-                        server(number, phase=api.Phase.GONE),
+                        server(number, phase=api.Phase.REMOVED),
                         server(number),
                     )
                 ):
--- a/benchmarks/gossiped_removals.py
+++ b/benchmarks/gossiped_removals.py
@@ -39,7 +39,7 @@
     Source,
 )
 from balancer.core.staggering import Turns
-from balancer.endpoints import Listing, Member
+from balancer.endpoints import EndpointList, EndpointRecord
 from balancer.interface import Phase
 from balancer.protocol import gossip_sections as goes_by
 from benchmarks.failure_detection import _head, _line
@@ -83,7 +83,7 @@
             self.hearsay[address] = Hearsay(Turns(number, count, 50), random, fits, rule)
             self.merge[address] = Membership([Source("platform"), hearsay.source()])
             everything = tuple(map(member, range(SERVERS)))
-            self.listed(address, Listed("platform", "p", Listing(1, True, everything)))
+            self.listed(address, Listed("platform", "p", EndpointList(1, True, everything)))
             self.hearsay[address].handle(0, Own("platform", ORDER, 1, True))
 
     def listed(self, address: str, event: Listed) -> None:
@@ -101,8 +101,10 @@
         for address in self.nodes:
             if address not in self.deaf:
                 its = member(number)
-                drains = Member(replace(its.entry, phase=Phase.DRAINING), its.address)
-                changes = Listing(self.revision, False, () if gone else (drains,), (name,) if gone else ())
+                drains = EndpointRecord(replace(its.endpoint, phase=Phase.DRAINING), its.address)
+                changes = EndpointList(
+                    self.revision, False, () if gone else (drains,), (name,) if gone else ()
+                )
                 self.listed(address, Listed("platform", "p", changes))
                 own = Own("platform", ORDER, self.revision, True, (Out(name, self.revision, gone),))
                 self.hearsay[address].handle(self.now, own)
@@ -150,7 +152,7 @@
     def missing(self, address: str) -> int:
         """Servers that this node sends nothing new to."""
         view = self.merge[address].view.values()
-        return SERVERS - sum(one.entry.phase is Phase.UP for one in view)
+        return SERVERS - sum(one.endpoint.phase is Phase.UP for one in view)
 
 
 def drains(size: int, seeds: int) -> None:
--- a/benchmarks/list_change_cost.py
+++ b/benchmarks/list_change_cost.py
@@ -21,8 +21,8 @@
     Role,
     Source,
 )
-from balancer.endpoints import Listing, Member
-from balancer.interface import Entry, ListUpdate, Phase
+from balancer.endpoints import EndpointList, EndpointRecord
+from balancer.interface import Endpoint, EndpointsUpdated, Phase
 from balancer.net.backend_pool import Pool
 from balancer.platform_settings import parse
 from balancer.policy.balancer import Balancer
@@ -36,10 +36,10 @@
 TURN = 20  # changes at one size before the next one's turn
 
 
-def server(number: int) -> Member:
+def server(number: int) -> EndpointRecord:
     """One of a fleet."""
-    entry = Entry(f"s-{number:08x}", "ab"[number % 2], number // 16, 2.0, Phase.UP, 0.0, "m")
-    return Member(entry, (f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}", 8080))
+    entry = Endpoint(f"s-{number:08x}", "ab"[number % 2], number // 16, 2.0, Phase.UP, 0.0, "m")
+    return EndpointRecord(entry, (f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}", 8080))
 
 
 class Subject:
@@ -54,8 +54,8 @@
         self.module = Balancer(settings, 1) if layer == LAYERS[2] else None
         self.now_ms, self.revision = 0.0, 1
         self.spent: list[list[float]] = [[] for _ in KINDS]
-        self._hand(Listed("platform", "127.0.0.1:1", Listing(1, True, ()), saved=True))
-        whole = Listing(1, True, tuple(server(n) for n in range(size)))
+        self._hand(Listed("platform", "127.0.0.1:1", EndpointList(1, True, ()), saved=True))
+        whole = EndpointList(1, True, tuple(server(n) for n in range(size)))
         self._hand(Listed(WHO, ORDER, whole, saved=True))
 
     def _hand(self, event: Listed) -> None:
@@ -66,19 +66,19 @@
             if self.pool is not None:
                 self.pool.update(action.members, [m.id for m in action.removed])
             if self.module is not None:
-                entries = [m.entry for m in (*action.removed, *action.members)]
-                self.module.handle(self.now_ms, ListUpdate(action.kind, entries, action.revision))
+                entries = [m.endpoint for m in (*action.removed, *action.members)]
+                self.module.handle(self.now_ms, EndpointsUpdated(action.kind, entries, action.revision))
 
     def turn(self) -> None:
         """Some servers in turn get another weight, drain, go and come back."""
         for _ in range(TURN):
             one = server(self.rng.randrange(self.size))
-            lighter = Member(replace(one.entry, weight=self.rng.uniform(1.0, 2.0)), one.address)
-            drains = Member(replace(one.entry, phase=Phase.DRAINING), one.address)
+            lighter = EndpointRecord(replace(one.endpoint, weight=self.rng.uniform(1.0, 2.0)), one.address)
+            drains = EndpointRecord(replace(one.endpoint, phase=Phase.DRAINING), one.address)
             words = (((lighter,), ()), ((drains,), ()), ((), (one.id,)), ((one,), ()))
             for spent, (said, gone) in zip(self.spent, words, strict=True):
                 self.revision += 1
-                event = Listed(WHO, ORDER, Listing(self.revision, False, said, gone))
+                event = Listed(WHO, ORDER, EndpointList(self.revision, False, said, gone))
                 began = time.perf_counter_ns()
                 self._hand(event)
                 spent.append((time.perf_counter_ns() - began) / 1e6)
--- a/benchmarks/measured_process.py
+++ b/benchmarks/measured_process.py
@@ -96,7 +96,7 @@
     discovery = PlatformSource(
         config.discovery,
         False,
-        config.settings.drain_grace,
+        config.settings.drain_grace_ms,
         sink.now,
         fleet.hand,
         lambda: fleet.resume(platform.NAME),
--- a/benchmarks/node_state_gossip.py
+++ b/benchmarks/node_state_gossip.py
@@ -18,8 +18,8 @@
 from balancer.core.cluster import anti_entropy as halves
 from balancer.core.cluster import node_state as views
 from balancer.core.cluster import partition_detector as cuts
-from balancer.endpoints import Member
-from balancer.interface import Entry, Phase
+from balancer.endpoints import EndpointRecord
+from balancer.interface import Endpoint, Phase
 from balancer.protocol import gossip
 from balancer.protocol import gossip_sections as goes_by
 from benchmarks.failure_detection import Net, _head, _line
@@ -90,9 +90,9 @@
         """For what goes on from here."""
 
 
-def member(number: int, weight: float = 1.0) -> Member:
-    entry = Entry(f"server-{number}", "zone-1", number % 5, weight, Phase.UP, 0.0)
-    return Member(entry, (f"10.1.{number >> 8}.{number & 255}", 8080))
+def member(number: int, weight: float = 1.0) -> EndpointRecord:
+    entry = Endpoint(f"server-{number}", "zone-1", number % 5, weight, Phase.UP, 0.0)
+    return EndpointRecord(entry, (f"10.1.{number >> 8}.{number & 255}", 8080))
 
 
 def search(one: halves.Halves, other: halves.Halves) -> tuple[set[str], int, int, int]:
--- a/benchmarks/restart_recovery.py
+++ b/benchmarks/restart_recovery.py
@@ -165,7 +165,9 @@
             for node in self.nodes:
                 if id(node) not in self.dead:
                     node.starts[name] = server.started_ms
-                    self._handle(node, api.ListUpdate(api.ListKind.CHANGES, [server.entry]))
+                    self._handle(
+                        node, api.EndpointsUpdated(api.EndpointUpdateKind.INCREMENTAL, [server.entry])
+                    )
         for number in sorted(self.again):
             self.at(self.now + rng.uniform(*START_MS), self._start_node, (number, listed, learned[number]))
         self.at(self.now + START_MS[1], self._measure, None)
@@ -173,23 +175,23 @@
     def _measure(self, _: None) -> None:
         self.meter = Meter(self.now)
 
-    def _start_node(self, what: tuple[int, list[api.Entry], api.Learned]) -> None:
+    def _start_node(self, what: tuple[int, list[api.Endpoint], api.LearnedState]) -> None:
         number, listed, learned = what
         old, seed = self.nodes[number], random.Random(f"{self.scenario.seed}/{number}").getrandbits(31)
         node = self.nodes[number] = Node(number, old.zone, make("module", self._settings(number), seed))
         age = self.case.age_ms if self.new else None
-        entries = [replace(e, age_ms=age) for e in listed]
-        self._handle(node, api.ListUpdate(api.ListKind.SAVED, entries))
+        entries = [replace(e, cached_age_ms=age) for e in listed]
+        self._handle(node, api.EndpointsUpdated(api.EndpointUpdateKind.CACHED, entries))
         if self.case.kept and self.new:
-            self._handle(node, api.Remembered(learned, self.case.age_ms))
+            self._handle(node, api.LearnedStateRestored(learned, self.case.age_ms))
         self.at(self.now + self.case.silent_ms + 1.0, self._vouch, node)
 
     def _vouch(self, node: Node) -> None:
         """The list is there, and vouches for whoever is."""
         there = [self.servers[name].entry for name in self.places]
-        node.starts = {e.backend: e.started_at for e in there if e.started_at}
-        gone = [replace(self.servers[name].entry, phase=api.Phase.GONE) for name in self.ghosts]
-        self._handle(node, api.ListUpdate(api.ListKind.CHANGES, [*gone, *there]))
+        node.starts = {e.id: e.started_at_ms for e in there if e.started_at_ms}
+        gone = [replace(self.servers[name].entry, phase=api.Phase.REMOVED) for name in self.ghosts]
+        self._handle(node, api.EndpointsUpdated(api.EndpointUpdateKind.INCREMENTAL, [*gone, *there]))
 
     # --- what goes on
 
@@ -218,7 +220,7 @@
             if kind == "served":
                 self.answered.setdefault(ask.node, self.now)
 
-    def _send(self, node: Node, action: api.Send) -> None:
+    def _send(self, node: Node, action: api.SendAttempt) -> None:
         key, kept = (node.number, action.backend), self.idle[node.number, action.backend]
         while kept and kept[-1] < self.now - IDLE_MS:
             kept.clear()
@@ -237,13 +239,17 @@
 
     def _reaches(self, one: Try) -> None:
         if self.ghosts.get(one.server.name) == "wrong":
-            self._back(one, api.Status.ERROR)
+            self._back(one, api.AttemptStatus.ERROR)
         else:
             super()._reaches(one)
 
-    def _outcome(self, what: tuple[Try, api.Status]) -> None:
+    def _outcome(self, what: tuple[Try, api.AttemptStatus]) -> None:
         one, status = what
-        if not one.over and status in (api.Status.OK, api.Status.FULL, api.Status.ERROR):
+        if not one.over and status in (
+            api.AttemptStatus.OK,
+            api.AttemptStatus.REJECTED,
+            api.AttemptStatus.ERROR,
+        ):
             self.idle[one.ask.node, one.server.name].append(self.now)
         super()._outcome(what)
 
@@ -320,13 +326,15 @@
     def __init__(self, clock: Clock, lister: Lister, me: int, nodes: int, rule: str) -> None:
         self.clock, self.lister, self.listed_ms = clock, lister, float("inf")
         self.turns = Turns(me, nodes, BEARS) if rule == "turns" else None
-        self.asks = Balancer(api.Settings(tuple(SITE_CLASSES), must_ask=True), me) if rule == "asks" else None
+        self.asks = (
+            Balancer(api.Settings(tuple(SITE_CLASSES), must_poll=True), me) if rule == "asks" else None
+        )
         self.follow = pf.PlatformFollow(random.Random(me), False, pf.MOST_MS / pf.WAIT_PART)
 
     def start(self) -> None:
         """The process is up."""
         if self.asks is not None:
-            self.tell(api.ListUpdate(api.ListKind.SAVED, []))
+            self.tell(api.EndpointsUpdated(api.EndpointUpdateKind.CACHED, []))
         elif self.turns is None:
             self.hand(pf.Wanted(True))
         else:
@@ -342,7 +350,7 @@
         if how == "listed":
             self.listed_ms = now
         elif self.asks is not None:
-            self.tell(api.ListUpdate(api.ListKind.FAILED, []))
+            self.tell(api.EndpointsUpdated(api.EndpointUpdateKind.FAILED, []))
         elif self.turns is None:
             self.hand(pf.Ended(False))
         else:
@@ -352,10 +360,10 @@
         """To the module, which says when to ask where it has to."""
         assert self.asks is not None
         for action in self.asks.handle(self.clock.now_ms, event):
-            if isinstance(action, api.Subscribe):
+            if isinstance(action, api.SubscribeToEndpoints):
                 self.ask()
             elif isinstance(action, api.SetTimer):
-                self.clock.at(action.when, partial(self.tell, api.Timer(action.token)))
+                self.clock.at(action.at_ms, partial(self.tell, api.TimerFired(action.token)))
 
     def hand(self, event: pf.Event) -> None:
         """To the decider of a watch."""
@@ -543,12 +551,12 @@
         return random.Random(f"{seed}/{me}").choice(names)
 
     def module(seed: int, me: int) -> str:
-        settings = api.Settings(tuple(SITE_CLASSES), me=me, group_size=nodes)
+        settings = api.Settings(tuple(SITE_CLASSES), node_index=me, node_count=nodes)
         node = Balancer(settings, seed * nodes + me)
-        rows = [api.Entry(name, "", 0, 1.0, api.Phase.UP, 0.0) for name in names]
-        node.handle(0.0, api.ListUpdate(api.ListKind.FULL, rows))
-        acts = node.handle(0.0, api.Arrival("r", SITE_CLASSES[0].name, 1_000.0))
-        return next(a.backend for a in acts if isinstance(a, api.Send))
+        rows = [api.Endpoint(name, "", 0, 1.0, api.Phase.UP, 0.0) for name in names]
+        node.handle(0.0, api.EndpointsUpdated(api.EndpointUpdateKind.SNAPSHOT, rows))
+        acts = node.handle(0.0, api.RequestArrived("r", SITE_CLASSES[0].name, 1_000.0))
+        return next(a.backend for a in acts if isinstance(a, api.SendAttempt))
 
     rules: dict[str, Callable[[int, int], str]] = {
         "lowest count, ties by place": lowest,
--- a/benchmarks/sparse_traffic.py
+++ b/benchmarks/sparse_traffic.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass, replace
 from statistics import mean
 
-from balancer.interface import Effect
+from balancer.interface import Idempotency
 from balancer.policy import balancer as policy
 from balancer.testbed.service_profile import RequestClass
 from balancer.testbed.simulation.report import Report
@@ -30,9 +30,9 @@
 
 NODES, SERVERS, SECONDS = 100, 40, 18.0
 CLASSES = (
-    RequestClass("check", Effect.SAFE, 400, 800, worth=12, share=0.16, work_ms=45),
-    RequestClass("search", Effect.SAFE, 2_000, 5_000, share=0.52, work_ms=130),
-    RequestClass("book", Effect.KEYED, 1_800, 5_000, share=0.32, work_ms=190),
+    RequestClass("check", Idempotency.IDEMPOTENT, 400, 800, worth=12, share=0.16, work_ms=45),
+    RequestClass("search", Idempotency.IDEMPOTENT, 2_000, 5_000, share=0.52, work_ms=130),
+    RequestClass("book", Idempotency.KEYED, 1_800, 5_000, share=0.32, work_ms=190),
 )
 BASE = Scenario(
     servers=SERVERS,
--- a/tests/compatibility/decision_streams.py
+++ b/tests/compatibility/decision_streams.py
@@ -27,54 +27,59 @@
     entry,
 )
 
-DEAR = replace(SAFE, name="dear", value=400.0)
-CELL = replace(KEYED, name="cell", group=api.Group.CELL)
-EVERYWHERE = replace(KEYED, name="everywhere", group=api.Group.ALL)
-STREAMED = replace(SAFE, name="streamed", streamed=True)
+DEAR = replace(SAFE, name="dear", priority_weight=400.0)
+CELL = replace(KEYED, name="cell", deduplication_scope=api.DeduplicationScope.CELL)
+EVERYWHERE = replace(KEYED, name="everywhere", deduplication_scope=api.DeduplicationScope.ALL)
+STREAMED = replace(SAFE, name="streamed", is_streamed=True)
 LIVE = replace(
     BASE,
     classes=(SAFE, DEAR, KEYED, CELL, EVERYWHERE, UNSAFE, STREAMED),
-    weighted=True,
-    live_weights=True,
+    has_weights=True,
+    has_live_weights=True,
     max_attempts=4,
-    max_retry_after=500.0,
-    retries_marked=True,
+    max_retry_after_ms=500.0,
+    are_retries_marked=True,
 )
 CONFIGURATIONS = {
     "live_weights": LIVE,
-    "subset": replace(LIVE, group_size=8, me=3, charges=api.Charges(cross_zone=0.05)),
-    "many_nodes": replace(LIVE, group_size=300, live_weights=False, must_ask=True),
-    "slow_start": replace(LIVE, ramp_time=3_000.0, fall_multiple=200.0),
+    "subset": replace(LIVE, node_count=8, node_index=3, prices=api.Prices(cross_zone=0.05)),
+    "many_nodes": replace(LIVE, node_count=300, has_live_weights=False, must_poll=True),
+    "slow_start": replace(LIVE, slow_start_duration_ms=3_000.0, overload_multiple=200.0),
     "probing": replace(LOOKING, max_attempts=4),
 }
 BACKEND_COUNTS = (4, 24, 200, 2_000)
 ARRIVALS = 5_000
 SIMULATION_SEEDS = (1, 2, 3, 4)
-PHASES = (*[api.Phase.UP] * 8, api.Phase.DRAINING, api.Phase.GONE)
-STATUSES = (*[api.Status.OK] * 60, *api.Status)
+PHASES = (*[api.Phase.UP] * 8, api.Phase.DRAINING, api.Phase.REMOVED)
+STATUSES = (*[api.AttemptStatus.OK] * 60, *api.AttemptStatus)
 
 
 def canonical(action: api.Action) -> str:
     """One line for an action: the simulator's, and the exported words of why it was taken."""
-    if isinstance(action, api.Noted):
-        return f"NOTED {action.backend} {action.what.value} {action.count} {action.span_ms!r}"
+    if isinstance(action, api.NoteBackendDecision):
+        return f"NOTED {action.backend} {action.decision.value} {action.count} {action.duration_ms!r}"
     line = wire.action(action)
-    if isinstance(action, api.Send):
-        reasons = f"{action.why.value} {action.cause.value} {action.among} {action.crowded}"
-        return f"{line} {action.timeout!r} {action.begin_by!r} {reasons}"
-    if isinstance(action, api.Refuse):
-        return f"{line} {action.retry_after!r} {action.why.value}"
-    if isinstance(action, api.Fail):
-        return f"{line} {action.why.value}"
+    if isinstance(action, api.SendAttempt):
+        reasons = (
+            f"{action.reason.value} {action.cause.value} {action.eligible_count} {action.overloaded_count}"
+        )
+        return f"{line} {action.timeout_ms!r} {action.start_before_ms!r} {reasons}"
+    if isinstance(action, api.RejectRequest):
+        return f"{line} {action.retry_after_ms!r} {action.reason.value}"
+    if isinstance(action, api.FailRequest):
+        return f"{line} {action.reason.value}"
     if isinstance(action, api.SetTimer):
-        return f"{line} {action.when!r}"
+        return f"{line} {action.at_ms!r}"
     return line
 
 
-def canonical_learned(learned: api.Learned) -> str:
+def canonical_learned(learned: api.LearnedState) -> str:
     """What a node would keep over a restart, with sorted keys."""
-    tables = [sorted(table.items()) for table in (learned.usual, learned.slow, learned.ejected)]
-    return repr([tables, learned.limit])
+    tables = [
+        sorted(table.items())
+        for table in (learned.expected_latency_ms, learned.slowness, learned.ejection_left_ms)
+    ]
+    return repr([tables, learned.concurrency_limit])
 
 
 class Stream:
@@ -96,7 +101,7 @@
     def play(self, arrivals: int) -> str:
         """The digest of all actions, in order, and of what the node has learned at the end."""
         listed = [self.listed(name) for name in self.names]
-        self.feed(api.ListUpdate(api.ListKind.SAVED, listed), self.now_ms)
+        self.feed(api.EndpointsUpdated(api.EndpointUpdateKind.CACHED, listed), self.now_ms)
         self.feed(self.restored(), self.now_ms)
         for number in range(arrivals):
             self.now_ms += self.random.expovariate(1.0 / self.interval_ms)
@@ -105,7 +110,7 @@
             if chance < 0.02:
                 self.feed(self.list_update(), self.now_ms)
             elif chance < 0.025:
-                self.feed(api.PeerMessage(1, b"x"), self.now_ms)
+                self.feed(api.PeerMessageReceived(1, b"x"), self.now_ms)
             self.arrive(number)
         self.digest.update(canonical_learned(self.node.learned(self.now_ms)).encode())
         return self.digest.hexdigest()[:24]
@@ -114,46 +119,52 @@
         """Every event that has come due."""
         while self.due and self.due[0][0] <= self.now_ms:
             at_ms, _, event = heapq.heappop(self.due)
-            if isinstance(event, api.Outcome):
-                event.closed = event.request in self.ended or event.status is api.Status.OK
-                if event.closed:
+            if isinstance(event, api.AttemptFinished):
+                event.is_request_closed = event.request in self.ended or event.status is api.AttemptStatus.OK
+                if event.is_request_closed:
                     self.ended.add(event.request)
             self.feed(event, at_ms)
 
     def arrive(self, number: int) -> None:
         """One request of a class of chance; some clients leave at once."""
         chosen = self.random.choice(self.settings.classes)
-        deadline = self.now_ms + chosen.deadline * self.random.choice((1.0, 1.0, 0.4))
+        deadline = self.now_ms + chosen.deadline_ms * self.random.choice((1.0, 1.0, 0.4))
         hint = self.random.choice((None, self.random.uniform(1, 900)))
         is_retry = self.random.random() < 0.2
         name = f"r{number}"
         self.feed(
-            api.Arrival(name, chosen.name, deadline, is_retry, key=f"k{number}", work_hint=hint), self.now_ms
+            api.RequestArrived(
+                name, chosen.name, deadline, is_retry, idempotency_key=f"k{number}", work_hint=hint
+            ),
+            self.now_ms,
         )
         if self.random.random() < 0.01:
             self.ended.add(name)
-            self.feed(api.ClientGone(name), self.now_ms)
+            self.feed(api.ClientLeft(name), self.now_ms)
 
-    def restored(self) -> api.Remembered:
+    def restored(self) -> api.LearnedStateRestored:
         """What an earlier process had learned."""
         slow = {name: self.random.uniform(0.3, 4.0) for name in self.names[::3]}
         ejected = {name: self.random.uniform(0.0, 5_000.0) for name in self.names[::7]}
         usual = {one.name: (self.random.uniform(10.0, 90.0), 8.0) for one in self.settings.classes}
-        return api.Remembered(api.Learned(usual, 12.0, slow, ejected), 2_500.0)
+        return api.LearnedStateRestored(api.LearnedState(usual, 12.0, slow, ejected), 2_500.0)
 
-    def list_update(self) -> api.ListUpdate:
+    def list_update(self) -> api.EndpointsUpdated:
         """Changes of a few, a failed call, or the whole list."""
-        kinds = [api.ListKind.CHANGES] * 18 + [api.ListKind.FAILED, api.ListKind.FULL]
+        kinds = [api.EndpointUpdateKind.INCREMENTAL] * 18 + [
+            api.EndpointUpdateKind.FAILED,
+            api.EndpointUpdateKind.SNAPSHOT,
+        ]
         kind = self.random.choice(kinds)
-        if kind is api.ListKind.FULL:
+        if kind is api.EndpointUpdateKind.SNAPSHOT:
             some = [name for name in self.names if self.random.random() < 0.97]
-        elif kind is api.ListKind.FAILED:
+        elif kind is api.EndpointUpdateKind.FAILED:
             some = []
         else:
             some = self.random.sample(self.names, min(3, len(self.names)))
-        return api.ListUpdate(kind, [self.listed(name) for name in some])
+        return api.EndpointsUpdated(kind, [self.listed(name) for name in some])
 
-    def listed(self, name: str) -> api.Entry:
+    def listed(self, name: str) -> api.Endpoint:
         """A backend with a phase, weight and start time of chance; some are only cached."""
         number = int(name[1:])
         return entry(
@@ -162,9 +173,9 @@
             cell=number % 3,
             phase=self.random.choice(PHASES),
             weight=self.random.choice((1.0, 0.5, 0.25, 3.0)),
-            started_at=self.random.choice((0.0, 0.0, 0.0, self.now_ms)),
+            started_at_ms=self.random.choice((0.0, 0.0, 0.0, self.now_ms)),
             kind=self.random.choice("xy"),
-            age_ms=self.random.choice((None, None, None, None, 500.0)),
+            cached_age_ms=self.random.choice((None, None, None, None, 500.0)),
         )
 
     def feed(self, event: api.Event, at_ms: float) -> None:
@@ -183,30 +194,30 @@
     def react(self, action: api.Action, at_ms: float) -> None:
         """What the world makes of an action."""
         match action:
-            case api.Send():
+            case api.SendAttempt():
                 self.attempt(action, at_ms)
-            case api.Refuse() | api.Fail():
+            case api.RejectRequest() | api.FailRequest():
                 self.ended.add(action.request)
             case api.SetTimer():
-                self.later(max(at_ms, action.when), api.Timer(action.token))
-            case api.Probe():
-                report = api.Report(float(self.random.randint(0, 3)), 0.0)
-                status = api.Status.OK if self.random.random() < 0.9 else api.Status.TIMEOUT
-                self.later(at_ms + 3.0, api.Probed(action.backend, status, 3.0, report))
+                self.later(max(at_ms, action.at_ms), api.TimerFired(action.token))
+            case api.SendProbe():
+                report = api.LoadReport(float(self.random.randint(0, 3)), 0.0)
+                status = api.AttemptStatus.OK if self.random.random() < 0.9 else api.AttemptStatus.TIMEOUT
+                self.later(at_ms + 3.0, api.ProbeFinished(action.backend, status, 3.0, report))
 
-    def attempt(self, action: api.Send, at_ms: float) -> None:
+    def attempt(self, action: api.SendAttempt, at_ms: float) -> None:
         """The outcome of one attempt, drawn now and delivered later."""
         number = self.attempts[action.request] = self.attempts.get(action.request, -1) + 1
         status = self.random.choice(STATUSES)
         duration = self.random.lognormvariate(4.0, 0.8)
         report = None
         if self.random.random() < 0.7:
-            report = api.Report(float(self.random.randint(0, 4)), 0.0)
-        if action.timeout and duration > action.timeout:
-            status, duration = api.Status.TIMEOUT, action.timeout
-        if status is api.Status.OK and self.random.random() < 0.02:
+            report = api.LoadReport(float(self.random.randint(0, 4)), 0.0)
+        if action.timeout_ms and duration > action.timeout_ms:
+            status, duration = api.AttemptStatus.TIMEOUT, action.timeout_ms
+        if status is api.AttemptStatus.OK and self.random.random() < 0.02:
             self.later(at_ms, api.StreamStarted(action.request, number, action.backend, duration / 2))
-        outcome = api.Outcome(action.request, number, action.backend, status, duration, False, report)
+        outcome = api.AttemptFinished(action.request, number, action.backend, status, duration, False, report)
         self.later(at_ms + duration, outcome)
 
 
--- a/tests/compatibility/exported_names.py
+++ b/tests/compatibility/exported_names.py
@@ -62,14 +62,14 @@
 def enum_values() -> dict[str, list[Any]]:
     """Values of the enums that are exported or stored, by a name of this file."""
     return {
-        "idempotency": _values(api.Effect),
-        "deduplication": _values(api.Group),
+        "idempotency": _values(api.Idempotency),
+        "deduplication": _values(api.DeduplicationScope),
         "phase": _values(api.Phase),
-        "update": _values(api.ListKind),
-        "status": _values(api.Status),
-        "reports": _values(api.Reports),
-        "reason": _values(api.Why),
-        "note": _values(api.What),
+        "update": _values(api.EndpointUpdateKind),
+        "status": _values(api.AttemptStatus),
+        "reports": _values(api.LoadReportSource),
+        "reason": _values(api.DecisionReason),
+        "note": _values(api.BackendDecision),
         "event_step": _values(departure.Step),
         "event_scope": _values(departure.Scope),
         "event_signal": _values(departure.Signal),
@@ -122,9 +122,11 @@
     meter = recovery.Recovery(0.0)
     metrics = Metrics(Watch(BASE, 8.0), meter, lambda: PEER_FIGURES)
     watch = metrics.watch
-    send = api.Send("r1", "b1", 0.0, api.Why.LOWEST_BELOW_M, api.Why.FIRST_TRY, 3)
-    watch.saw(0.0, api.Arrival("r1", "read", 1_000.0), [send])
-    watch.saw(20.0, api.Outcome("r1", 0, "b1", api.Status.OK, 20.0, True), [])
+    send = api.SendAttempt(
+        "r1", "b1", 0.0, api.DecisionReason.LOWEST_ESTIMATE_BELOW_CAP, api.DecisionReason.FIRST_ATTEMPT, 3
+    )
+    watch.on_decision(0.0, api.RequestArrived("r1", "read", 1_000.0), [send])
+    watch.on_decision(20.0, api.AttemptFinished("r1", 0, "b1", api.AttemptStatus.OK, 20.0, True), [])
     out: dict[str, set[str]] = {}
     for family in metrics.families():
         found = out.setdefault(f"{family.name} {family.type}", set())
--- a/tests/core/cluster/test_gossip_coordinator.py
+++ b/tests/core/cluster/test_gossip_coordinator.py
@@ -40,7 +40,7 @@
 )
 from balancer.core.recovery import BAR_MS
 from balancer.core.staggering import Turns
-from balancer.endpoints import Listing
+from balancer.endpoints import EndpointList
 from balancer.interface import Phase
 from balancer.protocol import gossip
 from balancer.protocol import gossip_sections as goes_by
@@ -65,7 +65,7 @@
             its = Together(node, number, size, None, turns, random, goes_by, room("n9"))
             self.all[address], self.merge[address] = its, Membership([Source("platform"), hearsay.source()])
             everything = tuple(map(member, range(SERVERS)))
-            self.listed(address, Listed("platform", "p", Listing(1, True, everything)))
+            self.listed(address, Listed("platform", "p", EndpointList(1, True, everything)))
 
     def listed(self, address: str, event: Listed | Silenced) -> None:
         todo: list[Listed | Silenced | Continued] = [event]
@@ -74,15 +74,17 @@
             todo += [Continued() for action in done if isinstance(action, ms.Continue)]
             for action in done:
                 if isinstance(action, Apply):
-                    self.all[address].saw(self.now, self.merge[address].sources[event.source], action)
+                    self.all[address].on_source_applied(
+                        self.now, self.merge[address].sources[event.source], action
+                    )
 
     def say(self, *numbers: int) -> None:
         """Servers drain, by discovery's word, where it is heard."""
         self.revision += 1
-        drains = [replace(member(n).entry, phase=Phase.DRAINING) for n in numbers]
-        members = tuple(replace(member(n), entry=entry) for n, entry in zip(numbers, drains, strict=True))
+        drains = [replace(member(n).endpoint, phase=Phase.DRAINING) for n in numbers]
+        members = tuple(replace(member(n), endpoint=entry) for n, entry in zip(numbers, drains, strict=True))
         for address in self.nodes.keys() - self.deaf:
-            self.listed(address, Listed("platform", "p", Listing(self.revision, False, members)))
+            self.listed(address, Listed("platform", "p", EndpointList(self.revision, False, members)))
 
     def rounds(self, ms: float) -> None:
         end = self.now + ms
@@ -125,15 +127,15 @@
     assert village.all[village.address("n1")].views.words["n4"].flags & views.NO_DISCOVERY
     village.say(3, 4)
     village.rounds(2_000)
-    down = {n for n, m in village.merge[last].view.items() if m.entry.phase is not Phase.UP}
+    down = {n for n, m in village.merge[last].view.items() if m.endpoint.phase is not Phase.UP}
     assert down == {"server-3", "server-4"}
     village.deaf = set()
     everything = tuple(map(member, range(SERVERS)))
     for address in village.nodes:
-        village.listed(address, Listed("platform", "p", Listing(9, True, everything)))
+        village.listed(address, Listed("platform", "p", EndpointList(9, True, everything)))
     village.rounds(6_000)
     assert all(len(merge.view) == SERVERS for merge in village.merge.values())
-    assert {m.entry.phase for m in village.merge[last].view.values()} == {Phase.UP}
+    assert {m.endpoint.phase for m in village.merge[last].view.values()} == {Phase.UP}
     assert village.happened()["cut_ended", "discovery"] == 1 and not village.all[last].hearsay.taken
 
 
@@ -199,14 +201,14 @@
     """Not what peers said of one that it names anew, nor that another has taken a server's address."""
     village = Village(1, 1)
     [(address, its)] = village.all.items()
-    drains = replace(member(3), entry=replace(member(3).entry, phase=Phase.DRAINING))
-    village.listed(address, Listed("peers", "peers", Listing(1, True, ())))
-    village.listed(address, Listed("peers", "peers", Listing(2, False, (drains,))))
+    drains = replace(member(3), endpoint=replace(member(3).endpoint, phase=Phase.DRAINING))
+    village.listed(address, Listed("peers", "peers", EndpointList(1, True, ())))
+    village.listed(address, Listed("peers", "peers", EndpointList(2, False, (drains,))))
     usurper = replace(member(40), address=member(4).address)
     village.revision = 2
-    village.listed(address, Listed("platform", "p", Listing(2, False, (member(3, 2.0), usurper))))
+    village.listed(address, Listed("platform", "p", EndpointList(2, False, (member(3, 2.0), usurper))))
     view = village.merge[address].view
-    assert view["server-3"].entry.weight == 2.0 and "server-4" not in view
+    assert view["server-3"].endpoint.weight == 2.0 and "server-4" not in view
     assert not its.hearsay.own["platform"].out
     village.say(5)
     assert [*its.hearsay.own["platform"].out] == ["server-5"]
@@ -219,14 +221,14 @@
         its.alike = ("platform",)
         for revision, identity in ((70, f"old {number}"), (3, f"new {number}")):
             everything = tuple(map(member, range(SERVERS)))
-            village.listed(address, Listed("platform", identity, Listing(revision, True, everything)))
+            village.listed(address, Listed("platform", identity, EndpointList(revision, True, everything)))
             village.rounds(400) if address == last else None
     village.rounds(2_000)
     assert not {key for its in village.all.values() for key in its.views.steady.on}
     village.listed(last, Silenced("platform", "out of reach"))
-    drains = replace(member(9), entry=replace(member(9).entry, phase=Phase.DRAINING))
+    drains = replace(member(9), endpoint=replace(member(9).endpoint, phase=Phase.DRAINING))
     for number, address in enumerate(village.nodes):
         if address != last:
-            village.listed(address, Listed("platform", f"new {number}", Listing(4, False, (drains,))))
+            village.listed(address, Listed("platform", f"new {number}", EndpointList(4, False, (drains,))))
     village.rounds(2_000)
-    assert village.merge[last].view["server-9"].entry.phase is Phase.DRAINING
+    assert village.merge[last].view["server-9"].endpoint.phase is Phase.DRAINING
--- a/tests/core/cluster/test_gossiped_removals.py
+++ b/tests/core/cluster/test_gossiped_removals.py
@@ -23,7 +23,7 @@
 )
 from balancer.core.discovery.endpoint_merger import Listed, Membership, Source
 from balancer.core.staggering import Turns
-from balancer.endpoints import Listing
+from balancer.endpoints import EndpointList
 from balancer.interface import Phase
 from balancer.protocol import gossip_sections as goes_by
 from benchmarks.gossiped_removals import (
@@ -95,7 +95,9 @@
         its.handle(1, own)
         (listed,) = (a for a in its.handle(1, Round(WORDS, HERE, VIEW)) if isinstance(a, Listed))
         assert not its.taken and not its.claims
-        assert [m.entry.phase for m in listed.listing.members] == [Phase.UP] and not listed.listing.removed
+        assert [m.endpoint.phase for m in listed.listing.records] == [
+            Phase.UP
+        ] and not listed.listing.removed_ids
 
 
 def test_a_wrong_word_ends_while_the_source_is_in_sync_and_is_not_taken_again() -> None:
@@ -170,7 +172,7 @@
 ) -> None:
     """Beside the real merge: peers only take away, and nothing at or below the own source's revision."""
     its, merge, now = node(), Membership([Source("platform"), hearsay.source()]), 0.0
-    listing = Listing(1, True, tuple(VIEW.values()))
+    listing = EndpointList(1, True, tuple(VIEW.values()))
     merge.handle(now, Listed("platform", "p", listing))
     while merge.sources["platform"].pending:
         merge._continue()
@@ -192,7 +194,7 @@
         for action in its.handle(now, Round(WORDS[:hearing], HERE, merge.view)):
             if isinstance(action, Listed):
                 merge.handle(now, action)
-        up = {name for name, one in merge.view.items() if one.entry.phase is Phase.UP}
+        up = {name for name, one in merge.view.items() if one.endpoint.phase is Phase.UP}
         assert up <= VIEW.keys() and all(merge.view[name] == VIEW[name] for name in up)
         for name in VIEW.keys() - up:
             assert told_at[name] > revision
@@ -209,7 +211,7 @@
     assert len(renewed) == 2 and not its._listed
     told(its, 9, "bc", "server-1", revision=99)
     (first, *_) = (action for action in its._out if isinstance(action, Listed))
-    assert first.listing.complete  # the source begins anew
+    assert first.listing.is_complete  # the source begins anew
 
 
 @pytest.mark.parametrize(
@@ -232,7 +234,7 @@
     for address in cut:  # its source has come back, and has another word
         now = tuple(map(member, range(SERVERS)))
         town.held[address] = town.revision = town.revision + 1
-        town.listed(address, Listed("platform", "p", Listing(town.revision, True, now)))
+        town.listed(address, Listed("platform", "p", EndpointList(town.revision, True, now)))
     town.rounds(1_000)
     assert not any(map(town.missing, cut))
 
--- a/tests/core/cluster/test_node_state.py
+++ b/tests/core/cluster/test_node_state.py
@@ -43,7 +43,7 @@
     Source,
 )
 from balancer.core.hysteresis import Steady
-from balancer.endpoints import Listing
+from balancer.endpoints import EndpointList
 from balancer.protocol import gossip
 from benchmarks.node_state_gossip import (
     World,
@@ -145,12 +145,12 @@
 def test_a_word_says_what_the_own_sources_are_at_and_no_digest_of_what_is_not_theirs() -> None:
     merge = Membership([Source("platform"), hearsay.source()])
     assert views.told_of(merge.sources.values()) == (("platform", 0, 0, 0),)
-    merge.handle(0, Listed("platform", "p", Listing(7, True, tuple(map(member, range(501))))))
+    merge.handle(0, Listed("platform", "p", EndpointList(7, True, tuple(map(member, range(501))))))
     assert views.told_of(merge.sources.values()) == (("platform", views.order_of("p"), 7, 2),)
     assert not views.comparable(merge.sources.values())  # a slice waits
     merge.handle(0, Continued())
     assert views.comparable(merge.sources.values())
-    for number, listing in enumerate((Listing(1, True, ()), Listing(2, False, (), ("server-1",)))):
+    for number, listing in enumerate((EndpointList(1, True, ()), EndpointList(2, False, (), ("server-1",)))):
         merge.handle(0, Listed(views.PEERS, "", listing))
         assert views.comparable(merge.sources.values()) is not bool(number)
 
@@ -270,7 +270,7 @@
 ]
 
 
-@pytest.mark.parametrize(("saw", "of", "roles", "keeps"), CASES)
+@pytest.mark.parametrize(("on_decision", "of", "roles", "keeps"), CASES)
 def test_each_cut_is_told_apart_and_means_what_the_table_says(
     saw: Saw, of: dict[From, Verdict], roles: Roles, keeps: bool
 ) -> None:
--- a/tests/core/discovery/test_endpoint_merger.py
+++ b/tests/core/discovery/test_endpoint_merger.py
@@ -18,33 +18,35 @@
     State,
 )
 from balancer.core.discovery.merge_report import report as report_of
-from balancer.endpoints import Fault, Listing, Member
-from balancer.interface import Entry, ListKind, Phase
+from balancer.endpoints import EndpointList, EndpointRecord, InvalidEntry
+from balancer.interface import Endpoint, EndpointUpdateKind, Phase
 
-UP, DRAINING, GONE = Phase.UP, Phase.DRAINING, Phase.GONE
+UP, DRAINING, GONE = Phase.UP, Phase.DRAINING, Phase.REMOVED
 
 
-def member(name: str, phase: Phase = UP, port: int = 0, **over: Any) -> Member:
+def member(name: str, phase: Phase = UP, port: int = 0, **over: Any) -> EndpointRecord:
     """An entry; its port follows from its name."""
     table: dict[str, Any] = {
-        "backend": name,
+        "id": name,
         "zone": "a",
         "cell": 0,
         "weight": 1.0,
         "phase": phase,
-        "started_at": 0.0,
+        "started_at_ms": 0.0,
     }
-    return Member(Entry(**(table | over)), ("127.0.0.1", port or 1000 + sum(map(ord, name))))
+    return EndpointRecord(Endpoint(**(table | over)), ("127.0.0.1", port or 1000 + sum(map(ord, name))))
 
 
-def whole(revision: int, *members: Member, **over: Any) -> Listing:
+def whole(revision: int, *members: EndpointRecord, **over: Any) -> EndpointList:
     """A whole list."""
-    return Listing(revision, True, members, **over)
+    return EndpointList(revision, True, members, **over)
 
 
-def changes(revision: int, *members: Member, removed: tuple[str, ...] = (), **over: Any) -> Listing:
+def changes(
+    revision: int, *members: EndpointRecord, removed_ids: tuple[str, ...] = (), **over: Any
+) -> EndpointList:
     """Changes."""
-    return Listing(revision, False, members, removed, **over)
+    return EndpointList(revision, False, members, removed_ids, **over)
 
 
 class Rig:
@@ -53,8 +55,8 @@
     def __init__(self, *sources: Source) -> None:
         self.membership = Membership(sources or (Source("platform"), Source("etcd", pieces=True)))
         self.now_ms = 0.0
-        self.told: dict[str, Member] = {}
-        self.kinds: list[ListKind] = []
+        self.told: dict[str, EndpointRecord] = {}
+        self.kinds: list[EndpointUpdateKind] = []
         self.lines: list[m.Say] = []
         self.waiting = False
         self.revision = 0
@@ -69,10 +71,10 @@
                     assert action.revision >= self.revision
                     self.revision = action.revision
                     for gone in action.removed:
-                        assert gone.entry.phase is GONE
-                        self.told.pop(gone.entry.backend, None)
+                        assert gone.endpoint.phase is GONE
+                        self.told.pop(gone.endpoint.id, None)
                     for one in action.members:
-                        self.told[one.entry.backend] = one
+                        self.told[one.endpoint.id] = one
                 case m.Continue():
                     self.waiting = True
                 case m.Say():
@@ -84,7 +86,7 @@
             self.waiting = False
             self.hand(m.Continued())
 
-    def list(self, source: str, listing: Listing, identity: str = "one", **over: Any) -> None:
+    def list(self, source: str, listing: EndpointList, identity: str = "one", **over: Any) -> None:
         """A source lists, and the loop turns."""
         self.hand(m.Listed(source, identity, listing, **over))
         self.turn()
@@ -97,7 +99,7 @@
     def view(self) -> dict[str, str]:
         """Who is told to be what."""
         assert self.told == self.membership.view
-        return {name: one.entry.phase.value for name, one in self.told.items()}
+        return {name: one.endpoint.phase.value for name, one in self.told.items()}
 
 
 # --- order
@@ -119,7 +121,7 @@
 def test_changes_that_are_not_newer_are_not_applied(revision: int) -> None:
     rig = Rig(Source("platform"))
     rig.list("platform", whole(60, member("b")))
-    rig.list("platform", changes(revision, removed=("b",)))
+    rig.list("platform", changes(revision, removed_ids=("b",)))
     assert rig.view == {"b": "up"}
     assert rig.membership.sources["platform"].old == 1
 
@@ -127,8 +129,8 @@
 def test_pieces_of_one_revision_are_applied_where_a_source_sends_them() -> None:
     rig = Rig(Source("etcd", pieces=True))
     rig.list("etcd", whole(5, member("a"), member("b")))
-    rig.list("etcd", changes(6, removed=("a",)))
-    rig.list("etcd", changes(6, removed=("b",)))
+    rig.list("etcd", changes(6, removed_ids=("a",)))
+    rig.list("etcd", changes(6, removed_ids=("b",)))
     assert rig.view == {}
 
 
@@ -178,7 +180,7 @@
 def test_a_new_cluster_begins_a_new_order_and_is_said_loudly() -> None:
     rig = Rig(Source("etcd"))
     rig.list("etcd", whole(900, member("a"), member("b")), "7/0")
-    rig.list("etcd", changes(901, removed=("a",)), "8/0")
+    rig.list("etcd", changes(901, removed_ids=("a",)), "8/0")
     assert rig.view == {"a": "up", "b": "up"}
     rig.list("etcd", whole(2, member("b")), "8/0")
     assert rig.view == {"b": "up"}
@@ -188,7 +190,7 @@
 def test_what_was_saved_counts_as_seen() -> None:
     rig = Rig(Source("platform"))
     rig.list("platform", whole(41, member("a")), saved=True)
-    assert rig.kinds == [ListKind.SAVED] and rig.view == {"a": "up"}
+    assert rig.kinds == [EndpointUpdateKind.CACHED] and rig.view == {"a": "up"}
     assert rig.state("platform") is State.UNHEARD
     assert rig.membership.resume("platform") == 41
     rig.list("platform", whole(40, member("b")))
@@ -202,16 +204,16 @@
     rig = Rig()
     kept = whole(1, *(member(f"s{n}", port=n + 1) for n in range(600)))
     rig.hand(m.Listed("platform", "p", kept, saved=True))
-    assert all(one.entry.age_ms is not None for one in rig.told.values())
+    assert all(one.endpoint.cached_age_ms is not None for one in rig.told.values())
     news = changes(2, *(member(f"s{n}", port=n + 1, weight=2.0) for n in range(600)))
     rig.hand(m.Listed("platform", "p", news))
-    told = [one for one in rig.told.values() if one.entry.weight == 2.0]
-    assert len(told) == m.SLICE and all(one.entry.age_ms is None for one in told)
+    told = [one for one in rig.told.values() if one.endpoint.weight == 2.0]
+    assert len(told) == m.SLICE and all(one.endpoint.cached_age_ms is None for one in told)
 
 
 def test_a_saved_list_with_an_entry_that_cannot_be_read_asks_for_the_whole_one() -> None:
     rig = Rig(Source("platform"))
-    rig.list("platform", whole(41, member("a"), faults=(Fault("b", "no port"),)), saved=True)
+    rig.list("platform", whole(41, member("a"), invalid_entries=(InvalidEntry("b", "no port"),)), saved=True)
     assert rig.view == {"a": "up"} and rig.membership.resume("platform") is None
     rig.list("platform", whole(41, member("a"), member("b")))
     assert rig.view == {"a": "up", "b": "up"}
@@ -302,7 +304,7 @@
         rig.list(name, whole(1, *([] if said[name] == "nothing" else [member("x")])))
     for name in order:
         if said[name] == "removed":
-            rig.list(name, changes(2, removed=("x",)))
+            rig.list(name, changes(2, removed_ids=("x",)))
         elif said[name] == "draining":
             rig.list(name, changes(2, member("x", DRAINING)))
     assert rig.view.get("x") == TABLE[role][first, second]
@@ -325,33 +327,33 @@
     rig = Rig()
     rig.list("platform", whole(1, member("x")))
     rig.list("etcd", whole(1))
-    rig.list("etcd", changes(2, removed=("x",)))
+    rig.list("etcd", changes(2, removed_ids=("x",)))
     assert rig.view == {}
 
 
 def test_address_weight_and_place_are_the_first_ones_and_the_latest_start_counts() -> None:
     rig = Rig()
-    one = member("x", port=1, weight=0.4, zone="a", kind="m2", started_at=50.0)
-    two = member("x", port=2, weight=3.0, zone="b", kind="m9", started_at=90.0)
+    one = member("x", port=1, weight=0.4, zone="a", kind="m2", started_at_ms=50.0)
+    two = member("x", port=2, weight=3.0, zone="b", kind="m9", started_at_ms=90.0)
     rig.list("etcd", whole(1, two))
     assert rig.told["x"] == two
     rig.list("platform", whole(1, one))
-    assert rig.told["x"] == Member(replace(one.entry, started_at=90.0), one.address)
+    assert rig.told["x"] == EndpointRecord(replace(one.endpoint, started_at_ms=90.0), one.address)
     rig.list("platform", whole(2))
     assert rig.view == {}
     rig.list("platform", changes(3, one))
-    rig.list("etcd", whole(2, member("x", port=2, started_at=10.0)))
+    rig.list("etcd", whole(2, member("x", port=2, started_at_ms=10.0)))
     assert rig.told["x"] == one
 
 
 def test_of_two_ids_at_one_address_the_later_start_is_used() -> None:
     rig = Rig(Source("platform"))
-    rig.list("platform", whole(1, member("new", port=7, started_at=9.0), member("old", port=7)))
+    rig.list("platform", whole(1, member("new", port=7, started_at_ms=9.0), member("old", port=7)))
     assert rig.view == {"new": "up"} and "left out" in rig.lines[-1].text
-    rig.list("platform", changes(2, member("new", DRAINING, port=7, started_at=9.0)))
+    rig.list("platform", changes(2, member("new", DRAINING, port=7, started_at_ms=9.0)))
     assert rig.view == {"new": "draining", "old": "up"}
-    rig.list("platform", changes(3, member("new", port=7, started_at=9.0)))
-    rig.list("platform", changes(4, removed=("new",)))
+    rig.list("platform", changes(3, member("new", port=7, started_at_ms=9.0)))
+    rig.list("platform", changes(4, removed_ids=("new",)))
     assert rig.view == {"old": "up"}
     rig.list("platform", changes(5, member("last", port=7)))
     assert rig.view == {"last": "up"}
@@ -364,7 +366,7 @@
     rig = Rig()
     rig.list("platform", whole(4, member("a"), member("b"), member("c")))
     rig.list("etcd", whole(9, member("a", DRAINING), member("b"), member("d")))
-    rig.list("etcd", changes(10, removed=("b",)))
+    rig.list("etcd", changes(10, removed_ids=("b",)))
     assert rig.view == {"a": "draining", "c": "up", "d": "up"}
     rig.hand(m.Configured((Source("platform"), Source("etcd", Role.ADD))))
     assert rig.view == {"a": "up", "b": "up", "c": "up", "d": "up"}
@@ -389,9 +391,11 @@
 
 def test_an_entry_that_cannot_be_read_costs_nothing_but_itself() -> None:
     rig = Rig(Source("platform"))
-    rig.list("platform", whole(1, member("a"), member("b"), faults=(Fault("c", "phase is 'odd'"),)))
+    rig.list(
+        "platform", whole(1, member("a"), member("b"), invalid_entries=(InvalidEntry("c", "phase is 'odd'"),))
+    )
     assert rig.view == {"a": "up", "b": "up"}
-    rig.list("platform", whole(2, member("b"), faults=(Fault("a", "no port"),)))
+    rig.list("platform", whole(2, member("b"), invalid_entries=(InvalidEntry("a", "no port"),)))
     assert rig.view == {"a": "up", "b": "up"}  # the last good entry stays
     report = report_of(rig.membership)
     assert report["sources"][0]["unreadable"] == 2
@@ -401,7 +405,7 @@
         "platform: entry 'a' left out: no port",
     ]
     rig.list("platform", changes(3, member("a", weight=2.0)))
-    assert rig.told["a"].entry.weight == 2.0 and not report_of(rig.membership)["faults"]
+    assert rig.told["a"].endpoint.weight == 2.0 and not report_of(rig.membership)["faults"]
     rig.list("platform", whole(4, member("b")))
     assert rig.view == {"b": "up"}
 
@@ -417,16 +421,18 @@
     rig = Rig()
     rig.list("platform", whole(1, member("a"), member("b")))
     rig.list("etcd", whole(1, member("a")))
-    rig.list("platform", changes(2, faults=(Fault("a", "no port", leaving=True),)))
+    rig.list("platform", changes(2, invalid_entries=(InvalidEntry("a", "no port", is_draining=True),)))
     assert rig.view == {"a": "draining", "b": "up"}
-    rig.list("etcd", changes(2, faults=(Fault("b", "no port", leaving=True),)))  # it never listed b
+    rig.list(
+        "etcd", changes(2, invalid_entries=(InvalidEntry("b", "no port", is_draining=True),))
+    )  # it never listed b
     assert rig.view == {"a": "draining"}
 
 
 def test_a_removal_of_most_is_said_loudly_and_obeyed() -> None:
     rig = Rig(Source("platform"))
     rig.list("platform", whole(1, *(member(f"s{i}") for i in range(6))))
-    rig.list("platform", changes(2, removed=tuple(f"s{i}" for i in range(6))))
+    rig.list("platform", changes(2, removed_ids=tuple(f"s{i}" for i in range(6))))
     assert rig.view == {}
     assert any(line.loud and "6 of 6" in line.text for line in rig.lines)
 
@@ -442,7 +448,7 @@
     rig.list("etcd", whole(2))
     assert rig.view == {}  # none of those that another source still lists is forgotten
     rig.list("platform", whole(2))
-    rig.list("etcd", changes(3, removed=("s5", "s6")))
+    rig.list("etcd", changes(3, removed_ids=("s5", "s6")))
     assert list(rig.membership.sources["etcd"].removed) == ["s4", "s5", "s6"]
     alone = Rig(Source("platform"))
     alone.list("platform", whole(1, member("a")))
@@ -453,7 +459,7 @@
 def test_faults_shown_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(m, "MAX_FAULTS", 2)
     rig = Rig(Source("platform"))
-    rig.list("platform", whole(1, faults=tuple(Fault(f"f{i}", "odd") for i in range(9))))
+    rig.list("platform", whole(1, invalid_entries=tuple(InvalidEntry(f"f{i}", "odd") for i in range(9))))
     assert len(rig.membership.sources["platform"].faults) == 2
     assert rig.membership.sources["platform"].unreadable == 9
 
@@ -465,19 +471,21 @@
     assert len(rig.view) == 95
     rest = [member(f"s{i}", DRAINING if i == 94 else UP, port=i + 1, weight=2.0) for i in range(5, 95)]
     rig.hand(m.Listed("platform", "one", whole(2, *rest)))
-    assert len(rig.told) == 90 and rig.told["s94"].entry.phase is DRAINING  # before anything else
-    assert rig.waiting and rig.told["s50"].entry.weight == 1.0
-    seen = [one.entry.weight for one in rig.told.values()].count(2.0)
+    assert len(rig.told) == 90 and rig.told["s94"].endpoint.phase is DRAINING  # before anything else
+    assert rig.waiting and rig.told["s50"].endpoint.weight == 1.0
+    seen = [one.endpoint.weight for one in rig.told.values()].count(2.0)
     assert seen == 11  # the first slice, and who drains
-    rig.hand(m.Listed("platform", "one", changes(3, member("s60", port=61, weight=5.0), removed=("s61",))))
-    assert rig.told["s60"].entry.weight == 5.0
+    rig.hand(
+        m.Listed("platform", "one", changes(3, member("s60", port=61, weight=5.0), removed_ids=("s61",)))
+    )
+    assert rig.told["s60"].endpoint.weight == 5.0
     rig.waiting = False
     rig.hand(m.Continued())
-    weights = [one.entry.weight for one in rig.told.values()]
+    weights = [one.endpoint.weight for one in rig.told.values()]
     assert weights.count(2.0) == seen + 10  # each slice at once
     rig.turn()
-    assert rig.told["s60"].entry.weight == 5.0 and "s61" not in rig.told  # the newer word holds
-    assert rig.told["s50"].entry.weight == 2.0 and len(rig.view) == 89
+    assert rig.told["s60"].endpoint.weight == 5.0 and "s61" not in rig.told  # the newer word holds
+    assert rig.told["s50"].endpoint.weight == 2.0 and len(rig.view) == 89
 
 
 def test_many_changes_at_once_come_in_slices_too(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -486,13 +494,13 @@
     rig = Rig(Source("platform"))
     rig.list("platform", whole(1, *(member(f"s{i}", port=i + 1) for i in range(50))))
     rest = [member(f"s{i}", DRAINING if i == 40 else UP, port=i + 1, weight=2.0) for i in range(2, 50)]
-    rig.hand(m.Listed("platform", "one", changes(2, *rest, removed=("s0", "s1"))))
-    assert "s0" not in rig.told and rig.told["s40"].entry.phase is DRAINING
-    assert [one.entry.weight for one in rig.told.values()].count(2.0) == 11
+    rig.hand(m.Listed("platform", "one", changes(2, *rest, removed_ids=("s0", "s1"))))
+    assert "s0" not in rig.told and rig.told["s40"].endpoint.phase is DRAINING
+    assert [one.endpoint.weight for one in rig.told.values()].count(2.0) == 11
     rig.hand(m.Listed("platform", "one", changes(3, member("s49", port=50, weight=3.0))))
     rig.turn()
-    weights = [one.entry.weight for one in rig.told.values()]
-    assert weights.count(2.0) == 47 and rig.told["s49"].entry.weight == 3.0
+    weights = [one.endpoint.weight for one in rig.told.values()]
+    assert weights.count(2.0) == 47 and rig.told["s49"].endpoint.weight == 3.0
 
 
 def test_a_first_list_comes_in_one_piece(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -519,9 +527,9 @@
 
 def test_the_report_shows_who_says_what() -> None:
     rig = Rig()
-    rig.list("platform", whole(4, member("a", port=7), member("b", port=7, started_at=3.0)))
+    rig.list("platform", whole(4, member("a", port=7), member("b", port=7, started_at_ms=3.0)))
     rig.list("etcd", whole(9, member("a", DRAINING, port=7), member("c")), "77/0")
-    rig.list("etcd", changes(10, removed=("c",)), "77/0")
+    rig.list("etcd", changes(10, removed_ids=("c",)), "77/0")
     report = report_of(rig.membership)
     rows = {row["id"]: (row["phase"], row["sources"]) for row in report["members"]}
     assert rows["a"] == ("draining", {"platform": "up", "etcd": "draining"})
@@ -567,15 +575,19 @@
     names = [member(f"s{i}", DRAINING if i == 3 else UP, port=i + 1) for i in range(9)]
     rig.hand(m.Listed("platform", "one", whole(1, *names), saved=saved, age_ms=7.0))
     assert rig.waiting and [*rig.told] == ["s3"], "who drains goes first"
-    assert (rig.kinds[0] is ListKind.SAVED) == saved
+    assert (rig.kinds[0] is EndpointUpdateKind.CACHED) == saved
     rig.hand(m.Continued())
-    rig.hand(m.Listed("platform", "one", changes(2, member("s0", port=1, weight=5.0), removed=("s1", "s8"))))
+    rig.hand(
+        m.Listed("platform", "one", changes(2, member("s0", port=1, weight=5.0), removed_ids=("s1", "s8")))
+    )
     assert [*rig.told] == ["s3"]
     before = len(rig.kinds)
     rig.turn()
     assert len(rig.kinds) == before + 1, "in one piece"
     assert rig.told.keys() == {f"s{i}" for i in range(9)} - {"s1", "s8"}
-    assert rig.told["s0"].entry.weight == 5.0 and {one.entry.age_ms for one in rig.told.values()} == {None}
+    assert rig.told["s0"].endpoint.weight == 5.0 and {
+        one.endpoint.cached_age_ms for one in rig.told.values()
+    } == {None}
 
 
 @pytest.mark.usefixtures("tiny")
@@ -589,7 +601,7 @@
             rig.hand(m.Continued())
     assert rig.told.keys() <= {f"s{i}" for i in range(6)}, "who is not in it is gone at once"
     rig.turn()
-    assert {name: one.entry.weight for name, one in rig.told.items()} == {f"s{i}": 3.0 for i in range(6)}
+    assert {name: one.endpoint.weight for name, one in rig.told.items()} == {f"s{i}": 3.0 for i in range(6)}
 
 
 @pytest.mark.usefixtures("tiny")
@@ -610,7 +622,9 @@
                 rig.hand(news)
             rig.turn()
             assert rig.view
-            views.append({name: (one.entry.phase, one.entry.age_ms) for name, one in rig.told.items()})
+            views.append(
+                {name: (one.endpoint.phase, one.endpoint.cached_age_ms) for name, one in rig.told.items()}
+            )
     assert views[:4] == views[4:] and views[0]["s3"] == (DRAINING, 5.0) and views[1]["s0"] == (UP, None)
 
 
@@ -620,7 +634,7 @@
 PHASES = st.sampled_from([UP, UP, DRAINING])
 MEMBERS = st.dictionaries(
     st.sampled_from(NAMES), st.tuples(PHASES, st.integers(1, 3), st.integers(0, 2)), max_size=4
-).map(lambda table: [member(n, p, port, started_at=float(at)) for n, (p, port, at) in table.items()])
+).map(lambda table: [member(n, p, port, started_at_ms=float(at)) for n, (p, port, at) in table.items()])
 STEPS = st.lists(
     st.tuples(
         st.sampled_from(["platform", "etcd"]),
@@ -639,21 +653,21 @@
     def __init__(self) -> None:
         self.identity = self.revision = 0
         self.known = self.spoiled = False
-        self.says: dict[str, Member | None] = {}  # None: removed
+        self.says: dict[str, EndpointRecord | None] = {}  # None: removed
 
-    def whole(self, revision: int, members: list[Member]) -> None:
+    def whole(self, revision: int, members: list[EndpointRecord]) -> None:
         """A whole list."""
         if not self.known or revision > self.revision or (revision == self.revision and self.spoiled):
-            named = {one.entry.backend: one for one in members}
+            named = {one.endpoint.id: one for one in members}
             self.says |= dict.fromkeys(name for name, last in self.says.items() if last is not None)
             self.says |= named
             self.known, self.revision, self.spoiled = True, revision, False
 
-    def changes(self, revision: int, members: list[Member], removed: list[str]) -> None:
+    def changes(self, revision: int, members: list[EndpointRecord], removed: list[str]) -> None:
         """Changes; removals come first."""
         if self.known and not self.spoiled and revision > self.revision:
             self.says |= dict.fromkeys(removed)
-            self.says |= {one.entry.backend: one for one in members}
+            self.says |= {one.endpoint.id: one for one in members}
             self.revision = revision
 
 
@@ -665,8 +679,8 @@
         if not words or None in words:
             continue
         entries = [word for word in words if word is not None]
-        drains = any(one.entry.phase is DRAINING for one in entries)
-        start = max(one.entry.started_at for one in entries)
+        drains = any(one.endpoint.phase is DRAINING for one in entries)
+        start = max(one.endpoint.started_at_ms for one in entries)
         out[name] = (DRAINING if drains else UP, entries[0].address[1], start)
     return out
 
@@ -684,14 +698,14 @@
         for source, what, ahead, members, removed in steps:
             model = naive[source]
             revision = model.revision + ahead
-            removed = [name for name in removed if name not in {one.entry.backend for one in members}]
+            removed = [name for name in removed if name not in {one.endpoint.backend for one in members}]
             match what:
                 case "whole":
                     model.whole(revision, members)
                     rig.hand(m.Listed(source, str(model.identity), whole(revision, *members)))
                 case "changes":
                     model.changes(revision, members, removed)
-                    listing = changes(revision, *members, removed=tuple(removed))
+                    listing = changes(revision, *members, removed_ids=tuple(removed))
                     rig.hand(m.Listed(source, str(model.identity), listing))
                 case "spoiled":
                     model.spoiled = True
@@ -711,10 +725,10 @@
                     held = rig.told.get(name)
                     if held is not None:
                         assert word is not None, "it was removed"
-                        assert held.entry.phase is not UP or word.entry.phase is UP, "it drains"
+                        assert held.endpoint.phase is not UP or word.endpoint.phase is UP, "it drains"
         rig.turn()
         want = expected(naive["platform"], naive["etcd"])
-        got = {n: (o.entry.phase, o.address[1], o.entry.started_at) for n, o in rig.told.items()}
+        got = {n: (o.endpoint.phase, o.address[1], o.endpoint.started_at_ms) for n, o in rig.told.items()}
         assert rig.told == rig.membership.view
         ports = [port for phase, port, _ in want.values() if phase is UP]
         for name, (phase, port, _) in want.items():
@@ -737,7 +751,7 @@
     resolved = 0
 
     class Counted(Membership):
-        def _resolve(self, name: str) -> Member | None:
+        def _resolve(self, name: str) -> EndpointRecord | None:
             nonlocal resolved
             resolved += 1
             return super()._resolve(name)
@@ -747,7 +761,7 @@
     names = [f"s{i:04}" for i in range(count)]
     rig.list("platform", whole(1, *(member(name, port=7) for name in names)))
     assert rig.view == {names[-1]: "up"}
-    rig.list("platform", changes(2, removed=tuple(names[1:])))
+    rig.list("platform", changes(2, removed_ids=tuple(names[1:])))
     assert rig.view == {names[0]: "up"} and not rig.membership.shadowed
     assert resolved < 10 * count
 
@@ -758,7 +772,7 @@
     monkeypatch.setattr(m, "SLICE", 1)
     rig = Rig(Source("platform"))
     rig.hand(m.Listed("platform", "one", whole(1, member("a"), member("b"))))
-    rig.list("platform", whole(2, member("a"), faults=(Fault("b", "odd"),)))
+    rig.list("platform", whole(2, member("a"), invalid_entries=(InvalidEntry("b", "odd"),)))
     assert rig.view == {"a": "up", "b": "up"}  # its last good entry stays
 
 
@@ -783,7 +797,7 @@
 def test_thousands_of_bad_entries_leave_room_in_the_log() -> None:
     """Guards the lines that matter: the log has a bound, and each entry that is left out had a line in it."""
     rig = Rig(Source("platform"))
-    rig.list("platform", whole(1, faults=tuple(Fault(f"f{i}", "odd") for i in range(500))))
+    rig.list("platform", whole(1, invalid_entries=tuple(InvalidEntry(f"f{i}", "odd") for i in range(500))))
     rig.list("platform", whole(2, *(member(f"s{i}", port=7) for i in range(300))))
     assert len(rig.lines) < 50
     assert sum("left out" in line.text for line in rig.lines) > 5
@@ -804,7 +818,7 @@
 
 
 def ages(merge: Membership) -> dict[str, float | None]:
-    return {name: held.entry.age_ms for name, held in merge.view.items()}
+    return {name: held.endpoint.cached_age_ms for name, held in merge.view.items()}
 
 
 BOTH, NONE = {"x": 5_000.0, "y": 5_000.0}, {"x": None, "y": None}
@@ -836,7 +850,7 @@
 
 def test_changes_since_vouch_for_those_that_they_do_not_name() -> None:
     merge = aged()
-    merge.handle(1.0, m.Listed("a", "one", changes(8, removed=("y",))))
+    merge.handle(1.0, m.Listed("a", "one", changes(8, removed_ids=("y",))))
     assert ages(merge) == {"x": None}
 
 
@@ -864,9 +878,11 @@
 
 def test_what_was_kept_of_several_sources_is_one_view() -> None:
     merge = aged("a", "b")
-    said = m.Listed("b", "two", whole(3, member("z"), removed=("x",)), saved=True, age_ms=9.0)
+    said = m.Listed("b", "two", whole(3, member("z"), removed_ids=("x",)), saved=True, age_ms=9.0)
     (applied,) = (a for a in merge.handle(1.0, said) if isinstance(a, m.Apply))
-    assert applied.kind is ListKind.CHANGES, "a whole list would take away what the first one listed"
+    assert applied.kind is EndpointUpdateKind.INCREMENTAL, (
+        "a whole list would take away what the first one listed"
+    )
     assert [one.id for one in applied.removed] == ["x"] and ages(merge) == {"y": 5_000.0, "z": 9.0}
 
 
--- a/tests/core/discovery/test_etcd_watcher.py
+++ b/tests/core/discovery/test_etcd_watcher.py
@@ -28,11 +28,11 @@
     Trouble,
 )
 from balancer.core.staggering import Turns
-from balancer.endpoints import Fault, Member
+from balancer.endpoints import EndpointRecord, InvalidEntry
 
 
-def member(name: str, weight: float = 1.0, phase: api.Phase = api.Phase.UP) -> Member:
-    return Member(api.Entry(name, "", -1, weight, phase, 0.0, ""), ("127.0.0.1", 80))
+def member(name: str, weight: float = 1.0, phase: api.Phase = api.Phase.UP) -> EndpointRecord:
+    return EndpointRecord(api.Endpoint(name, "", -1, weight, phase, 0.0, ""), ("127.0.0.1", 80))
 
 
 Asked = type[ef.Check] | type[ef.Range] | type[ef.Watch]
@@ -139,15 +139,15 @@
         return [e for e in self.out if isinstance(e, Listed)]
 
     @property
-    def view(self) -> dict[str, Member]:
+    def view(self) -> dict[str, EndpointRecord]:
         """What was delivered, replayed as the membership does."""
-        out: dict[str, Member] = {}
+        out: dict[str, EndpointRecord] = {}
         for event in self.listed:
-            if event.listing.complete:
+            if event.listing.is_complete:
                 out = {}
-            for name in event.listing.removed:
+            for name in event.listing.removed_ids:
                 out.pop(name, None)
-            out |= {m.id: m for m in event.listing.members}
+            out |= {m.id: m for m in event.listing.records}
         return out
 
     def start_of_watch(self) -> int:
@@ -258,8 +258,8 @@
     assert rig.out == []
     rig.page(44, B, last=b"b")  # answered later: its header is not the list's revision
     (listed,) = rig.listed
-    assert listed.identity == "1/0" and listed.listing.complete and listed.listing.revision == 41
-    assert listed.listing.members == (A, B) and rig.start_of_watch() == 41
+    assert listed.identity == "1/0" and listed.listing.is_complete and listed.listing.revision == 41
+    assert listed.listing.records == (A, B) and rig.start_of_watch() == 41
 
 
 def test_a_compaction_between_pages_begins_the_list_anew() -> None:
@@ -331,17 +331,17 @@
     rig.do(ef.WatchCanceled(rig.call(ef.Watch), 7, Trouble.FAILED, ""))
     rig.page(7, C)
     # A whole list of a revision that was seen would be dropped as an old one.
-    assert not rig.listed[-1].listing.complete and rig.listed[-1].listing.removed == ("b",)
+    assert not rig.listed[-1].listing.is_complete and rig.listed[-1].listing.removed_ids == ("b",)
     assert set(rig.view) == {"c"} and rig.start_of_watch() == 7
 
 
 def test_of_several_events_on_one_member_the_last_holds() -> None:
     rig = Rig().watching(5, A)
-    drains, bad = Fault("b", "bad", True), Fault("a", "bad")
+    drains, bad = InvalidEntry("b", "bad", True), InvalidEntry("a", "bad")
     rig.say((6, "b"), (7, B), (8, "a"), (9, A), (10, "a"), (11, drains), (12, bad))
     listing = rig.listed[-1].listing
-    assert listing.removed == ("a",) and [f.key for f in listing.faults] == ["b", "a"]
-    assert listing.members == (member("b", phase=api.Phase.DRAINING),)  # unreadable, but it drains
+    assert listing.removed_ids == ("a",) and [f.key for f in listing.invalid_entries] == ["b", "a"]
+    assert listing.records == (member("b", phase=api.Phase.DRAINING),)  # unreadable, but it drains
 
 
 def test_progress_spares_the_next_watch_the_way_as_far_as_a_check_goes() -> None:
@@ -700,7 +700,7 @@
     assert rig.at(Phase.LISTING) and "a" in rig.view and "2 keys are there and 3" in rig.said[-1]
     rig.page(9, B, C)
     # A whole list of a revision that was told of would be dropped as an old one: its removals are changes.
-    assert not rig.listed[-1].listing.complete and rig.listed[-1].listing.removed == ("a",)
+    assert not rig.listed[-1].listing.is_complete and rig.listed[-1].listing.removed_ids == ("a",)
     assert set(rig.view) == {"b", "c"} and rig.start_of_watch() == 9
 
 
@@ -788,7 +788,7 @@
     rig = Rig()
     rig.do(ef.Started())
     rig.check(5)
-    bad = Fault("/entry 0", "no key")
+    bad = InvalidEntry("/entry 0", "no key")
     rig.page(5, A, bad, bad, "withdrawn", keys=4)
     rig.created(5)
     rig.do(ef.WatchSaid(rig.call(ef.Watch), Position("1", 6), (ef.Change(6, "a", kept=True),)))
@@ -910,7 +910,7 @@
     assert len(rig.out) == heard, "nothing vouches for the gap"
     rig.page(41, C)
     # A whole list of a revision that was told of, as changes.
-    assert rig.view == {"c": C} and not rig.listed[-1].listing.complete
+    assert rig.view == {"c": C} and not rig.listed[-1].listing.is_complete
     assert rig.at(Phase.OPENING) and rig.start_of_watch() == 41
     rig.created(41)
     rig.settled()
@@ -1037,15 +1037,18 @@
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.log: list[dict[str, Member | None]] = [{}, {}]  # index is the revision; etcd's first is 1
-        self.states: list[dict[str, Member]] = [{}, {}]
+        self.log: list[dict[str, EndpointRecord | None]] = [
+            {},
+            {},
+        ]  # index is the revision; etcd's first is 1
+        self.states: list[dict[str, EndpointRecord]] = [{}, {}]
         self.compacted = 0
 
     @property
     def revision(self) -> int:
         return len(self.log) - 1
 
-    def commit(self, changes: dict[str, Member | None]) -> None:
+    def commit(self, changes: dict[str, EndpointRecord | None]) -> None:
         state = dict(self.states[-1])
         for name, value in changes.items():
             if value is None:
@@ -1102,11 +1105,11 @@
         self.queue: list[tuple[float, int, Callable[[], ef.Event | None]]] = []
         self.count = 0
         self.stream: Stream | None = None
-        self.view: dict[str, Member] = {}
+        self.view: dict[str, EndpointRecord] = {}
         self.latest: dict[str, int] = {}
         self.identity = ""
         self.healthy = False
-        self.swallowed: dict[str, Member] = {}  # what was in view when the watch dropped its deletion
+        self.swallowed: dict[str, EndpointRecord] = {}  # what was in view when the watch dropped its deletion
 
     def later(self, wait: float, make: Callable[[], ef.Event | None]) -> None:
         self.count += 1
@@ -1223,14 +1226,14 @@
         listing = event.listing
         assert listing.revision >= self.latest.get(event.identity, 0), "an order went back"
         self.latest[event.identity] = listing.revision
-        if listing.complete:
+        if listing.is_complete:
             self.view = {}
         else:
             assert event.identity == self.identity, "changes of an order that has not begun"
         self.identity = event.identity
-        for name in listing.removed:
+        for name in listing.removed_ids:
             self.view.pop(name, None)
-        self.view |= {m.id: m for m in listing.members}
+        self.view |= {m.id: m for m in listing.records}
         cluster = next(c for c in reversed(self.clusters) if f"{c.name}/0" == event.identity)
         now, before = cluster.states[listing.revision], cluster.states[listing.revision - 1]
         # A deletion that etcd itself dropped stays in view until the next count of the keys shows it.
@@ -1241,8 +1244,8 @@
         if self.follow.gap:
             return  # what fell into it comes with the list
         view = {n: m for n, m in self.view.items() if n not in self.swallowed}
-        if self.follow.whole >= listing.revision or listing.complete:
-            assert view == now and not (listing.complete and self.swallowed)
+        if self.follow.whole >= listing.revision or listing.is_complete:
+            assert view == now and not (listing.is_complete and self.swallowed)
         for name in view.keys() | now.keys():
             assert view.get(name) in (now.get(name), before.get(name))
 
--- a/tests/core/test_recovery.py
+++ b/tests/core/test_recovery.py
@@ -23,8 +23,8 @@
     Recovery,
     State,
 )
-from balancer.endpoints import Listing, Member
-from balancer.interface import ListKind, Phase
+from balancer.endpoints import EndpointList, EndpointRecord
+from balancer.interface import EndpointUpdateKind, Phase
 from tests.core.discovery.test_endpoint_merger import member, whole
 
 B, P, C, F = State.BLANK, State.PROVISIONAL, State.CONFIRMED, State.FULL
@@ -311,8 +311,8 @@
     @initialize()
     def begin(self) -> None:
         self.truth = {name: Truth() for name in SOURCES}
-        self.synced: dict[str, tuple[str, Listing]] = {}
-        self.written: dict[str, tuple[str, Listing]] = {}
+        self.synced: dict[str, tuple[str, EndpointList]] = {}
+        self.written: dict[str, tuple[str, EndpointList]] = {}
         self.life, self.now = 0, 0.0
         self.start()
 
@@ -323,7 +323,7 @@
         kept = r.Kept(self.life, self.now) if self.life else None
         acts = self.node.handle(self.now, r.Started(kept, self.now + 5.0))
         self.life = next(a.incarnation for a in acts if isinstance(a, r.Raise))
-        self.written, self.told = dict(self.synced), dict[str, Member]()
+        self.written, self.told = dict(self.synced), dict[str, EndpointRecord]()
         for name, (cluster, listing) in self.synced.items():
             self.hand(m.Listed(name, cluster, listing, saved=True, age_ms=5.0))
 
@@ -335,13 +335,13 @@
                 if isinstance(act, m.Continue):
                     work.append(m.Continued())
                 elif isinstance(act, m.Apply):  # as the module takes it
-                    if act.kind is not ListKind.CHANGES:
+                    if act.kind is not EndpointUpdateKind.INCREMENTAL:
                         self.told = {}
                     self.told |= {one.id: one for one in act.members}
                     for one in act.removed:
                         self.told.pop(one.id, None)
-        up = [held.entry for held in self.merge.view.values() if held.entry.phase is Phase.UP]
-        self.node.handle(self.now, r.ViewChanged(len(up), sum(e.age_ms is None for e in up)))
+        up = [held.endpoint for held in self.merge.view.values() if held.endpoint.phase is Phase.UP]
+        self.node.handle(self.now, r.ViewChanged(len(up), sum(e.cached_age_ms is None for e in up)))
 
     @rule(name=st.sampled_from(SOURCES), change=st.sampled_from(NAMES))
     def a_source_changes(self, name: str, change: str) -> None:
@@ -377,7 +377,7 @@
     def the_view_is_written(self, synced: bool) -> None:
         for name, source in self.merge.sources.items():
             if source.identity is not None and source.revision is not None:
-                listing = Listing(
+                listing = EndpointList(
                     source.revision, True, tuple(source.members.values()), tuple(sorted(source.removed))
                 )
                 self.written[name] = source.identity, listing
@@ -397,7 +397,7 @@
             if source.identity == cluster:
                 assert source.revision is not None and source.revision >= listing.revision
                 if source.revision == listing.revision:
-                    assert set(source.members) == {one.id for one in listing.members}
+                    assert set(source.members) == {one.id for one in listing.records}
 
     @invariant()
     def the_view_is_what_the_sources_said_last(self) -> None:
@@ -410,8 +410,12 @@
     @invariant()
     def whoever_is_vouched_for_is_so_by_a_source_that_spoke(self) -> None:
         for name, held in self.merge.view.items():
-            ages = [s.members[name].entry.age_ms for s in self.merge.sources.values() if name in s.members]
-            assert (held.entry.age_ms is None) == (None in ages)
+            ages = [
+                s.members[name].endpoint.cached_age_ms
+                for s in self.merge.sources.values()
+                if name in s.members
+            ]
+            assert (held.endpoint.cached_age_ms is None) == (None in ages)
 
 
 ComingBack.TestCase.settings = settings(max_examples=400, stateful_step_count=40, deadline=None)
--- a/tests/net/test_any_settings.py
+++ b/tests/net/test_any_settings.py
@@ -51,10 +51,10 @@
             codes = set()
             for number in range(30):
                 cls = rng.choice(cfg.classes)
-                key = ["Idempotency-Key: k"] * (cls.effect is api.Effect.KEYED)
+                key = ["Idempotency-Key: k"] * (cls.idempotency is api.Idempotency.KEYED)
                 if rng.random() < 0.3:
                     key += [f"Tenant: Ø {number}", "Client-Retry: 1", "Work-Hint: 0"]
-                method = "GET" if cls.effect is api.Effect.SAFE else "POST"
+                method = "GET" if cls.idempotency is api.Idempotency.IDEMPOTENT else "POST"
                 name = client.send(f"/{cls.name}?obj=%ff&obj", *key, method=method)
                 got = await client.answer()
                 codes.add(got.code)
--- a/tests/net/test_backend_pool.py
+++ b/tests/net/test_backend_pool.py
@@ -19,8 +19,8 @@
 
 from balancer.core.connection_admission import USUAL_BODY
 from balancer.core.stall_detector import STOOD_MS
-from balancer.endpoints import listing
-from balancer.interface import Effect, Settings, Status
+from balancer.endpoints import parse_endpoint_list
+from balancer.interface import AttemptStatus, Idempotency, Settings
 from balancer.interface import RequestClass as Class
 from balancer.net import backend_pool as upstream
 from balancer.net.backend_pool import (
@@ -34,7 +34,7 @@
 NewLoop = Callable[[], asyncio.AbstractEventLoop]
 LOOPS = pytest.mark.parametrize("new_loop", [asyncio.new_event_loop, uvloop.new_event_loop])
 LONG = 30.0  # s: a rest that no slow machine lives through, under the idle limit
-READ = Class("read", Effect.SAFE, aim=400.0, deadline=1000.0)
+READ = Class("read", Idempotency.IDEMPOTENT, latency_objective_ms=400.0, deadline_ms=1000.0)
 
 
 def run(test: Callable[[], Awaitable[None]], new_loop: NewLoop = uvloop.new_event_loop) -> None:
@@ -55,7 +55,7 @@
 def members(port: int, **over: Any) -> Any:
     """The list with one backend."""
     row = {"id": "b0", "host_port": f"127.0.0.1:{port}", "phase": "in_service"} | over
-    return listing({"revision": 1, "complete": True, "members": [row]}).members
+    return parse_endpoint_list({"revision": 1, "complete": True, "members": [row]}).records
 
 
 class Stand:
@@ -315,7 +315,7 @@
         else:
             phase = "terminating" if how == "drain" else "in_service"
             stand.pool.update(members(stand.port + (how == "moved"), phase=phase))
-        assert how == "drop" or (await stand.ended(2)).status is Status.MOOT
+        assert how == "drop" or (await stand.ended(2)).status is AttemptStatus.NOT_STARTED
         assert await asyncio.to_thread(peer.recv, 10) == b""
         await wait_until(lambda: not stand.pool.count)
         stand.close()
@@ -356,7 +356,7 @@
         stand.listener.setblocking(True)
         peer, _ = stand.listener.accept()
         peer.sendall(answer(b"nobody's"))
-        assert (await stand.ended(1)).status is Status.CONNECT_FAILED
+        assert (await stand.ended(1)).status is AttemptStatus.CONNECT_FAILED
         assert peer.recv(10) == b"" and stand.pool.count == 0
         peer.close()
         stand.close()
@@ -371,13 +371,13 @@
 @pytest.mark.parametrize(
     ("text", "status"),
     [
-        (answer(b"not mine"), Status.CONNECT_FAILED),
-        (answer(b"", "503 Service Unavailable", "Not-Started: 1"), Status.FULL),
-        (answer(b"", "500 Internal Server Error"), Status.ERROR),
+        (answer(b"not mine"), AttemptStatus.CONNECT_FAILED),
+        (answer(b"", "503 Service Unavailable", "Not-Started: 1"), AttemptStatus.REJECTED),
+        (answer(b"", "500 Internal Server Error"), AttemptStatus.ERROR),
     ],
 )
 def test_an_answer_before_the_last_byte_of_the_request(
-    new_loop: NewLoop, text: bytes, status: Status
+    new_loop: NewLoop, text: bytes, status: AttemptStatus
 ) -> None:
     async def test() -> None:
         stand = Stand()
@@ -396,20 +396,20 @@
 @pytest.mark.parametrize(
     ("text", "status", "kept"),
     [
-        (answer(b"mine") + b"x", Status.OK, False),
-        (answer(b"mine") + answer(b"mine again"), Status.OK, False),
-        (b"HTTP/1.1 102 P\r\nNot-Started: 1\r\n\r\n" * 3 + answer(b"mine"), Status.OK, True),
-        (b"HTTP/1.1 102 P\r\n\r\n" + answer(b"", "503 Busy", "Not-Started: 1"), Status.FULL, True),
-        (b"HTTP/1.1 103 E\r\nContent-Length: 9000000\r\n\r\n" + answer(b"mine"), Status.OK, True),
-        (b"HTTP/1.1 102 P\r\nNot-Started: 1\r\n\r\n" + answer(b"", "503 Busy"), Status.ERROR, True),
+        (answer(b"mine") + b"x", AttemptStatus.OK, False),
+        (answer(b"mine") + answer(b"mine again"), AttemptStatus.OK, False),
+        (b"HTTP/1.1 102 P\r\nNot-Started: 1\r\n\r\n" * 3 + answer(b"mine"), AttemptStatus.OK, True),
+        (b"HTTP/1.1 102 P\r\n\r\n" + answer(b"", "503 Busy", "Not-Started: 1"), AttemptStatus.REJECTED, True),
+        (b"HTTP/1.1 103 E\r\nContent-Length: 9000000\r\n\r\n" + answer(b"mine"), AttemptStatus.OK, True),
+        (b"HTTP/1.1 102 P\r\nNot-Started: 1\r\n\r\n" + answer(b"", "503 Busy"), AttemptStatus.ERROR, True),
         (
             b"HTTP/1.1 503 Busy\r\nTransfer-Encoding: chunked\r\n\r\n0\r\nNot-Started: 1\r\n\r\n",
-            Status.ERROR,
+            AttemptStatus.ERROR,
             True,
         ),
     ],
 )
-def test_what_stands_round_an_answer(text: bytes, status: Status, kept: bool) -> None:
+def test_what_stands_round_an_answer(text: bytes, status: AttemptStatus, kept: bool) -> None:
     """In one packet, and byte by byte up to the answer's end."""
 
     async def test() -> None:
@@ -443,21 +443,21 @@
 @pytest.mark.parametrize(
     ("text", "status"),
     [
-        (ENDLESS + b"mine", Status.OK),
-        (ENDLESS, Status.OK),
-        (b"HTTP/1.1 102 P\r\nContent-Length: 0\r\n\r\n" + ENDLESS + b"mine", Status.OK),
-        (b"HTTP/1.0 503 Busy\r\nNot-Started: 1\r\n\r\nbusy", Status.FULL),
-        (b"HTTP/1.0 500 Broken\r\n\r\nbroken", Status.ERROR),
-        (ENDLESS[:-2], Status.RESET),
-        (b"HTTP/1.1 102 P\r\n\r\n", Status.RESET),
-        (b"", Status.RESET),
-        (answer(b"mine")[:-1], Status.RESET),
-        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nmine\r\n0\r\n", Status.RESET),
-        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nmine", Status.RESET),
+        (ENDLESS + b"mine", AttemptStatus.OK),
+        (ENDLESS, AttemptStatus.OK),
+        (b"HTTP/1.1 102 P\r\nContent-Length: 0\r\n\r\n" + ENDLESS + b"mine", AttemptStatus.OK),
+        (b"HTTP/1.0 503 Busy\r\nNot-Started: 1\r\n\r\nbusy", AttemptStatus.REJECTED),
+        (b"HTTP/1.0 500 Broken\r\n\r\nbroken", AttemptStatus.ERROR),
+        (ENDLESS[:-2], AttemptStatus.RESET),
+        (b"HTTP/1.1 102 P\r\n\r\n", AttemptStatus.RESET),
+        (b"", AttemptStatus.RESET),
+        (answer(b"mine")[:-1], AttemptStatus.RESET),
+        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nmine\r\n0\r\n", AttemptStatus.RESET),
+        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nmine", AttemptStatus.RESET),
     ],
 )
 def test_an_answer_with_no_length_ends_with_its_connection_and_a_reset_is_no_end(
-    new_loop: NewLoop, text: bytes, status: Status, reset: str, one_turn: bool
+    new_loop: NewLoop, text: bytes, status: AttemptStatus, reset: str, one_turn: bool
 ) -> None:
     """Also where the last bytes and the reset are there before the loop turns."""
 
@@ -476,8 +476,8 @@
             peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         peer.close()
         end = await stand.ended(1)
-        assert end.status is (Status.RESET if reset else status) and stand.pool.count == 0
-        assert end.body == (b"" if reset or status is not Status.OK or text == ENDLESS else b"mine")
+        assert end.status is (AttemptStatus.RESET if reset else status) and stand.pool.count == 0
+        assert end.body == (b"" if reset or status is not AttemptStatus.OK or text == ENDLESS else b"mine")
         await turns(10)
         assert len(stand.ends) == 1
         stand.close()
@@ -498,7 +498,7 @@
         peer.shutdown(socket.SHUT_WR)
         await turns(5)
         peer.close()
-        assert (await stand.ended(1)).status is Status.CONNECT_FAILED and stand.pool.count == 0
+        assert (await stand.ended(1)).status is AttemptStatus.CONNECT_FAILED and stand.pool.count == 0
         stand.close()
 
     run(test, new_loop)
@@ -535,7 +535,7 @@
         await turns(3)
         stand.start(b"two")
         near.send(b"x")
-        assert (await stand.ended(2)).status is Status.MOOT
+        assert (await stand.ended(2)).status is AttemptStatus.NOT_STARTED
         assert await asyncio.to_thread(peer.recv, 10) == b""
         for sock in (near, far, news, told):
             sock.close()
@@ -577,7 +577,7 @@
             assert not stand.ends
             go.set()
         assert await asyncio.to_thread(peer.recv, 10) == b""
-        assert (await stand.ended(1 + kept)).status is Status.MOOT and stand.pool.count == 0
+        assert (await stand.ended(1 + kept)).status is AttemptStatus.NOT_STARTED and stand.pool.count == 0
         stand.start(b"ten", time.monotonic() + 3600)
         assert await stand.request(await stand.accept(), 3) == b"ten"
         stand.close()
@@ -613,7 +613,7 @@
         assert (await asyncio.to_thread(rest) == 0) is whole
         if whole:
             peer.sendall(answer(b"mine"))
-        assert (await stand.ended(1)).status is (Status.OK if whole else Status.MOOT)
+        assert (await stand.ended(1)).status is (AttemptStatus.OK if whole else AttemptStatus.NOT_STARTED)
         stand.close()
 
     run(test, new_loop)
@@ -633,7 +633,7 @@
         await stand.request(peer, 3)
         await asyncio.to_thread(peer.sendall, CHUNKED + TINY + b"0\r\n\r\n")
         end = await stand.ended(1)
-        assert end.status is Status.OK and len(end.body) == USUAL_BODY
+        assert end.status is AttemptStatus.OK and len(end.body) == USUAL_BODY
         stand.close()
 
     run(test)
@@ -666,7 +666,7 @@
         text = start + again * (1_000_000 // len(again))  # this much, and no end
         with contextlib.suppress(ConnectionError):
             await asyncio.to_thread(peer.sendall, text)
-        assert (await stand.ended(1)).status is Status.RESET
+        assert (await stand.ended(1)).status is AttemptStatus.RESET
         assert stand.pool.count == 0 and len(caplog.records) == 1
         assert len(caplog.records[0].getMessage()) < 200 and caplog.records[0].exc_info is None
         stand.start(b"two")
@@ -728,7 +728,9 @@
             cross(monkeypatch, *((end, nothing) if order == "before" else (nothing, end)))
             stand.start(b"two")
             never = reset and order == "before"  # its write fails at once
-            assert (await stand.ended(2)).status is (Status.CONNECT_FAILED if never else Status.RESET)
+            assert (await stand.ended(2)).status is (
+                AttemptStatus.CONNECT_FAILED if never else AttemptStatus.RESET
+            )
             assert stand.pool.count == 0
         await turns(10)
         stand.close()
@@ -749,7 +751,7 @@
         if reset:
             peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         peer.close()
-        assert (await stand.ended(1)).status is Status.CONNECT_FAILED and stand.pool.count == 0
+        assert (await stand.ended(1)).status is AttemptStatus.CONNECT_FAILED and stand.pool.count == 0
         await turns(10)
         stand.close()
 
@@ -767,7 +769,7 @@
         await stand.request(peer, 3)
         peer.sendall(answer(b"xx", "503 Busy", "Not-Started: 1")[:-1])
         peer.close()
-        assert (await stand.ended(1)).status is Status.RESET and stand.pool.count == 0
+        assert (await stand.ended(1)).status is AttemptStatus.RESET and stand.pool.count == 0
         stand.close()
 
     run(test, new_loop)
@@ -793,7 +795,9 @@
         if ending == "reset":
             peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         peer.close()
-        assert (await stand.ended(1)).status is (Status.RESET if whole else Status.CONNECT_FAILED)
+        assert (await stand.ended(1)).status is (
+            AttemptStatus.RESET if whole else AttemptStatus.CONNECT_FAILED
+        )
         assert stand.pool.count == 0
         await turns(10)
         stand.close()
@@ -890,7 +894,7 @@
             stand.pool.update(members(other.getsockname()[1]))
         if not written:
             end = await stand.ended(1)
-            assert end.status is Status.MOOT and stand.pool.count == 0
+            assert end.status is AttemptStatus.NOT_STARTED and stand.pool.count == 0
             assert (await stand.accept()).recv(10) == b""
         other.close()
         stand.close()
@@ -903,7 +907,7 @@
         stand = Stand(limit=2)
         for text in (b"one", b"two", b"six"):
             stand.start(text)
-        assert [end.status for end in stand.ends] == [Status.MOOT] and stand.pool.count == 2
+        assert [end.status for end in stand.ends] == [AttemptStatus.NOT_STARTED] and stand.pool.count == 2
         got = {await stand.request(await stand.accept(), 3) for _ in range(2)}
         assert got == {b"one", b"two"}
         stand.close()
--- a/tests/net/test_bulk_update.py
+++ b/tests/net/test_bulk_update.py
@@ -11,15 +11,15 @@
 import pytest
 
 from balancer.core.discovery import endpoint_merger as m
-from balancer.endpoints import Listing, Member
+from balancer.endpoints import EndpointList, EndpointRecord
 from balancer.interface import (
     Action,
-    ClientGone,
-    Entry,
+    ClientLeft,
+    Endpoint,
+    EndpointUpdateKind,
     Event,
-    ListKind,
+    LearnedStateRestored,
     Phase,
-    Remembered,
 )
 from balancer.net import request_dispatcher as node_module
 from balancer.net.config import load
@@ -114,7 +114,7 @@
             asked = asyncio.create_task(client.ask("/read", "Request-Timeout: 3000m"))
             await here.turns(lambda: here.node.open)
             assert here.node.laying and not here.sent
-            left = m.Listed("platform", "here", Listing(2, False, (), tuple(names[:7] + names[8:])))
+            left = m.Listed("platform", "here", EndpointList(2, False, (), tuple(names[:7] + names[8:])))
             here.fleet.hand(left)
             assert (await asked).code == 200 and here.sent == [names[7]]
             assert here.node.laying is None and here.node.balancer.order == [names[7]]
@@ -152,8 +152,11 @@
         (tmp_path / "c.json").write_text(json.dumps(configuration([], 1)))
         node = Node(load({"PROXY_CONFIG": str(tmp_path / "c.json")}))
         up = Phase.UP
-        found = [Member(Entry(f"s{n}", "a", 0, 1.0, up, 0.0), ("127.0.0.1", n + 1)) for n in range(count)]
-        node.apply(m.Apply(ListKind.CHANGES, tuple(found), (), 1))
+        found = [
+            EndpointRecord(Endpoint(f"s{n}", "a", 0, 1.0, up, 0.0), ("127.0.0.1", n + 1))
+            for n in range(count)
+        ]
+        node.apply(m.Apply(EndpointUpdateKind.INCREMENTAL, tuple(found), (), 1))
         handled, handle = list[str](), node.balancer.handle
 
         def noted(now: float, event: Event) -> list[Action]:
@@ -161,8 +164,8 @@
             return handle(now, event)
 
         node.balancer.handle = noted  # type: ignore[method-assign]
-        node.event(ClientGone("r1"))
-        node.event(Remembered(node.balancer.learned(node.now()), 0.0))
+        node.event(ClientLeft("r1"))
+        node.event(LearnedStateRestored(node.balancer.learned(node.now()), 0.0))
         assert node.ready is (count <= node_module.LARGE) and (node.laying is None) is node.ready
         await until(lambda: node.ready)
         assert len(node.balancer.order) == count
--- a/tests/net/test_cluster.py
+++ b/tests/net/test_cluster.py
@@ -20,7 +20,7 @@
 from balancer.core.anomaly_detection.detector import Told
 from balancer.core.cluster import failure_detector as p
 from balancer.core.discovery import endpoint_merger as ms
-from balancer.endpoints import Listing, Member
+from balancer.endpoints import EndpointList, EndpointRecord
 from balancer.net import cluster as net
 from balancer.net.admin_socket import Control
 from balancer.net.cluster import PeersPart
@@ -85,14 +85,16 @@
         assert self._socket is not None
         return cast(tuple[str, int], self._socket.getsockname())
 
-    def listed(self, revision: int, *members: Member, whole: bool = True, gone: tuple[str, ...] = ()) -> None:
+    def listed(
+        self, revision: int, *members: EndpointRecord, whole: bool = True, gone: tuple[str, ...] = ()
+    ) -> None:
         """Its discovery says so, an agent of its own that has servers at other addresses."""
-        host = f"127.0.1.{self.still.settings.me}"
+        host = f"127.0.1.{self.still.settings.node_index}"
         at = tuple(replace(one, address=(host, one.address[1])) for one in members)
-        self.fleet.hand(ms.Listed("platform", self.running.name, Listing(revision, whole, at, gone)))
+        self.fleet.hand(ms.Listed("platform", self.running.name, EndpointList(revision, whole, at, gone)))
 
     def phases(self) -> dict[str, str]:
-        return {name: one.entry.phase.value for name, one in self.fleet.membership.view.items()}
+        return {name: one.endpoint.phase.value for name, one in self.fleet.membership.view.items()}
 
     def states(self) -> dict[str, str]:
         return {one["name"]: one["state"] for one in self.report()["peers"]}
@@ -426,8 +428,8 @@
     run(test)
 
 
-def server(number: int, phase: api.Phase = api.Phase.UP) -> Member:
-    return Member(api.Entry(f"s{number}", "z", 0, 1.0, phase, 0.0), ("127.0.0.1", 9_000 + number))
+def server(number: int, phase: api.Phase = api.Phase.UP) -> EndpointRecord:
+    return EndpointRecord(api.Endpoint(f"s{number}", "z", 0, 1.0, phase, 0.0), ("127.0.0.1", 9_000 + number))
 
 
 def test_what_each_goes_by_is_told_and_who_differs_is_named() -> None:
--- a/tests/net/test_components.py
+++ b/tests/net/test_components.py
@@ -155,7 +155,7 @@
         def __init__(self, fails: bool = False) -> None:
             self.fails, self.seen = fails, 0
 
-        def saw(self, now_ms: float, event: Any, actions: Any) -> None:
+        def on_decision(self, now_ms: float, event: Any, actions: Any) -> None:
             self.seen += 1
             if self.fails:
                 raise ZeroDivisionError
@@ -165,7 +165,7 @@
     for eye in eyes:
         observers.add(eye)
     for _ in range(2):
-        node.observer.saw(0.0, None, [])
+        node.observer.on_decision(0.0, None, [])
     assert [eye.seen for eye in eyes] == [2, 1, 2] and "is taken off" in caplog.text
     observers.remove(eyes[0])
     assert node.observer is eyes[2], "one alone is called with nothing in between"
--- a/tests/net/test_endpoint_view.py
+++ b/tests/net/test_endpoint_view.py
@@ -12,7 +12,7 @@
 from balancer.core.cluster import gossiped_removals as hearsay
 from balancer.core.discovery.endpoint_merger import Apply, Heard, Source
 from balancer.core.discovery.etcd_watcher import EtcdConfig
-from balancer.endpoints import Member
+from balancer.endpoints import EndpointRecord
 from balancer.net.discovery.etcd import EtcdSource
 from balancer.net.endpoint_view import Fleet
 from balancer.net.etcd_component import ETCD, EtcdPart
@@ -31,7 +31,7 @@
     """Who is told of the view; it fails on request."""
 
     def __init__(self) -> None:
-        self.view: dict[str, Member] = {}
+        self.view: dict[str, EndpointRecord] = {}
         self.failing = False
 
     def now(self) -> float:
--- a/tests/net/test_persistence.py
+++ b/tests/net/test_persistence.py
@@ -28,7 +28,7 @@
 )
 from balancer.core.persistence import persisted_state as kept
 from balancer.core.persistence import write_behind as k
-from balancer.endpoints import Listing, Member
+from balancer.endpoints import EndpointList, EndpointRecord
 from balancer.net import clock
 from balancer.net import persistence as state
 from balancer.net import request_dispatcher as node_module
@@ -57,15 +57,15 @@
         await asyncio.sleep(0.005)
 
 
-def member(name: str, phase: api.Phase = api.Phase.UP) -> Member:
+def member(name: str, phase: api.Phase = api.Phase.UP) -> EndpointRecord:
     """One at an address of its own, with a start time of today's."""
     host = f"127.0.{sum(name.encode()) % 250}.{len(name)}"
-    return Member(api.Entry(name, "a", 0, 1.0, phase, 1.8e12), (host, 1000 + int(name[1:] or 0)))
+    return EndpointRecord(api.Endpoint(name, "a", 0, 1.0, phase, 1.8e12), (host, 1000 + int(name[1:] or 0)))
 
 
 def listed(revision: int, *names: str, complete: bool = True, **more: Any) -> Listed:
     found = tuple(member(name) for name in names)
-    return Listed("platform", "here", Listing(revision, complete, found, **more))
+    return Listed("platform", "here", EndpointList(revision, complete, found, **more))
 
 
 class Rig:
@@ -78,7 +78,7 @@
         self.node = Node(load({"PROXY_CONFIG": str(file)}))
         self.fleet = Fleet(self.node, [Source("platform")])
         names = known.split()
-        empty = Listing(41 if names else 0, True, tuple(map(member, names)))
+        empty = EndpointList(41 if names else 0, True, tuple(map(member, names)))
         self.fleet.hand(Listed("platform", "here", empty, saved=True))
         self.files = [SimFiles(disk) for disk in disks]
         left = iter(self.files)
@@ -88,7 +88,7 @@
         self.recovery.apply(ON)
 
     @property
-    def view(self) -> dict[str, Member]:
+    def view(self) -> dict[str, EndpointRecord]:
         return self.fleet.membership.view
 
     @property
@@ -164,9 +164,9 @@
             await one.opened()
             one.node.balancer.limit = 77.0
             for cls in one.node.balancer.classes.values():
-                cls.usual, cls.dev = cls.cfg.aim / 3, 9.0
+                cls.usual, cls.dev = cls.cfg.latency_objective_ms / 3, 9.0
             one.fleet.hand(listed(5, "s1", "s2", "s3"))
-            one.fleet.hand(listed(6, complete=False, removed=("s2",)))
+            one.fleet.hand(listed(6, complete=False, removed_ids=("s2",)))
             await one.kept()
             assert one.recovery.report()["memory"] == "none"
         async with rig(tmp_path, disk) as one:
@@ -176,14 +176,19 @@
             assert "first list" not in {phase["name"] for phase in told["phases"]}, "no source has spoken"
             assert told["store"]["open"] and told["phases"][0] == {"name": "imports", "ms": 20.0}
             assert set(one.view) == {"s1", "s3"}
-            assert one.view["s1"].entry.age_ms is not None and one.view["s1"].address == member("s1").address
+            assert (
+                one.view["s1"].endpoint.cached_age_ms is not None
+                and one.view["s1"].address == member("s1").address
+            )
             assert 60 < one.node.balancer.limit <= 77.0, "what was learned fades, from what it was"
             for cls in one.node.balancer.classes.values():
-                assert cls.cfg.aim / 3.5 < cls.usual <= cls.cfg.aim / 3
+                assert cls.cfg.latency_objective_ms / 3.5 < cls.usual <= cls.cfg.latency_objective_ms / 3
             one.fleet.hand(listed(5, "s1", "s2", "s3"))
             assert set(one.view) == {"s1", "s3"}, "the revision that was kept counts as seen"
             one.fleet.hand(listed(7, "s1", "s4"))
-            await until(lambda: set(one.view) == {"s1", "s4"} and one.view["s1"].entry.age_ms is None)
+            await until(
+                lambda: set(one.view) == {"s1", "s4"} and one.view["s1"].endpoint.cached_age_ms is None
+            )
 
     run(test)
 
@@ -213,7 +218,7 @@
             await one.opened()
             assert seen[:4] == [9, 8, 7, 6] and not source.pending
             await until(lambda: set(one.node.balancer.order) == set(left))
-            assert {held.entry.age_ms is None for held in one.view.values()} == {news is not None}
+            assert {held.endpoint.cached_age_ms is None for held in one.view.values()} == {news is not None}
             await one.kept()
         assert set(rows(disk, "view")) == set(left) and set(rows(disk, "ends")) == set(names) - set(left)
 
@@ -248,20 +253,20 @@
 
 def test_a_drain_is_kept_with_the_source_that_told_it(tmp_path: Path) -> None:
     disk = Disk()
-    drains = Listing(6, False, (member("s2", api.Phase.DRAINING),))
+    drains = EndpointList(6, False, (member("s2", api.Phase.DRAINING),))
 
     async def test() -> None:
         await life(tmp_path, disk, listed(5, "s1", "s2"), Listed("platform", "here", drains))
         async with rig(tmp_path, disk) as one:
             await one.opened()
-            assert one.view["s2"].entry.phase is api.Phase.DRAINING
-            assert one.view["s1"].entry.phase is api.Phase.UP
+            assert one.view["s2"].endpoint.phase is api.Phase.DRAINING
+            assert one.view["s1"].endpoint.phase is api.Phase.UP
             one.fleet.hand(listed(8, "s1", "s2"))
-            await until(lambda: one.view["s2"].entry.phase is api.Phase.UP)
+            await until(lambda: one.view["s2"].endpoint.phase is api.Phase.UP)
             await one.kept()
         async with rig(tmp_path, disk) as one:
             await one.opened()
-            assert one.view["s2"].entry.phase is api.Phase.UP
+            assert one.view["s2"].endpoint.phase is api.Phase.UP
 
     run(test)
 
@@ -279,16 +284,16 @@
             await one.opened()
             one.fleet.hand(listed(5, "s1", "s2"))
             one.fleet.hand(Configured((*one.fleet.membership.sources.values(), hearsay.source())))
-            for listing in (Listing(1, True, ()), Listing(2, False, (drains,))):
+            for listing in (EndpointList(1, True, ()), EndpointList(2, False, (drains,))):
                 one.fleet.hand(Listed("peers", "peers", listing))
             if own:
-                one.fleet.hand(Listed("platform", "here", Listing(6, False, (drains,))))
+                one.fleet.hand(Listed("platform", "here", EndpointList(6, False, (drains,))))
             await one.kept()
         async with rig(tmp_path, disk) as one:
             await one.opened()
-            assert one.view["s2"].entry.phase is api.Phase.DRAINING
+            assert one.view["s2"].endpoint.phase is api.Phase.DRAINING
             one.fleet.hand(listed(8, "s1", "s2"))
-            await until(lambda: one.view["s2"].entry.phase is api.Phase.UP)
+            await until(lambda: one.view["s2"].endpoint.phase is api.Phase.UP)
 
     run(test)
 
@@ -301,7 +306,7 @@
     """It has no age, and a machine may start with any clock after a power cut. What is not ended goes on."""
     disk = Disk()
 
-    def by_etcd(listing: Listing) -> Listed | Configured:
+    def by_etcd(listing: EndpointList) -> Listed | Configured:
         return Listed("etcd", "cluster", listing) if len(sources) > 1 else Configured((Source("platform"),))
 
     async def test() -> None:
@@ -309,9 +314,9 @@
             await one.opened()
             one.fleet.hand(Configured(tuple(map(Source, sources))))
             one.fleet.hand(listed(42, "s1", "s2", "s3", "s4"))
-            one.fleet.hand(by_etcd(Listing(3, True, (member("s2"), member("s4")))))
-            one.fleet.hand(listed(43, complete=False, removed=("s1",)))
-            one.fleet.hand(by_etcd(Listing(4, False, (), ("s4",))))
+            one.fleet.hand(by_etcd(EndpointList(3, True, (member("s2"), member("s4")))))
+            one.fleet.hand(listed(43, complete=False, removed_ids=("s1",)))
+            one.fleet.hand(by_etcd(EndpointList(4, False, (), ("s4",))))
             await until(lambda: "s1" not in one.view and len(one.view) == 4 - len(sources))
             await one.kept()
         left = {"s2", "s4"} if len(sources) == 1 else {"s2"}
@@ -343,7 +348,7 @@
 
     async def test() -> None:
         async with rig(tmp_path, disk, known="s1 s2") as one:
-            one.fleet.hand(listed(42, complete=False, removed=("s1",)))
+            one.fleet.hand(listed(42, complete=False, removed_ids=("s1",)))
             one.fleet.hand(listed(43, "s2"))
             await one.opened()
             await one.kept()
@@ -365,7 +370,7 @@
             await one.opened()
             one.fleet.hand(Configured(sources))
             one.fleet.hand(listed(5, "s1", "s2"))
-            for listing in (Listing(3, True, (member("s2"),)), Listing(4, False, (), ("s2",))):
+            for listing in (EndpointList(3, True, (member("s2"),)), EndpointList(4, False, (), ("s2",))):
                 one.fleet.hand(Listed("etcd", "cluster", listing))
             await until(lambda: set(one.view) == {"s1"})
             await one.kept()
@@ -373,9 +378,9 @@
             one.fleet.hand(Configured((Source("platform"), Source("etcd"))))
             await one.opened()
             one.fleet.hand(listed(6, "s1", "s2"))
-            await until(lambda: one.view["s1"].entry.age_ms is None)
+            await until(lambda: one.view["s1"].endpoint.cached_age_ms is None)
             assert set(one.view) == {"s1"}, "etcd has not listed it anew"
-            one.fleet.hand(Listed("etcd", "cluster", Listing(9, True, (member("s2"),))))
+            one.fleet.hand(Listed("etcd", "cluster", EndpointList(9, True, (member("s2"),))))
             await until(lambda: set(one.view) == {"s1", "s2"})
 
     run(test)
@@ -394,7 +399,7 @@
         monkeypatch.setattr(state.Memory, "_load", slow)
         async with rig(tmp_path, disk) as one:
             one.part.apply(ON)
-            moved = Listing(3, True, (member("s1"), member("s3")))
+            moved = EndpointList(3, True, (member("s1"), member("s3")))
             one.fleet.hand(Listed("platform", "there", moved))
             await until(lambda: set(one.view) == {"s1", "s3"})
             assert one.node.ready and one.part.memory is None, "it serves before the disk is there"
@@ -609,7 +614,7 @@
             await one.kept()
             told = changes(one.memory)
             for revision, gone in ((6, "s1"), (7, "s2"), (8, "s3")):
-                one.fleet.hand(listed(revision, complete=False, removed=(gone,)))
+                one.fleet.hand(listed(revision, complete=False, removed_ids=(gone,)))
             await until(lambda: sum(len(event.gone) for event in told) == 3)
             assert [event.revision for event in told if "s3" in event.gone] == [8]
 
@@ -618,11 +623,11 @@
 
 def test_a_source_some_of_whose_servers_cannot_be_kept_has_no_order_to_go_on_from(tmp_path: Path) -> None:
     disk = Disk()
-    odd = Member(member("s2").entry, ("127.0.0.9", 9))
-    odd.entry.backend = "s\0"
+    odd = EndpointRecord(member("s2").endpoint, ("127.0.0.9", 9))
+    odd.endpoint.id = "s\0"
 
     async def test() -> None:
-        listing = Listing(5, True, (member("s1"), odd))
+        listing = EndpointList(5, True, (member("s1"), odd))
         await life(tmp_path, disk, Listed("platform", "here", listing))
         found = msgspec.msgpack.decode(rows(disk, "sources")["platform"], type=kept.Source)
         assert (found.identity, found.revision) == ("", -1) and set(rows(disk, "view")) == {"s1"}
@@ -644,7 +649,7 @@
             told = one.recovery.report()
             assert told["memory"] == "older" and "a source" in told["waits_for"], told
             one.fleet.hand(Configured((*one.fleet.membership.sources.values(), hearsay.source())))
-            one.fleet.hand(Listed("peers", "peers", Listing(1, True, ())))
+            one.fleet.hand(Listed("peers", "peers", EndpointList(1, True, ())))
             assert one.recovery.recovery.state.value == "provisional", "other nodes are no source"
             one.fleet.hand(Heard("platform"))
             assert one.recovery.recovery.state.value == "confirmed"
@@ -663,13 +668,17 @@
             one.fleet.hand(listed(5, "s1"))
             now = one.node.now()
             for n in range(4):
-                part.saw(now, api.Arrival(f"r{n}", "read", now + 1_000), [])
-            done = api.Outcome("r0", 0, "s1", api.Status.OK, 5.0, True)
-            part.saw(now, done, [])
-            part.saw(now, api.Outcome("r1", 0, "s1", api.Status.FULL, 5.0, False), [api.Refuse("r1")])
-            part.saw(now, api.ClientGone("r2"), [])
+                part.on_decision(now, api.RequestArrived(f"r{n}", "read", now + 1_000), [])
+            done = api.AttemptFinished("r0", 0, "s1", api.AttemptStatus.OK, 5.0, True)
+            part.on_decision(now, done, [])
+            part.on_decision(
+                now,
+                api.AttemptFinished("r1", 0, "s1", api.AttemptStatus.REJECTED, 5.0, False),
+                [api.RejectRequest("r1")],
+            )
+            part.on_decision(now, api.ClientLeft("r2"), [])
             assert sum(asked for _, (asked, _) in meter._buckets) == 1, "one answer, no failure"
-            part.saw(now + 990, api.ClientGone("r3"), [])
+            part.on_decision(now + 990, api.ClientLeft("r3"), [])
             assert [sum(one) for one in zip(*(b for _, b in meter._buckets), strict=True)] == [2, 1]
             assert not part._open and not part._full
             names = {"imports", "first list", "first connects", "first answer", "first answer: read"}
@@ -695,20 +704,20 @@
         return load_it(memory)
 
     async def test() -> None:
-        await life(tmp_path, disk, listed(50, "s1", "s2"), listed(51, complete=False, removed=("s2",)))
+        await life(tmp_path, disk, listed(50, "s1", "s2"), listed(51, complete=False, removed_ids=("s2",)))
         monkeypatch.setattr(state.Memory, "_load", slow)
         monkeypatch.setattr(state, "HELD", 0.2 if answers == "nobody" else LIMIT_S)
         async with rig(tmp_path, disk, known="s1 s2") as one:  # of revision 41
-            saw = one.recovery.saw
+            saw = one.recovery.on_decision
 
             def sees(now: float, event: api.Event, actions: Sequence[api.Action]) -> None:
-                if isinstance(event, api.Arrival):
+                if isinstance(event, api.RequestArrived):
                     decided.append(set(one.view))
                 saw(now, event, actions)
 
-            monkeypatch.setattr(one.recovery, "saw", sees)
+            monkeypatch.setattr(one.recovery, "on_decision", sees)
             one.part.apply(ON)
-            one.node.event(api.Arrival("r", "read", one.node.now() + 10_000))
+            one.node.event(api.RequestArrived("r", "read", one.node.now() + 10_000))
             await asyncio.sleep(0.05)
             assert not decided
             if answers == "the disk":
@@ -747,10 +756,10 @@
         monkeypatch.setattr(state, "HELD", LIMIT_S)
         async with rig(tmp_path, Disk(), known="s1 s2") as one:
             one.part.apply(ON)
-            arrival = api.Arrival("r", "read", one.node.now() + 150)
+            arrival = api.RequestArrived("r", "read", one.node.now() + 150)
             one.node.arrival(arrival, cast(Client, Caller()), lambda wait: b"")
             await until(lambda: ends)
-            assert one.node.now() < arrival.deadline + 100 and not one.part.memory
+            assert one.node.now() < arrival.deadline_ms + 100 and not one.part.memory
             go.set()
             await until(lambda: one.part.memory)
             await asyncio.sleep(0.02)
--- a/tests/net/test_platform_discovery.py
+++ b/tests/net/test_platform_discovery.py
@@ -16,7 +16,7 @@
     Listed,
     Spoiled,
 )
-from balancer.endpoints import ListingBuilder
+from balancer.endpoints import EndpointListParser
 from balancer.net.discovery.platform import PlatformSource
 from tests.net.test_etcd_discovery import WAIT, run, until
 from tests.sockets import FakeDiscovery
@@ -28,14 +28,14 @@
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     """Guards against a source that waits for good behind a line that ended its callback."""
-    entry = ListingBuilder._entry
+    entry = EndpointListParser._entry
 
-    def fails(self: ListingBuilder, index: int, row: Any) -> None:
+    def fails(self: EndpointListParser, index: int, row: Any) -> None:
         if row["id"] == "odd":
             raise ZeroDivisionError
         entry(self, index, row)
 
-    monkeypatch.setattr(ListingBuilder, "_entry", fails)
+    monkeypatch.setattr(EndpointListParser, "_entry", fails)
     good: dict[str, Any] = {"id": "good", "host_port": "127.0.0.1:1", "phase": "in_service"}
 
     async def test() -> None:
--- a/tests/net/test_platform_recovery.py
+++ b/tests/net/test_platform_recovery.py
@@ -18,7 +18,7 @@
 
 from balancer.core.discovery import endpoint_merger as membership
 from balancer.core.discovery.endpoint_merger import Silenced, Source
-from balancer.endpoints import listing
+from balancer.endpoints import parse_endpoint_list
 from balancer.interface import Phase
 from balancer.net import request_dispatcher as real
 from balancer.net.config import load
@@ -125,7 +125,7 @@
 
     def drains(self, name: str = "b0") -> bool:
         member = self.fleet.membership.view.get(name)
-        return member is not None and member.entry.phase is not Phase.UP
+        return member is not None and member.endpoint.phase is not Phase.UP
 
     def silenced(self) -> int:
         return sum(isinstance(event, Silenced) for event in self.told)
@@ -497,7 +497,7 @@
         path = tmp_path / "config.json"
         path.write_text(json.dumps(configuration([backends[0].member()], agent.address[1])))
         config = load({"PROXY_CONFIG": str(path)})
-        config = replace(config, settings=replace(config.settings, drain_grace=500.0))
+        config = replace(config, settings=replace(config.settings, drain_grace_ms=500.0))
         node = real.Node(config)
         fleet = Fleet(node, [Source(platform.NAME)])
         identity = platform.identity(agent.address)
@@ -505,7 +505,7 @@
         source = PlatformSource(
             agent.address,
             False,
-            config.settings.drain_grace,
+            config.settings.drain_grace_ms,
             node.now,
             fleet.hand,
             lambda: fleet.resume(platform.NAME),
@@ -558,15 +558,15 @@
         path = tmp_path / "config.json"
         path.write_text(json.dumps(configuration([], agent.address[1])))
         config = load({"PROXY_CONFIG": str(path)})
-        settings = replace(config.settings, must_ask=True, ask_within=320.0)
+        settings = replace(config.settings, must_poll=True, poll_within_ms=320.0)
         node = real.Node(replace(config, settings=settings))
         fleet = Fleet(node, [Source(platform.NAME)])
         identity = platform.identity(agent.address)
-        known = listing(json.loads(agent.list))
+        known = parse_endpoint_list(json.loads(agent.list))
         node.discovery = source = PlatformSource(
             agent.address,
             True,
-            settings.drain_grace,
+            settings.drain_grace_ms,
             node.now,
             fleet.hand,
             lambda: fleet.resume(platform.NAME),
--- a/tests/net/test_request_dispatcher.py
+++ b/tests/net/test_request_dispatcher.py
@@ -18,17 +18,17 @@
 
 from balancer.core.discovery.endpoint_merger import Listed, Source
 from balancer.endpoints import (
-    ListError,
-    Listing,
-    listing,
-    member,
+    EndpointList,
+    EndpointListError,
+    parse_endpoint_list,
+    parse_record,
 )
 from balancer.interface import (
-    Arrival,
-    Effect,
-    Send,
+    AttemptStatus,
+    Idempotency,
+    RequestArrived,
+    SendAttempt,
     Settings,
-    Status,
 )
 from balancer.interface import RequestClass as Class
 from balancer.net.backend_pool import (
@@ -165,9 +165,9 @@
         for sock in fill:
             sock.setblocking(False)
             sock.connect_ex(mute.getsockname())
-        pool = Pool(Settings(classes=(READ,), connect_timeout=100.0), 10)
+        pool = Pool(Settings(classes=(READ,), connect_timeout_ms=100.0), 10)
         pool.update(_list("b0", mute.getsockname()[1]))
-        assert (await _attempt(pool, b"GET / HTTP/1.1\r\n\r\n")).status is Status.CONNECT_FAILED
+        assert (await _attempt(pool, b"GET / HTTP/1.1\r\n\r\n")).status is AttemptStatus.CONNECT_FAILED
         assert pool.count == 0
         for sock in [mute, *fill]:
             sock.close()
@@ -175,17 +175,17 @@
     run(test)
 
 
-def know(node: Node, known: Listing) -> None:
+def know(node: Node, known: EndpointList) -> None:
     """Have the node know these backends."""
     Fleet(node, [Source("platform")]).hand(Listed("platform", "here", known, saved=True))
 
 
-READ = Class("read", Effect.SAFE, aim=400.0, deadline=1000.0)
+READ = Class("read", Idempotency.IDEMPOTENT, latency_objective_ms=400.0, deadline_ms=1000.0)
 
 
 def _list(name: str, port: int, **over: Any) -> Any:
     row = {"id": name, "host_port": f"127.0.0.1:{port}", "phase": "in_service"} | over
-    return listing({"revision": 1, "complete": True, "members": [row]}).members
+    return parse_endpoint_list({"revision": 1, "complete": True, "members": [row]}).records
 
 
 async def _attempt(pool: Pool, data: bytes, meanwhile: Callable[[], Any] = lambda: None) -> Answer:
@@ -205,11 +205,11 @@
             met.set()
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
-        pool = Pool(Settings(classes=(READ,), conn_idle=1000.0, connect_timeout=HOUR), 10)
+        pool = Pool(Settings(classes=(READ,), connection_idle_ms=1000.0, connect_timeout_ms=HOUR), 10)
         pool.update(_list("b0", server.sockets[0].getsockname()[1]))
-        assert (await _attempt(pool, b"x" * 64_000_000)).status is Status.CONNECT_FAILED
+        assert (await _attempt(pool, b"x" * 64_000_000)).status is AttemptStatus.CONNECT_FAILED
         await met.wait()
-        assert (await _attempt(pool, b"x")).status is Status.RESET
+        assert (await _attempt(pool, b"x")).status is AttemptStatus.RESET
         server.close()
 
     run(test)
@@ -219,13 +219,13 @@
     async def test() -> None:
         backend = Backend("b0")
         await backend.start()
-        pool = Pool(Settings(classes=(READ,), conn_idle=1000.0, connect_timeout=HOUR), 10)
+        pool = Pool(Settings(classes=(READ,), connection_idle_ms=1000.0, connect_timeout_ms=HOUR), 10)
         for change in ({"phase": "terminating"}, None, {"host_port": "127.0.0.1:9"}):
             pool.update(_list("b0", backend.port))
             late = _list("b0", backend.port, **change) if change else ()
             gone = () if change else ("b0",)
             got = await _attempt(pool, b"x", partial(pool.update, late, gone))
-            assert got.status is Status.MOOT
+            assert got.status is AttemptStatus.NOT_STARTED
             assert pool.count == 0
         assert backend.got.empty()
         backend.stop()
@@ -238,7 +238,7 @@
 
     async def test() -> None:
         listener = socket.create_server(("127.0.0.1", 0))
-        pool = Pool(Settings(classes=(READ,), conn_idle=1000.0, connect_timeout=HOUR), 10)
+        pool = Pool(Settings(classes=(READ,), connection_idle_ms=1000.0, connect_timeout_ms=HOUR), 10)
         pool.update(_list("b0", listener.getsockname()[1]))
         attempt = pool.start("b0", b"hello", lambda answer: None)
         loop = asyncio.get_running_loop()
@@ -260,19 +260,19 @@
 
     async def test() -> None:
         backends = [Backend("b0"), Backend("b1", never)]
-        pool = Pool(Settings(classes=(READ,), conn_idle=60_000.0, connect_timeout=HOUR), 1)
+        pool = Pool(Settings(classes=(READ,), connection_idle_ms=60_000.0, connect_timeout_ms=HOUR), 1)
         members = ()
         for backend in backends:
             await backend.start()
             members += _list(backend.name, backend.port)
         pool.update(members)
         request = b"GET / HTTP/1.1\r\nrequest-id: 1\r\n\r\n".replace(b"request-id:", b"Request-Id:")
-        assert (await _attempt(pool, request)).status is Status.OK
+        assert (await _attempt(pool, request)).status is AttemptStatus.OK
         attempt = pool.start("b1", request, lambda answer: None)
         await backends[1].got.get()
         await backends[0].lost.get()
         assert pool.count == 1
-        assert (await _attempt(pool, request)).status is Status.MOOT
+        assert (await _attempt(pool, request)).status is AttemptStatus.NOT_STARTED
         attempt.drop()
         for backend in backends:
             backend.stop()
@@ -286,7 +286,7 @@
     async def test() -> None:
         backend = Backend("b0", says(answer(b"x")))
         await backend.start()
-        pool = Pool(Settings(classes=(READ,), conn_idle=60_000.0, connect_timeout=HOUR), 1)
+        pool = Pool(Settings(classes=(READ,), connection_idle_ms=60_000.0, connect_timeout_ms=HOUR), 1)
         pool.update(_list("b0", backend.port))
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
         resource.setrlimit(resource.RLIMIT_NOFILE, (0, hard))
@@ -294,8 +294,8 @@
             got = await _attempt(pool, b"GET / HTTP/1.1\r\n\r\n")
         finally:
             resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
-        assert got.status is Status.MOOT and pool.count == 0
-        assert (await _attempt(pool, b"GET / HTTP/1.1\r\n\r\n")).status is Status.OK
+        assert got.status is AttemptStatus.NOT_STARTED and pool.count == 0
+        assert (await _attempt(pool, b"GET / HTTP/1.1\r\n\r\n")).status is AttemptStatus.OK
         backend.stop()
 
     run(test)
@@ -447,7 +447,7 @@
 
 def test_load_reports() -> None:
     report = parse_report("TEXT inflight=7, queue=2, util=0.61, other=3")
-    assert (report.in_flight, report.queue, report.cpu) == (7.0, 2.0, 0.61)
+    assert (report.in_flight, report.queued, report.cpu_load) == (7.0, 2.0, 0.61)
     for bad in ("", "JSON {}", "TEXT inflight", "TEXT inflight=x", "TEXT inflight=nan", "TEXT queue=-1"):
         with pytest.raises(ValueError):
             parse_report(bad)
@@ -704,11 +704,11 @@
 )
 def test_bad_entries_are_named(row: dict[str, Any]) -> None:
     good = {"id": "b0", "host_port": "127.0.0.1:1", "phase": "in_service"}
-    with pytest.raises(ListError):
-        member(good | row if row else "b0")
+    with pytest.raises(EndpointListError):
+        parse_record(good | row if row else "b0")
     rows = [good | {"id": "b1"}, good | row if row else "b0"]
-    got = listing({"revision": 1, "complete": True, "members": rows})
-    assert [one.id for one in got.members] == ["b1"] and len(got.faults) == 1
+    got = parse_endpoint_list({"revision": 1, "complete": True, "members": rows})
+    assert [one.id for one in got.records] == ["b1"] and len(got.invalid_entries) == 1
 
 
 # --- bad input
@@ -833,7 +833,7 @@
         listener = socket.create_server(("127.0.0.1", 0))
         listener.setblocking(False)
         loop = asyncio.get_running_loop()
-        pool = Pool(Settings(classes=(READ,), conn_idle=60_000.0, connect_timeout=HOUR), 10)
+        pool = Pool(Settings(classes=(READ,), connection_idle_ms=60_000.0, connect_timeout_ms=HOUR), 10)
         pool.update(_list("b0", listener.getsockname()[1]))
         ends: list[Answer] = []
         pool.start("b0", b"one", ends.append)
@@ -883,7 +883,7 @@
         node.open["r"] = Open(nobody, node.now() + 4000.0, lambda wait: b"")
         before = time.monotonic()
         for begin_by in (math.inf, node.now() + 500.0):
-            node._act(Send("r", "b0", 0.0, begin_by=begin_by))
+            node._act(SendAttempt("r", "b0", 0.0, start_before_ms=begin_by))
         assert told[0] == math.inf and before <= told[1] - 0.5 + 1e-5 <= time.monotonic() + 1e-4
 
     run(test)
@@ -902,13 +902,13 @@
         know(node, config.known)
         front = Front(node, 9)
         await front.listen(("127.0.0.1", 0))
-        decide = node.balancer.on[Arrival]
+        decide = node.balancer.on[RequestArrived]
 
         def broken(event: Any) -> None:
             decide(event)
             raise RuntimeError("half-way")
 
-        node.balancer.on[Arrival] = broken
+        node.balancer.on[RequestArrived] = broken
         client = Client(*await asyncio.open_connection(*front.address))
         assert (await client.ask("/once", method="POST")).code == 502
         assert node.balancer.out == 0 and not node.balancer.requests and not node.open
--- a/tests/net/test_slow_connections.py
+++ b/tests/net/test_slow_connections.py
@@ -17,19 +17,20 @@
     """Keeps the outcomes."""
 
     def __init__(self) -> None:
-        self.outcomes: list[api.Outcome] = []
+        self.outcomes: list[api.AttemptFinished] = []
 
-    def saw(self, now_ms: float, event: api.Event, actions: Sequence[api.Action]) -> None:
+    def on_decision(self, now_ms: float, event: api.Event, actions: Sequence[api.Action]) -> None:
         """Look at one event."""
-        if isinstance(event, api.Outcome):
+        if isinstance(event, api.AttemptFinished):
             self.outcomes.append(event)
 
 
 @pytest.mark.parametrize(
-    ("connect", "status"), [(3_600_000, api.Status.MOOT), (60, api.Status.CONNECT_FAILED)]
+    ("connect", "status"),
+    [(3_600_000, api.AttemptStatus.NOT_STARTED), (60, api.AttemptStatus.CONNECT_FAILED)],
 )
 def test_an_attempt_cut_short_while_its_connection_comes_up_tells_nothing_of_the_backend(
-    tmp_path: Path, connect: int, status: api.Status
+    tmp_path: Path, connect: int, status: api.AttemptStatus
 ) -> None:
     """Guards a backend against being left alone for the little time that a request had."""
 
@@ -48,7 +49,7 @@
             assert got.code == 503  # nothing ran
             (end,) = seen.outcomes
             assert end.status is status and gate.tried == 1
-            assert known.fails == (status is api.Status.CONNECT_FAILED) and known.until == 0.0
+            assert known.fails == (status is api.AttemptStatus.CONNECT_FAILED) and known.until == 0.0
             assert backend.got.empty()
             client.writer.transport.abort()
         backend.stop()
--- a/tests/observability/test_metrics.py
+++ b/tests/observability/test_metrics.py
@@ -14,7 +14,7 @@
     Started,
     ViewChanged,
 )
-from balancer.interface import Status, Why
+from balancer.interface import AttemptStatus, DecisionReason
 from balancer.observability.metrics import SERVERS, Metrics
 from balancer.timeline.monitor import Watch
 from tests.helpers import BASE
@@ -26,9 +26,13 @@
     for server in servers:
         for n in range(each):
             name = f"{server}.{start:.0f}.{n}"
-            send = api.Send(name, server, 0.0, Why.LOWEST_BELOW_M, Why.FIRST_TRY, 3)
-            watch.saw(start, api.Arrival(name, "read", start + 1_000), [send])
-            watch.saw(start + took, api.Outcome(name, 0, server, Status.OK, took, True), [])
+            send = api.SendAttempt(
+                name, server, 0.0, DecisionReason.LOWEST_ESTIMATE_BELOW_CAP, DecisionReason.FIRST_ATTEMPT, 3
+            )
+            watch.on_decision(start, api.RequestArrived(name, "read", start + 1_000), [send])
+            watch.on_decision(
+                start + took, api.AttemptFinished(name, 0, server, AttemptStatus.OK, took, True), []
+            )
     for n in range(1, 9):
         watch.begin(start + 1_000 * n)
         while watch.step():
@@ -81,8 +85,8 @@
 def test_what_is_scraped_is_what_happened() -> None:
     watch = Watch(BASE, 8.0)
     play(watch, ["a", "b"])
-    refused = api.Refuse("no", 0.0, Why.SHED_BY_SUCCESS)
-    watch.saw(NOW + 9_000, api.Arrival("no", "read", NOW + 10_000), [refused])
+    refused = api.RejectRequest("no", 0.0, DecisionReason.SHED_BY_SUCCESS_RATE)
+    watch.on_decision(NOW + 9_000, api.RequestArrived("no", "read", NOW + 10_000), [refused])
     play(watch, ["a"], start=NOW + 10_000)
     got = read(Metrics(watch))
     requests = got["dillport_requests"]
--- a/tests/policy/reference_selection.py
+++ b/tests/policy/reference_selection.py
@@ -28,7 +28,7 @@
 def order(known: Iterable[Backend]) -> list[Backend]:
     """A node's own order: those that are up, near ones first, then by rank."""
     up = [b for b in known if b.entry.phase is api.Phase.UP]
-    return sorted(up, key=lambda b: (not b.near, b.rank, b.entry.backend))
+    return sorted(up, key=lambda b: (not b.near, b.rank, b.entry.id))
 
 
 def window(known: Iterable[Backend], width: int, out: int) -> list[Backend]:
@@ -39,8 +39,8 @@
 
 def warmth(b: Backend, now: float, cold_share: float, ramp_time: float) -> float:
     """The part of its capacity that a backend surely has."""
-    age = now - b.entry.started_at
-    if b.entry.started_at == 0 or ramp_time == 0 or age >= ramp_time:
+    age = now - b.entry.started_at_ms
+    if b.entry.started_at_ms == 0 or ramp_time == 0 or age >= ramp_time:
         return 1.0
     return cold_share + (1 - cold_share) * max(age, 0.0) / ramp_time
 
@@ -49,7 +49,11 @@
     """Ejected or busy; else cold; else ready."""
     if b.until > now or b.busy > now:
         return Place.AWAY
-    return Place.COLD if warmth(b, now, cfg.cold_share, cfg.ramp_time) < 1 else Place.READY
+    return (
+        Place.COLD
+        if warmth(b, now, cfg.slow_start_initial_fraction, cfg.slow_start_duration_ms) < 1
+        else Place.READY
+    )
 
 
 def eligible(
@@ -81,9 +85,9 @@
     pool = [b for b in pool if b.out <= sum(x.out for x in pool) / len(pool) + 1e-9]
     low = min((b.estimate for b in pool), default=0)
     if low < m:
-        parts = {b.entry.backend: float(b.estimate == low) for b in pool}
+        parts = {b.entry.id: float(b.estimate == low) for b in pool}
     else:
-        parts = {b.entry.backend: (bounded(b.entry.weight) / b.slow) ** 2 / (1 + b.out) for b in pool}
+        parts = {b.entry.id: (bounded(b.entry.weight) / b.slow) ** 2 / (1 + b.out) for b in pool}
     return {name: part / sum(parts.values()) for name, part in parts.items() if part > 0}
 
 
@@ -121,28 +125,32 @@
 
     def __init__(self) -> None:
         self.known: dict[str, Count] = {}
-        self.entries: dict[str, api.Entry] = {}
+        self.entries: dict[str, api.Endpoint] = {}
         self.sent: dict[str, list[str | None]] = {}  # for each request its attempts; None: over
 
     def event(self, ev: api.Event) -> None:
         """Take note of what the node was told."""
-        if isinstance(ev, api.Arrival):
+        if isinstance(ev, api.RequestArrived):
             self.sent[ev.request] = []
-        elif isinstance(ev, api.ListUpdate) and ev.kind is not api.ListKind.FAILED:
-            named = {e.backend for e in ev.entries}
-            for old in [n for n in self.entries if n not in named and ev.kind is not api.ListKind.CHANGES]:
+        elif isinstance(ev, api.EndpointsUpdated) and ev.kind is not api.EndpointUpdateKind.FAILED:
+            named = {e.id for e in ev.endpoints}
+            for old in [
+                n
+                for n in self.entries
+                if n not in named and ev.kind is not api.EndpointUpdateKind.INCREMENTAL
+            ]:
                 self._gone(old)
-            for entry in ev.entries:
+            for entry in ev.endpoints:
                 self._entry(entry)
-        elif isinstance(ev, api.Outcome):
+        elif isinstance(ev, api.AttemptFinished):
             name = self.sent[ev.request][ev.attempt]
             assert name is not None
             self.sent[ev.request][ev.attempt] = None
             count = self.known[name]
             count.out -= 1
-            told = ev.report or api.Report()
-            load = told.queue if told.in_flight is None else told.in_flight
-            if ev.status is api.Status.OK and load is not None and load < 0.5:
+            told = ev.load_report or api.LoadReport()
+            load = told.queued if told.in_flight is None else told.in_flight
+            if ev.status is api.AttemptStatus.OK and load is not None and load < 0.5:
                 count.estimate = count.out
             if name not in self.entries and not count.out:
                 del self.known[name]
@@ -150,21 +158,21 @@
     def actions(self, acts: Iterable[api.Action]) -> None:
         """Take note of what was sent."""
         for act in acts:
-            if isinstance(act, api.Send):
+            if isinstance(act, api.SendAttempt):
                 self.sent[act.request].append(act.backend)
                 self.known[act.backend].out += 1
                 self.known[act.backend].estimate += 1
 
-    def _entry(self, entry: api.Entry) -> None:
-        if entry.phase is not api.Phase.GONE:
-            self.known.setdefault(entry.backend, Count())
-            self.entries[entry.backend] = entry
-        if (count := self.known.get(entry.backend)) is not None:
-            if entry.started_at > count.started:
+    def _entry(self, entry: api.Endpoint) -> None:
+        if entry.phase is not api.Phase.REMOVED:
+            self.known.setdefault(entry.id, Count())
+            self.entries[entry.id] = entry
+        if (count := self.known.get(entry.id)) is not None:
+            if entry.started_at_ms > count.started:
                 count.estimate = count.out  # restarted: what was sent before is no part of it
-            count.started = entry.started_at
-        if entry.phase is api.Phase.GONE:
-            self._gone(entry.backend)
+            count.started = entry.started_at_ms
+        if entry.phase is api.Phase.REMOVED:
+            self._gone(entry.id)
 
     def _gone(self, name: str) -> None:
         self.entries.pop(name, None)
--- a/tests/policy/test_any_settings.py
+++ b/tests/policy/test_any_settings.py
@@ -25,12 +25,12 @@
 
 ZONES = ["", "a", "b", "zürich 1", "-"]
 WORDS = {
-    api.Effect.SAFE: "retryable",
-    api.Effect.KEYED: "dedup",
-    api.Effect.UNSAFE: "fragile",
-    api.Reports.ANSWERS: "inline",
-    api.Reports.PROBES: "on_probe",
-    api.Reports.NONE: "off",
+    api.Idempotency.IDEMPOTENT: "retryable",
+    api.Idempotency.KEYED: "dedup",
+    api.Idempotency.NON_IDEMPOTENT: "fragile",
+    api.LoadReportSource.RESPONSES: "inline",
+    api.LoadReportSource.PROBES: "on_probe",
+    api.LoadReportSource.NONE: "off",
 }
 TRIES = [1, 1, 2, 3, 8]
 
@@ -40,52 +40,52 @@
     deadline = rng.choice([60.0, 61.5, 200.0, 1_000.0, 4_000.0, 30_000.0])
     return api.RequestClass(
         f"k{number}",
-        rng.choice(list(api.Effect)),
-        aim=rng.choice([deadline, deadline, 0.5 * deadline, 0.01 * deadline, 2 * deadline]),
-        deadline=deadline,
-        value=rng.choice([0.0, 0.1, 1.0, 1.0, 12.0, 1e6]),
-        late_worth=rng.choice([0.0, 0.0, 0.3, 1.0]),
-        group=rng.choice(list(api.Group)),
-        memory_span=rng.choice([0.0, 1.0, deadline / 3, deadline, 10 * deadline]),
-        aim_stretch=rng.choice([0.0, 0.0, 3.0]),
-        streamed=rng.random() < 0.1,
+        rng.choice(list(api.Idempotency)),
+        latency_objective_ms=rng.choice([deadline, deadline, 0.5 * deadline, 0.01 * deadline, 2 * deadline]),
+        deadline_ms=deadline,
+        priority_weight=rng.choice([0.0, 0.1, 1.0, 1.0, 12.0, 1e6]),
+        late_priority_weight=rng.choice([0.0, 0.0, 0.3, 1.0]),
+        deduplication_scope=rng.choice(list(api.DeduplicationScope)),
+        deduplication_window_ms=rng.choice([0.0, 1.0, deadline / 3, deadline, 10 * deadline]),
+        latency_objective_stretch=rng.choice([0.0, 0.0, 3.0]),
+        is_streamed=rng.random() < 0.1,
     )
 
 
 def any_settings(rng: random.Random) -> api.Settings:
     """Drawn over all that a site file may say."""
     group_size = rng.choice([1, 2, 10, 200, 1000])
-    probing, reports = rng.random() < 0.3, rng.choice(list(api.Reports))
+    probing, reports = rng.random() < 0.3, rng.choice(list(api.LoadReportSource))
     live = rng.random() < 0.4
     zones = tuple(rng.sample(ZONES[1:], rng.randint(0, 4)))
     return api.Settings(
         classes=tuple(any_class(rng, number) for number in range(rng.choice([1, 2, 3, 12]))),
-        me=rng.randrange(group_size),
-        group_size=group_size,
+        node_index=rng.randrange(group_size),
+        node_count=group_size,
         zone=rng.choice(ZONES),
-        tick=rng.choice([0.1, 1.0, 5.0, 20.0]),
+        tick_ms=rng.choice([0.1, 1.0, 5.0, 20.0]),
         tenants=tuple(api.Tenant(f"Ø {i}", 50.0 * (i % 2), 0.1) for i in range(rng.choice([0, 1, 40]))),
-        charges=api.Charges(probe=rng.choice([0.0, 0.01]), cross_zone=rng.choice([0.0, 0.01, 0.02, 0.5])),
-        must_ask=rng.random() < 0.3,
-        reports=reports,
-        probing=probing,
+        prices=api.Prices(probe=rng.choice([0.0, 0.01]), cross_zone=rng.choice([0.0, 0.01, 0.02, 0.5])),
+        must_poll=rng.random() < 0.3,
+        load_report_source=reports,
+        probing_enabled=probing,
         may_cancel=rng.random() < 0.6,
-        second_copies=rng.random() < 0.5,
+        may_hedge=rng.random() < 0.5,
         max_attempts=rng.choice(TRIES),
-        max_retry_after=rng.choice([0.0, 1.0, 2_000.0]),
-        ask_within=rng.choice([100.0, 10_000.0]),
-        drain_grace=rng.choice([50.0, 500.0, 10_000.0]),
-        cold_share=rng.choice([0.0, 0.0, 0.3, 1.0]),
-        ramp_time=rng.choice([0.0, 1.0, 8_800.0, 1e6]),
-        fall_window=rng.choice([1.0, 1_000.0, 1e5]),
-        fall_multiple=rng.choice([0.01, 1.0, 3.0, 100.0]),
-        weighted=live or rng.random() < 0.5,
-        live_weights=live,
+        max_retry_after_ms=rng.choice([0.0, 1.0, 2_000.0]),
+        poll_within_ms=rng.choice([100.0, 10_000.0]),
+        drain_grace_ms=rng.choice([50.0, 500.0, 10_000.0]),
+        slow_start_initial_fraction=rng.choice([0.0, 0.0, 0.3, 1.0]),
+        slow_start_duration_ms=rng.choice([0.0, 1.0, 8_800.0, 1e6]),
+        overload_window_ms=rng.choice([1.0, 1_000.0, 1e5]),
+        overload_multiple=rng.choice([0.01, 1.0, 3.0, 100.0]),
+        has_weights=live or rng.random() < 0.5,
+        has_live_weights=live,
         zones=zones,
-        connect_timeout=rng.choice([1.0, 60.0, 500.0]),
-        retries_marked=rng.random() < 0.5,
-        max_open=rng.choice([1, 50, 20_000]),
-        conn_idle=rng.choice([0.0, 300.0, 10_000.0]),
+        connect_timeout_ms=rng.choice([1.0, 60.0, 500.0]),
+        are_retries_marked=rng.random() < 0.5,
+        max_open_requests=rng.choice([1, 50, 20_000]),
+        connection_idle_ms=rng.choice([0.0, 300.0, 10_000.0]),
     )
 
 
@@ -99,7 +99,7 @@
         # Stricter than the settings: never two copies out, and nothing to whom the node knows to be leaving.
         self.late = rng.random() < 0.3  # timers, and time-outs, come late and in any order
         slack = math.inf if self.late else 0.0
-        self.check = RuleChecker(replace(cfg, second_copies=False, drain_grace=-1.0, answer_slack=slack))
+        self.check = RuleChecker(replace(cfg, may_hedge=False, drain_grace_ms=-1.0, response_slack_ms=slack))
         self.rtt = rng.choice([0.1, 1.0, 50.0, 250.0])
         self.timers: list[tuple[float, int]] = []
         self.live: list[tuple[float, str, int, str, float]] = []  # end, request, attempt, backend, sent
@@ -109,10 +109,10 @@
         self.names = [f"b{i}" for i in range(rng.choice([0, 1, 2, 3, 3, 9, 9, 40, 40, 400]))]
         self.serial = 0
 
-    def listed(self, name: str) -> api.Entry:
+    def listed(self, name: str) -> api.Endpoint:
         """What a list may say of a backend."""
         rng = self.rng
-        up = [api.Phase.UP] * 6 + [api.Phase.DRAINING, api.Phase.GONE]
+        up = [api.Phase.UP] * 6 + [api.Phase.DRAINING, api.Phase.REMOVED]
         return entry(
             name,
             zone=rng.choice(ZONES),
@@ -120,54 +120,54 @@
             phase=rng.choice(up),
             weight=rng.choice([0.0, 1e-9, 0.4, 1.0, 1.0, 3.7, 1e300]),
             kind=rng.choice(["", "x"]),
-            started_at=rng.choice([0.0, 0.0, self.now - rng.uniform(0, 9e3), self.now, self.now + 5e3]),
-            age_ms=rng.choice([None, None, None, 0.0, 1e5]),
+            started_at_ms=rng.choice([0.0, 0.0, self.now - rng.uniform(0, 9e3), self.now, self.now + 5e3]),
+            cached_age_ms=rng.choice([None, None, None, 0.0, 1e5]),
         )
 
     def tell(self, ev: api.Event, odd: bool = False) -> None:
         """One event; an odd one is of what the node does not have, and changes nothing for the judge."""
         if not odd:
             self.check.event(self.now, ev)
-            if isinstance(ev, api.Arrival):  # one that comes too late is answered at once
-                self.check.seen[ev.request].deadline = max(self.now, ev.deadline)
+            if isinstance(ev, api.RequestArrived):  # one that comes too late is answered at once
+                self.check.seen[ev.request].deadline = max(self.now, ev.deadline_ms)
         acts = self.b.handle(self.now, ev)
         for act in acts:
             self.check.actions(self.now, [act])
             if isinstance(act, api.SetTimer):
-                assert math.isfinite(act.when)
-                self.timers.append((act.when, act.token))
-            elif isinstance(act, api.Probe):
-                assert self.cfg.probing
+                assert math.isfinite(act.at_ms)
+                self.timers.append((act.at_ms, act.token))
+            elif isinstance(act, api.SendProbe):
+                assert self.cfg.probing_enabled
                 self.probes.append((act.backend, self.now))
-            elif isinstance(act, api.Send):
+            elif isinstance(act, api.SendAttempt):
                 self._sent(act)
-            elif isinstance(act, api.Cancel):
+            elif isinstance(act, api.CancelAttempt):
                 out = {(rid, number) for _, rid, number, _, _ in self.live}
                 assert self.cfg.may_cancel and (act.request, act.attempt) in out
                 assert act.request not in self.streams
-            elif isinstance(act, api.Refuse):
-                assert 0.0 <= act.retry_after <= self.cfg.max_retry_after
-            elif isinstance(act, api.Noted):
-                assert math.isfinite(act.span_ms)
+            elif isinstance(act, api.RejectRequest):
+                assert 0.0 <= act.retry_after_ms <= self.cfg.max_retry_after_ms
+            elif isinstance(act, api.NoteBackendDecision):
+                assert math.isfinite(act.duration_ms)
         assert 0.0 < self.b.least < math.inf and 0.0 < self.b.limit < math.inf
         assert all(math.isfinite(c.usual) and c.usual > 0 for c in self.b.classes.values())
         assert self.b.out == len(self.live)
 
-    def _sent(self, act: api.Send) -> None:
+    def _sent(self, act: api.SendAttempt) -> None:
         assert act.request not in self.left | self.streams
         seen = self.check.seen[act.request]
-        assert self.now < seen.deadline and math.isfinite(act.timeout) and act.timeout >= 0.0
-        assert act.begin_by >= self.now
-        until = min(seen.deadline, self.now + (act.timeout or math.inf))
+        assert self.now < seen.deadline and math.isfinite(act.timeout_ms) and act.timeout_ms >= 0.0
+        assert act.start_before_ms >= self.now
+        until = min(seen.deadline, self.now + (act.timeout_ms or math.inf))
         self.live.append((until, act.request, len(seen.attempts) - 1, act.backend, self.now))
 
-    def resolve(self, index: int, status: api.Status) -> None:
+    def resolve(self, index: int, status: api.AttemptStatus) -> None:
         """An attempt ends."""
         _, rid, number, backend, sent = self.live.pop(index)
-        closed = self.check.seen[rid].ended or status is api.Status.OK or rid in self.streams
+        closed = self.check.seen[rid].ended or status is api.AttemptStatus.OK or rid in self.streams
         numbers = [None, 0.0, 0.4, 7.0, 1e9]
-        load = self.rng.choice([None, api.Report(self.rng.choice(numbers), self.rng.choice(numbers))])
-        ev = api.Outcome(rid, number, backend, status, self.now - sent, closed, load)
+        load = self.rng.choice([None, api.LoadReport(self.rng.choice(numbers), self.rng.choice(numbers))])
+        ev = api.AttemptFinished(rid, number, backend, status, self.now - sent, closed, load)
         self.tell(ev)
         if self.rng.random() < 0.1:  # told twice
             self.tell(ev, odd=True)
@@ -179,49 +179,60 @@
             for _ in range(rng.choice([1, 1, 1, 20])):
                 self.serial += 1
                 kind = rng.choice(self.cfg.classes)
-                left = kind.deadline * rng.choice([1.0, 1.0, 1.0, 0.5, rng.random(), 1.5, 0.0, -1.0])
+                left = kind.deadline_ms * rng.choice([1.0, 1.0, 1.0, 0.5, rng.random(), 1.5, 0.0, -1.0])
                 self.tell(
-                    api.Arrival(
+                    api.RequestArrived(
                         f"r{self.serial}",
                         kind.name,
                         self.now + left,
                         rng.random() < 0.3,
                         rng.choice([None, "", "k"]),
                         rng.choice([None, "t0", "nobody"]),
-                        rng.choice([None, None, 0.0, kind.aim / 2, 1e9]),
+                        rng.choice([None, None, 0.0, kind.latency_objective_ms / 2, 1e9]),
                     )
                 )
         elif roll < 0.65 and self.live:
-            self.resolve(rng.randrange(len(self.live)), rng.choice([*api.Status, api.Status.OK]))
+            self.resolve(
+                rng.randrange(len(self.live)), rng.choice([*api.AttemptStatus, api.AttemptStatus.OK])
+            )
         elif roll < 0.72:
             name = rng.choice([*self.names, "nobody"])
-            self.tell(api.Outcome("nobody", 0, name, rng.choice(list(api.Status)), 1.0, False), odd=True)
-            self.tell(api.ClientGone("nobody"))
-            self.tell(api.Timer(10**9))
-            self.tell(api.Probed(name, rng.choice(list(api.Status)), 1e4, None), odd=True)
+            self.tell(
+                api.AttemptFinished("nobody", 0, name, rng.choice(list(api.AttemptStatus)), 1.0, False),
+                odd=True,
+            )
+            self.tell(api.ClientLeft("nobody"))
+            self.tell(api.TimerFired(10**9))
+            self.tell(api.ProbeFinished(name, rng.choice(list(api.AttemptStatus)), 1e4, None), odd=True)
         elif roll < 0.82:
-            mode = rng.choice([*api.ListKind, api.ListKind.CHANGES, api.ListKind.CHANGES])
+            mode = rng.choice(
+                [
+                    *api.EndpointUpdateKind,
+                    api.EndpointUpdateKind.INCREMENTAL,
+                    api.EndpointUpdateKind.INCREMENTAL,
+                ]
+            )
             pool = [*self.names, f"n{self.serial}"]
             some = rng.choices(pool, k=rng.choice([0, 1, 2, len(pool)]))
-            rows = [] if mode is api.ListKind.FAILED else [self.listed(name) for name in some]
-            self.tell(api.ListUpdate(mode, rows))
+            rows = [] if mode is api.EndpointUpdateKind.FAILED else [self.listed(name) for name in some]
+            self.tell(api.EndpointsUpdated(mode, rows))
         elif roll < 0.9 and self.serial:
             rid = f"r{rng.randint(max(1, self.serial - 30), self.serial)}"
             if not self.check.seen[rid].ended:
                 self.left.add(rid)
-            self.tell(api.ClientGone(rid))
+            self.tell(api.ClientLeft(rid))
         elif roll < 0.92 and self.live:
             at = rng.randrange(len(self.live))
             _, rid, number, backend, sent = self.live[at]
             seen = self.check.seen[rid]
-            if seen.cls.streamed and not seen.ended:  # the answer begins: its time has no end now
+            if seen.cls.is_streamed and not seen.ended:  # the answer begins: its time has no end now
                 self.streams.add(rid)
                 self.live[at] = (self.now + 5_000.0, rid, number, backend, sent)
                 seen.deadline = math.inf
                 self.tell(api.StreamStarted(rid, number, backend, self.now - sent))
         elif roll < 0.94:
             kept = self.b.learned(self.now)
-            self.tell(api.Remembered(kept, rng.choice([0.0, -5.0, 1e4, 1e12])))
+            self.tell(api.LearnedStateRestored(kept, rng.choice([0.0, -5.0, 1e4, 1e12])))
 
     def on_to(self, then: float) -> None:
         """What falls due on the way comes in order, or late and in any."""
@@ -241,13 +252,19 @@
                 when, what, at = min(due)
                 self.now = max(self.now, when)
             if what == 0:
-                self.tell(api.Timer(self.timers.pop(at)[1]))
+                self.tell(api.TimerFired(self.timers.pop(at)[1]))
             elif what == 1:
-                self.resolve(at, api.Status.TIMEOUT)
+                self.resolve(at, api.AttemptStatus.TIMEOUT)
             else:
                 name, sent = self.probes.pop(at)
-                status = self.rng.choice([api.Status.OK, api.Status.OK, api.Status.TIMEOUT])
-                self.tell(api.Probed(name, status, self.now - sent, api.Report(self.rng.choice([0.0, 9.0]))))
+                status = self.rng.choice(
+                    [api.AttemptStatus.OK, api.AttemptStatus.OK, api.AttemptStatus.TIMEOUT]
+                )
+                self.tell(
+                    api.ProbeFinished(
+                        name, status, self.now - sent, api.LoadReport(self.rng.choice([0.0, 9.0]))
+                    )
+                )
         self.now = max(self.now, then)
         assert self.late or not self.check.overdue(self.now)
 
@@ -256,7 +273,7 @@
     """A day of so many steps and its end."""
     day = Day(seed)
     rng = day.rng
-    day.tell(api.ListUpdate(api.ListKind.SAVED, [day.listed(name) for name in day.names]))
+    day.tell(api.EndpointsUpdated(api.EndpointUpdateKind.CACHED, [day.listed(name) for name in day.names]))
     pace = rng.choice([0.0, 1.0, 50.0, 1_000.0])
     for _ in range(steps):
         day.step()
@@ -267,7 +284,7 @@
     assert all(r.ended for r in day.check.seen.values()), "unanswered at the end of all"
     b = day.b
     assert not (b.requests or b.held or b.out) and not any(one.out for one in b.backends.values())
-    day.tell(api.ListUpdate(api.ListKind.FULL, []))
+    day.tell(api.EndpointsUpdated(api.EndpointUpdateKind.SNAPSHOT, []))
     assert not (b.backends or b.index.order or b.index.cold or b.index.groups or any(b.index.shelves))
     asked = [call for call, _ in b.timers.values()]
     assert not [call for call in asked if call.__name__ != "_ask"]
@@ -278,54 +295,54 @@
     classes = [
         {
             "name": c.name,
-            "effect": WORDS[c.effect],
-            "group": c.group.value,
-            "objective": c.aim,
-            "give-up": c.deadline,
-            "value": c.value,
-            "late-worth": c.late_worth,
-            "memory-span": c.memory_span,
-            "streamed": c.streamed,
-            "aim-stretch": c.aim_stretch,
+            "effect": WORDS[c.idempotency],
+            "group": c.deduplication_scope.value,
+            "objective": c.latency_objective_ms,
+            "give-up": c.deadline_ms,
+            "value": c.priority_weight,
+            "late-worth": c.late_priority_weight,
+            "memory-span": c.deduplication_window_ms,
+            "streamed": c.is_streamed,
+            "aim-stretch": c.latency_objective_stretch,
         }
         for c in cfg.classes
     ]
     return json.dumps(
         {
             "request-classes": classes,
-            "me": cfg.me,
-            "group-size": cfg.group_size,
+            "me": cfg.node_index,
+            "group-size": cfg.node_count,
             "zone": cfg.zone,
-            "granularity": cfg.tick,
+            "granularity": cfg.tick_ms,
             "failure-domains": cfg.zones,
             "projects": [
                 {"name": t.name, "quota-per-s": t.quota_per_s, "share": t.share} for t in cfg.tenants
             ],
-            "charges": {"probe": cfg.charges.probe, "cross-zone": cfg.charges.cross_zone},
-            "discovery": "subscribe" if cfg.must_ask else "automatic",
-            "load-info": {"how": WORDS[cfg.reports], "names": []},
+            "charges": {"probe": cfg.prices.probe, "cross-zone": cfg.prices.cross_zone},
+            "discovery": "subscribe" if cfg.must_poll else "automatic",
+            "load-info": {"how": WORDS[cfg.load_report_source], "names": []},
             "limits": {
-                "probing": cfg.probing,
+                "probing": cfg.probing_enabled,
                 "cancel": cfg.may_cancel,
-                "second-copies": cfg.second_copies,
+                "second-copies": cfg.may_hedge,
                 "most-tries": cfg.max_attempts,
                 "retry-after": True,
-                "max-retry-after": cfg.max_retry_after,
-                "connect-timeout": cfg.connect_timeout,
-                "max-open": cfg.max_open,
-                "conn-idle": cfg.conn_idle,
+                "max-retry-after": cfg.max_retry_after_ms,
+                "connect-timeout": cfg.connect_timeout_ms,
+                "max-open": cfg.max_open_requests,
+                "conn-idle": cfg.connection_idle_ms,
             },
             "rules": {
-                "ask-within": cfg.ask_within,
-                "drain-grace": cfg.drain_grace,
-                "cold-share": cfg.cold_share,
-                "ramp-time": cfg.ramp_time,
-                "fall": cfg.fall_window,
-                "fall-multiple": cfg.fall_multiple,
-                "answer-slack": cfg.answer_slack,
+                "ask-within": cfg.poll_within_ms,
+                "drain-grace": cfg.drain_grace_ms,
+                "cold-share": cfg.slow_start_initial_fraction,
+                "ramp-time": cfg.slow_start_duration_ms,
+                "fall": cfg.overload_window_ms,
+                "fall-multiple": cfg.overload_multiple,
+                "answer-slack": cfg.response_slack_ms,
             },
-            "weight-source": "live" if cfg.live_weights else "rough" if cfg.weighted else "off",
-            "client-habits": {"marks-retry": cfg.retries_marked},
+            "weight-source": "live" if cfg.has_live_weights else "rough" if cfg.has_weights else "off",
+            "client-habits": {"marks-retry": cfg.are_retries_marked},
             "family-info": {"passes-deadline": True},
         }
     )
@@ -345,15 +362,15 @@
 
 def test_a_probe_that_takes_longer_than_a_request_has_costs_no_answer() -> None:
     """It is refused in time, and who was asked is not taken to stand still."""
-    short = replace(SAFE, aim=60.0, deadline=60.0)
+    short = replace(SAFE, latency_objective_ms=60.0, deadline_ms=60.0)
     b = node(replace(LOOKING, classes=(short,)), ["x", "y", "z", "u"])
     for n in range(60):  # probes are slow here: 50 ms
-        b.handle(1000.0 + n, api.Probed("x", api.Status.OK, 50.0, api.Report(3.0)))
-    acts, asked = b.handle(2000.0, api.Arrival("r", "read", 2060.0)), 0
+        b.handle(1000.0 + n, api.ProbeFinished("x", api.AttemptStatus.OK, 50.0, api.LoadReport(3.0)))
+    acts, asked = b.handle(2000.0, api.RequestArrived("r", "read", 2060.0)), 0
     while not answers(acts):
-        asked += sum(isinstance(a, api.Probe) for a in acts)
+        asked += sum(isinstance(a, api.SendProbe) for a in acts)
         due = next(a for a in acts if isinstance(a, api.SetTimer))
-        assert due.when <= 2060.0
-        acts = b.handle(due.when, api.Timer(due.token))
-    assert asked == 3 and isinstance(answers(acts)[0], api.Refuse)
+        assert due.at_ms <= 2060.0
+        acts = b.handle(due.at_ms, api.TimerFired(due.token))
+    assert asked == 3 and isinstance(answers(acts)[0], api.RejectRequest)
     assert not any(one.until for one in b.backends.values())
