--- a/tests/policy/test_backend_index.py
+++ b/tests/policy/test_backend_index.py
@@ -35,20 +35,23 @@
 from tests.policy import reference_selection as reference
 from tests.policy.reference_selection import Place
 
-DEAR, CELL = replace(SAFE, name="dear", value=400.0), replace(KEYED, name="cell", group=api.Group.CELL)
+DEAR, CELL = (
+    replace(SAFE, name="dear", priority_weight=400.0),
+    replace(KEYED, name="cell", deduplication_scope=api.DeduplicationScope.CELL),
+)
 CLASSES = (SAFE, DEAR, KEYED, CELL)
-LIVE = replace(BASE, classes=CLASSES, weighted=True, live_weights=True, max_attempts=4)
+LIVE = replace(BASE, classes=CLASSES, has_weights=True, has_live_weights=True, max_attempts=4)
 FLEETS = [
     LIVE,
-    replace(LIVE, group_size=8, charges=api.Charges(cross_zone=0.05)),
-    replace(LIVE, group_size=300, charges=api.Charges(cross_zone=0.05), live_weights=False),
-    replace(LIVE, cold_share=0.0, ramp_time=3_000.0, fall_multiple=200.0),
-    replace(LIVE, ramp_time=0.0),
+    replace(LIVE, node_count=8, prices=api.Prices(cross_zone=0.05)),
+    replace(LIVE, node_count=300, prices=api.Prices(cross_zone=0.05), has_live_weights=False),
+    replace(LIVE, slow_start_initial_fraction=0.0, slow_start_duration_ms=3_000.0, overload_multiple=200.0),
+    replace(LIVE, slow_start_duration_ms=0.0),
 ]
 KINDS = ("", "m", "xl")
 WEIGHTS = (1.0, 1.0, 0.5, 0.31, 3.0, 0.0, 1e-17, 5e-324, 1e300)
-PHASES = (*[api.Phase.UP] * 6, api.Phase.DRAINING, api.Phase.GONE)
-STATUSES = (*[api.Status.OK] * 6, *api.Status)
+PHASES = (*[api.Phase.UP] * 6, api.Phase.DRAINING, api.Phase.REMOVED)
+STATUSES = (*[api.AttemptStatus.OK] * 6, *api.AttemptStatus)
 # The 99.9% points of chi-square, by degrees of freedom.
 CRITICAL = {3: 16.27, 5: 20.52, 7: 24.32, 9: 27.88, 11: 31.26, 19: 43.82}
 
@@ -69,7 +72,7 @@
         got = super()._choose(req, crowd, m)
         pool = reference.eligible(members, self.now, self.cfg, crowd, req.dense, self.admitted)
         fair = reference.chances(pool, m) if pool else {}
-        assert got.entry.backend in fair if got else not pool
+        assert got.entry.id in fair if got else not pool
         self.choices += 1
         self.wary += req.dense and any(b.full > CHOOSY for b in members)
         return got
@@ -126,7 +129,7 @@
     for kind in index.kinds:
         groups: dict[object, set[Backend]] = defaultdict(set)
         for x in order:
-            groups[x.entry.zone if kind is api.Group.ZONE else x.entry.cell].add(x)
+            groups[x.entry.zone if kind is api.DeduplicationScope.ZONE else x.entry.cell].add(x)
         assert {part: set(g.items) for (k, part), g in index.groups.items() if k is kind} == groups
 
 
@@ -142,7 +145,16 @@
         self.over: set[str] = set()
         self.asked = 0
         self.largest: dict[str, float] = {}
-        self.list(self.rng.choice((api.ListKind.SAVED, api.ListKind.FULL, api.ListKind.CHANGES)), size)
+        self.list(
+            self.rng.choice(
+                (
+                    api.EndpointUpdateKind.CACHED,
+                    api.EndpointUpdateKind.SNAPSHOT,
+                    api.EndpointUpdateKind.INCREMENTAL,
+                )
+            ),
+            size,
+        )
 
     def tell(self, ev: api.Event) -> None:
         """One event."""
@@ -150,11 +162,11 @@
         acts = self.node.handle(self.now, ev)
         self.counts.actions(acts)
         for act in acts:
-            if isinstance(act, api.Send):
+            if isinstance(act, api.SendAttempt):
                 self.out.append((act.request, len(self.counts.sent[act.request]) - 1, act.backend))
             elif isinstance(act, api.SetTimer):
-                self.timers.append((act.when, act.token))
-            elif isinstance(act, (api.Refuse, api.Fail)):
+                self.timers.append((act.at_ms, act.token))
+            elif isinstance(act, (api.RejectRequest, api.FailRequest)):
                 self.over.add(act.request)
         self.check()
 
@@ -166,7 +178,7 @@
             n: (x.out, x.estimate) for n, x in self.counts.known.items()
         }
         assert b.out == sum(x.out for x in self.counts.known.values()) == len(self.out)
-        assert not b.cfg.live_weights or self.same_sums()
+        assert not b.cfg.has_live_weights or self.same_sums()
 
     def same_sums(self) -> bool:
         """The running sums of live weights are what summing all up comes to."""
@@ -176,7 +188,7 @@
         count = sum(room.count for room in rooms)
         return count == want.count and math.isclose(held, want.held, rel_tol=1e-9, abs_tol=1e-6)
 
-    def entry(self, name: str) -> api.Entry:
+    def entry(self, name: str) -> api.Endpoint:
         """One of a list."""
         rng = self.rng
         born = rng.choice((0.0, 0.0, 0.0, self.now, self.now - rng.uniform(0, 12_000), self.now + 50))
@@ -185,19 +197,19 @@
             zone=rng.choice("aabc"),
             cell=rng.randrange(3),
             weight=rng.choice(WEIGHTS),
-            started_at=max(0.0, born),
+            started_at_ms=max(0.0, born),
             phase=rng.choice(PHASES),
             kind=rng.choice(KINDS),
         )
 
-    def list(self, kind: api.ListKind, count: int) -> None:
+    def list(self, kind: api.EndpointUpdateKind, count: int) -> None:
         """A list or some changes; some ids may be new, some come twice."""
         names = [*self.names, f"n{self.asked}"] if self.names else []
         some = [self.entry(self.rng.choice(names)) for _ in range(min(count, 2 * len(names)))]
         for e in some:
             if e.phase is api.Phase.UP:
                 self.largest[e.kind] = max(self.largest.get(e.kind, 0.0), reference.bounded(e.weight))
-        self.tell(api.ListUpdate(kind, some))
+        self.tell(api.EndpointsUpdated(kind, some))
 
     def weights(self) -> None:
         """Live weights of all."""
@@ -205,39 +217,45 @@
         some = [replace(e, weight=self.rng.choice(WEIGHTS)) for e in up]
         for e in some:
             self.largest[e.kind] = max(self.largest.get(e.kind, 0.0), reference.bounded(e.weight))
-        self.tell(api.ListUpdate(api.ListKind.CHANGES, some))
+        self.tell(api.EndpointsUpdated(api.EndpointUpdateKind.INCREMENTAL, some))
 
     def restart(self) -> None:
         """One that is up has been started anew just now, and is otherwise the same."""
         up = [e for e in self.counts.entries.values() if e.phase is api.Phase.UP]
         if up:
-            again = replace(self.rng.choice(up), started_at=self.now)
-            self.tell(api.ListUpdate(api.ListKind.CHANGES, [again]))
+            again = replace(self.rng.choice(up), started_at_ms=self.now)
+            self.tell(api.EndpointsUpdated(api.EndpointUpdateKind.INCREMENTAL, [again]))
 
     def arrive(self, count: int) -> None:
         """Requests."""
         for _ in range(count):
             self.asked += 1
             cls = self.rng.choices(CLASSES, (4, 1, 2, 2))[0]
-            left = cls.deadline * self.rng.choice((1.0, 1.0, 0.6))
-            self.tell(api.Arrival(f"r{self.asked}", cls.name, self.now + left))
+            left = cls.deadline_ms * self.rng.choice((1.0, 1.0, 0.6))
+            self.tell(api.RequestArrived(f"r{self.asked}", cls.name, self.now + left))
 
-    def end(self, count: int, statuses: Sequence[api.Status] = STATUSES) -> None:
+    def end(self, count: int, statuses: Sequence[api.AttemptStatus] = STATUSES) -> None:
         """Attempts end, in any order."""
         for _ in range(min(count, len(self.out))):
             rid, number, backend = self.out.pop(self.rng.randrange(len(self.out)))
             status = self.rng.choice(statuses)
-            closed = status is api.Status.OK or rid in self.over
-            loads = (None, api.Report(0.0, 0.0), api.Report(None, 0.0), api.Report(3.0, 1.0), api.Report())
+            closed = status is api.AttemptStatus.OK or rid in self.over
+            loads = (
+                None,
+                api.LoadReport(0.0, 0.0),
+                api.LoadReport(None, 0.0),
+                api.LoadReport(3.0, 1.0),
+                api.LoadReport(),
+            )
             took = self.rng.choice((0.0, 20.0, 60.0, 500.0))
-            self.tell(api.Outcome(rid, number, backend, status, took, closed, self.rng.choice(loads)))
+            self.tell(api.AttemptFinished(rid, number, backend, status, took, closed, self.rng.choice(loads)))
 
     def leave(self) -> None:
         """A client gives up."""
         if self.asked:
             rid = f"r{self.rng.randint(1, self.asked)}"
             self.over.add(rid)
-            self.tell(api.ClientGone(rid))
+            self.tell(api.ClientLeft(rid))
 
     def wait(self, time: float) -> None:
         """The clock jumps; what is due by then comes after that, all at once."""
@@ -245,7 +263,7 @@
         due = sorted(t for t in self.timers if t[0] <= self.now)
         self.timers = [t for t in self.timers if t[0] > self.now]
         for _, token in due:
-            self.tell(api.Timer(token))
+            self.tell(api.TimerFired(token))
 
 
 DEEDS: dict[str, Callable[[World, int], None]] = {
@@ -253,11 +271,11 @@
     "more": lambda w, n: w.arrive(4 * n),
     "end": lambda w, n: w.end(n),
     "all end": lambda w, n: w.end(10_000),
-    "no room": lambda w, n: w.end(3 * n, [api.Status.FULL]),
-    "changes": lambda w, n: w.list(api.ListKind.CHANGES, n),
-    "whole": lambda w, n: w.list(api.ListKind.FULL, 5 * n),
-    "saved": lambda w, n: w.list(api.ListKind.SAVED, 5 * n),
-    "failed": lambda w, n: w.tell(api.ListUpdate(api.ListKind.FAILED, [])),
+    "no room": lambda w, n: w.end(3 * n, [api.AttemptStatus.REJECTED]),
+    "changes": lambda w, n: w.list(api.EndpointUpdateKind.INCREMENTAL, n),
+    "whole": lambda w, n: w.list(api.EndpointUpdateKind.SNAPSHOT, 5 * n),
+    "saved": lambda w, n: w.list(api.EndpointUpdateKind.CACHED, 5 * n),
+    "failed": lambda w, n: w.tell(api.EndpointsUpdated(api.EndpointUpdateKind.FAILED, [])),
     "weights": lambda w, n: w.weights(),
     "restart": lambda w, n: w.restart(),
     "leave": lambda w, n: w.leave(),
@@ -313,7 +331,7 @@
     for _ in range(n):
         req = Request("r", b.classes[cls], None, 1e9, 1e9, False)
         found = b._choose(req, crowd, m)
-        got[found.entry.backend if found else "nobody"] += 1
+        got[found.entry.id if found else "nobody"] += 1
     return got
 
 
@@ -346,18 +364,20 @@
 
 @pytest.mark.parametrize("multiple", [3.0, 12.0, 40.0])
 def test_cold_backends_are_admitted_with_the_stated_chance(multiple: float) -> None:
-    b = Balancer(replace(BASE, fall_multiple=multiple), 3)
-    now = 1000.0 + BASE.ramp_time
-    born = [now - BASE.ramp_time * part for part in (0.0, 0.1, 0.5, 0.9)]
-    fleet = [entry(f"b{i}", started_at=born[i] if i < 4 else 0.0) for i in range(20)]
-    b.handle(now, api.ListUpdate(api.ListKind.FULL, fleet))
+    b = Balancer(replace(BASE, overload_multiple=multiple), 3)
+    now = 1000.0 + BASE.slow_start_duration_ms
+    born = [now - BASE.slow_start_duration_ms * part for part in (0.0, 0.1, 0.5, 0.9)]
+    fleet = [entry(f"b{i}", started_at_ms=born[i] if i < 4 else 0.0) for i in range(20)]
+    b.handle(now, api.EndpointsUpdated(api.EndpointUpdateKind.SNAPSHOT, fleet))
     assert len(b.index.cold) == 4
     n, got = 20_000, Counter[str]()
     for _ in range(n):
         req = Request("r", b.classes["read"], None, 1e9, 1e9, False)
-        got.update(x.entry.backend for x in b._admitted(req, math.inf))
+        got.update(x.entry.id for x in b._admitted(req, math.inf))
     for i in range(4):
-        warm = reference.warmth(b.backends[f"b{i}"], now, BASE.cold_share, BASE.ramp_time)
+        warm = reference.warmth(
+            b.backends[f"b{i}"], now, BASE.slow_start_initial_fraction, BASE.slow_start_duration_ms
+        )
         chance = reference.admission(20, 20, 20.0, warm, COLD_PART * multiple)
         spread = 3.3 * math.sqrt(n * chance * (1 - chance))
         assert abs(got[f"b{i}"] - n * chance) <= spread, (i, chance, got)
--- a/tests/policy/test_bulk_update.py
+++ b/tests/policy/test_bulk_update.py
@@ -51,19 +51,19 @@
     index = balancer.index
     names = {name: tuple(getattr(b, field) for field in FIELDS) for name, b in balancer.backends.items()}
     shelves = [
-        (number, out, estimate, [b.entry.backend for b in row])
+        (number, out, estimate, [b.entry.id for b in row])
         for number, shelf in enumerate(index.shelves)
         for out, level in shelf.items()
         for estimate, row in level.rows.items()
     ]
-    groups = {key: [b.entry.backend for b in bag.items] for key, bag in index.groups.items()}
+    groups = {key: [b.entry.id for b in bag.items] for key, bag in index.groups.items()}
     own = ("width", "spill", "fleet", "listed", "least", "ease", "limit", "token", "now", "bad")
     return {
         "backends": names,
         "order": balancer.order,
         "shelves": shelves,
         "groups": groups,
-        "cold": [b.entry.backend for b in index.cold],
+        "cold": [b.entry.id for b in index.cold],
         "window": (index.size, index.home, index.waiting),
         "rooms": repr(balancer.rooms),
         "random": balancer.rng.getstate(),
@@ -77,33 +77,33 @@
     st.integers(0, 60),
     st.sampled_from([1, 3, 250]),
     st.integers(0, len(FLEETS) - 1),
-    st.sampled_from([api.ListKind.CHANGES, api.ListKind.SAVED]),
+    st.sampled_from([api.EndpointUpdateKind.INCREMENTAL, api.EndpointUpdateKind.CACHED]),
     st.sampled_from([None, 0.0, 9_000.0]),
 )
 def test_in_steps_it_ends_as_in_one_go(
-    seed: int, count: int, step: int, fleet: int, kind: api.ListKind, age: float | None
+    seed: int, count: int, step: int, fleet: int, kind: api.EndpointUpdateKind, age: float | None
 ) -> None:
-    rng, cfg = random.Random(seed), replace(FLEETS[fleet], must_ask=seed % 2 > 0)
+    rng, cfg = random.Random(seed), replace(FLEETS[fleet], must_poll=seed % 2 > 0)
     entries = [
         replace(
             entry(f"s{n}", zone=rng.choice("ab")),
             phase=rng.choice(PHASES),
             weight=rng.choice(WEIGHTS),
             kind=rng.choice(KINDS),
-            started_at=rng.choice((0.0, 9_500.0, 99_000.0)),
-            age_ms=age if rng.random() < 0.5 else None,
+            started_at_ms=rng.choice((0.0, 9_500.0, 99_000.0)),
+            cached_age_ms=age if rng.random() < 0.5 else None,
             cell=n % 4,
         )
         for n in rng.sample(range(1_000), count)
     ]
     one, two = Balancer(cfg, seed), Balancer(cfg, seed)
     drains = [replace(one, phase=api.Phase.DRAINING) for one in entries[::7]]  # told of ahead of the list
-    for balancer in (one, two) if kind is api.ListKind.CHANGES else ():
-        balancer.handle(9_000.0, api.ListUpdate(kind, drains, 1))
+    for balancer in (one, two) if kind is api.EndpointUpdateKind.INCREMENTAL else ():
+        balancer.handle(9_000.0, api.EndpointsUpdated(kind, drains, 1))
     now, seen = 10_000.0, [list[api.Action](), list[api.Action]()]
-    seen[0] += one.handle(now, api.ListUpdate(kind, entries, 2))
-    if kind is not api.ListKind.CHANGES:
-        seen[1] += two.handle(now, api.ListUpdate(kind, [], 2))
+    seen[0] += one.handle(now, api.EndpointsUpdated(kind, entries, 2))
+    if kind is not api.EndpointUpdateKind.INCREMENTAL:
+        seen[1] += two.handle(now, api.EndpointsUpdated(kind, [], 2))
     before, laying.SLICE = laying.SLICE, step
     try:
         two.now, steps = now, laying.lay(two, entries)
@@ -116,9 +116,9 @@
             assert not two.index.size or len(two.order) == len(one.order), "nobody is fed before all are in"
     finally:
         laying.SLICE = before
-    seen[1] += two.handle(now, api.ListUpdate(api.ListKind.CHANGES, [], 2))
+    seen[1] += two.handle(now, api.EndpointsUpdated(api.EndpointUpdateKind.INCREMENTAL, [], 2))
     assert seen[0] == seen[1]
     assert state(one) == state(two)
     for n in range(30):
-        ask = api.Arrival(f"r{n}", cfg.classes[n % len(cfg.classes)].name, now + n + 5_000.0)
+        ask = api.RequestArrived(f"r{n}", cfg.classes[n % len(cfg.classes)].name, now + n + 5_000.0)
         assert one.handle(now + n, ask) == two.handle(now + n, replace(ask))
--- a/tests/policy/test_learned_state.py
+++ b/tests/policy/test_learned_state.py
@@ -32,25 +32,25 @@
 def remembers(*vouched: str, age: float = 0.0, seed: int = 1, names: list[str] = NAMES) -> Balancer:
     """A node of which a source vouches for these servers alone."""
     out = Balancer(CFG, seed)
-    rows = [entry(n, age_ms=None if n in vouched else age) for n in names]
-    out.handle(1_000.0, api.ListUpdate(api.ListKind.SAVED, rows))
+    rows = [entry(n, cached_age_ms=None if n in vouched else age) for n in names]
+    out.handle(1_000.0, api.EndpointsUpdated(api.EndpointUpdateKind.CACHED, rows))
     return out
 
 
 def ask(node: Balancer, name: str, cls: str = "read", now: float = 1_000.0) -> str:
     """Where a request is sent."""
-    (send,) = sends(node.handle(now, api.Arrival(name, cls, now + 1_000.0)))
+    (send,) = sends(node.handle(now, api.RequestArrived(name, cls, now + 1_000.0)))
     return send.backend
 
 
 def end(
-    node: Balancer, name: str, backend: str, status: api.Status, now: float = 1_010.0
+    node: Balancer, name: str, backend: str, status: api.AttemptStatus, now: float = 1_010.0
 ) -> list[api.Action]:
     """Its outcome."""
-    return node.handle(now, api.Outcome(name, 0, backend, status, 10.0, True))
+    return node.handle(now, api.AttemptFinished(name, 0, backend, status, 10.0, True))
 
 
-def fails(node: Balancer, backend: str, status: api.Status, now: float = 1_010.0) -> list[api.Action]:
+def fails(node: Balancer, backend: str, status: api.AttemptStatus, now: float = 1_010.0) -> list[api.Action]:
     """Requests go out until one meets this server, and fails there; the others never end."""
     node.limit = 1e9
     for number in range(200):
@@ -67,16 +67,16 @@
     node = remembers()
     node.limit = 1e9
     where = ask(node, "s", now=1_001.0)
-    assert end(node, "s", where, api.Status.OK) is not None
+    assert end(node, "s", where, api.AttemptStatus.OK) is not None
     assert {ask(node, f"r{n}", cls) for n in range(20)} == {where}
 
 
 def test_a_booking_is_not_refused_where_nobody_has_answered() -> None:
     node = remembers()
     node.limit = 1e9
-    acts = [a for n in range(6) for a in node.handle(1_000.0, api.Arrival(f"r{n}", "once", 2_000.0))]
+    acts = [a for n in range(6) for a in node.handle(1_000.0, api.RequestArrived(f"r{n}", "once", 2_000.0))]
     assert {a.backend for a in sends(acts)} == set(NAMES)
-    assert api.Why.PANIC not in {a.why for a in sends(acts)}
+    assert api.DecisionReason.PANIC not in {a.reason for a in sends(acts)}
 
 
 def test_one_safe_request_at_a_time_tries_one_of_memory_alone() -> None:
@@ -87,20 +87,25 @@
     assert all(count[name] == 1 for name in NAMES[2:]) and count["b0"] > 5
 
 
-@pytest.mark.parametrize("status", [api.Status.CONNECT_FAILED, api.Status.TIMEOUT, api.Status.RESET])
+@pytest.mark.parametrize(
+    "status", [api.AttemptStatus.CONNECT_FAILED, api.AttemptStatus.TIMEOUT, api.AttemptStatus.RESET]
+)
 def test_the_first_failure_to_answer_drops_one_of_memory_alone_until_a_source_lists_it(
-    status: api.Status,
+    status: api.AttemptStatus,
 ) -> None:
     node = remembers()
     acts = fails(node, "b3", status)
-    assert api.Noted("b3", api.What.DROPPED) in acts and "b3" not in node.order
+    assert (
+        api.NoteBackendDecision("b3", api.BackendDecision.UNCONFIRMED_DROPPED) in acts
+        and "b3" not in node.order
+    )
     assert "b3" not in {ask(node, f"late{n}", now=900_000.0) for n in range(60)}
-    node.handle(900_001.0, api.ListUpdate(api.ListKind.CHANGES, [entry("b3")]))
+    node.handle(900_001.0, api.EndpointsUpdated(api.EndpointUpdateKind.INCREMENTAL, [entry("b3")]))
     assert "b3" in node.order and ask(node, "again", "once", 900_002.0) == "b3"
 
 
-@pytest.mark.parametrize("status", [api.Status.ERROR, api.Status.FULL])
-def test_an_answer_of_any_kind_drops_nobody_and_vouches_for_nobody(status: api.Status) -> None:
+@pytest.mark.parametrize("status", [api.AttemptStatus.ERROR, api.AttemptStatus.REJECTED])
+def test_an_answer_of_any_kind_drops_nobody_and_vouches_for_nobody(status: api.AttemptStatus) -> None:
     node = remembers()
     fails(node, "b3", status)
     assert "b3" in node.order and not node.backends["b3"].vouched
@@ -108,8 +113,8 @@
 
 def test_one_that_has_answered_is_not_dropped() -> None:
     node = remembers()
-    fails(node, "b3", api.Status.OK)
-    fails(node, "b3", api.Status.RESET, 1_020.0)
+    fails(node, "b3", api.AttemptStatus.OK)
+    fails(node, "b3", api.AttemptStatus.RESET, 1_020.0)
     assert "b3" in node.order
 
 
@@ -118,16 +123,16 @@
     for number in range(40):
         now = 2_000.0 + 60_000.0 * number
         where = ask(node, f"r{number}", now=now)
-        end(node, f"r{number}", where, api.Status.CONNECT_FAILED, now + 1.0)
+        end(node, f"r{number}", where, api.AttemptStatus.CONNECT_FAILED, now + 1.0)
     assert len(node.order) == 3
 
 
 def test_a_list_that_vouches_brings_back_the_usual_service_at_once() -> None:
     node = remembers()
     node.limit = 1e9
-    node.handle(1_001.0, api.ListUpdate(api.ListKind.CHANGES, [entry(n) for n in NAMES]))
+    node.handle(1_001.0, api.EndpointsUpdated(api.EndpointUpdateKind.INCREMENTAL, [entry(n) for n in NAMES]))
     assert not node.index.shelves[2] and len({ask(node, f"r{n}", "once") for n in range(30)}) == 6
-    fails(node, "b3", api.Status.RESET)
+    fails(node, "b3", api.AttemptStatus.RESET)
     assert "b3" in node.order
 
 
@@ -136,9 +141,9 @@
         names = [f"b{n}" for n in range(60)]
         hits = 0
         for seed in range(300):
-            node = Balancer(replace(CFG, group_size=1), seed)
-            rows = [entry(n, age_ms=age if at % 2 else 1.0) for at, n in enumerate(names)]
-            node.handle(1_000.0, api.ListUpdate(api.ListKind.SAVED, rows))
+            node = Balancer(replace(CFG, node_count=1), seed)
+            rows = [entry(n, cached_age_ms=age if at % 2 else 1.0) for at, n in enumerate(names)]
+            node.handle(1_000.0, api.EndpointsUpdated(api.EndpointUpdateKind.CACHED, rows))
             hits += int(ask(node, "r")[1:]) % 2
         return hits / 300
 
@@ -146,14 +151,14 @@
     assert fresh > 0.43 and 0.30 < stale < 0.46 and 0.17 < ancient < 0.33 and ancient < stale < fresh + 0.02
 
 
-def learned() -> api.Learned:
+def learned() -> api.LearnedState:
     usual = {"read": (50.0, 7.0), "new": (1.0, 1.0)}
-    return api.Learned(usual, 64.0, {"b1": 3.0}, {"b2": 30_000.0, "b9": 1e9})
+    return api.LearnedState(usual, 64.0, {"b1": 3.0}, {"b2": 30_000.0, "b9": 1e9})
 
 
-def recalls(age: float, told: api.Learned | None = None) -> Balancer:
+def recalls(age: float, told: api.LearnedState | None = None) -> Balancer:
     node = remembers()
-    node.handle(1_000.0, api.Remembered(told or learned(), age))
+    node.handle(1_000.0, api.LearnedStateRestored(told or learned(), age))
     return node
 
 
@@ -163,7 +168,7 @@
         lambda n: n.backends["b1"].slow,
         lambda n: n.classes["read"].usual,
     ]
-    figures = (LIMIT_LEAST, 64.0), (1.0, 3.0), (SAFE.aim / 4, 50.0)
+    figures = (LIMIT_LEAST, 64.0), (1.0, 3.0), (SAFE.latency_objective_ms / 4, 50.0)
     for half, read, (fresh, kept) in zip(HALVES, reads, figures, strict=True):
         assert read(recalls(0.0)) == pytest.approx(kept)
         assert read(recalls(half)) == pytest.approx((fresh + kept) / 2)
@@ -179,11 +184,11 @@
 
 @pytest.mark.parametrize("odd", [math.nan, math.inf, -math.inf, -1.0, 1e300])
 def test_odd_figures_are_clamped(odd: float) -> None:
-    told = api.Learned({"read": (odd, odd)}, odd, {"b1": odd}, {"b2": odd})
+    told = api.LearnedState({"read": (odd, odd)}, odd, {"b1": odd}, {"b2": odd})
     for age in (0.0, odd):
         node = recalls(age, told)
         b, cls = node.backends, node.classes["read"]
-        assert LIMIT_LEAST <= node.limit <= CFG.max_open and 0.01 <= b["b1"].slow <= 100.0
+        assert LIMIT_LEAST <= node.limit <= CFG.max_open_requests and 0.01 <= b["b1"].slow <= 100.0
         assert b["b2"].until <= 1_000.0 + 400.0 * 32
         assert 0.0 < cls.usual <= 200.0 and 0.0 <= cls.dev <= 200.0
         assert ask(node, "r"), "a class that takes too long by memory alone would never be asked for again"
@@ -192,5 +197,9 @@
 def test_what_is_learned_comes_back_as_it_was() -> None:
     node = recalls(0.0)
     again = node.learned(1_000.0)
-    assert again.limit == 64.0 and again.usual["read"] == (50.0, 7.0) and again.slow == {"b1": 3.0}
-    assert again.ejected == {"b2": 400.0 * 32}
+    assert (
+        again.concurrency_limit == 64.0
+        and again.expected_latency_ms["read"] == (50.0, 7.0)
+        and again.slowness == {"b1": 3.0}
+    )
+    assert again.ejection_left_ms == {"b2": 400.0 * 32}
--- a/tests/policy/test_overload.py
+++ b/tests/policy/test_overload.py
@@ -7,7 +7,7 @@
 import pytest
 
 from balancer import interface as api
-from balancer.interface import Effect
+from balancer.interface import Idempotency
 from balancer.policy import balancer as policy
 from balancer.policy.balancer import SPARE, Balancer
 from balancer.testbed.service_profile import RequestClass
@@ -28,15 +28,15 @@
 )
 
 NAMES = [f"b{i}" for i in range(8)]
-DEAR = replace(SAFE, name="dear", value=400.0)
-LIVE = replace(BASE, classes=(*BASE.classes, DEAR), weighted=True, live_weights=True)
+DEAR = replace(SAFE, name="dear", priority_weight=400.0)
+LIVE = replace(BASE, classes=(*BASE.classes, DEAR), has_weights=True, has_live_weights=True)
 WIDE = replace(
     SITE,
     zones=("a",),
     classes=(
-        RequestClass("check", Effect.SAFE, 400, 800, worth=12, share=0.16, work_ms=45),
-        RequestClass("search", Effect.SAFE, 2_000, 5_000, share=0.52, work_ms=130),
-        RequestClass("book", Effect.KEYED, 1_800, 5_000, share=0.32, work_ms=190),
+        RequestClass("check", Idempotency.IDEMPOTENT, 400, 800, worth=12, share=0.16, work_ms=45),
+        RequestClass("search", Idempotency.IDEMPOTENT, 2_000, 5_000, share=0.52, work_ms=130),
+        RequestClass("book", Idempotency.KEYED, 1_800, 5_000, share=0.32, work_ms=190),
     ),
 )
 
@@ -76,17 +76,24 @@
 ) -> float:
     """The share sent on of so many requests, where each core of all servers holds so many."""
     b = node(LIVE, NAMES)
-    b.handle(1000.0, api.ListUpdate(api.ListKind.FULL, [entry(x, weight=size) for x in NAMES]))
-    b.handle(1001.0, api.ListUpdate(api.ListKind.CHANGES, [entry(x, weight=1 / (1 + held)) for x in NAMES]))
+    b.handle(
+        1000.0, api.EndpointsUpdated(api.EndpointUpdateKind.SNAPSHOT, [entry(x, weight=size) for x in NAMES])
+    )
+    b.handle(
+        1001.0,
+        api.EndpointsUpdated(
+            api.EndpointUpdateKind.INCREMENTAL, [entry(x, weight=1 / (1 + held)) for x in NAMES]
+        ),
+    )
     for i in range(20):
         sent(b, -i, "read", 1000.5)  # so that the mean worth is that of the others
     return sum(sent(b, i, kind, 1002.0 + late_ms) for i in range(1, count + 1)) / count
 
 
 def sent(b: Balancer, number: int, kind: str, now: float) -> bool:
-    out = sends(b.handle(now, api.Arrival(f"r{number}", kind, now + 1000.0, key="k")))
+    out = sends(b.handle(now, api.RequestArrived(f"r{number}", kind, now + 1000.0, idempotency_key="k")))
     for send in out:
-        b.handle(now, api.Outcome(f"r{number}", 0, send.backend, api.Status.OK, 30.0, True))
+        b.handle(now, api.AttemptFinished(f"r{number}", 0, send.backend, api.AttemptStatus.OK, 30.0, True))
     return bool(out)
 
 
@@ -103,16 +110,21 @@
 def test_a_repeat_that_is_bound_to_its_zone_spares_a_crowd_too() -> None:
     """Such a repeat is drawn among few and not by the index: no way to a crowded server is left open."""
     b = node(LIVE, NAMES)
-    (first,) = sends(b.handle(1001.0, api.Arrival("r", "pay", 2001.0, key="k")))
-    b.handle(1002.0, api.ListUpdate(api.ListKind.CHANGES, [entry(x, weight=0.2) for x in NAMES]))
-    out = b.handle(1003.0, api.Outcome("r", 0, first.backend, api.Status.ERROR, 2.0, False))
+    (first,) = sends(b.handle(1001.0, api.RequestArrived("r", "pay", 2001.0, idempotency_key="k")))
+    b.handle(
+        1002.0,
+        api.EndpointsUpdated(api.EndpointUpdateKind.INCREMENTAL, [entry(x, weight=0.2) for x in NAMES]),
+    )
+    out = b.handle(1003.0, api.AttemptFinished("r", 0, first.backend, api.AttemptStatus.ERROR, 2.0, False))
     assert not sends(out)
-    assert [a.why for a in out if isinstance(a, api.Fail)] == [api.Why.SERVER_CROWDED]
+    assert [a.reason for a in out if isinstance(a, api.FailRequest)] == [
+        api.DecisionReason.BACKEND_OVERLOADED
+    ]
 
 
 def test_old_news_spare_nobody() -> None:
     """Guards against refusing for as long as discovery is silent, as it did in a burst."""
-    longest = max(c.aim for c in LIVE.classes)
+    longest = max(c.latency_objective_ms for c in LIVE.classes)
     assert told(SPARE[1] + 1.0, late_ms=longest - 10.0) == 0.0
     assert told(SPARE[1] + 1.0, late_ms=longest + 10.0) == 1.0
 
@@ -124,6 +136,13 @@
 
 def test_a_refusal_names_its_reason() -> None:
     b = node(LIVE, NAMES)
-    b.handle(1001.0, api.ListUpdate(api.ListKind.CHANGES, [entry(x, weight=0.2) for x in NAMES]))
-    refused = [a for a in b.handle(1002.0, api.Arrival("r", "read", 2002.0)) if isinstance(a, api.Refuse)]
-    assert [a.why for a in refused] == [api.Why.SERVER_CROWDED]
+    b.handle(
+        1001.0,
+        api.EndpointsUpdated(api.EndpointUpdateKind.INCREMENTAL, [entry(x, weight=0.2) for x in NAMES]),
+    )
+    refused = [
+        a
+        for a in b.handle(1002.0, api.RequestArrived("r", "read", 2002.0))
+        if isinstance(a, api.RejectRequest)
+    ]
+    assert [a.reason for a in refused] == [api.DecisionReason.BACKEND_OVERLOADED]
--- a/tests/policy/test_replay.py
+++ b/tests/policy/test_replay.py
@@ -31,20 +31,23 @@
     entry,
 )
 
-DEAR, CELL = replace(SAFE, name="dear", value=400.0), replace(KEYED, name="cell", group=api.Group.CELL)
+DEAR, CELL = (
+    replace(SAFE, name="dear", priority_weight=400.0),
+    replace(KEYED, name="cell", deduplication_scope=api.DeduplicationScope.CELL),
+)
 LIVE = replace(
     BASE,
     classes=(SAFE, DEAR, KEYED, CELL),
-    weighted=True,
-    live_weights=True,
+    has_weights=True,
+    has_live_weights=True,
     max_attempts=4,
-    max_retry_after=500.0,
+    max_retry_after_ms=500.0,
 )
 FLEETS = {
     "live": LIVE,
-    "shared": replace(LIVE, group_size=8, charges=api.Charges(cross_zone=0.05)),
-    "crowd": replace(LIVE, group_size=300, charges=api.Charges(cross_zone=0.05), live_weights=False),
-    "cold": replace(LIVE, ramp_time=3_000.0, fall_multiple=200.0),
+    "shared": replace(LIVE, node_count=8, prices=api.Prices(cross_zone=0.05)),
+    "crowd": replace(LIVE, node_count=300, prices=api.Prices(cross_zone=0.05), has_live_weights=False),
+    "cold": replace(LIVE, slow_start_duration_ms=3_000.0, overload_multiple=200.0),
     "looking": replace(LOOKING, max_attempts=4),
 }
 DIGESTS = {
@@ -68,21 +71,37 @@
     "cold": ["b76e7f7ed80793b9", "0b3023f7b4e12764"],
     "looking": ["860ac74ffa19b033", "52baf013818178c0"],
 }
-PHASES = (*[api.Phase.UP] * 8, api.Phase.DRAINING, api.Phase.GONE)
-STATUSES = (*[api.Status.OK] * 12, *api.Status)
+PHASES = (*[api.Phase.UP] * 8, api.Phase.DRAINING, api.Phase.REMOVED)
+STATUSES = (*[api.AttemptStatus.OK] * 12, *api.AttemptStatus)
 
 
 def plain(action: api.Action) -> str:
-    """What is to be done, without why."""
+    """What is to be done, without why, in the form that the digests were taken from."""
     match action:
-        case api.Send():
-            return f"Send {action.request} {action.backend} {action.timeout!r}"
-        case api.Refuse():
-            return f"Refuse {action.request} {action.retry_after!r}"
-        case api.Fail():
+        case api.SendAttempt():
+            return f"Send {action.request} {action.backend} {action.timeout_ms!r}"
+        case api.RejectRequest():
+            return f"Refuse {action.request} {action.retry_after_ms!r}"
+        case api.FailRequest():
             return f"Fail {action.request}"
-        case _:
-            return "" if type(action).__name__ == "Noted" else repr(action)
+        case api.CancelAttempt():
+            return f"Cancel(request={action.request!r}, attempt={action.attempt!r})"
+        case api.SetTimer():
+            return f"SetTimer(when={action.at_ms!r}, token={action.token!r})"
+        case api.SendProbe():
+            return f"Probe(backend={action.backend!r})"
+        case api.SubscribeToEndpoints():
+            return f"Subscribe(on={action.is_enabled!r})"
+        case api.FetchSnapshot():
+            return "ListAll()"
+        case api.CloseIdleConnections():
+            return f"CloseIdle(backend={action.backend!r})"
+        case api.SendPeerMessage():
+            return f"Tell(node={action.node_index!r}, content={action.content!r})"
+        case api.WriteLog():
+            return f"Log(text={action.text!r})"
+        case api.NoteBackendDecision():
+            return ""
 
 
 class Run:
@@ -99,29 +118,35 @@
 
     def play(self, events: int) -> str:
         """The digest of all that it asked for."""
-        self.feed(api.ListUpdate(api.ListKind.FULL, [self.listed(name) for name in self.names]))
+        self.feed(
+            api.EndpointsUpdated(api.EndpointUpdateKind.SNAPSHOT, [self.listed(name) for name in self.names])
+        )
         for number in range(events):
             self.now += self.rng.expovariate(0.2)
             while self.heap and self.heap[0][0] <= self.now:
                 at, _, event = heapq.heappop(self.heap)
-                if isinstance(event, api.Outcome):
-                    event.closed = event.request in self.over or event.status is api.Status.OK
-                    self.over |= {event.request} if event.closed else set()
+                if isinstance(event, api.AttemptFinished):
+                    event.is_request_closed = (
+                        event.request in self.over or event.status is api.AttemptStatus.OK
+                    )
+                    self.over |= {event.request} if event.is_request_closed else set()
                 self.feed(event, at)
             if self.rng.random() < 0.04:
                 some = [self.listed(name) for name in self.rng.sample(self.names, 3)]
-                kind = self.rng.choice([api.ListKind.CHANGES] * 9 + [api.ListKind.FAILED])
-                self.feed(api.ListUpdate(kind, some))
+                kind = self.rng.choice(
+                    [api.EndpointUpdateKind.INCREMENTAL] * 9 + [api.EndpointUpdateKind.FAILED]
+                )
+                self.feed(api.EndpointsUpdated(kind, some))
                 continue
             cls = self.rng.choice(self.cfg.classes)
-            until = self.now + cls.deadline * self.rng.choice((1.0, 1.0, 0.4))
-            self.feed(api.Arrival(f"r{number}", cls.name, until, key=f"k{number}"))
+            until = self.now + cls.deadline_ms * self.rng.choice((1.0, 1.0, 0.4))
+            self.feed(api.RequestArrived(f"r{number}", cls.name, until, idempotency_key=f"k{number}"))
             if self.rng.random() < 0.01:
                 self.over.add(f"r{number}")
-                self.feed(api.ClientGone(f"r{number}"))
+                self.feed(api.ClientLeft(f"r{number}"))
         return self.hash.hexdigest()[:16]
 
-    def listed(self, name: str) -> api.Entry:
+    def listed(self, name: str) -> api.Endpoint:
         rng = self.rng
         return entry(
             name,
@@ -129,7 +154,7 @@
             cell=rng.randint(0, 2),
             phase=rng.choice(PHASES),
             weight=rng.choice((1.0, 0.5, 3.0)),
-            started_at=rng.choice((0.0, 0.0, self.now)),
+            started_at_ms=rng.choice((0.0, 0.0, self.now)),
         )
 
     def feed(self, event: api.Event, at: float | None = None) -> None:
@@ -147,22 +172,22 @@
     def asked(self, action: api.Action, at: float) -> None:
         rng = self.rng
         match action:
-            case api.Send():
+            case api.SendAttempt():
                 number = self.tries[action.request] = self.tries.get(action.request, -1) + 1
                 status, took = rng.choice(STATUSES), rng.lognormvariate(4.0, 0.8)
-                report = api.Report(float(rng.randint(0, 4)), 0.0) if rng.random() < 0.7 else None
-                if action.timeout and took > action.timeout:
-                    status, took = api.Status.TIMEOUT, action.timeout
-                one = api.Outcome(action.request, number, action.backend, status, took, False, report)
+                report = api.LoadReport(float(rng.randint(0, 4)), 0.0) if rng.random() < 0.7 else None
+                if action.timeout_ms and took > action.timeout_ms:
+                    status, took = api.AttemptStatus.TIMEOUT, action.timeout_ms
+                one = api.AttemptFinished(action.request, number, action.backend, status, took, False, report)
                 self.later(at + took, one)
-            case api.Refuse() | api.Fail():
+            case api.RejectRequest() | api.FailRequest():
                 self.over.add(action.request)
             case api.SetTimer():
-                self.later(max(at, action.when), api.Timer(action.token))
-            case api.Probe():
-                report = api.Report(float(rng.randint(0, 3)), 0.0)
-                status = api.Status.OK if rng.random() < 0.9 else api.Status.TIMEOUT
-                self.later(at + 3.0, api.Probed(action.backend, status, 3.0, report))
+                self.later(max(at, action.at_ms), api.TimerFired(action.token))
+            case api.SendProbe():
+                report = api.LoadReport(float(rng.randint(0, 3)), 0.0)
+                status = api.AttemptStatus.OK if rng.random() < 0.9 else api.AttemptStatus.TIMEOUT
+                self.later(at + 3.0, api.ProbeFinished(action.backend, status, 3.0, report))
 
 
 @pytest.mark.parametrize("name", FLEETS)
@@ -177,7 +202,7 @@
 class SteadyRun(Run):
     """The same where every server keeps its zone and cell."""
 
-    def listed(self, name: str) -> api.Entry:
+    def listed(self, name: str) -> api.Endpoint:
         number = int(name[1:])
         return replace(super().listed(name), zone="ab"[number % 2], cell=number % 3)
 
--- a/tests/policy/test_scale.py
+++ b/tests/policy/test_scale.py
@@ -33,10 +33,10 @@
 from tests.policy.test_backend_index import check
 
 ALONE = replace(BASE, classes=(SAFE,), max_attempts=1)
-LIVE = replace(ALONE, weighted=True, live_weights=True)
+LIVE = replace(ALONE, has_weights=True, has_live_weights=True)
 MANY = 10_000
 ARRIVALS = 100_000
-IDLE, BUSY = api.Report(0.0, 0.0), api.Report(3.0, 2.0)
+IDLE, BUSY = api.LoadReport(0.0, 0.0), api.LoadReport(3.0, 2.0)
 
 
 def names(count: int, letter: str = "s") -> list[str]:
@@ -47,7 +47,10 @@
 def fleet(cfg: api.Settings, count: int, seed: int = 1, **over: Any) -> Balancer:
     """A node whose clock stands at 50,000, with a whole list of warm servers and no limit that binds."""
     b = Balancer(cfg, seed)
-    b.handle(50_000.0, api.ListUpdate(api.ListKind.FULL, [entry(n, **over) for n in names(count)]))
+    b.handle(
+        50_000.0,
+        api.EndpointsUpdated(api.EndpointUpdateKind.SNAPSHOT, [entry(n, **over) for n in names(count)]),
+    )
     b.limit = b.least = 1e9
     return b
 
@@ -57,21 +60,26 @@
 
     def __init__(self, b: Balancer, now: float = 50_000.0) -> None:
         self.b, self.now, self.asked = b, now, 0
-        self.out: list[api.Send] = []
+        self.out: list[api.SendAttempt] = []
         self.acts: list[api.Action] = []
 
     def arrive(self, cls: str = "read") -> str | None:
         """One request; where it was sent."""
         self.asked += 1
-        self.acts = self.b.handle(self.now, api.Arrival(f"r{self.asked}", cls, self.now + 1000.0))
+        self.acts = self.b.handle(self.now, api.RequestArrived(f"r{self.asked}", cls, self.now + 1000.0))
         self.out += sends(self.acts)
         return sends(self.acts)[0].backend if sends(self.acts) else None
 
-    def end(self, at: int = 0, status: api.Status = api.Status.OK, report: api.Report | None = BUSY) -> None:
+    def end(
+        self,
+        at: int = 0,
+        status: api.AttemptStatus = api.AttemptStatus.OK,
+        report: api.LoadReport | None = BUSY,
+    ) -> None:
         """One attempt ends."""
         one = self.out.pop(at)
-        closed = status is api.Status.OK
-        outcome = api.Outcome(one.request, 0, one.backend, status, 20.0, closed, report)
+        closed = status is api.AttemptStatus.OK
+        outcome = api.AttemptFinished(one.request, 0, one.backend, status, 20.0, closed, report)
         self.acts = self.b.handle(self.now, outcome)
         self.out += sends(self.acts)
 
@@ -117,7 +125,7 @@
 def test_a_request_costs_the_same_at_ten_and_at_ten_thousand(group_size: int, out: int) -> None:
     cost = []
     for size in (10, MANY):
-        ask = Asker(fleet(replace(ALONE, group_size=group_size), size))
+        ask = Asker(fleet(replace(ALONE, node_count=group_size), size))
         for _ in range(out):
             ask.arrive()
         cost.append(mean(ask))
@@ -134,11 +142,11 @@
             ask.b.bank, ask.b.trust, ask.b.failing = 3.0, 1.0, 0.5
             ask.arrive("pay")
             bound = ask.b._bound(Request("r", ask.b.classes["pay"], None, 0.0, 0.0, False, [attempt(ask.b)]))
-            assert bound is ask.b.index.groups[api.Group.ZONE, "a"].items and len(bound) == size
+            assert bound is ask.b.index.groups[api.DeduplicationScope.ZONE, "a"].items and len(bound) == size
             one = ask.out.pop()
-            repeat = api.Outcome(one.request, 0, one.backend, api.Status.RESET, 5.0, False)
+            repeat = api.AttemptFinished(one.request, 0, one.backend, api.AttemptStatus.RESET, 5.0, False)
 
-            def tell(ask: Asker = ask, repeat: api.Outcome = repeat) -> None:
+            def tell(ask: Asker = ask, repeat: api.AttemptFinished = repeat) -> None:
                 ask.acts = ask.b.handle(ask.now, repeat)
 
             total += lines(tell)
@@ -150,7 +158,7 @@
 def attempt(b: Balancer) -> Attempt:
     """One that may have run."""
     backend = next(iter(b.backends.values()))
-    return Attempt(backend, backend.entry, b.now, True, api.Status.RESET)
+    return Attempt(backend, backend.entry, b.now, True, api.AttemptStatus.RESET)
 
 
 def test_a_change_and_a_weight_cost_the_same_at_ten_and_at_ten_thousand() -> None:
@@ -159,14 +167,16 @@
         b = fleet(LIVE, size)
         some = names(size)[:10]
 
-        def told(entries: list[api.Entry], b: Balancer = b) -> Callable[[], object]:
-            return lambda: b.handle(50_001.0, api.ListUpdate(api.ListKind.CHANGES, entries))
+        def told(entries: list[api.Endpoint], b: Balancer = b) -> Callable[[], object]:
+            return lambda: b.handle(
+                50_001.0, api.EndpointsUpdated(api.EndpointUpdateKind.INCREMENTAL, entries)
+            )
 
         cost.append(
             [
                 lines(told([entry(n, weight=0.3) for n in some])),
                 lines(told([entry(n, phase=api.Phase.DRAINING) for n in some[:5]])),
-                lines(told([entry(n, phase=api.Phase.GONE) for n in some[:5]])),
+                lines(told([entry(n, phase=api.Phase.REMOVED) for n in some[:5]])),
                 lines(told([entry(n) for n in some[:5]])),
                 lines(told([entry(n, zone="b") for n in some[:5]])),
             ]
@@ -180,9 +190,11 @@
     some = [entry(n, weight=rng.choice([0.5, 2.0]), phase=rng.choice(list(api.Phase))) for n in names(1000)]
     for b in (one, batch):
         Asker(b).arrive()
-    singles = [api.ListUpdate(api.ListKind.CHANGES, [e]) for e in some]
+    singles = [api.EndpointsUpdated(api.EndpointUpdateKind.INCREMENTAL, [e]) for e in some]
     single = lines(lambda: [one.handle(50_001.0, update) for update in singles])
-    whole = lines(lambda: batch.handle(50_001.0, api.ListUpdate(api.ListKind.CHANGES, some)))
+    whole = lines(
+        lambda: batch.handle(50_001.0, api.EndpointsUpdated(api.EndpointUpdateKind.INCREMENTAL, some))
+    )
     assert whole <= single
     check(batch)
     assert {n: (x.entry, x.out) for n, x in one.backends.items()} == {
@@ -198,9 +210,11 @@
         ask.arrive()
     assert len(b.held) == 500 and not ask.out
     told = [entry(n, weight=0.25 + i % 4) for i, n in enumerate(names(MANY))]
-    cost = lines(lambda: b.handle(50_001.0, api.ListUpdate(api.ListKind.CHANGES, told)))
+    cost = lines(lambda: b.handle(50_001.0, api.EndpointsUpdated(api.EndpointUpdateKind.INCREMENTAL, told)))
     small = fleet(LIVE, 10)
-    few = lines(lambda: small.handle(50_001.0, api.ListUpdate(api.ListKind.CHANGES, told[:10])))
+    few = lines(
+        lambda: small.handle(50_001.0, api.EndpointsUpdated(api.EndpointUpdateKind.INCREMENTAL, told[:10]))
+    )
     assert cost / MANY < 1.5 * few / 10
     assert len(b.held) == 500 and sum(r.count for r in b.rooms.values()) == MANY
     check(b)
@@ -216,7 +230,7 @@
 
 def cold(x: Backend, now: float) -> None:
     """Started this moment: it is warm in ten seconds."""
-    x.entry = replace(x.entry, started_at=now)
+    x.entry = replace(x.entry, started_at_ms=now)
 
 
 def crowded(x: Backend, now: float) -> None:
@@ -231,7 +245,7 @@
 
 @pytest.mark.parametrize("spoil", [ejected, cold, crowded, capped])
 def test_ten_of_ten_thousand_that_are_left_are_found_at_the_usual_cost(spoil: Callable[..., None]) -> None:
-    b = fleet(replace(ALONE, fall_multiple=0.0), MANY)
+    b = fleet(replace(ALONE, overload_multiple=0.0), MANY)
     usual = mean(Asker(fleet(ALONE, MANY)))
     left = set(random.Random(4).sample(names(MANY), 10))
     for name, x in b.backends.items():
@@ -251,7 +265,7 @@
 
 @pytest.mark.parametrize("spoil", [ejected, cold])
 def test_all_that_come_back_in_one_tick_are_taken_back_in_pieces(spoil: Callable[..., None]) -> None:
-    b = fleet(replace(ALONE, fall_multiple=0.0), MANY)
+    b = fleet(replace(ALONE, overload_multiple=0.0), MANY)
     left = set(names(MANY)[:10])
     for name, x in b.backends.items():
         if name not in left:
@@ -285,25 +299,30 @@
 
 def test_one_left_gets_all_and_none_left_refuses_all() -> None:
     b = fleet(ALONE, MANY)
-    b.handle(50_001.0, api.ListUpdate(api.ListKind.FULL, [entry(names(MANY)[77])]))
+    b.handle(50_001.0, api.EndpointsUpdated(api.EndpointUpdateKind.SNAPSHOT, [entry(names(MANY)[77])]))
     b.limit = b.least = 1e9
     ask = Asker(b)
     assert {ask.arrive() for _ in range(50)} == {names(MANY)[77]}
     assert len(b.backends) == 1
-    b.handle(50_002.0, api.ListUpdate(api.ListKind.FULL, []))
+    b.handle(50_002.0, api.EndpointsUpdated(api.EndpointUpdateKind.SNAPSHOT, []))
     assert [ask.arrive() for _ in range(50)] == [None] * 50
     while ask.out:
         ask.end()
     assert not (b.backends or b.index.order or b.index.size or b.requests or b.index.home)
-    b.handle(50_003.0, api.ListUpdate(api.ListKind.CHANGES, [entry("new")]))
+    b.handle(50_003.0, api.EndpointsUpdated(api.EndpointUpdateKind.INCREMENTAL, [entry("new")]))
     assert ask.arrive() == "new"
 
 
 def test_a_spill_to_other_zones_does_not_panic_while_anyone_is_eligible() -> None:
     """Guards against a draw of a few dozen that misses the few that are eligible and takes ejected ones."""
-    b = fleet(replace(ALONE, charges=api.Charges(cross_zone=0.05)), MANY)
+    b = fleet(replace(ALONE, prices=api.Prices(cross_zone=0.05)), MANY)
     left = names(MANY)[5000:5010]
-    b.handle(50_000.0, api.ListUpdate(api.ListKind.CHANGES, [entry(n, zone="b") for n in names(MANY)[5000:]]))
+    b.handle(
+        50_000.0,
+        api.EndpointsUpdated(
+            api.EndpointUpdateKind.INCREMENTAL, [entry(n, zone="b") for n in names(MANY)[5000:]]
+        ),
+    )
     for name, x in b.backends.items():
         if name not in left:
             ejected(x, 50_000.0)
@@ -324,7 +343,9 @@
         ask.arrive()
     old = {s.backend for s in ask.out}
     ejected(next(iter(b.backends.values())), 50_000.0)
-    b.handle(50_001.0, api.ListUpdate(api.ListKind.FULL, [entry(n) for n in names(MANY, "t")]))
+    b.handle(
+        50_001.0, api.EndpointsUpdated(api.EndpointUpdateKind.SNAPSHOT, [entry(n) for n in names(MANY, "t")])
+    )
     check(b)
     assert len(b.backends) == MANY + len(old) and b.out == 300
     assert all((name or "").startswith("t") for name in [ask.arrive() for _ in range(200)])
@@ -340,12 +361,14 @@
     for _ in range(6):
         ask.arrive()
     one = names(3)[0]
-    for phase in (api.Phase.GONE, api.Phase.UP, api.Phase.GONE):
-        b.handle(50_001.0, api.ListUpdate(api.ListKind.CHANGES, [entry(one, phase=phase)]))
+    for phase in (api.Phase.REMOVED, api.Phase.UP, api.Phase.REMOVED):
+        b.handle(
+            50_001.0, api.EndpointsUpdated(api.EndpointUpdateKind.INCREMENTAL, [entry(one, phase=phase)])
+        )
     for _ in range(4):
         ask.arrive()
     assert b.backends[one].out == 2 and not b.backends[one].inside
-    b.handle(50_002.0, api.ListUpdate(api.ListKind.CHANGES, [entry(one)]))
+    b.handle(50_002.0, api.EndpointsUpdated(api.EndpointUpdateKind.INCREMENTAL, [entry(one)]))
     assert b.backends[one].out == b.backends[one].estimate == 2  # the others have four
     assert [ask.arrive(), ask.arrive()] == [one, one]
     while ask.out:
@@ -372,8 +395,8 @@
 
 def test_one_idle_sign_that_reaches_a_thousand_nodes_brings_no_herd() -> None:
     """Guards against all nodes that send to the one server that showed idle: few feed it, each sends one."""
-    cfg = replace(ALONE, group_size=1000)
-    nodes = [Asker(fleet(replace(cfg, me=me), 200, seed=me)) for me in range(1000)]
+    cfg = replace(ALONE, node_count=1000)
+    nodes = [Asker(fleet(replace(cfg, node_index=me), 200, seed=me)) for me in range(1000)]
     for ask in nodes:
         for x in ask.b.backends.values():
             x.estimate = 5
@@ -422,12 +445,14 @@
         due += [a for a in ask.acts if isinstance(a, api.SetTimer)]
     assert len(b.held) == len(due) == 50_000
     usual = lines(ask.arrive)
-    b.handle(50_000.0, api.ListUpdate(api.ListKind.FULL, []))  # nobody left: none of them can be served
+    b.handle(
+        50_000.0, api.EndpointsUpdated(api.EndpointUpdateKind.SNAPSHOT, [])
+    )  # nobody left: none of them can be served
     assert lines(ask.end) < RELEASE * 2 * usual + 1000
     refused = len(answers(ask.acts))
     assert refused == RELEASE
     for timer in due:
-        refused += len(answers(b.handle(timer.when, api.Timer(timer.token))))
+        refused += len(answers(b.handle(timer.at_ms, api.TimerFired(timer.token))))
     assert refused == 50_001 and not b.held and len(b.timers) == 1  # of the one that came last
     while ask.out:
         ask.end()
@@ -435,7 +460,7 @@
 
 
 def test_no_table_grows_with_arrivals() -> None:
-    b = fleet(replace(ALONE, classes=(SAFE, replace(SAFE, name="dear", value=80.0))), 50)
+    b = fleet(replace(ALONE, classes=(SAFE, replace(SAFE, name="dear", priority_weight=80.0))), 50)
     b.limit = b.least = 60.0
     ask, rng = Asker(b), random.Random(5)
     most: Counter[str] = Counter()
@@ -444,10 +469,12 @@
         ask.now += 0.5
         ask.arrive("dear" if i % 9 == 0 else "read")
         timers += [a for a in ask.acts if isinstance(a, api.SetTimer)]
-        while timers and timers[0].when <= ask.now:
-            ask.out += sends(b.handle(ask.now, api.Timer(timers.pop(0).token)))
+        while timers and timers[0].at_ms <= ask.now:
+            ask.out += sends(b.handle(ask.now, api.TimerFired(timers.pop(0).token)))
         while len(ask.out) > 58 + i % 5:
-            status = rng.choices((api.Status.OK, api.Status.FULL, api.Status.RESET), (90, 6, 4))[0]
+            status = rng.choices(
+                (api.AttemptStatus.OK, api.AttemptStatus.REJECTED, api.AttemptStatus.RESET), (90, 6, 4)
+            )[0]
             ask.end(rng.randrange(len(ask.out)), status, rng.choice((IDLE, BUSY, None)))
         if i % 2000 == 0:
             heaps = [len(level.heap) for shelf in b.index.shelves for level in shelf.values()]
@@ -472,10 +499,10 @@
 
 @pytest.mark.parametrize("zones", [1, 5, 200])
 def test_near_ones_come_first_whatever_the_number_of_zones(zones: int) -> None:
-    cfg = replace(ALONE, group_size=100, zone="z0", charges=api.Charges(cross_zone=0.05))
+    cfg = replace(ALONE, node_count=100, zone="z0", prices=api.Prices(cross_zone=0.05))
     b = Balancer(cfg, 1)
     all_ = [entry(n, zone=f"z{i % zones}") for i, n in enumerate(names(MANY))]
-    b.handle(50_000.0, api.ListUpdate(api.ListKind.FULL, all_))
+    b.handle(50_000.0, api.EndpointsUpdated(api.EndpointUpdateKind.SNAPSHOT, all_))
     assert b.index.home == MANY // zones
     check(b)
     b.spill, b.limit, b.least = 0.0, 1e9, 1e9
@@ -490,15 +517,25 @@
 
 
 def test_a_near_zone_of_one_server_and_zones_that_empty_and_fill() -> None:
-    cfg = replace(ALONE, group_size=100, zone="z0", charges=api.Charges(cross_zone=0.05))
+    cfg = replace(ALONE, node_count=100, zone="z0", prices=api.Prices(cross_zone=0.05))
     b = Balancer(cfg, 1)
     rest = [entry(n, zone=f"z{1 + i % 4}") for i, n in enumerate(names(999))]
-    b.handle(50_000.0, api.ListUpdate(api.ListKind.FULL, [entry("home", zone="z0"), *rest]))
+    b.handle(
+        50_000.0, api.EndpointsUpdated(api.EndpointUpdateKind.SNAPSHOT, [entry("home", zone="z0"), *rest])
+    )
     b.spill, b.limit, b.least = 0.0, 1e9, 1e9
     ask = Asker(b)
     assert b.index.home == 1 and b.index.order[0][2] == "home" and b.index.size == 50
-    for phase, home in ((api.Phase.GONE, 0), (api.Phase.UP, 1), (api.Phase.DRAINING, 0), (api.Phase.UP, 1)):
-        b.handle(50_001.0, api.ListUpdate(api.ListKind.CHANGES, [entry("home", zone="z0", phase=phase)]))
+    for phase, home in (
+        (api.Phase.REMOVED, 0),
+        (api.Phase.UP, 1),
+        (api.Phase.DRAINING, 0),
+        (api.Phase.UP, 1),
+    ):
+        b.handle(
+            50_001.0,
+            api.EndpointsUpdated(api.EndpointUpdateKind.INCREMENTAL, [entry("home", zone="z0", phase=phase)]),
+        )
         assert b.index.home == home
         check(b)
         got = {ask.arrive() for _ in range(50)}
@@ -506,7 +543,9 @@
         while ask.out:
             ask.end(report=IDLE)
     moved = [replace(e, zone="z0" if e.zone == "z1" else "z1") for e in rest if e.zone in ("z1", "z2")]
-    b.handle(50_002.0, api.ListUpdate(api.ListKind.CHANGES, moved))  # one fills another, one is no more
+    b.handle(
+        50_002.0, api.EndpointsUpdated(api.EndpointUpdateKind.INCREMENTAL, moved)
+    )  # one fills another, one is no more
     check(b)
     assert b.index.home == 1 + sum(e.zone == "z0" for e in moved) > 200
 
@@ -528,11 +567,18 @@
         if len(ask.out) > 90:
             one = ask.out.pop(rng.randrange(len(ask.out)))
             tried = len(b.requests[one.request].attempts) - 1
-            status = rng.choice((api.Status.OK, api.Status.OK, api.Status.FULL, api.Status.RESET))
-            ended[one.request] += status is api.Status.OK
-            closed = status is api.Status.OK
+            status = rng.choice(
+                (
+                    api.AttemptStatus.OK,
+                    api.AttemptStatus.OK,
+                    api.AttemptStatus.REJECTED,
+                    api.AttemptStatus.RESET,
+                )
+            )
+            ended[one.request] += status is api.AttemptStatus.OK
+            closed = status is api.AttemptStatus.OK
             ask.acts = b.handle(
-                ask.now, api.Outcome(one.request, tried, one.backend, status, 0.0, closed, BUSY)
+                ask.now, api.AttemptFinished(one.request, tried, one.backend, status, 0.0, closed, BUSY)
             )
             ask.out += sends(ask.acts)
             told()
@@ -540,14 +586,17 @@
     assert timers and b.held
     ask.now += 60_000.0
     for token in timers:
-        ask.acts = b.handle(ask.now, api.Timer(token))
+        ask.acts = b.handle(ask.now, api.TimerFired(token))
         assert not sends(ask.acts)
         told()
     check(b)
     assert not b.held and not b.timers
     for one in ask.out:
         tried = len(b.requests[one.request].attempts) - 1
-        b.handle(ask.now, api.Outcome(one.request, tried, one.backend, api.Status.OK, 60_000.0, True, IDLE))
+        b.handle(
+            ask.now,
+            api.AttemptFinished(one.request, tried, one.backend, api.AttemptStatus.OK, 60_000.0, True, IDLE),
+        )
         ended[one.request] += 1
     assert set(ended.values()) == {1} and len(ended) == 2000 and not b.requests
     check(b)
@@ -557,8 +606,11 @@
     """Guards against times and weights reckoned by a usual time that has come to nothing."""
     b = fleet(ALONE, 4)
     for i in range(8_000):
-        sent = sends(b.handle(50_000.0, api.Arrival(f"r{i}", "read", 51_000.0)))[0]
-        b.handle(50_000.0, api.Outcome(sent.request, 0, sent.backend, api.Status.OK, 0.0, True, IDLE))
+        sent = sends(b.handle(50_000.0, api.RequestArrived(f"r{i}", "read", 51_000.0)))[0]
+        b.handle(
+            50_000.0,
+            api.AttemptFinished(sent.request, 0, sent.backend, api.AttemptStatus.OK, 0.0, True, IDLE),
+        )
     assert b.classes["read"].usual > 1e-6
     ask = Asker(b)
     while len(ask.out) < 8:
--- a/tests/protocol/test_class_path.py
+++ b/tests/protocol/test_class_path.py
@@ -9,13 +9,18 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from balancer.interface import Effect, RequestClass
+from balancer.interface import Idempotency, RequestClass
 from balancer.protocol.class_path import ClassPaths
 
 
 def paths(*names: str) -> ClassPaths[RequestClass]:
     """Classes of these names."""
-    return ClassPaths([RequestClass(name, Effect.SAFE, aim=1.0, deadline=2.0) for name in names])
+    return ClassPaths(
+        [
+            RequestClass(name, Idempotency.IDEMPOTENT, latency_objective_ms=1.0, deadline_ms=2.0)
+            for name in names
+        ]
+    )
 
 
 NAMES = ["read", "up", "høyvann/i dag", "a/b", "a", "a%2Fb", "claim.2", "100%", "日本", "x y", "?", "a+b"]
--- a/tests/protocol/test_etcd_watch.py
+++ b/tests/protocol/test_etcd_watch.py
@@ -11,7 +11,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from balancer.endpoints import Fault, Member
+from balancer.endpoints import EndpointRecord, InvalidEntry
 from balancer.interface import Phase
 from balancer.protocol import etcd_watch as ew
 from balancer.protocol.etcd_entry import MAX_VALUE, entry
@@ -334,7 +334,7 @@
         assert isinstance(message, ew.Message)
     for form in ("member", "grpc-naming"):
         found = entry(KeyValue(b"/m/a", json.dumps(value).encode(), 1), b"/m/", form)
-        assert isinstance(found, Member | Fault | str)
+        assert isinstance(found, EndpointRecord | InvalidEntry | str)
 
 
 def test_requests() -> None:
@@ -363,19 +363,23 @@
 NAMING = {"Op": 0, "Addr": "10.1.0.18:8080", "Metadata": None}
 
 
-def read(value: object, key: bytes = b"/m/s-1", form: str = "member") -> Member | Fault | str:
+def read(value: object, key: bytes = b"/m/s-1", form: str = "member") -> EndpointRecord | InvalidEntry | str:
     raw = value if isinstance(value, bytes) else json.dumps(value).encode()
     return entry(KeyValue(key, raw, 1), b"/m/", form)
 
 
 def test_entries_that_can_be_read() -> None:
     one, same, drains = read(GOOD), read(GOOD | {"id": "s-1"}), read(GOOD | {"phase": "terminating"})
-    assert isinstance(one, Member) and one == same and one.id == "s-1" and one.entry.weight == 2.0
-    assert isinstance(drains, Member) and drains.entry.phase is Phase.DRAINING
+    assert isinstance(one, EndpointRecord) and one == same and one.id == "s-1" and one.endpoint.weight == 2.0
+    assert isinstance(drains, EndpointRecord) and drains.endpoint.phase is Phase.DRAINING
     assert read({"phase": "terminated"}) == "s-1"
     assert entry(KeyValue(b"/m/s-1", None, 1, True), b"/m/", "member") == "s-1"
     named = read(NAMING, form="grpc-naming")
-    assert isinstance(named, Member) and named.address == ("10.1.0.18", 8080) and named.entry.weight == 1
+    assert (
+        isinstance(named, EndpointRecord)
+        and named.address == ("10.1.0.18", 8080)
+        and named.endpoint.weight == 1
+    )
     assert read({"Op": 1, "Addr": ""}, form="grpc-naming") == "s-1"
 
 
@@ -404,14 +408,14 @@
 )
 def test_entries_that_cannot_be_read(value: object, key: bytes, form: str, part: str) -> None:
     fault = read(value, key, form)
-    assert isinstance(fault, Fault) and part in fault.reason and not fault.leaving
+    assert isinstance(fault, InvalidEntry) and part in fault.reason and not fault.is_draining
     assert fault.key == "s-1" if key == b"/m/s-1" else "/" in fault.key  # else it is nobody's id
     assert entry(KeyValue(key, None, 1, True), b"/m/", form) == fault.key  # its end takes the fault away
 
 
 def test_an_unreadable_entry_that_drains_is_obeyed() -> None:
     fault = read({"phase": "terminating", "host_port": "nowhere"})
-    assert isinstance(fault, Fault) and fault.leaving and fault.key == "s-1"
+    assert isinstance(fault, InvalidEntry) and fault.is_draining and fault.key == "s-1"
 
 
 def test_a_line_in_tiny_chunks_takes_no_more_memory_than_its_bytes() -> None:
--- a/tests/protocol/test_large_list.py
+++ b/tests/protocol/test_large_list.py
@@ -10,17 +10,17 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from balancer.endpoints import Listing, listing
+from balancer.endpoints import EndpointList, parse_endpoint_list
 from balancer.protocol import large_list as long_list
 from balancer.protocol.large_list import LongList
 
 
-def read(line: bytes) -> tuple[Listing, int]:
+def read(line: bytes) -> tuple[EndpointList, int]:
     """The list, and in how many steps it came."""
     long, steps = LongList(line), 1
     while not long.read(1):
         steps += 1
-    return long.listing(), steps
+    return long.result(), steps
 
 
 def rows(count: int) -> list[dict[str, Any]]:
@@ -54,7 +54,7 @@
         line = rng.choice([line[:at], line + b" \n", line + b"x", odd])
     before, long_list.STEP = long_list.STEP, step
     try:
-        want = listing(json.loads(line))
+        want = parse_endpoint_list(json.loads(line))
     except ValueError:
         with pytest.raises(ValueError):
             read(line)
@@ -67,4 +67,4 @@
 def test_no_step_takes_more_than_its_part() -> None:
     count = 10 * long_list.STEP
     got, steps = read(json.dumps({"members": rows(count), "revision": 3, "complete": True}).encode())
-    assert len(got.members) == count and steps == 22  # 10 to parse, 1 for the frame, 10 to check
+    assert len(got.records) == count and steps == 22  # 10 to parse, 1 for the frame, 10 to check
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -33,47 +33,50 @@
 
 def test_every_report_value_and_the_entry_fields() -> None:
     names = ("active", "waiting", "cpu", "avg_ms")
-    assert wire.report("1,2,0.5,7.5", names) == api.Report(1.0, 2.0, 0.5, 7.5)
-    assert wire.report("3,4", ("rps", "err_rps")) == api.Report(rate=3.0, error_rate=4.0)
-    assert wire.report("9,1", ("new-value", "active")) == api.Report(1.0)
+    assert wire.report("1,2,0.5,7.5", names) == api.LoadReport(1.0, 2.0, 0.5, 7.5)
+    assert wire.report("3,4", ("rps", "err_rps")) == api.LoadReport(requests_per_s=3.0, errors_per_s=4.0)
+    assert wire.report("9,1", ("new-value", "active")) == api.LoadReport(1.0)
     got = wire.entry("ENTRY 3 big 1.1.1.1:1 1.5 draining 61.5 b")
-    assert got == api.Entry("1.1.1.1:1", "b", 3, 1.5, api.Phase.DRAINING, 61.5, "big")
-    assert wire.list_update("DIRECTORY_UPDATE diff 41 2") == (api.ListUpdate(api.ListKind.CHANGES, [], 41), 2)
+    assert got == api.Endpoint("1.1.1.1:1", "b", 3, 1.5, api.Phase.DRAINING, 61.5, "big")
+    assert wire.list_update("DIRECTORY_UPDATE diff 41 2") == (
+        api.EndpointsUpdated(api.EndpointUpdateKind.INCREMENTAL, [], 41),
+        2,
+    )
 
 
 def test_every_event_line() -> None:
     names = ("waiting", "active")
-    assert wire.event("WAKE 77", names) == api.Timer(77)
-    assert wire.event("CANCELLED_BY_CLIENT ab", names) == api.ClientGone("ab")
+    assert wire.event("WAKE 77", names) == api.TimerFired(77)
+    assert wire.event("CANCELLED_BY_CLIENT ab", names) == api.ClientLeft("ab")
     assert wire.event("ACCEPTED ab 1 h:1 9.25", names) == api.StreamStarted("ab", 1, "h:1", 9.25)
-    assert wire.event("HEARD 2 6869", names) == api.PeerMessage(2, b"hi")
-    assert wire.event("SAMPLED pass 1.4 h:1 3,-", names) == api.Probed(
-        "h:1", api.Status.OK, 1.4, api.Report(None, 3.0)
+    assert wire.event("HEARD 2 6869", names) == api.PeerMessageReceived(2, b"hi")
+    assert wire.event("SAMPLED pass 1.4 h:1 3,-", names) == api.ProbeFinished(
+        "h:1", api.AttemptStatus.OK, 1.4, api.LoadReport(None, 3.0)
     )
-    assert wire.event("ORDER ab 0 - 2000.5 - - read 0", names) == api.Arrival("ab", "read", 2000.5)
-    assert wire.event("ORDER ab 1 k:1 2000.5 t 12.5 read 1", names) == api.Arrival(
+    assert wire.event("ORDER ab 0 - 2000.5 - - read 0", names) == api.RequestArrived("ab", "read", 2000.5)
+    assert wire.event("ORDER ab 1 k:1 2000.5 t 12.5 read 1", names) == api.RequestArrived(
         "ab", "read", 2000.5, True, "k:1", "t", 12.5, True
     )
     words = ["pass", "fault", "no_room", "too_slow", "no_route", "cut", "undone", "stale_send"]
-    for word, status in zip(words, api.Status, strict=True):
+    for word, status in zip(words, api.AttemptStatus, strict=True):
         got = wire.event(f"RESOLVED ab 0 h:1 {word} 1 0 -", names)
-        assert got == api.Outcome("ab", 0, "h:1", status, 1.0, False, None)
+        assert got == api.AttemptFinished("ab", 0, "h:1", status, 1.0, False, None)
 
 
 def test_every_action_line() -> None:
-    assert wire.action(api.Send("ab", "h:1", 80.0)) == "PLACE ab 80.0 h:1"
-    assert wire.action(api.Refuse("ab", 250.0)) == "PUSH_BACK ab 250.0"
-    assert wire.action(api.Fail("ab")) == "SURRENDER ab"
-    assert wire.action(api.Cancel("ab", 1)) == "ABANDON ab 1"
+    assert wire.action(api.SendAttempt("ab", "h:1", 80.0)) == "PLACE ab 80.0 h:1"
+    assert wire.action(api.RejectRequest("ab", 250.0)) == "PUSH_BACK ab 250.0"
+    assert wire.action(api.FailRequest("ab")) == "SURRENDER ab"
+    assert wire.action(api.CancelAttempt("ab", 1)) == "ABANDON ab 1"
     assert wire.action(api.SetTimer(8912.25, 7)) == "NOTIFY_ME 8912.25 7"
-    assert wire.action(api.Probe("h:1")) == "INSPECT h:1"
-    assert wire.action(api.Subscribe()) == "TAIL 1"
-    assert wire.action(api.Subscribe(False)) == "TAIL 0"
-    assert wire.action(api.ListAll()) == "LIST_ALL"
-    assert wire.action(api.CloseIdle("h:1")) == "SHUT_IDLE h:1"
-    assert wire.action(api.Tell(None, b"hi")) == "WRITE_PEER all 6869"
-    assert wire.action(api.Tell(3, b"")) == "WRITE_PEER 3 -"
-    assert wire.action(api.Log("two\nlines")) == "LOG two lines"
+    assert wire.action(api.SendProbe("h:1")) == "INSPECT h:1"
+    assert wire.action(api.SubscribeToEndpoints()) == "TAIL 1"
+    assert wire.action(api.SubscribeToEndpoints(False)) == "TAIL 0"
+    assert wire.action(api.FetchSnapshot()) == "LIST_ALL"
+    assert wire.action(api.CloseIdleConnections("h:1")) == "SHUT_IDLE h:1"
+    assert wire.action(api.SendPeerMessage(None, b"hi")) == "WRITE_PEER all 6869"
+    assert wire.action(api.SendPeerMessage(3, b"")) == "WRITE_PEER 3 -"
+    assert wire.action(api.WriteLog("two\nlines")) == "LOG two lines"
 
 
 @pytest.mark.parametrize(
--- a/tests/system/shutdown_races.py
+++ b/tests/system/shutdown_races.py
@@ -31,7 +31,7 @@
 
 from balancer import interface as api
 from balancer.core.discovery.endpoint_merger import Apply
-from balancer.endpoints import Listing, Member
+from balancer.endpoints import EndpointList, EndpointRecord
 from balancer.net.backend_pool import Attempt, Connection
 from balancer.net.config import Config
 from balancer.net.http_server import ClientConnection, Front
@@ -47,13 +47,32 @@
 LEAVES = ("fin", "rst", "half")
 ANSWERS = ("ok", "full", "error", "cut", "reset")
 CLASSES = (
-    api.RequestClass("read", api.Effect.SAFE, AIM, DEADLINE),
-    api.RequestClass("pay", api.Effect.KEYED, AIM, DEADLINE, group=api.Group.ZONE, memory_span=800.0),
-    api.RequestClass("brief", api.Effect.KEYED, AIM, DEADLINE, group=api.Group.ZONE, memory_span=200.0),
-    api.RequestClass("once", api.Effect.UNSAFE, AIM, DEADLINE),
+    api.RequestClass("read", api.Idempotency.IDEMPOTENT, AIM, DEADLINE),
+    api.RequestClass(
+        "pay",
+        api.Idempotency.KEYED,
+        AIM,
+        DEADLINE,
+        deduplication_scope=api.DeduplicationScope.ZONE,
+        deduplication_window_ms=800.0,
+    ),
+    api.RequestClass(
+        "brief",
+        api.Idempotency.KEYED,
+        AIM,
+        DEADLINE,
+        deduplication_scope=api.DeduplicationScope.ZONE,
+        deduplication_window_ms=200.0,
+    ),
+    api.RequestClass("once", api.Idempotency.NON_IDEMPOTENT, AIM, DEADLINE),
 )
 SETTINGS = api.Settings(
-    CLASSES, zone="a", max_attempts=3, max_retry_after=100.0, drain_grace=GRACE, connect_timeout=60_000.0
+    CLASSES,
+    zone="a",
+    max_attempts=3,
+    max_retry_after_ms=100.0,
+    drain_grace_ms=GRACE,
+    connect_timeout_ms=60_000.0,
 )
 Step = tuple[str, int, int]
 """What, of which request, and how many turns the loop gets after it: -1 is until it is idle."""
@@ -193,7 +212,7 @@
         """Milliseconds."""
         return self.clock.ms
 
-    def arrival(self, event: api.Arrival, client: Any, render: Callable[[float], bytes]) -> None:
+    def arrival(self, event: api.RequestArrived, client: Any, render: Callable[[float], bytes]) -> None:
         """A request was taken."""
         self.came.add(event.request)
         super().arrival(event, client, render)
@@ -251,9 +270,9 @@
         self.links: list[Link] = []
         self.drained_ms: float | None = None
 
-    def member(self, phase: api.Phase = api.Phase.UP) -> Member:
+    def member(self, phase: api.Phase = api.Phase.UP) -> EndpointRecord:
         """Its entry."""
-        return Member(api.Entry(self.name, self.zone, 0, 1.0, phase, 0.0), self.sock.getsockname())
+        return EndpointRecord(api.Endpoint(self.name, self.zone, 0, 1.0, phase, 0.0), self.sock.getsockname())
 
 
 @dataclass
@@ -282,10 +301,10 @@
 
     def ask(self) -> None:
         """Write the request, whole."""
-        method = "GET" if self.cls.effect is api.Effect.SAFE else "POST"
+        method = "GET" if self.cls.idempotency is api.Idempotency.IDEMPOTENT else "POST"
         lines = [f"{method} /{self.cls.name}/x HTTP/1.1", f"Request-Id: {self.name}"]
         lines.append(f"Request-Timeout: {DEADLINE:.0f}m")
-        if self.cls.effect is api.Effect.KEYED:
+        if self.cls.idempotency is api.Idempotency.KEYED:
             lines.append(f"Idempotency-Key: k-{self.name}")
         if method == "POST":
             lines.append("Content-Length: 2")
@@ -405,7 +424,7 @@
         self.waiting: list[asyncio.Future[None]] = []  # connections that are coming up
         self.credit, self.free, self.news = 0, False, 0
         settings = replace(SETTINGS, may_cancel=order.may_cancel)
-        known = Listing(0, True, ())
+        known = EndpointList(0, True, ())
         place = ("127.0.0.1", 0)
         config = Config("n", place, place, order.seed, settings, known, 100, 100, 64.0)
         self.node = ClockedNode(config, self.clock)
@@ -427,11 +446,11 @@
 
     # --- hooks
 
-    def saw(self, now: float, event: api.Event, actions: Sequence[api.Action]) -> None:
+    def on_decision(self, now: float, event: api.Event, actions: Sequence[api.Action]) -> None:
         """What the node decided."""
         self.news += 1
         for action in actions:
-            if isinstance(action, api.Send):
+            if isinstance(action, api.SendAttempt):
                 self.last = action.backend
 
     def gate(self) -> asyncio.Future[None]:
@@ -470,9 +489,14 @@
         """Tell the node of one server."""
         self.revision += 1
         member = (server.member(phase),)
-        gone = phase is api.Phase.GONE
+        gone = phase is api.Phase.REMOVED
         self.node.apply(
-            Apply(api.ListKind.CHANGES, () if gone else member, member if gone else (), self.revision)
+            Apply(
+                api.EndpointUpdateKind.INCREMENTAL,
+                () if gone else member,
+                member if gone else (),
+                self.revision,
+            )
         )
         if phase is api.Phase.UP:
             server.drained_ms = None
@@ -503,7 +527,7 @@
                 self.clock.ms += DEADLINE + 10
             case "drain" | "gone" | "back":
                 server = next(s for s in self.servers if s.name == self.last)
-                phases = {"drain": api.Phase.DRAINING, "gone": api.Phase.GONE, "back": api.Phase.UP}
+                phases = {"drain": api.Phase.DRAINING, "gone": api.Phase.REMOVED, "back": api.Phase.UP}
                 self.apply(server, phases[what])
             case "term":
                 self.node.stopping = self.told_to_end = True
@@ -622,13 +646,18 @@
         if len(before) >= SETTINGS.max_attempts:
             self._fault(name, "too many attempts")
         risky = [s for s in before if s.may_have_run]
-        if asker.cls.effect is api.Effect.UNSAFE and risky:
+        if asker.cls.idempotency is api.Idempotency.NON_IDEMPOTENT and risky:
             there = risky[0].server.name
             self._fault(name, f"unsafe, sent to {server.name} though it may have run on {there}")
-        if asker.cls.effect is api.Effect.KEYED and any(s.server.zone != server.zone for s in risky):
+        if asker.cls.idempotency is api.Idempotency.KEYED and any(
+            s.server.zone != server.zone for s in risky
+        ):
             self._fault(name, f"keyed, sent to {server.name} outside the group")
         since = min((s.at_ms for s in risky), default=sent.at_ms)
-        if asker.cls.effect is api.Effect.KEYED and sent.at_ms - since > asker.cls.memory_span + SLACK:
+        if (
+            asker.cls.idempotency is api.Idempotency.KEYED
+            and sent.at_ms - since > asker.cls.deduplication_window_ms + SLACK
+        ):
             self._fault(name, "keyed, sent again past the memory span")
         sent.link.sent = sent
         self.sent.append(sent)
@@ -639,7 +668,7 @@
         """All steps, then the end of all."""
         await self.front.listen(("127.0.0.1", 0))
         members = tuple(server.member() for server in self.servers)
-        self.node.apply(Apply(api.ListKind.FULL, members, (), 1))
+        self.node.apply(Apply(api.EndpointUpdateKind.SNAPSHOT, members, (), 1))
         for number, name in enumerate(self.order.classes):
             cls = next(c for c in CLASSES if c.name == name)
             sock = socket.create_connection(self.front.address)
@@ -710,7 +739,7 @@
         if code == 200 and body not in self.made.get(name, ()):
             self._fault(name, f"served with what no server made: {body!r:.80}")
         risky = [s for s in self.sent if s.request == name and s.may_have_run]
-        if code in (429, 503) and risky and asker.cls.effect is not api.Effect.SAFE:
+        if code in (429, 503) and risky and asker.cls.idempotency is not api.Idempotency.IDEMPOTENT:
             self._fault(name, f"refused, though it may have run on {risky[0].server.name}")
 
     def close(self) -> None:
--- a/tests/system/test_etcd_conformance.py
+++ b/tests/system/test_etcd_conformance.py
@@ -25,7 +25,7 @@
     Silenced,
 )
 from balancer.core.discovery.etcd_watcher import EtcdConfig, Phase
-from balancer.endpoints import Member
+from balancer.endpoints import EndpointRecord
 from balancer.interface import Phase as MemberPhase
 from balancer.net.discovery.etcd import EtcdSource
 from balancer.testbed.certificates import make
@@ -58,7 +58,7 @@
 
     def __init__(self, endpoints: list[str], **more: Any) -> None:
         self.told: list[Any] = []
-        self.view: dict[str, Member] = {}
+        self.view: dict[str, EndpointRecord] = {}
         self.changed = asyncio.Event()
         config = EtcdConfig(tuple(endpoints), more.pop("prefix", PREFIX), **more)
         self.source = EtcdSource(config, self._take, rng=random.Random(1))
@@ -75,11 +75,11 @@
         if isinstance(event, Listed):
             before = [e.listing.revision for e in self.listed[:-1] if e.identity == event.identity]
             assert event.listing.revision >= max(before, default=0), "an order went back"
-            if event.listing.complete:
+            if event.listing.is_complete:
                 self.view.clear()
-            for name in event.listing.removed:
+            for name in event.listing.removed_ids:
                 self.view.pop(name, None)
-            self.view |= {m.id: m for m in event.listing.members}
+            self.view |= {m.id: m for m in event.listing.records}
         self.changed.set()
 
     @property
@@ -89,7 +89,7 @@
     @property
     def wholes(self) -> int:
         """How many whole lists came."""
-        return sum(event.listing.complete for event in self.listed)
+        return sum(event.listing.is_complete for event in self.listed)
 
     def last(self, *kinds: type) -> bool:
         """Whether the last of what was told is one of these."""
@@ -188,13 +188,13 @@
                 end = await cluster.put(key("end"), value())
                 await follower.until(lambda: follower.listed[-1].listing.revision == end)
                 first, *rest = [event.listing for event in follower.listed]
-                told = {m.id for listing in rest for m in listing.members}
-                gone = {name for listing in rest for name in listing.removed}
-                assert first.complete and not any(listing.complete for listing in rest)
+                told = {m.id for listing in rest for m in listing.records}
+                gone = {name for listing in rest for name in listing.removed_ids}
+                assert first.is_complete and not any(listing.is_complete for listing in rest)
                 behind = first.revision
                 assert {name for name, at in deleted.items() if at > behind} <= gone
                 assert {name for name, at in put.items() if at > behind} <= told | gone
-                assert {m.id for m in first.members if m.id.startswith("new")} == {
+                assert {m.id for m in first.records if m.id.startswith("new")} == {
                     name for name, at in put.items() if at <= behind < deleted.get(name, behind + 1)
                 }
                 assert follower.view.keys() == left | {"end"} | {f"old-{i:03d}" for i in range(700)}
@@ -223,7 +223,7 @@
                 assert len(follower.view) == 6  # the view stays
                 relay.up = True
                 await follower.names("s-3", "s-4", "s-5")
-                assert follower.wholes == 2 and follower.listed[-1].listing.complete
+                assert follower.wholes == 2 and follower.listed[-1].listing.is_complete
                 await cluster.put(key("s-6"), value())
                 await follower.names("s-3", "s-4", "s-5", "s-6")
             relay.stop()
@@ -263,13 +263,13 @@
             await cluster.put(key(""), value())
             async with Follower(cluster.endpoints) as follower:
                 await follower.names("good")
-                faults = {fault.key for fault in follower.listed[0].listing.faults}
+                faults = {fault.key for fault in follower.listed[0].listing.invalid_entries}
                 assert faults == {"text", "port", "a/b", "/", *(f"huge-{i}" for i in range(9))}
                 await cluster.put(key("good"), b'{"phase":"terminating"}')
                 await cluster.put(key("port"), value())
                 await follower.names("good", "port")
-                faulty = [fault for event in follower.listed[1:] for fault in event.listing.faults]
-                assert [fault.key for fault in faulty if fault.leaving] == ["good"]
+                faulty = [fault for event in follower.listed[1:] for fault in event.listing.invalid_entries]
+                assert [fault.key for fault in faulty if fault.is_draining] == ["good"]
 
     run(test)
 
@@ -519,7 +519,7 @@
                     assert raised.listed[0].identity.endswith("/1")
                 cluster.rename(0, 77)
                 await follower.names("a")
-                assert follower.listed[-1].identity == "77/0" and follower.listed[-1].listing.complete
+                assert follower.listed[-1].identity == "77/0" and follower.listed[-1].listing.is_complete
 
     run(test)
 
@@ -554,7 +554,7 @@
                 for reason, compacted in (("why not", 0), ("", 5)):
                     await cluster.txn({key(f"s-{i}"): value() for i in range(100)}, [])
                     await follower.until(lambda: len(follower.view) == 100)
-                    assert follower.view["s-1"].entry.phase is MemberPhase.UP
+                    assert follower.view["s-1"].endpoint.phase is MemberPhase.UP
                     await cluster.txn({}, [key(f"s-{i}") for i in range(100)])
                     cluster.cancel(0, reason, compacted)
                     await follower.until(lambda: not follower.view)
--- a/tests/system/test_partial_removal.py
+++ b/tests/system/test_partial_removal.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 from typing import Any, Self
 
-from balancer.interface import Effect
+from balancer.interface import Idempotency
 from balancer.testbed.backend_emulator import Machine
 from balancer.testbed.cluster import Step
 from balancer.testbed.dual_source_cluster import PREFIX, FleetWorld
@@ -34,9 +34,9 @@
 # A cold server falls over by far less than it can do, so that whoever takes one for warm pushes it over.
 SITE = Site(
     classes=(
-        RequestClass("search", Effect.SAFE, 5_000, 6_000, share=0.5, work_ms=20, spread=0.3),
-        RequestClass("order", Effect.KEYED, 5_000, 6_000, share=0.3, work_ms=20, spread=0.3),
-        RequestClass("charge", Effect.UNSAFE, 5_000, 6_000, share=0.2, work_ms=20, spread=0.3),
+        RequestClass("search", Idempotency.IDEMPOTENT, 5_000, 6_000, share=0.5, work_ms=20, spread=0.3),
+        RequestClass("order", Idempotency.KEYED, 5_000, 6_000, share=0.3, work_ms=20, spread=0.3),
+        RequestClass("charge", Idempotency.NON_IDEMPOTENT, 5_000, 6_000, share=0.2, work_ms=20, spread=0.3),
     ),
     zones=("a",),
     connect_ms=5_000,
--- a/tests/test_platform_settings.py
+++ b/tests/test_platform_settings.py
@@ -13,8 +13,8 @@
 
 def test_settings_read_and_unknown_keys_skipped() -> None:
     got = settings.read(BOOT)
-    assert got.classes[0].aim == 400.0 and got.max_attempts == 3
-    assert got.report_fields == ("waiting", "active")
+    assert got.classes[0].latency_objective_ms == 400.0 and got.max_attempts == 3
+    assert got.load_report_fields == ("waiting", "active")
 
 
 @pytest.mark.parametrize(
@@ -106,13 +106,18 @@
         "max-retry-after": 250.0,
     }
     got = settings.read(json.dumps(told))
-    assert (got.blend.nines, got.blend.top_nines, got.blend.slow_end, got.blend.miss_allowed) == (
+    assert (
+        got.score_weights.nines,
+        got.score_weights.top_nines,
+        got.score_weights.slow_tail,
+        got.score_weights.allowed_miss_rate,
+    ) == (
         0.2,
         4.0,
         0.3,
         0.02,
     )
-    charges = got.charges
+    charges = got.prices
     assert (charges.peer, charges.moves, charges.origin, charges.fleet, charges.discovery) == (
         0.01,
         0.02,
@@ -120,15 +125,22 @@
         0.04,
         0.05,
     )
-    assert got.retries_marked and got.warm_keys and got.passes_deadline and got.peers
-    assert got.kinds == ("k",) and got.zones == ("a", "b")
-    assert (got.conn_idle, got.streams_per_conn, got.max_open) == (5000.0, 7, 9)
-    assert (got.cpu_us_per_s, got.cpu_us_per_request, got.max_retry_after) == (8000.0, 2.5, 250.0)
+    assert got.are_retries_marked and got.has_warm_keys and got.forwards_deadline and got.may_message_peers
+    assert got.backend_kinds == ("k",) and got.zones == ("a", "b")
+    assert (got.connection_idle_ms, got.streams_per_connection, got.max_open_requests) == (5000.0, 7, 9)
+    assert (got.cpu_us_per_s, got.cpu_us_per_request, got.max_retry_after_ms) == (8000.0, 2.5, 250.0)
 
 
 def test_what_is_not_told_is_read_with_caution() -> None:
     bare = settings.read(json.dumps({"request-classes": INFO["request-classes"]}))
-    assert bare.cold_share < 1 and bare.ramp_time > 0 and bare.fall_multiple <= 1
-    assert bare.classes[0].group is api.Group.CELL and bare.classes[0].memory_span == 0
-    assert not (bare.probing or bare.may_cancel or bare.second_copies or bare.peers)
-    assert bare.max_attempts == 1 and bare.must_ask
+    assert (
+        bare.slow_start_initial_fraction < 1
+        and bare.slow_start_duration_ms > 0
+        and bare.overload_multiple <= 1
+    )
+    assert (
+        bare.classes[0].deduplication_scope is api.DeduplicationScope.CELL
+        and bare.classes[0].deduplication_window_ms == 0
+    )
+    assert not (bare.probing_enabled or bare.may_cancel or bare.may_hedge or bare.may_message_peers)
+    assert bare.max_attempts == 1 and bare.must_poll
--- a/tests/testbed/test_backend_emulator.py
+++ b/tests/testbed/test_backend_emulator.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from balancer.interface import Effect
+from balancer.interface import Idempotency
 from balancer.testbed import backend_emulator as servers
 from balancer.testbed.backend_emulator import (
     Fleet,
@@ -37,9 +37,9 @@
 
 SITE = Site(
     classes=(
-        RequestClass("read", Effect.SAFE, 500, 1_000, work_ms=10, spread=0),
-        RequestClass("long", Effect.SAFE, 500, 60_000, work_ms=60_000, spread=0),
-        RequestClass("pay", Effect.KEYED, 500, 1_000, work_ms=10, spread=0, memory_ms=60_000),
+        RequestClass("read", Idempotency.IDEMPOTENT, 500, 1_000, work_ms=10, spread=0),
+        RequestClass("long", Idempotency.IDEMPOTENT, 500, 60_000, work_ms=60_000, spread=0),
+        RequestClass("pay", Idempotency.KEYED, 500, 1_000, work_ms=10, spread=0, memory_ms=60_000),
     ),
     rules=Rules(warm_ms=60_000),
 )
--- a/tests/testbed/test_invariant_checker.py
+++ b/tests/testbed/test_invariant_checker.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from balancer.interface import Effect, Group
+from balancer.interface import DeduplicationScope, Idempotency
 from balancer.testbed.event_log import (
     Answered,
     Asked,
@@ -37,10 +37,10 @@
 
 SITE = Site(
     classes=(
-        RequestClass("read", Effect.SAFE, 250, 1_000, worth=10),
-        RequestClass("pay", Effect.KEYED, 250, 3_000, group=Group.ZONE, memory_ms=500),
-        RequestClass("any", Effect.KEYED, 250, 3_000, group=Group.ALL, memory_ms=500),
-        RequestClass("once", Effect.UNSAFE, 250, 3_000),
+        RequestClass("read", Idempotency.IDEMPOTENT, 250, 1_000, worth=10),
+        RequestClass("pay", Idempotency.KEYED, 250, 3_000, group=DeduplicationScope.ZONE, memory_ms=500),
+        RequestClass("any", Idempotency.KEYED, 250, 3_000, group=DeduplicationScope.ALL, memory_ms=500),
+        RequestClass("once", Idempotency.NON_IDEMPOTENT, 250, 3_000),
     )
 )
 GRACE = SITE.rules.grace_ms + SITE.rules.slack_ms
@@ -50,7 +50,7 @@
     """A client asks a node."""
     found = SITE.find(cls)
     assert found is not None
-    key = f"k-{name}" if found.effect is Effect.KEYED else ""
+    key = f"k-{name}" if found.effect is Idempotency.KEYED else ""
     return [
         Wanted(name, cls, at, at + found.aim_ms, found.worth),
         Asked(name, name, node, cls, key, "t", f"form {name}", at, at + found.give_up_ms),
--- a/tests/testbed/test_jut_model.py
+++ b/tests/testbed/test_jut_model.py
@@ -59,15 +59,15 @@
     """Ties below m and all at m are uniform; an idle sign zeroes the estimate whatever is out."""
     names = [f"s{n}" for n in range(4)]
     node = Balancer(Run(4, 0.8, 0.1, 2, 1, 1).settings(), 1, literal=2)
-    entries = [api.Entry(name, "", 0, 1.0, api.Phase.UP, 0.0) for name in names]
-    node.handle(0.0, api.ListUpdate(api.ListKind.FULL, entries))
+    entries = [api.Endpoint(name, "", 0, 1.0, api.Phase.UP, 0.0) for name in names]
+    node.handle(0.0, api.EndpointsUpdated(api.EndpointUpdateKind.SNAPSHOT, entries))
 
     def sent(number: int) -> str:
-        actions = node.handle(1.0, api.Arrival(str(number), "job", 1e9))
-        return next(a.backend for a in actions if isinstance(a, api.Send))
+        actions = node.handle(1.0, api.RequestArrived(str(number), "job", 1e9))
+        return next(a.backend for a in actions if isinstance(a, api.SendAttempt))
 
     def ended(number: int, name: str) -> None:
-        node.handle(1.0, api.Outcome(str(number), 0, name, api.Status.OK, 50.0, True))
+        node.handle(1.0, api.AttemptFinished(str(number), 0, name, api.AttemptStatus.OK, 50.0, True))
 
     first = [sent(n) for n in range(8)]
     assert sorted(first[:4]) == sorted(first[4:]) == names
@@ -79,7 +79,7 @@
         counts[name := sent(number)] += 1
         ended(number, name)
     assert all(430 < count < 570 for count in counts.values())  # within 3.6 deviations
-    node.handle(2.0, api.Probed("s2", api.Status.OK, 0.0, api.Report(in_flight=0.0)))
+    node.handle(2.0, api.ProbeFinished("s2", api.AttemptStatus.OK, 0.0, api.LoadReport(in_flight=0.0)))
     assert [sent(9_000), sent(9_001)] == ["s2", "s2"] and node.backends["s2"].estimate == 2
 
 
--- a/tests/testbed/test_load_generator.py
+++ b/tests/testbed/test_load_generator.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from balancer.interface import Effect, Group
+from balancer.interface import DeduplicationScope, Idempotency
 from balancer.testbed.event_log import (
     Answered,
     Asked,
@@ -40,10 +40,10 @@
 
 SITE = Site(
     classes=(
-        RequestClass("read", Effect.SAFE, 300, 2_000),
-        RequestClass("pay", Effect.KEYED, 300, 2_000),
-        RequestClass("any", Effect.KEYED, 300, 2_000, group=Group.ALL),
-        RequestClass("once", Effect.UNSAFE, 300, 2_000),
+        RequestClass("read", Idempotency.IDEMPOTENT, 300, 2_000),
+        RequestClass("pay", Idempotency.KEYED, 300, 2_000),
+        RequestClass("any", Idempotency.KEYED, 300, 2_000, group=DeduplicationScope.ALL),
+        RequestClass("once", Idempotency.NON_IDEMPOTENT, 300, 2_000),
     )
 )
 Reply = Callable[[Message, asyncio.StreamWriter], Awaitable[None]]
@@ -73,7 +73,7 @@
         found = SITE.find(cls)
         assert found is not None
         name = f"{len(self.journal):016x}"
-        key = f"key-{name}" if found.effect is Effect.KEYED else ""
+        key = f"key-{name}" if found.effect is Idempotency.KEYED else ""
         return (await self.clients.ask(Arrival(0, name, found, key, "north", leaves_ms, by))).status
 
 
@@ -108,7 +108,7 @@
     assert 850 < len(calm) < 1150
     assert [a.at_ms for a in calm] == sorted(a.at_ms for a in calm)
     assert set(Counter(a.cls.name for a in calm)) == {"read", "pay", "any", "once"}
-    assert all(bool(a.key) is (a.cls.effect is Effect.KEYED) for a in calm)
+    assert all(bool(a.key) is (a.cls.effect is Idempotency.KEYED) for a in calm)
     burst = draw(SITE, 200, 5, 7, Habits(bursts=((1, 2, 3.0),)))
     inside = sum(1_000 <= a.at_ms < 2_000 for a in burst)
     assert 500 < inside < 700 and 700 < len(burst) - inside < 900
--- a/tests/testbed/test_simulation.py
+++ b/tests/testbed/test_simulation.py
@@ -36,15 +36,15 @@
     """Answers nothing."""
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
-        return [] if isinstance(event, api.Arrival) else super().handle(now, event)
+        return [] if isinstance(event, api.RequestArrived) else super().handle(now, event)
 
 
 class Late(Plain):
     """Refuses, and refuses again."""
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
-        if isinstance(event, api.Arrival):
-            return [api.Refuse(event.request), api.Fail(event.request)]
+        if isinstance(event, api.RequestArrived):
+            return [api.RejectRequest(event.request), api.FailRequest(event.request)]
         return super().handle(now, event)
 
 
@@ -53,15 +53,15 @@
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
         actions = super().handle(now, event)
-        return actions + self._send(event.request) if isinstance(event, api.Arrival) else actions
+        return actions + self._send(event.request) if isinstance(event, api.RequestArrived) else actions
 
 
 class Stubborn(Plain):
     """Sends on what has run out of time at a server, or was reset there, whatever its class."""
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
-        if isinstance(event, api.Outcome) and event.status is api.Status.RESET:
-            event = replace(event, status=api.Status.FULL)
+        if isinstance(event, api.AttemptFinished) and event.status is api.AttemptStatus.RESET:
+            event = replace(event, status=api.AttemptStatus.REJECTED)
         return super().handle(now, event)
 
 
@@ -167,8 +167,8 @@
     fed: Counter[str] = Counter()
     for node in World(Scenario(servers, nodes)).nodes:
         assert isinstance(node.policy, Balancer)
-        entries = [api.Entry(f"s{n}", "a", n // 6, 1.0, api.Phase.UP, 0.0) for n in range(servers)]
-        node.policy.handle(0.0, api.ListUpdate(api.ListKind.FULL, entries))
+        entries = [api.Endpoint(f"s{n}", "a", n // 6, 1.0, api.Phase.UP, 0.0) for n in range(servers)]
+        node.policy.handle(0.0, api.EndpointsUpdated(api.EndpointUpdateKind.SNAPSHOT, entries))
         fed.update(node.policy.order[: node.policy.width])
     mean = fed.total() / servers
     assert len(fed) == servers and min(fed.values()) >= 0.7 * mean and max(fed.values()) <= 1.4 * mean
--- a/tests/timeline/test_recorder.py
+++ b/tests/timeline/test_recorder.py
@@ -9,10 +9,10 @@
 
 from balancer import interface as api
 from balancer.interface import (
+    AttemptStatus,
+    BackendDecision,
+    DecisionReason,
     Phase,
-    Status,
-    What,
-    Why,
 )
 from balancer.timeline import (
     latency_histogram as sketch,
@@ -54,14 +54,16 @@
     name: str,
     server: str,
     now: float = NOW,
-    status: Status = Status.OK,
+    status: AttemptStatus = AttemptStatus.OK,
     took: float = 20.0,
-    report: api.Report | None = None,
+    report: api.LoadReport | None = None,
     closed: bool = True,
 ) -> None:
-    send = api.Send(name, server, 0.0, Why.LOWEST_BELOW_M, Why.FIRST_TRY, 3)
-    r.saw(now, api.Arrival(name, "read", now + 1_000), [send])
-    r.saw(now + took, api.Outcome(name, 0, server, status, took, closed, report), [])
+    send = api.SendAttempt(
+        name, server, 0.0, DecisionReason.LOWEST_ESTIMATE_BELOW_CAP, DecisionReason.FIRST_ATTEMPT, 3
+    )
+    r.on_decision(now, api.RequestArrived(name, "read", now + 1_000), [send])
+    r.on_decision(now + took, api.AttemptFinished(name, 0, server, status, took, closed, report), [])
 
 
 def whole(line: Any) -> dict[str, int]:
@@ -73,7 +75,9 @@
 
 def test_lines_of_server_class_zone_and_node_agree() -> None:
     r = recorder()
-    r.saw(NOW, api.ListUpdate(api.ListKind.FULL, [entry("a"), entry("b", zone="b")]), [])
+    r.on_decision(
+        NOW, api.EndpointsUpdated(api.EndpointUpdateKind.SNAPSHOT, [entry("a"), entry("b", zone="b")]), []
+    )
     for n in range(30):
         request(r, f"r{n}", "ab"[n % 2], NOW + n)
     for second in range(1, 9):
@@ -94,7 +98,7 @@
         before = len(run.told)
         feed(event, at)
         when = run.now if at is None else at
-        r.saw(when, event, run.told[before:])
+        r.on_decision(when, event, run.told[before:])
         r.begin(when)
         r.step()
 
@@ -103,14 +107,16 @@
     for n in range(20):
         rest(r, run.now + 1_000 * (n + 1))
     node = whole(r.node)
-    sends = [a for a in run.told if isinstance(a, api.Send)]
+    sends = [a for a in run.told if isinstance(a, api.SendAttempt)]
     by_server = sum(whole(line).get("attempts", 0) for line in r.servers.values())
     assert node["attempts"] == len(sends) == by_server
-    assert node["refused"] == sum(isinstance(a, api.Refuse) for a in run.told)
+    assert node["refused"] == sum(isinstance(a, api.RejectRequest) for a in run.told)
     assert node["arrived"] == sum(whole(c)["arrived"] for c in r.classes.values())
-    cold = sum(a.why is Why.COLD_ADMITTED for a in sends)
+    cold = sum(a.reason is DecisionReason.SLOW_START_ADMITTED for a in sends)
     assert node.get("cold_admitted", 0) == cold
-    ejected = sum(isinstance(a, api.Noted) and a.what is What.EJECTED for a in run.told)
+    ejected = sum(
+        isinstance(a, api.NoteBackendDecision) and a.decision is BackendDecision.EJECTED for a in run.told
+    )
     assert node.get("ejected", 0) == ejected
 
 
@@ -169,7 +175,9 @@
     r = recorder()
     r.most_lines = 20
     for n in range(200):
-        r.saw(NOW, api.Arrival(f"r{n}", "read", NOW + 1_000), [api.Send(f"r{n}", f"s{n}", 0.0)])
+        r.on_decision(
+            NOW, api.RequestArrived(f"r{n}", "read", NOW + 1_000), [api.SendAttempt(f"r{n}", f"s{n}", 0.0)]
+        )
     assert len(r.servers) == 20 and r.others.name == OTHERS
     rest(r, NOW + 6_000)
     rest(r, NOW + 7_000)
@@ -178,11 +186,17 @@
 
 def test_a_new_start_is_a_mark_and_a_new_address_a_line_of_its_own() -> None:
     r = recorder()
-    r.saw(NOW, api.ListUpdate(api.ListKind.FULL, [entry("a", started_at=5.0)]), [])
+    r.on_decision(
+        NOW, api.EndpointsUpdated(api.EndpointUpdateKind.SNAPSHOT, [entry("a", started_at_ms=5.0)]), []
+    )
     request(r, "x", "a")
-    r.saw(NOW + 10, api.ListUpdate(api.ListKind.CHANGES, [entry("a", started_at=NOW)]), [])
-    drains = entry("a", started_at=NOW, phase=Phase.DRAINING)
-    r.saw(NOW + 20, api.ListUpdate(api.ListKind.CHANGES, [drains]), [])
+    r.on_decision(
+        NOW + 10,
+        api.EndpointsUpdated(api.EndpointUpdateKind.INCREMENTAL, [entry("a", started_at_ms=NOW)]),
+        [],
+    )
+    drains = entry("a", started_at_ms=NOW, phase=Phase.DRAINING)
+    r.on_decision(NOW + 20, api.EndpointsUpdated(api.EndpointUpdateKind.INCREMENTAL, [drains]), [])
     assert [what for _, what, _, _ in r.servers["a"].notes or ()] == ["started", "draining"]
     r.moved("a", NOW + 30, "until it moved")
     request(r, "y", "a", NOW + 40)
@@ -196,13 +210,13 @@
 def test_what_was_decided_about_one_request_in_order() -> None:
     w = Watch(BASE, 4.0)
     r = w.recorder
-    send = api.Send("q", "a", 400.0, Why.DRAWN_AT_CAP, Why.FIRST_TRY, 5, 2)
-    r.saw(NOW, api.Arrival("q", "read", NOW + 1_000), [send])
-    again = api.Send("q", "b", 391.0, Why.PANIC, Why.REPEAT_AFTER_FULL, 1)
-    ended = api.Outcome("q", 0, "a", Status.FULL, 9.0, False)
-    r.saw(NOW + 9, ended, [api.Noted("a", What.PAUSED, 0, 50.0), again])
-    ended = api.Outcome("q", 1, "b", Status.ERROR, 21.0, False)
-    r.saw(NOW + 30, ended, [api.Refuse("q", 80.0, Why.BUDGET_SPENT)])
+    send = api.SendAttempt("q", "a", 400.0, DecisionReason.DRAWN_AT_CAP, DecisionReason.FIRST_ATTEMPT, 5, 2)
+    r.on_decision(NOW, api.RequestArrived("q", "read", NOW + 1_000), [send])
+    again = api.SendAttempt("q", "b", 391.0, DecisionReason.PANIC, DecisionReason.RETRY_AFTER_REJECTED, 1)
+    ended = api.AttemptFinished("q", 0, "a", AttemptStatus.REJECTED, 9.0, False)
+    r.on_decision(NOW + 9, ended, [api.NoteBackendDecision("a", BackendDecision.PAUSED, 0, 50.0), again])
+    ended = api.AttemptFinished("q", 1, "b", AttemptStatus.ERROR, 21.0, False)
+    r.on_decision(NOW + 30, ended, [api.RejectRequest("q", 80.0, DecisionReason.RETRY_BUDGET_EXHAUSTED)])
     told = views.why(w, {"request": "q"})
     assert [(s["action"], s["why"], s["backend"]) for s in told["decisions"]] == [
         ("arrived", "", ""),
@@ -220,14 +234,22 @@
 def test_ordinary_requests_make_room_for_those_with_a_story() -> None:
     r = recorder()
     r.trails.resize(10, 10)
-    r.saw(NOW, api.Arrival("odd", "read", NOW + 1_000), [api.Refuse("odd", 0.0, Why.SHED_BY_SUCCESS)])
+    r.on_decision(
+        NOW,
+        api.RequestArrived("odd", "read", NOW + 1_000),
+        [api.RejectRequest("odd", 0.0, DecisionReason.SHED_BY_SUCCESS_RATE)],
+    )
     for n in range(100):
         request(r, f"x{n}", "a")
     assert r.trails.find("odd") is not None and r.trails.find("x99") is not None
     assert r.trails.find("x1") is None and len(r.trails.usual) == 10 and not r.trails.live
-    r.saw(NOW, api.Arrival("long", "read", NOW + 1_000), [])
+    r.on_decision(NOW, api.RequestArrived("long", "read", NOW + 1_000), [])
     for n in range(100):
-        r.saw(NOW + n, api.Outcome("long", n, "a", Status.FULL, 1.0, False), [api.Send("long", "a", 0.0)])
+        r.on_decision(
+            NOW + n,
+            api.AttemptFinished("long", n, "a", AttemptStatus.REJECTED, 1.0, False),
+            [api.SendAttempt("long", "a", 0.0)],
+        )
     found = r.trails.find("long")
     assert found and len(found[0]) == MOST and trails.told(*found)["left_out"]
 
@@ -236,8 +258,8 @@
     r = recorder()
     request(r, "late", "a", took=1_500.0)
     for name, at in (("gone", NOW + 100), ("up", NOW + 990)):
-        r.saw(NOW, api.Arrival(name, "read", NOW + 1_000), [])
-        r.saw(at, api.ClientGone(name), [])
+        r.on_decision(NOW, api.RequestArrived(name, "read", NOW + 1_000), [])
+        r.on_decision(at, api.ClientLeft(name), [])
     rest(r, NOW + 3_000)
     got = whole(r.classes["read"])
     assert got["late"] == 2 and got["client_gone"] == 1
