--- a/tests/core/cluster/test_node_state.py
+++ b/tests/core/cluster/test_node_state.py
@@ -270,7 +270,7 @@
 ]
 
 
-@pytest.mark.parametrize(("on_decision", "of", "roles", "keeps"), CASES)
+@pytest.mark.parametrize(("saw", "of", "roles", "keeps"), CASES)
 def test_each_cut_is_told_apart_and_means_what_the_table_says(
     saw: Saw, of: dict[From, Verdict], roles: Roles, keeps: bool
 ) -> None:
--- a/tests/core/discovery/test_endpoint_merger.py
+++ b/tests/core/discovery/test_endpoint_merger.py
@@ -698,7 +698,7 @@
         for source, what, ahead, members, removed in steps:
             model = naive[source]
             revision = model.revision + ahead
-            removed = [name for name in removed if name not in {one.endpoint.backend for one in members}]
+            removed = [name for name in removed if name not in {one.endpoint.id for one in members}]
             match what:
                 case "whole":
                     model.whole(revision, members)
