--- a/balancer/core/cluster/report.py
+++ b/balancer/core/cluster/report.py
@@ -4,11 +4,8 @@
 
 from __future__ import annotations
 
-import zlib
-from collections.abc import Collection, Mapping
-from dataclasses import fields, is_dataclass
+from collections.abc import Mapping
 from itertools import islice
-from pathlib import Path
 from typing import Any
 
 from balancer.core.cluster.failure_detector import Peers, State
@@ -113,26 +110,6 @@
     return out
 
 
-def digest(settings: object, own: Collection[str] = ()) -> int:
-    """Of what ought to be the same at all nodes, in 32 bits, never 0: neither addresses, paths nor secrets
-    (fields without a repr), which are each node's own or nobody's business, nor the fields named in `own`.
-    """
-    return zlib.crc32(repr(_same(settings, own)).encode()) or 1
-
-
-def _same(value: object, own: Collection[str]) -> object:
-    if is_dataclass(value):
-        kept = [one.name for one in fields(value) if one.repr and one.name not in own]
-        return [(name, _same(getattr(value, name), own)) for name in kept]
-    if isinstance(value, Mapping):
-        return sorted((str(key), repr(_same(one, own))) for key, one in value.items())
-    if isinstance(value, tuple):
-        if len(value) == 2 and isinstance(value[0], str) and isinstance(value[1], int):
-            return "an address"
-        return [_same(one, own) for one in value]
-    return "a path" if isinstance(value, Path) else value
-
-
 def words(text: str) -> str:
     """Names from others without what a terminal would obey."""
     return "".join(c if c.isprintable() else "?" for c in text)
--- a/balancer/net/cluster_gossip.py
+++ b/balancer/net/cluster_gossip.py
@@ -21,9 +21,14 @@
 from balancer.core.cluster import gossip_coordinator as t
 from balancer.core.cluster import gossiped_removals as hearsay
 from balancer.core.cluster import quota_allocation as shares
+from balancer.core.cluster.configuration_digest import (
+    NODE_FIELDS,
+    OPERATOR_NODE_FIELDS,
+    configuration_digest,
+)
 from balancer.core.cluster.failure_detector import Peers
 from balancer.core.cluster.node_state import PEERS
-from balancer.core.cluster.report import digest, together, words
+from balancer.core.cluster.report import together, words
 from balancer.core.discovery import endpoint_merger as membership
 from balancer.core.staggering import Turns
 from balancer.interface import Phase
@@ -38,7 +43,6 @@
 BEARS = 50.0  # calls a second that discovery is taken to bear of nodes that are told of a newer list
 EVERY_MS = 1_000.0  # between two looks at all servers
 STATES = tuple(r.State)
-OWN = ("me", "zone"), ("address", "seeds")  # of the platform's settings, of the operators': each node's own
 
 
 class Words:
@@ -62,7 +66,7 @@
         )
         self.nodes: shares.Nodes | None = None  # nothing is divided by it yet
         self._write = write
-        self._files = digest(told, OWN[0]), 0
+        self._files = configuration_digest(told, NODE_FIELDS), 0
         self._servers: dict[str, tuple[int, int]] = {}
         self._looked_ms = float("-inf")
         self.decider.halves.apply(tuple(self.fleet.membership.view.values()), ())
@@ -70,7 +74,7 @@
 
     def set(self, settings: Operators) -> None:
         """The operators' file says this from now on."""
-        self._files = self._files[0], digest(settings, OWN[1])
+        self._files = self._files[0], configuration_digest(settings, OPERATOR_NODE_FIELDS)
 
     def at(self, peers: Peers) -> None:
         """Go on at another address, as whoever speaks there."""
