--- a/balancer/__main__.py
+++ b/balancer/__main__.py
@@ -8,10 +8,10 @@
 import sys
 import time
 
-BEGAN = time.monotonic()  # before what follows is loaded: a start is measured by part
+STARTED_S = time.monotonic()  # before what follows is loaded: a start is measured by part
 
 
-def held_hangups() -> list[int]:
+def record_hangups() -> list[int]:
     """From now on each SIGHUP is noted in this list, until the node's loop takes the signal.
 
     Guards against the signal's default, which ends a node that has not come that far.
@@ -21,7 +21,7 @@
     return hung_up
 
 
-def node_words(words: list[str]) -> tuple[bool, str]:
+def parse_node_arguments(words: list[str]) -> tuple[bool, str]:
     """Whether these words start a node and no more than that, and the operators' file that they name.
 
     They are `[--settings FILE] [run [--settings FILE]]`, of which the last counts. All else is left to the
@@ -44,19 +44,19 @@
     A node is killed and started under load, with most of its fleet: its way in loads no command line, and
     the platform's own, without an operators' file, nothing that reads one.
     """
-    starts, settings = node_words(sys.argv[1:])
+    starts, settings = parse_node_arguments(sys.argv[1:])
     if not starts:
         from balancer.cli import main as words
 
         return words()
-    hung_up = held_hangups()
+    hung_up = record_hangups()
     gc.disable()  # what is loaded stays: looking through it again and again finds nothing
     if settings or os.environ.get("BALANCER_SETTINGS") or os.environ.get("DILLPORT_SETTINGS"):
         from pathlib import Path
 
-        from balancer.net.startup import start
+        from balancer.net.startup import start_with_operator_settings
 
-        return start(Path(settings) if settings else None, BEGAN, hung_up)
+        return start_with_operator_settings(Path(settings) if settings else None, STARTED_S, hung_up)
     from balancer.net import application as assemble
     from balancer.net.config import read
 
--- a/balancer/cli/__init__.py
+++ b/balancer/cli/__init__.py
@@ -15,7 +15,7 @@
 
 import time
 
-BEGAN = time.monotonic()  # before what follows is loaded: a node's start is measured by part
+STARTED_S = time.monotonic()  # before what follows is loaded: a node's start is measured by part
 
 # ruff: noqa: E402
 import os
@@ -27,11 +27,11 @@
 import click
 
 import balancer
-from balancer.cli.common import Trouble, settings_option
+from balancer.cli.common import CommandError, settings_option
 from balancer.net.config import CONFIG
 from balancer.net.startup import SETTINGS
 
-MODULES = {  # of each word, in the order of the help
+COMMAND_MODULES = {  # of each word, in the order of the help
     "run": "node",
     "check": "node",
     "members": "members",
@@ -70,18 +70,18 @@
 """
 
 
-class Words(click.Group):
+class CommandGroup(click.Group):
     """The words, each out of its module when it is asked for."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
         """All words."""
-        return list(MODULES)
+        return list(COMMAND_MODULES)
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
         """The word of this very name: nothing is abbreviated."""
-        if cmd_name not in MODULES:
+        if cmd_name not in COMMAND_MODULES:
             return None
-        found = getattr(import_module(f"balancer.cli.{MODULES[cmd_name]}"), cmd_name)
+        found = getattr(import_module(f"balancer.cli.{COMMAND_MODULES[cmd_name]}"), cmd_name)
         assert isinstance(found, click.Command)
         return found
 
@@ -93,7 +93,7 @@
 
 
 @click.command(
-    cls=Words,
+    cls=CommandGroup,
     invoke_without_command=True,
     epilog=EPILOG,
     subcommand_metavar="[WORD ...]",
@@ -110,20 +110,20 @@
     help="Print the version and end.",
 )
 @click.pass_context
-def words(ctx: click.Context, settings: Path | None) -> int:
+def command_line(ctx: click.Context, settings: Path | None) -> int:
     """The whole command line; without a word it runs a node."""
     ctx.obj = settings
     if ctx.invoked_subcommand is not None:
         return 0
-    from balancer.cli.node import started
+    from balancer.cli.node import run_node
 
-    return started(settings)
+    return run_node(settings)
 
 
 def main(argv: Sequence[str] | None = None) -> int:
     """Carry out a command line; the exit code."""
     try:
-        code = _carried_out(sys.argv[1:] if argv is None else list(argv))
+        code = _run_command(sys.argv[1:] if argv is None else list(argv))
         sys.stdout.flush()
     except click.UsageError as err:
         if err.ctx is not None:
@@ -132,21 +132,21 @@
         where = "balancer" if err.ctx is None else err.ctx.command_path
         print(f"{where}: error: {err.format_message()}", file=sys.stderr)
         return 2
-    except Trouble as trouble:
+    except CommandError as trouble:
         for line in trouble.lines:
             print(f"balancer: {line}", file=sys.stderr)
-        return trouble.code
+        return trouble.exit_code
     except BrokenPipeError:  # as in `balancer members | head`
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
         return 0
     return code
 
 
-def _carried_out(argv: list[str]) -> int:
+def _run_command(argv: list[str]) -> int:
     """As click's own `main` does, which would say and end all by itself."""
     try:
-        with words.make_context("balancer", argv) as ctx:
-            return int(words.invoke(ctx))
+        with command_line.make_context("balancer", argv) as ctx:
+            return int(command_line.invoke(ctx))
     except click.exceptions.Exit as end:  # after --help or --version
         return end.exit_code
 
--- a/balancer/cli/node.py
+++ b/balancer/cli/node.py
@@ -8,14 +8,14 @@
 import click
 
 from balancer.cli.common import (
-    Trouble,
-    at,
-    cell,
-    count,
+    CommandError,
+    format_address,
+    format_cell,
+    format_count,
     settings_option,
 )
 from balancer.net.config import CONFIG, read
-from balancer.net.startup import SETTINGS, read_operators, start
+from balancer.net.startup import SETTINGS, read_operators, start_with_operator_settings
 
 RUN = "Run one node until SIGTERM or SIGINT."
 CHECK = "Check the settings and the configuration, and say what is on."
@@ -25,15 +25,15 @@
 @settings_option
 def run(settings: Path | None) -> int:
     """The word."""
-    return started(settings)
+    return run_node(settings)
 
 
-def started(settings: Path | None) -> int:
+def run_node(settings: Path | None) -> int:
     """Run a node to its end; the exit code."""
-    from balancer.__main__ import held_hangups
-    from balancer.cli import BEGAN
+    from balancer.__main__ import record_hangups
+    from balancer.cli import STARTED_S
 
-    return start(settings, BEGAN, held_hangups())
+    return start_with_operator_settings(settings, STARTED_S, record_hangups())
 
 
 @click.command(help=CHECK, short_help=CHECK)
@@ -44,19 +44,23 @@
     config, faults = read(os.environ)
     if config is not None:
         print(f"configuration {os.environ[CONFIG]}: no fault")
-        print(f"  {cell(config.name or 'a node without a name')} listens on {at(config.listen)}")
-        print(f"  discovery is at {at(config.discovery)}")
-        print(f"  {count(len(config.known.records), 'server')} known at the start")
+        print(
+            f"  {format_cell(config.name or 'a node without a name')} listens on {format_address(config.listen_address)}"
+        )
+        print(f"  discovery is at {format_address(config.discovery_address)}")
+        print(f"  {format_count(len(config.configured_endpoints.records), 'server')} known at the start")
         names = ", ".join(cls.name for cls in config.settings.classes)
-        print(f"  {count(len(config.settings.classes), 'class', 'es')}: {names}")
-        for fault in config.known.invalid_entries:
-            print(f"  the server {cell(fault.key)} cannot be read and is left out: {cell(fault.reason)}")
+        print(f"  {format_count(len(config.settings.classes), 'class', 'es')}: {names}")
+        for fault in config.configured_endpoints.invalid_entries:
+            print(
+                f"  the server {format_cell(fault.key)} cannot be read and is left out: {format_cell(fault.reason)}"
+            )
     if path is None:
         print(f"settings: none (neither --settings nor {SETTINGS}): all that they could switch on is off")
     elif not wrong:
         print(f"settings {path}: no fault")
-        for line in operators.on() or ["nothing is on"]:
+        for line in operators.enabled_tables() or ["nothing is on"]:
             print(f"  {line}")
     if faults or wrong:
-        raise Trouble(2, *(f"configuration: {fault}" for fault in faults), *wrong)
+        raise CommandError(2, *(f"configuration: {fault}" for fault in faults), *wrong)
     return 0
--- a/balancer/cli/peers.py
+++ b/balancer/cli/peers.py
@@ -12,11 +12,11 @@
 import click
 
 from balancer.cli.common import (
-    PATH,
-    Trouble,
-    cell,
-    columns,
+    PATH_TYPE,
+    CommandError,
+    format_cell,
     json_option,
+    print_columns,
     settings_option,
 )
 from balancer.net.startup import read_operators
@@ -28,20 +28,23 @@
 @click.command(help=PEERS, short_help=PEERS)
 @settings_option
 @click.option(
-    "--control", metavar="PATH", type=PATH, help="The node's control socket; that of the settings by default."
+    "--control",
+    metavar="PATH",
+    type=PATH_TYPE,
+    help="The node's control socket; that of the settings by default.",
 )
 @click.option("--watch", is_flag=True, help="Look again each second, until it is ended.")
 @json_option
 def peers(settings: Path | None, control: Path | None, watch: bool, as_json: bool) -> int:
     """The word."""
-    from balancer.net.admin_socket import ControlError, ask
+    from balancer.net.admin_socket import AdminSocketError, ask
 
     if control is None:
         _, operators, wrong = read_operators(settings)
         if wrong:
-            raise Trouble(2, *wrong)
+            raise CommandError(2, *wrong)
         if operators.control is None:
-            raise Trouble(2, "peers: no [control] in the settings and no --control: no node to ask")
+            raise CommandError(2, "peers: no [control] in the settings and no --control: no node to ask")
         control = operators.control.socket
     try:
         while True:
@@ -53,15 +56,17 @@
             if not watch:
                 return 0
             time.sleep(WATCH_S)
-    except ControlError as err:
-        raise Trouble(1, str(err)) from None
+    except AdminSocketError as err:
+        raise CommandError(1, str(err)) from None
     except KeyboardInterrupt:
         return 0
 
 
 def _show(told: dict[str, Any]) -> None:
     doing = "speaks" if told["speaks"] else "does not speak yet" if told["address"] else "has no address"
-    print(f"{cell(told['self'])} at {cell(told['address'])}, life {told['incarnation']}; it {doing}")
+    print(
+        f"{format_cell(told['self'])} at {format_cell(told['address'])}, life {told['incarnation']}; it {doing}"
+    )
     for said, text in (
         (told["trouble"], f"not had: {told['trouble']}"),
         (told["doubts"], "it stood still and calls nobody failed before it has heard from others"),
@@ -69,24 +74,28 @@
         (told["health"], f"it trusts itself less: its waits are {told['health'] + 1} times as long"),
     ):
         if said:
-            print(cell(text))
+            print(format_cell(text))
     for one in told["cut"]:
-        print(cell(f"cut off from {one['of']} {one['zone']}".rstrip() + f": {one['verdict']}; {one['why']}"))
+        print(
+            format_cell(
+                f"cut off from {one['of']} {one['zone']}".rstrip() + f": {one['verdict']}; {one['why']}"
+            )
+        )
     for one in told["disagreements"]:
         what = f"{one['what']} {one['of']}".rstrip()
-        print(cell(f"disagreement on {what}: {', '.join(one['names']) or 'nobody'}: {one['why']}"))
+        print(format_cell(f"disagreement on {what}: {', '.join(one['names']) or 'nobody'}: {one['why']}"))
     for one in told["taken"]:
         does = "is gone" if one["gone"] else "drains"
-        print(cell(f"by other nodes' word {one['server']} {does}, {one['source']} {one['revision']}"))
+        print(format_cell(f"by other nodes' word {one['server']} {does}, {one['source']} {one['revision']}"))
     rows = [["NAME", "ADDRESS", "STATE", "SINCE", "LIFE", "BACK", "VERSION", "GOES BY"]]
     for one in told["peers"]:
         since = f"{datetime.fromtimestamp(one['since'] / 1000):%m-%d %H:%M:%S}"
-        shown = [cell(one[key]) for key in ("name", "address", "state")]
+        shown = [format_cell(one[key]) for key in ("name", "address", "state")]
         by = one["goes_by"]
         lists = by.get("sources", {}).items()
         sources = ", ".join(f"{of} {its['revision']} {its['state']}" for of, its in lists)
-        back = [cell(by.get(key, "-")) for key in ("state", "version")]
-        rows.append([*shown, since, str(one["incarnation"]), *back, cell(sources or "-")])
-    columns(rows)
+        back = [format_cell(by.get(key, "-")) for key in ("state", "version")]
+        rows.append([*shown, since, str(one["incarnation"]), *back, format_cell(sources or "-")])
+    print_columns(rows)
     states = [one["state"] for one in told["peers"]]
     print(", ".join(f"{states.count(s)} {s}" for s in ("alive", "suspect", "failed", "left")))
--- a/balancer/cli/testbed.py
+++ b/balancer/cli/testbed.py
@@ -20,10 +20,10 @@
 import click
 
 import balancer
-from balancer.cli.common import PATH, Trouble
+from balancer.cli.common import PATH_TYPE, CommandError
 
-SECONDS, LEAST = 20.0, 5.0  # how long a demo takes, and the shortest
-SCRIPTS = sorted(path.stem for path in Path(balancer.__file__).parent.glob("testbed/scenarios/*.toml"))
+DEFAULT_DEMO_S, MIN_DEMO_S = 20.0, 5.0  # how long a demo takes, and the shortest
+SCENARIOS = sorted(path.stem for path in Path(balancer.__file__).parent.glob("testbed/scenarios/*.toml"))
 
 DEMO = "Run a small fleet on stand-ins and judge it."
 LAB = "Play scripts of faults on real processes; see lab --help."
@@ -33,36 +33,41 @@
 Look = Callable[[float], None]
 
 
-def _stand_ins(module: str) -> Any:
+def _testbed_module(module: str) -> Any:
     """A module of the stand-ins; says so in plain words where it, or what it needs, is not there."""
     name = f"balancer.testbed.{module}"
     try:
         return importlib.import_module(name)
     except ModuleNotFoundError as err:
         if err.name == "msgspec":
-            raise Trouble(
+            raise CommandError(
                 2, "lab: no package msgspec: the install `snowloom-balancer[timeline]` has it"
             ) from None
         if err.name not in (name, "balancer.testbed"):
             raise
-        raise Trouble(2, f"{module}: there is no {name} in this installation") from None
+        raise CommandError(2, f"{module}: there is no {name} in this installation") from None
 
 
 # --- demo ---------------------------------------------------------------------------------------------
 
 
 @click.command(short_help=DEMO)
-@click.option("--seconds", type=float, default=SECONDS, help=f"Length, {LEAST:.0f} or more ({SECONDS:g}).")
+@click.option(
+    "--seconds",
+    type=float,
+    default=DEFAULT_DEMO_S,
+    help=f"Length, {MIN_DEMO_S:.0f} or more ({DEFAULT_DEMO_S:g}).",
+)
 @click.option("--seed", type=int, default=1, help="Of all chance in it (1).")
-@click.option("--records", type=PATH, metavar="FILE", help="Write what was recorded, as JSON lines.")
+@click.option("--records", type=PATH_TYPE, metavar="FILE", help="Write what was recorded, as JSON lines.")
 def demo(seconds: float, seed: int, records: Path | None) -> int:
     """A small fleet on loopback for some twenty seconds: one server drains, one dies, one comes cold.
 
     At the end: what became of the requests, by class and by server, and the judge's verdict on the rules.
     """
-    if not seconds >= LEAST:
-        raise click.UsageError(f"--seconds is {seconds:g}, it has to be {LEAST:.0f} or more")
-    found = _stand_ins("demo")
+    if not seconds >= MIN_DEMO_S:
+        raise click.UsageError(f"--seconds is {seconds:g}, it has to be {MIN_DEMO_S:.0f} or more")
+    found = _testbed_module("demo")
     import asyncio
 
     try:
@@ -81,18 +86,18 @@
 
 
 @lab.command(help=PLAY, short_help=PLAY)
-@click.argument("script", metavar="SCRIPT", help=f"A TOML file, or one of: {', '.join(SCRIPTS)}.")
+@click.argument("script", metavar="SCRIPT", help=f"A TOML file, or one of: {', '.join(SCENARIOS)}.")
 @click.option("--seeds", type=int, default=1, metavar="N", help="Play it on so many seeds (1).")
 @click.option("--first", type=int, default=1, metavar="SEED", help="The first seed (1).")
-@click.option("--report", type=PATH, metavar="FILE", help="Draw one picture, of the last seed played.")
+@click.option("--report", type=PATH_TYPE, metavar="FILE", help="Draw one picture, of the last seed played.")
 @click.option("--shrink", is_flag=True, help="Find the fewest faults that still fail.")
 def play(script: str, seeds: int, first: int, report: Path | None, shrink: bool) -> int:
     """The word."""
     if seeds < 1:
         raise click.UsageError(f"--seeds is {seeds}, it has to be 1 or more")
     if report is not None and importlib.util.find_spec("matplotlib") is None:
-        raise Trouble(2, "lab: no package matplotlib: the install `snowloom-balancer[report]` has it")
-    lp, scripts = _stand_ins("scenario_runner"), _stand_ins("scenario")
+        raise CommandError(2, "lab: no package matplotlib: the install `snowloom-balancer[report]` has it")
+    lp, scripts = _testbed_module("scenario_runner"), _testbed_module("scenario")
     import asyncio
 
     path, code = lp.found(script), 0
@@ -100,27 +105,27 @@
         told = scripts.parse(path.read_bytes())
     except (OSError, scripts.ScriptError) as err:
         text = err.strerror or str(err) if isinstance(err, OSError) else str(err)
-        raise Trouble(2, *(f"lab: {path}: {line}" for line in text.splitlines())) from None
+        raise CommandError(2, *(f"lab: {path}: {line}" for line in text.splitlines())) from None
     for seed in range(first, first + seeds):
-        got = asyncio.run(lp.played(told, seed, _onlooker))
+        got = asyncio.run(lp.played(told, seed, _progress_printer))
         print(*lp.lines(told, got), sep="\n", flush=True)
         if not got.wrong(told.least):
             continue
         code = 1
         if shrink:
-            left = asyncio.run(lp.fewest(told, got, _onlooker))
+            left = asyncio.run(lp.fewest(told, got, _progress_printer))
             print(f"  {len(left)} of {len(got.strikes)} faults are enough:")
             print(*(f"  {strike}" for strike in left), sep="\n")
     if report is not None:
         try:
             lp.picture(told, got, report)
         except (OSError, ValueError) as err:
-            raise Trouble(2, f"lab: {report}: {err}") from None
+            raise CommandError(2, f"lab: {report}: {err}") from None
     return code
 
 
 @contextlib.contextmanager
-def _onlooker(seconds: float) -> Iterator[tuple[Say, Look | None]]:
+def _progress_printer(seconds: float) -> Iterator[tuple[Say, Look | None]]:
     """How lines of a play are said, and how a bar of so many seconds moves: None where nobody looks on."""
 
     def plain(text: str) -> None:
--- a/balancer/cli/timeline.py
+++ b/balancer/cli/timeline.py
@@ -18,16 +18,16 @@
 import click
 
 from balancer.cli.common import (
-    PATH,
-    Trouble,
-    Wrapped,
-    cell,
-    columns,
-    count,
+    PATH_TYPE,
+    Command,
+    CommandError,
+    format_cell,
+    format_count,
     json_option,
+    print_columns,
     settings_option,
 )
-from balancer.net.admin_socket import ControlError, ask
+from balancer.net.admin_socket import AdminSocketError, ask
 from balancer.net.startup import read_operators
 
 FOLLOW_S = 0.5  # between two questions of `events --follow`
@@ -41,7 +41,7 @@
 # --- words --------------------------------------------------------------------------------------------
 
 
-class Moment(click.ParamType[float]):
+class TimeParameter(click.ParamType[float]):
     """A time on the command line, as ms since 1970."""
 
     name = "time"
@@ -49,22 +49,22 @@
     def convert(self, value: Any, param: click.Parameter | None, ctx: click.Context | None) -> float:
         """As `moment` reads it."""
         try:
-            return moment(value)
+            return parse_moment(value)
         except ValueError:
             self.fail(f"{value!r} is no time: 09:30, 2026-12-01T09:30 or 15m", param, ctx)
 
 
-def asking(command: Wrapped) -> Wrapped:
+def node_options(command: Command) -> Command:
     """`--settings` and `--control`: which node is asked."""
     text = "The node's control socket; that of the settings by default."
-    return settings_option(click.option("--control", metavar="PATH", type=PATH, help=text)(command))
+    return settings_option(click.option("--control", metavar="PATH", type=PATH_TYPE, help=text)(command))
 
 
-def between(command: Wrapped) -> Wrapped:
+def time_range_options(command: Command) -> Command:
     """`--from` and `--to`."""
     text = "09:30, 09:30:15, 2026-12-01T09:30 or 15m (ago), which it is by default."
-    since = click.option("--from", "since", metavar="TIME", type=Moment(), help=text)
-    until = click.option("--to", "until", metavar="TIME", type=Moment(), help="Now by default.")
+    since = click.option("--from", "since", metavar="TIME", type=TimeParameter(), help=text)
+    until = click.option("--to", "until", metavar="TIME", type=TimeParameter(), help="Now by default.")
     return since(until(command))
 
 
@@ -75,9 +75,9 @@
     nargs=-1,
     help="A server's id, zone:NAME, class:NAME or node; without one, an overview.",
 )
-@between
+@time_range_options
 @click.option("--class", "class_name", metavar="CLASS", help="Answer times of this class alone.")
-@asking
+@node_options
 @json_option
 def timeline(
     servers: tuple[str, ...],
@@ -90,65 +90,65 @@
 ) -> int:
     """The word."""
     given = _given(("from", since), ("to", until), ("class", class_name))
-    return _asked(settings, control, lambda path: print_timeline(path, servers, given, as_json))
+    return _ask_node(settings, control, lambda path: print_timeline(path, servers, given, as_json))
 
 
 @click.command(help=EVENTS, short_help=EVENTS)
 @click.option("--follow", is_flag=True, help="Go on with what comes.")
-@asking
+@node_options
 @json_option
 def events(follow: bool, settings: Path | None, control: Path | None, as_json: bool) -> int:
     """The word."""
-    return _asked(settings, control, lambda path: print_events(path, follow, as_json))
+    return _ask_node(settings, control, lambda path: print_events(path, follow, as_json))
 
 
 @click.command(help=WHY, short_help=WHY)
 @click.argument("request", metavar="REQUEST-ID")
-@asking
+@node_options
 @json_option
 def why(request: str, settings: Path | None, control: Path | None, as_json: bool) -> int:
     """The word."""
-    return _asked(settings, control, lambda path: print_why(path, request, as_json))
+    return _ask_node(settings, control, lambda path: print_why(path, request, as_json))
 
 
 @click.command(help=REPORT, short_help=REPORT)
-@click.option("--html", metavar="FILE", type=PATH, required=True, help="The file to write.")
-@between
-@asking
+@click.option("--html", metavar="FILE", type=PATH_TYPE, required=True, help="The file to write.")
+@time_range_options
+@node_options
 def report(
     html: Path, since: float | None, until: float | None, settings: Path | None, control: Path | None
 ) -> int:
     """The word."""
     if importlib.util.find_spec("matplotlib") is None:
-        raise Trouble(2, "report: no package matplotlib: the install `snowloom-balancer[report]` has it")
+        raise CommandError(2, "report: no package matplotlib: the install `snowloom-balancer[report]` has it")
 
     def write(path: Path) -> None:
         try:
             lanes = write_report(path, html, _given(("from", since), ("to", until)))
         except OSError as err:
-            raise Trouble(2, f"report: {html}: {err.strerror}") from None
-        print(f"{html}: {count(lanes, 'server')}")
+            raise CommandError(2, f"report: {html}: {err.strerror}") from None
+        print(f"{html}: {format_count(lanes, 'server')}")
 
-    return _asked(settings, control, write)
+    return _ask_node(settings, control, write)
 
 
 def _given(*pairs: tuple[str, Any]) -> dict[str, Any]:
     return {key: value for key, value in pairs if value is not None}
 
 
-def _asked(settings: Path | None, control: Path | None, tell: Callable[[Path], None]) -> int:
+def _ask_node(settings: Path | None, control: Path | None, tell: Callable[[Path], None]) -> int:
     """Ask the node at the control socket that the words or the settings name."""
     if control is None:
         _, operators, wrong = read_operators(settings)
         if wrong:
-            raise Trouble(2, *wrong)
+            raise CommandError(2, *wrong)
         if operators.control is None:
-            raise Trouble(2, "no node to ask: name its socket by --control, or settings with [control]")
+            raise CommandError(2, "no node to ask: name its socket by --control, or settings with [control]")
         control = operators.control.socket
     try:
         tell(control)
-    except ControlError as err:
-        raise Trouble(1, str(err)) from None
+    except AdminSocketError as err:
+        raise CommandError(1, str(err)) from None
     except KeyboardInterrupt:
         pass
     return 0
@@ -157,7 +157,7 @@
 # --- what they print ----------------------------------------------------------------------------------
 
 
-def moment(text: str) -> float:
+def parse_moment(text: str) -> float:
     """A time on the command line as ms since 1970: `09:30`, `09:30:15` (today), ISO 8601, or `15m` ago.
 
     Raises ValueError.
@@ -173,7 +173,7 @@
     return today.timestamp() * 1000
 
 
-def clock(at_ms: float) -> str:
+def format_time(at_ms: float) -> str:
     """A time for people, in their own zone."""
     return datetime.fromtimestamp(at_ms / 1000).strftime("%m-%d %H:%M:%S")
 
@@ -183,7 +183,7 @@
     for name in servers or [""]:
         told = ask(path, "timeline", **more, server=name)
         if not name:
-            told["lines"].sort(key=worst_first)
+            told["lines"].sort(key=failure_sort_key)
         if as_json:
             print(json.dumps(told))
         elif name:
@@ -192,13 +192,13 @@
             _overview(told)
 
 
-ORDER = {"node": 0, "class": 1, "zone": 2, "server": 3}
-FAILURES = ("error", "reset", "connect_failed", "full", "timeout")
+SCOPE_ORDER = {"node": 0, "class": 1, "zone": 2, "server": 3}
+FAILURE_COUNTERS = ("error", "reset", "connect_failed", "full", "timeout")
 
 
-def worst_first(row: dict[str, Any]) -> tuple[int, int]:
+def failure_sort_key(row: dict[str, Any]) -> tuple[int, int]:
     """The node, classes, zones, then servers, those with most failures first."""
-    return ORDER[row["scope"]], -sum(row["counts"].get(name, 0) for name in FAILURES)
+    return SCOPE_ORDER[row["scope"]], -sum(row["counts"].get(name, 0) for name in FAILURE_COUNTERS)
 
 
 def _line(row: dict[str, Any]) -> list[str]:
@@ -216,11 +216,22 @@
         row.get("in_flight"),
         row.get("phase"),
     ]
-    return [cell(value) for value in shown]
-
-
-HEAD = ["OK", "FAILED", "FULL", "TIMEOUT", "REFUSED", "P50 MS", "P99 MS", "OWN", "IN FLIGHT", "PHASE"]
-ORDINARY = {
+    return [format_cell(value) for value in shown]
+
+
+COLUMN_TITLES = [
+    "OK",
+    "FAILED",
+    "FULL",
+    "TIMEOUT",
+    "REFUSED",
+    "P50 MS",
+    "P99 MS",
+    "OWN",
+    "IN FLIGHT",
+    "PHASE",
+]
+REGULAR_COUNTERS = {
     "attempts",
     "ok",
     "error",
@@ -238,23 +249,26 @@
 
 
 def _points(told: dict[str, Any]) -> None:
-    zone = f", zone {cell(told['zone'])}" if told.get("zone") else ""
-    print(f"{told['scope']} {cell(told['server'])}{zone}, in steps of {told['resolution_s']} s")
-    rows = [["TIME", *HEAD, "DECISIONS"]]
+    zone = f", zone {format_cell(told['zone'])}" if told.get("zone") else ""
+    print(f"{told['scope']} {format_cell(told['server'])}{zone}, in steps of {told['resolution_s']} s")
+    rows = [["TIME", *COLUMN_TITLES, "DECISIONS"]]
     for point in told["points"]:
-        odd = [f"{name} {n}" for name, n in point["counts"].items() if name not in ORDINARY]
-        rows.append([clock(point["at"]), *_line(point), ", ".join(odd)])
-    columns(rows)
+        odd = [f"{name} {n}" for name, n in point["counts"].items() if name not in REGULAR_COUNTERS]
+        rows.append([format_time(point["at"]), *_line(point), ", ".join(odd)])
+    print_columns(rows)
     for note in told.get("notes", []):
         span = f" for {note['span_ms'] / 1000:.1f} s" if note["span_ms"] else ""
         count = f" after {note['count']}" if note["count"] else ""
-        print(f"{clock(note['at'])}  {cell(note['what'])}{count}{span}")
+        print(f"{format_time(note['at'])}  {format_cell(note['what'])}{count}{span}")
 
 
 def _overview(told: dict[str, Any]) -> None:
-    rows = [["SCOPE", "NAME", "ZONE", *HEAD]]
-    rows += [[cell(r["scope"]), cell(r["name"]), cell(r["zone"]), *_line(r)] for r in told["lines"]]
-    columns(rows)
+    rows = [["SCOPE", "NAME", "ZONE", *COLUMN_TITLES]]
+    rows += [
+        [format_cell(r["scope"]), format_cell(r["name"]), format_cell(r["zone"]), *_line(r)]
+        for r in told["lines"]
+    ]
+    print_columns(rows)
 
 
 def print_events(path: Path, follow: bool, as_json: bool) -> None:
@@ -265,7 +279,7 @@
         if told["missed"]:
             print(f"balancer: {told['missed']} events were no longer kept", file=sys.stderr)
         for event in told["events"]:
-            print(json.dumps(event) if as_json else f"{clock(event['at'])}  {said(event)}")
+            print(json.dumps(event) if as_json else f"{format_time(event['at'])}  {describe_event(event)}")
         sys.stdout.flush()
         after = told["next"]
         if not follow:
@@ -273,12 +287,16 @@
         time.sleep(FOLLOW_S)
 
 
-def said(event: dict[str, Any]) -> str:
+def describe_event(event: dict[str, Any]) -> str:
     """An event for people."""
-    evidence = ", ".join(f"{cell(key)} {cell(value)}" for key, value in event["evidence"].items())
+    evidence = ", ".join(
+        f"{format_cell(key)} {format_cell(value)}" for key, value in event["evidence"].items()
+    )
     step = event["event"].removeprefix("departure_")
-    who = f"{event['scope']} {cell(event['subject'])}"
-    return f"#{event['id']} {step}: {event['signal']} of {who} since {clock(event['since'])} ({evidence})"
+    who = f"{event['scope']} {format_cell(event['subject'])}"
+    return (
+        f"#{event['id']} {step}: {event['signal']} of {who} since {format_time(event['since'])} ({evidence})"
+    )
 
 
 def print_why(path: Path, request: str, as_json: bool) -> None:
@@ -288,15 +306,17 @@
         print(json.dumps(told))
         return
     first = told["decisions"][0]["at"]
-    print(f"request {cell(told['request'])} came {clock(first)}{'' if told['over'] else ', still open'}")
+    print(
+        f"request {format_cell(told['request'])} came {format_time(first)}{'' if told['over'] else ', still open'}"
+    )
     rows = [["MS", "ACTION", "WHY", "SERVER", "MORE"]]
     for step in told["decisions"]:
         more = {k: v for k, v in step.items() if k not in ("at", "action", "why", "backend")}
         shown = [(key, round(v, 2) if isinstance(v, float) else v) for key, v in more.items()]
-        words = ", ".join(f"{key} {cell(value)}" for key, value in shown)
+        words = ", ".join(f"{key} {format_cell(value)}" for key, value in shown)
         after = f"{step['at'] - first:.1f}"
-        rows.append([after, step["action"], cell(step["why"]), cell(step["backend"]), words])
-    columns(rows)
+        rows.append([after, step["action"], format_cell(step["why"]), format_cell(step["backend"]), words])
+    print_columns(rows)
     if told["left_out"]:
         print("further steps were not kept")
 
@@ -305,7 +325,7 @@
     """Write the page; how many servers are on it. Raises OSError where the file cannot be written."""
     from balancer.observability.html_report import LANES, page
 
-    told = sorted(ask(path, "timeline", **more)["lines"], key=worst_first)
+    told = sorted(ask(path, "timeline", **more)["lines"], key=failure_sort_key)
     rows = [row["name"] for row in told if row["scope"] == "server"]
     lanes = [ask(path, "timeline", **more, server=name) for name in rows[:LANES]]
     until = f"{datetime.now():%Y-%m-%d %H:%M:%S}"
--- a/balancer/core/anomaly_detection/detector.py
+++ b/balancer/core/anomaly_detection/detector.py
@@ -31,48 +31,70 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-K = 1.0  # deviations that a level may stand off without a score: half of the step that is looked for
-H = 12.0  # score at which a level is told; with K, some 1e10 rows without a cause between two false ones
-K_SLOW, H_SLOW = 1.25, 10.0  # the same for minutes, of which there are 60 times fewer and which hang together
-H_SHARE = 14.0  # log-likelihood at which a share is told
-MOST = 1.5  # thresholds that a score rises to at most
-CLIP = 4.5  # deviations that one row counts for at most: one odd row tells nothing
-SUSPECT = 0.4  # part of a threshold from which a server counts as departing with others
-FAST, SLOW = math.log(1.4), math.log(1.12)  # least step that is told by rows, by minutes
-FAST_LOAD, LOAD_LEAST = math.log(2.0), 2.0  # of the reported load, and requests beyond the usual
-ALL_STEP = math.log(1.6)  # least step of a reference against its own past
-RANK = 0.4  # of the peers' running means: the reference
-RANKED = 500  # servers that a reference is made of, about
-PEERS = 3  # least peers of a kind, else all kinds are peers; fewer than this in all: the own past alone
-WINDOW = 40.0  # answers that a running mean is made of
-TRUST_ROWS = 20.0  # rows that a server's own distance is held to be none for, to begin with
-PAST_ROWS = 1_800.0  # rows of which the own distance is made, fast; and minutes, slow
-PAST_MINUTES, MINUTES = 360.0, 10
-FAR = math.log(1.5)  # most of a distance that is taken for usual
-FLOOR = 0.04  # least spread between servers, fast; and slow
-FLOOR_SLOW = 0.02
-WARM_UP_ROWS = 3  # of a class at all servers together times PEERS, before anybody is told
-RECOVER = 8  # good rows, net of bad ones, that end an event
-QUIET_MS, FORGET_MS = 120_000.0, 900_000.0  # without a row an event ends; a server is forgotten
-UPDATE_MS, UPDATE_STEP = 10_000.0, 0.25
-HOLD_MS = 1_100.0  # a suspicion shared by others waits so long for them
-GROUP_PART, GROUP_SHARE, GROUP_LEAST = 0.6, 0.8, 3  # of a group that departs, of the departing, at least
-ALL_PART = 0.4  # of all servers
-MOST_EVENTS, MOST_TOLD, FORGOTTEN = 256, 20, 20_000
-STALE_ROWS, STALE_MS, STALE_SPREAD = 40, 10_000.0, 3
-FLAPS, FLAP_MS = 5, 120_000.0
-STALL_MS, STALLED_MS, STALL_WINDOW_MS = 250.0, 1_000.0, 10_000.0
+ROW_ALLOWANCE_SD = (
+    1.0  # deviations that a level may stand off without a score: half of the step that is looked for
+)
+ROW_DECISION_THRESHOLD = (
+    12.0  # score at which a level is told; with K, some 1e10 rows without a cause between two false ones
+)
+MINUTE_ALLOWANCE_SD, MINUTE_DECISION_THRESHOLD = (
+    1.25,
+    10.0,
+)  # the same for minutes, of which there are 60 times fewer and which hang together
+PROPORTION_DECISION_THRESHOLD = 14.0  # log-likelihood at which a share is told
+SCORE_CAP_RATIO = 1.5  # thresholds that a score rises to at most
+MAX_ROW_DEVIATION_SD = 4.5  # deviations that one row counts for at most: one odd row tells nothing
+SUSPICION_RATIO = 0.4  # part of a threshold from which a server counts as departing with others
+MIN_ROW_SHIFT_LOG, MIN_MINUTE_SHIFT_LOG = (
+    math.log(1.4),
+    math.log(1.12),
+)  # least step that is told by rows, by minutes
+MIN_LOAD_SHIFT_LOG, MIN_LOAD_INCREASE_REQUESTS = (
+    math.log(2.0),
+    2.0,
+)  # of the reported load, and requests beyond the usual
+MIN_REFERENCE_SHIFT_LOG = math.log(1.6)  # least step of a reference against its own past
+REFERENCE_QUANTILE = 0.4  # of the peers' running means: the reference
+REFERENCE_SAMPLE_SERVERS = 500  # servers that a reference is made of, about
+MIN_PEER_SERVERS = (
+    3  # least peers of a kind, else all kinds are peers; fewer than this in all: the own past alone
+)
+RUNNING_MEAN_ANSWERS = 40.0  # answers that a running mean is made of
+OFFSET_PRIOR_ROWS = 20.0  # rows that a server's own distance is held to be none for, to begin with
+OFFSET_MEMORY_ROWS = 1_800.0  # rows of which the own distance is made, fast; and minutes, slow
+OFFSET_MEMORY_MINUTES, OFFSET_LEARNING_MINUTES = 360.0, 10
+MAX_OFFSET_LOG = math.log(1.5)  # most of a distance that is taken for usual
+MIN_ROW_SPREAD_LOG = 0.04  # least spread between servers, fast; and slow
+MIN_MINUTE_SPREAD_LOG = 0.02
+WARM_UP_ROWS_PER_PEER = 3  # of a class at all servers together times PEERS, before anybody is told
+RECOVERY_ROWS = 8  # good rows, net of bad ones, that end an event
+INACTIVITY_TIMEOUT_MS, SERVER_RETENTION_MS = (
+    120_000.0,
+    900_000.0,
+)  # without a row an event ends; a server is forgotten
+MIN_UPDATE_INTERVAL_MS, MIN_UPDATE_CHANGE_RATIO = 10_000.0, 0.25
+SHARED_CAUSE_WAIT_MS = 1_100.0  # a suspicion shared by others waits so long for them
+MIN_AFFECTED_GROUP_RATIO, MIN_SUSPECTS_IN_GROUP_RATIO, MIN_AFFECTED_SERVERS = (
+    0.6,
+    0.8,
+    3,
+)  # of a group that departs, of the departing, at least
+FLEET_AFFECTED_RATIO = 0.4  # of all servers
+MAX_OPEN_ANOMALIES, MAX_EVENTS_PER_ROUND, MAX_REMEMBERED_SUPPRESSIONS = 256, 20, 20_000
+MIN_STALE_REPORTS, MIN_STALE_DURATION_MS, MIN_STALE_COUNT_SPREAD = 40, 10_000.0, 3
+MIN_FLAPPING_CHANGES, FLAPPING_WINDOW_MS = 5, 120_000.0
+MIN_STALL_MS, MIN_STALL_TOTAL_MS, STALL_WINDOW_MS = 250.0, 1_000.0, 10_000.0
 MINUTE_MS = 60_000.0
 
 
 class Signal(Enum):
     """What departs."""
 
-    ANSWER_TIME = "answer_time"
+    RESPONSE_TIME = "answer_time"
     ERRORS = "errors"
-    TURNED_AWAY = "turned_away"
+    REJECTIONS = "turned_away"
     LOAD = "load"
-    SILENCE = "silence"
+    TIMEOUTS = "silence"
     STALE_REPORT = "stale_report"
     FLAPPING = "flapping"
     RECOVERY = "recovery"  # of the node itself, with `Step.BECAME`
@@ -87,18 +109,20 @@
     KIND = "kind"
     CELL = "cell"
     CLASS = "class"
-    ALL = "all"
+    FLEET = "all"
     NODE = "node"
     PEER = "peer"  # another node
 
 
-class Step(Enum):
+class EventType(Enum):
     """What has become of an event."""
 
-    BEGAN = "departure_began"
-    CHANGED = "departure_changed"
-    ENDED = "departure_ended"
-    BECAME = "recovery"  # no departure: the node itself is another state back (`core/recovery`)
+    ANOMALY_BEGAN = "departure_began"
+    ANOMALY_CHANGED = "departure_changed"
+    ANOMALY_ENDED = "departure_ended"
+    RECOVERY_STATE_CHANGED = (
+        "recovery"  # no departure: the node itself is another state back (`core/recovery`)
+    )
     # Nor are these: what became of another node, or of this one among them (`Tell` in
     # `core/cluster/failure_detector`).
     PEER_JOINED = "peer_joined"
@@ -106,21 +130,21 @@
     PEER_FAILED = "peer_failed"
     PEER_LEFT = "peer_left"
     PEER_RETURNED = "peer_returned"
-    PEER_MOVED = "peer_moved"
-    PEER_DOUBLED = "peer_doubled"
-    PEER_YIELDED = "peer_yielded"
-    PEER_RESUMED = "peer_resumed"
-    PEER_FULL = "peer_full"
+    PEER_ADDRESS_CHANGED = "peer_moved"
+    PEER_NAME_CONFLICT = "peer_doubled"
+    PEER_NAME_YIELDED = "peer_yielded"
+    PEER_NAME_RESUMED = "peer_resumed"
+    PEER_TABLE_FULL = "peer_full"
     # What this node is cut off from, and what nodes disagree on (`Happened` in
     # `core/cluster/gossip_coordinator`).
-    CUT_BEGAN = "cut_began"
-    CUT_ENDED = "cut_ended"
-    DISAGREEMENT_BEGAN = "disagreement_began"
-    DISAGREEMENT_ENDED = "disagreement_ended"
+    PARTITION_BEGAN = "cut_began"
+    PARTITION_HEALED = "cut_ended"
+    DIVERGENCE_BEGAN = "disagreement_began"
+    DIVERGENCE_ENDED = "disagreement_ended"
 
 
 @dataclass(slots=True)
-class Row:
+class ServerObservation:
     """What one server did since its last row, as this node saw it.
 
     `times`: for each class the number of answers, the sum of the logarithms of their times in ms, and of the
@@ -133,21 +157,21 @@
     zone: str = ""
     kind: str = ""
     cell: int = -1
-    times: dict[str, tuple[int, float, float]] = field(default_factory=dict)
-    answers: int = 0
+    response_times: dict[str, tuple[int, float, float]] = field(default_factory=dict)
+    successes: int = 0
     errors: int = 0
-    turned_away: int = 0
-    silent: int = 0
-    load: float | None = None
-    changes: int = 0
-    same: int = 0
-    same_ms: float = 0.0
-    spread: int = 0
-    cold: bool = False
+    rejections: int = 0
+    timeouts: int = 0
+    reported_load: float | None = None
+    lifecycle_changes: int = 0
+    identical_reports: int = 0
+    identical_reports_ms: float = 0.0
+    own_count_spread: int = 0
+    is_warming_up: bool = False
 
 
 @dataclass(slots=True)
-class Event:
+class Anomaly:
     """One departure. `at_ms` is when it was told last, `since_ms` when it seems to have begun."""
 
     id: int
@@ -159,18 +183,18 @@
     evidence: dict[str, object]
     servers: set[str] = field(default_factory=set)
     class_name: str = ""
-    step: Step = Step.BEGAN
-    told_ms: float = 0.0
-    told_value: float = 0.0
-    good: int = 0
-    heard_ms: float = 0.0
+    event_type: EventType = EventType.ANOMALY_BEGAN
+    reported_ms: float = 0.0
+    reported_value: float = 0.0
+    normal_rows: int = 0
+    last_observed_ms: float = 0.0
 
 
 @dataclass(slots=True)
-class Told:
+class TimelineEvent:
     """An event as it was at one moment, for those who listen."""
 
-    step: Step
+    event_type: EventType
     id: int
     at_ms: float
     since_ms: float
@@ -179,10 +203,10 @@
     signal: Signal
     evidence: dict[str, object]
 
-    def json(self) -> dict[str, object]:
+    def to_json(self) -> dict[str, object]:
         """One object of `balancer events --json`."""
         return {
-            "event": self.step.value,
+            "event": self.event_type.value,
             "id": self.id,
             "at": round(self.at_ms),
             "since": round(self.since_ms),
@@ -199,320 +223,421 @@
     Guards against an event that outlives its cause by as long as that lasted.
     """
 
-    __slots__ = ("most", "score", "since_ms", "total", "weight")
+    __slots__ = ("max_score", "score", "since_ms", "weight", "weighted_sum")
 
-    def __init__(self, most: float) -> None:
-        self.most = most
-        self.score = self.since_ms = self.total = self.weight = 0.0
+    def __init__(self, max_score: float) -> None:
+        self.max_score = max_score
+        self.score = self.since_ms = self.weighted_sum = self.weight = 0.0
 
-    def add(self, step: float, now_ms: float, value: float, weight: float) -> None:
+    def update(self, increment: float, now_ms: float, value: float, weight: float) -> None:
         """Evidence, and the value that it was made of."""
         if self.score <= 0.0:
-            self.since_ms, self.total, self.weight = now_ms, 0.0, 0.0
-        self.score = min(self.most, max(0.0, self.score + step))
-        self.total += value * weight
+            self.since_ms, self.weighted_sum, self.weight = now_ms, 0.0, 0.0
+        self.score = min(self.max_score, max(0.0, self.score + increment))
+        self.weighted_sum += value * weight
         self.weight += weight
 
     @property
     def mean(self) -> float:
         """Of the values since the score last stood at 0."""
-        return self.total / self.weight if self.weight else 0.0
+        return self.weighted_sum / self.weight if self.weight else 0.0
 
-    def clear(self) -> None:
+    def reset(self) -> None:
         """Begin anew."""
-        self.score = self.total = self.weight = 0.0
+        self.score = self.weighted_sum = self.weight = 0.0
 
 
-class Cell:
+class LevelState:
     """One level of one server: a class's answer time, or its reported load."""
 
-    __slots__ = ("fast", "mean", "minute", "n", "off", "off_slow", "rows", "seen_ms", "slow", "slow_rows")
+    __slots__ = (
+        "answer_count",
+        "last_observed_ms",
+        "mean_log",
+        "minute_cusum",
+        "minute_offset",
+        "minute_sums",
+        "offset_minutes",
+        "offset_rows",
+        "row_cusum",
+        "row_offset",
+    )
 
     def __init__(self) -> None:
-        self.mean = self.n = 0.0  # running mean of the logarithm, of so many answers
-        self.off = self.off_slow = self.rows = self.slow_rows = 0.0  # own usual distance from the reference
-        self.fast, self.slow = Cusum(MOST * H), Cusum(MOST * H_SLOW)
-        self.minute = [0.0, 0.0]  # answers, and their distances, of the minute
-        self.seen_ms = 0.0
+        self.mean_log = self.answer_count = 0.0  # running mean of the logarithm, of so many answers
+        self.row_offset = self.minute_offset = self.offset_rows = self.offset_minutes = (
+            0.0  # own usual distance from the reference
+        )
+        self.row_cusum, self.minute_cusum = (
+            Cusum(SCORE_CAP_RATIO * ROW_DECISION_THRESHOLD),
+            Cusum(SCORE_CAP_RATIO * MINUTE_DECISION_THRESHOLD),
+        )
+        self.minute_sums = [0.0, 0.0]  # answers, and their distances, of the minute
+        self.last_observed_ms = 0.0
 
 
-class Server:
+class ServerState:
     """What is known of one server."""
 
     __slots__ = (
         "cell",
-        "cells",
-        "changes",
+        "change_times_ms",
+        "has_stale_report",
         "kind",
-        "minute_ms",
+        "last_observed_ms",
+        "levels",
+        "minute_began_ms",
         "name",
-        "past",
-        "seen_ms",
-        "shares",
-        "stale",
+        "past_proportions",
+        "proportion_cusums",
         "zone",
     )
 
     def __init__(self, name: str) -> None:
         self.name, self.zone, self.kind, self.cell = name, "", "", -1
-        self.cells: dict[str, Cell] = {}
-        self.shares = {signal: Cusum(MOST * H_SHARE) for signal in SHARES}
-        self.past = dict.fromkeys(SHARES, 0.0)
-        self.changes: list[float] = []
-        self.seen_ms = self.minute_ms = 0.0
-        self.stale = False
+        self.levels: dict[str, LevelState] = {}
+        self.proportion_cusums = {
+            signal: Cusum(SCORE_CAP_RATIO * PROPORTION_DECISION_THRESHOLD) for signal in PROPORTION_TESTS
+        }
+        self.past_proportions = dict.fromkeys(PROPORTION_TESTS, 0.0)
+        self.change_times_ms: list[float] = []
+        self.last_observed_ms = self.minute_began_ms = 0.0
+        self.has_stale_report = False
 
 
-class Reference:
+class LevelReference:
     """What is usual for one level of one kind of servers."""
 
-    __slots__ = ("base", "between", "between_slow", "cusum", "rows", "value", "within")
+    __slots__ = (
+        "answer_variance",
+        "minute_variance",
+        "past_value",
+        "row_count",
+        "row_variance",
+        "shift_cusum",
+        "value",
+    )
 
     def __init__(self) -> None:
         self.value = math.nan  # the reference now
-        self.base = math.nan  # and in its own past
-        self.within = 0.25  # variance of single answers about their server's mean
-        self.between = 0.01  # further variance of a row's mean, fast and by minutes
-        self.between_slow = 0.0025
-        self.rows = 0.0
-        self.cusum = Cusum(MOST * H)
+        self.past_value = math.nan  # and in its own past
+        self.answer_variance = 0.25  # variance of single answers about their server's mean
+        self.row_variance = 0.01  # further variance of a row's mean, fast and by minutes
+        self.minute_variance = 0.0025
+        self.row_count = 0.0
+        self.shift_cusum = Cusum(SCORE_CAP_RATIO * ROW_DECISION_THRESHOLD)
 
 
 # Least share that is usual, times the peers' own, least share that matters.
-SHARES: dict[Signal, tuple[float, float, float]] = {
+PROPORTION_TESTS: dict[Signal, tuple[float, float, float]] = {
     Signal.ERRORS: (0.004, 1.5, 0.05),
-    Signal.TURNED_AWAY: (0.02, 1.5, 0.25),
-    Signal.SILENCE: (0.005, 1.5, 0.10),
+    Signal.REJECTIONS: (0.02, 1.5, 0.25),
+    Signal.TIMEOUTS: (0.005, 1.5, 0.10),
 }
-LOAD = "\0load"  # the cell of the reported load; no class has such a name
+LOAD_LEVEL = "\0load"  # the cell of the reported load; no class has such a name
 
 
-class Departures:
+class AnomalyDetector:
     """All servers of one node."""
 
     def __init__(self) -> None:
-        self.servers: dict[str, Server] = {}
-        self.references: dict[tuple[str, str], Reference] = {}  # by kind and level
-        self.shares = dict.fromkeys(SHARES, 0.0)  # of all servers, lately
-        self.sums = {signal: [0.0, 0.0] for signal in SHARES}  # of the round: bad ones and all
-        self.events: dict[int, Event] = {}
-        self.waiting: dict[Signal, float] = {}  # suspicions that wait for others, since
+        self.servers: dict[str, ServerState] = {}
+        self.references: dict[tuple[str, str], LevelReference] = {}  # by kind and level
+        self.fleet_proportions = dict.fromkeys(PROPORTION_TESTS, 0.0)  # of all servers, lately
+        self.round_counts = {
+            signal: [0.0, 0.0] for signal in PROPORTION_TESTS
+        }  # of the round: bad ones and all
+        self.open_anomalies: dict[int, Anomaly] = {}
+        self.waiting_since_ms: dict[Signal, float] = {}  # suspicions that wait for others, since
         self.stalls: list[tuple[float, float]] = []
-        self.stalled: Event | None = None
-        self.left_out = 0  # events that were not told one by one
-        self.now_ms = self.ranked_ms = 0.0
-        self.tainted = False
-        self._count = 0
-        self._crossed: dict[Signal, dict[str, tuple[str, float, float, float]]] = {}
-        self._out: list[Told] = []
-        self._skipped: set[tuple[Signal, str]] = set()  # there was no place for
+        self.stall_anomaly: Anomaly | None = None
+        self.suppressed_count = 0  # events that were not told one by one
+        self.now_ms = self.references_updated_ms = 0.0
+        self.is_node_stalled = False
+        self._last_id = 0
+        self._crossings: dict[Signal, dict[str, tuple[str, float, float, float]]] = {}
+        self._events: list[TimelineEvent] = []
+        self._suppressed: set[tuple[Signal, str]] = set()  # there was no place for
 
     # --- a round
 
-    def begin(self, now_ms: float, stall_ms: float = 0.0) -> bool:
+    def begin_round(self, now_ms: float, stall_ms: float = 0.0) -> bool:
         """A round begins; `stall_ms` is how long the node itself stood still since the last. False: no
         time passed.
         """
         if now_ms <= self.now_ms:
             return False
         self.now_ms = now_ms
-        self.tainted = stall_ms >= STALL_MS
-        if self.tainted:
+        self.is_node_stalled = stall_ms >= MIN_STALL_MS
+        if self.is_node_stalled:
             self.stalls.append((now_ms, stall_ms))
         self.stalls = [item for item in self.stalls if now_ms - item[0] <= STALL_WINDOW_MS]
-        self.sums = {signal: [0.0, 0.0] for signal in SHARES}
-        if now_ms - self.ranked_ms >= 1_000.0:
-            self.ranked_ms = now_ms
-            self._rank()
+        self.round_counts = {signal: [0.0, 0.0] for signal in PROPORTION_TESTS}
+        if now_ms - self.references_updated_ms >= 1_000.0:
+            self.references_updated_ms = now_ms
+            self._update_references()
         return True
 
-    def row(self, row: Row) -> None:
+    def observe(self, observation: ServerObservation) -> None:
         """What a server did."""
-        server = self.servers.get(row.server)
+        server = self.servers.get(observation.server)
         if server is None:
-            server = self.servers[row.server] = Server(row.server)
-        server.zone, server.kind, server.cell, server.seen_ms = row.zone, row.kind, row.cell, self.now_ms
-        if not self.tainted:
-            if not row.cold:
-                self._levels(server, row)
-            self._shares(server, row)
-        self._flags(server, row)
-        self._heard(server)
-
-    def end(self) -> list[Told]:
+            server = self.servers[observation.server] = ServerState(observation.server)
+        server.zone, server.kind, server.cell, server.last_observed_ms = (
+            observation.zone,
+            observation.kind,
+            observation.cell,
+            self.now_ms,
+        )
+        if not self.is_node_stalled:
+            if not observation.is_warming_up:
+                self._observe_levels(server, observation)
+            self._observe_proportions(server, observation)
+        self._observe_flags(server, observation)
+        self._count_normal_rows(server)
+
+    def end_round(self) -> list[TimelineEvent]:
         """The round is over: what has begun, changed and ended, in bounded number."""
-        for signal, (bad, total) in self.sums.items():
+        for signal, (bad, total) in self.round_counts.items():
             if total:
                 gain = min(1.0, total / 400.0)
-                self.shares[signal] += gain * 0.2 * (bad / total - self.shares[signal])
-        self._gather()
-        self._references()
-        self._stall()
-        self._age()
-        out, self._out = self._out, []
-        return self._bounded(out)
+                self.fleet_proportions[signal] += gain * 0.2 * (bad / total - self.fleet_proportions[signal])
+        self._open_crossed()
+        self._detect_fleet_shifts()
+        self._detect_stall()
+        self._expire()
+        out, self._events = self._events, []
+        return self._limit_events(out)
 
     # --- levels
 
-    def _rank(self) -> None:
+    def _update_references(self) -> None:
         """The references: the `RANK` part of the servers' running means, by kind; of all kinds where few."""
         values: dict[tuple[str, str], list[float]] = {}
         # Of thousands some hundreds, always the same: guards against a long turn each second.
         some_servers = list(self.servers.values())
-        for server in some_servers[:: 1 + len(some_servers) // RANKED]:
-            for name, cell in server.cells.items():
-                if cell.n >= 5 and self.now_ms - cell.seen_ms < QUIET_MS:
-                    values.setdefault((server.kind, name), []).append(cell.mean - cell.off)
-                    values.setdefault(("", name), []).append(cell.mean - cell.off)
+        for server in some_servers[:: 1 + len(some_servers) // REFERENCE_SAMPLE_SERVERS]:
+            for name, cell in server.levels.items():
+                if cell.answer_count >= 5 and self.now_ms - cell.last_observed_ms < INACTIVITY_TIMEOUT_MS:
+                    values.setdefault((server.kind, name), []).append(cell.mean_log - cell.row_offset)
+                    values.setdefault(("", name), []).append(cell.mean_log - cell.row_offset)
         for key, some in values.items():
-            if len(some) < PEERS:
+            if len(some) < MIN_PEER_SERVERS:
                 continue
             some.sort()
             reference = self.references.get(key)
             if reference is None:
-                reference = self.references[key] = Reference()
-            reference.value = some[int(RANK * (len(some) - 1))]
+                reference = self.references[key] = LevelReference()
+            reference.value = some[int(REFERENCE_QUANTILE * (len(some) - 1))]
 
-    def _reference(self, server: Server, name: str) -> Reference | None:
+    def _reference_of(self, server: ServerState, name: str) -> LevelReference | None:
         found = self.references.get((server.kind, name)) or self.references.get(("", name))
         return None if found is None or math.isnan(found.value) else found
 
-    def _levels(self, server: Server, row: Row) -> None:
-        worst: tuple[Cell, str] | None = None
-        for name, (n, total, squares) in row.times.items():
-            cell = server.cells.get(name)
-            if cell is None:
-                if len(server.cells) >= 32:
+    def _observe_levels(self, server: ServerState, observation: ServerObservation) -> None:
+        worst: tuple[LevelState, str] | None = None
+        for name, (count, total, squares) in observation.response_times.items():
+            level = server.levels.get(name)
+            if level is None:
+                if len(server.levels) >= 32:
                     continue
-                cell = server.cells[name] = Cell()
-            self._level(server, cell, name, n, total / n, max(0.0, squares / n - (total / n) ** 2))
-            worst = (cell, name)
-        if row.load is not None:
-            cell = server.cells.setdefault(LOAD, Cell())
-            self._level(server, cell, LOAD, 1, math.log1p(max(0.0, row.load)), 0.0)
+                level = server.levels[name] = LevelState()
+            self._update_level(
+                server, level, name, count, total / count, max(0.0, squares / count - (total / count) ** 2)
+            )
+            worst = (level, name)
+        if observation.reported_load is not None:
+            level = server.levels.setdefault(LOAD_LEVEL, LevelState())
+            self._update_level(
+                server, level, LOAD_LEVEL, 1, math.log1p(max(0.0, observation.reported_load)), 0.0
+            )
         if worst is not None:
-            self._check(server)
+            self._check_levels(server)
 
-    def _level(self, server: Server, cell: Cell, name: str, n: int, mean: float, variance: float) -> None:
-        gain = n / (min(cell.n, WINDOW) + n)
-        before, cell.n, cell.seen_ms = cell.mean, cell.n + n, self.now_ms
-        cell.mean += gain * (mean - cell.mean)
-        reference = self._reference(server, name)
+    def _update_level(
+        self, server: ServerState, level: LevelState, name: str, count: int, mean: float, variance: float
+    ) -> None:
+        gain = count / (min(level.answer_count, RUNNING_MEAN_ANSWERS) + count)
+        before, level.answer_count, level.last_observed_ms = (
+            level.mean_log,
+            level.answer_count + count,
+            self.now_ms,
+        )
+        level.mean_log += gain * (mean - level.mean_log)
+        reference = self._reference_of(server, name)
         if reference is None:
             return
         distance = mean - reference.value
-        away = distance - cell.off
-        quiet = cell.fast.score < H * SUSPECT and cell.slow.score < H_SLOW * SUSPECT
-        spread = reference.within / n + reference.between + FLOOR * FLOOR
-        z = away / math.sqrt(spread)
-        if reference.rows >= WARM_UP_ROWS * PEERS * 5:
-            cell.fast.add(min(CLIP, z) - K, self.now_ms, away, n)
-        if quiet:
-            if n > 1 and before:
-                reference.within += 0.01 * (variance * n / (n - 1) - reference.within)
-            elif n == 1 and before:
-                reference.within += 0.002 * (min(9 * spread, (mean - before) ** 2) - reference.within)
-            beyond = min(away * away, 9 * spread) - reference.within / n
-            reference.between = max(0.0, reference.between + 0.005 * (beyond - reference.between))
-            reference.rows += 1
-            cell.rows = min(cell.rows + 1, PAST_ROWS)
-            cell.off += (distance - cell.off) / (cell.rows + TRUST_ROWS) if abs(z) < 3 else 0.0
-            cell.off = max(-FAR, min(FAR, cell.off))
-        cell.minute[0] += n
-        cell.minute[1] += n * distance
-
-    def _check(self, server: Server) -> None:
+        deviation = distance - level.row_offset
+        is_normal = (
+            level.row_cusum.score < ROW_DECISION_THRESHOLD * SUSPICION_RATIO
+            and level.minute_cusum.score < MINUTE_DECISION_THRESHOLD * SUSPICION_RATIO
+        )
+        spread = (
+            reference.answer_variance / count
+            + reference.row_variance
+            + MIN_ROW_SPREAD_LOG * MIN_ROW_SPREAD_LOG
+        )
+        standardized = deviation / math.sqrt(spread)
+        if reference.row_count >= WARM_UP_ROWS_PER_PEER * MIN_PEER_SERVERS * 5:
+            level.row_cusum.update(
+                min(MAX_ROW_DEVIATION_SD, standardized) - ROW_ALLOWANCE_SD, self.now_ms, deviation, count
+            )
+        if is_normal:
+            if count > 1 and before:
+                reference.answer_variance += 0.01 * (
+                    variance * count / (count - 1) - reference.answer_variance
+                )
+            elif count == 1 and before:
+                reference.answer_variance += 0.002 * (
+                    min(9 * spread, (mean - before) ** 2) - reference.answer_variance
+                )
+            excess_variance = min(deviation * deviation, 9 * spread) - reference.answer_variance / count
+            reference.row_variance = max(
+                0.0, reference.row_variance + 0.005 * (excess_variance - reference.row_variance)
+            )
+            reference.row_count += 1
+            level.offset_rows = min(level.offset_rows + 1, OFFSET_MEMORY_ROWS)
+            level.row_offset += (
+                (distance - level.row_offset) / (level.offset_rows + OFFSET_PRIOR_ROWS)
+                if abs(standardized) < 3
+                else 0.0
+            )
+            level.row_offset = max(-MAX_OFFSET_LOG, min(MAX_OFFSET_LOG, level.row_offset))
+        level.minute_sums[0] += count
+        level.minute_sums[1] += count * distance
+
+    def _check_levels(self, server: ServerState) -> None:
         """The fast score of each level; and of the minute where it is over."""
-        if self.now_ms - server.minute_ms >= MINUTE_MS:
-            if server.minute_ms:
-                for name, cell in server.cells.items():
-                    self._minute(server, cell, name)
-            server.minute_ms = self.now_ms
-        for name, cell in server.cells.items():
-            load = name == LOAD
-            least = FAST_LOAD if load else FAST
-            if cell.fast.score >= H and cell.fast.mean >= least:
-                if load and math.expm1(cell.mean) < math.expm1(cell.mean - cell.fast.mean) + LOAD_LEAST:
+        if self.now_ms - server.minute_began_ms >= MINUTE_MS:
+            if server.minute_began_ms:
+                for name, level in server.levels.items():
+                    self._close_minute(server, level, name)
+            server.minute_began_ms = self.now_ms
+        for name, level in server.levels.items():
+            load = name == LOAD_LEVEL
+            least = MIN_LOAD_SHIFT_LOG if load else MIN_ROW_SHIFT_LOG
+            if level.row_cusum.score >= ROW_DECISION_THRESHOLD and level.row_cusum.mean >= least:
+                if (
+                    load
+                    and math.expm1(level.mean_log)
+                    < math.expm1(level.mean_log - level.row_cusum.mean) + MIN_LOAD_INCREASE_REQUESTS
+                ):
                     continue
-                self._cross(
-                    Signal.LOAD if load else Signal.ANSWER_TIME, server, "" if load else name, cell.fast
+                self._record_crossing(
+                    Signal.LOAD if load else Signal.RESPONSE_TIME,
+                    server,
+                    "" if load else name,
+                    level.row_cusum,
                 )
-            elif cell.slow.score >= H_SLOW and cell.slow.mean >= SLOW and not load:
-                self._cross(Signal.ANSWER_TIME, server, name, cell.slow)
-
-    def _minute(self, server: Server, cell: Cell, name: str) -> None:
-        n, total = cell.minute
-        cell.minute = [0.0, 0.0]
-        reference = self._reference(server, name)
-        if reference is None or n < 3 or name == LOAD:
+            elif (
+                level.minute_cusum.score >= MINUTE_DECISION_THRESHOLD
+                and level.minute_cusum.mean >= MIN_MINUTE_SHIFT_LOG
+                and not load
+            ):
+                self._record_crossing(Signal.RESPONSE_TIME, server, name, level.minute_cusum)
+
+    def _close_minute(self, server: ServerState, level: LevelState, name: str) -> None:
+        count, total = level.minute_sums
+        level.minute_sums = [0.0, 0.0]
+        reference = self._reference_of(server, name)
+        if reference is None or count < 3 or name == LOAD_LEVEL:
             return
-        distance = total / n
-        cell.slow_rows += 1
-        if cell.slow_rows <= MINUTES:  # the first are what is usual
-            cell.off_slow += (distance - cell.off_slow) / cell.slow_rows
+        distance = total / count
+        level.offset_minutes += 1
+        if level.offset_minutes <= OFFSET_LEARNING_MINUTES:  # the first are what is usual
+            level.minute_offset += (distance - level.minute_offset) / level.offset_minutes
             return
-        away = distance - cell.off_slow
-        spread = reference.within / n + reference.between_slow + FLOOR_SLOW * FLOOR_SLOW
-        cell.slow.add(min(CLIP, away / math.sqrt(spread)) - K_SLOW, self.now_ms, away, n)
-        if cell.slow.score < H_SLOW * SUSPECT:
-            beyond = min(away * away, 9 * spread) - reference.within / n
-            reference.between_slow = max(
-                0.0, reference.between_slow + 0.02 * (beyond - reference.between_slow)
+        deviation = distance - level.minute_offset
+        spread = (
+            reference.answer_variance / count
+            + reference.minute_variance
+            + MIN_MINUTE_SPREAD_LOG * MIN_MINUTE_SPREAD_LOG
+        )
+        level.minute_cusum.update(
+            min(MAX_ROW_DEVIATION_SD, deviation / math.sqrt(spread)) - MINUTE_ALLOWANCE_SD,
+            self.now_ms,
+            deviation,
+            count,
+        )
+        if level.minute_cusum.score < MINUTE_DECISION_THRESHOLD * SUSPICION_RATIO:
+            excess_variance = min(deviation * deviation, 9 * spread) - reference.answer_variance / count
+            reference.minute_variance = max(
+                0.0, reference.minute_variance + 0.02 * (excess_variance - reference.minute_variance)
+            )
+            level.minute_offset += (distance - level.minute_offset) / min(
+                level.offset_minutes, OFFSET_MEMORY_MINUTES
             )
-            cell.off_slow += (distance - cell.off_slow) / min(cell.slow_rows, PAST_MINUTES)
 
     # --- shares
 
-    def _shares(self, server: Server, row: Row) -> None:
-        bad = {Signal.ERRORS: row.errors, Signal.TURNED_AWAY: row.turned_away, Signal.SILENCE: row.silent}
+    def _observe_proportions(self, server: ServerState, observation: ServerObservation) -> None:
+        bad = {
+            Signal.ERRORS: observation.errors,
+            Signal.REJECTIONS: observation.rejections,
+            Signal.TIMEOUTS: observation.timeouts,
+        }
         for signal, count in bad.items():
-            good = row.answers + (row.errors + row.turned_away + row.silent - count)
-            if signal is Signal.SILENCE and not row.answers:
-                good = row.errors + row.turned_away
+            good = observation.successes + (
+                observation.errors + observation.rejections + observation.timeouts - count
+            )
+            if signal is Signal.TIMEOUTS and not observation.successes:
+                good = observation.errors + observation.rejections
             total = good + count
             if not total:
                 continue
-            sums = self.sums[signal]
+            sums = self.round_counts[signal]
             sums[0] += count
             sums[1] += total
-            floor, times, matters = SHARES[signal]
-            usual = min(0.5, max(floor, times * self.shares[signal], times * server.past[signal]))
+            floor, times, matters = PROPORTION_TESTS[signal]
+            usual = min(
+                0.5,
+                max(floor, times * self.fleet_proportions[signal], times * server.past_proportions[signal]),
+            )
             other = min(0.95, max(matters, 4 * usual))
-            cusum = server.shares[signal]
+            cusum = server.proportion_cusums[signal]
             step = count * math.log(other / usual) + good * math.log((1 - other) / (1 - usual))
-            cusum.add(step, self.now_ms, count / total, total)
-            if cusum.score < H_SHARE * SUSPECT:
-                server.past[signal] += min(1.0, total / 2_000.0) * (count / total - server.past[signal])
-            if cusum.score >= H_SHARE:
-                self._cross(signal, server, "", cusum)
+            cusum.update(step, self.now_ms, count / total, total)
+            if cusum.score < PROPORTION_DECISION_THRESHOLD * SUSPICION_RATIO:
+                server.past_proportions[signal] += min(1.0, total / 2_000.0) * (
+                    count / total - server.past_proportions[signal]
+                )
+            if cusum.score >= PROPORTION_DECISION_THRESHOLD:
+                self._record_crossing(signal, server, "", cusum)
 
     # --- flags
 
-    def _flags(self, server: Server, row: Row) -> None:
-        stale = row.same >= STALE_ROWS and row.same_ms >= STALE_MS and row.spread >= STALE_SPREAD
+    def _observe_flags(self, server: ServerState, observation: ServerObservation) -> None:
+        stale = (
+            observation.identical_reports >= MIN_STALE_REPORTS
+            and observation.identical_reports_ms >= MIN_STALE_DURATION_MS
+            and observation.own_count_spread >= MIN_STALE_COUNT_SPREAD
+        )
         if stale:
-            self._crossed.setdefault(Signal.STALE_REPORT, {})[server.name] = (
+            self._crossings.setdefault(Signal.STALE_REPORT, {})[server.name] = (
                 "",
-                self.now_ms - row.same_ms,
-                float(row.same),
-                float(row.spread),
+                self.now_ms - observation.identical_reports_ms,
+                float(observation.identical_reports),
+                float(observation.own_count_spread),
             )
-        server.stale = stale
-        if row.changes:
-            server.changes += [self.now_ms] * min(row.changes, FLAPS)
-        server.changes = [at for at in server.changes if self.now_ms - at <= FLAP_MS][-FLAPS:]
-        if len(server.changes) >= FLAPS:
-            self._crossed.setdefault(Signal.FLAPPING, {})[server.name] = (
+        server.has_stale_report = stale
+        if observation.lifecycle_changes:
+            server.change_times_ms += [self.now_ms] * min(observation.lifecycle_changes, MIN_FLAPPING_CHANGES)
+        server.change_times_ms = [
+            at for at in server.change_times_ms if self.now_ms - at <= FLAPPING_WINDOW_MS
+        ][-MIN_FLAPPING_CHANGES:]
+        if len(server.change_times_ms) >= MIN_FLAPPING_CHANGES:
+            self._crossings.setdefault(Signal.FLAPPING, {})[server.name] = (
                 "",
-                server.changes[0],
-                float(len(server.changes)),
+                server.change_times_ms[0],
+                float(len(server.change_times_ms)),
                 0.0,
             )
 
     # --- from scores to events
 
-    def _cross(self, signal: Signal, server: Server, class_name: str, cusum: Cusum) -> None:
-        self._crossed.setdefault(signal, {})[server.name] = (
+    def _record_crossing(self, signal: Signal, server: ServerState, class_name: str, cusum: Cusum) -> None:
+        self._crossings.setdefault(signal, {})[server.name] = (
             class_name,
             cusum.since_ms,
             cusum.mean,
@@ -521,41 +646,55 @@
 
     def _suspects(self, signal: Signal) -> dict[str, tuple[str, float, float, float]]:
         """All servers with part of a score, those over the threshold among them."""
-        out = dict(self._crossed.get(signal, {}))
+        out = dict(self._crossings.get(signal, {}))
         for server in self.servers.values():
-            if server.name in out or self.now_ms - server.seen_ms > QUIET_MS:
+            if server.name in out or self.now_ms - server.last_observed_ms > INACTIVITY_TIMEOUT_MS:
                 continue
-            if signal in SHARES:
-                cusum, most = server.shares[signal], H_SHARE
-                if cusum.score >= most * SUSPECT:
+            if signal in PROPORTION_TESTS:
+                cusum, most = server.proportion_cusums[signal], PROPORTION_DECISION_THRESHOLD
+                if cusum.score >= most * SUSPICION_RATIO:
                     out[server.name] = ("", cusum.since_ms, cusum.mean, cusum.score)
-            elif signal in (Signal.ANSWER_TIME, Signal.LOAD):
-                for name, cell in server.cells.items():
-                    if (name == LOAD) is (signal is Signal.LOAD) and cell.fast.score >= H * SUSPECT:
-                        out[server.name] = (name, cell.fast.since_ms, cell.fast.mean, cell.fast.score)
+            elif signal in (Signal.RESPONSE_TIME, Signal.LOAD):
+                for name, cell in server.levels.items():
+                    if (name == LOAD_LEVEL) is (
+                        signal is Signal.LOAD
+                    ) and cell.row_cusum.score >= ROW_DECISION_THRESHOLD * SUSPICION_RATIO:
+                        out[server.name] = (
+                            name,
+                            cell.row_cusum.since_ms,
+                            cell.row_cusum.mean,
+                            cell.row_cusum.score,
+                        )
         return out
 
-    def _gather(self) -> None:
+    def _open_crossed(self) -> None:
         """What has crossed becomes events: of those who share something, or one by one."""
-        crossed, self._crossed = self._crossed, {}
+        crossed, self._crossings = self._crossings, {}
         for signal, found in crossed.items():
-            new = {name: what for name, what in found.items() if not self._covered(signal, name, what)}
+            new = {name: what for name, what in found.items() if not self._is_covered(signal, name, what)}
             if not new:
                 continue
-            self._crossed = {signal: new}
+            self._crossings = {signal: new}
             suspects = {
                 name: what
                 for name, what in self._suspects(signal).items()
-                if name in new or not self._covered(signal, name, what) or self._alone(signal, name)
+                if name in new
+                or not self._is_covered(signal, name, what)
+                or self._is_reported_alone(signal, name)
             }
-            self._crossed = {}
+            self._crossings = {}
             alone = len(suspects) <= 1
-            if not alone and self.now_ms - self.waiting.setdefault(signal, self.now_ms) < HOLD_MS:
+            if (
+                not alone
+                and self.now_ms - self.waiting_since_ms.setdefault(signal, self.now_ms) < SHARED_CAUSE_WAIT_MS
+            ):
                 continue  # they cross again with their next row
-            self.waiting.pop(signal, None)
+            self.waiting_since_ms.pop(signal, None)
             self._begin_all(signal, new, suspects)
-        for signal in [s for s, since in self.waiting.items() if self.now_ms - since > 3 * HOLD_MS]:
-            del self.waiting[signal]
+        for signal in [
+            s for s, since in self.waiting_since_ms.items() if self.now_ms - since > 3 * SHARED_CAUSE_WAIT_MS
+        ]:
+            del self.waiting_since_ms[signal]
 
     def _begin_all(
         self,
@@ -563,18 +702,20 @@
         new: dict[str, tuple[str, float, float, float]],
         suspects: dict[str, tuple[str, float, float, float]],
     ) -> None:
-        active = [s for s in self.servers.values() if self.now_ms - s.seen_ms <= QUIET_MS]
-        group = self._shared(active, suspects) if len(suspects) >= GROUP_LEAST else None
-        if group is None and len(suspects) >= max(GROUP_LEAST, ALL_PART * len(active)):
-            group = Scope.ALL, "all"
+        active = [
+            s for s in self.servers.values() if self.now_ms - s.last_observed_ms <= INACTIVITY_TIMEOUT_MS
+        ]
+        group = self._shared_group(active, suspects) if len(suspects) >= MIN_AFFECTED_SERVERS else None
+        if group is None and len(suspects) >= max(MIN_AFFECTED_SERVERS, FLEET_AFFECTED_RATIO * len(active)):
+            group = Scope.FLEET, "all"
         if group is not None:
-            self._open(signal, *group, suspects)
+            self._open_anomaly(signal, *group, suspects)
             return
         for name, what in new.items():
-            self._open(signal, Scope.SERVER, name, {name: what})
+            self._open_anomaly(signal, Scope.SERVER, name, {name: what})
 
-    def _shared(
-        self, active: Iterable[Server], suspects: dict[str, tuple[str, float, float, float]]
+    def _shared_group(
+        self, active: Iterable[ServerState], suspects: dict[str, tuple[str, float, float, float]]
     ) -> tuple[Scope, str] | None:
         """The zone, kind or cell that most of the departing share and that departs for the most part."""
         active = list(active)
@@ -591,84 +732,86 @@
                 count[1] += server.name in suspects
             for name, (size, there) in groups.items():
                 whole = size >= 0.9 * len(active)
-                if not name or whole or there < GROUP_LEAST:
+                if not name or whole or there < MIN_AFFECTED_SERVERS:
                     continue
-                if there >= GROUP_PART * size and there >= GROUP_SHARE * len(suspects):
+                if there >= MIN_AFFECTED_GROUP_RATIO * size and there >= MIN_SUSPECTS_IN_GROUP_RATIO * len(
+                    suspects
+                ):
                     score = there / size
                     if best is None or score > best[0]:
                         best = (score, scope, name)
         return None if best is None else best[1:]
 
-    def _covered(self, signal: Signal, name: str, what: tuple[str, float, float, float]) -> bool:
+    def _is_covered(self, signal: Signal, name: str, what: tuple[str, float, float, float]) -> bool:
         """Whether an open event speaks of it; it then takes note."""
-        for event in self.events.values():
-            if event.signal not in _kin(signal):
+        for event in self.open_anomalies.values():
+            if event.signal not in _related_signals(signal):
                 continue
             server = self.servers.get(name)
-            inside = name in event.servers or event.scope is Scope.ALL
+            inside = name in event.servers or event.scope is Scope.FLEET
             if server is not None and event.scope in (Scope.ZONE, Scope.KIND, Scope.CELL):
                 mine = {Scope.ZONE: server.zone, Scope.KIND: server.kind, Scope.CELL: str(server.cell)}
                 inside = inside or mine[event.scope] == event.subject
             if not inside:
                 continue
             event.servers.add(name)
-            self._update(event, what)
+            self._update_anomaly(event, what)
             return True
         return False
 
-    def _alone(self, signal: Signal, name: str) -> bool:
+    def _is_reported_alone(self, signal: Signal, name: str) -> bool:
         """Whether it was told by itself."""
-        mine = (e for e in self.events.values() if e.scope is Scope.SERVER and e.subject == name)
-        return any(event.signal in _kin(signal) for event in mine)
+        mine = (e for e in self.open_anomalies.values() if e.scope is Scope.SERVER and e.subject == name)
+        return any(event.signal in _related_signals(signal) for event in mine)
 
-    def _update(self, event: Event, what: tuple[str, float, float, float]) -> None:
+    def _update_anomaly(self, event: Anomaly, what: tuple[str, float, float, float]) -> None:
         evidence = self._evidence(event.signal, event.servers, what)
         value = float(evidence.get("value") or 0.0)  # type: ignore[arg-type]
         grown = len(event.servers) > 1.2 * float(event.evidence.get("servers", 1))  # type: ignore[arg-type]
-        moved = abs(value - event.told_value) > UPDATE_STEP * abs(event.told_value)
-        if (grown or moved) and self.now_ms - event.told_ms >= UPDATE_MS:
+        moved = abs(value - event.reported_value) > MIN_UPDATE_CHANGE_RATIO * abs(event.reported_value)
+        if (grown or moved) and self.now_ms - event.reported_ms >= MIN_UPDATE_INTERVAL_MS:
             event.evidence = evidence
-            self._tell(event, Step.CHANGED)
+            self._report(event, EventType.ANOMALY_CHANGED)
 
     def _evidence(
         self, signal: Signal, servers: set[str], what: tuple[str, float, float, float]
     ) -> dict[str, object]:
         class_name, _, value, score = what
         out: dict[str, object] = {"servers": len(servers)}
-        if signal in (Signal.ANSWER_TIME, Signal.LOAD):
+        if signal in (Signal.RESPONSE_TIME, Signal.LOAD):
             server = self.servers.get(next(iter(servers), ""))
-            level = LOAD if signal is Signal.LOAD else class_name
-            reference = self._reference(server, level) if server is not None else None
+            level = LOAD_LEVEL if signal is Signal.LOAD else class_name
+            reference = self._reference_of(server, level) if server is not None else None
             usual = reference.value if reference is not None else 0.0
-            cell = server.cells.get(level) if server is not None else None
-            usual += cell.off if cell is not None else 0.0
+            cell = server.levels.get(level) if server is not None else None
+            usual += cell.row_offset if cell is not None else 0.0
             read = math.expm1 if signal is Signal.LOAD else math.exp
             out |= {
                 "value": round(read(min(700.0, usual + value)), 3),
                 "reference": round(read(min(700.0, usual)), 3),
                 "ratio": round(math.exp(value), 3),
                 "score": round(score, 1),
-                "threshold": H,
-                "false_alarm_odds": float(f"{math.exp(-2 * K * min(score, 300.0)):.1e}"),
+                "threshold": ROW_DECISION_THRESHOLD,
+                "false_alarm_odds": float(f"{math.exp(-2 * ROW_ALLOWANCE_SD * min(score, 300.0)):.1e}"),
             }
             if class_name:
                 out["class"] = class_name
-        elif signal in SHARES:
-            usual = max(SHARES[signal][0], self.shares[signal])
+        elif signal in PROPORTION_TESTS:
+            usual = max(PROPORTION_TESTS[signal][0], self.fleet_proportions[signal])
             out |= {
                 "value": round(value, 4),
                 "reference": round(usual, 4),
                 "score": round(score, 1),
-                "threshold": H_SHARE,
+                "threshold": PROPORTION_DECISION_THRESHOLD,
                 "false_alarm_odds": float(f"{math.exp(-min(score, 300.0)):.1e}"),
             }
         elif signal is Signal.STALE_REPORT:
             out |= {"value": value, "own_count_moved_by": score}
         else:
-            out |= {"value": value, "window_ms": FLAP_MS}
+            out |= {"value": value, "window_ms": FLAPPING_WINDOW_MS}
         return out
 
-    def _open(
+    def _open_anomaly(
         self, signal: Signal, scope: Scope, subject: str, found: dict[str, tuple[str, float, float, float]]
     ) -> None:
         what = max(found.values(), key=lambda item: item[3])
@@ -681,17 +824,21 @@
             evidence.pop("class", None)
         since = min(item[1] for item in found.values())
         if scope is not Scope.SERVER:
-            self._absorb(signal, servers)
-        self._new(signal, scope, subject, since, evidence, servers, what[0])
+            self._absorb_single_servers(signal, servers)
+        self._new_anomaly(signal, scope, subject, since, evidence, servers, what[0])
 
-    def _absorb(self, signal: Signal, servers: set[str]) -> None:
+    def _absorb_single_servers(self, signal: Signal, servers: set[str]) -> None:
         """Those that were told one by one before the others showed the same are part of what begins now."""
-        for event in list(self.events.values()):
-            if event.scope is Scope.SERVER and event.subject in servers and event.signal in _kin(signal):
-                event.evidence = {**event.evidence, "ended_as": f"part of event {self._count + 1}"}
-                self._end(event)
-
-    def _new(
+        for event in list(self.open_anomalies.values()):
+            if (
+                event.scope is Scope.SERVER
+                and event.subject in servers
+                and event.signal in _related_signals(signal)
+            ):
+                event.evidence = {**event.evidence, "ended_as": f"part of event {self._last_id + 1}"}
+                self._close(event)
+
+    def _new_anomaly(
         self,
         signal: Signal,
         scope: Scope,
@@ -700,15 +847,18 @@
         evidence: dict[str, object],
         servers: set[str],
         class_name: str = "",
-    ) -> Event | None:
-        if len(self.events) >= MOST_EVENTS:
-            if len(self._skipped) < FORGOTTEN and (signal, subject) not in self._skipped:
-                self._skipped.add((signal, subject))
-                self.left_out += 1
+    ) -> Anomaly | None:
+        if len(self.open_anomalies) >= MAX_OPEN_ANOMALIES:
+            if (
+                len(self._suppressed) < MAX_REMEMBERED_SUPPRESSIONS
+                and (signal, subject) not in self._suppressed
+            ):
+                self._suppressed.add((signal, subject))
+                self.suppressed_count += 1
             return None
-        self._count += 1
-        event = Event(
-            self._count,
+        self._last_id += 1
+        event = Anomaly(
+            self._last_id,
             scope,
             subject,
             signal,
@@ -717,17 +867,17 @@
             evidence,
             servers,
             class_name,
-            heard_ms=self.now_ms,
+            last_observed_ms=self.now_ms,
         )
-        self.events[event.id] = event
-        self._tell(event, Step.BEGAN)
+        self.open_anomalies[event.id] = event
+        self._report(event, EventType.ANOMALY_BEGAN)
         return event
 
-    def _tell(self, event: Event, step: Step) -> None:
-        event.step, event.at_ms, event.told_ms = step, self.now_ms, self.now_ms
-        event.told_value = float(event.evidence.get("value") or 0.0)  # type: ignore[arg-type]
-        self._out.append(
-            Told(
+    def _report(self, event: Anomaly, step: EventType) -> None:
+        event.event_type, event.at_ms, event.reported_ms = step, self.now_ms, self.now_ms
+        event.reported_value = float(event.evidence.get("value") or 0.0)  # type: ignore[arg-type]
+        self._events.append(
+            TimelineEvent(
                 step,
                 event.id,
                 self.now_ms,
@@ -741,168 +891,194 @@
 
     # --- the end of an event
 
-    def _bad(self, event: Event, server: Server) -> bool:
+    def _is_anomalous(self, event: Anomaly, server: ServerState) -> bool:
         """Whether a server still shows what the event is about."""
-        if event.signal in SHARES:
-            return server.shares[event.signal].score >= H_SHARE * SUSPECT
+        if event.signal in PROPORTION_TESTS:
+            return (
+                server.proportion_cusums[event.signal].score
+                >= PROPORTION_DECISION_THRESHOLD * SUSPICION_RATIO
+            )
         if event.signal is Signal.STALE_REPORT:
-            return server.stale
+            return server.has_stale_report
         if event.signal is Signal.FLAPPING:
-            return len(server.changes) >= 2
-        level = LOAD if event.signal is Signal.LOAD else event.class_name
-        cell = server.cells.get(level)
-        return cell is not None and max(cell.fast.score / H, cell.slow.score / H_SLOW) >= SUSPECT
+            return len(server.change_times_ms) >= 2
+        level = LOAD_LEVEL if event.signal is Signal.LOAD else event.class_name
+        cell = server.levels.get(level)
+        return (
+            cell is not None
+            and max(
+                cell.row_cusum.score / ROW_DECISION_THRESHOLD,
+                cell.minute_cusum.score / MINUTE_DECISION_THRESHOLD,
+            )
+            >= SUSPICION_RATIO
+        )
 
-    def _heard(self, server: Server) -> None:
+    def _count_normal_rows(self, server: ServerState) -> None:
         """A row of a server that an event speaks of: towards its end, or away from it."""
-        for event in self.events.values():
+        for event in self.open_anomalies.values():
             if server.name in event.servers and event.scope not in (Scope.CLASS, Scope.NODE):
-                event.heard_ms = self.now_ms
-                bad = self._bad(event, server)
-                event.good = max(0, event.good - 2) if bad else event.good + 1
+                event.last_observed_ms = self.now_ms
+                bad = self._is_anomalous(event, server)
+                event.normal_rows = max(0, event.normal_rows - 2) if bad else event.normal_rows + 1
 
-    def _age(self) -> None:
-        for event in list(self.events.values()):
-            if event.scope in (Scope.CLASS, Scope.NODE) or (event.scope is Scope.ALL and not event.servers):
+    def _expire(self) -> None:
+        for event in list(self.open_anomalies.values()):
+            if event.scope in (Scope.CLASS, Scope.NODE) or (event.scope is Scope.FLEET and not event.servers):
                 continue
-            over = event.good >= RECOVER * max(1, len(event.servers))
-            if over or self.now_ms - event.heard_ms > QUIET_MS:
+            over = event.normal_rows >= RECOVERY_ROWS * max(1, len(event.servers))
+            if over or self.now_ms - event.last_observed_ms > INACTIVITY_TIMEOUT_MS:
                 event.evidence = {**event.evidence, "lasted_ms": round(self.now_ms - event.since_ms)}
                 if not over:
                     event.evidence["ended_as"] = "nothing was heard of it any more"
-                self._end(event)
-        for name in [n for n, s in self.servers.items() if self.now_ms - s.seen_ms > FORGET_MS][:200]:
+                self._close(event)
+        for name in [
+            n for n, s in self.servers.items() if self.now_ms - s.last_observed_ms > SERVER_RETENTION_MS
+        ][:200]:
             del self.servers[name]
 
-    def _end(self, event: Event) -> None:
-        del self.events[event.id]
-        self._skipped.clear()
+    def _close(self, event: Anomaly) -> None:
+        del self.open_anomalies[event.id]
+        self._suppressed.clear()
         for name in event.servers:
             if (server := self.servers.get(name)) is not None:
-                for cell in server.cells.values():
-                    if event.signal in (Signal.ANSWER_TIME, Signal.LOAD):
-                        cell.fast.clear()
-                        cell.slow.clear()
-                if event.signal in SHARES:
-                    server.shares[event.signal].clear()
-        self._tell(event, Step.ENDED)
+                for cell in server.levels.values():
+                    if event.signal in (Signal.RESPONSE_TIME, Signal.LOAD):
+                        cell.row_cusum.reset()
+                        cell.minute_cusum.reset()
+                if event.signal in PROPORTION_TESTS:
+                    server.proportion_cusums[event.signal].reset()
+        self._report(event, EventType.ANOMALY_ENDED)
 
     # --- the reference against its own past
 
-    def _references(self) -> None:
+    def _detect_fleet_shifts(self) -> None:
         """A class that turns slow everywhere is told as one of the class, all classes as one of all."""
-        if self.tainted:
+        if self.is_node_stalled:
             return
-        up: list[tuple[str, Reference]] = []
+        up: list[tuple[str, LevelReference]] = []
         known = 0
         for (kind, name), reference in self.references.items():
-            if kind or name == LOAD or math.isnan(reference.value):
+            if kind or name == LOAD_LEVEL or math.isnan(reference.value):
                 continue
-            if sum(r.rows for (_, n), r in self.references.items() if n == name) < 100:
+            if sum(r.row_count for (_, n), r in self.references.items() if n == name) < 100:
                 continue
             known += 1
-            if math.isnan(reference.base):
-                reference.base = reference.value
-            away = reference.value - reference.base
-            spread = reference.between / 4 + FLOOR * FLOOR
-            reference.cusum.add(min(CLIP, away / math.sqrt(spread)) - 2 * K, self.now_ms, away, 1.0)
-            if reference.cusum.score >= H and reference.cusum.mean >= ALL_STEP:
+            if math.isnan(reference.past_value):
+                reference.past_value = reference.value
+            away = reference.value - reference.past_value
+            spread = reference.row_variance / 4 + MIN_ROW_SPREAD_LOG * MIN_ROW_SPREAD_LOG
+            reference.shift_cusum.update(
+                min(MAX_ROW_DEVIATION_SD, away / math.sqrt(spread)) - 2 * ROW_ALLOWANCE_SD,
+                self.now_ms,
+                away,
+                1.0,
+            )
+            if (
+                reference.shift_cusum.score >= ROW_DECISION_THRESHOLD
+                and reference.shift_cusum.mean >= MIN_REFERENCE_SHIFT_LOG
+            ):
                 up.append((name, reference))
-            elif reference.cusum.score < H * SUSPECT:
-                reference.base += away / 900.0
+            elif reference.shift_cusum.score < ROW_DECISION_THRESHOLD * SUSPICION_RATIO:
+                reference.past_value += away / 900.0
         names = {name for name, _ in up}
-        open_all = [e for e in self.events.values() if not e.servers and e.scope in (Scope.ALL, Scope.CLASS)]
+        open_all = [
+            e for e in self.open_anomalies.values() if not e.servers and e.scope in (Scope.FLEET, Scope.CLASS)
+        ]
         for event in open_all:
-            still = bool(names) if event.scope is Scope.ALL else event.subject in names
-            event.good = 0 if still else event.good + 1
-            event.heard_ms = self.now_ms
-            if event.good >= RECOVER:
+            still = bool(names) if event.scope is Scope.FLEET else event.subject in names
+            event.normal_rows = 0 if still else event.normal_rows + 1
+            event.last_observed_ms = self.now_ms
+            if event.normal_rows >= RECOVERY_ROWS:
                 event.evidence = {**event.evidence, "lasted_ms": round(self.now_ms - event.since_ms)}
-                self._end(event)
-        if any(e.scope is Scope.ALL and e.signal is Signal.ANSWER_TIME for e in self.events.values()):
+                self._close(event)
+        if any(
+            e.scope is Scope.FLEET and e.signal is Signal.RESPONSE_TIME for e in self.open_anomalies.values()
+        ):
             return
         told = {e.subject for e in open_all}
         fresh = [(name, reference) for name, reference in up if name not in told]
         if not fresh:
             return
         if len(up) >= max(2, math.ceil(0.6 * known)):
-            if not all(self.now_ms - reference.cusum.since_ms >= 2_000.0 for _, reference in up):
+            if not all(self.now_ms - reference.shift_cusum.since_ms >= 2_000.0 for _, reference in up):
                 return
-            name, reference = max(up, key=lambda item: item[1].cusum.mean)
-            self._new(
-                Signal.ANSWER_TIME,
-                Scope.ALL,
+            name, reference = max(up, key=lambda item: item[1].shift_cusum.mean)
+            self._new_anomaly(
+                Signal.RESPONSE_TIME,
+                Scope.FLEET,
                 "all",
-                min(r.cusum.since_ms for _, r in up),
-                self._of(reference) | {"classes": len(up)},
+                min(r.shift_cusum.since_ms for _, r in up),
+                self._shift_evidence(reference) | {"classes": len(up)},
                 set(),
             )
             return
         for name, reference in fresh:
-            if self.now_ms - reference.cusum.since_ms >= 3_000.0:  # the others may follow
-                self._new(
-                    Signal.ANSWER_TIME,
+            if self.now_ms - reference.shift_cusum.since_ms >= 3_000.0:  # the others may follow
+                self._new_anomaly(
+                    Signal.RESPONSE_TIME,
                     Scope.CLASS,
                     name,
-                    reference.cusum.since_ms,
-                    self._of(reference),
+                    reference.shift_cusum.since_ms,
+                    self._shift_evidence(reference),
                     set(),
                     name,
                 )
 
-    def _of(self, reference: Reference) -> dict[str, object]:
-        step = reference.cusum.mean
+    def _shift_evidence(self, reference: LevelReference) -> dict[str, object]:
+        step = reference.shift_cusum.mean
         return {
-            "value": round(math.exp(reference.base + step), 3),
-            "reference": round(math.exp(reference.base), 3),
+            "value": round(math.exp(reference.past_value + step), 3),
+            "reference": round(math.exp(reference.past_value), 3),
             "ratio": round(math.exp(step), 3),
-            "score": round(reference.cusum.score, 1),
-            "threshold": H,
+            "score": round(reference.shift_cusum.score, 1),
+            "threshold": ROW_DECISION_THRESHOLD,
         }
 
     # --- the node itself
 
-    def _stall(self) -> None:
+    def _detect_stall(self) -> None:
         """All answers late at once are no server's fault where the node's own loop stood still."""
         total = sum(length for _, length in self.stalls)
-        if total >= STALLED_MS:
-            if self.stalled is None:
+        if total >= MIN_STALL_TOTAL_MS:
+            if self.stall_anomaly is None:
                 since = self.stalls[0][0] - self.stalls[0][1]
                 evidence: dict[str, object] = {
                     "value": round(total),
                     "window_ms": STALL_WINDOW_MS,
                     "cause": "the node's own loop stood still",
                 }
-                self.stalled = self._new(Signal.ANSWER_TIME, Scope.NODE, "node", since, evidence, set())
-        elif not self.stalls and self.stalled is not None:
-            event, self.stalled = self.stalled, None
+                self.stall_anomaly = self._new_anomaly(
+                    Signal.RESPONSE_TIME, Scope.NODE, "node", since, evidence, set()
+                )
+        elif not self.stalls and self.stall_anomaly is not None:
+            event, self.stall_anomaly = self.stall_anomaly, None
             event.evidence = {**event.evidence, "lasted_ms": round(self.now_ms - event.since_ms)}
-            if event.id in self.events:
-                self._end(event)
+            if event.id in self.open_anomalies:
+                self._close(event)
 
     # --- what is told
 
-    def _bounded(self, out: list[Told]) -> list[Told]:
+    def _limit_events(self, out: list[TimelineEvent]) -> list[TimelineEvent]:
         """At most `MOST_TOLD`, the first of each kind and scope before the rest."""
-        if len(out) <= MOST_TOLD:
+        if len(out) <= MAX_EVENTS_PER_ROUND:
             return out
-        seen: set[tuple[Step, Signal, Scope]] = set()
-        first: list[tuple[int, Told]] = []
-        rest: list[tuple[int, Told]] = []
+        seen: set[tuple[EventType, Signal, Scope]] = set()
+        first: list[tuple[int, TimelineEvent]] = []
+        rest: list[tuple[int, TimelineEvent]] = []
         for number, told in enumerate(out):
-            kind = told.step, told.signal, told.scope
+            kind = told.event_type, told.signal, told.scope
             (rest if kind in seen else first).append((number, told))
             seen.add(kind)
-        kept: list[tuple[int, Told]] = []
-        for item in (first + rest)[:MOST_TOLD]:
+        kept: list[tuple[int, TimelineEvent]] = []
+        for item in (first + rest)[:MAX_EVENTS_PER_ROUND]:
             insort(kept, item, key=lambda pair: pair[0])
-        self.left_out += len(out) - len(kept)
+        self.suppressed_count += len(out) - len(kept)
         return [told for _, told in kept]
 
 
-def _kin(signal: Signal) -> frozenset[Signal]:
+def _related_signals(signal: Signal) -> frozenset[Signal]:
     """The signals that one cause may show in: a server that is cut off is silent, and errs."""
-    return _SHARED if signal in _SHARED else frozenset({signal})
+    return _PROPORTION_SIGNALS if signal in _PROPORTION_SIGNALS else frozenset({signal})
 
 
-_SHARED = frozenset(SHARES)
+_PROPORTION_SIGNALS = frozenset(PROPORTION_TESTS)
--- a/balancer/core/backoff.py
+++ b/balancer/core/backoff.py
@@ -11,16 +11,16 @@
     Guards against a thousand nodes that lost the same peer at the same moment and come back together.
     """
 
-    def __init__(self, first_ms: float, most_ms: float, rng: random.Random) -> None:
-        self.first_ms, self.most_ms, self.rng = first_ms, most_ms, rng
-        self.next_ms = first_ms
+    def __init__(self, initial_ms: float, max_ms: float, rng: random.Random) -> None:
+        self.initial_ms, self.max_ms, self.rng = initial_ms, max_ms, rng
+        self.next_ms = initial_ms
 
-    def wait_ms(self) -> float:
+    def next_delay_ms(self) -> float:
         """How long to wait before the next try; the one after it waits longer."""
-        out = self.next_ms * self.rng.uniform(0.5, 1.5)
-        self.next_ms = min(2 * self.next_ms, self.most_ms)
-        return out
+        delay_ms = self.next_ms * self.rng.uniform(0.5, 1.5)
+        self.next_ms = min(2 * self.next_ms, self.max_ms)
+        return delay_ms
 
     def reset(self) -> None:
         """It worked."""
-        self.next_ms = self.first_ms
+        self.next_ms = self.initial_ms
--- a/balancer/core/cluster/anti_entropy.py
+++ b/balancer/core/cluster/anti_entropy.py
@@ -14,44 +14,47 @@
 
 from balancer.endpoints import EndpointRecord
 
-LEVELS = 12
-LEAVES = 1 << LEVELS  # 10,000 entries: two or three a leaf
-DOWN = 3  # levels an answer goes down: benchmarks/node_state_gossip.py weighs 1 to 4
-MASK = (1 << 48) - 1
-DIGESTS, ENTRIES = 23, 13  # of a datagram: what fits 256 bytes beside names of 16
-ANSWERS = 16  # datagrams for one that came, at the most
-FOUND = 64  # differing names that are told at once
+TREE_DEPTH = 12
+LEAF_COUNT = 1 << TREE_DEPTH  # 10,000 entries: two or three a leaf
+LEVELS_PER_ANSWER = 3  # levels an answer goes down: benchmarks/node_state_gossip.py weighs 1 to 4
+DIGEST_MASK = (1 << 48) - 1
+MAX_DIGESTS_PER_DATAGRAM, MAX_ENTRIES_PER_DATAGRAM = (
+    23,
+    13,
+)  # of a datagram: what fits 256 bytes beside names of 16
+MAX_ANSWER_DATAGRAMS = 16  # datagrams for one that came, at the most
+MAX_DIFFERING_NAMES = 64  # differing names that are told at once
 
 
 @dataclass(slots=True, frozen=True)
-class Digests:
+class TreeDigests:
     """A datagram: places and their digests."""
 
-    of: tuple[tuple[int, int], ...]
+    digests: tuple[tuple[int, int], ...]
 
 
 @dataclass(slots=True, frozen=True)
-class Leaf:
+class LeafEntries:
     """A datagram: all entries of a leaf (key, digest); one of over ENTRIES is told in part."""
 
-    place: int
+    tree_index: int
     entries: tuple[tuple[int, int], ...]
 
 
 @dataclass(slots=True, frozen=True)
-class Differ:
+class Difference:
     """Names that differ, or that the other side does not have; and how many only the other side has."""
 
     names: tuple[str, ...]
-    missing: int
+    missing_count: int
 
 
-def key_of(name: str) -> int:
+def entry_key(name: str) -> int:
     """Where a name lies: 64 bits."""
     return int.from_bytes(blake2b(name.encode(), digest_size=8).digest())
 
 
-def digest_of(member: EndpointRecord) -> int:
+def entry_digest(member: EndpointRecord) -> int:
     """What is compared of an entry: all but its age and its address, which may be each node's own."""
     entry = member.endpoint
     said = (
@@ -66,12 +69,12 @@
     return int.from_bytes(blake2b(repr(said).encode(), digest_size=8).digest())
 
 
-class Halves:
+class DigestTree:
     """The digests of one view. Changed by what `membership.Apply` says."""
 
-    def __init__(self, down: int = DOWN) -> None:
-        self._down = down
-        self._tree = [0] * (2 * LEAVES)  # place 1 is the root, 2p and 2p + 1 are below p
+    def __init__(self, down: int = LEVELS_PER_ANSWER) -> None:
+        self._levels_per_answer = down
+        self._tree = [0] * (2 * LEAF_COUNT)  # place 1 is the root, 2p and 2p + 1 are below p
         self._leaves: dict[int, dict[str, tuple[int, int]]] = {}  # place -> name -> key, digest
 
     def __len__(self) -> int:
@@ -85,13 +88,13 @@
     def apply(self, members: Iterable[EndpointRecord], removed: Iterable[EndpointRecord]) -> None:
         """What changed in the view."""
         for member in members:
-            self._put(member.id, digest_of(member))
+            self._set_entry(member.id, entry_digest(member))
         for member in removed:
-            self._put(member.id, None)
+            self._set_entry(member.id, None)
 
-    def _put(self, name: str, digest: int | None) -> None:
-        key = key_of(name)
-        place = LEAVES + (key >> 64 - LEVELS)
+    def _set_entry(self, name: str, digest: int | None) -> None:
+        key = entry_key(name)
+        place = LEAF_COUNT + (key >> 64 - TREE_DEPTH)
         leaf = self._leaves.setdefault(place, {})
         _, before = leaf.pop(name, (0, 0))
         if digest is not None:
@@ -103,39 +106,49 @@
             self._tree[place] ^= change
             place >>= 1
 
-    def ask(self) -> Digests:
+    def start_search(self) -> TreeDigests:
         """What begins a search: the first digests below the root."""
-        return Digests(tuple(self._below(1)))
+        return TreeDigests(tuple(self._descendant_digests(1)))
 
-    def _below(self, place: int) -> list[tuple[int, int]]:
-        down = min(self._down, LEVELS - place.bit_length() + 1)
-        return [(p, self._tree[p] & MASK) for p in range(place << down, (place + 1) << down)]
+    def _descendant_digests(self, place: int) -> list[tuple[int, int]]:
+        down = min(self._levels_per_answer, TREE_DEPTH - place.bit_length() + 1)
+        return [(p, self._tree[p] & DIGEST_MASK) for p in range(place << down, (place + 1) << down)]
 
-    def heard(self, told: Digests | Leaf) -> tuple[list[Digests | Leaf], Differ | None]:
+    def receive(
+        self, told: TreeDigests | LeafEntries
+    ) -> tuple[list[TreeDigests | LeafEntries], Difference | None]:
         """What to answer, at most ANSWERS datagrams, and what was found."""
-        if isinstance(told, Leaf):
-            return [], self._compare(told)
-        out: list[Digests | Leaf] = []
+        if isinstance(told, LeafEntries):
+            return [], self._compare_leaf(told)
+        out: list[TreeDigests | LeafEntries] = []
         digests: list[tuple[int, int]] = []
-        for place, digest in told.of[:DIGESTS]:
-            if not 0 < place < 2 * LEAVES or self._tree[place] & MASK == digest:
+        for place, digest in told.digests[:MAX_DIGESTS_PER_DATAGRAM]:
+            if not 0 < place < 2 * LEAF_COUNT or self._tree[place] & DIGEST_MASK == digest:
                 continue
-            if place < LEAVES:
-                digests += self._below(place)
+            if place < LEAF_COUNT:
+                digests += self._descendant_digests(place)
             else:
                 mine = (self._leaves.get(place) or {}).values()
-                out.append(Leaf(place, tuple((key, value & MASK) for key, value in mine)[:ENTRIES]))
-        out += [Digests(tuple(digests[at : at + DIGESTS])) for at in range(0, len(digests), DIGESTS)]
-        return out[:ANSWERS], None
-
-    def _compare(self, told: Leaf) -> Differ | None:
-        theirs: Sequence[tuple[int, int]] = told.entries[:ENTRIES]
-        held, mine = dict(theirs), self._leaves.get(told.place) or {}
-        part = len(theirs) == ENTRIES  # what is not named there may be there all the same
+                out.append(
+                    LeafEntries(
+                        place,
+                        tuple((key, value & DIGEST_MASK) for key, value in mine)[:MAX_ENTRIES_PER_DATAGRAM],
+                    )
+                )
+        out += [
+            TreeDigests(tuple(digests[at : at + MAX_DIGESTS_PER_DATAGRAM]))
+            for at in range(0, len(digests), MAX_DIGESTS_PER_DATAGRAM)
+        ]
+        return out[:MAX_ANSWER_DATAGRAMS], None
+
+    def _compare_leaf(self, told: LeafEntries) -> Difference | None:
+        theirs: Sequence[tuple[int, int]] = told.entries[:MAX_ENTRIES_PER_DATAGRAM]
+        held, mine = dict(theirs), self._leaves.get(told.tree_index) or {}
+        part = len(theirs) == MAX_ENTRIES_PER_DATAGRAM  # what is not named there may be there all the same
         names = [
             name
             for name, (key, digest) in mine.items()
-            if (not part or key in held) and held.get(key) != digest & MASK
+            if (not part or key in held) and held.get(key) != digest & DIGEST_MASK
         ]
         missing = len(held.keys() - {key for key, _ in mine.values()})
-        return Differ(tuple(names[:FOUND]), missing) if names or missing else None
+        return Difference(tuple(names[:MAX_DIFFERING_NAMES]), missing) if names or missing else None
--- a/balancer/core/cluster/failure_detector.py
+++ b/balancer/core/cluster/failure_detector.py
@@ -29,27 +29,41 @@
 from random import Random
 from typing import NamedTuple
 
-PERIOD_MS = 200.0  # between two probes
-TIMEOUT_MS = 65.0  # for a direct answer; helpers have the rest of the period
-HELPERS = 3  # asked for an indirect probe
-ALPHA, BETA = 3.0, 3.0  # least suspicion: ALPHA log10(n) periods; longest: BETA times that
-SHARERS = 3  # other accusers with whom a suspicion is at its shortest
-HEALTH_MAX = 2  # local health: periods and waits are at most so many times longer, and one
-NEWS_TO, NEWS_MAX = 3, 9  # peers told at once of a suspicion or failure; such datagrams a period
-TELL = 4.0  # times log10(n + 1): how often a change is told by each node
-NEAR_MS = 3 * PERIOD_MS  # heard so lately: a failure told by others is only a suspicion
-ASK_MS, ALONE_MS = 600.0, 3_000.0  # for answers on the own past: after the first, and where there is none
-CONTEST_MS, CONTESTS = 30_000.0, 3  # claims of another address to the own name before one of both yields
-TRIES = 4  # for a page that does not come
-WALK_MS = 10_000.0  # from the last page of one walk through another's list to the next walk
-FALLEN_MS = 600_000.0  # failed and left ones are held so long, far above the life of any datagram
-PEERS_MAX, FALLEN_MAX, RELAYS_MAX, SEEDS_MAX = 8_192, 1_024, 256, 16  # bounds of the tables
-INCARNATION_MAX = 2**32 - 2**16  # a word above it is a lie: nobody could refute it
-SETTLE_MS = 100.0  # after a stand: what is read so soon may have lain there as long
-DOUBT_PEERS = 3  # heard from after a stand, or all of fewer, before anybody is called failed
-
-
-class State(IntEnum):
+PROBE_INTERVAL_MS = 200.0  # between two probes
+PROBE_TIMEOUT_MS = 65.0  # for a direct answer; helpers have the rest of the period
+INDIRECT_PROBE_COUNT = 3  # asked for an indirect probe
+SUSPICION_MULTIPLIER, MAX_SUSPICION_MULTIPLIER = (
+    3.0,
+    3.0,
+)  # least suspicion: ALPHA log10(n) periods; longest: BETA times that
+MAX_SUSPICION_CONFIRMATIONS = 3  # other accusers with whom a suspicion is at its shortest
+MAX_LOCAL_HEALTH = 2  # local health: periods and waits are at most so many times longer, and one
+IMMEDIATE_GOSSIP_FANOUT, MAX_IMMEDIATE_GOSSIP_PER_INTERVAL = (
+    3,
+    9,
+)  # peers told at once of a suspicion or failure; such datagrams a period
+RETRANSMIT_MULTIPLIER = 4.0  # times log10(n + 1): how often a change is told by each node
+RECENT_CONTACT_MS = 3 * PROBE_INTERVAL_MS  # heard so lately: a failure told by others is only a suspicion
+INCARNATION_ANSWERS_WAIT_MS, NO_ANSWER_WAIT_MS = (
+    600.0,
+    3_000.0,
+)  # for answers on the own past: after the first, and where there is none
+NAME_CONFLICT_WINDOW_MS, NAME_CONFLICTS_TO_YIELD = (
+    30_000.0,
+    3,
+)  # claims of another address to the own name before one of both yields
+MAX_PAGE_ATTEMPTS = 4  # for a page that does not come
+WALK_INTERVAL_MS = 10_000.0  # from the last page of one walk through another's list to the next walk
+TOMBSTONE_RETENTION_MS = (
+    600_000.0  # failed and left ones are held so long, far above the life of any datagram
+)
+MAX_PEERS, MAX_TOMBSTONES, MAX_RELAYED_PROBES, MAX_SEEDS = 8_192, 1_024, 256, 16  # bounds of the tables
+MAX_INCARNATION = 2**32 - 2**16  # a word above it is a lie: nobody could refute it
+STALL_SETTLE_MS = 100.0  # after a stand: what is read so soon may have lain there as long
+PEERS_HEARD_AFTER_STALL = 3  # heard from after a stand, or all of fewer, before anybody is called failed
+
+
+class PeerState(IntEnum):
     """In the order of what outweighs what within one incarnation."""
 
     ALIVE = 0
@@ -58,36 +72,36 @@
     LEFT = 3
 
 
-class Kind(IntEnum):
+class MessageKind(IntEnum):
     """PING, ACK and RELAY name their `target`; ASK and TOLD carry a place in the list in `seq`."""
 
     PING = 1
     ACK = 2
-    RELAY = 3  # ping `target` at `address` for me
+    PING_REQ = 3  # ping `target` at `address` for me
     NACK = 4  # the helper is well, its target has not answered
-    ASK = 5
-    TOLD = 6
-    NEWS = 7  # words alone, at once
+    MEMBERS_REQUEST = 5
+    MEMBERS_PAGE = 6
+    GOSSIP = 7  # words alone, at once
 
 
-class Word(NamedTuple):
+class MemberRecord(NamedTuple):
     """What somebody says of a node; `by`: 16 bits of the accuser's name, for suspicions, else 0."""
 
     name: str
     state: int
     incarnation: int
     address: str
-    by: int = 0
+    accuser_id: int = 0
 
 
 class Message(NamedTuple):
     """`words` as plain tuples, as `protocol/gossip` reads and writes them."""
 
     kind: int
-    seq: int
+    sequence: int
     target: str
     address: str
-    words: Sequence[tuple[str, int, int, str, int]]
+    records: Sequence[tuple[str, int, int, str, int]]
 
 
 @dataclass(slots=True, frozen=True)
@@ -96,84 +110,84 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Ticked:
+class TimerFired:
     """The time of the last `Wake` has come; harmless too early."""
 
 
 @dataclass(slots=True, frozen=True)
-class Heard:
+class DatagramReceived:
     """A datagram that was right. `fresh` False: of an incarnation of the sender older than one heard."""
 
     sender: str
     incarnation: int
     source: str
     message: Message
-    fresh: bool = True
+    is_current: bool = True
 
 
 @dataclass(slots=True, frozen=True)
-class Stood:
+class ProcessStalled:
     """The own loop stood still (core/stall_detector.py)."""
 
-    stood_ms: float
+    stall_ms: float
 
 
 @dataclass(slots=True, frozen=True)
-class Leaving:
+class ShutdownStarted:
     """The process was told to end."""
 
 
-Event = Started | Ticked | Heard | Stood | Leaving
+Event = Started | TimerFired | DatagramReceived | ProcessStalled | ShutdownStarted
 
 
 @dataclass(slots=True, frozen=True)
-class Send:
-    to: str
+class SendDatagram:
+    address: str
     incarnation: int
     message: Message
 
 
 @dataclass(slots=True, frozen=True)
-class Wake:
+class SetTimer:
     at_ms: float
 
 
 @dataclass(slots=True, frozen=True)
-class Keep:
+class PersistIncarnation:
     """Write the incarnation down, before the sends behind it where that can be."""
 
     incarnation: int
 
 
 @dataclass(slots=True, frozen=True)
-class Tell:
+class NotifyPeerChange:
     """`what`: joined, suspected, failed, left, returned, moved, doubled, yielded, resumed, full."""
 
-    what: str
+    change: str
     name: str
-    why: str
+    reason: str
 
 
-Action = Send | Wake | Keep | Tell
+Action = SendDatagram | SetTimer | PersistIncarnation | NotifyPeerChange
 
 
 @dataclass(slots=True, frozen=True)
 class Options:
     """What the benchmark takes out, one at a time."""
 
-    health: bool = True
-    dogpile: bool = True
-    buddy: bool = True
-    fill: bool = True
-    news: bool = True
+    local_health: bool = True
+    dogpile_suspicion: bool = True
+    buddy_system: bool = True
+    fill_datagrams: bool = True
+    immediate_gossip: bool = True
 
 
-def greater(held: Word | None, told: Word) -> Word:
+def newer_record(held: MemberRecord | None, gossiped: MemberRecord) -> MemberRecord:
     """The merge: associative, commutative and idempotent, as a maximum of a total order is."""
-    return told if held is None or told[2:0:-1] + told[3:] > held[2:0:-1] + held[3:] else held
+    return gossiped if held is None or gossiped[2:0:-1] + gossiped[3:] > held[2:0:-1] + held[3:] else held
 
 
-def accuser(name: str) -> int:
+def accuser_id(name: str) -> int:
     """16 bits of a name, never 0; two with the same ones count as one accuser, which only delays."""
     return zlib.crc32(name.encode()) % 65_535 + 1
 
@@ -181,61 +195,61 @@
 class Peer:
     """One that is known: `word` is what is held; `accusers` (at most SHARERS + 1) while it is suspect."""
 
-    __slots__ = ("accusers", "heard_ms", "ring", "since_ms", "word")
+    __slots__ = ("accuser_ids", "last_heard_ms", "record", "ring_index", "state_since_ms")
 
-    def __init__(self, word: Word, now_ms: float) -> None:
-        self.word, self.since_ms, self.heard_ms = word, now_ms, float("-inf")
-        self.ring = -1
-        self.accusers: set[int] = set()
+    def __init__(self, record: MemberRecord, now_ms: float) -> None:
+        self.record, self.state_since_ms, self.last_heard_ms = record, now_ms, float("-inf")
+        self.ring_index = -1
+        self.accuser_ids: set[int] = set()
 
 
-class _Rumours:
+class PendingBroadcasts:
     """Names by how often they were told: least told first, newest first within. Each name is in it once."""
 
     def __init__(self) -> None:
-        self.told: dict[str, int] = {}
-        self.stages: list[dict[str, None]] = [{}]
+        self.transmit_counts: dict[str, int] = {}
+        self.names_by_count: list[dict[str, None]] = [{}]
 
     def add(self, name: str) -> None:
-        self.drop(name)
-        self.told[name] = 0
-        self.stages[0][name] = None
+        self.discard(name)
+        self.transmit_counts[name] = 0
+        self.names_by_count[0][name] = None
 
-    def drop(self, name: str) -> None:
-        if (at := self.told.pop(name, None)) is not None:
-            del self.stages[at][name]
+    def discard(self, name: str) -> None:
+        if (count := self.transmit_counts.pop(name, None)) is not None:
+            del self.names_by_count[count][name]
 
-    def take(self, fits: Callable[[str], bool], limit: int, most: int) -> None:
+    def take(self, try_add: Callable[[str], bool], transmit_limit: int, max_names: int) -> None:
         """Hands names to `fits` until one does not fit; each that did counts as told once more."""
-        picked: list[str] = []
-        for stage in self.stages:
-            for name in reversed(stage):
-                if len(picked) >= most or not fits(name):
+        taken: list[str] = []
+        for names in self.names_by_count:
+            for name in reversed(names):
+                if len(taken) >= max_names or not try_add(name):
                     break
-                picked.append(name)
+                taken.append(name)
             else:
                 continue
             break
-        for name in picked:
-            times = self.told[name] + 1
-            self.drop(name)
-            if times < limit:
-                while len(self.stages) <= times:
-                    self.stages.append({})
-                self.told[name] = times
-                self.stages[times][name] = None
+        for name in taken:
+            count = self.transmit_counts[name] + 1
+            self.discard(name)
+            if count < transmit_limit:
+                while len(self.names_by_count) <= count:
+                    self.names_by_count.append({})
+                self.transmit_counts[name] = count
+                self.names_by_count[count][name] = None
 
 
 @dataclass(slots=True)
-class _Probe:
-    seq: int
-    name: str
+class Probe:
+    sequence: int
+    target: str
     helpers: tuple[str, ...] = ()
-    nacks: int = 0
-    answered: bool = False
+    nack_count: int = 0
+    is_answered: bool = False
 
 
-class Peers:
+class FailureDetector:
     """`handle`: what happened in, what to do out. `incarnation`: the last one kept, None where none is.
 
     `room`: bytes for words in a datagram, `cost`: of a word; both from the codec. `address`: as others see
@@ -250,551 +264,650 @@
         seeds: Sequence[str],
         incarnation: int | None,
         random: Random,
-        cost: Callable[[tuple[str, int, int, str, int]], int],
-        room: Callable[[str, Message], int],
+        record_size_bytes: Callable[[tuple[str, int, int, str, int]], int],
+        record_space_bytes: Callable[[str, Message], int],
         options: Options | None = None,
-        ask: bool = False,
+        ask_for_incarnation: bool = False,
     ) -> None:
-        if not name or not address or len(seeds) > SEEDS_MAX:
-            raise ValueError(f"peers: a name, an address and at most {SEEDS_MAX} seeds, not {len(seeds)}")
+        if not name or not address or len(seeds) > MAX_SEEDS:
+            raise ValueError(f"peers: a name, an address and at most {MAX_SEEDS} seeds, not {len(seeds)}")
         self.name, self.address = name, address
-        self.ask_at(seeds)
+        self.set_seeds(seeds)
         self.incarnation = 0 if incarnation is None else incarnation + 1
         self.peers: dict[str, Peer] = {}
-        self.health = 0
-        self.doubt: set[str] | None = None  # heard from since this node stood still
-        self.doubled = ""  # the address of another node with this name
-        self.asking = incarnation is None or ask
-        self.left = self.yielded = False
-        self._held, self._answered_ms, self._began_ms = 0, float("inf"), 0.0
-        self._random, self._cost, self._room = random, cost, room
+        self.local_health = 0
+        self.heard_since_stall: set[str] | None = None  # heard from since this node stood still
+        self.conflicting_address = ""  # the address of another node with this name
+        self.is_asking_for_incarnation = incarnation is None or ask_for_incarnation
+        self.has_left = self.has_yielded_name = False
+        self._greatest_reported_incarnation, self._first_answer_ms, self._started_ms = 0, float("inf"), 0.0
+        self._random, self._record_size_bytes, self._record_space_bytes = (
+            random,
+            record_size_bytes,
+            record_space_bytes,
+        )
         self._options = options or Options()
-        self._ring: list[str] = []  # alive and suspect ones; [:self._at] are probed in this round
-        self._at = self._turn = self._seq = 0
-        self._at_address: dict[str, str] = {}
-        self._fallen: OrderedDict[str, float] = OrderedDict()  # name -> when it fell, next to be asked first
-        self._rumours = _Rumours()
-        self._due: list[tuple[float, int, str, object]] = []
-        self._count = 0
-        self._probe: _Probe | None = None
-        self._relays: OrderedDict[int, tuple[str, int, str]] = OrderedDict()
-        self._contests: list[float] = []
-        self._stale_ms = self._stood_ms = self._walked_ms = float("-inf")
-        self._page: tuple[str, int] | None = None  # asked for, not answered yet
-        self._tries = self._news = 0
-        self._out: list[Action] = []
-        self._full = False
-        self._accuser = accuser(name)
+        self._probe_ring: list[str] = []  # alive and suspect ones; [:self._at] are probed in this round
+        self._probed_count = self._contact_round = self._sequence = 0
+        self._names_by_address: dict[str, str] = {}
+        self._tombstones: OrderedDict[str, float] = (
+            OrderedDict()
+        )  # name -> when it fell, next to be asked first
+        self._pending_broadcasts = PendingBroadcasts()
+        self._timers: list[tuple[float, int, str, object]] = []
+        self._timer_count = 0
+        self._current_probe: Probe | None = None
+        self._relayed_probes: OrderedDict[int, tuple[str, int, str]] = OrderedDict()
+        self._name_conflict_times_ms: list[float] = []
+        self._stale_answer_ms = self._last_stall_ms = self._last_page_ms = float("-inf")
+        self._awaited_page: tuple[str, int] | None = None  # asked for, not answered yet
+        self._page_attempts = self._immediate_gossip_count = 0
+        self._actions: list[Action] = []
+        self._has_reported_full = False
+        self._accuser_id = accuser_id(name)
 
     def __repr__(self) -> str:
-        return f"<Peers {self.name} {self.incarnation}, {len(self._ring)} there, {len(self._fallen)} fallen>"
+        return f"<Peers {self.name} {self.incarnation}, {len(self._probe_ring)} there, {len(self._tombstones)} fallen>"
 
     # --- what is asked of it
 
-    def state(self, name: str) -> State | None:
+    def state_of(self, name: str) -> PeerState | None:
         """What is held of a peer; None: nothing."""
         peer = self.peers.get(name)
-        return State(peer.word.state) if peer else None
+        return PeerState(peer.record.state) if peer else None
 
     @property
-    def others_held(self) -> int | None:
+    def reported_incarnation(self) -> int | None:
         """The greatest incarnation of this node that others told before it spoke; None: nobody answered."""
-        return self._held if self._answered_ms < float("inf") else None
+        return self._greatest_reported_incarnation if self._first_answer_ms < float("inf") else None
 
-    def ask_at(self, seeds: Sequence[str]) -> None:
+    def set_seeds(self, seeds: Sequence[str]) -> None:
         """Who is asked at the start, and now and then."""
-        self.seeds, self._seed = [seed for seed in dict.fromkeys(seeds) if seed != self.address], 0
+        self.seeds, self._seed_index = [seed for seed in dict.fromkeys(seeds) if seed != self.address], 0
 
-    def suspicion_ms(self, sharers: int) -> float:
+    def suspicion_timeout_ms(self, confirmations: int) -> float:
         """How long a suspicion stands with so many other accusers (Lifeguard, section IV-B)."""
-        least = ALPHA * max(1.0, log10(len(self._ring) + 1)) * PERIOD_MS
-        wanted = min(SHARERS, len(self._ring) - 1)
-        if wanted < 1 or not self._options.dogpile:
-            return least
-        return max(least, BETA * least - (BETA - 1) * least * log(sharers + 1) / log(wanted + 1))
+        min_timeout_ms = SUSPICION_MULTIPLIER * max(1.0, log10(len(self._probe_ring) + 1)) * PROBE_INTERVAL_MS
+        max_confirmations = min(MAX_SUSPICION_CONFIRMATIONS, len(self._probe_ring) - 1)
+        if max_confirmations < 1 or not self._options.dogpile_suspicion:
+            return min_timeout_ms
+        return max(
+            min_timeout_ms,
+            MAX_SUSPICION_MULTIPLIER * min_timeout_ms
+            - (MAX_SUSPICION_MULTIPLIER - 1)
+            * min_timeout_ms
+            * log(confirmations + 1)
+            / log(max_confirmations + 1),
+        )
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
         """What follows from an event; the last `Wake` holds."""
-        self._out = []
+        self._actions = []
         match event:
-            case Heard():
-                self._heard(now_ms, event)
-            case Ticked():
-                self._ticked(now_ms)
+            case DatagramReceived():
+                self._on_datagram(now_ms, event)
+            case TimerFired():
+                self._run_due_timers(now_ms)
             case Started():
-                self._began_ms = now_ms
-                if not self.asking:
-                    self._out.append(Keep(self.incarnation))
+                self._started_ms = now_ms
+                if not self.is_asking_for_incarnation:
+                    self._actions.append(PersistIncarnation(self.incarnation))
                 for seed in self.seeds:
-                    self._ask(seed, 0)
-                self._later(now_ms + self._random.random() * PERIOD_MS, "period")
-            case Stood():
-                self._stood(now_ms, event)
-            case Leaving():
+                    self._request_members(seed, 0)
+                self._schedule(now_ms + self._random.random() * PROBE_INTERVAL_MS, "period")
+            case ProcessStalled():
+                self._on_stall(now_ms, event)
+            case ShutdownStarted():
                 self._leave()
-        if self._due:
-            self._out.append(Wake(self._due[0][0]))
-        return self._out
+        if self._timers:
+            self._actions.append(SetTimer(self._timers[0][0]))
+        return self._actions
 
     # --- time
 
-    def _later(self, at_ms: float, kind: str, of: object = None) -> None:
-        self._count += 1
-        heappush(self._due, (at_ms, self._count, kind, of))
+    def _schedule(self, at_ms: float, kind: str, subject: object = None) -> None:
+        self._timer_count += 1
+        heappush(self._timers, (at_ms, self._timer_count, kind, subject))
 
-    def _ticked(self, now_ms: float) -> None:
-        while self._due and self._due[0][0] <= now_ms:
-            _, _, kind, of = heappop(self._due)
-            if self.left:
+    def _run_due_timers(self, now_ms: float) -> None:
+        while self._timers and self._timers[0][0] <= now_ms:
+            _, _, kind, subject = heappop(self._timers)
+            if self.has_left:
                 continue
             if kind == "period":
-                self._period(now_ms)
-            elif kind == "direct" and isinstance(of, _Probe):
-                self._indirect(of)
-            elif kind == "nack" and of in self._relays:
-                requester, seq, target = self._relays[of]  # type: ignore[index]
-                self._send(requester, Kind.NACK, seq, target)
-            elif kind == "suspect" and isinstance(of, str):
-                self._suspicion_due(now_ms, of)
-
-    def _period(self, now_ms: float) -> None:
-        self._later(now_ms + PERIOD_MS * (self.health + 1), "period")
-        if self._probe is not None:
-            self._probed(now_ms, self._probe)
-        self._probe, self._news = None, 0
-        while self._fallen and next(iter(self._fallen.values())) + FALLEN_MS < now_ms:
-            self._forget(next(iter(self._fallen)))
-        if self.asking and (now_ms - self._answered_ms >= ASK_MS or now_ms - self._began_ms >= ALONE_MS):
-            self.asking = False
-            self._claim(self._held + 1)
-        self._reach_out()
-        if self.asking or self.yielded or not self._ring:
+                self._begin_probe_interval(now_ms)
+            elif kind == "direct" and isinstance(subject, Probe):
+                self._probe_indirectly(subject)
+            elif kind == "nack" and subject in self._relayed_probes:
+                requester, seq, target = self._relayed_probes[subject]  # type: ignore[index]
+                self._send(requester, MessageKind.NACK, seq, target)
+            elif kind == "suspect" and isinstance(subject, str):
+                self._on_suspicion_timeout(now_ms, subject)
+
+    def _begin_probe_interval(self, now_ms: float) -> None:
+        self._schedule(now_ms + PROBE_INTERVAL_MS * (self.local_health + 1), "period")
+        if self._current_probe is not None:
+            self._conclude_probe(now_ms, self._current_probe)
+        self._current_probe, self._immediate_gossip_count = None, 0
+        while self._tombstones and next(iter(self._tombstones.values())) + TOMBSTONE_RETENTION_MS < now_ms:
+            self._forget(next(iter(self._tombstones)))
+        if self.is_asking_for_incarnation and (
+            now_ms - self._first_answer_ms >= INCARNATION_ANSWERS_WAIT_MS
+            or now_ms - self._started_ms >= NO_ANSWER_WAIT_MS
+        ):
+            self.is_asking_for_incarnation = False
+            self._raise_incarnation(self._greatest_reported_incarnation + 1)
+        self._contact_non_member()
+        if self.is_asking_for_incarnation or self.has_yielded_name or not self._probe_ring:
             return
-        name = self._next()
-        self._seq = (self._seq + 1) % 2**32
-        self._probe = _Probe(self._seq, name)
-        self._later(now_ms + TIMEOUT_MS * (self.health + 1), "direct", self._probe)
-        self._send(self.peers[name].word.address, Kind.PING, self._seq, name)
+        name = self._next_probe_target()
+        self._sequence = (self._sequence + 1) % 2**32
+        self._current_probe = Probe(self._sequence, name)
+        self._schedule(now_ms + PROBE_TIMEOUT_MS * (self.local_health + 1), "direct", self._current_probe)
+        self._send(self.peers[name].record.address, MessageKind.PING, self._sequence, name)
 
-    def _next(self) -> str:
+    def _next_probe_target(self) -> str:
         """A shuffled round, drawn as it goes: each is probed once a round, at a constant cost."""
-        if self._at >= len(self._ring):
-            self._at = 0
-        self._swap(self._at, self._random.randrange(self._at, len(self._ring)))
-        self._at += 1
-        return self._ring[self._at - 1]
-
-    def _swap(self, one: int, other: int) -> None:
-        ring = self._ring
+        if self._probed_count >= len(self._probe_ring):
+            self._probed_count = 0
+        self._swap_ring_places(
+            self._probed_count, self._random.randrange(self._probed_count, len(self._probe_ring))
+        )
+        self._probed_count += 1
+        return self._probe_ring[self._probed_count - 1]
+
+    def _swap_ring_places(self, one: int, other: int) -> None:
+        ring = self._probe_ring
         ring[one], ring[other] = ring[other], ring[one]
-        self.peers[ring[one]].ring, self.peers[ring[other]].ring = one, other
+        self.peers[ring[one]].ring_index, self.peers[ring[other]].ring_index = one, other
 
-    def _indirect(self, probe: _Probe) -> None:
-        peer = self.peers.get(probe.name)
-        if probe is not self._probe or probe.answered or peer is None or peer.ring < 0:
+    def _probe_indirectly(self, probe: Probe) -> None:
+        peer = self.peers.get(probe.target)
+        if probe is not self._current_probe or probe.is_answered or peer is None or peer.ring_index < 0:
             return
-        some = self._random.sample(self._ring, min(2 * HELPERS, len(self._ring)))
-        well = (name for name in some if self.peers[name].word.state == State.ALIVE and name != probe.name)
-        probe.helpers = tuple(well)[:HELPERS]  # one that is suspect would look like trouble here
+        some = self._random.sample(self._probe_ring, min(2 * INDIRECT_PROBE_COUNT, len(self._probe_ring)))
+        well = (
+            name for name in some if self.peers[name].record.state == PeerState.ALIVE and name != probe.target
+        )
+        probe.helpers = tuple(well)[:INDIRECT_PROBE_COUNT]  # one that is suspect would look like trouble here
         for name in probe.helpers:
-            self._send(self.peers[name].word.address, Kind.RELAY, probe.seq, probe.name, peer.word.address)
-
-    def _probed(self, now_ms: float, probe: _Probe) -> None:
-        if probe.answered:
+            self._send(
+                self.peers[name].record.address,
+                MessageKind.PING_REQ,
+                probe.sequence,
+                probe.target,
+                peer.record.address,
+            )
+
+    def _conclude_probe(self, now_ms: float, probe: Probe) -> None:
+        if probe.is_answered:
             return
         # No word from a helper either: the fault may be here; a NACK says that it is not (Lifeguard, IV-A).
-        missing = len(probe.helpers) - probe.nacks
-        self._well(missing if probe.helpers else 1)
-        peer = self.peers.get(probe.name)
-        if peer is not None and peer.word.state <= State.SUSPECT:
-            word = peer.word._replace(state=State.SUSPECT, by=self._accuser)
-            self._take(now_ms, word, "no answer to probes")
-
-    def _well(self, change: int) -> None:
-        if self._options.health:
-            self.health = min(HEALTH_MAX, max(0, self.health + change))
-
-    def _reach_out(self) -> None:
+        missing = len(probe.helpers) - probe.nack_count
+        self._adjust_local_health(missing if probe.helpers else 1)
+        peer = self.peers.get(probe.target)
+        if peer is not None and peer.record.state <= PeerState.SUSPECT:
+            word = peer.record._replace(state=PeerState.SUSPECT, accuser_id=self._accuser_id)
+            self._merge(now_ms, word, "no answer to probes")
+
+    def _adjust_local_health(self, change: int) -> None:
+        if self._options.local_health:
+            self.local_health = min(MAX_LOCAL_HEALTH, max(0, self.local_health + change))
+
+    def _contact_non_member(self) -> None:
         """One that is not among the members is asked: a page that was lost, a fallen one, a seed; in turn."""
-        self._turn += 1
-        if self._page is not None:
-            self._tries += 1
-            self._ask(*self._page)
-            if self._tries >= TRIES:
-                self._page = None
+        self._contact_round += 1
+        if self._awaited_page is not None:
+            self._page_attempts += 1
+            self._request_members(*self._awaited_page)
+            if self._page_attempts >= MAX_PAGE_ATTEMPTS:
+                self._awaited_page = None
             return
-        if self._fallen and (self._turn % 4 < 3 or not self.seeds):
-            name = next(iter(self._fallen))
-            self._fallen.move_to_end(name)
-            self._ask(self.peers[name].word.address, 0)
+        if self._tombstones and (self._contact_round % 4 < 3 or not self.seeds):
+            name = next(iter(self._tombstones))
+            self._tombstones.move_to_end(name)
+            self._request_members(self.peers[name].record.address, 0)
             return
         for _ in range(len(self.seeds)):
-            self._seed = (self._seed + 1) % len(self.seeds)
-            seed = self.seeds[self._seed]
-            if self.asking or self.yielded or seed not in self._at_address:
-                self._ask(seed, 0)
+            self._seed_index = (self._seed_index + 1) % len(self.seeds)
+            seed = self.seeds[self._seed_index]
+            if self.is_asking_for_incarnation or self.has_yielded_name or seed not in self._names_by_address:
+                self._request_members(seed, 0)
                 return
 
-    def _ask(self, address: str, place: int) -> None:
-        self._send(address, Kind.ASK, place, "")
+    def _request_members(self, address: str, position: int) -> None:
+        self._send(address, MessageKind.MEMBERS_REQUEST, position, "")
 
     # --- what comes
 
-    def _heard(self, now_ms: float, event: Heard) -> None:
+    def _on_datagram(self, now_ms: float, event: DatagramReceived) -> None:
         message, sender = event.message, event.sender
-        if self.left:
+        if self.has_left:
             return
-        if not event.fresh:
+        if not event.is_current:
             # A node that forgot, or a replay: told what is held of it, once a period at most.
-            if now_ms - self._stale_ms >= PERIOD_MS:
-                self._stale_ms = now_ms
-                self._send(event.source, Kind.TOLD, 0, sender, about=sender)
+            if now_ms - self._stale_answer_ms >= PROBE_INTERVAL_MS:
+                self._stale_answer_ms = now_ms
+                self._send(event.source, MessageKind.MEMBERS_PAGE, 0, sender, first_name=sender)
             return
         if sender == self.name:
             if event.source != self.address and event.incarnation:
-                self._about_me(now_ms, Word(sender, State.ALIVE, event.incarnation, event.source))
+                self._on_record_of_self(
+                    now_ms, MemberRecord(sender, PeerState.ALIVE, event.incarnation, event.source)
+                )
             return
-        if self.doubt is not None and now_ms - self._stood_ms > SETTLE_MS:
-            self.doubt.add(sender)
-            if len(self.doubt) >= min(DOUBT_PEERS, len(self._ring)):
-                self._believe(now_ms)
-        if 0 < event.incarnation < INCARNATION_MAX:
-            self._was_at(now_ms, sender, event.source)
-            self._take(now_ms, Word(sender, State.ALIVE, event.incarnation, event.source), "heard")
-            if (peer := self.peers.get(sender)) and peer.word.incarnation <= event.incarnation:
-                peer.heard_ms = now_ms
-                if peer.ring >= 0 and peer.word.address == event.source:
-                    self._at_address[event.source] = sender
-        for told in message.words:
-            if (held := self.peers.get(told[0])) is not None and held.word == told:
+        if self.heard_since_stall is not None and now_ms - self._last_stall_ms > STALL_SETTLE_MS:
+            self.heard_since_stall.add(sender)
+            if len(self.heard_since_stall) >= min(PEERS_HEARD_AFTER_STALL, len(self._probe_ring)):
+                self._restart_suspicions(now_ms)
+        if 0 < event.incarnation < MAX_INCARNATION:
+            self._suspect_previous_at(now_ms, sender, event.source)
+            self._merge(
+                now_ms, MemberRecord(sender, PeerState.ALIVE, event.incarnation, event.source), "heard"
+            )
+            if (peer := self.peers.get(sender)) and peer.record.incarnation <= event.incarnation:
+                peer.last_heard_ms = now_ms
+                if peer.ring_index >= 0 and peer.record.address == event.source:
+                    self._names_by_address[event.source] = sender
+        for gossiped in message.records:
+            if (held := self.peers.get(gossiped[0])) is not None and held.record == gossiped:
                 continue  # as most are
-            word = Word(*told)
-            if not word.name or not 0 < word.incarnation < INCARNATION_MAX or not 0 <= word.state <= 3:
+            word = MemberRecord(*gossiped)
+            if not word.name or not 0 < word.incarnation < MAX_INCARNATION or not 0 <= word.state <= 3:
                 continue
             if word.name == self.name:
-                self._about_me(now_ms, word)
+                self._on_record_of_self(now_ms, word)
             else:
-                self._take(now_ms, self._softened(now_ms, word), f"told by {sender}")
+                self._merge(now_ms, self._failure_as_suspicion(now_ms, word), f"told by {sender}")
         self._answer(now_ms, event)
 
-    def _softened(self, now_ms: float, word: Word) -> Word:
-        peer = self.peers.get(word.name)
-        if word.state == State.FAILED and peer is not None and now_ms - peer.heard_ms < NEAR_MS:
-            return word._replace(state=State.SUSPECT)
-        return word
-
-    def _answer(self, now_ms: float, event: Heard) -> None:
+    def _failure_as_suspicion(self, now_ms: float, record: MemberRecord) -> MemberRecord:
+        peer = self.peers.get(record.name)
+        if (
+            record.state == PeerState.FAILED
+            and peer is not None
+            and now_ms - peer.last_heard_ms < RECENT_CONTACT_MS
+        ):
+            return record._replace(state=PeerState.SUSPECT)
+        return record
+
+    def _answer(self, now_ms: float, event: DatagramReceived) -> None:
         message, sender = event.message, event.sender
-        if message.kind == Kind.ASK:
-            self._send(event.source, Kind.TOLD, message.seq, "", about=sender)
-        elif message.kind == Kind.TOLD:
-            self._told(now_ms, event)
-        if self.asking or self.yielded:
+        if message.kind == MessageKind.MEMBERS_REQUEST:
+            self._send(event.source, MessageKind.MEMBERS_PAGE, message.sequence, "", first_name=sender)
+        elif message.kind == MessageKind.MEMBERS_PAGE:
+            self._on_members_page(now_ms, event)
+        if self.is_asking_for_incarnation or self.has_yielded_name:
             return
-        if message.kind == Kind.PING and message.target == self.name:
-            self._send(event.source, Kind.ACK, message.seq, self.name, about=sender)
-        elif message.kind == Kind.PING:  # for one that was here before: whoever asks learns who answers
-            self._send(event.source, Kind.TOLD, 0, "", about=sender)
-        elif message.kind == Kind.RELAY and message.target != self.name:
-            self._seq = (self._seq + 1) % 2**32
-            self._relays[self._seq] = (event.source, message.seq, message.target)
-            if len(self._relays) > RELAYS_MAX:
-                self._relays.popitem(last=False)
-            self._later(now_ms + TIMEOUT_MS, "nack", self._seq)
-            self._send(message.address, Kind.PING, self._seq, message.target)
-        elif message.kind == Kind.ACK:
-            self._acked(sender, message)
-        elif message.kind == Kind.NACK and self._probe and message.seq == self._probe.seq:
-            self._probe.nacks += sender in self._probe.helpers
-
-    def _acked(self, sender: str, message: Message) -> None:
-        probe = self._probe
-        if probe and message.seq == probe.seq and message.target == probe.name and not probe.answered:
-            if sender == probe.name or sender in probe.helpers:
-                probe.answered = True
-                self._well(-1)
-        elif (relay := self._relays.get(message.seq)) and relay[2] == sender:
-            del self._relays[message.seq]
-            self._send(relay[0], Kind.ACK, relay[1], sender)
-
-    def _told(self, now_ms: float, event: Heard) -> None:
+        if message.kind == MessageKind.PING and message.target == self.name:
+            self._send(event.source, MessageKind.ACK, message.sequence, self.name, first_name=sender)
+        elif (
+            message.kind == MessageKind.PING
+        ):  # for one that was here before: whoever asks learns who answers
+            self._send(event.source, MessageKind.MEMBERS_PAGE, 0, "", first_name=sender)
+        elif message.kind == MessageKind.PING_REQ and message.target != self.name:
+            self._sequence = (self._sequence + 1) % 2**32
+            self._relayed_probes[self._sequence] = (event.source, message.sequence, message.target)
+            if len(self._relayed_probes) > MAX_RELAYED_PROBES:
+                self._relayed_probes.popitem(last=False)
+            self._schedule(now_ms + PROBE_TIMEOUT_MS, "nack", self._sequence)
+            self._send(message.address, MessageKind.PING, self._sequence, message.target)
+        elif message.kind == MessageKind.ACK:
+            self._on_ack(sender, message)
+        elif (
+            message.kind == MessageKind.NACK
+            and self._current_probe
+            and message.sequence == self._current_probe.sequence
+        ):
+            self._current_probe.nack_count += sender in self._current_probe.helpers
+
+    def _on_ack(self, sender: str, message: Message) -> None:
+        probe = self._current_probe
+        if (
+            probe
+            and message.sequence == probe.sequence
+            and message.target == probe.target
+            and not probe.is_answered
+        ):
+            if sender == probe.target or sender in probe.helpers:
+                probe.is_answered = True
+                self._adjust_local_health(-1)
+        elif (relayed := self._relayed_probes.get(message.sequence)) and relayed[2] == sender:
+            del self._relayed_probes[message.sequence]
+            self._send(relayed[0], MessageKind.ACK, relayed[1], sender)
+
+    def _on_members_page(self, now_ms: float, event: DatagramReceived) -> None:
         if event.incarnation:  # another that forgot is no answer
-            self._answered_ms = min(self._answered_ms, now_ms)
-        place = event.message.seq
-        mine = self._page is not None and self._page[0] == event.source
-        if mine and not place:
-            self._page = None
-        elif place and (place > self._page[1] if mine and self._page else now_ms - self._walked_ms > WALK_MS):
+            self._first_answer_ms = min(self._first_answer_ms, now_ms)
+        position = event.message.sequence
+        is_awaited = self._awaited_page is not None and self._awaited_page[0] == event.source
+        if is_awaited and not position:
+            self._awaited_page = None
+        elif position and (
+            position > self._awaited_page[1]
+            if is_awaited and self._awaited_page
+            else now_ms - self._last_page_ms > WALK_INTERVAL_MS
+        ):
             # One walk through a list at a time: each page asks for the next, and places only grow.
-            self._walked_ms, self._page, self._tries = now_ms, (event.source, place), 0
-            self._ask(event.source, place)
+            self._last_page_ms, self._awaited_page, self._page_attempts = now_ms, (event.source, position), 0
+            self._request_members(event.source, position)
 
     # --- words
 
-    def _take(self, now_ms: float, word: Word, why: str) -> None:
+    def _merge(self, now_ms: float, record: MemberRecord, reason: str) -> None:
         """Merges a word on another node, and acts on what it changed."""
-        peer = self.peers.get(word.name)
+        peer = self.peers.get(record.name)
         if peer is None:
-            if word.state != State.ALIVE and word.state != State.SUSPECT:
-                self._remember(now_ms, word)
+            if record.state != PeerState.ALIVE and record.state != PeerState.SUSPECT:
+                self._add_tombstone(now_ms, record)
                 return
-            if len(self._ring) >= PEERS_MAX:
-                if not self._full:
-                    self._out.append(Tell("full", word.name, f"at most {PEERS_MAX} peers are held"))
-                self._full = True
+            if len(self._probe_ring) >= MAX_PEERS:
+                if not self._has_reported_full:
+                    self._actions.append(
+                        NotifyPeerChange("full", record.name, f"at most {MAX_PEERS} peers are held")
+                    )
+                self._has_reported_full = True
                 return
-            peer = self.peers[word.name] = Peer(word, now_ms)
-            self._enter(word.name, peer)
-            self._out.append(Tell("joined", word.name, why))
-            self._rumours.add(word.name)
-            if word.state == State.SUSPECT:
-                self._accused(now_ms, peer, word)
+            peer = self.peers[record.name] = Peer(record, now_ms)
+            self._add_to_ring(record.name, peer)
+            self._actions.append(NotifyPeerChange("joined", record.name, reason))
+            self._pending_broadcasts.add(record.name)
+            if record.state == PeerState.SUSPECT:
+                self._confirm_suspicion(now_ms, peer, record)
             return
-        held = peer.word
-        if greater(held, word) is held or word[1:4] == held[1:4]:
-            if word[1:3] == (State.SUSPECT, held.incarnation) == held[1:3]:
-                self._accused(now_ms, peer, word)
+        held = peer.record
+        if newer_record(held, record) is held or record[1:4] == held[1:4]:
+            if record[1:3] == (PeerState.SUSPECT, held.incarnation) == held[1:3]:
+                self._confirm_suspicion(now_ms, peer, record)
             return
-        both = word.state <= State.SUSPECT >= held.state and word.incarnation == held.incarnation
-        if both and word.address != held.address:
-            self._out.append(Tell("doubled", word.name, f"at {held.address} and at {word.address}"))
-        peer.word = word
-        if word.address != held.address:
-            self._place(word.name, held.address, word.address)
-            self._out.append(Tell("moved", word.name, f"{held.address} to {word.address}"))
-        self._rumours.add(word.name)
-        if word.state != held.state or word.state == State.SUSPECT:
-            self._turned(now_ms, peer, held, why)
-
-    def _turned(self, now_ms: float, peer: Peer, held: Word, why: str) -> None:
-        word = peer.word
-        peer.since_ms = now_ms
-        peer.accusers = set()
-        if word.state <= State.SUSPECT and peer.ring < 0:
-            del self._fallen[word.name]
-            self._enter(word.name, peer)
-        if word.state == State.ALIVE:
-            self._out.append(Tell("returned", word.name, f"{why}, incarnation {word.incarnation}"))
-        elif word.state == State.SUSPECT:
-            self._out.append(Tell("suspected", word.name, why))
-            self._accused(now_ms, peer, word)
+        is_conflict = (
+            record.state <= PeerState.SUSPECT >= held.state and record.incarnation == held.incarnation
+        )
+        if is_conflict and record.address != held.address:
+            self._actions.append(
+                NotifyPeerChange("doubled", record.name, f"at {held.address} and at {record.address}")
+            )
+        peer.record = record
+        if record.address != held.address:
+            self._move_address(record.name, held.address, record.address)
+            self._actions.append(
+                NotifyPeerChange("moved", record.name, f"{held.address} to {record.address}")
+            )
+        self._pending_broadcasts.add(record.name)
+        if record.state != held.state or record.state == PeerState.SUSPECT:
+            self._on_state_changed(now_ms, peer, held, reason)
+
+    def _on_state_changed(self, now_ms: float, peer: Peer, held: MemberRecord, reason: str) -> None:
+        record = peer.record
+        peer.state_since_ms = now_ms
+        peer.accuser_ids = set()
+        if record.state <= PeerState.SUSPECT and peer.ring_index < 0:
+            del self._tombstones[record.name]
+            self._add_to_ring(record.name, peer)
+        if record.state == PeerState.ALIVE:
+            self._actions.append(
+                NotifyPeerChange("returned", record.name, f"{reason}, incarnation {record.incarnation}")
+            )
+        elif record.state == PeerState.SUSPECT:
+            self._actions.append(NotifyPeerChange("suspected", record.name, reason))
+            self._confirm_suspicion(now_ms, peer, record)
         else:
-            if held.state <= State.SUSPECT:
-                self._fall(now_ms, word.name, peer)
-            self._out.append(Tell("failed" if word.state == State.FAILED else "left", word.name, why))
-        if word.state in (State.SUSPECT, State.FAILED):
-            self._spread(word)
-
-    def _spread(self, word: Word) -> None:
+            if held.state <= PeerState.SUSPECT:
+                self._remove_from_ring(now_ms, record.name, peer)
+            self._actions.append(
+                NotifyPeerChange(
+                    "failed" if record.state == PeerState.FAILED else "left", record.name, reason
+                )
+            )
+        if record.state in (PeerState.SUSPECT, PeerState.FAILED):
+            self._gossip_at_once(record)
+
+    def _gossip_at_once(self, record: MemberRecord) -> None:
         """Told at once to a few, and to the one that is suspect: it refutes before the suspicion ends."""
-        some = self._random.sample(self._ring, min(NEWS_TO, len(self._ring)))
-        if word.state == State.SUSPECT:
-            some = [word.name, *(name for name in some if name != word.name)]
-        for name in some if self._options.news and not (self.asking or self.yielded) else ():
-            if self._news < NEWS_MAX:
-                self._news += 1
-                self._send(self.peers[name].word.address, Kind.NEWS, 0, "")
-
-    def _accused(self, now_ms: float, peer: Peer, word: Word) -> None:
+        names = self._random.sample(self._probe_ring, min(IMMEDIATE_GOSSIP_FANOUT, len(self._probe_ring)))
+        if record.state == PeerState.SUSPECT:
+            names = [record.name, *(name for name in names if name != record.name)]
+        for name in (
+            names
+            if self._options.immediate_gossip
+            and not (self.is_asking_for_incarnation or self.has_yielded_name)
+            else ()
+        ):
+            if self._immediate_gossip_count < MAX_IMMEDIATE_GOSSIP_PER_INTERVAL:
+                self._immediate_gossip_count += 1
+                self._send(self.peers[name].record.address, MessageKind.GOSSIP, 0, "")
+
+    def _confirm_suspicion(self, now_ms: float, peer: Peer, record: MemberRecord) -> None:
         """Another accuser shortens a suspicion, and is told on while there are few (Lifeguard, IV-B)."""
-        if word.by in peer.accusers or len(peer.accusers) > SHARERS:
+        if record.accuser_id in peer.accuser_ids or len(peer.accuser_ids) > MAX_SUSPICION_CONFIRMATIONS:
             return
-        if peer.accusers and not self._options.dogpile:
+        if peer.accuser_ids and not self._options.dogpile_suspicion:
             return
-        peer.accusers.add(word.by)
-        peer.word = peer.word._replace(by=word.by)
-        self._rumours.add(word.name)
-        wait_ms = self.suspicion_ms(len(peer.accusers) - 1) * (self.health + 1)
-        self._later(max(now_ms, peer.since_ms + wait_ms), "suspect", word.name)
+        peer.accuser_ids.add(record.accuser_id)
+        peer.record = peer.record._replace(accuser_id=record.accuser_id)
+        self._pending_broadcasts.add(record.name)
+        timeout_ms = self.suspicion_timeout_ms(len(peer.accuser_ids) - 1) * (self.local_health + 1)
+        self._schedule(max(now_ms, peer.state_since_ms + timeout_ms), "suspect", record.name)
 
-    def _suspicion_due(self, now_ms: float, name: str) -> None:
+    def _on_suspicion_timeout(self, now_ms: float, name: str) -> None:
         peer = self.peers.get(name)
-        if peer is None or peer.word.state != State.SUSPECT or self.doubt is not None:
+        if peer is None or peer.record.state != PeerState.SUSPECT or self.heard_since_stall is not None:
             return  # in doubt: it is begun anew once others were heard
-        wait_ms = self.suspicion_ms(len(peer.accusers) - 1) * (self.health + 1)
-        if peer.since_ms + wait_ms > now_ms + 1e-6:
-            self._later(peer.since_ms + wait_ms, "suspect", name)
+        timeout_ms = self.suspicion_timeout_ms(len(peer.accuser_ids) - 1) * (self.local_health + 1)
+        if peer.state_since_ms + timeout_ms > now_ms + 1e-6:
+            self._schedule(peer.state_since_ms + timeout_ms, "suspect", name)
             return
-        why = f"suspect for {now_ms - peer.since_ms:.0f} ms, {len(peer.accusers)} accusers"
-        self._take(now_ms, peer.word._replace(state=State.FAILED, by=self._accuser), why)
+        reason = f"suspect for {now_ms - peer.state_since_ms:.0f} ms, {len(peer.accuser_ids)} accusers"
+        self._merge(now_ms, peer.record._replace(state=PeerState.FAILED, accuser_id=self._accuser_id), reason)
 
-    def _about_me(self, now_ms: float, word: Word) -> None:
+    def _on_record_of_self(self, now_ms: float, record: MemberRecord) -> None:
         """What others say of this node: refuted by a greater incarnation (SWIM, 4.2)."""
-        if self.asking:
-            self._held = max(self._held, word.incarnation)
+        if self.is_asking_for_incarnation:
+            self._greatest_reported_incarnation = max(self._greatest_reported_incarnation, record.incarnation)
             return
-        if word.incarnation < self.incarnation:
+        if record.incarnation < self.incarnation:
             return
-        if word.address != self.address and word.state <= State.SUSPECT:
-            self._contest(now_ms, word)
-        elif self.yielded and word.state >= State.FAILED:
-            self.yielded, self.doubled = False, ""
-            self._out.append(Tell("resumed", self.name, f"the one at {word.address} is gone"))
-            self._claim(word.incarnation + 1)
-        elif not self.yielded and (word.state != State.ALIVE or word.incarnation > self.incarnation):
-            if word.state == State.SUSPECT:
-                self._well(1)
-            self._claim(word.incarnation + 1)
-
-    def _contest(self, now_ms: float, word: Word) -> None:
+        if record.address != self.address and record.state <= PeerState.SUSPECT:
+            self._on_name_conflict(now_ms, record)
+        elif self.has_yielded_name and record.state >= PeerState.FAILED:
+            self.has_yielded_name, self.conflicting_address = False, ""
+            self._actions.append(
+                NotifyPeerChange("resumed", self.name, f"the one at {record.address} is gone")
+            )
+            self._raise_incarnation(record.incarnation + 1)
+        elif not self.has_yielded_name and (
+            record.state != PeerState.ALIVE or record.incarnation > self.incarnation
+        ):
+            if record.state == PeerState.SUSPECT:
+                self._adjust_local_health(1)
+            self._raise_incarnation(record.incarnation + 1)
+
+    def _on_name_conflict(self, now_ms: float, record: MemberRecord) -> None:
         """Another address goes by this name: an older self, or a second node. The lesser address stays."""
-        if self.yielded:
-            self.incarnation = word.incarnation  # what it comes back above
+        if self.has_yielded_name:
+            self.incarnation = record.incarnation  # what it comes back above
             return
-        if self._contests and now_ms - self._contests[-1] > CONTEST_MS:
-            self._contests = []
-        self._contests.append(now_ms)
-        if len(self._contests) == CONTESTS - 1:
-            self.doubled = word.address
-            self._out.append(Tell("doubled", self.name, f"here at {self.address} and at {word.address}"))
-        if len(self._contests) >= CONTESTS:
-            self._contests = self._contests[-CONTESTS:]
-            if self.address > word.address:
-                self.yielded, self._probe = True, None
-                self._out.append(Tell("yielded", self.name, f"to the one at {word.address}"))
+        if (
+            self._name_conflict_times_ms
+            and now_ms - self._name_conflict_times_ms[-1] > NAME_CONFLICT_WINDOW_MS
+        ):
+            self._name_conflict_times_ms = []
+        self._name_conflict_times_ms.append(now_ms)
+        if len(self._name_conflict_times_ms) == NAME_CONFLICTS_TO_YIELD - 1:
+            self.conflicting_address = record.address
+            self._actions.append(
+                NotifyPeerChange("doubled", self.name, f"here at {self.address} and at {record.address}")
+            )
+        if len(self._name_conflict_times_ms) >= NAME_CONFLICTS_TO_YIELD:
+            self._name_conflict_times_ms = self._name_conflict_times_ms[-NAME_CONFLICTS_TO_YIELD:]
+            if self.address > record.address:
+                self.has_yielded_name, self._current_probe = True, None
+                self._actions.append(
+                    NotifyPeerChange("yielded", self.name, f"to the one at {record.address}")
+                )
                 return
-        self._claim(word.incarnation + 1)
+        self._raise_incarnation(record.incarnation + 1)
 
-    def _claim(self, incarnation: int) -> None:
+    def _raise_incarnation(self, incarnation: int) -> None:
         self.incarnation = max(self.incarnation, incarnation)
-        self._out.append(Keep(self.incarnation))
-        self._rumours.add(self.name)
+        self._actions.append(PersistIncarnation(self.incarnation))
+        self._pending_broadcasts.add(self.name)
 
     # --- doubt, leaving
 
-    def _stood(self, now_ms: float, event: Stood) -> None:
+    def _on_stall(self, now_ms: float, event: ProcessStalled) -> None:
         """Timers ran out while nobody could answer: nothing that they would say counts."""
-        self._probe = None
-        self._stood_ms = now_ms
-        self._well(1)
-        self._relays.clear()
-        if self._ring:
-            self.doubt = set()
-        for peer in self._suspects():
-            peer.since_ms += event.stood_ms
-
-    def _suspects(self) -> Iterable[Peer]:
-        return (self.peers[name] for name in self._ring if self.peers[name].word.state == State.SUSPECT)
-
-    def _believe(self, now_ms: float) -> None:
-        self.doubt = None
-        for peer in self._suspects():
-            peer.since_ms = now_ms
-            self._later(now_ms + self.suspicion_ms(len(peer.accusers) - 1), "suspect", peer.word.name)
+        self._current_probe = None
+        self._last_stall_ms = now_ms
+        self._adjust_local_health(1)
+        self._relayed_probes.clear()
+        if self._probe_ring:
+            self.heard_since_stall = set()
+        for peer in self._suspected_peers():
+            peer.state_since_ms += event.stall_ms
+
+    def _suspected_peers(self) -> Iterable[Peer]:
+        return (
+            self.peers[name]
+            for name in self._probe_ring
+            if self.peers[name].record.state == PeerState.SUSPECT
+        )
+
+    def _restart_suspicions(self, now_ms: float) -> None:
+        self.heard_since_stall = None
+        for peer in self._suspected_peers():
+            peer.state_since_ms = now_ms
+            self._schedule(
+                now_ms + self.suspicion_timeout_ms(len(peer.accuser_ids) - 1), "suspect", peer.record.name
+            )
 
     def _leave(self) -> None:
-        if self.left or self.asking or self.yielded:
-            self.left = True
+        if self.has_left or self.is_asking_for_incarnation or self.has_yielded_name:
+            self.has_left = True
             return
-        words = [Word(self.name, State.LEFT, self.incarnation, self.address)]
-        for name in self._random.sample(self._ring, min(2 * HELPERS + 2, len(self._ring))):
-            message = Message(Kind.TOLD, 0, "", "", words)
-            self._out.append(Send(self.peers[name].word.address, self.incarnation, message))
-        self.left, self._due = True, []
+        records = [MemberRecord(self.name, PeerState.LEFT, self.incarnation, self.address)]
+        for name in self._random.sample(
+            self._probe_ring, min(2 * INDIRECT_PROBE_COUNT + 2, len(self._probe_ring))
+        ):
+            message = Message(MessageKind.MEMBERS_PAGE, 0, "", "", records)
+            self._actions.append(SendDatagram(self.peers[name].record.address, self.incarnation, message))
+        self.has_left, self._timers = True, []
 
     # --- tables
 
-    def _enter(self, name: str, peer: Peer) -> None:
+    def _add_to_ring(self, name: str, peer: Peer) -> None:
         """Into the ring, at a random place of those not yet probed in this round (SWIM, 4.3)."""
-        peer.ring = len(self._ring)
-        self._ring.append(name)
-        self._at_address.setdefault(peer.word.address, name)
-
-    def _fall(self, now_ms: float, name: str, peer: Peer) -> None:
-        at, last = peer.ring, len(self._ring) - 1
-        if at < self._at:  # the probed part stays in front
-            self._at -= 1
-            self._swap(at, self._at)
-            at = self._at
-        self._swap(at, last)
-        self._ring.pop()
-        peer.ring = -1
-        self._place(name, peer.word.address, "")
-        self._remember(now_ms, peer.word)
-
-    def _remember(self, now_ms: float, word: Word) -> None:
+        peer.ring_index = len(self._probe_ring)
+        self._probe_ring.append(name)
+        self._names_by_address.setdefault(peer.record.address, name)
+
+    def _remove_from_ring(self, now_ms: float, name: str, peer: Peer) -> None:
+        place, last = peer.ring_index, len(self._probe_ring) - 1
+        if place < self._probed_count:  # the probed part stays in front
+            self._probed_count -= 1
+            self._swap_ring_places(place, self._probed_count)
+            place = self._probed_count
+        self._swap_ring_places(place, last)
+        self._probe_ring.pop()
+        peer.ring_index = -1
+        self._move_address(name, peer.record.address, "")
+        self._add_tombstone(now_ms, peer.record)
+
+    def _add_tombstone(self, now_ms: float, record: MemberRecord) -> None:
         """Fallen ones are held, so that an older word does not bring them back."""
-        if word.name not in self.peers:
-            self.peers[word.name] = Peer(word, now_ms)
-        self._fallen[word.name] = now_ms
-        if len(self._fallen) > FALLEN_MAX:
-            self._forget(min(self._fallen, key=self._fallen.__getitem__))
+        if record.name not in self.peers:
+            self.peers[record.name] = Peer(record, now_ms)
+        self._tombstones[record.name] = now_ms
+        if len(self._tombstones) > MAX_TOMBSTONES:
+            self._forget(min(self._tombstones, key=self._tombstones.__getitem__))
 
     def _forget(self, name: str) -> None:
-        del self._fallen[name], self.peers[name]
-        self._rumours.drop(name)
+        del self._tombstones[name], self.peers[name]
+        self._pending_broadcasts.discard(name)
 
-    def _place(self, name: str, old: str, new: str) -> None:
-        if self._at_address.get(old) == name:
-            del self._at_address[old]
-        if new and self.peers[name].ring >= 0:
-            self._at_address.setdefault(new, name)
+    def _move_address(self, name: str, old_address: str, new_address: str) -> None:
+        if self._names_by_address.get(old_address) == name:
+            del self._names_by_address[old_address]
+        if new_address and self.peers[name].ring_index >= 0:
+            self._names_by_address.setdefault(new_address, name)
 
-    def _was_at(self, now_ms: float, name: str, address: str) -> None:
+    def _suspect_previous_at(self, now_ms: float, name: str, address: str) -> None:
         """Who was held to be at this address has it no more: suspected at once, as it may have moved."""
-        other = self._at_address.get(address)
+        other = self._names_by_address.get(address)
         if other is not None and other != name:
             peer = self.peers[other]
-            if peer.word.address == address and peer.word.state == State.ALIVE:
-                word = peer.word._replace(state=State.SUSPECT, by=self._accuser)
-                self._take(now_ms, word, f"{name} is at its address {address}")
+            if peer.record.address == address and peer.record.state == PeerState.ALIVE:
+                record = peer.record._replace(state=PeerState.SUSPECT, accuser_id=self._accuser_id)
+                self._merge(now_ms, record, f"{name} is at its address {address}")
 
     # --- what goes
 
     def _send(
-        self, to: str, kind: Kind, seq: int, target: str, address: str = "", about: str | None = None
+        self,
+        destination: str,
+        kind: MessageKind,
+        sequence: int,
+        target: str,
+        address: str = "",
+        first_name: str | None = None,
     ) -> None:
         """A datagram: first what is held against whom it goes to (buddy), then the newest and least told."""
-        mine = 0 if self.asking or self.yielded else self.incarnation
-        left = self._room(self.name, Message(kind, seq, target, address, ()))
-        words: list[Word] = []
-        seen: set[str] = set()
+        incarnation = 0 if self.is_asking_for_incarnation or self.has_yielded_name else self.incarnation
+        left = self._record_space_bytes(self.name, Message(kind, sequence, target, address, ()))
+        records: list[MemberRecord] = []
+        names: set[str] = set()
 
         def fits(name: str) -> bool:
             nonlocal left
-            if name in seen:
+            if name in names:
                 return True
-            word = self._word(name)
-            if (needs := self._cost(word)) > left:
+            word = self._record_of(name)
+            if (needs := self._record_size_bytes(word)) > left:
                 return False
             left -= needs
-            seen.add(name)
-            words.append(word)
+            names.add(name)
+            records.append(word)
             return True
 
-        if not self._options.buddy and kind != Kind.TOLD:
-            about = None
-        elif about is None:
-            about = self._at_address.get(to) or (target if kind == Kind.PING else "")
-        if kind == Kind.ASK and self._fallen and not about:
-            last = next(reversed(self._fallen))
-            about = last if self.peers[last].word.address == to else ""
-        held = self.peers.get(about or "")
-        if held is not None and (held.word.state != State.ALIVE or kind == Kind.TOLD):
-            fits(held.word.name)
-        if mine:
+        if not self._options.buddy_system and kind != MessageKind.MEMBERS_PAGE:
+            first_name = None
+        elif first_name is None:
+            first_name = self._names_by_address.get(destination) or (
+                target if kind == MessageKind.PING else ""
+            )
+        if kind == MessageKind.MEMBERS_REQUEST and self._tombstones and not first_name:
+            last = next(reversed(self._tombstones))
+            first_name = last if self.peers[last].record.address == destination else ""
+        held = self.peers.get(first_name or "")
+        if held is not None and (held.record.state != PeerState.ALIVE or kind == MessageKind.MEMBERS_PAGE):
+            fits(held.record.name)
+        if incarnation:
             # A name is told by each node TELL log10(n + 1) times (SWIM, 4.1).
-            self._rumours.take(fits, ceil(TELL * log10(len(self._ring) + 2)), 32)
-        if kind == Kind.TOLD:
-            seq = self._fill(fits, seq)
-        elif self._options.fill and mine and self._ring:
-            self._turn_fill(fits)
-        self._out.append(Send(to, mine, Message(kind, seq, target, address, words)))
-
-    def _word(self, name: str) -> Word:
+            self._pending_broadcasts.take(
+                fits, ceil(RETRANSMIT_MULTIPLIER * log10(len(self._probe_ring) + 2)), 32
+            )
+        if kind == MessageKind.MEMBERS_PAGE:
+            sequence = self._add_members_page(fits, sequence)
+        elif self._options.fill_datagrams and incarnation and self._probe_ring:
+            self._add_random_members(fits)
+        self._actions.append(
+            SendDatagram(destination, incarnation, Message(kind, sequence, target, address, records))
+        )
+
+    def _record_of(self, name: str) -> MemberRecord:
         if name == self.name:
-            return Word(name, State.ALIVE, self.incarnation, self.address)
-        return self.peers[name].word
+            return MemberRecord(name, PeerState.ALIVE, self.incarnation, self.address)
+        return self.peers[name].record
 
-    def _fill(self, fits: Callable[[str], bool], place: int) -> int:
+    def _add_members_page(self, try_add: Callable[[str], bool], position: int) -> int:
         """A page of the list from a place on: where to ask next, 0 at its end."""
-        for at in range(place, len(self._ring)):
-            if not fits(self._ring[at]):
-                return at if at > place else 0
+        for at in range(position, len(self._probe_ring)):
+            if not try_add(self._probe_ring[at]):
+                return at if at > position else 0
         return 0
 
-    def _turn_fill(self, fits: Callable[[str], bool]) -> None:
-        start = self._random.randrange(len(self._ring))
-        for step in range(min(16, len(self._ring))):
-            if not fits(self._ring[(start + step) % len(self._ring)]):
+    def _add_random_members(self, try_add: Callable[[str], bool]) -> None:
+        start = self._random.randrange(len(self._probe_ring))
+        for step in range(min(16, len(self._probe_ring))):
+            if not try_add(self._probe_ring[(start + step) % len(self._probe_ring)]):
                 break
