--- a/balancer/core/cluster/gossiped_removals.py
+++ b/balancer/core/cluster/gossiped_removals.py
@@ -28,87 +28,97 @@
 from enum import Enum
 from random import Random
 
-from balancer.core.cluster.node_state import NO_DISCOVERY, PEERS, Goes
-from balancer.core.discovery.endpoint_merger import Listed, Role, Source
-from balancer.core.staggering import Turns
+from balancer.core.cluster.node_state import FLAG_NO_DISCOVERY, GOSSIP_SOURCE_NAME, AdvertisedState
+from balancer.core.discovery.endpoint_merger import EndpointsListed, Source, SourceRole
+from balancer.core.staggering import StaggeredSchedule
 from balancer.endpoints import EndpointList, EndpointRecord
 from balancer.interface import Phase
 
-NEWER_MS = 300.0  # after which a newer revision told is not just a moment's lag of the own source
-ASKED = 3  # peers asked a round
-AGAIN_MS = 400.0  # between two rounds of questions
-TRIES, REST_MS = 5, 60_000.0  # asks that brought nothing, before a rest
-DISPROVED_MS = 5_000.0
-FEW, SOME = 0.1, 0.25  # of the servers up; one at least
-RECENT, RECENT_MS = 1_024, 600_000.0  # own drains and removals held for others, a source
-CLAIMS, WITNESSES, LIES, LIFTED = 1_024, 8, 4_096, 1_024  # bounds; LIFTED: before the source is made anew
-ANSWERS = 4  # datagrams for one question
-
-
-class Rule(Enum):
+NEWER_REVISION_GRACE_MS = (
+    300.0  # after which a newer revision told is not just a moment's lag of the own source
+)
+MAX_PEERS_QUERIED = 3  # peers asked a round
+QUERY_INTERVAL_MS = 400.0  # between two rounds of questions
+MAX_FETCHES_BEFORE_PAUSE, FETCH_PAUSE_MS = 5, 60_000.0  # asks that brought nothing, before a rest
+REFUTED_AFTER_MS = 5_000.0
+SINGLE_REPORTER_MAX_RATIO, MINORITY_REPORTERS_MAX_RATIO = 0.1, 0.25  # of the servers up; one at least
+MAX_RECENT_REMOVALS, RECENT_REMOVAL_TTL_MS = (
+    1_024,
+    600_000.0,
+)  # own drains and removals held for others, a source
+MAX_CLAIMS, MAX_REPORTERS_PER_CLAIM, MAX_REFUTED_CLAIMS, MAX_WITHDRAWN_REMOVALS = (
+    1_024,
+    8,
+    4_096,
+    1_024,
+)  # bounds; LIFTED: before the source is made anew
+MAX_ANSWER_DATAGRAMS = 4  # datagrams for one question
+
+
+class AcceptanceRule(Enum):
     """Whose word is enough; benchmarks/gossiped_removals.py weighs them."""
 
-    NOBODY = "nobody"
-    ONE = "any one"
-    SILENCE = "one, and the own source is silent"
-    TWO = "two"
-    TAKEN = "two, or the only one that hears while the own source is silent"
+    NEVER = "nobody"
+    ONE_REPORTER = "any one"
+    ONE_REPORTER_IF_SILENT = "one, and the own source is silent"
+    TWO_REPORTERS = "two"
+    TWO_REPORTERS_OR_ONLY_SOURCE = "two, or the only one that hears while the own source is silent"
 
 
 @dataclass(slots=True, frozen=True)
-class Out:
+class ReportedRemoval:
     """A server that drains or is gone, by the word of a source at a revision."""
 
-    server: str
+    endpoint_id: str
     revision: int
-    gone: bool
+    is_gone: bool
 
 
 @dataclass(slots=True, frozen=True)
-class Own:
+class SourceAdvanced:
     """How far an own source is, and what it has just said that drains or is gone."""
 
     source: str
-    order: int
+    identity_hash: int
     revision: int
-    in_sync: bool
-    out: tuple[Out, ...] = ()
+    is_in_sync: bool
+    removals: tuple[ReportedRemoval, ...] = ()
 
 
 @dataclass(slots=True, frozen=True)
-class Told:
+class RemovalsReceived:
     """A peer's answer. Whoever hands it in has checked that the peer is there, and at that address."""
 
     sender: str
     source: str
-    order: int
-    out: Sequence[Out]
+    identity_hash: int
+    removals: Sequence[ReportedRemoval]
 
 
 @dataclass(slots=True, frozen=True)
-class Asked:
+class RemovalsQueried:
     """A peer's question."""
 
-    to: str
+    address: str
     source: str
-    order: int
-    since: int
+    identity_hash: int
+    since_revision: int
 
 
 @dataclass(slots=True, frozen=True)
-class Round:
+class GossipIntervalElapsed:
     """`words`: of the peers that are heard, `here`: where they are, `view`: the merge's, up or draining."""
 
-    words: Sequence[Goes]
-    here: Mapping[str, str]
-    view: Mapping[str, EndpointRecord]
+    peer_states: Sequence[AdvertisedState]
+    peer_addresses: Mapping[str, str]
+    endpoints: Mapping[str, EndpointRecord]
 
 
-Event = Own | Told | Asked | Round
+Event = SourceAdvanced | RemovalsReceived | RemovalsQueried | GossipIntervalElapsed
 
 
 @dataclass(slots=True, frozen=True)
-class Ask:
+class FetchSnapshot:
     """Ask the own source for its list now: a peer has seen a newer one."""
 
     source: str
@@ -116,257 +126,303 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Question:
-    to: str
+class QueryRemovals:
+    address: str
     source: str
-    order: int
-    since: int
+    identity_hash: int
+    since_revision: int
 
 
 @dataclass(slots=True, frozen=True)
-class Answer:
-    to: str
+class SendRemovals:
+    address: str
     source: str
-    order: int
-    out: tuple[Out, ...]
+    identity_hash: int
+    removals: tuple[ReportedRemoval, ...]
 
 
 @dataclass(slots=True, frozen=True)
-class Renew:
+class ResetGossipSource:
     """Configure the merge without PEERS, then with it: what it lists of those lifted is to be forgotten."""
 
 
 @dataclass(slots=True, frozen=True)
-class Say:
-    text: str
+class WriteLog:
+    message: str
 
 
-Action = Ask | Question | Answer | Renew | Say | Listed
-Key = tuple[str, str]  # source, server
+Action = FetchSnapshot | QueryRemovals | SendRemovals | ResetGossipSource | WriteLog | EndpointsListed
+RemovalKey = tuple[str, str]  # source, server
 
 
-def source() -> Source:
+def gossip_source() -> Source:
     """What the merge is to be configured with, behind all others."""
-    return Source(PEERS, Role.REMOVE, pieces=True)
+    return Source(GOSSIP_SOURCE_NAME, SourceRole.REMOVE, has_partial_revisions=True)
 
 
 @dataclass(slots=True)
-class _Own:
-    order: int = 0
+class _SourceProgress:
+    identity_hash: int = 0
     revision: int = -1
-    in_sync: bool = False
-    since_ms: float = 0.0  # in sync, or not
-    behind_ms: float = math.inf  # since a peer told a newer one
-    ask_ms: float = math.inf  # the next ask
-    asks: int = 0
-    question_ms: float = -math.inf
-    out: OrderedDict[str, tuple[Out, float]] = field(default_factory=OrderedDict)  # by server, and when
-
-
-class Hearsay:
+    is_in_sync: bool = False
+    sync_changed_ms: float = 0.0  # in sync, or not
+    behind_since_ms: float = math.inf  # since a peer told a newer one
+    next_fetch_ms: float = math.inf  # the next ask
+    fetch_count: int = 0
+    last_query_ms: float = -math.inf
+    recent_removals: OrderedDict[str, tuple[ReportedRemoval, float]] = field(
+        default_factory=OrderedDict
+    )  # by server, and when
+
+
+class GossipedRemovals:
     """`fits`: of what is to be told, the first so many that fit a datagram; from the codec."""
 
     def __init__(
-        self, turns: Turns, random: Random, fits: Callable[[str, Sequence[Out]], int], rule: Rule = Rule.TAKEN
+        self,
+        turns: StaggeredSchedule,
+        random: Random,
+        fits: Callable[[str, Sequence[ReportedRemoval]], int],
+        rule: AcceptanceRule = AcceptanceRule.TWO_REPORTERS_OR_ONLY_SOURCE,
     ) -> None:
-        self.taken: dict[Key, Out] = {}  # in force
-        self.own: dict[str, _Own] = {}
-        self.claims: OrderedDict[Key, dict[str, Out]] = OrderedDict()  # by sender
-        self._lies: OrderedDict[tuple[str, str, int], None] = OrderedDict()
-        self._claimed: dict[Key, float] = {}  # since
-        self._lifted: set[str] = set()
+        self.accepted: dict[RemovalKey, ReportedRemoval] = {}  # in force
+        self.sources: dict[str, _SourceProgress] = {}
+        self.claims: OrderedDict[RemovalKey, dict[str, ReportedRemoval]] = OrderedDict()  # by sender
+        self._refuted: OrderedDict[tuple[str, str, int], None] = OrderedDict()
+        self._claimed_since_ms: dict[RemovalKey, float] = {}  # since
+        self._withdrawn: set[str] = set()
         self._listed: dict[str, EndpointRecord] = {}  # of PEERS, by server, as they were when they were taken
-        self._view: Mapping[str, EndpointRecord] = {}
-        self._turns, self._random, self._fits, self._rule = turns, random, fits, rule
+        self._endpoints: Mapping[str, EndpointRecord] = {}
+        self._time_slots, self._random, self._fitting_count, self._rule = turns, random, fits, rule
         self._revision = 0
-        self._out: list[Action] = []
+        self._actions: list[Action] = []
 
     def __repr__(self) -> str:
-        return f"<Hearsay {len(self.taken)} taken, {len(self.claims)} told>"
+        return f"<Hearsay {len(self.accepted)} taken, {len(self.claims)} told>"
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
         """What follows from an event."""
-        self._out = []
+        self._actions = []
         match event:
-            case Own():
-                self._own(now_ms, event)
-            case Told():
-                self._told(now_ms, event)
-            case Asked():
-                self._asked(now_ms, event)
-            case Round():
-                self._round(now_ms, event)
-        return self._out
-
-    def _own(self, now_ms: float, event: Own) -> None:
-        own = self.own.setdefault(event.source, _Own(since_ms=now_ms))
+            case SourceAdvanced():
+                self._update_source(now_ms, event)
+            case RemovalsReceived():
+                self._receive_claims(now_ms, event)
+            case RemovalsQueried():
+                self._answer_query(now_ms, event)
+            case GossipIntervalElapsed():
+                self._run_round(now_ms, event)
+        return self._actions
+
+    def _update_source(self, now_ms: float, event: SourceAdvanced) -> None:
+        own = self.sources.setdefault(event.source, _SourceProgress(sync_changed_ms=now_ms))
         # A revision that falls begins a new order, too: within one the merge lets none fall.
-        if event.order != own.order or event.revision < own.revision:
-            own.order, own.revision = event.order, -1
-            own.out.clear()
+        if event.identity_hash != own.identity_hash or event.revision < own.revision:
+            own.identity_hash, own.revision = event.identity_hash, -1
+            own.recent_removals.clear()
             for key in [key for key in self.claims if key[0] == event.source]:
-                self._drop(key)
-        if event.in_sync != own.in_sync:
-            own.in_sync, own.since_ms = event.in_sync, now_ms
+                self._drop_claim(key)
+        if event.is_in_sync != own.is_in_sync:
+            own.is_in_sync, own.sync_changed_ms = event.is_in_sync, now_ms
         if event.revision > own.revision:
-            own.revision, own.asks = event.revision, 0
-            own.behind_ms = own.ask_ms = math.inf
-            self._turns.done()
-        for one in event.out:
-            own.out.pop(one.server, None)
-            own.out[one.server] = (one, now_ms)
-            if len(own.out) > RECENT:
-                own.out.popitem(last=False)
-
-    def _asked(self, now_ms: float, event: Asked) -> None:
-        own = self.own.get(event.source)
-        if own is None or own.order != event.order:
+            own.revision, own.fetch_count = event.revision, 0
+            own.behind_since_ms = own.next_fetch_ms = math.inf
+            self._time_slots.reset()
+        for one in event.removals:
+            own.recent_removals.pop(one.endpoint_id, None)
+            own.recent_removals[one.endpoint_id] = (one, now_ms)
+            if len(own.recent_removals) > MAX_RECENT_REMOVALS:
+                own.recent_removals.popitem(last=False)
+
+    def _answer_query(self, now_ms: float, event: RemovalsQueried) -> None:
+        own = self.sources.get(event.source)
+        if own is None or own.identity_hash != event.identity_hash:
             return
-        while own.out and next(iter(own.out.values()))[1] < now_ms - RECENT_MS:
-            own.out.popitem(last=False)
-        out = [one for one, _ in reversed(own.out.values()) if event.since < one.revision <= own.revision]
-        for _ in range(ANSWERS):
-            if not (count := self._fits(event.source, out)):
+        while (
+            own.recent_removals
+            and next(iter(own.recent_removals.values()))[1] < now_ms - RECENT_REMOVAL_TTL_MS
+        ):
+            own.recent_removals.popitem(last=False)
+        out = [
+            one
+            for one, _ in reversed(own.recent_removals.values())
+            if event.since_revision < one.revision <= own.revision
+        ]
+        for _ in range(MAX_ANSWER_DATAGRAMS):
+            if not (count := self._fitting_count(event.source, out)):
                 break
-            self._out.append(Answer(event.to, event.source, event.order, tuple(out[:count])))
+            self._actions.append(
+                SendRemovals(event.address, event.source, event.identity_hash, tuple(out[:count]))
+            )
             out = out[count:]
 
-    def _told(self, now_ms: float, event: Told) -> None:
-        own = self.own.get(event.source)
-        if own is None or own.order != event.order or self._rule is Rule.NOBODY:
+    def _receive_claims(self, now_ms: float, event: RemovalsReceived) -> None:
+        own = self.sources.get(event.source)
+        if own is None or own.identity_hash != event.identity_hash or self._rule is AcceptanceRule.NEVER:
             return
-        for out in event.out:
-            key = (event.source, out.server)
-            known = out.server in self._view or key in self.taken
-            if out.revision <= own.revision or (*key, out.revision) in self._lies or not known:
+        for out in event.removals:
+            key = (event.source, out.endpoint_id)
+            known = out.endpoint_id in self._endpoints or key in self.accepted
+            if out.revision <= own.revision or (*key, out.revision) in self._refuted or not known:
                 continue
             if key not in self.claims:
-                self.claims[key], self._claimed[key] = {}, now_ms
-                if len(self.claims) > CLAIMS:
-                    self._drop(next(one for one in self.claims if one not in self.taken or one == key))
+                self.claims[key], self._claimed_since_ms[key] = {}, now_ms
+                if len(self.claims) > MAX_CLAIMS:
+                    self._drop_claim(
+                        next(one for one in self.claims if one not in self.accepted or one == key)
+                    )
             by = self.claims.get(key, {})
-            if event.sender in by or len(by) < WITNESSES:
+            if event.sender in by or len(by) < MAX_REPORTERS_PER_CLAIM:
                 held = by.get(event.sender)
-                if held is None or (out.revision, out.gone) > (held.revision, held.gone):
+                if held is None or (out.revision, out.is_gone) > (held.revision, held.is_gone):
                     by[event.sender] = out
 
-    def _drop(self, key: Key) -> None:
-        del self.claims[key], self._claimed[key]
-        self.taken.pop(key, None)
+    def _drop_claim(self, key: RemovalKey) -> None:
+        del self.claims[key], self._claimed_since_ms[key]
+        self.accepted.pop(key, None)
 
     # --- each round
 
-    def _round(self, now_ms: float, event: Round) -> None:
-        self._view = event.view
-        for name, own in self.own.items():
-            self._seek(now_ms, event, name, own)
-        hearing = sum(not word.flags & NO_DISCOVERY for word in event.words)
+    def _run_round(self, now_ms: float, event: GossipIntervalElapsed) -> None:
+        self._endpoints = event.endpoints
+        for name, own in self.sources.items():
+            self._catch_up(now_ms, event, name, own)
+        hearing = sum(not word.flags & FLAG_NO_DISCOVERY for word in event.peer_states)
         for key in list(self.claims):
-            self._weigh(now_ms, key, hearing)
-        up = len(self.taken)
+            self._reconsider_claim(now_ms, key, hearing)
+        up = len(self.accepted)
         if len(self.claims) > up:
-            up += sum(member.endpoint.phase is Phase.UP for member in event.view.values())
+            up += sum(member.endpoint.phase is Phase.UP for member in event.endpoints.values())
         for key, by in self.claims.items():
-            if key in self.taken or key[1] not in event.view or not self._enough(key[0], len(by), hearing):
+            if (
+                key in self.accepted
+                or key[1] not in event.endpoints
+                or not self._has_enough_reporters(key[0], len(by), hearing)
+            ):
                 continue
-            if len(self.taken) < self._most(key[0], len(by), hearing, up):
-                self.taken[key] = min(by.values(), key=lambda out: (out.gone, out.revision))
-                self._out.append(Say(f"{key[1]!r:.120} {_what(self.taken[key])}, by {_who(by)}"))
-        self._list()
-
-    def _enough(self, of: str, count: int, hearing: int) -> bool:
-        silent = not self.own[of].in_sync
+            if len(self.accepted) < self._max_accepted(key[0], len(by), hearing, up):
+                self.accepted[key] = min(by.values(), key=lambda out: (out.is_gone, out.revision))
+                self._actions.append(
+                    WriteLog(
+                        f"{key[1]!r:.120} {_describe_removal(self.accepted[key])}, by {_reporter_names(by)}"
+                    )
+                )
+        self._update_gossip_source()
+
+    def _has_enough_reporters(self, of: str, count: int, hearing: int) -> bool:
+        silent = not self.sources[of].is_in_sync
         match self._rule:
-            case Rule.ONE:
+            case AcceptanceRule.ONE_REPORTER:
                 return count >= 1
-            case Rule.SILENCE:
+            case AcceptanceRule.ONE_REPORTER_IF_SILENT:
                 return count >= 2 or (count == 1 and silent)
-            case Rule.TWO:
+            case AcceptanceRule.TWO_REPORTERS:
                 return count >= 2
         return count >= 2 or (count == 1 and silent and hearing <= 1)
 
-    def _most(self, of: str, count: int, hearing: int, up: int) -> float:
+    def _max_accepted(self, of: str, count: int, hearing: int, up: int) -> float:
         """How many may be out by peers' word in all."""
-        part = FEW if count == 1 else SOME
-        return math.inf if self._most_of(of, count, hearing) else max(1.0, part * up)
+        part = SINGLE_REPORTER_MAX_RATIO if count == 1 else MINORITY_REPORTERS_MAX_RATIO
+        return math.inf if self._has_majority(of, count, hearing) else max(1.0, part * up)
 
-    def _most_of(self, of: str, count: int, hearing: int) -> bool:
+    def _has_majority(self, of: str, count: int, hearing: int) -> bool:
         """Over half of those that hear discovery, this node too; two at least, WITNESSES are enough."""
-        all_of = hearing + self.own[of].in_sync
-        return count >= 2 and 2 * count > min(all_of, 2 * WITNESSES - 1)
+        all_of = hearing + self.sources[of].is_in_sync
+        return count >= 2 and 2 * count > min(all_of, 2 * MAX_REPORTERS_PER_CLAIM - 1)
 
-    def _weigh(self, now_ms: float, key: Key, hearing: int) -> None:
+    def _reconsider_claim(self, now_ms: float, key: RemovalKey, hearing: int) -> None:
         """Peers whom the own source has caught up with say nothing any more."""
-        own, by = self.own[key[0]], self.claims[key]
+        own, by = self.sources[key[0]], self.claims[key]
         late = [sender for sender, out in by.items() if out.revision <= own.revision]
         for sender in late:
             del by[sender]
-        sure_ms = now_ms - max(own.since_ms, self._claimed[key])
-        wrong = own.in_sync and sure_ms > DISPROVED_MS and not self._most_of(key[0], len(by), hearing)
+        sure_ms = now_ms - max(own.sync_changed_ms, self._claimed_since_ms[key])
+        wrong = (
+            own.is_in_sync and sure_ms > REFUTED_AFTER_MS and not self._has_majority(key[0], len(by), hearing)
+        )
         if wrong and by:
-            self._out.append(Say(f"{key[1]!r:.120} is not out: the own source knows nothing of it"))
+            self._actions.append(WriteLog(f"{key[1]!r:.120} is not out: the own source knows nothing of it"))
             for out in by.values():
-                self._lies[(*key, out.revision)] = None
-                if len(self._lies) > LIES:
-                    self._lies.popitem(last=False)
-        if wrong or not by or (late and not self._enough(key[0], len(by), hearing)):
-            self._drop(key)
+                self._refuted[(*key, out.revision)] = None
+                if len(self._refuted) > MAX_REFUTED_CLAIMS:
+                    self._refuted.popitem(last=False)
+        if wrong or not by or (late and not self._has_enough_reporters(key[0], len(by), hearing)):
+            self._drop_claim(key)
 
-    def _list(self) -> None:
+    def _update_gossip_source(self) -> None:
         """Changes of the source that stands for the peers in the merge."""
-        out = {server: taken for (_, server), taken in self.taken.items()}
+        out = {server: taken for (_, server), taken in self.accepted.items()}
         fresh = [server for server in out if server not in self._listed]
         lifted = [server for server in self._listed if server not in out]
         if not fresh and not lifted:
             return
         if not self._revision:
             self._revision = 1
-            self._out.append(Listed(PEERS, PEERS, EndpointList(1, True, ())))
+            self._actions.append(
+                EndpointsListed(GOSSIP_SOURCE_NAME, GOSSIP_SOURCE_NAME, EndpointList(1, True, ()))
+            )
         self._revision += 1
-        self._listed |= {server: self._view[server] for server in fresh}
-        named = [_as(self._listed[server], Phase.DRAINING) for server in fresh if not out[server].gone]
-        named += [_as(self._listed.pop(server), Phase.UP) for server in lifted]
-        gone = tuple(server for server in fresh if out[server].gone)
-        self._out.append(Listed(PEERS, PEERS, EndpointList(self._revision, False, tuple(named), gone)))
-        self._lifted.update(lifted)
-        if len(self._lifted) > LIFTED and not self.taken:
-            self._lifted.clear()
+        self._listed |= {server: self._endpoints[server] for server in fresh}
+        named = [
+            _with_phase(self._listed[server], Phase.DRAINING) for server in fresh if not out[server].is_gone
+        ]
+        named += [_with_phase(self._listed.pop(server), Phase.UP) for server in lifted]
+        gone = tuple(server for server in fresh if out[server].is_gone)
+        self._actions.append(
+            EndpointsListed(
+                GOSSIP_SOURCE_NAME,
+                GOSSIP_SOURCE_NAME,
+                EndpointList(self._revision, False, tuple(named), gone),
+            )
+        )
+        self._withdrawn.update(lifted)
+        if len(self._withdrawn) > MAX_WITHDRAWN_REMOVALS and not self.accepted:
+            self._withdrawn.clear()
             self._revision = 0
-            self._out.append(Renew())
+            self._actions.append(ResetGossipSource())
 
-    def _seek(self, now_ms: float, event: Round, name: str, own: _Own) -> None:
+    def _catch_up(self, now_ms: float, event: GossipIntervalElapsed, name: str, own: _SourceProgress) -> None:
         """Somebody has seen a newer list: the own source is asked, and those who have it."""
         told = {
             word.name: revision
-            for word in event.words
+            for word in event.peer_states
             for of, order, revision, _ in word.sources
-            if (of, order) == (name, own.order)
+            if (of, order) == (name, own.identity_hash)
         }
-        newer = [peer for peer, revision in told.items() if revision > own.revision and peer in event.here]
-        if not newer or not own.order:
-            own.behind_ms = own.ask_ms = math.inf
+        newer = [
+            peer
+            for peer, revision in told.items()
+            if revision > own.revision and peer in event.peer_addresses
+        ]
+        if not newer or not own.identity_hash:
+            own.behind_since_ms = own.next_fetch_ms = math.inf
             return
-        if own.behind_ms == math.inf:
-            own.behind_ms = now_ms
-            own.ask_ms = now_ms + NEWER_MS + self._turns.first_ms()
-        if now_ms >= own.ask_ms:
-            own.asks += 1
-            self._out.append(Ask(name, max(told.values())))
-            rest = REST_MS if own.asks % TRIES == 0 else 0.0
-            own.ask_ms = now_ms + rest + self._turns.again_ms(refused=False)
-        if now_ms - own.behind_ms >= NEWER_MS and now_ms - own.question_ms >= AGAIN_MS:
-            own.question_ms = now_ms
-            for peer in self._random.sample(newer, min(ASKED, len(newer))):
-                self._out.append(Question(event.here[peer], name, own.order, max(0, own.revision)))
-
-
-def _as(member: EndpointRecord, phase: Phase) -> EndpointRecord:
+        if own.behind_since_ms == math.inf:
+            own.behind_since_ms = now_ms
+            own.next_fetch_ms = now_ms + NEWER_REVISION_GRACE_MS + self._time_slots.first_delay_ms()
+        if now_ms >= own.next_fetch_ms:
+            own.fetch_count += 1
+            self._actions.append(FetchSnapshot(name, max(told.values())))
+            rest = FETCH_PAUSE_MS if own.fetch_count % MAX_FETCHES_BEFORE_PAUSE == 0 else 0.0
+            own.next_fetch_ms = now_ms + rest + self._time_slots.retry_delay_ms(was_rejected=False)
+        if (
+            now_ms - own.behind_since_ms >= NEWER_REVISION_GRACE_MS
+            and now_ms - own.last_query_ms >= QUERY_INTERVAL_MS
+        ):
+            own.last_query_ms = now_ms
+            for peer in self._random.sample(newer, min(MAX_PEERS_QUERIED, len(newer))):
+                self._actions.append(
+                    QueryRemovals(event.peer_addresses[peer], name, own.identity_hash, max(0, own.revision))
+                )
+
+
+def _with_phase(member: EndpointRecord, phase: Phase) -> EndpointRecord:
     return EndpointRecord(replace(member.endpoint, phase=phase), member.address)
 
 
-def _what(out: Out) -> str:
-    return f"{'is gone' if out.gone else 'drains'} at revision {out.revision}"
+def _describe_removal(out: ReportedRemoval) -> str:
+    return f"{'is gone' if out.is_gone else 'drains'} at revision {out.revision}"
 
 
-def _who(by: Iterable[str]) -> str:
+def _reporter_names(by: Iterable[str]) -> str:
     return " and ".join(sorted(by)[:3])
--- a/balancer/core/cluster/node_state.py
+++ b/balancer/core/cluster/node_state.py
@@ -27,24 +27,33 @@
 from random import Random
 from typing import NamedTuple
 
-from balancer.core.cluster.failure_detector import INCARNATION_MAX, PEERS_MAX, _Rumours
-from balancer.core.discovery.endpoint_merger import Source, State
-from balancer.core.hysteresis import Steady
-
-ROUND_MS = 200.0
-FAN = 2  # peers a round
-TELL = 6  # times that a changed word is told by each node before it only goes in turn
-WORDS = 3  # that fit a datagram, about
-HOLD_MS, CLEAR_MS = 1_000.0, 2_000.0  # before a disagreement begins, or ends
-LATE_MS = 2_000.0  # the rule on drains: whoever is behind by less is in time
-SLOW = ("settings", "version", "order")  # old words look like these, where all change at once
-MARKS = 64  # of revisions seen, a source
-SHOWN = 8  # names of an event
-PEERS = "peers"  # the source of the merge that stands for them (`core/cluster/gossiped_removals`)
-NO_DISCOVERY, BEHIND = 1, 2  # flags: no source of this node is in sync; it is late itself, and knows
-
-
-class Goes(NamedTuple):
+from balancer.core.cluster.failure_detector import MAX_INCARNATION, MAX_PEERS, PendingBroadcasts
+from balancer.core.discovery.endpoint_merger import Source, SourceState
+from balancer.core.hysteresis import Hysteresis
+
+GOSSIP_INTERVAL_MS = 200.0
+GOSSIP_FANOUT = 2  # peers a round
+MAX_TRANSMISSIONS = 6  # times that a changed word is told by each node before it only goes in turn
+TYPICAL_STATES_PER_DATAGRAM = 3  # that fit a datagram, about
+DIVERGENCE_BEGIN_MS, DIVERGENCE_END_MS = 1_000.0, 2_000.0  # before a disagreement begins, or ends
+MAX_REVISION_LAG_MS = 2_000.0  # the rule on drains: whoever is behind by less is in time
+PROPAGATION_SENSITIVE_KINDS = (
+    "settings",
+    "version",
+    "order",
+)  # old words look like these, where all change at once
+MAX_REVISION_SAMPLES = 64  # of revisions seen, a source
+MAX_EVENT_NAMES = 8  # names of an event
+GOSSIP_SOURCE_NAME = (
+    "peers"  # the source of the merge that stands for them (`core/cluster/gossiped_removals`)
+)
+FLAG_NO_DISCOVERY, FLAG_BEHIND = (
+    1,
+    2,
+)  # flags: no source of this node is in sync; it is late itself, and knows
+
+
+class AdvertisedState(NamedTuple):
     """What a node goes by, in the order of the codec (`protocol/gossip_sections`); `edition` rises with
     each change.
 
@@ -55,119 +64,121 @@
 
     name: str
     incarnation: int
-    edition: int
-    number: int
-    state: int
+    sequence_number: int
+    node_index: int
+    recovery_state: int
     flags: int
-    zone_cut: int
-    nodes: int
-    digest: int
-    files: tuple[int, int]
-    version: str
+    partitioned_zone_id: int
+    quota_divisor: int
+    endpoints_digest: int
+    settings_digests: tuple[int, int]
+    program_version: str
     zone: str
     sources: tuple[tuple[str, int, int, int], ...]
 
 
-def order_of(identity: str | None) -> int:
+def identity_hash(identity: str | None) -> int:
     """An identity in 32 bits; 0: there is none yet."""
     return zlib.crc32(identity.encode()) or 1 if identity is not None else 0
 
 
-def order_in(source: Source, alike: Collection[str] = ()) -> int:
+def source_identity_hash(source: Source, alike: Collection[str] = ()) -> int:
     """The order that a source's revisions are of. `alike`: the names of those that each node hears at an
     address of its own, an agent on its machine, though the revisions are of one list.
     """
     known = source.identity is not None and source.name in alike
-    return order_of(source.name if known else source.identity)
+    return identity_hash(source.name if known else source.identity)
 
 
-def told_of(sources: Iterable[Source], alike: Collection[str] = ()) -> tuple[tuple[str, int, int, int], ...]:
+def advertised_sources(
+    sources: Iterable[Source], alike: Collection[str] = ()
+) -> tuple[tuple[str, int, int, int], ...]:
     """What a word says of a node's own sources."""
-    states = tuple(State)
+    states = tuple(SourceState)
     return tuple(
-        (source.name, order_in(source, alike), source.revision or 0, states.index(source.state))
+        (source.name, source_identity_hash(source, alike), source.revision or 0, states.index(source.state))
         for source in sources
-        if source.name != PEERS
+        if source.name != GOSSIP_SOURCE_NAME
     )
 
 
-def comparable(sources: Iterable[Source]) -> bool:
+def is_comparable(sources: Iterable[Source]) -> bool:
     """Whether the view is all by the sources' word, so that its digest is to be told."""
     return not any(
-        source.pending
-        or source.remembered
-        or source.spoiled
-        or source.faults
-        or (source.name == PEERS and (source.members or source.removed))
+        source.pending_records
+        or source.has_cached_records
+        or source.needs_snapshot
+        or source.invalid_entries
+        or (source.name == GOSSIP_SOURCE_NAME and (source.records or source.removed_ids))
         for source in sources
     )
 
 
-def newer(held: Goes | None, told: Goes) -> Goes:
+def latest(held: AdvertisedState | None, told: AdvertisedState) -> AdvertisedState:
     """The merge: a maximum of a total order, so associative, commutative and idempotent."""
     return told if held is None or told[1:] > held[1:] else held
 
 
 @dataclass(slots=True, frozen=True)
-class Mine:
+class OwnStateChanged:
     """What this node goes by; `edition` is set here."""
 
-    goes: Goes
+    state: AdvertisedState
 
 
 @dataclass(slots=True, frozen=True)
-class Heard:
+class StatesReceived:
     """Words of a datagram, of whomever."""
 
-    words: Sequence[Goes]
+    states: Sequence[AdvertisedState]
 
 
 @dataclass(slots=True, frozen=True)
-class Round:
+class GossipIntervalElapsed:
     """ROUND_MS have passed. `here`: the peers that are alive or suspect, and where."""
 
-    here: Mapping[str, str]
+    peer_addresses: Mapping[str, str]
 
 
-Event = Mine | Heard | Round
+Event = OwnStateChanged | StatesReceived | GossipIntervalElapsed
 
 
 @dataclass(slots=True, frozen=True)
-class Send:
-    to: str
-    words: tuple[Goes, ...]
+class SendStates:
+    address: str
+    states: tuple[AdvertisedState, ...]
 
 
 @dataclass(slots=True, frozen=True)
-class Began:
+class DivergenceBegan:
     """`names`: the first SHOWN of `count` odd ones."""
 
-    what: str
-    of: str
-    names: tuple[str, ...]
-    count: int
-    why: str
+    kind: str
+    subject: str
+    node_names: tuple[str, ...]
+    node_count: int
+    reason: str
 
 
 @dataclass(slots=True, frozen=True)
-class Ended:
-    what: str
-    of: str
-    lasted_ms: float
+class DivergenceEnded:
+    kind: str
+    subject: str
+    duration_ms: float
 
 
-Action = Send | Began | Ended
+Action = SendStates | DivergenceBegan | DivergenceEnded
 
 
 @dataclass(slots=True, frozen=True)
-class Odd:
+class Divergence:
     """Who differs from most, and how."""
 
-    names: frozenset[str]
-    why: str
+    node_names: frozenset[str]
+    reason: str
 
 
-def odd(said: Iterable[tuple[str, object]]) -> frozenset[str]:
+def minority(said: Iterable[tuple[str, object]]) -> frozenset[str]:
     """Who says something else than most do; all, where two are as many."""
     pairs = list(said)
     counts = Counter(what for _, what in pairs).most_common(2)
@@ -177,193 +188,227 @@
     return frozenset(name for name, what in pairs if tied or what != counts[0][0])
 
 
-class Views:
+class NodeStateTable:
     """`cost`: bytes of a word's section, `room`: bytes for sections in a datagram; both from the codec."""
 
-    def __init__(self, name: str, random: Random, cost: Callable[[Goes], int], room: int) -> None:
+    def __init__(self, name: str, random: Random, cost: Callable[[AdvertisedState], int], room: int) -> None:
         self.name = name
-        self.words: dict[str, Goes] = {}  # this node's own too
-        self.here: Mapping[str, str] = {}
-        self.disagreements: dict[tuple[str, str], Odd] = {}  # as of the last round, also those not begun
-        self.steady: Steady[tuple[str, str]] = Steady(HOLD_MS, CLEAR_MS)
-        self._random, self._cost, self._room = random, cost, room
-        self._rumours = _Rumours()
-        self._marks: dict[tuple[str, int], deque[tuple[float, int]]] = {}  # source, order -> seen since
-        self._found: dict[tuple[str, str], float] = {}  # disagreements, begun or not, since
-        self._late = False
-        self._turn = 0
+        self.states: dict[str, AdvertisedState] = {}  # this node's own too
+        self.peer_addresses: Mapping[str, str] = {}
+        self.divergences: dict[tuple[str, str], Divergence] = {}  # as of the last round, also those not begun
+        self.divergence_hysteresis: Hysteresis[tuple[str, str]] = Hysteresis(
+            DIVERGENCE_BEGIN_MS, DIVERGENCE_END_MS
+        )
+        self._random, self._encoded_bytes, self._capacity_bytes = random, cost, room
+        self._pending_broadcasts = PendingBroadcasts()
+        self._revision_samples: dict[
+            tuple[str, int], deque[tuple[float, int]]
+        ] = {}  # source, order -> seen since
+        self._divergent_since_ms: dict[tuple[str, str], float] = {}  # disagreements, begun or not, since
+        self._is_behind = False
+        self._round_robin_position = 0
 
     def __repr__(self) -> str:
-        return f"<Views {self.name}: {len(self.words)} words, {sorted(self.steady.on)}>"
+        return f"<Views {self.name}: {len(self.states)} words, {sorted(self.divergence_hysteresis.active_since_ms)}>"
 
     @property
-    def odd(self) -> list[tuple[str, str]]:
+    def own_divergences(self) -> list[tuple[str, str]]:
         """In what this node itself is the odd one."""
-        return sorted(key for key in self.steady.on if self.name in self._odd(key).names)
+        return sorted(
+            key
+            for key in self.divergence_hysteresis.active_since_ms
+            if self.name in self._divergence(key).node_names
+        )
 
-    def _odd(self, key: tuple[str, str]) -> Odd:
-        return self.disagreements.get(key, Odd(frozenset(), ""))
+    def _divergence(self, key: tuple[str, str]) -> Divergence:
+        return self.divergences.get(key, Divergence(frozenset(), ""))
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
         """What follows from an event."""
         match event:
-            case Mine():
-                self._mine(event.goes)
-            case Heard():
-                for word in event.words:
-                    self._heard(word)
-            case Round():
-                self.here = event.here
-                self._drop()
-                return [*self._judge(now_ms), *self._sends()]
+            case OwnStateChanged():
+                self._set_own_state(event.state)
+            case StatesReceived():
+                for word in event.states:
+                    self._receive(word)
+            case GossipIntervalElapsed():
+                self.peer_addresses = event.peer_addresses
+                self._forget_absent()
+                return [*self._update_divergences(now_ms), *self._gossip()]
         return []
 
-    def _mine(self, goes: Goes) -> None:
-        goes = goes._replace(flags=goes.flags | BEHIND if self._late else goes.flags & ~BEHIND)
-        held = self.words.get(self.name)
-        edition = held.edition if held else 0
-        if held is None or goes._replace(edition=edition) != held:
-            self.words[self.name] = goes._replace(edition=edition + 1)
-            self._rumours.add(self.name)
-
-    def _heard(self, word: Goes) -> None:
-        held = self.words.get(word.name)
-        if not word.name or not 0 < word.incarnation < INCARNATION_MAX or word.edition >= INCARNATION_MAX:
+    def _set_own_state(self, goes: AdvertisedState) -> None:
+        goes = goes._replace(flags=goes.flags | FLAG_BEHIND if self._is_behind else goes.flags & ~FLAG_BEHIND)
+        held = self.states.get(self.name)
+        edition = held.sequence_number if held else 0
+        if held is None or goes._replace(sequence_number=edition) != held:
+            self.states[self.name] = goes._replace(sequence_number=edition + 1)
+            self._pending_broadcasts.add(self.name)
+
+    def _receive(self, word: AdvertisedState) -> None:
+        held = self.states.get(word.name)
+        if (
+            not word.name
+            or not 0 < word.incarnation < MAX_INCARNATION
+            or word.sequence_number >= MAX_INCARNATION
+        ):
             return
         if word.name == self.name:
             # Somebody holds a greater word than this node ever told: an older self, or a lie.
             if held and word[1:3] >= held[1:3] and word != held and word.incarnation == held.incarnation:
-                self.words[self.name] = held._replace(edition=word.edition + 1)
-                self._rumours.add(self.name)
+                self.states[self.name] = held._replace(sequence_number=word.sequence_number + 1)
+                self._pending_broadcasts.add(self.name)
             return
-        if held is None and len(self.words) > PEERS_MAX:
+        if held is None and len(self.states) > MAX_PEERS:
             return
-        if word != held and newer(held, word) == word:
-            self.words[word.name] = word
-            self._rumours.add(word.name)
+        if word != held and latest(held, word) == word:
+            self.states[word.name] = word
+            self._pending_broadcasts.add(word.name)
 
-    def _drop(self) -> None:
+    def _forget_absent(self) -> None:
         """Those that are not there: kept while they are few, as a node that comes back is soon here again."""
-        if len(self.words) > 2 * len(self.here) + 64:
-            for name in [n for n in self.words if n not in self.here and n != self.name]:
-                del self.words[name]
-                self._rumours.drop(name)
+        if len(self.states) > 2 * len(self.peer_addresses) + 64:
+            for name in [n for n in self.states if n not in self.peer_addresses and n != self.name]:
+                del self.states[name]
+                self._pending_broadcasts.discard(name)
 
-    def _sends(self) -> list[Action]:
-        if self.name not in self.words or not self.here:
+    def _gossip(self) -> list[Action]:
+        if self.name not in self.states or not self.peer_addresses:
             return []
-        names = list(self.here)
+        names = list(self.peer_addresses)
         out: list[Action] = []
-        for to in self._random.sample(names, min(FAN, len(names))):
-            words: dict[str, Goes] = {}
-            left = self._room
+        for to in self._random.sample(names, min(GOSSIP_FANOUT, len(names))):
+            words: dict[str, AdvertisedState] = {}
+            left = self._capacity_bytes
 
-            def fits(name: str, words: dict[str, Goes] = words) -> bool:
+            def fits(name: str, words: dict[str, AdvertisedState] = words) -> bool:
                 nonlocal left
-                if name in words or name not in self.words:
+                if name in words or name not in self.states:
                     return True
-                if (needs := self._cost(self.words[name])) > left:
+                if (needs := self._encoded_bytes(self.states[name])) > left:
                     return False
                 left -= needs
-                words[name] = self.words[name]
+                words[name] = self.states[name]
                 return True
 
-            self._rumours.take(fits, TELL, 16)
+            self._pending_broadcasts.take(fits, MAX_TRANSMISSIONS, 16)
             for _ in range(min(16, len(names) + 1)):
-                self._turn = (self._turn + 1) % (len(names) + 1)
-                if not fits(names[self._turn] if self._turn < len(names) else self.name):
+                self._round_robin_position = (self._round_robin_position + 1) % (len(names) + 1)
+                if not fits(
+                    names[self._round_robin_position]
+                    if self._round_robin_position < len(names)
+                    else self.name
+                ):
                     break
-            out.append(Send(self.here[to], tuple(words.values())))
+            out.append(SendStates(self.peer_addresses[to], tuple(words.values())))
         return out
 
     # --- who disagrees
 
     @property
-    def turn_ms(self) -> float:
+    def propagation_ms(self) -> float:
         """How long it takes, about, until the words of all are known where all changed at once."""
-        return ROUND_MS * TELL * len(self.here) / (FAN * WORDS)
-
-    def there(self) -> list[Goes]:
+        return (
+            GOSSIP_INTERVAL_MS
+            * MAX_TRANSMISSIONS
+            * len(self.peer_addresses)
+            / (GOSSIP_FANOUT * TYPICAL_STATES_PER_DATAGRAM)
+        )
+
+    def present_states(self) -> list[AdvertisedState]:
         """The words of all that are there, this node's own too."""
-        return [word for name, word in self.words.items() if name in self.here or name == self.name]
+        return [
+            word for name, word in self.states.items() if name in self.peer_addresses or name == self.name
+        ]
 
-    def seen(self, source: str, order: int) -> int:
+    def confirmed_revision(self, source: str, order: int) -> int:
         """The newest revision that two nodes told, or one where there are no three."""
-        told = sorted(self._revisions(source, order).values())
+        told = sorted(self._revisions_by_node(source, order).values())
         return told[-2] if len(told) > 2 else told[-1] if told else 0
 
-    def _revisions(self, source: str, order: int) -> dict[str, int]:
+    def _revisions_by_node(self, source: str, order: int) -> dict[str, int]:
         return {
             word.name: revision
-            for word in self.there()
+            for word in self.present_states()
             for of, its, revision, _ in word.sources
             if (of, its) == (source, order)
         }
 
-    def _judge(self, now_ms: float) -> list[Action]:
-        mine = self.words.get(self.name)
+    def _update_divergences(self, now_ms: float) -> list[Action]:
+        mine = self.states.get(self.name)
         if mine is None:
             return []
-        words = self.there()
-        found: dict[tuple[str, str], Odd] = {}
+        words = self.present_states()
+        found: dict[tuple[str, str], Divergence] = {}
 
         def differ(what: str, of: str, said: Iterable[tuple[str, object]], why: str) -> None:
-            if names := odd(said):
-                found[what, of] = Odd(names, why)
+            if names := minority(said):
+                found[what, of] = Divergence(names, why)
 
         for at, of in enumerate(("platform", "operators")):
-            differ("settings", of, ((w.name, w.files[at]) for w in words), "another digest of the file")
-        differ("version", "", ((w.name, w.version) for w in words), "another program")
+            differ(
+                "settings",
+                of,
+                ((w.name, w.settings_digests[at]) for w in words),
+                "another digest of the file",
+            )
+        differ("version", "", ((w.name, w.program_version) for w in words), "another program")
         same = tuple(source[:3] for source in mine.sources)
-        alike = (w for w in words if w.digest and tuple(source[:3] for source in w.sources) == same)
-        differ("list", "", ((w.name, w.digest) for w in alike), "another list at the same revisions")
+        alike = (w for w in words if w.endpoints_digest and tuple(source[:3] for source in w.sources) == same)
+        differ(
+            "list", "", ((w.name, w.endpoints_digest) for w in alike), "another list at the same revisions"
+        )
         for source, order, _, _ in mine.sources:
             orders = ((w.name, its) for w in words for of, its, _, _ in w.sources if of == source and its)
             differ("order", source, orders, "another identity of the source")
-            if late := self._behind(now_ms, source, order):
+            if late := self._find_behind(now_ms, source, order):
                 found["behind", source] = late
-        self._late = any(self.name in its.names for (what, _), its in found.items() if what == "behind")
-        self._mine(mine)
-        self.disagreements = found
-        self._found = {key: self._found.get(key, now_ms) for key in found}
-        slow = SLOW if self.turn_ms > HOLD_MS else ()
+        self._is_behind = any(
+            self.name in its.node_names for (what, _), its in found.items() if what == "behind"
+        )
+        self._set_own_state(mine)
+        self.divergences = found
+        self._divergent_since_ms = {key: self._divergent_since_ms.get(key, now_ms) for key in found}
+        slow = PROPAGATION_SENSITIVE_KINDS if self.propagation_ms > DIVERGENCE_BEGIN_MS else ()
         found = {
             key: its
             for key, its in found.items()
-            if key[0] not in slow or now_ms - self._found[key] >= self.turn_ms
+            if key[0] not in slow or now_ms - self._divergent_since_ms[key] >= self.propagation_ms
         }
-        began, ended = dict(self.steady.on), []
-        fresh, over = self.steady.update(now_ms, found)
+        began, ended = dict(self.divergence_hysteresis.active_since_ms), []
+        fresh, over = self.divergence_hysteresis.update(now_ms, found)
         for what, of in over:
-            ended.append(Ended(what, of, now_ms - began[what, of]))
-        return [*ended, *(self._began(key) for key in fresh)]
+            ended.append(DivergenceEnded(what, of, now_ms - began[what, of]))
+        return [*ended, *(self._divergence_began(key) for key in fresh)]
 
-    def _began(self, key: tuple[str, str]) -> Began:
-        its = self._odd(key)
-        return Began(*key, tuple(islice(sorted(its.names), SHOWN)), len(its.names), its.why)
+    def _divergence_began(self, key: tuple[str, str]) -> DivergenceBegan:
+        its = self._divergence(key)
+        return DivergenceBegan(
+            *key, tuple(islice(sorted(its.node_names), MAX_EVENT_NAMES)), len(its.node_names), its.reason
+        )
 
-    def _behind(self, now_ms: float, source: str, order: int) -> Odd | None:
+    def _find_behind(self, now_ms: float, source: str, order: int) -> Divergence | None:
         """Against what was seen a while ago, so that a list that changes all the time makes nobody late."""
-        marks = self._marks.setdefault((source, order), deque(maxlen=MARKS))
-        if len(self._marks) > 8:
-            del self._marks[next(iter(self._marks))]
-        seen = self.seen(source, order)
+        marks = self._revision_samples.setdefault((source, order), deque(maxlen=MAX_REVISION_SAMPLES))
+        if len(self._revision_samples) > 8:
+            del self._revision_samples[next(iter(self._revision_samples))]
+        seen = self.confirmed_revision(source, order)
         if marks and seen < marks[-1][1]:  # whoever told it is gone, or took it back
             marks.clear()
         if seen and (not marks or seen > marks[-1][1]):
             marks.append((now_ms, seen))
-        due = [mark for mark in marks if now_ms - mark[0] >= LATE_MS]
+        due = [mark for mark in marks if now_ms - mark[0] >= MAX_REVISION_LAG_MS]
         if not due:
             return None
         # Each judges itself, as the words of others may be old, and all are told.
         late = {
             n: r
-            for n, r in self._revisions(source, order).items()
-            if r < due[-1][1] and (n == self.name or self.words[n].flags & BEHIND)
+            for n, r in self._revisions_by_node(source, order).items()
+            if r < due[-1][1] and (n == self.name or self.states[n].flags & FLAG_BEHIND)
         }
         if not late:
             return None
         least = min(late.values())
         since = next(at for at, revision in marks if revision > least)
         why = f"by up to {seen - least} revisions, for over {(now_ms - since) / 1000:.1f} s"
-        return Odd(frozenset(late), why)
+        return Divergence(frozenset(late), why)
--- a/balancer/core/connection_admission.py
+++ b/balancer/core/connection_admission.py
@@ -11,134 +11,141 @@
 from dataclasses import dataclass
 from typing import Generic, TypeVar
 
-STALL_MS = 5_000.0  # without progress a client has stopped reading, though its kernel may hold a little more
-GRACE_MS = 200.0  # the same where the budget is gone: who reads at all makes progress within it
-LEAST_BUDGET = 4 * 1024 * 1024
-SPARE = 32  # descriptors kept for the listener, discovery, the loop and the log
-CLIENT_PART = 0.6  # part of the other descriptors that clients may hold; backends get the rest
-LEAST_SOCKETS = SPARE + 4
-OVER = 16  # connections over the cap that still get an answer of their own, at most
-OVER_PART = 8  # and at most one part of so many
-PART = 8  # of the node's memory, one part is for unread answers
-USUAL_BODY = 64 * 1024  # bytes of a request's or an answer's body that need no leave
-MOST_BODY = 1024 * 1024  # bytes of the longest that is passed on
-LONG_PART = 16  # of the node's memory, one part is for what is beyond the usual; there are up to 3 copies
-LEAST_LONG = 2 * MOST_BODY
+READ_STALL_TIMEOUT_MS = (
+    5_000.0  # without progress a client has stopped reading, though its kernel may hold a little more
+)
+READ_PROGRESS_GRACE_MS = 200.0  # the same where the budget is gone: who reads at all makes progress within it
+MIN_UNREAD_BUDGET_BYTES = 4 * 1024 * 1024
+RESERVED_DESCRIPTORS = 32  # descriptors kept for the listener, discovery, the loop and the log
+CLIENT_DESCRIPTOR_RATIO = 0.6  # part of the other descriptors that clients may hold; backends get the rest
+MIN_DESCRIPTORS = RESERVED_DESCRIPTORS + 4
+MAX_OVERLOAD_CONNECTIONS = 16  # connections over the cap that still get an answer of their own, at most
+OVERLOAD_CONNECTIONS_DIVISOR = 8  # and at most one part of so many
+UNREAD_BUDGET_DIVISOR = 8  # of the node's memory, one part is for unread answers
+UNBUDGETED_BODY_BYTES = 64 * 1024  # bytes of a request's or an answer's body that need no leave
+MAX_FORWARDED_BODY_BYTES = 1024 * 1024  # bytes of the longest that is passed on
+LARGE_BODY_BUDGET_DIVISOR = (
+    16  # of the node's memory, one part is for what is beyond the usual; there are up to 3 copies
+)
+MIN_LARGE_BODY_BUDGET_BYTES = 2 * MAX_FORWARDED_BODY_BYTES
 
 Key = TypeVar("Key")
 
 
-def unread_budget(memory_mb: float) -> int:
+def unread_budget_bytes(memory_mb: float) -> int:
     """Bytes of unread answers that a node with so many megabytes may hold."""
-    return max(LEAST_BUDGET, int(memory_mb * 1024 * 1024 / PART))
+    return max(MIN_UNREAD_BUDGET_BYTES, int(memory_mb * 1024 * 1024 / UNREAD_BUDGET_DIVISOR))
 
 
-def long_budget(memory_mb: float) -> int:
+def large_body_budget_bytes(memory_mb: float) -> int:
     """Bytes beyond the usual that the bodies in a node with so many megabytes may have."""
-    return max(LEAST_LONG, int(memory_mb * 1024 * 1024 / LONG_PART))
+    return max(MIN_LARGE_BODY_BUDGET_BYTES, int(memory_mb * 1024 * 1024 / LARGE_BODY_BUDGET_DIVISOR))
 
 
-def shares(sockets: int) -> tuple[int, int]:
+def descriptor_quotas(descriptors: int) -> tuple[int, int]:
     """How many of the descriptors clients may hold, and backends; `sockets` is `LEAST_SOCKETS` at least."""
-    clients = int((sockets - SPARE) * CLIENT_PART)
-    return clients, sockets - SPARE - clients
+    clients = int((descriptors - RESERVED_DESCRIPTORS) * CLIENT_DESCRIPTOR_RATIO)
+    return clients, descriptors - RESERVED_DESCRIPTORS - clients
 
 
-def places(share: int) -> tuple[int, int]:
+def connection_limits(client_descriptors: int) -> tuple[int, int]:
     """Of the clients' descriptors: the cap on connections, and those over it that get one answer each.
 
     Both are within the share, so that what is kept for discovery is never taken for a crowd.
     """
-    over = min(OVER, share // OVER_PART)
-    return share - over, over
+    over = min(MAX_OVERLOAD_CONNECTIONS, client_descriptors // OVERLOAD_CONNECTIONS_DIVISOR)
+    return client_descriptors - over, over
 
 
-class LongBodies:
+class LargeBodyBudget:
     """Bytes beyond the usual, of all bodies that are read or wait for their answer.
 
     Guards memory against long bodies by hundreds, each within its own bound.
     """
 
-    def __init__(self, budget: int = LEAST_LONG) -> None:
-        self.budget, self.total = budget, 0
+    def __init__(self, budget_bytes: int = MIN_LARGE_BODY_BUDGET_BYTES) -> None:
+        self.budget_bytes, self.reserved_bytes = budget_bytes, 0
 
-    def take(self, held: int, size: int) -> int | None:
+    def reserve(self, held_bytes: int, body_bytes: int) -> int | None:
         """What a body of `size` bytes needs in all, of which it has `held`; None: there is not so much."""
-        need = max(held, size - USUAL_BODY)
-        if need > held and self.total + need - held > self.budget:
+        needed_bytes = max(held_bytes, body_bytes - UNBUDGETED_BODY_BYTES)
+        if needed_bytes > held_bytes and self.reserved_bytes + needed_bytes - held_bytes > self.budget_bytes:
             return None
-        self.total += need - held
-        return need
+        self.reserved_bytes += needed_bytes - held_bytes
+        return needed_bytes
 
-    def give(self, held: int) -> None:
+    def release(self, held_bytes: int) -> None:
         """A body is done with."""
-        self.total -= held
+        self.reserved_bytes -= held_bytes
 
 
 @dataclass(slots=True)
-class _Held:
-    size: int
+class _UnreadConnection:
+    unread_bytes: int
     progress_ms: float  # when some of it was last taken
-    until_ms: float  # until then its connection stays, if the budget allows it
+    keep_until_ms: float  # until then its connection stays, if the budget allows it
 
 
-class UnreadAnswers(Generic[Key]):
+class UnreadResponses(Generic[Key]):
     """Answers that were written and that the kernel has not taken, by connection.
 
     Bound: a row for each connection with such bytes. Their bytes are the budget's, and between two calls of
     `excess` what the answers of that time add.
     """
 
-    def __init__(self, budget: int) -> None:
+    def __init__(self, budget_bytes: int) -> None:
         """`budget` in bytes, over all connections."""
-        self.budget, self.total = budget, 0
-        self._rows: dict[Key, _Held] = {}
+        self.budget_bytes, self.total_bytes = budget_bytes, 0
+        self._connections: dict[Key, _UnreadConnection] = {}
 
     def __len__(self) -> int:
-        return len(self._rows)
+        return len(self._connections)
 
     def __contains__(self, key: object) -> bool:
-        return key in self._rows
+        return key in self._connections
 
     @property
-    def full(self) -> bool:
+    def is_over_budget(self) -> bool:
         """Whether the budget is gone: nothing more may be taken that will need an answer."""
-        return self.total > self.budget
+        return self.total_bytes > self.budget_bytes
 
-    def note(self, key: Key, size: int, now_ms: float, until_ms: float = 0.0) -> None:
+    def update(self, key: Key, unread_bytes: int, now_ms: float, keep_until_ms: float = 0.0) -> None:
         """So many bytes are held on it now; none: it is forgotten. Fewer than before are progress.
 
         `until_ms` is the latest deadline of the requests that were answered on it.
         """
-        row = self._rows.get(key)
-        if row is None:
-            if size > 0:
-                self._rows[key] = _Held(size, now_ms, until_ms)
-                self.total += size
+        connection = self._connections.get(key)
+        if connection is None:
+            if unread_bytes > 0:
+                self._connections[key] = _UnreadConnection(unread_bytes, now_ms, keep_until_ms)
+                self.total_bytes += unread_bytes
             return
-        if size <= 0:
-            self.forget(key)
+        if unread_bytes <= 0:
+            self.discard(key)
             return
-        if size < row.size:
-            row.progress_ms = now_ms
-        self.total += size - row.size
-        row.size, row.until_ms = size, max(row.until_ms, until_ms)
-
-    def forget(self, key: Key) -> None:
+        if unread_bytes < connection.unread_bytes:
+            connection.progress_ms = now_ms
+        self.total_bytes += unread_bytes - connection.unread_bytes
+        connection.unread_bytes, connection.keep_until_ms = (
+            unread_bytes,
+            max(connection.keep_until_ms, keep_until_ms),
+        )
+
+    def discard(self, key: Key) -> None:
         """It has drained or ended."""
-        if (row := self._rows.pop(key, None)) is not None:
-            self.total -= row.size
+        if (connection := self._connections.pop(key, None)) is not None:
+            self.total_bytes -= connection.unread_bytes
 
     def __iter__(self) -> Iterator[Key]:
         """All on which bytes are held."""
-        return iter(self._rows)
+        return iter(self._connections)
 
     def stalled(self, now_ms: float) -> list[Key]:
         """Those that have taken nothing for long, and whose last request's deadline is over."""
         return [
             key
-            for key, row in self._rows.items()
-            if now_ms - row.progress_ms > STALL_MS and now_ms > row.until_ms
+            for key, row in self._connections.items()
+            if now_ms - row.progress_ms > READ_STALL_TIMEOUT_MS and now_ms > row.keep_until_ms
         ]
 
     def excess(self, now_ms: float) -> list[Key]:
@@ -147,15 +154,15 @@
         One that reads is not among them until twice the budget is held; what is held by then is bounded so.
         """
         out: list[Key] = []
-        left = self.total
-        if left <= self.budget:
+        left = self.total_bytes
+        if left <= self.budget_bytes:
             return out
-        largest = sorted(self._rows.items(), key=lambda item: -item[1].size)
-        for reading, bound in ((False, self.budget), (True, 2 * self.budget)):
+        largest = sorted(self._connections.items(), key=lambda item: -item[1].unread_bytes)
+        for reading, bound in ((False, self.budget_bytes), (True, 2 * self.budget_bytes)):
             for key, row in largest:
                 if left <= bound:
                     break
-                if (now_ms - row.progress_ms < GRACE_MS) is reading:
+                if (now_ms - row.progress_ms < READ_PROGRESS_GRACE_MS) is reading:
                     out.append(key)
-                    left -= row.size
+                    left -= row.unread_bytes
         return out
--- a/balancer/core/discovery/merge_report.py
+++ b/balancer/core/discovery/merge_report.py
@@ -4,58 +4,66 @@
 
 from typing import Any
 
-from balancer.core.discovery.endpoint_merger import Membership
+from balancer.core.discovery.endpoint_merger import EndpointMerger
 
 
-def report(membership: Membership) -> dict[str, Any]:
+def build_report(merger: EndpointMerger) -> dict[str, Any]:
     """What each source says of whom, and the view; plain values for a table or JSON."""
     sources = [
         {
-            "name": s.name,
-            "role": s.role.value,
-            "state": s.state.value,
-            "reason": s.reason,
-            "identity": s.identity,
-            "revision": s.revision,
-            "members": len(s.members),
-            "removed": len(s.removed),
-            "unreadable": s.unreadable,
-            "not_applied": s.old,
-            "silent_for_ms": None if s.heard_ms is None else round(membership.now_ms - s.heard_ms),
+            "name": source.name,
+            "role": source.role.value,
+            "state": source.state.value,
+            "reason": source.state_reason,
+            "identity": source.identity,
+            "revision": source.revision,
+            "members": len(source.records),
+            "removed": len(source.removed_ids),
+            "unreadable": source.invalid_entry_count,
+            "not_applied": source.stale_list_count,
+            "silent_for_ms": None
+            if source.last_contact_ms is None
+            else round(merger.now_ms - source.last_contact_ms),
         }
-        for s in membership.sources.values()
+        for source in merger.sources.values()
     ]
-    names = dict.fromkeys(membership.view)
-    for s in membership.sources.values():
-        names.update(dict.fromkeys(s.members))
+    names = dict.fromkeys(merger.view)
+    for source in merger.sources.values():
+        names.update(dict.fromkeys(source.records))
     faults = [
-        {"source": s.name, "key": key, "reason": fault.reason}
-        for s in membership.sources.values()
-        for key, fault in s.faults.items()
+        {"source": source.name, "key": key, "reason": entry.reason}
+        for source in merger.sources.values()
+        for key, entry in source.invalid_entries.items()
     ]
-    members = [_row(membership, name) for name in names]
-    return {"revision": membership.revision, "sources": sources, "members": members, "faults": faults}
+    members = [_endpoint_row(merger, name) for name in names]
+    return {"revision": merger.view_revision, "sources": sources, "members": members, "faults": faults}
 
 
-def _row(membership: Membership, name: str) -> dict[str, Any]:
-    says = {}
-    for s in membership.sources.values():
-        if name in s.members:
-            says[s.name] = s.members[name].endpoint.phase.value
-        elif name in s.removed:
-            says[s.name] = "removed"
-    held = membership.view.get(name)
+def _endpoint_row(merger: EndpointMerger, name: str) -> dict[str, Any]:
+    phase_by_source = {}
+    for source in merger.sources.values():
+        if name in source.records:
+            phase_by_source[source.name] = source.records[name].endpoint.phase.value
+        elif name in source.removed_ids:
+            phase_by_source[source.name] = "removed"
+    view_record = merger.view.get(name)
     phase = (
-        "shadowed" if name in membership.shadowed else "gone" if held is None else held.endpoint.phase.value
+        "shadowed"
+        if name in merger.shadowed_ids
+        else "gone"
+        if view_record is None
+        else view_record.endpoint.phase.value
     )
-    shown = held or next(s.members[name] for s in membership.sources.values() if name in s.members)
-    host, port = shown.address
+    record = view_record or next(
+        source.records[name] for source in merger.sources.values() if name in source.records
+    )
+    host, port = record.address
     return {
         "id": name,
         "address": f"[{host}]:{port}" if ":" in host else f"{host}:{port}",
         "phase": phase,
-        "zone": shown.endpoint.zone,
-        "weight": shown.endpoint.weight,
-        "started_at_ms": shown.endpoint.started_at_ms,
-        "sources": says,
+        "zone": record.endpoint.zone,
+        "weight": record.endpoint.weight,
+        "started_at_ms": record.endpoint.started_at_ms,
+        "sources": phase_by_source,
     }
--- a/balancer/core/persistence/persisted_state.py
+++ b/balancer/core/persistence/persisted_state.py
@@ -27,106 +27,124 @@
 
 from balancer.endpoints import EndpointList, EndpointRecord, InvalidEntry
 
-TABLES = ("self", "ends", "view", "sources", "usual", "limit", "weights", "ejections")
-URGENT = frozenset({"self", "ends"})
-MAX_SAID = 20  # lines on rows that are not believed; the rest are counted
-MAX_EJECTED_MS = 600_000  # no kept ejection goes on for longer, whatever the clock did
+TABLE_NAMES = ("self", "ends", "view", "sources", "usual", "limit", "weights", "ejections")
+URGENT_TABLES = frozenset({"self", "ends"})
+MAX_REPORTED_ROWS = 20  # lines on rows that are not believed; the rest are counted
+MAX_RESTORED_EJECTION_MS = 600_000  # no kept ejection goes on for longer, whatever the clock did
 DAY_MS = 86_400_000
 
-Name = Annotated[str, msgspec.Meta(min_length=1, max_length=256)]
-Word = Annotated[str, msgspec.Meta(max_length=256)]
-Count = Annotated[int, msgspec.Meta(ge=0, lt=1 << 62)]
-Wall = Annotated[int, msgspec.Meta(ge=0, lt=1 << 53)]
-Ms = Annotated[float, msgspec.Meta(ge=0, le=1e12)]
-Clock = Annotated[float, msgspec.Meta(ge=0, le=1e15)]
-Part = Annotated[float, msgspec.Meta(ge=0, le=1e9)]
+NonEmptyText = Annotated[str, msgspec.Meta(min_length=1, max_length=256)]
+ShortText = Annotated[str, msgspec.Meta(max_length=256)]
+Counter = Annotated[int, msgspec.Meta(ge=0, lt=1 << 62)]
+WallClockMs = Annotated[int, msgspec.Meta(ge=0, lt=1 << 53)]
+DurationMs = Annotated[float, msgspec.Meta(ge=0, le=1e12)]
+SourceClockMs = Annotated[float, msgspec.Meta(ge=0, le=1e15)]
+BoundedNumber = Annotated[float, msgspec.Meta(ge=0, le=1e9)]
 
 
-class Self(msgspec.Struct, frozen=True, array_like=True):
+class NodeIdentity(msgspec.Struct, frozen=True, array_like=True):
     """Who this is. `name` is the node's in its configuration: another one there means a copied directory."""
 
-    id: Name
-    name: Word
-    incarnation: Count
-    first_ms: Wall
+    id: NonEmptyText
+    name: ShortText
+    incarnation: Counter
+    first_started_at_ms: WallClockMs
 
 
-class Server(msgspec.Struct, frozen=True, array_like=True):
+class PersistedEndpoint(msgspec.Struct, frozen=True, array_like=True):
     """One server of the view: what `members.Member` says, and who listed it."""
 
-    host: Name
+    host: NonEmptyText
     port: Annotated[int, msgspec.Meta(ge=1, lt=65_536)]
-    zone: Word = ""
+    zone: ShortText = ""
     cell: Annotated[int, msgspec.Meta(ge=-(1 << 62), lt=1 << 62)] = -1
-    weight: Part = 1.0
+    weight: BoundedNumber = 1.0
     draining: bool = False
-    started_ms: Clock = 0.0  # in the source's clock
-    kind: Word = ""
-    sources: Annotated[tuple[Name, ...], msgspec.Meta(max_length=16)] = ()
-    confirmed_ms: Wall = 0
-    order: Count = 0
+    started_at_ms: SourceClockMs = 0.0  # in the source's clock
+    kind: ShortText = ""
+    sources: Annotated[tuple[NonEmptyText, ...], msgspec.Meta(max_length=16)] = ()
+    confirmed_at_ms: WallClockMs = 0
+    order: Counter = 0
 
 
-class End(msgspec.Struct, frozen=True, array_like=True):
+class Withdrawal(msgspec.Struct, frozen=True, array_like=True):
     """A server's removal (`gone`) or drain, by whom, and at which of their revisions."""
 
-    gone: bool
-    source: Word
+    is_removed: bool
+    source: ShortText
     revision: Annotated[int, msgspec.Meta(ge=-(1 << 62), lt=1 << 62)]
-    at_ms: Wall
-    order: Count = 0
+    at_ms: WallClockMs
+    sequence_number: Counter = 0
 
 
-class Source(msgspec.Struct, frozen=True, array_like=True):
+class SourcePosition(msgspec.Struct, frozen=True, array_like=True):
     """A source's order: who it is, the last revision that the view holds, when it last spoke."""
 
-    identity: Word
+    identity: ShortText
     revision: Annotated[int, msgspec.Meta(ge=-(1 << 62), lt=1 << 62)]
-    confirmed_ms: Wall
+    confirmed_at_ms: WallClockMs
 
 
-class Usual(msgspec.Struct, frozen=True, array_like=True):
+class ExpectedLatency(msgspec.Struct, frozen=True, array_like=True):
     """A class's usual time to serve, and its mean deviation."""
 
-    usual_ms: Ms
-    dev_ms: Ms
-    at_ms: Wall
+    usual_ms: DurationMs
+    mean_deviation_ms: DurationMs
+    at_ms: WallClockMs
 
 
-class Limit(msgspec.Struct, frozen=True, array_like=True):
+class ConcurrencyLimit(msgspec.Struct, frozen=True, array_like=True):
     """The limit on requests out at once."""
 
-    limit: Part
-    at_ms: Wall
+    limit: BoundedNumber
+    at_ms: WallClockMs
 
 
-class Weight(msgspec.Struct, frozen=True, array_like=True):
+class BackendSlowness(msgspec.Struct, frozen=True, array_like=True):
     """A server's mean time over the usual one of its classes."""
 
-    slow: Part
-    at_ms: Wall
+    slow: BoundedNumber
+    at_ms: WallClockMs
 
 
-class Ejection(msgspec.Struct, frozen=True, array_like=True):
+class BackendEjection(msgspec.Struct, frozen=True, array_like=True):
     """A server that is left alone until then, after so many failures in a row."""
 
-    until_ms: Wall
-    fails: Count
-    at_ms: Wall
-
-
-Kept = Self | Server | End | Source | Usual | Limit | Weight | Ejection
-S = TypeVar("S", Server, End, Source, Usual, Limit, Weight, Ejection)
-
-
-class Remembered(msgspec.Struct, frozen=True):
+    until_ms: WallClockMs
+    consecutive_failures: Counter
+    at_ms: WallClockMs
+
+
+PersistedRow = (
+    NodeIdentity
+    | PersistedEndpoint
+    | Withdrawal
+    | SourcePosition
+    | ExpectedLatency
+    | ConcurrencyLimit
+    | BackendSlowness
+    | BackendEjection
+)
+S = TypeVar(
+    "S",
+    PersistedEndpoint,
+    Withdrawal,
+    SourcePosition,
+    ExpectedLatency,
+    ConcurrencyLimit,
+    BackendSlowness,
+    BackendEjection,
+)
+
+
+class RestoredEndpoint(msgspec.Struct, frozen=True):
     """A server out of memory, and how long ago a source last vouched for it, in ms, at the least."""
 
-    server: Server
+    endpoint: PersistedEndpoint
     age_ms: float
 
 
-class Recalled(msgspec.Struct):
+class RestoredState(msgspec.Struct):
     """What a start may believe.
 
     `memory` is `none` (nothing was there), `kept`, `older` (a newer generation was there and is not believed)
@@ -135,22 +153,22 @@
     """
 
     memory: str
-    me: Self | None = None
+    identity: NodeIdentity | None = None
     foreign: bool = False
     clock_behind_ms: float = 0.0  # the wall clock is this much behind what was written
     order: int = 0  # the highest
-    view: dict[str, Remembered] = {}
-    ends: dict[str, End] = {}
-    sources: dict[str, Source] = {}
-    usual: dict[str, Usual] = {}
-    limit: Limit | None = None
-    weights: dict[str, Weight] = {}
-    ejections: dict[str, float] = {}  # ms that are left of each
-    rows: dict[str, dict[str, Kept]] = {}  # the tables as they are kept
+    endpoints: dict[str, RestoredEndpoint] = {}
+    withdrawals: dict[str, Withdrawal] = {}
+    sources: dict[str, SourcePosition] = {}
+    expected_latencies: dict[str, ExpectedLatency] = {}
+    concurrency_limit: ConcurrencyLimit | None = None
+    slowness: dict[str, BackendSlowness] = {}
+    ejection_left_ms: dict[str, float] = {}  # ms that are left of each
+    rows: dict[str, dict[str, PersistedRow]] = {}  # the tables as they are kept
     said: list[str] = []
 
 
-def recall(
+def restore(
     tables: Mapping[str, Mapping[str, bytes]],
     found: int,
     older: bool,
@@ -158,7 +176,7 @@
     name: str,
     now_ms: int,
     max_age_ms: float,
-) -> Recalled:
+) -> RestoredState:
     """Read the tables of a store: `found` is the generation believed (0: none), `wrote_ms` its last commit.
 
     `older` says that a newer one is not believed; `name` is this node's, `now_ms` the wall clock. An age is
@@ -166,107 +184,123 @@
     A server is as old as the last word of the sources that list it. An entry older than `max_age_ms` is not
     believed, nor is a row that does not read as its kind; each is said.
     """
-    out = Recalled("lost" if older else "none")
+    restored = RestoredState("lost" if older else "none")
     if not found:
         if older:
-            out.said.append("nothing of what was kept can be believed: this start has lost its memory")
-        return out
-    out.memory = "older" if older else "kept"
-    me = _me(tables.get("self", {}), out)
-    if me is None:
-        out.memory = "lost"
-        return out
-    if me.name != name:
-        said = f"the directory is that of node {me.name!r:.80}, not of {name!r:.80}: nothing is recalled"
-        return Recalled("lost", foreign=True, said=[said])
-    out.me = me
+            restored.said.append("nothing of what was kept can be believed: this start has lost its memory")
+        return restored
+    restored.memory = "older" if older else "kept"
+    identity = _read_identity(tables.get("self", {}), restored)
+    if identity is None:
+        restored.memory = "lost"
+        return restored
+    if identity.name != name:
+        message = (
+            f"the directory is that of node {identity.name!r:.80}, not of {name!r:.80}: nothing is recalled"
+        )
+        return RestoredState("lost", foreign=True, said=[message])
+    restored.identity = identity
     if now_ms < wrote_ms:
-        out.clock_behind_ms = wrote_ms - now_ms
-        behind = f"the clock is {out.clock_behind_ms / 1000:.0f} s behind what was written"
-        out.said.append(f"{behind}: ages are taken as of then, and may be more")
+        restored.clock_behind_ms = wrote_ms - now_ms
+        clock_message = f"the clock is {restored.clock_behind_ms / 1000:.0f} s behind what was written"
+        restored.said.append(f"{clock_message}: ages are taken as of then, and may be more")
         now_ms = wrote_ms
-    bad = 0
-    for table, kind in _KINDS.items():
-        rows = out.rows.setdefault(table, {})
-        for key, raw in tables.get(table, {}).items():
+    invalid_count = 0
+    for table, row_type in _ROW_TYPES.items():
+        rows = restored.rows.setdefault(table, {})
+        for key, encoded in tables.get(table, {}).items():
             try:
-                rows[key] = msgspec.msgpack.decode(raw, type=kind)
-            except msgspec.MsgspecError as err:
-                bad += 1
-                if bad <= MAX_SAID:
-                    out.said.append(f"{table} {key!r:.80} is not believed: {err!s:.120}")
-    if bad > MAX_SAID:
-        out.said.append(f"{bad - MAX_SAID} further rows are not believed")
-    out.ends = _typed(out.rows["ends"], End)
-    out.order = max((row.order for row in out.ends.values()), default=0)
-    out.sources = _typed(out.rows["sources"], Source)
-    _view(out, wrote_ms, now_ms, max_age_ms)
-    out.usual = _fresh(_typed(out.rows["usual"], Usual), now_ms, max_age_ms)
-    out.weights = _fresh(_typed(out.rows["weights"], Weight), now_ms, max_age_ms)
-    out.limit = _fresh(_typed(out.rows["limit"], Limit), now_ms, max_age_ms).get("node")
-    for key, row in _typed(out.rows["ejections"], Ejection).items():
-        left = min(row.until_ms - now_ms, row.until_ms - min(row.at_ms, row.until_ms), MAX_EJECTED_MS)
-        if left > 0:
-            out.ejections[key] = left
-    return out
-
-
-_KINDS: dict[str, type] = {
-    "ends": End,
-    "view": Server,
-    "sources": Source,
-    "usual": Usual,
-    "limit": Limit,
-    "weights": Weight,
-    "ejections": Ejection,
+                rows[key] = msgspec.msgpack.decode(encoded, type=row_type)
+            except msgspec.MsgspecError as error:
+                invalid_count += 1
+                if invalid_count <= MAX_REPORTED_ROWS:
+                    restored.said.append(f"{table} {key!r:.80} is not believed: {error!s:.120}")
+    if invalid_count > MAX_REPORTED_ROWS:
+        restored.said.append(f"{invalid_count - MAX_REPORTED_ROWS} further rows are not believed")
+    restored.withdrawals = _rows_of_type(restored.rows["ends"], Withdrawal)
+    restored.order = max((row.sequence_number for row in restored.withdrawals.values()), default=0)
+    restored.sources = _rows_of_type(restored.rows["sources"], SourcePosition)
+    _restore_endpoints(restored, wrote_ms, now_ms, max_age_ms)
+    restored.expected_latencies = _recorded_within(
+        _rows_of_type(restored.rows["usual"], ExpectedLatency), now_ms, max_age_ms
+    )
+    restored.slowness = _recorded_within(
+        _rows_of_type(restored.rows["weights"], BackendSlowness), now_ms, max_age_ms
+    )
+    restored.concurrency_limit = _recorded_within(
+        _rows_of_type(restored.rows["limit"], ConcurrencyLimit), now_ms, max_age_ms
+    ).get("node")
+    for key, row in _rows_of_type(restored.rows["ejections"], BackendEjection).items():
+        left_ms = min(
+            row.until_ms - now_ms, row.until_ms - min(row.at_ms, row.until_ms), MAX_RESTORED_EJECTION_MS
+        )
+        if left_ms > 0:
+            restored.ejection_left_ms[key] = left_ms
+    return restored
+
+
+_ROW_TYPES: dict[str, type] = {
+    "ends": Withdrawal,
+    "view": PersistedEndpoint,
+    "sources": SourcePosition,
+    "usual": ExpectedLatency,
+    "limit": ConcurrencyLimit,
+    "weights": BackendSlowness,
+    "ejections": BackendEjection,
 }
 
 
-def _me(rows: Mapping[str, bytes], out: Recalled) -> Self | None:
+def _read_identity(rows: Mapping[str, bytes], restored: RestoredState) -> NodeIdentity | None:
     try:
-        return msgspec.msgpack.decode(rows["node"], type=Self)
+        return msgspec.msgpack.decode(rows["node"], type=NodeIdentity)
     except (KeyError, msgspec.MsgspecError):
-        out.said.append("the directory does not say whose it is: nothing is recalled")
+        restored.said.append("the directory does not say whose it is: nothing is recalled")
         return None
 
 
-def _typed(rows: Mapping[str, Kept], kind: type[S]) -> dict[str, S]:
-    return {key: row for key, row in rows.items() if isinstance(row, kind)}
+def _rows_of_type(rows: Mapping[str, PersistedRow], row_type: type[S]) -> dict[str, S]:
+    return {key: row for key, row in rows.items() if isinstance(row, row_type)}
 
 
-def _fresh(rows: dict[str, S], now_ms: int, max_age_ms: float) -> dict[str, S]:
+def _recorded_within(rows: dict[str, S], now_ms: int, max_age_ms: float) -> dict[str, S]:
     """Those learned within `max_age_ms`. One from ahead of the clock counts as of now."""
     return {key: row for key, row in rows.items() if now_ms - getattr(row, "at_ms", 0) <= max_age_ms}
 
 
-def _view(out: Recalled, wrote_ms: int, now_ms: int, max_age_ms: float) -> None:
+def _restore_endpoints(restored: RestoredState, last_commit_ms: int, now_ms: int, max_age_ms: float) -> None:
     """Servers that are believed: the later word of row and end, ages within `max_age_ms`."""
-    ahead = old = 0
-    for key, row in _typed(out.rows["view"], Server).items():
-        out.order = max(out.order, row.order)
-        end = out.ends.get(key)
-        if end is not None and end.order > row.order:
-            if end.gone:
+    ahead_count = expired_count = 0
+    for key, row in _rows_of_type(restored.rows["view"], PersistedEndpoint).items():
+        restored.order = max(restored.order, row.order)
+        withdrawal = restored.withdrawals.get(key)
+        if withdrawal is not None and withdrawal.sequence_number > row.order:
+            if withdrawal.is_removed:
                 continue
             row = msgspec.structs.replace(row, draining=True)
-        words = [out.sources[name].confirmed_ms for name in row.sources if name in out.sources]
-        confirmed_ms = max([row.confirmed_ms, *words])
-        ahead += confirmed_ms > wrote_ms
-        age = float(now_ms - min(confirmed_ms, wrote_ms))
-        if age > max_age_ms:
-            old += 1
+        confirmed_times_ms = [
+            restored.sources[source_name].confirmed_at_ms
+            for source_name in row.sources
+            if source_name in restored.sources
+        ]
+        confirmed_at_ms = max([row.confirmed_at_ms, *confirmed_times_ms])
+        ahead_count += confirmed_at_ms > last_commit_ms
+        age_ms = float(now_ms - min(confirmed_at_ms, last_commit_ms))
+        if age_ms > max_age_ms:
+            expired_count += 1
         else:
-            out.view[key] = Remembered(row, age)
-    if ahead:
-        out.said.append(f"{ahead} servers are confirmed after the last write: taken as of it")
-    if old:
-        out.said.append(f"{old} servers were last confirmed over {max_age_ms / 1000:.0f} s ago: not believed")
+            restored.endpoints[key] = RestoredEndpoint(row, age_ms)
+    if ahead_count:
+        restored.said.append(f"{ahead_count} servers are confirmed after the last write: taken as of it")
+    if expired_count:
+        restored.said.append(
+            f"{expired_count} servers were last confirmed over {max_age_ms / 1000:.0f} s ago: not believed"
+        )
 
 
-def without_ended(
+def without_withdrawn(
     listed: Mapping[str, EndpointRecord],
     revision: int | None,
-    ends: Mapping[str, End],
+    withdrawals: Mapping[str, Withdrawal],
     source: str,
     seen: tuple[int, Set[str]] | None = None,
 ) -> EndpointList | None:
@@ -279,25 +313,39 @@
     in it. `seen`: a later revision, and whom it had, however old: who is not in it had ended by then,
     also where no end was kept, as the store was read after the news.
     """
-    mine = {name: end for name, end in ends.items() if end.source == source}
-    later = {name: end for name, end in mine.items() if revision is None or end.revision > revision}
-    at, names = seen or (-1, listed.keys())
-    later = mine if seen is not None else later
+    source_withdrawals = {
+        endpoint_id: withdrawal
+        for endpoint_id, withdrawal in withdrawals.items()
+        if withdrawal.source == source
+    }
+    later = {
+        endpoint_id: withdrawal
+        for endpoint_id, withdrawal in source_withdrawals.items()
+        if revision is None or withdrawal.revision > revision
+    }
+    seen_revision, seen_ids = seen or (-1, listed.keys())
+    later = source_withdrawals if seen is not None else later
     if seen is None and not later:
         return None
-    left = tuple(m for name, m in listed.items() if name not in later and name in names)
-    gone = tuple(name for name, end in later.items() if end.gone)
-    reason = f"{len(listed) - len(left)} servers ended after it: the whole list is needed"
-    newest = max([at, *(end.revision for end in later.values())])
-    return EndpointList(newest, True, left, gone, (InvalidEntry("(kept)", reason),))
-
-
-def successor(recalled: Recalled, name: str, fresh_id: str, generation: int, now_ms: int) -> Self:
+    remaining = tuple(
+        record
+        for endpoint_id, record in listed.items()
+        if endpoint_id not in later and endpoint_id in seen_ids
+    )
+    removed_ids = tuple(endpoint_id for endpoint_id, withdrawal in later.items() if withdrawal.is_removed)
+    reason = f"{len(listed) - len(remaining)} servers ended after it: the whole list is needed"
+    newest_revision = max([seen_revision, *(withdrawal.revision for withdrawal in later.values())])
+    return EndpointList(newest_revision, True, remaining, removed_ids, (InvalidEntry("(kept)", reason),))
+
+
+def next_identity(
+    restored: RestoredState, node_name: str, fresh_id: str, generation: int, now_ms: int
+) -> NodeIdentity:
     """Who this start is: the same node one life on, or a new one. The incarnation only rises.
 
     `generation` is the store's number, which rises even where no file of it can be read.
     """
-    me = recalled.me
-    if me is None:
-        return Self(fresh_id, name, generation, max(0, now_ms))
-    return msgspec.structs.replace(me, incarnation=max(me.incarnation + 1, generation))
+    identity = restored.identity
+    if identity is None:
+        return NodeIdentity(fresh_id, node_name, generation, max(0, now_ms))
+    return msgspec.structs.replace(identity, incarnation=max(identity.incarnation + 1, generation))
--- a/balancer/core/persistence/write_behind.py
+++ b/balancer/core/persistence/write_behind.py
@@ -20,39 +20,39 @@
 import msgspec
 
 from balancer.core.persistence.persisted_state import (
-    URGENT,
-    End,
-    Kept,
-    Self,
-    Server,
-    Source,
+    URGENT_TABLES,
+    NodeIdentity,
+    PersistedEndpoint,
+    PersistedRow,
+    SourcePosition,
+    Withdrawal,
 )
 
-GROUP_MS = 50.0
-BATCH = 250  # changes of one write, about 1 ms of the loop
-URGENT_OUT = 4  # urgent writes handed over and not yet durable
-MAX_KEPT = 100_000  # servers, and ends
-RETRY_MS = 1_000.0
-MOVED = 0.1  # of a learned figure
-GENERATION_MS = 3_600_000.0
-GENERATION_CHANGES = 20_000
+GROUP_COMMIT_WINDOW_MS = 50.0
+MAX_CHANGES_PER_WRITE = 250  # changes of one write, about 1 ms of the loop
+MAX_URGENT_WRITES_IN_FLIGHT = 4  # urgent writes handed over and not yet durable
+MAX_PERSISTED_ENDPOINTS = 100_000  # servers, and ends
+REJECTED_WRITE_RETRY_MS = 1_000.0
+SIGNIFICANT_CHANGE_RATIO = 0.1  # of a learned figure
+GENERATION_INTERVAL_MS = 3_600_000.0
+MIN_GENERATION_CHANGES = 20_000
 
-Key = tuple[str, str]  # table, key
+RowKey = tuple[str, str]  # table, key
 
 
 # --- events
 
 
-class Started(msgspec.Struct, frozen=True):
+class StoreOpened(msgspec.Struct, frozen=True):
     """The store is open: what it holds, and who this start is. `order` is the highest in it."""
 
-    me: Self
-    rows: Mapping[str, Mapping[str, Kept]]
-    order: int
+    identity: NodeIdentity
+    rows: Mapping[str, Mapping[str, PersistedRow]]
+    last_sequence_number: int
     wall_ms: int
 
 
-class Changed(msgspec.Struct, frozen=True):
+class EndpointsChanged(msgspec.Struct, frozen=True):
     """The view changed: servers as they are now (a drain is one of them), servers that are gone.
 
     `source` at `revision` of `identity` brought it. At most some hundred in one event: the loop waits.
@@ -62,11 +62,11 @@
     identity: str
     revision: int
     wall_ms: int
-    servers: tuple[tuple[str, Server], ...] = ()
-    gone: tuple[str, ...] = ()
+    endpoints: tuple[tuple[str, PersistedEndpoint], ...] = ()
+    removed_ids: tuple[str, ...] = ()
 
 
-class Confirmed(msgspec.Struct, frozen=True):
+class SourceConfirmed(msgspec.Struct, frozen=True):
     """A source showed that what it said last is current."""
 
     source: str
@@ -75,50 +75,59 @@
     wall_ms: int
 
 
-class Learned(msgspec.Struct, frozen=True):
+class LearnedStateCollected(msgspec.Struct, frozen=True):
     """What the module learned, after `AskLearned`: rows of its tables; None takes one away."""
 
-    rows: Mapping[Key, Kept | None]
+    rows: Mapping[RowKey, PersistedRow | None]
 
 
-class Rose(msgspec.Struct, frozen=True):
+class IncarnationRaised(msgspec.Struct, frozen=True):
     """This life goes by a greater number from now on."""
 
     incarnation: int
 
 
-class Ticked(msgspec.Struct, frozen=True):
+class TimeAdvanced(msgspec.Struct, frozen=True):
     """Time went by."""
 
     wall_ms: int
 
 
-class Written(msgspec.Struct, frozen=True):
+class WriteCommitted(msgspec.Struct, frozen=True):
     """A write is durable."""
 
-    number: int
+    write_number: int
 
 
-class TurnedAway(msgspec.Struct, frozen=True):
+class WriteRejected(msgspec.Struct, frozen=True):
     """The store could not take a write: nothing of it is written."""
 
-    number: int
+    write_number: int
 
 
-Event = Started | Changed | Confirmed | Learned | Rose | Ticked | Written | TurnedAway
+Event = (
+    StoreOpened
+    | EndpointsChanged
+    | SourceConfirmed
+    | LearnedStateCollected
+    | IncarnationRaised
+    | TimeAdvanced
+    | WriteCommitted
+    | WriteRejected
+)
 
 
 # --- actions
 
 
-class Write(msgspec.Struct, frozen=True):
+class WriteRows(msgspec.Struct, frozen=True):
     """Make all of these durable in one commit, and tell `Written` or `TurnedAway` by this number."""
 
-    number: int
-    changes: tuple[tuple[Key, Kept | None], ...]
+    write_number: int
+    changes: tuple[tuple[RowKey, PersistedRow | None], ...]
 
 
-class AskLearned(msgspec.Struct, frozen=True):
+class CollectLearnedState(msgspec.Struct, frozen=True):
     """Ask the module what it learned."""
 
 
@@ -126,250 +135,308 @@
     """Have the store write all tables anew."""
 
 
-class Say(msgspec.Struct, frozen=True):
+class WriteLog(msgspec.Struct, frozen=True):
     """Tell the log."""
 
     text: str
 
 
-Action = Write | AskLearned | BeginGeneration | Say
+Action = WriteRows | CollectLearnedState | BeginGeneration | WriteLog
 
 
-class KeepingState(msgspec.Struct):
+class WriteBehindState(msgspec.Struct):
     """All that the decider holds."""
 
-    me: Self | None = None
-    servers: dict[str, int] = {}  # order of each one's row, as it was last decided
-    ends: dict[str, End] = {}
-    sources: dict[str, Source] = {}
-    heard: set[str] = set()  # sources that spoke since they were last written
-    dirty: dict[Key, Kept | None] = {}
-    urgent: dict[Key, Kept | None] = {}
-    out: dict[int, tuple[tuple[Key, Kept | None], ...]] = {}
-    normal: int = 0  # the number of the one write that is not urgent, 0: none
-    urgent_out: int = 0
-    number: int = 0
-    order: int = 0
-    changes: int = 0  # since the generation began
-    next_group_ms: float = 0.0
-    next_learned_ms: float = 0.0
+    identity: NodeIdentity | None = None
+    endpoint_sequence_numbers: dict[str, int] = {}  # order of each one's row, as it was last decided
+    withdrawals: dict[str, Withdrawal] = {}
+    sources: dict[str, SourcePosition] = {}
+    unwritten_sources: set[str] = set()  # sources that spoke since they were last written
+    dirty: dict[RowKey, PersistedRow | None] = {}
+    urgent_dirty: dict[RowKey, PersistedRow | None] = {}
+    in_flight: dict[int, tuple[tuple[RowKey, PersistedRow | None], ...]] = {}
+    normal_write_number: int = 0  # the number of the one write that is not urgent, 0: none
+    urgent_in_flight_count: int = 0
+    last_write_number: int = 0
+    last_sequence_number: int = 0
+    generation_change_count: int = 0  # since the generation began
+    next_group_commit_ms: float = 0.0
+    next_collection_ms: float = 0.0
     next_generation_ms: float = 0.0
-    retry_ms: float = 0.0
-    learned: dict[Key, Kept] = {}  # as they were last handed over
-    lags: bool = False
-    left_out: int = 0
+    retry_at_ms: float = 0.0
+    written_learned_rows: dict[RowKey, PersistedRow] = {}  # as they were last handed over
+    is_lagging: bool = False
+    omitted_count: int = 0
 
 
-class Keeping:
+class WriteBehind:
     """`handle` is told events at the node's clock; `next_ms` says when to tell `Ticked` next."""
 
-    def __init__(self, every_ms: float, max_age_ms: float, fresh: int = 0) -> None:
+    def __init__(self, collection_interval_ms: float, max_age_ms: float, first_write_number: int = 0) -> None:
         """`every_ms` between two writings of what was learned, `max_age_ms` until an end is forgotten."""
-        self.every_ms, self.max_age_ms = every_ms, max_age_ms
-        self.state = KeepingState(number=fresh)
+        self.collection_interval_ms, self.max_age_ms = collection_interval_ms, max_age_ms
+        self.state = WriteBehindState(last_write_number=first_write_number)
 
     def __repr__(self) -> str:
-        s = self.state
-        return f"<Keeping {len(s.servers)} servers, {len(s.dirty)} + {len(s.urgent)} dirty, {len(s.out)} out>"
+        state = self.state
+        return f"<Keeping {len(state.endpoint_sequence_numbers)} servers, {len(state.dirty)} + {len(state.urgent_dirty)} dirty, {len(state.in_flight)} out>"
 
     def next_ms(self) -> float:
         """When time alone brings something next."""
-        s = self.state
-        group = [max(s.next_group_ms, s.retry_ms)] if s.dirty and not s.normal else []
-        urgent = [s.retry_ms] if s.urgent and s.urgent_out < URGENT_OUT else []
-        return min([s.next_learned_ms, s.next_generation_ms, *group, *urgent])
+        state = self.state
+        group_commit_ms = (
+            [max(state.next_group_commit_ms, state.retry_at_ms)]
+            if state.dirty and not state.normal_write_number
+            else []
+        )
+        urgent_retry_ms = (
+            [state.retry_at_ms]
+            if state.urgent_dirty and state.urgent_in_flight_count < MAX_URGENT_WRITES_IN_FLIGHT
+            else []
+        )
+        return min([state.next_collection_ms, state.next_generation_ms, *group_commit_ms, *urgent_retry_ms])
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
         """What follows from an event, in order. `now_ms` never goes back."""
-        out: list[Action] = []
-        if isinstance(event, Changed):
-            self._changed(now_ms, event, out)
-        elif isinstance(event, Written):
-            self._written(event.number)
-        elif isinstance(event, Confirmed):
-            self._source(event)
-        elif isinstance(event, Learned):
-            self._learned(event)
-        elif isinstance(event, TurnedAway):
-            self._turned_away(now_ms, event.number, out)
-        elif isinstance(event, Started):
-            self._started(now_ms, event)
-        elif isinstance(event, Rose):
-            self._rose(event.incarnation)
+        actions: list[Action] = []
+        if isinstance(event, EndpointsChanged):
+            self._on_endpoints_changed(now_ms, event, actions)
+        elif isinstance(event, WriteCommitted):
+            self._on_write_committed(event.write_number)
+        elif isinstance(event, SourceConfirmed):
+            self._update_source(event)
+        elif isinstance(event, LearnedStateCollected):
+            self._on_learned_state_collected(event)
+        elif isinstance(event, WriteRejected):
+            self._on_write_rejected(now_ms, event.write_number, actions)
+        elif isinstance(event, StoreOpened):
+            self._on_store_opened(now_ms, event)
+        elif isinstance(event, IncarnationRaised):
+            self._on_incarnation_raised(event.incarnation)
         else:
-            self._ticked(now_ms, event.wall_ms, out)
-        self._hand_over(now_ms, out)
-        return out
+            self._on_time_advanced(now_ms, event.wall_ms, actions)
+        self._start_writes(now_ms, actions)
+        return actions
 
     # --- what was told
 
-    def _started(self, now_ms: float, event: Started) -> None:
-        s = self.state
-        s.order = event.order
-        s.ends = {key: row for key, row in event.rows.get("ends", {}).items() if isinstance(row, End)}
+    def _on_store_opened(self, now_ms: float, event: StoreOpened) -> None:
+        state = self.state
+        state.last_sequence_number = event.last_sequence_number
+        state.withdrawals = {
+            key: row for key, row in event.rows.get("ends", {}).items() if isinstance(row, Withdrawal)
+        }
         rows = event.rows.get("view", {}).items()
-        s.servers = {key: row.order for key, row in rows if isinstance(row, Server)}
+        state.endpoint_sequence_numbers = {
+            key: row.order for key, row in rows if isinstance(row, PersistedEndpoint)
+        }
         rows = event.rows.get("sources", {}).items()
-        s.sources = {key: row for key, row in rows if isinstance(row, Source)}
-        s.me = s.urgent["self", "node"] = event.me
-        s.next_learned_ms, s.next_generation_ms = now_ms + self.every_ms, now_ms + GENERATION_MS
-
-    def _rose(self, incarnation: int) -> None:
-        me = self.state.me
-        if me is not None and incarnation > me.incarnation:
-            self.state.me = me = msgspec.structs.replace(me, incarnation=incarnation)
-            self.state.urgent["self", "node"] = me
-
-    def _changed(self, now_ms: float, event: Changed, out: list[Action]) -> None:
-        s = self.state
-        if not s.dirty:
-            s.next_group_ms = now_ms + GROUP_MS
-        for name, server in event.servers:
-            s.order += 1
-            if name not in s.servers and len(s.servers) >= MAX_KEPT:
-                self._left_out(out)
+        state.sources = {key: row for key, row in rows if isinstance(row, SourcePosition)}
+        state.identity = state.urgent_dirty["self", "node"] = event.identity
+        state.next_collection_ms, state.next_generation_ms = (
+            now_ms + self.collection_interval_ms,
+            now_ms + GENERATION_INTERVAL_MS,
+        )
+
+    def _on_incarnation_raised(self, incarnation: int) -> None:
+        identity = self.state.identity
+        if identity is not None and incarnation > identity.incarnation:
+            self.state.identity = identity = msgspec.structs.replace(identity, incarnation=incarnation)
+            self.state.urgent_dirty["self", "node"] = identity
+
+    def _on_endpoints_changed(self, now_ms: float, event: EndpointsChanged, actions: list[Action]) -> None:
+        state = self.state
+        if not state.dirty:
+            state.next_group_commit_ms = now_ms + GROUP_COMMIT_WINDOW_MS
+        for endpoint_id, endpoint in event.endpoints:
+            state.last_sequence_number += 1
+            if (
+                endpoint_id not in state.endpoint_sequence_numbers
+                and len(state.endpoint_sequence_numbers) >= MAX_PERSISTED_ENDPOINTS
+            ):
+                self._count_omitted(actions)
                 continue
-            s.servers[name] = s.order
-            s.dirty["view", name] = msgspec.structs.replace(server, order=s.order)
-            if server.draining:
-                s.order += 1  # the end is the later word
-                self._end(name, End(False, event.source, event.revision, event.wall_ms, s.order), out)
-        for name in event.gone:
-            s.order += 1
-            if s.servers.pop(name, None) is not None:
-                s.dirty["view", name] = None
-            self._end(name, End(True, event.source, event.revision, event.wall_ms, s.order), out)
-        if self._source(event):
-            self._put_source(event.source)
-
-    def _end(self, name: str, end: End, out: list[Action]) -> None:
-        if name not in self.state.ends and len(self.state.ends) >= MAX_KEPT:
-            oldest = next(iter(self.state.ends))
-            del self.state.ends[oldest]
-            self.state.urgent["ends", oldest] = None
-            self._left_out(out)
-        self.state.ends.pop(name, None)
-        self.state.ends[name] = end
-        self.state.urgent["ends", name] = end
-
-    def _left_out(self, out: list[Action]) -> None:
-        self.state.left_out += 1
-        if self.state.left_out == 1:
-            out.append(Say(f"over {MAX_KEPT} servers or ends: those over it are not kept"))
-
-    def _source(self, event: Changed | Confirmed) -> bool:
+            state.endpoint_sequence_numbers[endpoint_id] = state.last_sequence_number
+            state.dirty["view", endpoint_id] = msgspec.structs.replace(
+                endpoint, order=state.last_sequence_number
+            )
+            if endpoint.draining:
+                state.last_sequence_number += 1  # the end is the later word
+                self._record_withdrawal(
+                    endpoint_id,
+                    Withdrawal(
+                        False, event.source, event.revision, event.wall_ms, state.last_sequence_number
+                    ),
+                    actions,
+                )
+        for endpoint_id in event.removed_ids:
+            state.last_sequence_number += 1
+            if state.endpoint_sequence_numbers.pop(endpoint_id, None) is not None:
+                state.dirty["view", endpoint_id] = None
+            self._record_withdrawal(
+                endpoint_id,
+                Withdrawal(True, event.source, event.revision, event.wall_ms, state.last_sequence_number),
+                actions,
+            )
+        if self._update_source(event):
+            self._write_source(event.source)
+
+    def _record_withdrawal(self, endpoint_id: str, withdrawal: Withdrawal, actions: list[Action]) -> None:
+        if (
+            endpoint_id not in self.state.withdrawals
+            and len(self.state.withdrawals) >= MAX_PERSISTED_ENDPOINTS
+        ):
+            oldest = next(iter(self.state.withdrawals))
+            del self.state.withdrawals[oldest]
+            self.state.urgent_dirty["ends", oldest] = None
+            self._count_omitted(actions)
+        self.state.withdrawals.pop(endpoint_id, None)
+        self.state.withdrawals[endpoint_id] = withdrawal
+        self.state.urgent_dirty["ends", endpoint_id] = withdrawal
+
+    def _count_omitted(self, actions: list[Action]) -> None:
+        self.state.omitted_count += 1
+        if self.state.omitted_count == 1:
+            actions.append(
+                WriteLog(f"over {MAX_PERSISTED_ENDPOINTS} servers or ends: those over it are not kept")
+            )
+
+    def _update_source(self, event: EndpointsChanged | SourceConfirmed) -> bool:
         """Whether its word is no older than what was known of it."""
-        s, old = self.state, self.state.sources.get(event.source)
-        if old is None or old.identity != event.identity or event.revision >= old.revision:
-            s.sources[event.source] = Source(event.identity, event.revision, max(0, event.wall_ms))
-            s.heard.add(event.source)
+        state, previous = self.state, self.state.sources.get(event.source)
+        if previous is None or previous.identity != event.identity or event.revision >= previous.revision:
+            state.sources[event.source] = SourcePosition(
+                event.identity, event.revision, max(0, event.wall_ms)
+            )
+            state.unwritten_sources.add(event.source)
             return True
         return False
 
-    def _put_source(self, name: str) -> None:
+    def _write_source(self, source_name: str) -> None:
         """Behind all changes that wait: they are written in their order."""
-        s = self.state
-        s.dirty.pop(("sources", name), None)
-        s.dirty["sources", name] = s.sources[name]
-        s.heard.discard(name)
-
-    def _learned(self, event: Learned) -> None:
-        s = self.state
-        for at, row in event.rows.items():
-            old = s.learned.get(at)
+        state = self.state
+        state.dirty.pop(("sources", source_name), None)
+        state.dirty["sources", source_name] = state.sources[source_name]
+        state.unwritten_sources.discard(source_name)
+
+    def _on_learned_state_collected(self, event: LearnedStateCollected) -> None:
+        state = self.state
+        for key, row in event.rows.items():
+            previous = state.written_learned_rows.get(key)
             if row is None:
-                s.learned.pop(at, None)
-                s.dirty[at] = None
-            elif old is None or _moved(old, row, self.max_age_ms / 4):
-                if old is None and len(s.learned) >= 4 * MAX_KEPT:
+                state.written_learned_rows.pop(key, None)
+                state.dirty[key] = None
+            elif previous is None or _is_significant_change(previous, row, self.max_age_ms / 4):
+                if previous is None and len(state.written_learned_rows) >= 4 * MAX_PERSISTED_ENDPOINTS:
                     continue
-                s.learned[at] = s.dirty[at] = row
-
-    def _ticked(self, now_ms: float, wall_ms: int, out: list[Action]) -> None:
-        s = self.state
-        if now_ms >= s.next_learned_ms:
-            s.next_learned_ms = now_ms + self.every_ms
-            out.append(AskLearned())
-            for name in sorted(s.heard):
-                self._put_source(name)
-        rows = len(s.servers) + len(s.ends)
-        due = now_ms >= s.next_generation_ms
-        if (due and s.changes) or s.changes > max(GENERATION_CHANGES, 4 * rows):
-            for name in [n for n, end in s.ends.items() if wall_ms - end.at_ms > self.max_age_ms]:
-                del s.ends[name]
-                s.urgent["ends", name] = None
-            s.changes, due = 0, True
-            out.append(BeginGeneration())
-        if due:
-            s.next_generation_ms = now_ms + GENERATION_MS
-
-    def _written(self, number: int) -> None:
+                state.written_learned_rows[key] = state.dirty[key] = row
+
+    def _on_time_advanced(self, now_ms: float, wall_ms: int, actions: list[Action]) -> None:
+        state = self.state
+        if now_ms >= state.next_collection_ms:
+            state.next_collection_ms = now_ms + self.collection_interval_ms
+            actions.append(CollectLearnedState())
+            for name in sorted(state.unwritten_sources):
+                self._write_source(name)
+        row_count = len(state.endpoint_sequence_numbers) + len(state.withdrawals)
+        is_generation_due = now_ms >= state.next_generation_ms
+        if (is_generation_due and state.generation_change_count) or state.generation_change_count > max(
+            MIN_GENERATION_CHANGES, 4 * row_count
+        ):
+            for name in [n for n, end in state.withdrawals.items() if wall_ms - end.at_ms > self.max_age_ms]:
+                del state.withdrawals[name]
+                state.urgent_dirty["ends", name] = None
+            state.generation_change_count, is_generation_due = 0, True
+            actions.append(BeginGeneration())
+        if is_generation_due:
+            state.next_generation_ms = now_ms + GENERATION_INTERVAL_MS
+
+    def _on_write_committed(self, write_number: int) -> None:
         """What came back after its end, and is durable now, needs the end no more."""
-        s = self.state
-        s.lags = False
-        for (table, key), row in self._came_back(number):
-            end = s.ends.get(key)
-            if table == "view" and isinstance(row, Server) and end is not None and end.order < row.order:
-                del s.ends[key]
-                s.urgent["ends", key] = None
-
-    def _turned_away(self, now_ms: float, number: int, out: list[Action]) -> None:
+        state = self.state
+        state.is_lagging = False
+        for (table, key), row in self._finish_write(write_number):
+            withdrawal = state.withdrawals.get(key)
+            if (
+                table == "view"
+                and isinstance(row, PersistedEndpoint)
+                and withdrawal is not None
+                and withdrawal.sequence_number < row.order
+            ):
+                del state.withdrawals[key]
+                state.urgent_dirty["ends", key] = None
+
+    def _on_write_rejected(self, now_ms: float, write_number: int, actions: list[Action]) -> None:
         """It is dirty still, but for what has changed since; it stays ahead of what came later."""
-        s = self.state
-        back = dict(self._came_back(number))
-        if any(table in URGENT for table, _ in back):
+        state = self.state
+        rejected = dict(self._finish_write(write_number))
+        if any(table in URGENT_TABLES for table, _ in rejected):
             # Guards against an older word that is handed over again behind a newer one.
-            for table, key in back:
-                back[table, key] = s.ends.get(key) if table == "ends" else s.me
-            s.urgent = {**back, **s.urgent}
+            for table, key in rejected:
+                rejected[table, key] = state.withdrawals.get(key) if table == "ends" else state.identity
+            state.urgent_dirty = {**rejected, **state.urgent_dirty}
         else:
-            s.dirty = {**back, **s.dirty}
-        s.retry_ms = now_ms + RETRY_MS
-        if not s.lags:
-            s.lags = True
-            out.append(Say("the store takes no more: what is kept lags behind"))
-
-    def _came_back(self, number: int) -> tuple[tuple[Key, Kept | None], ...]:
-        s = self.state
-        found = s.out.pop(number, ())
-        if number == s.normal:
-            s.normal = 0
-        elif found:
-            s.urgent_out -= 1
-        return found
+            state.dirty = {**rejected, **state.dirty}
+        state.retry_at_ms = now_ms + REJECTED_WRITE_RETRY_MS
+        if not state.is_lagging:
+            state.is_lagging = True
+            actions.append(WriteLog("the store takes no more: what is kept lags behind"))
+
+    def _finish_write(self, write_number: int) -> tuple[tuple[RowKey, PersistedRow | None], ...]:
+        state = self.state
+        changes = state.in_flight.pop(write_number, ())
+        if write_number == state.normal_write_number:
+            state.normal_write_number = 0
+        elif changes:
+            state.urgent_in_flight_count -= 1
+        return changes
 
     # --- what is handed over
 
-    def _hand_over(self, now_ms: float, out: list[Action]) -> None:
-        s = self.state
-        while s.urgent and s.urgent_out < URGENT_OUT and now_ms >= s.retry_ms:
-            s.urgent_out += 1
-            self._write(_first(s.urgent), out)
-        if s.normal or not s.dirty or now_ms < max(s.next_group_ms, s.retry_ms):
+    def _start_writes(self, now_ms: float, actions: list[Action]) -> None:
+        state = self.state
+        while (
+            state.urgent_dirty
+            and state.urgent_in_flight_count < MAX_URGENT_WRITES_IN_FLIGHT
+            and now_ms >= state.retry_at_ms
+        ):
+            state.urgent_in_flight_count += 1
+            self._start_write(_take_batch(state.urgent_dirty), actions)
+        if (
+            state.normal_write_number
+            or not state.dirty
+            or now_ms < max(state.next_group_commit_ms, state.retry_at_ms)
+        ):
             return
-        self._write(_first(s.dirty), out)
-        s.normal = s.number
-        s.next_group_ms = now_ms + (0.0 if len(s.dirty) >= BATCH else GROUP_MS)
-
-    def _write(self, changes: tuple[tuple[Key, Kept | None], ...], out: list[Action]) -> None:
-        s = self.state
-        s.number += 1
-        s.out[s.number] = changes
-        s.changes += len(changes)
-        out.append(Write(s.number, changes))
-
-
-def _moved(old: Kept, new: Kept, stale_ms: float) -> bool:
+        self._start_write(_take_batch(state.dirty), actions)
+        state.normal_write_number = state.last_write_number
+        state.next_group_commit_ms = now_ms + (
+            0.0 if len(state.dirty) >= MAX_CHANGES_PER_WRITE else GROUP_COMMIT_WINDOW_MS
+        )
+
+    def _start_write(
+        self, changes: tuple[tuple[RowKey, PersistedRow | None], ...], actions: list[Action]
+    ) -> None:
+        state = self.state
+        state.last_write_number += 1
+        state.in_flight[state.last_write_number] = changes
+        state.generation_change_count += len(changes)
+        actions.append(WriteRows(state.last_write_number, changes))
+
+
+def _is_significant_change(old: PersistedRow, new: PersistedRow, max_age_ms: float) -> bool:
     """Whether a learned figure is another one by now, or was written long ago."""
     for name in ("usual_ms", "limit", "slow"):
         if hasattr(old, name):
-            was, now = getattr(old, name), getattr(new, name)
-            since = getattr(new, "at_ms", 0) - getattr(old, "at_ms", 0)
-            return abs(now - was) > MOVED * was or since > stale_ms
+            old_value, new_value = getattr(old, name), getattr(new, name)
+            elapsed_ms = getattr(new, "at_ms", 0) - getattr(old, "at_ms", 0)
+            return (
+                abs(new_value - old_value) > SIGNIFICANT_CHANGE_RATIO * old_value or elapsed_ms > max_age_ms
+            )
     return getattr(old, "until_ms", None) != getattr(new, "until_ms", None)
 
 
-def _first(changes: dict[Key, Kept | None]) -> tuple[tuple[Key, Kept | None], ...]:
+def _take_batch(changes: dict[RowKey, PersistedRow | None]) -> tuple[tuple[RowKey, PersistedRow | None], ...]:
     """The first BATCH, taken out."""
-    keys = [key for key, _ in zip(changes, range(BATCH), strict=False)]
+    keys = [key for key, _ in zip(changes, range(MAX_CHANGES_PER_WRITE), strict=False)]
     return tuple((key, changes.pop(key)) for key in keys)
--- a/balancer/core/shutdown_deadlines.py
+++ b/balancer/core/shutdown_deadlines.py
@@ -12,27 +12,42 @@
 
 from dataclasses import dataclass
 
-from balancer.core.stall_detector import SETTLE_MS
+from balancer.core.stall_detector import SETTLE_DURATION_MS
 from balancer.interface import Settings
 
-MOST_MS = 3_000.0  # of the longest deadline; what may wait for longer is failed at the end
-ACCEPT_MS = 500.0  # after the signal: over the 0.4 s in which connections come
-LAST_MS = 500.0  # after the signal, beside the longest deadline: 0.2 s before SIGKILL at the earliest
-FRESH_MS = 200.0  # for a new connection's first byte at the end: who connects has a request to send
-LEAST_MS = 3 * SETTLE_MS  # for what lies in the sockets of a process that stood still, however old the signal
+MAX_REQUEST_DEADLINE_MS = 3_000.0  # of the longest deadline; what may wait for longer is failed at the end
+ACCEPT_DURATION_MS = 500.0  # after the signal: over the 0.4 s in which connections come
+RESPONSE_MARGIN_MS = (
+    500.0  # after the signal, beside the longest deadline: 0.2 s before SIGKILL at the earliest
+)
+FIRST_BYTE_TIMEOUT_MS = (
+    200.0  # for a new connection's first byte at the end: who connects has a request to send
+)
+MIN_DRAIN_DURATION_MS = (
+    3 * SETTLE_DURATION_MS
+)  # for what lies in the sockets of a process that stood still, however old the signal
 
 
 @dataclass(frozen=True, slots=True)
-class Ends:
+class ShutdownDeadlines:
     """Until when connections are accepted, and by when all is answered, on the clock of `ends`."""
 
-    accept_ms: float
-    last_ms: float
+    accept_until_ms: float
+    respond_until_ms: float
 
 
-def ends(settings: Settings, now_ms: float, age_ms: float = 0.0) -> Ends:
+def deadlines_after_signal(
+    settings: Settings, now_ms: float, signal_age_ms: float = 0.0
+) -> ShutdownDeadlines:
     """The times for a signal that is seen now and may have come `age_ms` before."""
-    longest = min(MOST_MS, max((cls.deadline_ms for cls in settings.classes), default=MOST_MS))
-    last = max(now_ms - age_ms + longest + LAST_MS, now_ms + LEAST_MS)
+    longest_deadline_ms = min(
+        MAX_REQUEST_DEADLINE_MS,
+        max((cls.deadline_ms for cls in settings.classes), default=MAX_REQUEST_DEADLINE_MS),
+    )
+    respond_until_ms = max(
+        now_ms - signal_age_ms + longest_deadline_ms + RESPONSE_MARGIN_MS, now_ms + MIN_DRAIN_DURATION_MS
+    )
     # The signal may as well have come just now: connections are accepted as long as they can be answered.
-    return Ends(min(now_ms + ACCEPT_MS, last - SETTLE_MS), last)
+    return ShutdownDeadlines(
+        min(now_ms + ACCEPT_DURATION_MS, respond_until_ms - SETTLE_DURATION_MS), respond_until_ms
+    )
--- a/balancer/core/staggering.py
+++ b/balancer/core/staggering.py
@@ -10,18 +10,18 @@
 
 import math
 
-GOLDEN = (math.sqrt(5) - 1) / 2
-LEAST_MS, MOST_MS = 100.0, 60_000.0  # of a stretch
-DOUBLINGS = 5
-ROOM = 0.8  # part of what the other side bears that the nodes together take up
+GOLDEN_RATIO_CONJUGATE = (math.sqrt(5) - 1) / 2
+MIN_PERIOD_MS, MAX_PERIOD_MS = 100.0, 60_000.0  # of a stretch
+MAX_PERIOD_DOUBLINGS = 5
+CAPACITY_UTILIZATION = 0.8  # part of what the other side bears that the nodes together take up
 
 
-def turn(me: int) -> float:
+def time_slot(node_index: int) -> float:
     """A node's place in a stretch, from 0 up to 1."""
-    return me * GOLDEN % 1.0
+    return node_index * GOLDEN_RATIO_CONJUGATE % 1.0
 
 
-class Turns:
+class StaggeredSchedule:
     """Calls of one kind by `nodes` nodes to something that bears `bears_per_s` of them.
 
     `first_ms` is the wait before the first call, `again_ms` the one after a call that failed: it falls into
@@ -30,28 +30,30 @@
     other side bears less than was said; one that is away does not. `done` begins anew.
     """
 
-    def __init__(self, me: int, nodes: int, bears_per_s: float) -> None:
-        if not (nodes >= 1 and 0 < bears_per_s < math.inf):
-            raise ValueError(f"{nodes} nodes, {bears_per_s} calls a second: both have to be over 0")
-        self.turn, self.refusals = turn(me), 0
-        self.base_ms = min(MOST_MS, max(LEAST_MS, 1000.0 * nodes / (ROOM * bears_per_s)))
+    def __init__(self, node_index: int, node_count: int, capacity_per_s: float) -> None:
+        if not (node_count >= 1 and 0 < capacity_per_s < math.inf):
+            raise ValueError(f"{node_count} nodes, {capacity_per_s} calls a second: both have to be over 0")
+        self.time_slot, self.rejections = time_slot(node_index), 0
+        self.base_period_ms = min(
+            MAX_PERIOD_MS, max(MIN_PERIOD_MS, 1000.0 * node_count / (CAPACITY_UTILIZATION * capacity_per_s))
+        )
 
     @property
-    def stretch_ms(self) -> float:
+    def period_ms(self) -> float:
         """Over which all nodes' calls are laid now."""
-        return min(MOST_MS, self.base_ms * 2.0 ** min(self.refusals, DOUBLINGS))
+        return min(MAX_PERIOD_MS, self.base_period_ms * 2.0 ** min(self.rejections, MAX_PERIOD_DOUBLINGS))
 
-    def first_ms(self) -> float:
+    def first_delay_ms(self) -> float:
         """The wait from the start on."""
-        return self.stretch_ms * self.turn
+        return self.period_ms * self.time_slot
 
-    def again_ms(self, refused: bool, advice_ms: float = 0.0) -> float:
+    def retry_delay_ms(self, was_rejected: bool, retry_after_ms: float = 0.0) -> float:
         """The wait after a failure; `advice_ms` is the `Retry-After` of one that refused, 0 for none."""
-        rest = self.stretch_ms * (1.0 - self.turn)  # of this stretch
-        self.refusals += refused
-        wait = rest + self.first_ms()
-        return wait if advice_ms <= wait else advice_ms + self.first_ms()
+        remaining_ms = self.period_ms * (1.0 - self.time_slot)  # of this stretch
+        self.rejections += was_rejected
+        delay_ms = remaining_ms + self.first_delay_ms()
+        return delay_ms if retry_after_ms <= delay_ms else retry_after_ms + self.first_delay_ms()
 
-    def done(self) -> None:
+    def reset(self) -> None:
         """It was answered."""
-        self.refusals = 0
+        self.rejections = 0
--- a/balancer/core/stall_detector.py
+++ b/balancer/core/stall_detector.py
@@ -12,37 +12,41 @@
 
 from __future__ import annotations
 
-BEAT_MS = 400.0  # how often a turn is told where nothing else happens
-STOOD_MS = 1_000.0  # without a turn, or the grace of drains, if shorter: over any work of the loop's own
-SETTLE_MS = 40.0  # for all that waits to be read
+HEARTBEAT_INTERVAL_MS = 400.0  # how often a turn is told where nothing else happens
+STALL_THRESHOLD_MS = (
+    1_000.0  # without a turn, or the grace of drains, if shorter: over any work of the loop's own
+)
+SETTLE_DURATION_MS = 40.0  # for all that waits to be read
 
 
-class Pause:
+class StallDetector:
     """`hold` is the number of the doubt that is on, 0: none; `age_ms` how old what is read in it may be."""
 
-    def __init__(self, now_ms: float, grace_ms: float = STOOD_MS) -> None:
-        self.most_ms = min(STOOD_MS, max(1.25 * BEAT_MS, grace_ms or STOOD_MS))
-        self.turned_ms, self.age_ms, self.hold, self._count = now_ms, 0.0, 0, 0
+    def __init__(self, now_ms: float, grace_ms: float = STALL_THRESHOLD_MS) -> None:
+        self.threshold_ms = min(
+            STALL_THRESHOLD_MS, max(1.25 * HEARTBEAT_INTERVAL_MS, grace_ms or STALL_THRESHOLD_MS)
+        )
+        self.last_turn_ms, self.input_age_ms, self.doubt_number, self._doubt_count = now_ms, 0.0, 0, 0
 
     def __repr__(self) -> str:
-        return f"<Pause {f'holds, as old as {self.age_ms:.0f} ms' if self.hold else 'acts'}>"
+        return f"<Pause {f'holds, as old as {self.input_age_ms:.0f} ms' if self.doubt_number else 'acts'}>"
 
-    def turned(self, now_ms: float) -> float:
+    def record_turn(self, now_ms: float) -> float:
         """The loop turned: for how long it stood still, where that begins a doubt, else 0.
 
         Whoever is told so hands in `settled` with `hold` after SETTLE_MS. Another gap within a doubt begins
         it anew: what was read before it may be as old as both.
         """
-        stood, self.turned_ms = now_ms - self.turned_ms, max(now_ms, self.turned_ms)
-        if stood <= self.most_ms:
+        stall_ms, self.last_turn_ms = now_ms - self.last_turn_ms, max(now_ms, self.last_turn_ms)
+        if stall_ms <= self.threshold_ms:
             return 0.0
-        self._count += 1
-        self.hold, self.age_ms = self._count, self.age_ms + stood
-        return stood
+        self._doubt_count += 1
+        self.doubt_number, self.input_age_ms = self._doubt_count, self.input_age_ms + stall_ms
+        return stall_ms
 
-    def settled(self, hold: int) -> bool:
+    def settle(self, doubt_number: int) -> bool:
         """Whether all that was held back is to be acted on now; after `turned`, whose timer may come late."""
-        if hold != self.hold or not hold:
+        if doubt_number != self.doubt_number or not doubt_number:
             return False
-        self.hold, self.age_ms = 0, 0.0
+        self.doubt_number, self.input_age_ms = 0, 0.0
         return True
--- a/balancer/net/admin_socket.py
+++ b/balancer/net/admin_socket.py
@@ -25,47 +25,47 @@
 from typing import TYPE_CHECKING, Any
 
 if TYPE_CHECKING:
-    from balancer.operator_settings import Operators
+    from balancer.operator_settings import OperatorSettings
 
 log = logging.getLogger(__name__)
 
-MAX_LINE = 4 * 1024  # bytes of a request
+MAX_LINE_BYTES = 4 * 1024  # bytes of a request
 MAX_CLIENTS = 8
-LIMIT = 5.0  # s for a client from its connect to its last answer
-MAX_ANSWER = 64 * 1024 * 1024  # bytes that `ask` reads: far more than 100,000 members
-TURN = 0.002  # s that a part of an iterator is worked on before the loop turns
-AGAIN = 2.0  # s until a socket that could not be made is tried again
-PIECE = 200  # items of an answer's list written between two turns of the loop
+CLIENT_TIMEOUT_S = 5.0  # s for a client from its connect to its last answer
+MAX_RESPONSE_BYTES = 64 * 1024 * 1024  # bytes that `ask` reads: far more than 100,000 members
+MAX_TURN_S = 0.002  # s that a part of an iterator is worked on before the loop turns
+RETRY_INTERVAL_S = 2.0  # s until a socket that could not be made is tried again
+ROWS_PER_CHUNK = 200  # items of an answer's list written between two turns of the loop
 
-Answer = Callable[[], dict[str, object]]
-Reply = Callable[[dict[str, Any]], dict[str, Any]]
+StatusProvider = Callable[[], dict[str, object]]
+CommandHandler = Callable[[dict[str, Any]], dict[str, Any]]
 
 
-class ControlError(RuntimeError):
+class AdminSocketError(RuntimeError):
     """The control socket cannot be made or asked; the text names its path and why."""
 
 
-class Control:
+class AdminSocket:
     """Serves the registered answers on a Unix socket, or nowhere until `listen` names one."""
 
     def __init__(self, uids: frozenset[int] | None = None) -> None:
         """`uids` are the users who are served: root and this process's own unless told otherwise."""
         self.uids = frozenset({0, os.geteuid()}) if uids is None else uids
         self.path: Path | None = None
-        self._answers: dict[str, Reply] = {}
+        self._answers: dict[str, CommandHandler] = {}
         self._server: asyncio.Server | None = None
         self._made: tuple[int, int] | None = None  # device and inode of the socket file
         self._clients: set[asyncio.Task[None]] = set()
         self._moving = asyncio.Lock()
 
-    def register(self, name: str, answer: Answer) -> None:
+    def register(self, name: str, answer: StatusProvider) -> None:
         """Answer `name` with what `answer` returns, JSON's own types; iterators in it are written as arrays.
 
         The node's loop turns between two pieces of a list or an iterator, so an iterator must stand changes.
         """
         self._answers[name] = lambda asked: answer()
 
-    def register_with(self, name: str, reply: Reply | None) -> None:
+    def register_with(self, name: str, reply: CommandHandler | None) -> None:
         """Answer `name` with what `reply` makes of the whole question; no longer where it is None."""
         if reply is None:
             self._answers.pop(name, None)
@@ -79,11 +79,11 @@
                 return
             made = None
             if path is not None:
-                sock = _bound(path)
+                sock = _bind(path)
                 found = path.stat()
                 made = found.st_dev, found.st_ino
                 try:
-                    server = await asyncio.start_unix_server(self._client, sock=sock, limit=MAX_LINE)
+                    server = await asyncio.start_unix_server(self._client, sock=sock, limit=MAX_LINE_BYTES)
                 except BaseException:  # cancelled as the node ends
                     sock.close()
                     path.unlink(missing_ok=True)
@@ -119,14 +119,16 @@
         assert task is not None
         writer.transport.set_write_buffer_limits(0)  # a drain waits until the kernel has everything
         try:
-            async with asyncio.timeout(LIMIT):
+            async with asyncio.timeout(CLIENT_TIMEOUT_S):
                 if len(self._clients) >= MAX_CLIENTS:
-                    await _say(writer, {"error": f"{MAX_CLIENTS} clients are being served, try again"})
+                    await _write_reply(
+                        writer, {"error": f"{MAX_CLIENTS} clients are being served, try again"}
+                    )
                     return
                 self._clients.add(task)
                 if (uid := _peer(writer)) not in self.uids:
                     log.warning("control: refused user %d", uid)
-                    await _say(writer, {"error": f"user {uid} is neither root nor the node's own"})
+                    await _write_reply(writer, {"error": f"user {uid} is neither root nor the node's own"})
                     return
                 await self._serve(reader, writer)
         except (TimeoutError, OSError):
@@ -142,11 +144,13 @@
             try:
                 line = await reader.readline()
             except ValueError:
-                await _say(writer, {"error": f"a request is one line of at most {MAX_LINE} bytes"})
+                await _write_reply(
+                    writer, {"error": f"a request is one line of at most {MAX_LINE_BYTES} bytes"}
+                )
                 return
             if not line:
                 return
-            await _say(writer, self._answer(line))
+            await _write_reply(writer, self._answer(line))
 
     def _answer(self, line: bytes) -> dict[str, object]:
         known = ", ".join(sorted(self._answers))
@@ -164,19 +168,19 @@
             return {"error": f"{name} failed: {type(err).__name__}"}
 
 
-class ControlPart:
+class AdminSocketComponent:
     """Keeps the control socket where the operators' file wants it, and tries again while that fails.
 
     Guards against a node that does not serve because one that still drains holds the path.
     """
 
-    def __init__(self, control: Control) -> None:
+    def __init__(self, control: AdminSocket) -> None:
         self.control = control
         self._wanted: Path | None = None
         self._changed = asyncio.Event()
         self._task = asyncio.get_running_loop().create_task(self._keep())
 
-    def apply(self, settings: Operators) -> None:
+    def apply(self, settings: OperatorSettings) -> None:
         """Move to another path, or to none, in the loop's next turns."""
         self._wanted = None if settings.control is None else settings.control.socket
         self._changed.set()
@@ -194,8 +198,8 @@
             wait = None
             try:
                 await self.control.listen(self._wanted)
-            except ControlError as err:
-                wait = AGAIN
+            except AdminSocketError as err:
+                wait = RETRY_INTERVAL_S
                 if said != str(err):
                     log.error("control: %s; it is tried again every %g s", err, wait)
                 said = str(err)
@@ -211,15 +215,15 @@
     return int(uid)
 
 
-async def _say(writer: asyncio.StreamWriter, answer: dict[str, object]) -> None:
+async def _write_reply(writer: asyncio.StreamWriter, answer: dict[str, object]) -> None:
     """Write an answer's line. Guards against thousands of members holding up the loop in one go."""
-    for piece in _pieces(answer):
+    for piece in _chunks(answer):
         writer.write(piece.encode("ascii"))
         await writer.drain()
         await asyncio.sleep(0)
 
 
-def _pieces(answer: dict[str, object]) -> Iterator[str]:
+def _chunks(answer: dict[str, object]) -> Iterator[str]:
     opening = "{"
     for name, value in answer.items():
         yield f"{opening}{json.dumps(name)}:"
@@ -231,7 +235,7 @@
         start, begun = "[", time.monotonic()
         for row in value:
             rows.append(json.dumps(row))
-            if len(rows) == PIECE or time.monotonic() - begun > TURN:
+            if len(rows) == ROWS_PER_CHUNK or time.monotonic() - begun > MAX_TURN_S:
                 yield start + ",".join(rows)
                 rows, start, begun = [], ",", time.monotonic()
         yield (start if rows or start == "[" else "") + ",".join(rows) + "]"
@@ -241,40 +245,40 @@
 # --- the socket file ----------------------------------------------------------------------------------
 
 
-def _bound(path: Path) -> socket.socket:
+def _bind(path: Path) -> socket.socket:
     """A socket at `path`, for its owner alone; one that a dead process left there goes."""
     try:
-        _clear(path)
+        _remove_stale_socket(path)
         sock = socket.socket(socket.AF_UNIX)
     except OSError as err:
-        raise ControlError(f"{path}: {err.strerror}") from None
+        raise AdminSocketError(f"{path}: {err.strerror}") from None
     old = os.umask(0o177)  # from its first moment on nobody else may connect
     try:
         sock.bind(str(path))
         sock.listen(MAX_CLIENTS)  # at once: what does not listen is taken for dead
     except OSError as err:
         sock.close()
-        raise ControlError(f"{path}: {err.strerror}") from None
+        raise AdminSocketError(f"{path}: {err.strerror}") from None
     finally:
         os.umask(old)
     sock.setblocking(False)
     return sock
 
 
-def _clear(path: Path) -> None:
+def _remove_stale_socket(path: Path) -> None:
     try:
         found = path.lstat()
     except FileNotFoundError:
         return
     if not stat.S_ISSOCK(found.st_mode):
-        raise ControlError(f"{path}: is there and is no socket; remove it or name another path")
+        raise AdminSocketError(f"{path}: is there and is no socket; remove it or name another path")
     with socket.socket(socket.AF_UNIX) as probe:
         probe.setblocking(False)
         state = probe.connect_ex(str(path))
     if state == errno.ECONNREFUSED:  # nobody listens: its process is dead
         path.unlink(missing_ok=True)
     elif state in (0, errno.EAGAIN):
-        raise ControlError(f"{path}: a running process listens there; name another path for this one")
+        raise AdminSocketError(f"{path}: a running process listens there; name another path for this one")
     else:
         raise OSError(state, os.strerror(state))
 
@@ -282,7 +286,7 @@
 # --- the other end ------------------------------------------------------------------------------------
 
 
-def ask(path: Path, name: str, wait: float = LIMIT, **more: Any) -> dict[str, Any]:
+def ask(path: Path, name: str, wait: float = CLIENT_TIMEOUT_S, **more: Any) -> dict[str, Any]:
     """What the node at `path` answers to `name` within `wait` seconds; raises ControlError.
 
     `more` are further keys of the question.
@@ -297,16 +301,16 @@
             while not told.endswith(b"\n"):
                 sock.settimeout(max(0.001, end - time.monotonic()))
                 piece = sock.recv(256 * 1024)
-                if not piece or len(told) > MAX_ANSWER:
-                    raise ControlError(f"{path}: the answer broke off after {len(told)} bytes")
+                if not piece or len(told) > MAX_RESPONSE_BYTES:
+                    raise AdminSocketError(f"{path}: the answer broke off after {len(told)} bytes")
                 told += piece
         answer = json.loads(told)
     except TimeoutError:
-        raise ControlError(f"{path}: no answer within {wait:g} s") from None
+        raise AdminSocketError(f"{path}: no answer within {wait:g} s") from None
     except OSError as err:
-        raise ControlError(f"{path}: no node answers there: {err.strerror or err}") from None
+        raise AdminSocketError(f"{path}: no node answers there: {err.strerror or err}") from None
     except (ValueError, RecursionError):
-        raise ControlError(f"{path}: what answers there is no node") from None
+        raise AdminSocketError(f"{path}: what answers there is no node") from None
     if not isinstance(answer, dict) or "error" in answer:
-        raise ControlError(f"{path}: {answer['error'] if isinstance(answer, dict) else 'no object'}")
+        raise AdminSocketError(f"{path}: {answer['error'] if isinstance(answer, dict) else 'no object'}")
     return answer
--- a/balancer/net/application.py
+++ b/balancer/net/application.py
@@ -22,48 +22,48 @@
 import uvloop
 
 from balancer.core.connection_admission import (
-    LEAST_SOCKETS,
-    SPARE,
-    places,
-    shares,
-    unread_budget,
+    MIN_DESCRIPTORS,
+    RESERVED_DESCRIPTORS,
+    connection_limits,
+    descriptor_quotas,
+    unread_budget_bytes,
 )
-from balancer.core.discovery.endpoint_merger import Listed, Source
+from balancer.core.discovery.endpoint_merger import EndpointsListed, Source
 from balancer.net import clock
 from balancer.net.config import Config, ConfigError, load
 from balancer.net.discovery import platform
 from balancer.net.discovery.platform import PlatformSource
-from balancer.net.endpoint_view import Fleet
-from balancer.net.http_server import Front
-from balancer.net.listener import fit
-from balancer.net.request_dispatcher import Node
+from balancer.net.endpoint_view import EndpointView
+from balancer.net.http_server import HttpServer
+from balancer.net.listener import raise_descriptor_limit
+from balancer.net.request_dispatcher import RequestDispatcher
 
 if TYPE_CHECKING:
     from pathlib import Path
 
-    from balancer.net.components import Parts
-    from balancer.operator_settings import Operators
+    from balancer.net.components import Components
+    from balancer.operator_settings import OperatorSettings
 
-ENDING = (signal.SIGTERM, signal.SIGINT)
-LOG_LINES, LOG_TIME = 50, 10.0  # at most so many lines in so many seconds
+TERMINATION_SIGNALS = (signal.SIGTERM, signal.SIGINT)
+MAX_LOG_LINES, LOG_WINDOW_S = 50, 10.0  # at most so many lines in so many seconds
 
 
-class Brake(logging.Filter):
+class LogRateLimiter(logging.Filter):
     """Bounds the log: guards against peers for each of whose messages a line is written."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.start, self.lines = 0.0, 0
+        self.window_start_s, self.count = 0.0, 0
 
     def filter(self, record: logging.LogRecord) -> bool:
         """Pass the first lines of each stretch of time; the next stretch says how many were left out."""
-        if record.created - self.start >= LOG_TIME:
-            if self.lines > LOG_LINES:
-                record.msg = f"({self.lines - LOG_LINES} lines left out) {record.getMessage()}"
+        if record.created - self.window_start_s >= LOG_WINDOW_S:
+            if self.count > MAX_LOG_LINES:
+                record.msg = f"({self.count - MAX_LOG_LINES} lines left out) {record.getMessage()}"
                 record.args = None
-            self.start, self.lines = record.created, 0
-        self.lines += 1
-        return self.lines <= LOG_LINES
+            self.window_start_s, self.count = record.created, 0
+        self.count += 1
+        return self.count <= MAX_LOG_LINES
 
 
 def reload(discovery: PlatformSource) -> None:
@@ -73,14 +73,14 @@
     except ConfigError as err:
         logging.error("reload: the old configuration stays: %s", " ".join(str(err).split()))
         return
-    discovery.move(config.discovery)
-    logging.info("reload: discovery is at %s:%d", *config.discovery)
+    discovery.set_address(config.discovery_address)
+    logging.info("reload: discovery is at %s:%d", *config.discovery_address)
 
 
 async def serve(
     config: Config,
     path: Path | None = None,
-    operators: Operators | None = None,
+    operators: OperatorSettings | None = None,
     hung_up: Sequence[int] = (),
     began: Mapping[str, float] | None = None,
 ) -> None:
@@ -91,21 +91,21 @@
     `began` are times of the start so far, for `net/recovery`.
     """
     loop = asyncio.get_running_loop()
-    node = Node(config)
-    listed = Source(platform.NAME)
-    fleet = Fleet(node, [listed])
+    node = RequestDispatcher(config)
+    listed = Source(platform.SOURCE_NAME)
+    fleet = EndpointView(node, [listed])
     node.discovery = discovery = PlatformSource(
-        config.discovery,
+        config.discovery_address,
         config.settings.must_poll,
         config.settings.drain_grace_ms,
         node.now,
-        fleet.hand,
-        lambda: fleet.resume(platform.NAME),
+        fleet.handle,
+        lambda: fleet.watch_revision(platform.SOURCE_NAME),
         node.list_failed,
     )
-    cap, over = places(config.client_sockets)
-    front = Front(node, cap, unread_budget(config.memory_mb), over)
-    parts: Parts | None = None
+    cap, over = connection_limits(config.max_client_sockets)
+    front = HttpServer(node, cap, unread_budget_bytes(config.memory_mb), over)
+    parts: Components | None = None
     stop = asyncio.Event()
 
     def told() -> None:  # the times count from the first of such signals
@@ -113,7 +113,7 @@
             front.ends = node.stop()
         stop.set()
 
-    for number in ENDING:
+    for number in TERMINATION_SIGNALS:
         loop.add_signal_handler(number, told)
 
     def hangup() -> None:  # never before the loop's next turn, when all below is there
@@ -126,27 +126,36 @@
     loop.add_signal_handler(signal.SIGHUP, hangup)
     if hung_up:
         loop.call_soon(hangup)
-    fleet.hand(Listed(platform.NAME, platform.identity(config.discovery), config.known, saved=True))
+    fleet.handle(
+        EndpointsListed(
+            platform.SOURCE_NAME,
+            platform.source_identity(config.discovery_address),
+            config.configured_endpoints,
+            is_cached=True,
+        )
+    )
     if not config.settings.must_poll:
         discovery.watch(True)
     if operators is not None:
-        from balancer.net.admin_socket import Control
-        from balancer.net.component import Running
-        from balancer.net.components import Parts
+        from balancer.net.admin_socket import AdminSocket
+        from balancer.net.component import RunningNode
+        from balancer.net.components import Components
 
-        running = Running(node, fleet, (listed,), Control(), name=config.name, parts=began or {})
-        parts = Parts(path, operators, running)
+        running = RunningNode(
+            node, fleet, (listed,), AdminSocket(), name=config.name, start_phases_ms=began or {}
+        )
+        parts = Components(path, operators, running)
     try:
-        await front.listen(config.listen)
+        await front.listen(config.listen_address)
         gc.freeze()
         logging.info("%s serves on %s:%d", config.name, *front.address)
         await stop.wait()
         assert front.ends is not None
-        await asyncio.sleep((front.ends.accept_ms - node.now()) / 1000)
+        await asyncio.sleep((front.ends.accept_until_ms - node.now()) / 1000)
         front.stop()
         await front.finish()
         # Guards against the signals' default, which comes back with the loop's end, before the process's own.
-        signal.pthread_sigmask(signal.SIG_BLOCK, (*ENDING, signal.SIGHUP))
+        signal.pthread_sigmask(signal.SIG_BLOCK, (*TERMINATION_SIGNALS, signal.SIGHUP))
         discovery.watch(False)
         node.pool.close()
     finally:
@@ -158,14 +167,14 @@
 def run(
     config: Config,
     path: Path | None = None,
-    operators: Operators | None = None,
+    operators: OperatorSettings | None = None,
     hung_up: Sequence[int] = (),
     began: Mapping[str, float] | None = None,
 ) -> int:
     """Run a node to its end; the exit code. One that cannot start says why in one line."""
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s")
-    logging.getLogger().handlers[0].addFilter(Brake())
-    if operators is not None and (wrong := clock.set_off(os.environ)):
+    logging.getLogger().handlers[0].addFilter(LogRateLimiter())
+    if operators is not None and (wrong := clock.set_offset(os.environ)):
         print(f"balancer: {wrong}", file=sys.stderr)
         return 2
     if operators is not None:
@@ -173,13 +182,15 @@
 
         if warning := deprecation_warning():
             logging.warning("%s", warning)
-    wanted = config.client_sockets + config.upstream_sockets + SPARE
-    if (there := fit(wanted)) < min(wanted, LEAST_SOCKETS):
-        print(f"balancer: limits: {there} descriptors (ulimit -n), {LEAST_SOCKETS} at least", file=sys.stderr)
+    wanted = config.max_client_sockets + config.max_backend_sockets + RESERVED_DESCRIPTORS
+    if (there := raise_descriptor_limit(wanted)) < min(wanted, MIN_DESCRIPTORS):
+        print(
+            f"balancer: limits: {there} descriptors (ulimit -n), {MIN_DESCRIPTORS} at least", file=sys.stderr
+        )
         return 2
     if there < wanted:
-        clients, upstream = shares(there)
-        config = replace(config, client_sockets=clients, upstream_sockets=upstream)
+        clients, upstream = descriptor_quotas(there)
+        config = replace(config, max_client_sockets=clients, max_backend_sockets=upstream)
         logging.warning(
             "limits.sockets is %d, the process may hold %d (ulimit -n): %d for clients, %d for servers",
             wanted,
--- a/balancer/net/backend_pool.py
+++ b/balancer/net/backend_pool.py
@@ -15,20 +15,28 @@
 import httptools
 
 from balancer import interface as api
-from balancer.core.connection_admission import MOST_BODY, USUAL_BODY, LongBodies
-from balancer.core.stall_detector import STOOD_MS
+from balancer.core.connection_admission import (
+    MAX_FORWARDED_BODY_BYTES,
+    UNBUDGETED_BODY_BYTES,
+    LargeBodyBudget,
+)
+from balancer.core.stall_detector import STALL_THRESHOLD_MS
 from balancer.endpoints import Address, EndpointRecord
 from balancer.interface import AttemptStatus
 
 log = logging.getLogger(__name__)
 
-MAX_HEAD = 16 * 1024
-MAX_REST = 8 * USUAL_BODY  # bytes of an answer beside its body: chunks of one byte are six times its size
-KEEP = 0.7  # part of the backend's idle limit after which this side closes
-REST = 0.01  # s from an answer to the next request: a second answer may come some milliseconds late
-SWEEP = 0.1  # part of the idle limit between two looks for idle connections
-Data = bytes | Callable[[], bytes]  # a request, or what gives it as it is written, with the time left then
-FIELDS = {
+MAX_HEAD_BYTES = 16 * 1024
+MAX_FRAMING_BYTES = (
+    8 * UNBUDGETED_BODY_BYTES
+)  # bytes of an answer beside its body: chunks of one byte are six times its size
+IDLE_LIMIT_RATIO = 0.7  # part of the backend's idle limit after which this side closes
+REUSE_DELAY_S = 0.01  # s from an answer to the next request: a second answer may come some milliseconds late
+SWEEP_INTERVAL_RATIO = 0.1  # part of the idle limit between two looks for idle connections
+RequestData = (
+    bytes | Callable[[], bytes]
+)  # a request, or what gives it as it is written, with the time left then
+LOAD_REPORT_FIELDS = {
     "inflight": "in_flight",
     "active": "in_flight",
     "queue": "queued",
@@ -44,7 +52,7 @@
 }
 
 
-def parse_report(value: str) -> api.LoadReport:
+def parse_load_report(value: str) -> api.LoadReport:
     """A load report header; fields of other names are skipped. Raises ValueError."""
     form, _, rest = value.partition(" ")
     out = api.LoadReport()
@@ -56,15 +64,15 @@
             number = float(text)
             if not 0 <= number < math.inf:
                 raise ValueError(text)
-            if name in FIELDS:
-                setattr(out, FIELDS[name], number)
+            if name in LOAD_REPORT_FIELDS:
+                setattr(out, LOAD_REPORT_FIELDS[name], number)
     except ValueError:
         raise ValueError(f"not a load report: {value!r:.120}") from None
     return out
 
 
 @dataclass(slots=True)
-class Answer:
+class BackendResponse:
     """How an attempt ended; `body` and `content_type` are those of a backend's 200."""
 
     status: AttemptStatus
@@ -73,24 +81,26 @@
     content_type: bytes = b""
 
 
-class Attempt:
+class Exchange:
     """One request on its way to one backend; `done` is called once with its end, unless it is dropped.
 
     It is moot where it can't be written by `begin_by`, on the monotonic clock.
     """
 
-    __slots__ = ("begin_by", "connection", "data", "done")
+    __slots__ = ("connection", "data", "done", "start_before_ms")
 
-    def __init__(self, data: Data, done: Callable[[Answer], None], begin_by: float = math.inf) -> None:
-        self.data, self.done, self.begin_by = data, done, begin_by
-        self.connection: Connection | None = None
+    def __init__(
+        self, data: RequestData, done: Callable[[BackendResponse], None], begin_by: float = math.inf
+    ) -> None:
+        self.data, self.done, self.start_before_ms = data, done, begin_by
+        self.connection: BackendConnection | None = None
 
     @property
     def left(self) -> bool:
         """Whether the request's last byte may have left this node."""
         return self.connection is not None and self.connection.wrote and not self.connection.blocked
 
-    def end(self, answer: Answer) -> None:
+    def end(self, answer: BackendResponse) -> None:
         """Report the end."""
         self.connection = None
         self.done(answer)
@@ -103,27 +113,27 @@
             self.connection = None
 
 
-class Host:
+class BackendConnections:
     """One backend: where it listens, whether it takes work, its idle connections, latest used last."""
 
-    __slots__ = ("address", "idle", "up")
+    __slots__ = ("address", "idle", "is_listed")
 
     def __init__(self, address: Address) -> None:
-        self.address, self.up = address, True
-        self.idle: list[Connection] = []
+        self.address, self.is_listed = address, True
+        self.idle: list[BackendConnection] = []
 
 
-class Connection(asyncio.Protocol):
+class BackendConnection(asyncio.Protocol):
     """One connection to a backend; it carries one attempt at a time."""
 
-    def __init__(self, pool: Pool, host: Host) -> None:
+    def __init__(self, pool: BackendPool, host: BackendConnections) -> None:
         self.pool, self.host, self.address = pool, host, host.address
         family = socket.AF_INET6 if ":" in host.address[0] else socket.AF_INET
         self.sock = socket.socket(family, socket.SOCK_STREAM)
         self.sock.setblocking(False)
         self.transport: asyncio.Transport | None = None
         self.task: asyncio.Task[None] | None = None
-        self.attempt: Attempt | None = None
+        self.attempt: Exchange | None = None
         self.handed = False  # the descriptor is the transport's, which is its only owner from then on
         self.resting: asyncio.TimerHandle | None = None  # its attempt waits until it has rested
         self.closed = self.wrote = self.blocked = False
@@ -142,7 +152,7 @@
     def _forget(self) -> None:
         """Hold no body: guards memory against those of all connections that rest."""
         self.body: list[bytes] = []
-        self.pool.long.give(self.long)
+        self.pool.long.release(self.long)
         self.long = 0
 
     # --- opening, closing
@@ -164,7 +174,7 @@
         else:
             self._begin()
 
-    def rest(self, attempt: Attempt, wait: float) -> None:
+    def rest(self, attempt: Exchange, wait: float) -> None:
         """Write the attempt in `wait` seconds, if nothing comes by then that belongs to the last one."""
         self.attempt, attempt.connection = attempt, self
         self.resting = self.pool.loop.call_later(wait, self._begin)
@@ -172,10 +182,13 @@
     def _begin(self) -> None:
         """Write the attempt that waits."""
         attempt = self.attempt
-        stood = self.resting is not None and time.monotonic() > self.idle_since + REST + STOOD_MS / 1000
+        stood = (
+            self.resting is not None
+            and time.monotonic() > self.idle_since + REUSE_DELAY_S + STALL_THRESHOLD_MS / 1000
+        )
         if attempt is None:
             self.close()
-        elif not self.host.up or self.host.address != self.address or stood:
+        elif not self.host.is_listed or self.host.address != self.address or stood:
             # Guards against sending to a backend that was taken off the list while the attempt waited, and,
             # where the process stood still, may have been: the timer can come before that is read.
             self.resting = None
@@ -206,7 +219,7 @@
         if attempt is not None and resting is not None:
             self.pool.connect(self.host, attempt)  # nothing of it was written here
         elif attempt is not None:
-            attempt.end(Answer(status))
+            attempt.end(BackendResponse(status))
 
     def close(self) -> None:
         """Close now: transports would do it a turn of the loop later, after the next attempt went out."""
@@ -244,13 +257,13 @@
         """The request's last byte has left."""
         self.blocked = False
 
-    def write(self, attempt: Attempt) -> None:
+    def write(self, attempt: Exchange) -> None:
         """Send the attempt's request."""
         assert self.transport is not None
         self.attempt, attempt.connection = attempt, self
         self._reset()
         # Guards against an effect doubled by a repeat whose connection came up after its window had ended.
-        if time.monotonic() > attempt.begin_by:
+        if time.monotonic() > attempt.start_before_ms:
             self._fail(AttemptStatus.NOT_STARTED)
             return
         data, attempt.data = attempt.data, b""
@@ -263,10 +276,10 @@
         # Guards against calling a reset what never left: a write that fails at once closes the transport.
         if self.transport.is_closing():
             self._fail(AttemptStatus.CONNECT_FAILED)
-        elif self.blocked and attempt.begin_by < math.inf:
-            self.pool.loop.call_later(attempt.begin_by - time.monotonic(), self._late, attempt)
+        elif self.blocked and attempt.start_before_ms < math.inf:
+            self.pool.loop.call_later(attempt.start_before_ms - time.monotonic(), self._late, attempt)
 
-    def _late(self, attempt: Attempt) -> None:
+    def _late(self, attempt: Exchange) -> None:
         """Its window has ended: guards against an effect doubled by one whose last byte is still here."""
         if self.attempt is attempt and self.blocked:
             self._fail(AttemptStatus.NOT_STARTED)
@@ -303,7 +316,7 @@
             self._fail(AttemptStatus.CONNECT_FAILED)
         elif self.complete:
             self._finish(not fault and not self.excess)
-        elif fault or self.large or self.head > MAX_HEAD or self.bytes - self.size > MAX_REST:
+        elif fault or self.large or self.head > MAX_HEAD_BYTES or self.bytes - self.size > MAX_FRAMING_BYTES:
             log.warning("backend %s:%d: %s", *self.address, fault or "answer too large")
             self._fail(AttemptStatus.RESET)
 
@@ -321,7 +334,7 @@
         self.sized = self.sized or key in (b"content-length", b"transfer-encoding")
         if key == b"content-length":
             # Known from the head: its body is not waited for. An interim answer has none, whatever it says.
-            self.large = int(value) > MOST_BODY and self.parser.get_status_code() >= 200
+            self.large = int(value) > MAX_FORWARDED_BODY_BYTES and self.parser.get_status_code() >= 200
         elif key == b"server-load":
             self.load = value
         elif key == b"not-started":
@@ -338,8 +351,8 @@
         if self.complete or self.closed:
             return
         self.size += len(body)
-        long = self.pool.long.take(self.long, self.size)
-        self.large = self.large or self.size > MOST_BODY or long is None
+        long = self.pool.long.reserve(self.long, self.size)
+        self.large = self.large or self.size > MAX_FORWARDED_BODY_BYTES or long is None
         if long is not None:
             self.long = long
         if not self.large:
@@ -362,12 +375,12 @@
         report = None
         if self.load:
             try:
-                report = parse_report(self.load.decode("latin-1"))
+                report = parse_load_report(self.load.decode("latin-1"))
             except ValueError as err:
                 log.warning("backend %s:%d: %s", *self.address, err)
-        answer = Answer(AttemptStatus.ERROR, report)
+        answer = BackendResponse(AttemptStatus.ERROR, report)
         if self.code == 200 and not self.large:
-            answer = Answer(AttemptStatus.OK, report, b"".join(self.body), self.content_type)
+            answer = BackendResponse(AttemptStatus.OK, report, b"".join(self.body), self.content_type)
         elif self.code in (503, 504) and self.not_started and not self.large:
             answer.status = AttemptStatus.REJECTED
         self._forget()
@@ -375,16 +388,16 @@
         attempt.end(answer)
 
 
-class Pool:
+class BackendPool:
     """All connections to backends."""
 
-    def __init__(self, settings: api.Settings, limit: int, long: LongBodies | None = None) -> None:
+    def __init__(self, settings: api.Settings, limit: int, long: LargeBodyBudget | None = None) -> None:
         """At most `limit` connections; their long bodies count into `long`."""
-        self.long = long or LongBodies()
+        self.long = long or LargeBodyBudget()
         self.connect_timeout = settings.connect_timeout_ms / 1000
         self.idle_limit = settings.connection_idle_ms / 1000
         self.limit, self.count = limit, 0
-        self.hosts: dict[str, Host] = {}
+        self.hosts: dict[str, BackendConnections] = {}
         self.sweeper: asyncio.TimerHandle | None = None
         self.loop = asyncio.get_running_loop()
 
@@ -395,16 +408,16 @@
         for member in members:
             name = member.endpoint.id
             if (host := self.hosts.get(name)) is None:
-                host = self.hosts[name] = Host(member.address)
-            host.up = member.endpoint.phase is api.Phase.UP
-            if not host.up or host.address != member.address:
+                host = self.hosts[name] = BackendConnections(member.address)
+            host.is_listed = member.endpoint.phase is api.Phase.UP
+            if not host.is_listed or host.address != member.address:
                 self.close_idle(name)
             host.address = member.address
 
     def _remove(self, name: str) -> None:
         """Forget a backend; an attempt that is out there ends on its own."""
         if name in self.hosts:
-            self.hosts[name].up = False
+            self.hosts[name].is_listed = False
             self.close_idle(name)
             del self.hosts[name]
 
@@ -414,21 +427,25 @@
             connection.close()
 
     def start(
-        self, name: str, data: Data, done: Callable[[Answer], None], begin_by: float = math.inf
-    ) -> Attempt:
+        self,
+        name: str,
+        data: RequestData,
+        done: Callable[[BackendResponse], None],
+        begin_by: float = math.inf,
+    ) -> Exchange:
         """Begin an attempt: on the connection used last, or on a new one. `done` may be called at once.
 
         One that has not rested is passed over, or waited for where there is no other: a new one takes longer.
         Guards against taking what comes late behind an answer for that of this request.
         """
         host = self.hosts[name]
-        attempt = Attempt(data, done, begin_by)
+        attempt = Exchange(data, done, begin_by)
         now = time.monotonic()  # the loop's own clock stands still while it works
-        resting: Connection | None = None  # the one that has rested longest
+        resting: BackendConnection | None = None  # the one that has rested longest
         for connection in reversed(host.idle[:]):
-            if now - connection.idle_since < REST:
+            if now - connection.idle_since < REUSE_DELAY_S:
                 resting = connection
-            elif now - connection.idle_since > KEEP * self.idle_limit or not connection.clean:
+            elif now - connection.idle_since > IDLE_LIMIT_RATIO * self.idle_limit or not connection.clean:
                 connection.close()
             else:
                 host.idle.remove(connection)
@@ -436,21 +453,21 @@
                 return attempt
         if resting is not None and resting.clean:
             host.idle.remove(resting)
-            resting.rest(attempt, REST - (now - resting.idle_since))
+            resting.rest(attempt, REUSE_DELAY_S - (now - resting.idle_since))
         else:
             self.connect(host, attempt)
         return attempt
 
-    def connect(self, host: Host, attempt: Attempt) -> None:
+    def connect(self, host: BackendConnections, attempt: Exchange) -> None:
         """Begin an attempt on a new connection."""
-        if not host.up or (self.count >= self.limit and not self._evict()):
-            attempt.end(Answer(AttemptStatus.NOT_STARTED))
+        if not host.is_listed or (self.count >= self.limit and not self._evict()):
+            attempt.end(BackendResponse(AttemptStatus.NOT_STARTED))
             return
         try:
-            connection = Connection(self, host)
+            connection = BackendConnection(self, host)
         except OSError as err:  # guards the count of connections when no descriptor is left
             log.warning("no socket for a backend: %s", err)
-            attempt.end(Answer(AttemptStatus.NOT_STARTED))
+            attempt.end(BackendResponse(AttemptStatus.NOT_STARTED))
             return
         self.count += 1
         connection.attempt, attempt.connection = attempt, connection
@@ -463,26 +480,30 @@
             min(idle, key=lambda connection: connection.idle_since).close()
         return bool(idle)
 
-    def release(self, connection: Connection, reusable: bool) -> None:
+    def release(self, connection: BackendConnection, reusable: bool) -> None:
         """Take back a connection after its answer."""
         host = connection.host
-        reusable = reusable and KEEP * self.idle_limit > REST
-        if not reusable or not host.up or host.address != connection.address or connection.closed:
+        reusable = reusable and IDLE_LIMIT_RATIO * self.idle_limit > REUSE_DELAY_S
+        if not reusable or not host.is_listed or host.address != connection.address or connection.closed:
             connection.close()
             return
         connection.wrote, connection.idle_since = False, time.monotonic()
         host.idle.append(connection)
         if self.sweeper is None:
-            self.sweeper = self.loop.call_later(max(SWEEP * self.idle_limit, 0.05), self._sweep)
+            self.sweeper = self.loop.call_later(
+                max(SWEEP_INTERVAL_RATIO * self.idle_limit, 0.05), self._sweep
+            )
 
     def _sweep(self) -> None:
         """Close what has been idle for long, well before the backend does so under a request."""
-        self.sweeper, stale = None, time.monotonic() - KEEP * self.idle_limit
+        self.sweeper, stale = None, time.monotonic() - IDLE_LIMIT_RATIO * self.idle_limit
         for host in self.hosts.values():
             for connection in [c for c in host.idle if c.idle_since < stale]:
                 connection.close()
         if any(host.idle for host in self.hosts.values()):
-            self.sweeper = self.loop.call_later(max(SWEEP * self.idle_limit, 0.05), self._sweep)
+            self.sweeper = self.loop.call_later(
+                max(SWEEP_INTERVAL_RATIO * self.idle_limit, 0.05), self._sweep
+            )
 
     def close(self) -> None:
         """Close all idle connections, at the end."""
--- a/balancer/net/clock.py
+++ b/balancer/net/clock.py
@@ -6,20 +6,20 @@
 from collections.abc import Mapping
 
 TEST_CLOCK = "BALANCER_TEST_CLOCK_MS"  # for tests alone, and read only where there is an operators' file
-_off_ms = 0.0
+_offset_ms = 0.0
 
 
 def wall_ms() -> float:
     """Unix time in milliseconds; it may jump."""
-    return time.time() * 1000 + _off_ms
+    return time.time() * 1000 + _offset_ms
 
 
-def set_off(env: Mapping[str, str]) -> str:
+def set_offset(env: Mapping[str, str]) -> str:
     """Add what a test asks for to every reading from now on; what is wrong with it, or nothing."""
     global _off_ms
     text = env.get(TEST_CLOCK, "0")
     try:
-        _off_ms = float(int(text))
+        _offset_ms = float(int(text))
     except ValueError:
         return f"{TEST_CLOCK}: found {text!r:.40}; allowed: whole milliseconds, such as -5000"
     return ""
--- a/balancer/net/cluster.py
+++ b/balancer/net/cluster.py
@@ -30,97 +30,105 @@
 from balancer.core.cluster import failure_detector as p
 from balancer.core.cluster import gossip_coordinator as together
 from balancer.core.cluster import quota_allocation as shares
-from balancer.core.cluster.node_state import ROUND_MS
-from balancer.core.cluster.report import figures, report
-from balancer.core.stall_detector import Pause
+from balancer.core.cluster.node_state import GOSSIP_INTERVAL_MS
+from balancer.core.cluster.report import count_by_state, peers_report
+from balancer.core.stall_detector import StallDetector
 from balancer.endpoints import Address
-from balancer.net.cluster_gossip import Words
-from balancer.net.component import Running
-from balancer.operator_settings import Operators, PeersSettings
+from balancer.net.cluster_gossip import ClusterGossip
+from balancer.net.component import RunningNode
+from balancer.operator_settings import OperatorSettings, PeersSettings
 from balancer.operator_settings.peers import written
 from balancer.protocol import gossip
 from balancer.protocol import gossip_sections as goes_by
 
 log = logging.getLogger(__name__)
 
-TURN = 32  # datagrams read in one turn of the loop: some 1 ms where all of them are right
-BEAT = ROUND_MS / 1000  # s between two rounds, and turns where nothing happens
-AGAIN = 2.0  # s until an address that could not be had is tried again
-LOUD = frozenset({"failed", "doubled", "yielded", "full"})
-OFTEN = frozenset({"joined", "suspected"})  # on the time line alone: the log has a bound for all of the node
+MAX_DATAGRAMS_PER_CALLBACK = (
+    32  # datagrams read in one turn of the loop: some 1 ms where all of them are right
+)
+ROUND_INTERVAL_S = GOSSIP_INTERVAL_MS / 1000  # s between two rounds, and turns where nothing happens
+LISTEN_RETRY_INTERVAL_S = 2.0  # s until an address that could not be had is tried again
+WARNING_CHANGES = frozenset({"failed", "doubled", "yielded", "full"})
+DEBUG_CHANGES = frozenset(
+    {"joined", "suspected"}
+)  # on the time line alone: the log has a bound for all of the node
 
 
-class PeersPart:
+class ClusterComponent:
     """Who is there, as this node sees it."""
 
-    def __init__(self, running: Running) -> None:
+    def __init__(self, running: RunningNode) -> None:
         self.running, self.node = running, running.node
         self.loop = asyncio.get_running_loop()
-        self.peers: p.Peers | None = None
-        self.words: Words | None = None  # from the first word on, until it is off
-        self.trouble = ""  # why there is no socket
+        self.detector: p.FailureDetector | None = None
+        self.cluster_gossip: ClusterGossip | None = None  # from the first word on, until it is off
+        self.listen_error = ""  # why there is no socket
         self.counts: Counter[str] = Counter()  # datagrams: received, sent, unsent
-        self._wanted: PeersSettings | None = None
-        self._settings = Operators()
+        self._peers_settings: PeersSettings | None = None
+        self._operator_settings = OperatorSettings()
         self._socket: socket.socket | None = None
-        self._at: tuple[Address, Address | None] | None = None  # where it listens and is seen
-        self._before: p.Peers | None = None  # at the address before
+        self._bound_addresses: tuple[Address, Address | None] | None = None  # where it listens and is seen
+        self._previous_detector: p.FailureDetector | None = None  # at the address before
         self._writer: gossip.Writer | None = None
         self._reader = gossip.Reader(())
-        self._pause = Pause(self.node.now(), 0.001)  # the least that it takes: a suspicion may last 0.6 s
-        self._told = 0  # the last incarnation that `core/recovery` knows to be told
-        self._wake: asyncio.TimerHandle | None = None
-        self._wake_ms = float("inf")
-        self._beat: asyncio.TimerHandle | None = None
-        self._again: asyncio.TimerHandle | None = None
+        self._stall_detector = StallDetector(
+            self.node.now(), 0.001
+        )  # the least that it takes: a suspicion may last 0.6 s
+        self._announced_incarnation = 0  # the last incarnation that `core/recovery` knows to be told
+        self._timer: asyncio.TimerHandle | None = None
+        self._timer_at_ms = float("inf")
+        self._round_timer: asyncio.TimerHandle | None = None
+        self._listen_retry_timer: asyncio.TimerHandle | None = None
         running.peers = self
 
     # --- the settings
 
-    def apply(self, settings: Operators) -> None:
+    def apply(self, settings: OperatorSettings) -> None:
         """Listen elsewhere, ask others, sign with another key; say that it leaves where it is off."""
-        was, now = self._wanted, settings.peers
-        if now is None:
-            self._wanted = None
-            self._unheard(lift=True)
+        previous, peers_settings = self._peers_settings, settings.peers
+        if peers_settings is None:
+            self._peers_settings = None
+            self._close_gossip(withdraw=True)
             self._stop(leave=True)
             self.running.control.register_with("peers", None)
             return
-        keys = gossip.keys_of(now.keys)
+        keys = gossip.parse_keys(peers_settings.keys)
         writer = self._writer or gossip.Writer(self.running.name, keys)  # raises where the name is too long
         if not self.running.name:
             raise ValueError("the configuration gives this node no name, by which others would know it")
-        self._wanted, self._writer = now, writer
+        self._peers_settings, self._writer = peers_settings, writer
         # From one datagram to the next: all keys are believed, so nobody is unheard meanwhile.
         writer.keys = self._reader.keys = keys
-        if (opened := now.too_open()) and (was is None or was.keys != now.keys):
-            log.warning("peers: %s", opened)
+        if (warning := peers_settings.too_open()) and (
+            previous is None or previous.keys != peers_settings.keys
+        ):
+            log.warning("peers: %s", warning)
         self.running.control.register("peers", self.report)
-        self._settings = settings
-        if self.words is not None:
-            self.words.set(settings)
-        if self._at != (now.listen, now.address):
-            self._listen(now)
+        self._operator_settings = settings
+        if self.cluster_gossip is not None:
+            self.cluster_gossip.apply(settings)
+        if self._bound_addresses != (peers_settings.listen, peers_settings.address):
+            self._listen(peers_settings)
             return
-        self.trouble = ""
-        if self.peers is not None:
-            self.peers.ask_at(_seeds(now))
+        self.listen_error = ""
+        if self.detector is not None:
+            self.detector.set_seeds(seed_addresses(peers_settings))
 
     async def close(self) -> None:
         """Say that it leaves."""
-        self._wanted = None
-        self._unheard(lift=False)
+        self._peers_settings = None
+        self._close_gossip(withdraw=False)
         self._stop(leave=True)
 
     def _listen(self, settings: PeersSettings) -> None:
         """Have the address, and begin there as soon as it is known who this is."""
-        if self._again is not None:
-            self._again.cancel()
-            self._again = None
-        if settings is not self._wanted:
+        if self._listen_retry_timer is not None:
+            self._listen_retry_timer.cancel()
+            self._listen_retry_timer = None
+        if settings is not self._peers_settings:
             return
-        before = self.peers
-        if self._at is not None and self._at[0] == settings.listen:
+        previous_detector = self.detector
+        if self._bound_addresses is not None and self._bound_addresses[0] == settings.listen:
             self._stop()  # or it would be in its own way
         family = socket.AF_INET6 if ":" in settings.listen[0] else socket.AF_INET
         try:
@@ -131,258 +139,280 @@
             except OSError:
                 sock.close()
                 raise
-        except OSError as err:
-            why = f"{written(settings.listen)}: {err.strerror or err}"
-            if why != self.trouble:
-                log.error("peers: %s; it is tried again every %g s, the node serves on", why, AGAIN)
-            self.trouble = why
-            if self.peers is None:  # nobody could say any more that what was taken holds no longer
-                self._unheard(lift=True)
-            self._again = self.loop.call_later(AGAIN, self._listen, settings)
+        except OSError as error:
+            reason = f"{written(settings.listen)}: {error.strerror or error}"
+            if reason != self.listen_error:
+                log.error(
+                    "peers: %s; it is tried again every %g s, the node serves on",
+                    reason,
+                    LISTEN_RETRY_INTERVAL_S,
+                )
+            self.listen_error = reason
+            if self.detector is None:  # nobody could say any more that what was taken holds no longer
+                self._close_gossip(withdraw=True)
+            self._listen_retry_timer = self.loop.call_later(LISTEN_RETRY_INTERVAL_S, self._listen, settings)
             return
         self._stop()
-        self._socket, self._before, self.trouble = sock, before, ""
-        self._at = settings.listen, settings.address
-        meter = self.running.recovery
-        if meter is None or meter.began:
-            self._begin()
+        self._socket, self._previous_detector, self.listen_error = sock, previous_detector, ""
+        self._bound_addresses = settings.listen, settings.address
+        recovery = self.running.recovery
+        if recovery is None or recovery.has_begun:
+            self._start_detector()
         else:
-            meter.when_begun.append(self._begin)
+            recovery.on_begun.append(self._start_detector)
 
-    def _begin(self) -> None:
+    def _start_detector(self) -> None:
         """Speak, or ask first who this is."""
-        settings, sock = self._wanted, self._socket
-        if settings is None or sock is None or self.peers is not None:
+        settings, sock = self._peers_settings, self._socket
+        if settings is None or sock is None or self.detector is not None:
             return
-        life, whole = self._life()
-        if life >= p.INCARNATION_MAX:
-            log.error("peers: life %d is over what others take; the node serves without peers", life)
+        incarnation, is_persisted = self._restored_incarnation()
+        if incarnation >= p.MAX_INCARNATION:
+            log.error("peers: life %d is over what others take; the node serves without peers", incarnation)
             return
-        address, seeds = written(settings.address or sock.getsockname()[:2]), _seeds(settings)
-        if (before := self._before) is not None and not before.asking:  # it is who it was, somewhere else
-            life, whole = before.incarnation + 1, True
-            seeds += [peer.word.address for peer in before.peers.values()]
-        self.peers = p.Peers(
+        address, seeds = written(settings.address or sock.getsockname()[:2]), seed_addresses(settings)
+        if (
+            previous_detector := self._previous_detector
+        ) is not None and not previous_detector.is_asking_for_incarnation:  # it is who it was, somewhere else
+            incarnation, is_persisted = previous_detector.incarnation + 1, True
+            seeds += [peer.record.address for peer in previous_detector.peers.values()]
+        self.detector = p.FailureDetector(
             self.running.name,
             address,
-            seeds[: p.SEEDS_MAX],
-            life - 1,
+            seeds[: p.MAX_SEEDS],
+            incarnation - 1,
             Random(),
-            gossip.cost,
-            gossip.room,
-            ask=not whole,
+            gossip.record_size_bytes,
+            gossip.record_space_bytes,
+            ask_for_incarnation=not is_persisted,
         )
-        if self.words is None:
-            self.words = Words(self.running, self.peers, self._send_words, self.counts)
-        self.words.at(self.peers)
-        self.words.set(self._settings)
-        self._told = 0
-        self._pause.turned(self.node.now())
-        self.loop.add_reader(sock, self._readable)
-        self._turn()
+        if self.cluster_gossip is None:
+            self.cluster_gossip = ClusterGossip(self.running, self.detector, self._send_sections, self.counts)
+        self.cluster_gossip.use_failure_detector(self.detector)
+        self.cluster_gossip.apply(self._operator_settings)
+        self._announced_incarnation = 0
+        self._stall_detector.record_turn(self.node.now())
+        self.loop.add_reader(sock, self._on_readable)
+        self._run_round()
         log.info("peers: %s at %s", self.running.name, address)
-        self._tell(p.Started())
+        self._handle(p.Started())
 
-    def _life(self) -> tuple[int, bool]:
+    def _restored_incarnation(self) -> tuple[int, bool]:
         """The number of this life, and whether the memory of those before it is whole."""
-        if (meter := self.running.recovery) is None:
+        if (recovery := self.running.recovery) is None:
             return 1, False
-        return meter.recovery.incarnation, meter.recovery.memory is r.Memory.KEPT
+        return recovery.recovery.incarnation, recovery.recovery.persisted_state is r.PersistedState.INTACT
 
-    def _unheard(self, lift: bool) -> None:
-        if self.words is not None:
-            self.words.close(lift)
-            self.words = None
+    def _close_gossip(self, withdraw: bool) -> None:
+        if self.cluster_gossip is not None:
+            self.cluster_gossip.close(withdraw)
+            self.cluster_gossip = None
 
     def _stop(self, leave: bool = False) -> None:
-        if leave and self.peers is not None:
-            self._tell(p.Leaving())
-        for timer in (self._wake, self._beat, self._again):
+        if leave and self.detector is not None:
+            self._handle(p.ShutdownStarted())
+        for timer in (self._timer, self._round_timer, self._listen_retry_timer):
             if timer is not None:
                 timer.cancel()
-        self._wake = self._beat = self._again = None
-        self._wake_ms = float("inf")
+        self._timer = self._round_timer = self._listen_retry_timer = None
+        self._timer_at_ms = float("inf")
         if self._socket is not None:
             self.loop.remove_reader(self._socket)
             self._socket.close()
-        self.peers = self._socket = self._at = self._before = None
+        self.detector = self._socket = self._bound_addresses = self._previous_detector = None
 
     # --- what passes
 
-    def _turn(self) -> None:
+    def _run_round(self) -> None:
         """A round; where nothing else happens, a long stand would look like a long silence without it."""
-        self._turned()
-        if self.words is not None:
-            self.words.round()
-        self._beat = self.loop.call_later(BEAT, self._turn)
-
-    def _turned(self) -> None:
-        if stood := self._pause.turned(self.node.now()):
-            log.warning("peers: this process stood still for %.0f ms: it calls nobody failed yet", stood)
-            self._tell(p.Stood(stood))
-            if self.words is not None:
-                self.words.tell(shares.Stood())
-
-    def _readable(self) -> None:
-        self._turned()
-        self._read()
-
-    def _read(self) -> None:
+        self._check_for_stall()
+        if self.cluster_gossip is not None:
+            self.cluster_gossip.run_round()
+        self._round_timer = self.loop.call_later(ROUND_INTERVAL_S, self._run_round)
+
+    def _check_for_stall(self) -> None:
+        if stall_ms := self._stall_detector.record_turn(self.node.now()):
+            log.warning("peers: this process stood still for %.0f ms: it calls nobody failed yet", stall_ms)
+            self._handle(p.ProcessStalled(stall_ms))
+            if self.cluster_gossip is not None:
+                self.cluster_gossip.handle(shares.LoopStalled())
+
+    def _on_readable(self) -> None:
+        self._check_for_stall()
+        self._receive()
+
+    def _receive(self) -> None:
         """Some of what waits; the loop comes back for the rest after a turn."""
-        sock, now = self._socket, self.node.now()
-        for _ in range(TURN):
-            if sock is None or self.peers is None:
+        sock, now_ms = self._socket, self.node.now()
+        for _ in range(MAX_DATAGRAMS_PER_CALLBACK):
+            if sock is None or self.detector is None:
                 return
             try:
-                data, at = sock.recvfrom(gossip.SIZE + 1)
+                data, sender_address = sock.recvfrom(gossip.MAX_DATAGRAM_BYTES + 1)
             except BlockingIOError:
                 return
             except OSError as err:  # what came back of something sent before
-                self._fault(err)
+                self._on_socket_error(err)
                 continue
             self.counts["received"] += 1
-            source = written(at[:2])
-            found = self._reader.read(now, source, data)
-            if isinstance(found, gossip.Read):
-                message = p.Message(*found.message)
-                self._tell(p.Heard(found.sender, found.incarnation, source, message, found.fresh))
-                if found.sections and found.fresh and self.words is not None:
-                    self.words.tell(together.Came(found.sender, source, found.sections))
-
-    def _due(self) -> None:
-        self._wake, self._wake_ms = None, float("inf")
-        self._turned()
-        self._read()  # an answer that is here already has come in time
-        self._tell(p.Ticked())
-
-    def _fault(self, err: OSError) -> None:
+            source = written(sender_address[:2])
+            datagram = self._reader.read(now_ms, source, data)
+            if isinstance(datagram, gossip.AcceptedDatagram):
+                message = p.Message(*datagram.message)
+                self._handle(
+                    p.DatagramReceived(
+                        datagram.sender, datagram.incarnation, source, message, datagram.is_current
+                    )
+                )
+                if datagram.sections and datagram.is_current and self.cluster_gossip is not None:
+                    self.cluster_gossip.handle(
+                        together.SectionsReceived(datagram.sender, source, datagram.sections)
+                    )
+
+    def _on_timer(self) -> None:
+        self._timer, self._timer_at_ms = None, float("inf")
+        self._check_for_stall()
+        self._receive()  # an answer that is here already has come in time
+        self._handle(p.TimerFired())
+
+    def _on_socket_error(self, error: OSError) -> None:
         """Unreachable, refused, no room: as lost as any other datagram. Said once a kind."""
-        why = err.strerror or type(err).__name__
+        reason = error.strerror or type(error).__name__
         self.counts["unsent"] += 1
-        if not self.counts[f"fault {err.errno}"]:
-            log.warning("peers: %s; datagrams are lost, the node goes on", why)
-        self.counts[f"fault {err.errno}"] += 1
+        if not self.counts[f"fault {error.errno}"]:
+            log.warning("peers: %s; datagrams are lost, the node goes on", reason)
+        self.counts[f"fault {error.errno}"] += 1
 
-    def _tell(self, event: p.Event) -> None:
-        peers = self.peers
-        if peers is None:
+    def _handle(self, event: p.Event) -> None:
+        detector = self.detector
+        if detector is None:
             return
-        asked = peers.asking
+        was_asking = detector.is_asking_for_incarnation
         try:
-            actions = peers.handle(self.node.now(), event)
+            actions = detector.handle(self.node.now(), event)
         except Exception:  # guards requests, and the peers after it, against one event
             log.exception("peers: %s failed", type(event).__name__)
-            if self._wake is None:
-                self._wake_at(self.node.now() + p.PERIOD_MS)
+            if self._timer is None:
+                self._set_timer(self.node.now() + p.PROBE_INTERVAL_MS)
             return
         for action in actions:
             match action:
-                case p.Send():
+                case p.SendDatagram():
                     self._send(action)
-                case p.Wake():
-                    self._wake_at(action.at_ms)
-                case p.Keep():
-                    self._keep(action.incarnation, peers.others_held if asked else None)
-                case p.Tell():
-                    self._say(peers, action)
-
-    def _send(self, action: p.Send) -> None:
-        self._put(action.to, action.incarnation, action.message)
-
-    def _send_words(self, to: str, sections: gossip.Sections) -> None:
-        if self.peers is not None and not self.peers.asking and not self.peers.yielded:
-            self._put(to, self.peers.incarnation, p.Message(goes_by.KIND, 0, "", "", ()), sections)
-
-    def _put(self, to: str, incarnation: int, message: p.Message, sections: gossip.Sections = ()) -> None:
+                case p.SetTimer():
+                    self._set_timer(action.at_ms)
+                case p.PersistIncarnation():
+                    self._persist_incarnation(
+                        action.incarnation, detector.reported_incarnation if was_asking else None
+                    )
+                case p.NotifyPeerChange():
+                    self._report_change(detector, action)
+
+    def _send(self, action: p.SendDatagram) -> None:
+        self._send_datagram(action.address, action.incarnation, action.message)
+
+    def _send_sections(self, address: str, sections: gossip.Sections) -> None:
+        if (
+            self.detector is not None
+            and not self.detector.is_asking_for_incarnation
+            and not self.detector.has_yielded_name
+        ):
+            self._send_datagram(
+                address, self.detector.incarnation, p.Message(goes_by.MESSAGE_KIND, 0, "", "", ()), sections
+            )
+
+    def _send_datagram(
+        self, address: str, incarnation: int, message: p.Message, sections: gossip.Sections = ()
+    ) -> None:
         assert self._writer is not None
         if self._socket is None:
             return
-        target = _target(to, self._socket.family)
+        target = socket_address(address, self._socket.family)
         try:
             if target is None:
                 raise ValueError
             self._socket.sendto(self._writer.write(incarnation, message, sections), target)
             self.counts["sent"] += 1
-        except OSError as err:
-            self._fault(err)
+        except OSError as error:
+            self._on_socket_error(error)
         except ValueError:  # somebody with the right key made it up
             self.counts["unsent"] += 1
-        meter = self.running.recovery
-        if meter is not None and incarnation > self._told:
-            self._told = incarnation
-            meter.recovery.told()
+        recovery = self.running.recovery
+        if recovery is not None and incarnation > self._announced_incarnation:
+            self._announced_incarnation = incarnation
+            recovery.recovery.mark_incarnation_announced()
 
-    def _wake_at(self, at_ms: float) -> None:
-        if at_ms == self._wake_ms:
+    def _set_timer(self, at_ms: float) -> None:
+        if at_ms == self._timer_at_ms:
             return
-        if self._wake is not None:
-            self._wake.cancel()
-        self._wake_ms = at_ms
+        if self._timer is not None:
+            self._timer.cancel()
+        self._timer_at_ms = at_ms
         # A loop counts in whole ms: one that wakes too early has to be waked once more.
-        self._wake = self.loop.call_later(max(0.0, at_ms - self.node.now()) / 1000 + 0.001, self._due)
+        self._timer = self.loop.call_later(max(0.0, at_ms - self.node.now()) / 1000 + 0.001, self._on_timer)
 
-    def _keep(self, incarnation: int, held: int | None) -> None:
+    def _persist_incarnation(self, incarnation: int, reported_incarnation: int | None) -> None:
         """It goes by this from now on; `held` is what others held of it before it spoke, where they said so.
 
         One more than the life that it knew of is a refutation of what was told of that; anything above shows
         that others have seen a later life.
         """
-        meter = self.running.recovery
-        if meter is None:
+        recovery = self.running.recovery
+        if recovery is None:
             return
-        life = meter.recovery.incarnation
-        if held is None and incarnation > life + 1:
-            held = incarnation - 1
-        if held is not None:
-            meter.tell(r.OthersKnew(held))
-        meter.tell(r.Rose(incarnation))
-
-    def _say(self, peers: p.Peers, told: p.Tell) -> None:
-        shown = "".join(c if c.isprintable() else "?" for c in told.name)
-        level = logging.WARNING if told.what in LOUD else logging.INFO
-        level = logging.DEBUG if told.what in OFTEN else level
-        log.log(level, "peers: %s %s: %s", shown, told.what, told.why)
-        evidence: dict[str, object] = {"why": told.why}
-        if (peer := peers.peers.get(told.name)) is not None:
-            evidence |= {"incarnation": peer.word.incarnation, "address": peer.word.address}
-        self.counts[f"peer {told.what}"] += 1
-        scope = "node" if told.name == peers.name else "peer"
-        self.running.tell(f"peer_{told.what}", scope, told.name, "peers", evidence)
+        known_incarnation = recovery.recovery.incarnation
+        if reported_incarnation is None and incarnation > known_incarnation + 1:
+            reported_incarnation = incarnation - 1
+        if reported_incarnation is not None:
+            recovery.handle(r.PeersReportedIncarnation(reported_incarnation))
+        recovery.handle(r.IncarnationRaised(incarnation))
+
+    def _report_change(self, detector: p.FailureDetector, notification: p.NotifyPeerChange) -> None:
+        shown_name = "".join(c if c.isprintable() else "?" for c in notification.name)
+        level = logging.WARNING if notification.change in WARNING_CHANGES else logging.INFO
+        level = logging.DEBUG if notification.change in DEBUG_CHANGES else level
+        log.log(level, "peers: %s %s: %s", shown_name, notification.change, notification.reason)
+        evidence: dict[str, object] = {"why": notification.reason}
+        if (peer := detector.peers.get(notification.name)) is not None:
+            evidence |= {"incarnation": peer.record.incarnation, "address": peer.record.address}
+        self.counts[f"peer {notification.change}"] += 1
+        scope = "node" if notification.name == detector.name else "peer"
+        self.running.record_event(f"peer_{notification.change}", scope, notification.name, "peers", evidence)
 
     # --- what operators ask
 
     def report(self) -> dict[str, Any]:
         """Answer `peers`."""
-        told = None if self.words is None else self.words.report()
-        out = report(self.peers, self.running.name, told)
-        out["trouble"] = self.trouble or None
-        out["datagrams"] = {name: self.counts[name] for name in ("received", "sent", "unsent")}
-        out["refused"] = dict(self._reader.refused)
-        return out
-
-    def figures(self) -> dict[str, dict[str, float]]:
+        gossiped = None if self.cluster_gossip is None else self.cluster_gossip.report()
+        answer = peers_report(self.detector, self.running.name, gossiped)
+        answer["trouble"] = self.listen_error or None
+        answer["datagrams"] = {name: self.counts[name] for name in ("received", "sent", "unsent")}
+        answer["refused"] = dict(self._reader.rejected_counts)
+        return answer
+
+    def metrics(self) -> dict[str, dict[str, float]]:
         """For the metrics, by name and label."""
         return {
-            "states": figures(self.peers),
+            "states": count_by_state(self.detector),
             "events": {name[5:]: n for name, n in self.counts.items() if name.startswith("peer ")},
             "datagrams": {name: self.counts[name] for name in ("received", "sent", "unsent")},
-            "refused": dict(self._reader.refused),
-            **({} if self.words is None else self.words.figures()),
+            "refused": dict(self._reader.rejected_counts),
+            **({} if self.cluster_gossip is None else self.cluster_gossip.gauges()),
         }
 
 
-@lru_cache(p.PEERS_MAX)
-def _target(text: str, family: int) -> Address | None:
+@lru_cache(p.MAX_PEERS)
+def socket_address(text: str, family: int) -> Address | None:
     """An address to send to; guards against a name, which the system would look up while the loop waits."""
     host, _, port = text.rpartition(":")
     try:
-        found = ipaddress.ip_address(host[1:-1] if host[:1] == "[" else host)
-        number = int(port)
+        ip = ipaddress.ip_address(host[1:-1] if host[:1] == "[" else host)
+        port_number = int(port)
     except ValueError:
         return None
-    fits = (found.version == 6) is (family == socket.AF_INET6) and 0 < number < 65_536
-    return (str(found), number) if fits else None
+    is_usable = (ip.version == 6) is (family == socket.AF_INET6) and 0 < port_number < 65_536
+    return (str(ip), port_number) if is_usable else None
 
 
-def _seeds(settings: PeersSettings) -> list[str]:
+def seed_addresses(settings: PeersSettings) -> list[str]:
     return [written(seed) for seed in settings.seeds or ()]
