--- a/balancer/net/cluster_gossip.py
+++ b/balancer/net/cluster_gossip.py
@@ -26,141 +26,169 @@
     OPERATOR_NODE_FIELDS,
     configuration_digest,
 )
-from balancer.core.cluster.failure_detector import Peers
-from balancer.core.cluster.node_state import PEERS
-from balancer.core.cluster.report import together, words
+from balancer.core.cluster.failure_detector import FailureDetector
+from balancer.core.cluster.node_state import GOSSIP_SOURCE_NAME
+from balancer.core.cluster.report import gossip_report, printable
 from balancer.core.discovery import endpoint_merger as membership
-from balancer.core.staggering import Turns
+from balancer.core.staggering import StaggeredSchedule
 from balancer.interface import Phase
-from balancer.net.component import Running
-from balancer.net.discovery.platform import NAME as PLATFORM
-from balancer.operator_settings import Operators
+from balancer.net.component import RunningNode
+from balancer.net.discovery.platform import SOURCE_NAME as PLATFORM
+from balancer.operator_settings import OperatorSettings
 from balancer.protocol import gossip
 from balancer.protocol import gossip_sections as goes_by
 
 log = logging.getLogger(__name__)
 
-BEARS = 50.0  # calls a second that discovery is taken to bear of nodes that are told of a newer list
-EVERY_MS = 1_000.0  # between two looks at all servers
-STATES = tuple(r.State)
+MAX_DISCOVERY_FETCHES_PER_S = (
+    50.0  # calls a second that discovery is taken to bear of nodes that are told of a newer list
+)
+BACKEND_SCAN_INTERVAL_MS = 1_000.0  # between two looks at all servers
+RECOVERY_STATES = tuple(r.RecoveryState)
 
 
-class Words:
+class ClusterGossip:
     """`write` sends sections to an address."""
 
     def __init__(
-        self, running: Running, peers: Peers, write: Callable[[str, t.Sections], None], counts: Counter[str]
+        self,
+        running: RunningNode,
+        peers: FailureDetector,
+        write: Callable[[str, t.Sections], None],
+        counts: Counter[str],
     ) -> None:
-        self.running, self.node, self.fleet, self.counts = running, running.node, running.fleet, counts
+        self.running, self.node, self.endpoint_view, self.event_counts = (
+            running,
+            running.node,
+            running.fleet,
+            counts,
+        )
         told = self.node.settings
-        self.decider = t.Together(
+        self.coordinator = t.GossipCoordinator(
             peers,
             told.node_index,
             told.node_count,
             None,
-            Turns(told.node_index, told.node_count, BEARS),
+            StaggeredSchedule(told.node_index, told.node_count, MAX_DISCOVERY_FETCHES_PER_S),
             Random(),
             goes_by,
-            gossip.room(running.name, gossip.Told(goes_by.KIND, 0, "", "", ())),
+            gossip.record_space_bytes(running.name, gossip.Message(goes_by.MESSAGE_KIND, 0, "", "", ())),
             () if told.must_poll else (PLATFORM,),  # where lists are pushed each node has an agent of its own
         )
-        self.nodes: shares.Nodes | None = None  # nothing is divided by it yet
-        self._write = write
-        self._files = configuration_digest(told, NODE_FIELDS), 0
-        self._servers: dict[str, tuple[int, int]] = {}
-        self._looked_ms = float("-inf")
-        self.decider.halves.apply(tuple(self.fleet.membership.view.values()), ())
-        self.fleet.listeners.append(self._heard)
-
-    def set(self, settings: Operators) -> None:
+        self.quota: shares.SetQuota | None = None  # nothing is divided by it yet
+        self._send_sections = write
+        self._settings_digests = configuration_digest(told, NODE_FIELDS), 0
+        self._backends_by_zone: dict[str, tuple[int, int]] = {}
+        self._last_backend_scan_ms = float("-inf")
+        self.coordinator.digest_tree.apply(tuple(self.endpoint_view.merger.view.values()), ())
+        self.endpoint_view.listeners.append(self._on_merge)
+
+    def apply(self, settings: OperatorSettings) -> None:
         """The operators' file says this from now on."""
-        self._files = self._files[0], configuration_digest(settings, OPERATOR_NODE_FIELDS)
+        self._settings_digests = (
+            self._settings_digests[0],
+            configuration_digest(settings, OPERATOR_NODE_FIELDS),
+        )
 
-    def at(self, peers: Peers) -> None:
+    def use_failure_detector(self, peers: FailureDetector) -> None:
         """Go on at another address, as whoever speaks there."""
-        self.decider.peers = peers
+        self.coordinator.failure_detector = peers
 
     def close(self, lift: bool) -> None:
         """Hear no more. `lift`: what peers said holds no longer, else it stays and may be remembered."""
-        if self._heard in self.fleet.listeners:
-            self.fleet.listeners.remove(self._heard)
-        self.tell(shares.Leaving())
+        if self._on_merge in self.endpoint_view.listeners:
+            self.endpoint_view.listeners.remove(self._on_merge)
+        self.handle(shares.ShutdownStarted())
         if lift:
-            self._configure(False)
+            self._set_gossip_source(False)
 
-    def tell(self, event: t.Event) -> None:
+    def handle(self, event: t.Event) -> None:
         """Something happened that bears on it."""
         try:
-            actions = self.decider.handle(self.node.now(), event)
+            actions = self.coordinator.handle(self.node.now(), event)
         except Exception:  # guards who is there, and requests, against one event
             log.exception("peers: %s failed", type(event).__name__)
             return
         for action in actions:
-            self._act(action)
+            self._perform(action)
 
-    def round(self) -> None:
+    def run_round(self) -> None:
         """How the node stands."""
-        meter, merge = self.running.recovery, self.fleet.membership
-        state = 0 if meter is None else STATES.index(meter.recovery.state)
+        meter, merge = self.running.recovery, self.endpoint_view.merger
+        state = 0 if meter is None else RECOVERY_STATES.index(meter.recovery.state)
         version, zone, sources = balancer.__version__, self.node.settings.zone, list(merge.sources.values())
-        self.tell(t.Round(state, self._files, version, zone, sources, merge.view, self._silent()))
+        self.handle(
+            t.GossipIntervalElapsed(
+                state,
+                self._settings_digests,
+                version,
+                zone,
+                sources,
+                merge.view,
+                self._count_silent_backends(),
+            )
+        )
 
-    def _silent(self) -> Mapping[str, tuple[int, int]]:
+    def _count_silent_backends(self) -> Mapping[str, tuple[int, int]]:
         """By zone, how many servers are up, and how many of them the module leaves alone, as they failed."""
-        if (now := self.node.now()) - self._looked_ms >= EVERY_MS:
-            self._looked_ms, counts = now, Counter[tuple[str, bool]]()
+        if (now := self.node.now()) - self._last_backend_scan_ms >= BACKEND_SCAN_INTERVAL_MS:
+            self._last_backend_scan_ms, counts = now, Counter[tuple[str, bool]]()
             for one in self.node.balancer.backends.values():
-                if one.entry.phase is Phase.UP:
-                    counts[one.entry.zone, one.until > now] += 1
-            self._servers = {z: (counts[z, True] + counts[z, False], counts[z, True]) for z, _ in counts}
-        return self._servers
-
-    def _heard(self, event: membership.Event, actions: Sequence[membership.Action]) -> None:
+                if one.endpoint.phase is Phase.UP:
+                    counts[one.endpoint.zone, one.ejected_until_ms > now] += 1
+            self._backends_by_zone = {
+                z: (counts[z, True] + counts[z, False], counts[z, True]) for z, _ in counts
+            }
+        return self._backends_by_zone
+
+    def _on_merge(self, event: membership.Event, actions: Sequence[membership.Action]) -> None:
         """The merge changed: by a source's word, or by none where it is set anew or goes on with a list."""
         source = None
-        if not isinstance(event, (membership.Configured, membership.Continued)):
-            source = self.fleet.membership.sources.get(event.source)
+        if not isinstance(event, (membership.SourcesConfigured, membership.NextSliceDue)):
+            source = self.endpoint_view.merger.sources.get(event.source)
         for action in actions:
-            if isinstance(action, membership.Apply):
-                self.decider.on_source_applied(self.node.now(), source or hearsay.source(), action)
+            if isinstance(action, membership.ApplyEndpoints):
+                self.coordinator.on_source_applied(self.node.now(), source or hearsay.gossip_source(), action)
 
     # --- what was decided
 
-    def _act(self, action: t.Action) -> None:
+    def _perform(self, action: t.Action) -> None:
         match action:
-            case t.Send():
-                self._write(action.to, action.sections)
-            case t.Happened():
-                self._happened(action)
-            case t.Say():
-                log.info("peers: %s", words(action.text))
-            case membership.Listed():
-                self._configure(True)
-                self.fleet.hand(action)
-            case hearsay.Renew():
-                self._configure(False)
-            case hearsay.Ask():
-                self._ask(action)
-            case shares.Nodes():
-                self.nodes = action
-
-    def _happened(self, action: t.Happened) -> None:
-        self.counts[f"peer {action.what}"] += 1
-        of = words(action.of)
-        log.warning("peers: %s: %s: %s", action.what, of, words(action.why))
-        evidence: dict[str, object] = {"why": action.why}
-        if action.names:
-            evidence["names"] = ", ".join(action.names)
-        self.running.tell(action.what, "node", of, "peers", evidence)
-
-    def _configure(self, on: bool) -> None:
+            case t.SendGossip():
+                self._send_sections(action.address, action.sections)
+            case t.RecordEvent():
+                self._record_event(action)
+            case t.WriteLog():
+                log.info("peers: %s", printable(action.message))
+            case membership.EndpointsListed():
+                self._set_gossip_source(True)
+                self.endpoint_view.handle(action)
+            case hearsay.ResetGossipSource():
+                self._set_gossip_source(False)
+            case hearsay.FetchSnapshot():
+                self._fetch_snapshot(action)
+            case shares.SetQuota():
+                self.quota = action
+
+    def _record_event(self, action: t.RecordEvent) -> None:
+        self.event_counts[f"peer {action.name}"] += 1
+        of = printable(action.subject)
+        log.warning("peers: %s: %s: %s", action.name, of, printable(action.reason))
+        evidence: dict[str, object] = {"why": action.reason}
+        if action.node_names:
+            evidence["names"] = ", ".join(action.node_names)
+        self.running.record_event(action.name, "node", of, "peers", evidence)
+
+    def _set_gossip_source(self, on: bool) -> None:
         """Have the merge hear peers behind all others, or not at all."""
-        sources = self.fleet.membership.sources
-        if (PEERS in sources) is not on:
-            others = [source for name, source in sources.items() if name != PEERS]
-            self.fleet.hand(membership.Configured((*others, *([hearsay.source()] if on else []))))
-
-    def _ask(self, action: hearsay.Ask) -> None:
+        sources = self.endpoint_view.merger.sources
+        if (GOSSIP_SOURCE_NAME in sources) is not on:
+            others = [source for name, source in sources.items() if name != GOSSIP_SOURCE_NAME]
+            self.endpoint_view.handle(
+                membership.SourcesConfigured((*others, *([hearsay.gossip_source()] if on else [])))
+            )
+
+    def _fetch_snapshot(self, action: hearsay.FetchSnapshot) -> None:
         """For its whole list, as the module would. etcd's watch cannot be asked for more than it tells."""
         if action.source == PLATFORM and self.node.discovery is not None:
             log.info("peers: others have seen revision %d of %s: it is asked", action.revision, PLATFORM)
@@ -168,16 +196,18 @@
 
     # --- what operators ask
 
-    def figures(self) -> dict[str, dict[str, float]]:
+    def gauges(self) -> dict[str, dict[str, float]]:
         """For the metrics: what is so now, by kind."""
-        decider = self.decider
-        taken = decider.hearsay.taken.values()
+        decider = self.coordinator
+        taken = decider.gossiped_removals.accepted.values()
         return {
-            "cuts": dict(Counter(of.value for of, _ in decider.cuts.cut)),
-            "disagreements": dict(Counter(what for what, _ in decider.views.steady.on)),
-            "taken": dict(Counter("gone" if out.gone else "drains" for out in taken)),
+            "cuts": dict(Counter(of.value for of, _ in decider.partition_detector.partitions)),
+            "disagreements": dict(
+                Counter(what for what, _ in decider.node_states.divergence_hysteresis.active_since_ms)
+            ),
+            "taken": dict(Counter("gone" if out.is_gone else "drains" for out in taken)),
         }
 
     def report(self) -> dict[str, Any]:
         """What of `peers` is by the others' words."""
-        return together(self.decider, self.nodes)
+        return gossip_report(self.coordinator, self.quota)
--- a/balancer/net/component.py
+++ b/balancer/net/component.py
@@ -10,27 +10,29 @@
 
 from balancer import interface as api
 from balancer.core.discovery.endpoint_merger import Source
-from balancer.net.admin_socket import Control
-from balancer.net.endpoint_view import Fleet
-from balancer.net.request_dispatcher import Node
-from balancer.operator_settings import Operators
+from balancer.net.admin_socket import AdminSocket
+from balancer.net.endpoint_view import EndpointView
+from balancer.net.request_dispatcher import RequestDispatcher
+from balancer.operator_settings import OperatorSettings
 from balancer.ports import Observer
 
 if TYPE_CHECKING:
-    from balancer.net.cluster import PeersPart
-    from balancer.net.recovery import RecoveryPart
-    from balancer.timeline.monitor import Watch
+    from balancer.net.cluster import ClusterComponent
+    from balancer.net.recovery import RecoveryComponent
+    from balancer.timeline.monitor import TimelineMonitor
 
 log = logging.getLogger(__name__)
 
-PEERS = "peers"  # the merge's source that stands for other nodes' words (`core/cluster/gossiped_removals`)
-BEFORE = 20  # events kept for a time line that is not on yet
+PEERS_SOURCE = (
+    "peers"  # the merge's source that stands for other nodes' words (`core/cluster/gossiped_removals`)
+)
+MAX_QUEUED_EVENTS = 20  # events kept for a time line that is not on yet
 
 
-class Part(Protocol):
+class Component(Protocol):
     """One thing that the operators' file switches on, off and over; made by the first settings with it on."""
 
-    def apply(self, settings: Operators) -> None:
+    def apply(self, settings: OperatorSettings) -> None:
         """Do as these settings say from now on; they may say the same of it as before.
 
         Raises ValueError where that cannot be, in plain words, and leaves all as it was.
@@ -43,7 +45,7 @@
 class Observers:
     """Several observers at the one gate that a node has; one that fails is taken off alone."""
 
-    def __init__(self, node: Node) -> None:
+    def __init__(self, node: RequestDispatcher) -> None:
         self.node, self.all = node, list[Observer]()
 
     def add(self, observer: Observer) -> None:
@@ -71,51 +73,55 @@
 
 
 @dataclass(slots=True)
-class Running:
+class RunningNode:
     """The running node as its parts see it. `listed` come before any source of theirs in precedence.
 
     `parts` are times of the start in ms (`net/recovery`), `name` the node's own.
     """
 
-    node: Node
-    fleet: Fleet
-    listed: tuple[Source, ...]
-    control: Control
-    watch: Watch | None = None  # the time line's, while that is on
-    recovery: RecoveryPart | None = None
-    peers: PeersPart | None = None
+    node: RequestDispatcher
+    fleet: EndpointView
+    configured_sources: tuple[Source, ...]
+    control: AdminSocket
+    watch: TimelineMonitor | None = None  # the time line's, while that is on
+    recovery: RecoveryComponent | None = None
+    peers: ClusterComponent | None = None
     name: str = ""
-    parts: Mapping[str, float] = field(default_factory=dict)
+    start_phases_ms: Mapping[str, float] = field(default_factory=dict)
     observers: Observers = field(init=False)
-    _told: deque[tuple[int, float, str, str, str, str, dict[str, object]]] = field(init=False)
-    _count: int = field(init=False)
+    _queued_events: deque[tuple[int, float, str, str, str, str, dict[str, object]]] = field(init=False)
+    _event_count: int = field(init=False)
 
     def __post_init__(self) -> None:
         self.observers = Observers(self.node)
-        self._told, self._count = deque(maxlen=BEFORE), 0
+        self._queued_events, self._event_count = deque(maxlen=MAX_QUEUED_EVENTS), 0
 
-    def tell(self, step: str, scope: str, subject: str, signal: str, about: dict[str, object]) -> None:
+    def record_event(
+        self, step: str, scope: str, subject: str, signal: str, about: dict[str, object]
+    ) -> None:
         """Something that is no departure of a server goes on the time line, as soon as that is on.
 
         `step`, `scope` and `signal` are values of `core/anomaly_detection/detector`, which comes with the
         time line.
         """
-        self._count += 1  # told below 0: the departures' own numbers begin at 1
-        self._told.append((self._count, self.node.now(), step, scope, subject, signal, about))
-        self.hand_on()
+        self._event_count += 1  # told below 0: the departures' own numbers begin at 1
+        self._queued_events.append((self._event_count, self.node.now(), step, scope, subject, signal, about))
+        self.flush_events()
 
-    def hand_on(self) -> None:
+    def flush_events(self) -> None:
         """Tell a time line that is on what waits for it."""
-        if self.watch is None or not self._told:
+        if self.watch is None or not self._queued_events:
             return
         from balancer.core.anomaly_detection.detector import (
+            EventType,
             Scope,
             Signal,
-            Step,
-            Told,
+            TimelineEvent,
         )
 
-        while self._told:
-            number, at, step, scope, subject, signal, about = self._told.popleft()
-            told = Told(Step(step), -number, at, at, Scope(scope), subject, Signal(signal), about)
-            self.watch.tell(told)
+        while self._queued_events:
+            number, at, step, scope, subject, signal, about = self._queued_events.popleft()
+            told = TimelineEvent(
+                EventType(step), -number, at, at, Scope(scope), subject, Signal(signal), about
+            )
+            self.watch.add_event(told)
--- a/balancer/net/components.py
+++ b/balancer/net/components.py
@@ -12,104 +12,110 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, NamedTuple
 
-from balancer.net.component import Part, Running
+from balancer.net.component import Component, RunningNode
 from balancer.net.reload import reread
-from balancer.operator_settings import Operators
+from balancer.operator_settings import OperatorSettings
 
 if TYPE_CHECKING:
     from balancer.core.discovery.etcd_watcher import EtcdConfig
 
 log = logging.getLogger(__name__)
 
-Make = Callable[[Running], Part]
+ComponentFactory = Callable[[RunningNode], Component]
 
 
-class Kind(NamedTuple):
+class ComponentKind(NamedTuple):
     """One kind of part: whether settings have it on, and what loads its modules and says how it is made."""
 
     name: str
-    on: Callable[[Operators], bool]
-    load: Callable[[], Make]
+    is_enabled: Callable[[OperatorSettings], bool]
+    load: Callable[[], ComponentFactory]
 
 
-def _recovery() -> Make:
-    from balancer.net.recovery import RecoveryPart
+def _recovery() -> ComponentFactory:
+    from balancer.net.recovery import RecoveryComponent
 
-    return RecoveryPart
+    return RecoveryComponent
 
 
-def _state() -> Make:
-    from balancer.net.persistence import StatePart
+def _state() -> ComponentFactory:
+    from balancer.net.persistence import PersistenceComponent
 
-    return StatePart
+    return PersistenceComponent
 
 
-def _peers() -> Make:
-    from balancer.net.cluster import PeersPart
+def _peers() -> ComponentFactory:
+    from balancer.net.cluster import ClusterComponent
 
-    return PeersPart
+    return ClusterComponent
 
 
-def _etcd() -> Make:
-    from balancer.net.discovery.etcd import EtcdSource
-    from balancer.net.etcd_component import EtcdPart
+def _etcd() -> ComponentFactory:
+    from balancer.net.discovery.etcd import EtcdDiscovery
+    from balancer.net.etcd_component import EtcdComponent
 
-    def make(running: Running) -> Part:
+    def make(running: RunningNode) -> Component:
         fleet, told = running.fleet, running.node.settings
 
-        def source(config: EtcdConfig, seen: tuple[str, int] | None) -> EtcdSource:
-            return EtcdSource(config, fleet.hand, seen=seen, me=told.node_index, nodes=told.node_count)
+        def source(config: EtcdConfig, seen: tuple[str, int] | None) -> EtcdDiscovery:
+            return EtcdDiscovery(config, fleet.handle, seen=seen, me=told.node_index, nodes=told.node_count)
 
-        return EtcdPart(fleet, running.listed, source)
+        return EtcdComponent(fleet, running.configured_sources, source)
 
     return make
 
 
-def _timeline() -> Make:
-    from balancer.net.timeline import TimelinePart
+def _timeline() -> ComponentFactory:
+    from balancer.net.timeline import TimelineComponent
 
-    return TimelinePart
+    return TimelineComponent
 
 
-def _metrics() -> Make:
-    from balancer.net.metrics_server import MetricsPart
+def _metrics() -> ComponentFactory:
+    from balancer.net.metrics_server import MetricsComponent
 
-    return MetricsPart
+    return MetricsComponent
 
 
-def _control() -> Make:
-    from balancer.net.admin_socket import ControlPart
+def _control() -> ComponentFactory:
+    from balancer.net.admin_socket import AdminSocketComponent
 
-    return lambda running: ControlPart(running.control)
+    return lambda running: AdminSocketComponent(running.control)
 
 
-KINDS = (  # in the order in which they change; they are closed the other way round
-    Kind("recovery", lambda settings: True, _recovery),
-    Kind("state", lambda settings: settings.state is not None, _state),  # tells the one before
-    Kind("peers", lambda settings: settings.peers is not None, _peers),  # rests on the two before
-    Kind("etcd", lambda settings: settings.membership.etcd is not None, _etcd),
-    Kind("timeline", lambda settings: settings.timeline is not None, _timeline),
-    Kind("metrics", lambda settings: settings.metrics is not None, _metrics),  # rests on the time line
-    Kind("control", lambda settings: settings.control is not None, _control),
+COMPONENT_KINDS = (  # in the order in which they change; they are closed the other way round
+    ComponentKind("recovery", lambda settings: True, _recovery),
+    ComponentKind("state", lambda settings: settings.state is not None, _state),  # tells the one before
+    ComponentKind("peers", lambda settings: settings.peers is not None, _peers),  # rests on the two before
+    ComponentKind("etcd", lambda settings: settings.membership.etcd is not None, _etcd),
+    ComponentKind("timeline", lambda settings: settings.timeline is not None, _timeline),
+    ComponentKind(
+        "metrics", lambda settings: settings.metrics is not None, _metrics
+    ),  # rests on the time line
+    ComponentKind("control", lambda settings: settings.control is not None, _control),
 )
 
 
-def load(settings: Operators) -> None:
+def load(settings: OperatorSettings) -> None:
     """Load what these settings switch on, before the loop is there."""
-    for kind in KINDS:
-        if kind.on(settings):
+    for kind in COMPONENT_KINDS:
+        if kind.is_enabled(settings):
             with contextlib.suppress(Exception):  # `Parts` says it, and goes on without that part
                 kind.load()
 
 
-class Parts:
+class Components:
     """All parts of a running node. `path` is the operators' file, None where there is none to read again."""
 
     def __init__(
-        self, path: Path | None, operators: Operators, running: Running, kinds: Sequence[Kind] = KINDS
+        self,
+        path: Path | None,
+        operators: OperatorSettings,
+        running: RunningNode,
+        kinds: Sequence[ComponentKind] = COMPONENT_KINDS,
     ) -> None:
         self.path, self.operators, self.running, self.kinds = path, operators, running, kinds
-        self.made: dict[str, Part] = {}
+        self.running_components: dict[str, Component] = {}
         running.control.register("members", running.fleet.report)
         self.apply(operators)
 
@@ -118,16 +124,16 @@
         if self.path is not None:
             self.operators = reread(self.path, self.operators, self.apply)
 
-    def apply(self, new: Operators) -> None:
+    def apply(self, new: OperatorSettings) -> None:
         """Carry out other settings than those before. Never raises: a part that fails is named in the log."""
         self.operators = new
         for kind in self.kinds:
             try:
-                if kind.name not in self.made:
-                    if not kind.on(new):
+                if kind.name not in self.running_components:
+                    if not kind.is_enabled(new):
                         continue
-                    self.made[kind.name] = kind.load()(self.running)
-                self.made[kind.name].apply(new)
+                    self.running_components[kind.name] = kind.load()(self.running)
+                self.running_components[kind.name].apply(new)
             except ValueError as err:  # the file was well when it was checked, a moment ago
                 log.error("%s: %s; what was there before goes on", kind.name, err)
             except Exception:  # guards the other parts against a fault of this one
@@ -135,7 +141,7 @@
 
     async def close(self) -> None:
         """Switch off what is on."""
-        for name, part in reversed(self.made.items()):
+        for name, part in reversed(self.running_components.items()):
             try:
                 await part.close()
             except Exception:  # guards the other parts against a fault of this one
--- a/balancer/net/config.py
+++ b/balancer/net/config.py
@@ -10,7 +10,7 @@
 
 from balancer import interface as api
 from balancer import platform_settings as platform
-from balancer.core.connection_admission import SPARE, shares
+from balancer.core.connection_admission import RESERVED_DESCRIPTORS, descriptor_quotas
 from balancer.endpoints import (
     Address,
     EndpointList,
@@ -21,8 +21,8 @@
 
 PREFIX = "PROXY_"
 CONFIG = PREFIX + "CONFIG"
-WHAT_CONFIG_IS = "it names the JSON file in which the platform configures a node"
-MEMORY_MB = 192  # where the file names none
+CONFIG_DESCRIPTION = "it names the JSON file in which the platform configures a node"
+DEFAULT_MEMORY_MB = 192  # where the file names none
 
 
 class ConfigError(ValueError):
@@ -38,13 +38,13 @@
     """All that a node is told."""
 
     name: str
-    listen: Address
-    discovery: Address
+    listen_address: Address
+    discovery_address: Address
     seed: int
     settings: api.Settings
-    known: EndpointList
-    client_sockets: int
-    upstream_sockets: int
+    configured_endpoints: EndpointList
+    max_client_sockets: int
+    max_backend_sockets: int
     memory_mb: float
 
 
@@ -62,7 +62,7 @@
 def read(env: Mapping[str, str]) -> tuple[Config | None, list[str]]:
     """The configuration at the start, and what is wrong with it, a line a fault."""
     if not env.get(CONFIG):
-        return None, [f"{CONFIG} is missing: {WHAT_CONFIG_IS}; see balancer --help"]
+        return None, [f"{CONFIG} is missing: {CONFIG_DESCRIPTION}; see balancer --help"]
     try:
         return load(env), []
     except ConfigError as err:
@@ -75,7 +75,7 @@
     The environment goes before the file, but not when it is read again: it is that of the start.
     """
     raw = _raw(env)
-    gather = _Gather()
+    gather = _FaultCollector()
     with gather:
         settings = _settings(raw)
     with gather:
@@ -92,21 +92,21 @@
         discovery = _at(raw, env, "discovery", again)
     if gather.faults:
         raise ConfigError(*gather.faults)
-    clients, upstream = shares(sockets)
+    clients, upstream = descriptor_quotas(sockets)
     return Config(
         name=str(env.get(PREFIX + "NAME") or raw.get("name", "")),
-        listen=listen,
-        discovery=discovery,
+        listen_address=listen,
+        discovery_address=discovery,
         seed=seed,
         settings=settings,
-        known=known,
-        client_sockets=clients,
-        upstream_sockets=upstream,
+        configured_endpoints=known,
+        max_client_sockets=clients,
+        max_backend_sockets=upstream,
         memory_mb=memory,
     )
 
 
-class _Gather(contextlib.AbstractContextManager[None]):
+class _FaultCollector(contextlib.AbstractContextManager[None]):
     """Keeps the faults of one part of the file and goes on with the next."""
 
     def __init__(self) -> None:
@@ -146,14 +146,14 @@
 def _sockets(raw: Mapping[str, Any]) -> int:
     limits = raw.get("limits", {})
     sockets = limits.get("sockets", 1024) if isinstance(limits, dict) else None
-    if isinstance(sockets, bool) or not isinstance(sockets, int) or sockets < 2 * SPARE:
+    if isinstance(sockets, bool) or not isinstance(sockets, int) or sockets < 2 * RESERVED_DESCRIPTORS:
         raise ConfigError(f"limits.sockets makes no sense: {sockets!r:.120}")
     return sockets
 
 
 def _memory(raw: Mapping[str, Any]) -> float:
     limits = raw.get("limits")
-    memory = limits.get("memory_mb", MEMORY_MB) if isinstance(limits, dict) else MEMORY_MB
+    memory = limits.get("memory_mb", DEFAULT_MEMORY_MB) if isinstance(limits, dict) else DEFAULT_MEMORY_MB
     if isinstance(memory, bool) or not isinstance(memory, (int, float)) or not 1 <= memory < 1e9:
         raise ConfigError(f"limits.memory_mb makes no sense: {memory!r:.120}")
     return float(memory)
--- a/balancer/net/discovery/etcd.py
+++ b/balancer/net/discovery/etcd.py
@@ -18,29 +18,29 @@
 
 from balancer.core.discovery import etcd_watcher as ef
 from balancer.core.discovery.endpoint_merger import (
-    Heard,
-    Listed,
-    Refused,
-    Silenced,
+    EndpointsListed,
+    SourceConfirmedCurrent,
+    SourceLost,
+    SourceRejected,
 )
-from balancer.core.discovery.etcd_watcher import EtcdConfig, Trouble
-from balancer.core.staggering import Turns
+from balancer.core.discovery.etcd_watcher import CallFault, EtcdConfig
+from balancer.core.staggering import StaggeredSchedule
 from balancer.endpoints import InvalidEntry
 from balancer.protocol import etcd_watch as ew
-from balancer.protocol.etcd_entry import entry
-from balancer.protocol.etcd_watch import Answer, Asks, Kind
+from balancer.protocol.etcd_entry import parse_entry
+from balancer.protocol.etcd_watch import CallKind, RequestBuilder, ResponseDecoder
 
 log = logging.getLogger(__name__)
 
-CONNECT = 1.0  # s for a connection to come up, its name looked up and its TLS agreed on
-SLICE = 0.002  # s of reading in one go
-ROWS = 100  # entries read in one go
-KEEPALIVE = {"TCP_KEEPIDLE": 15, "TCP_KEEPINTVL": 5, "TCP_KEEPCNT": 3}  # s, s, probes
+CONNECT_TIMEOUT_S = 1.0  # s for a connection to come up, its name looked up and its TLS agreed on
+MAX_TURN_S = 0.002  # s of reading in one go
+ROWS_PER_STEP = 100  # entries read in one go
+KEEPALIVE_OPTIONS = {"TCP_KEEPIDLE": 15, "TCP_KEEPINTVL": 5, "TCP_KEEPCNT": 3}  # s, s, probes
 
-Emit = Callable[[Listed | Heard | Silenced | Refused], None]
+Emit = Callable[[EndpointsListed | SourceConfirmedCurrent | SourceLost | SourceRejected], None]
 
 
-class Link(asyncio.Protocol):
+class EtcdConnection(asyncio.Protocol):
     """One connection, which carries one call at a time.
 
     `take` gets each message, and None when nothing more of the call will come.
@@ -48,7 +48,7 @@
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport | None = None
-        self.answer: Answer | None = None
+        self.answer: ResponseDecoder | None = None
         self.take: Callable[[ew.Message | None], None] = lambda message: None
         self.heard = False  # something of the answer has come
         self.closed = False
@@ -59,13 +59,13 @@
         """Whether another call can be made on it, as far as this side knows."""
         return self.answer is None and self.transport is not None and not self.transport.is_closing()
 
-    def ask(self, kind: Kind, data: bytes, take: Callable[[ew.Message | None], None]) -> None:
+    def ask(self, kind: CallKind, data: bytes, take: Callable[[ew.Message | None], None]) -> None:
         """Make a call."""
         assert self.idle and self.transport is not None
-        self.answer, self.take, self.heard = Answer(kind), take, False
+        self.answer, self.take, self.heard = ResponseDecoder(kind), take, False
         self.transport.write(data)
 
-    async def call(self, kind: Kind, data: bytes) -> ew.Message:
+    async def call(self, kind: CallKind, data: bytes) -> ew.Message:
         """Make a call that has one answer. What cannot be read is `Broken`; never raises.
 
         Who cancels this closes the connection, as the answer may still come.
@@ -74,7 +74,7 @@
 
         def take(message: ew.Message | None) -> None:
             if not got.done():
-                got.set_result(message or ew.Broken(ew.Why.CUT_SHORT, "no answer"))
+                got.set_result(message or ew.InvalidResponse(ew.ResponseFault.TRUNCATED, "no answer"))
 
         self.ask(kind, data, take)
         return await got
@@ -96,7 +96,7 @@
         sock = transport.get_extra_info("socket")
         if sock is not None:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-            for name, value in KEEPALIVE.items():
+            for name, value in KEEPALIVE_OPTIONS.items():
                 if (option := getattr(socket, name, None)) is not None:
                     sock.setsockopt(socket.IPPROTO_TCP, option, value)
         if self.closed:
@@ -123,20 +123,20 @@
         """Hand on messages for a while; the rest waits for the loop's next turn, and so does the peer."""
         loop, answer = asyncio.get_running_loop(), self.answer
         self._turn = None
-        end = loop.time() + SLICE
+        end = loop.time() + MAX_TURN_S
         while answer is not None and answer is self.answer:
             message = answer.pull()
             if message is None:
                 break
             self.take(message)
-            if loop.time() > end and answer is self.answer and answer.pending:
+            if loop.time() > end and answer is self.answer and answer.has_pending:
                 self._turn = loop.call_soon(self._pump)
                 self._reading(False)
                 return
         self._reading(True)
-        if answer is not None and answer is self.answer and answer.ended:
+        if answer is not None and answer is self.answer and answer.has_ended:
             self.answer = None
-            if not answer.reusable:
+            if not answer.is_reusable:
                 self.close()
             self.take(None)
 
@@ -149,7 +149,7 @@
             self.transport.pause_reading()
 
 
-class EtcdSource:
+class EtcdDiscovery:
     """Follows the members below a prefix; `emit` gets what the membership has to know.
 
     `start` and `stop` may follow each other; new settings are a new source, given `seen` of the old one.
@@ -170,33 +170,39 @@
     ) -> None:
         self.config, self.emit, self.name = config, emit, name
         self.prefix = config.prefix.encode()
-        self.peers = [ef.endpoint(url) for url in config.endpoints]
+        self.peers = [ef.parse_endpoint_url(url) for url in config.endpoints]
         self.tls = _tls(config) if any(tls for _, _, tls in self.peers) else None
-        self.asks = [Asks(_host(host, port), self.prefix) for host, port, _ in self.peers]
+        self.asks = [RequestBuilder(_host(host, port), self.prefix) for host, port, _ in self.peers]
         self.rng = rng or random.Random()
         self.started_with = seen
         self.me, self.nodes = me, nodes
         self.follow = self._begin()
         self.running = False
         self._token: str | None = None  # "" where etcd has its auth off
-        self._link: Link | None = None
-        self._watch: Link | None = None
+        self._link: EtcdConnection | None = None
+        self._watch: EtcdConnection | None = None
         self._asking: asyncio.Task[None] | None = None
         self._watching: asyncio.Task[None] | None = None
         self._timers: dict[int, asyncio.TimerHandle] = {}
 
-    def _begin(self) -> ef.EtcdFollow:
+    def _begin(self) -> ef.EtcdWatcher:
         count, epoch = len(self.peers), self.config.epoch
         names, bears = self.config.endpoints, self.config.bears
-        turns = None if bears is None or self.nodes == 1 else Turns(self.me, self.nodes, bears)
-        return ef.EtcdFollow(
-            self.name, count, self.rng, epoch=epoch, seen=self.started_with, names=names, turns=turns
+        turns = None if bears is None or self.nodes == 1 else StaggeredSchedule(self.me, self.nodes, bears)
+        return ef.EtcdWatcher(
+            self.name,
+            count,
+            self.rng,
+            epoch=epoch,
+            resume_from=self.started_with,
+            endpoint_names=names,
+            time_slots=turns,
         )
 
     @property
     def seen(self) -> tuple[str, int] | None:
         """The order in force and the newest revision delivered in it, for the source that comes after."""
-        return None if self.follow.cluster is None else (self.follow.identity, self.follow.floor)
+        return None if self.follow.cluster_id is None else (self.follow.identity, self.follow.min_revision)
 
     def start(self) -> None:
         """Begin; needs a running loop. What was seen before a `stop` still holds."""
@@ -204,13 +210,13 @@
             return
         self.started_with = self.seen or self.started_with
         self.follow, self.running = self._begin(), True
-        self._do(ef.Started())
+        self._do(ef.WatcherStarted())
 
     def stop(self) -> None:
         """End: connections are closed on return."""
         if not self.running:
             return
-        self._do(ef.Stopped())
+        self._do(ef.WatcherStopped())
         self.running = False
         self._drop()
         for timer in self._timers.values():
@@ -230,22 +236,22 @@
     def _act(self, action: ef.Action) -> None:
         loop = asyncio.get_running_loop()
         match action:
-            case ef.Check():
+            case ef.CheckEndpoint():
                 self._ask(partial(self._check, action))
-            case ef.Range():
+            case ef.FetchSnapshotPage():
                 self._ask(partial(self._range, action))
-            case ef.Watch():
+            case ef.OpenWatch():
                 self._close_watch()
                 self._watching = loop.create_task(self._open(action))
             case ef.CloseWatch():
                 self._close_watch()
-            case ef.Drop():
+            case ef.CloseConnections():
                 self._drop()
             case ef.SetTimer():
                 self._timers[action.token] = loop.call_at(action.at_ms / 1000, self._fire, action.token)
-            case ef.Deliver():
-                self.emit(action.event)
-            case ef.Say():
+            case ef.DeliverUpdate():
+                self.emit(action.update)
+            case ef.WriteLog():
                 log.log(logging.INFO if action.level == "info" else logging.WARNING, "%s", action.text)
 
     def _fire(self, token: int) -> None:
@@ -282,51 +288,56 @@
         self._asking = None  # the next call is not to cancel this task, which makes it
         self._do(event)
 
-    async def _check(self, action: ef.Check) -> ef.Event:
-        make = partial(self.asks[action.endpoint].check, count=action.count)
-        message = await self._request(action.endpoint, make)
+    async def _check(self, action: ef.CheckEndpoint) -> ef.Event:
+        make = partial(self.asks[action.endpoint_index].check_request, count=action.counts_keys)
+        message = await self._request(action.endpoint_index, make)
         if isinstance(message, ew.RangePage):
-            keys = message.count if action.count else None
-            return ef.CheckAnswered(action.call, _position(message.header), keys)
-        return self._failed(action.call, message)
+            keys = message.key_count if action.counts_keys else None
+            return ef.CheckAnswered(action.call_id, _position(message.header), keys)
+        return self._failed(action.call_id, message)
 
-    async def _range(self, action: ef.Range) -> ef.Event:
+    async def _range(self, action: ef.FetchSnapshotPage) -> ef.Event:
         def make(token: str) -> bytes:
-            asks = self.asks[action.endpoint]
-            return asks.range(action.after_key, action.revision, action.limit, token)
+            asks = self.asks[action.endpoint_index]
+            return asks.range_request(action.after_key, action.revision, action.max_keys, token)
 
-        message = await self._request(action.endpoint, make)
+        message = await self._request(action.endpoint_index, make)
         if not isinstance(message, ew.RangePage):
-            return self._failed(action.call, message)
-        rows: list[ef.Row] = []
-        for start in range(0, len(message.kvs), ROWS):
-            rows += [entry(kv, self.prefix, self.config.format) for kv in message.kvs[start : start + ROWS]]
+            return self._failed(action.call_id, message)
+        rows: list[ef.EntryUpdate] = []
+        for start in range(0, len(message.key_values), ROWS_PER_STEP):
+            rows += [
+                parse_entry(kv, self.prefix, self.config.format)
+                for kv in message.key_values[start : start + ROWS_PER_STEP]
+            ]
             await asyncio.sleep(0)
-        rows += [InvalidEntry(f"/entry {n}", reason) for n, reason in enumerate(message.unreadable)]
-        last = message.kvs[-1].key if message.kvs else b""
+        rows += [InvalidEntry(f"/entry {n}", reason) for n, reason in enumerate(message.unreadable_entries)]
+        last = message.key_values[-1].key if message.key_values else b""
         at = _position(message.header)
-        return ef.PageAnswered(action.call, at, tuple(rows), last, message.more, message.count)
+        return ef.SnapshotPageReceived(
+            action.call_id, at, tuple(rows), last, message.has_more, message.key_count
+        )
 
-    async def _open(self, action: ef.Watch) -> None:
+    async def _open(self, action: ef.OpenWatch) -> None:
         def take(message: ew.Message | None) -> None:
             if self._watch is link:
-                self._do(self._said(action.call, message))
+                self._do(self._stream_message(action.call_id, message))
 
-        refused = await self._log_in(action.endpoint)
+        refused = await self._log_in(action.endpoint_index)
         try:
             if refused is None:
-                link = await self._dial(action.endpoint)
+                link = await self._dial(action.endpoint_index)
         except (OSError, TimeoutError, UnicodeError) as err:  # the last of a name that cannot be looked up
-            refused = ew.Broken(ew.Why.CUT_SHORT, _why(err))
+            refused = ew.InvalidResponse(ew.ResponseFault.TRUNCATED, _why(err))
         self._watching = None
         if refused is not None:
-            self._do(self._failed(action.call, refused))
+            self._do(self._failed(action.call_id, refused))
             return
         self._watch = link
-        start = self.asks[action.endpoint].watch(action.start_revision, self._token or "")
-        link.ask(Kind.WATCH, start, take)
+        start = self.asks[action.endpoint_index].watch_request(action.start_revision, self._token or "")
+        link.ask(CallKind.WATCH, start, take)
 
-    def _said(self, call: int, message: ew.Message | None) -> ef.Event:
+    def _stream_message(self, call: int, message: ew.Message | None) -> ef.Event:
         """A message of the watch, as an event."""
         match message:
             case ew.WatchCreated(header):
@@ -335,61 +346,74 @@
                 return ef.WatchProgressed(call, _position(header))
             case ew.WatchEvents(header, events, fragment):
                 changes = (
-                    ef.Change(kv.mod_revision, entry(kv, self.prefix, self.config.format), not kv.deleted)
+                    ef.WatchEvent(
+                        kv.mod_revision, parse_entry(kv, self.prefix, self.config.format), not kv.is_deleted
+                    )
                     for kv in events
                 )
-                return ef.WatchSaid(call, _position(header), tuple(changes), fragment)
+                return ef.WatchEventsReceived(call, _position(header), tuple(changes), fragment)
             case ew.WatchCanceled(_, compacted, reason):
                 # The reason holds what the call would have been answered; its code is told in words only.
-                return ef.WatchCanceled(call, compacted, self._trouble(ew.GatewayError(0, reason)), reason)
+                return ef.WatchCanceled(
+                    call, compacted, self._stream_fault(ew.GatewayError(0, reason)), reason
+                )
             case None:
-                return ef.CallFailed(call, Trouble.FAILED, "the connection ended")
+                return ef.CallFailed(call, CallFault.FAILED, "the connection ended")
             case _:
                 return self._failed(call, message)
 
     def _failed(self, call: int, message: ew.Message) -> ef.CallFailed:
         match message:
-            case ew.GatewayError(text=text, status=status):
-                advice_ms = 1000.0 * message.after_s
-                return ef.CallFailed(call, self._trouble(message), text or f"HTTP status {status}", advice_ms)
-            case ew.Broken(why, _):
-                trouble = {ew.Why.TOO_LONG: Trouble.TOO_LONG, ew.Why.CUT_SHORT: Trouble.FAILED}
-                text = message.text if why is ew.Why.CUT_SHORT else str(message)
-                return ef.CallFailed(call, trouble.get(why, Trouble.SPOILED), text)
+            case ew.GatewayError(message=text, http_status=status):
+                advice_ms = 1000.0 * message.retry_after_s
+                return ef.CallFailed(
+                    call, self._stream_fault(message), text or f"HTTP status {status}", advice_ms
+                )
+            case ew.InvalidResponse(why, _):
+                trouble = {
+                    ew.ResponseFault.TOO_LARGE: CallFault.TOO_LARGE,
+                    ew.ResponseFault.TRUNCATED: CallFault.FAILED,
+                }
+                text = message.detail if why is ew.ResponseFault.TRUNCATED else str(message)
+                return ef.CallFailed(call, trouble.get(why, CallFault.UNREADABLE), text)
             case _:
-                return ef.CallFailed(call, Trouble.SPOILED, f"{type(message).__name__} answers another call")
+                return ef.CallFailed(
+                    call, CallFault.UNREADABLE, f"{type(message).__name__} answers another call"
+                )
 
-    def _trouble(self, error: ew.GatewayError) -> Trouble:
-        if error.compacted:
-            return Trouble.COMPACTED
-        if self.config.user and (error.stale_token or (self._token == "" and error.denied)):
+    def _stream_fault(self, error: ew.GatewayError) -> CallFault:
+        if error.is_compacted:
+            return CallFault.COMPACTED
+        if self.config.user and (
+            error.is_token_expired or (self._token == "" and error.is_permission_denied)
+        ):
             self._token = None  # the next call logs in first
-            return Trouble.STALE_TOKEN
-        if error.stale_token or error.denied:
-            return Trouble.DENIED
-        return Trouble.BUSY if error.busy else Trouble.FAILED
+            return CallFault.TOKEN_EXPIRED
+        if error.is_token_expired or error.is_permission_denied:
+            return CallFault.PERMISSION_DENIED
+        return CallFault.OVERLOADED if error.is_overloaded else CallFault.FAILED
 
     async def _request(self, endpoint: int, make: Callable[[str], bytes]) -> ew.Message:
         """A call of a range, behind a log-in where one is needed. Never raises."""
         if (refused := await self._log_in(endpoint)) is not None:
             return refused
-        return await self._once(endpoint, Kind.RANGE, make(self._token or ""))
+        return await self._once(endpoint, CallKind.RANGE, make(self._token or ""))
 
     async def _log_in(self, endpoint: int) -> ew.Message | None:
         """Get a token, if there is none; what came instead of it."""
         if not self.config.user or self._token is not None:
             return None
-        data = self.asks[endpoint].login(self.config.user, self.config.password or "")
-        message = await self._once(endpoint, Kind.LOGIN, data)
+        data = self.asks[endpoint].authenticate_request(self.config.user, self.config.password or "")
+        message = await self._once(endpoint, CallKind.AUTHENTICATE, data)
         if isinstance(message, ew.Authenticated):
             self._token = message.token
-        elif isinstance(message, ew.GatewayError) and message.auth_off:
+        elif isinstance(message, ew.GatewayError) and message.is_auth_disabled:
             self._token = ""
         else:
             return message
         return None
 
-    async def _once(self, endpoint: int, kind: Kind, data: bytes) -> ew.Message:
+    async def _once(self, endpoint: int, kind: CallKind, data: bytes) -> ew.Message:
         """One call on the connection that is there, or a new one.
 
         A connection that was kept may have been closed by its other end meanwhile: then the call, which
@@ -398,20 +422,20 @@
         try:
             if (link := self._link) is not None and link.idle:
                 message = await link.call(kind, data)
-                if not isinstance(message, ew.Broken) or link.heard:
+                if not isinstance(message, ew.InvalidResponse) or link.heard:
                     return message
             if self._link is not None:
                 self._link.close()  # a call that nobody waits for any more may be out on it
             self._link = link = await self._dial(endpoint)
             return await link.call(kind, data)
         except (OSError, TimeoutError, UnicodeError) as err:  # the last of a name that cannot be looked up
-            return ew.Broken(ew.Why.CUT_SHORT, _why(err))
+            return ew.InvalidResponse(ew.ResponseFault.TRUNCATED, _why(err))
 
-    async def _dial(self, endpoint: int) -> Link:
+    async def _dial(self, endpoint: int) -> EtcdConnection:
         host, port, tls = self.peers[endpoint]
-        loop, link = asyncio.get_running_loop(), Link()
+        loop, link = asyncio.get_running_loop(), EtcdConnection()
         try:
-            async with asyncio.timeout(CONNECT):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 await loop.create_connection(lambda: link, host, port, ssl=self.tls if tls else None)
         except BaseException:
             link.close()
@@ -437,7 +461,7 @@
     return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
 
 
-def _position(header: ew.Header) -> ef.Position:
+def _position(header: ew.ResponseHeader) -> ef.Position:
     return ef.Position(header.cluster_id, header.revision, header.raft_term)
 
 
--- a/balancer/net/endpoint_view.py
+++ b/balancer/net/endpoint_view.py
@@ -8,7 +8,7 @@
 from typing import Any, Protocol
 
 from balancer.core.discovery import endpoint_merger as membership
-from balancer.core.discovery.endpoint_merger import Membership, Source
+from balancer.core.discovery.endpoint_merger import EndpointMerger, Source
 
 log = logging.getLogger(__name__)
 
@@ -19,29 +19,29 @@
     def now(self) -> float:
         """Milliseconds; never goes back."""
 
-    def apply(self, change: membership.Apply) -> None:
+    def apply(self, change: membership.ApplyEndpoints) -> None:
         """Take a change."""
 
 
-class Fleet:
+class EndpointView:
     """Runs the merge: events of sources in, changes of the view out. It decides nothing."""
 
     def __init__(self, sink: ViewSink, sources: list[Source]) -> None:
         self.sink = sink
-        self.membership = Membership(sources)
+        self.merger = EndpointMerger(sources)
         self.loop = asyncio.get_running_loop()
         self.listeners: list[Callable[[membership.Event, list[membership.Action]], None]] = []  # told last
 
-    def hand(self, event: membership.Event) -> None:
+    def handle(self, event: membership.Event) -> None:
         """An event of a source. Never raises: a source in the middle of its work would stay so."""
         try:
-            actions = self.membership.handle(self.sink.now(), event)
+            actions = self.merger.handle(self.sink.now(), event)
         except Exception:
             log.exception("membership: %s failed", type(event).__name__)
             return
         for action in actions:
             try:
-                self._act(action)
+                self._execute(action)
             except Exception:
                 log.exception("membership: %s was not carried out", type(action).__name__)
         for listener in self.listeners:
@@ -50,21 +50,21 @@
             except Exception:  # guards the list against whoever only watches
                 log.exception("membership: a listener failed on %s", type(event).__name__)
 
-    def _act(self, action: membership.Action) -> None:
+    def _execute(self, action: membership.Action) -> None:
         match action:
-            case membership.Apply():
+            case membership.ApplyEndpoints():
                 self.sink.apply(action)
-            case membership.Continue():
-                self.loop.call_soon(self.hand, membership.Continued())
-            case membership.Say():
-                log.log(logging.WARNING if action.loud else logging.INFO, "%s", action.text)
+            case membership.ScheduleNextSlice():
+                self.loop.call_soon(self.handle, membership.NextSliceDue())
+            case membership.WriteLog():
+                log.log(logging.WARNING if action.is_warning else logging.INFO, "%s", action.text)
 
-    def resume(self, name: str) -> int | None:
+    def watch_revision(self, name: str) -> int | None:
         """The revision to watch a source from; None: only its whole list will do."""
-        return self.membership.resume(name)
+        return self.merger.watch_revision(name)
 
     def report(self) -> dict[str, Any]:
         """What the sources say of whom, for operators."""
-        from balancer.core.discovery.merge_report import report
+        from balancer.core.discovery.merge_report import build_report
 
-        return report(self.membership)
+        return build_report(self.merger)
--- a/balancer/net/etcd_component.py
+++ b/balancer/net/etcd_component.py
@@ -9,16 +9,16 @@
 from typing import Protocol
 
 from balancer.core.discovery import endpoint_merger as membership
-from balancer.core.discovery.endpoint_merger import Role, Source
+from balancer.core.discovery.endpoint_merger import Source, SourceRole
 from balancer.core.discovery.etcd_watcher import EtcdConfig
-from balancer.net.component import PEERS
-from balancer.net.endpoint_view import Fleet
-from balancer.operator_settings import EtcdSettings, Operators
+from balancer.net.component import PEERS_SOURCE
+from balancer.net.endpoint_view import EndpointView
+from balancer.operator_settings import EtcdSettings, OperatorSettings
 
 ETCD = "etcd"
 
 
-class EtcdLike(Protocol):
+class EtcdWatcher(Protocol):
     """What `EtcdPart` needs of a source; sources are made by whoever puts the node together."""
 
     @property
@@ -32,19 +32,19 @@
         """End; connections are closed on return."""
 
 
-Make = Callable[[EtcdConfig, tuple[str, int] | None], EtcdLike]
+EtcdFactory = Callable[[EtcdConfig, tuple[str, int] | None], EtcdWatcher]
 
 
-class EtcdPart:
+class EtcdComponent:
     """etcd as a source: on where the operators' file has its table. `others` come before it in precedence."""
 
-    def __init__(self, fleet: Fleet, others: tuple[Source, ...], make: Make) -> None:
+    def __init__(self, fleet: EndpointView, others: tuple[Source, ...], make: EtcdFactory) -> None:
         self.fleet, self.others, self.make = fleet, others, make
         self.settings: EtcdSettings | None = None
-        self.source: EtcdLike | None = None
+        self.source: EtcdWatcher | None = None
         self._made = 0
 
-    def apply(self, settings: Operators) -> None:
+    def apply(self, settings: OperatorSettings) -> None:
         """Switch it on, off or over; what was seen is not gone behind. Raises ValueError: a bad TLS file."""
         self._apply(settings.membership.etcd)
 
@@ -62,9 +62,17 @@
         sources = self.others
         if settings is not None:
             self._made += 1
-            sources = (*sources, Source(ETCD, Role(settings.role), pieces=True, made=self._made))
-        behind = [one for one in self.fleet.membership.sources.values() if one.name == PEERS]
-        self.fleet.hand(membership.Configured((*sources, *behind)))
+            sources = (
+                *sources,
+                Source(
+                    ETCD,
+                    SourceRole(settings.role),
+                    has_partial_revisions=True,
+                    configuration_generation=self._made,
+                ),
+            )
+        behind = [one for one in self.fleet.merger.sources.values() if one.name == PEERS_SOURCE]
+        self.fleet.handle(membership.SourcesConfigured((*sources, *behind)))
         if source is not None:
             source.start()
 
--- a/balancer/net/http_server.py
+++ b/balancer/net/http_server.py
@@ -14,33 +14,43 @@
 
 from balancer import interface as api
 from balancer.core.connection_admission import (
-    LEAST_BUDGET,
-    MOST_BODY,
-    OVER,
-    USUAL_BODY,
-    UnreadAnswers,
+    MAX_FORWARDED_BODY_BYTES,
+    MAX_OVERLOAD_CONNECTIONS,
+    MIN_UNREAD_BUDGET_BYTES,
+    UNBUDGETED_BODY_BYTES,
+    UnreadResponses,
 )
-from balancer.core.shutdown_deadlines import FRESH_MS, Ends
+from balancer.core.shutdown_deadlines import FIRST_BYTE_TIMEOUT_MS, ShutdownDeadlines
 from balancer.endpoints import Address
 from balancer.interface import Idempotency
-from balancer.net.listener import Listener, Room
-from balancer.net.request_dispatcher import Node
+from balancer.net.listener import Listener, SlotState
+from balancer.net.request_dispatcher import RequestDispatcher
 
 log = logging.getLogger(__name__)
 
-MAX_HEAD = 16 * 1024
-GULP = 0.01  # s between two reads of what nobody asked for: 26 MB a second, so 4 MB hide no leaving for 0.3 s
-LINGER = 0.5  # s for a client to read its last answer before the connection is torn down
-HIGH = 64 * 1024  # unread bytes behind which requests in a packet that was already read are left
-SAY = 10.0  # s between two lines on clients that do not read
-SLOW = 2.3  # s for a request to come in whole once its connection is up, or once it has begun on a used one
-MUTE = 1.0  # s without a word after which a new connection goes before used ones where they are too many
-IDLE = 60.0  # s that a connection is kept between two requests
-BRIEF = 2.1  # the same where more than FEW of all that may be there are idle; first answers close then
-FEW = 1 / 8
-STEP = 0.02  # s between two looks at what is still owed, once the node ends
-SWEEP = 0.2  # s between two looks for connections whose time is up
-ASKS = frozenset(
+MAX_HEAD_BYTES = 16 * 1024
+MAX_READ_TURN_S = (
+    0.01  # s between two reads of what nobody asked for: 26 MB a second, so 4 MB hide no leaving for 0.3 s
+)
+LINGERING_CLOSE_S = 0.5  # s for a client to read its last answer before the connection is torn down
+WRITE_HIGH_WATER_BYTES = (
+    64 * 1024
+)  # unread bytes behind which requests in a packet that was already read are left
+LOG_INTERVAL_S = 10.0  # s between two lines on clients that do not read
+SLOW_REQUEST_TIMEOUT_S = (
+    2.3  # s for a request to come in whole once its connection is up, or once it has begun on a used one
+)
+SILENT_CONNECTION_TIMEOUT_S = (
+    1.0  # s without a word after which a new connection goes before used ones where they are too many
+)
+IDLE_TIMEOUT_S = 60.0  # s that a connection is kept between two requests
+IDLE_TIMEOUT_UNDER_PRESSURE_S = (
+    2.1  # the same where more than FEW of all that may be there are idle; first answers close then
+)
+IDLE_PRESSURE_RATIO = 1 / 8
+CLOSE_STEP_RATIO = 0.02  # s between two looks at what is still owed, once the node ends
+SWEEP_INTERVAL_S = 0.2  # s between two looks for connections whose time is up
+RELEVANT_HEADERS = frozenset(
     {  # headers that a client's request has, and the front's question has not
         b"request-id",
         b"request-timeout",
@@ -51,8 +61,8 @@
         b"request-info",
     }
 )
-ONCE = frozenset({b"request-id", b"idempotency-key", b"request-timeout", b"host"})
-REASONS = {
+SINGLE_VALUE_HEADERS = frozenset({b"request-id", b"idempotency-key", b"request-timeout", b"host"})
+REASON_PHRASES = {
     200: "OK",
     400: "Bad Request",
     404: "Not Found",
@@ -65,7 +75,7 @@
     502: "Bad Gateway",
     503: "Service Unavailable",
 }
-TIMEOUT = re.compile(rb"(\d{1,12}(?:\.\d{1,6})?)([mu])")
+TIMEOUT_PATTERN = re.compile(rb"(\d{1,12}(?:\.\d{1,6})?)([mu])")
 
 
 class BadRequest(ValueError):
@@ -78,7 +88,7 @@
 
 def parse_timeout(value: bytes) -> float:
     """A `Request-Timeout` in milliseconds."""
-    found = TIMEOUT.fullmatch(value.strip())
+    found = TIMEOUT_PATTERN.fullmatch(value.strip())
     if found is None or not (number := float(found[1])):
         raise BadRequest(400, "bad Request-Timeout")
     return number if found[2] == b"m" else number / 1000
@@ -104,8 +114,8 @@
 class ClientConnection(asyncio.Protocol):
     """One client connection; it carries one request at a time."""
 
-    def __init__(self, front: Front) -> None:
-        self.front, self.node = front, front.node
+    def __init__(self, front: HttpServer) -> None:
+        self.server, self.node = front, front.node
         self.transport: asyncio.Transport | None = None
         self.request: str | None = None  # the open one
         self.closing = self.mid = self.close_after = False
@@ -132,7 +142,7 @@
     def _forget(self) -> None:
         """Hold no body: guards memory against those of all connections that rest."""
         self.body: list[bytes] = []
-        self.node.long.give(self.long)
+        self.node.long.release(self.long)
         self.long = 0
 
     # --- asyncio.Protocol
@@ -141,16 +151,16 @@
         """Take the connection in, over the cap too: it gets a plain answer and is closed."""
         self.transport = cast(asyncio.Transport, transport)  # no subclass of it under uvloop
         self.transport.set_write_buffer_limits(high=0)  # blocked from the first byte that is left over
-        self.front.took(self)
+        self.server.connection_accepted(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """The client has left; a request that it waited for is owed no more."""
         self.closing = True
         self._forget()
-        self.front.lost(self)
+        self.server.lost(self)
         if self.request is not None:
             name, self.request = self.request, None
-            self.node.gone(name)
+            self.node.client_left(name)
 
     def pause_writing(self) -> None:
         """The client does not read its answer: no more is read from it.
@@ -161,30 +171,30 @@
         self.blocked = True
         self.transport.pause_reading()
         if not self.closing:
-            self.front.forget(self)
-        self.front.held(self)
+            self.server.forget(self)
+        self.server.held(self)
 
     def resume_writing(self) -> None:
         """The kernel has taken all; go on as if it had at once."""
         assert self.transport is not None
         self.blocked = False
-        self.front.unread.forget(self)
+        self.server.unread.discard(self)
         if self.closing:
-            self.front.loop.call_later(LINGER, self.transport.abort)
+            self.server.loop.call_later(LINGERING_CLOSE_S, self.transport.abort)
             return
         self.transport.resume_reading()
         if self.mid:
-            self.front.waiting[self] = self.front.loop.time()
+            self.server.waiting[self] = self.server.loop.time()
         elif self.request is None:
-            self.front.idle[self] = self.front.loop.time()
+            self.server.idle[self] = self.server.loop.time()
 
     def abort(self) -> None:
         """End it with what it has not read."""
         if self.transport is not None:
             self.closing = self.aborted = True
-            self.front.forget(self)
-            self.front.unread.forget(self)
-            self.front.going.add(self)
+            self.server.forget(self)
+            self.server.unread.discard(self)
+            self.server.going.add(self)
             self.transport.abort()
 
     def data_received(self, data: bytes) -> None:
@@ -194,9 +204,9 @@
             # of it is taken from the kernel, as a close over unread bytes resets; a flood is taken slowly,
             # one read (256 KiB at most) in each `GULP`: its end is the only sign that the client has left.
             self.left += len(data)
-            if self.left > USUAL_BODY and self.transport is not None:
+            if self.left > UNBUDGETED_BODY_BYTES and self.transport is not None:
                 self.transport.pause_reading()
-                self.front.loop.call_later(GULP, self._read_on)
+                self.server.loop.call_later(MAX_READ_TURN_S, self._read_on)
             return
         if self.in_line:
             data = self._escape(data)
@@ -207,21 +217,21 @@
         except httptools.HttpParserError as err:
             cause = err.__context__
             if isinstance(cause, BadRequest):
-                self._turn_away(cause.code, str(cause))
+                self._reject(cause.code, str(cause))
             elif isinstance(err, httptools.HttpParserCallbackError):
                 log.exception("request failed")
-                self._turn_away(500, "internal error")
+                self._reject(500, "internal error")
             else:
-                self._turn_away(400, "malformed request")
+                self._reject(400, "malformed request")
         if self.mid and not self.in_body:
             # Guards memory against a header without end: the parser keeps it all and calls only at its end.
             self.head += len(data)
-            if self.head > MAX_HEAD:
-                self._turn_away(431, "headers too long")
+            if self.head > MAX_HEAD_BYTES:
+                self._reject(431, "headers too long")
         if self.close_after and self.request is None:
             self._linger()  # a request was left unread behind answers that are
         if self.mid and not (self.closing or self.blocked):
-            self.front.waiting.setdefault(self, self.front.loop.time())
+            self.server.waiting.setdefault(self, self.server.loop.time())
 
     def _escape(self, data: bytes) -> bytes:
         """Percent-encode letters outside ASCII in the request line: the parser refuses what clients send.
@@ -249,12 +259,12 @@
         """
         self.close_after = True
         if self.request is None:
-            self._linger()
+            self._lingering_close()
 
     def too_slow(self) -> None:
         """Its request did not come in whole in time."""
         if self.mid:
-            self._turn_away(408, "request took too long")
+            self._reject(408, "request took too long")
         elif self.request is None:
             self.close()
 
@@ -276,12 +286,16 @@
         self.mid = True
         # One that begins behind another in its packet is read as it is: what comes next is no request line.
         self.in_line = bool(self.line)
-        self.front.idle.pop(self, None)
-        self.front.fresh.pop(self, None)
+        self.server.idle.pop(self, None)
+        self.server.fresh.pop(self, None)
 
     def _high(self) -> bool:
         """Guards memory against hundreds of requests in one packet: reading stops with the next only."""
-        return self.blocked and self.transport is not None and self.transport.get_write_buffer_size() > HIGH
+        return (
+            self.blocked
+            and self.transport is not None
+            and self.transport.get_write_buffer_size() > WRITE_HIGH_WATER_BYTES
+        )
 
     def on_url(self, url: bytes) -> None:
         """The request's target, in pieces."""
@@ -294,17 +308,19 @@
             return
         self.size += len(name) + len(value)
         key = name.lower()
-        if key in ONCE and key in self.headers:
+        if key in SINGLE_VALUE_HEADERS and key in self.headers:
             # Guards against a request that is one thing to this node and another to a backend.
             raise BadRequest(400, "header given twice")
-        if key == b"content-length" and (len(value) > 9 or int(value) > MOST_BODY):  # zeros may be thousands
+        if key == b"content-length" and (
+            len(value) > 9 or int(value) > MAX_FORWARDED_BODY_BYTES
+        ):  # zeros may be thousands
             raise BadRequest(413, "body too large")
         self.headers[key] = value
 
     def on_headers_complete(self) -> None:
         """The head is whole; from here on the size is the body's."""
         if not self.close_after:
-            if self.size + len(self.target) > MAX_HEAD:
+            if self.size + len(self.target) > MAX_HEAD_BYTES:
                 raise BadRequest(431, "headers too long")
             self.in_body, self.size = True, 0
 
@@ -313,9 +329,9 @@
         if self.close_after:
             return
         self.size += len(body)
-        if self.size > MOST_BODY:
+        if self.size > MAX_FORWARDED_BODY_BYTES:
             raise BadRequest(413, "body too large")
-        if (long := self.node.long.take(self.long, self.size)) is None:
+        if (long := self.node.long.reserve(self.long, self.size)) is None:
             raise BadRequest(503, "too many long requests")  # nothing ran: turning it away is harmless
         self.long = long
         self.body.append(body)
@@ -326,12 +342,12 @@
             return
         self.mid, self.in_line = False, True
         self.asked += 1
-        self.front.waiting.pop(self, None)
+        self.server.waiting.pop(self, None)
         self.keep_alive = self.parser.should_keep_alive()
         try:
             self._take()
         except BadRequest as err:
-            self._turn_away(err.code, str(err))
+            self._reject(err.code, str(err))
         self.raw = b""
 
     # --- requests
@@ -348,7 +364,7 @@
         cls = node.class_paths.find(path)
         # Where a class is called `up` the headers tell its requests from the question. Guards against serving
         # one that lacks its id with what no backend made.
-        if path == b"/up" and (cls is None or not (query or headers.keys() & ASKS)):
+        if path == b"/up" and (cls is None or not (query or headers.keys() & RELEVANT_HEADERS)):
             up = node.ready and not node.stopping
             self._write(200 if up else 503, b"up\n" if up else b"not up\n")
             return
@@ -366,11 +382,11 @@
         wait = cls.deadline_ms
         if b"request-timeout" in headers:
             wait = min(wait, parse_timeout(headers[b"request-timeout"]))
-        if self.front.ends is not None:
+        if self.server.ends is not None:
             # Guards against a request that is still open when SIGKILL comes.
-            wait = min(wait, max(0.0, self.front.ends.last_ms - now))
+            wait = min(wait, max(0.0, self.server.ends.respond_until_ms - now))
         key = parse_qs(query.decode("latin-1")).get("obj")
-        if node.full() or self.over or self.front.unread.full:
+        if node.full() or self.over or self.server.unread.is_over_budget:
             # Guards the descriptors, open requests and memory: nothing ran, so turning it away is harmless.
             self._write(503, b"too many requests\n")
             return
@@ -386,7 +402,7 @@
         )
         self.request, self.until = name, max(self.until, event.deadline_ms)
         target, body, self.body = self.raw or self.target, b"".join(self.body), []
-        node.arrival(event, self, partial(render, method, target, headers, body))
+        node.request_arrived(event, self, partial(render, method, target, headers, body))
 
     def _hint(self) -> float | None:
         value = self.headers.get(b"work-hint", b"")
@@ -410,7 +426,7 @@
         self.request = None
         self._write(502, b"failed\n")
 
-    def _turn_away(self, code: int, why: str) -> None:
+    def _reject(self, code: int, why: str) -> None:
         if self.closing:
             return
         if self.request is not None:
@@ -426,17 +442,17 @@
         close = self.close_after or self.node.stopping or not self.keep_alive
         # Guards against clients that ask once and keep their connection: what they hold keeps others out, and
         # only a new request could tell them from those who will ask again. One that was asked on again stays.
-        close = close or (self.asked < 2 and self.front.pressed)
+        close = close or (self.asked < 2 and self.server.pressed)
         if close:
             extra += b"Connection: close\r\n"
         head = b"HTTP/1.1 %d %b\r\n%bContent-Length: %d\r\n\r\n"
-        self.transport.write(head % (code, REASONS[code].encode(), extra, len(body)) + body)
+        self.transport.write(head % (code, REASON_PHRASES[code].encode(), extra, len(body)) + body)
         if self.blocked:
-            self.front.held(self)  # what was left over before has become more
+            self.server.held(self)  # what was left over before has become more
         if close:
-            self._linger()
+            self._lingering_close()
         elif not self.blocked:
-            self.front.idle[self] = self.front.loop.time()
+            self.server.idle[self] = self.server.loop.time()
 
     def close(self) -> None:
         """Close a connection that nothing is owed on; it counts until its descriptor is free.
@@ -444,35 +460,41 @@
         Guards against a close that never comes about: a transport puts it off until all is read.
         """
         if self.blocked:
-            self._linger()
+            self._lingering_close()
         elif not self.closing and self.transport is not None:
             self.closing = True
-            self.front.forget(self)
-            self.front.going.add(self)
+            self.server.forget(self)
+            self.server.going.add(self)
             self.transport.close()
 
-    def _linger(self) -> None:
+    def _lingering_close(self) -> None:
         """Close once the client has read its answer.
 
         Guards against a reset that takes the answer with it: it is what closing does while bytes come in.
         """
         if not self.closing and self.transport is not None:
             self.closing = True
-            self.front.forget(self)
+            self.server.forget(self)
             with contextlib.suppress(OSError):  # the client was first: its end is on its way here
                 self.transport.write_eof()
             if not self.blocked:  # else once it is not, or when it has stalled
-                self.front.loop.call_later(LINGER, self.transport.abort)
+                self.server.loop.call_later(LINGERING_CLOSE_S, self.transport.abort)
 
 
-class Front:
+class HttpServer:
     """The listener and its connections."""
 
-    def __init__(self, node: Node, limit: int, budget: int = LEAST_BUDGET, over: int = OVER) -> None:
+    def __init__(
+        self,
+        node: RequestDispatcher,
+        limit: int,
+        budget: int = MIN_UNREAD_BUDGET_BYTES,
+        over: int = MAX_OVERLOAD_CONNECTIONS,
+    ) -> None:
         """At most `limit` connections, `over` more that get one answer, `budget` bytes of unread answers."""
         self.node, self.limit, self.over = node, limit, over
-        self.unread: UnreadAnswers[ClientConnection] = UnreadAnswers(budget)
-        self.ended, self.said = 0, -SAY  # over unread answers, since the last line about it
+        self.unread: UnreadResponses[ClientConnection] = UnreadResponses(budget)
+        self.ended, self.said = 0, -LOG_INTERVAL_S  # over unread answers, since the last line about it
         self.loop = asyncio.get_running_loop()
         self.connections: set[ClientConnection] = set()
         # Since when, longest first: no request on it, none yet; a request of its that has to come in whole.
@@ -480,19 +502,19 @@
         self.fresh: dict[ClientConnection, float] = {}
         self.waiting: dict[ClientConnection, float] = {}
         self.going: set[ClientConnection] = set()  # closed, their descriptors free in a turn or two
-        self.ends: Ends | None = None  # once the node is told to end
-        self.listener = Listener(lambda: ClientConnection(self), self._room)
-        self.sweeper, self.swept = self.loop.call_later(SWEEP, self._sweep), self.loop.time()
+        self.ends: ShutdownDeadlines | None = None  # once the node is told to end
+        self.listener = Listener(lambda: ClientConnection(self), self._free_slots)
+        self.sweeper, self.swept = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep), self.loop.time()
 
     @property
-    def crowded(self) -> bool:
+    def is_under_idle_pressure(self) -> bool:
         """Whether there are more client connections than the cap."""
         return len(self.connections) > self.limit
 
     @property
     def pressed(self) -> bool:
         """Whether more than `FEW` of the connections that may be there stand idle."""
-        return len(self.idle) > FEW * self.limit
+        return len(self.idle) > IDLE_PRESSURE_RATIO * self.limit
 
     @property
     def address(self) -> Address:
@@ -505,24 +527,24 @@
         """Accept connections on this address only."""
         await self.listener.listen(address)
 
-    def _room(self) -> Room:
+    def _free_slots(self) -> SlotState:
         """Whether one more may come: a descriptor counts from accept until it is free.
 
         Where something idle can go the new one waits for its place, instead of taking another descriptor.
         """
         if len(self.connections) + len(self.listener.coming) < self.limit + self.over:
-            return Room.FREE
+            return SlotState.FREE
         if not self.going:
             if (other := self._spare()) is None:
-                return Room.NONE
+                return SlotState.NONE
             other.close()
-        return Room.SOON
+        return SlotState.SOON_FREE
 
-    def took(self, connection: ClientConnection) -> None:
+    def connection_accepted(self, connection: ClientConnection) -> None:
         """A connection came in; over the cap one that nothing is asked on goes."""
         self.connections.add(connection)
         self.listener.arrived(connection)
-        if self.crowded:
+        if self.is_under_idle_pressure:
             # Only who comes too many is turned away: guards those who were here against a crowd.
             if (other := self._spare()) is not None:
                 other.close()
@@ -533,7 +555,7 @@
     def _spare(self) -> ClientConnection | None:
         """One mute for long, else the longest idle one: closing others may meet their first request."""
         mute, since = next(iter(self.fresh.items()), (None, 0.0))
-        if mute is not None and self.loop.time() - since > MUTE:
+        if mute is not None and self.loop.time() - since > SILENT_CONNECTION_TIMEOUT_S:
             return mute
         return next(iter(self.idle), mute)
 
@@ -543,16 +565,16 @@
         Guards against clients that keep a connection: others may find none left to ask on.
         """
         last, self.swept = self.swept, self.loop.time()
-        self.sweeper, now = self.loop.call_later(SWEEP, self._sweep), self.swept
-        if now - last > 2 * SWEEP:
+        self.sweeper, now = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep), self.swept
+        if now - last > 2 * SWEEP_INTERVAL_S:
             return  # guards what came while this process stood still: it is read before the next look
-        while self.waiting and now - next(iter(self.waiting.values())) > SLOW:
+        while self.waiting and now - next(iter(self.waiting.values())) > SLOW_REQUEST_TIMEOUT_S:
             connection = next(iter(self.waiting))
             del self.waiting[connection]
             connection.too_slow()
         while self.idle:
             connection, since = next(iter(self.idle.items()))
-            if now - since <= (BRIEF if self.pressed else IDLE):
+            if now - since <= (IDLE_TIMEOUT_UNDER_PRESSURE_S if self.pressed else IDLE_TIMEOUT_S):
                 break
             connection.close()
         self._end_unread()
@@ -562,8 +584,8 @@
         transport = connection.transport
         if transport is None or connection.aborted:
             return
-        self.unread.note(connection, transport.get_write_buffer_size(), self.node.now(), connection.until)
-        if self.unread.full:
+        self.unread.update(connection, transport.get_write_buffer_size(), self.node.now(), connection.until)
+        if self.unread.is_over_budget:
             self._end(self.unread.excess(self.node.now()))
 
     def _end_unread(self) -> None:
@@ -571,7 +593,7 @@
         for connection in list(self.unread):
             self.held(connection)
         self._end(self.unread.stalled(self.node.now()))
-        if self.ended and self.loop.time() - self.said >= SAY:
+        if self.ended and self.loop.time() - self.said >= LOG_INTERVAL_S:
             log.warning("%d connections ended whose clients do not read their answers", self.ended)
             self.ended, self.said = 0, self.loop.time()
 
@@ -590,7 +612,7 @@
         self.connections.discard(connection)
         self.going.discard(connection)
         self.forget(connection)
-        self.unread.forget(connection)
+        self.unread.discard(connection)
 
     def stop(self) -> None:
         """Accept all that wait and no more. A request on its way is still taken."""
@@ -608,13 +630,17 @@
             # Between two looks all that had come was read: guards a request that lies in the kernel.
             for connection in [c for c in mute if c in self.idle or c in self.fresh]:
                 connection.close()
-            left = (self.ends.last_ms - self.node.now()) / 1000
+            left = (self.ends.respond_until_ms - self.node.now()) / 1000
             if last or not (self.connections or self.listener.coming or self.node.open):
                 break
-            now, last = self.loop.time(), left <= STEP
-            mute = [c for c, since in self.fresh.items() if last or now - since >= FRESH_MS / 1000]
+            now, last = self.loop.time(), left <= CLOSE_STEP_RATIO
+            mute = [
+                c for c, since in self.fresh.items() if last or now - since >= FIRST_BYTE_TIMEOUT_MS / 1000
+            ]
             mute += self.idle
-            await asyncio.sleep(STEP)  # where the end is late itself, too: what has come is turned away
+            await asyncio.sleep(
+                CLOSE_STEP_RATIO
+            )  # where the end is late itself, too: what has come is turned away
             await asyncio.sleep(0)  # uvloop's timers go before the sockets; these are read in between
         await self.node.finish(0)
         for connection in list(self.connections):
--- a/balancer/net/listener.py
+++ b/balancer/net/listener.py
@@ -22,18 +22,20 @@
 log = logging.getLogger(__name__)
 
 BACKLOG = 1024
-BATCH = 64  # connections taken between two turns of the loop
-REST = 0.1  # s until the next try where not even the spare descriptor helps
-SAY = 10.0  # s between two lines about it
-BUSY = b"HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 5\r\n\r\nbusy\n"
-FULL = (errno.EMFILE, errno.ENFILE)
+ACCEPT_BATCH = 64  # connections taken between two turns of the loop
+ACCEPT_PAUSE_S = 0.1  # s until the next try where not even the spare descriptor helps
+LOG_INTERVAL_S = 10.0  # s between two lines about it
+SERVICE_UNAVAILABLE_RESPONSE = (
+    b"HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 5\r\n\r\nbusy\n"
+)
+DESCRIPTOR_ERRNOS = (errno.EMFILE, errno.ENFILE)
 
 
-class Room(enum.Enum):
+class SlotState(enum.Enum):
     """What becomes of the next connection."""
 
     FREE = enum.auto()  # it is taken
-    SOON = enum.auto()  # it waits until one that is being closed is gone, a turn or two of the loop
+    SOON_FREE = enum.auto()  # it waits until one that is being closed is gone, a turn or two of the loop
     NONE = enum.auto()  # it is turned away
 
 
@@ -45,15 +47,15 @@
     many as `room` allows, and `BATCH` between two turns of the loop.
     """
 
-    def __init__(self, make: Callable[[], asyncio.Protocol], room: Callable[[], Room]) -> None:
+    def __init__(self, make: Callable[[], asyncio.Protocol], room: Callable[[], SlotState]) -> None:
         """`room` is asked before each connection is accepted."""
-        self.make, self.room = make, room
+        self.make, self.slot_state = make, room
         self.loop = asyncio.get_running_loop()
         self.coming: dict[asyncio.Protocol, asyncio.Task[object]] = {}  # accepted, no transport yet
         self.sock: socket.socket | None = None
         self._spare: int | None = None
         self._resting: asyncio.TimerHandle | None = None
-        self._said = -SAY
+        self._said = -LOG_INTERVAL_S
 
     async def listen(self, address: Address) -> None:
         """Listen on this address only; raises OSError."""
@@ -93,13 +95,13 @@
         self.coming.pop(protocol, None)
 
     def _ready(self) -> None:
-        self._accept(BATCH)
+        self._accept(ACCEPT_BATCH)
 
     def _accept(self, most: int, last: bool = False) -> None:
         """Accept so many; who finds no place waits for one, but the `last` are turned away."""
         for _ in range(most):
-            room = self.room()
-            if self.sock is None or (room is Room.SOON and not last):
+            room = self.slot_state()
+            if self.sock is None or (room is SlotState.SOON_FREE and not last):
                 return
             try:
                 sock, _ = self.sock.accept()
@@ -108,15 +110,15 @@
             except ConnectionError:
                 continue  # it has left already
             except OSError as err:
-                if err.errno in FULL and self._relieve():
+                if err.errno in DESCRIPTOR_ERRNOS and self._relieve():
                     continue
                 if not last:
                     self._rest(err)
                 return
-            if room is Room.FREE:
+            if room is SlotState.FREE:
                 self._hand_on(sock)
             else:
-                _turn_away(sock)
+                _reject(sock)
 
     def _hand_on(self, sock: socket.socket) -> None:
         sock.setblocking(False)
@@ -146,17 +148,17 @@
         except OSError:
             return False
         else:
-            _turn_away(sock)
+            _reject(sock)
             return True
         finally:
             self._keep_spare()
 
     def _rest(self, err: OSError) -> None:
         """Guards against a loop that spins over a connection which it cannot accept."""
-        self._say(f"accept: {err.strerror}; the next try is in {REST:g} s")
+        self._say(f"accept: {err.strerror}; the next try is in {ACCEPT_PAUSE_S:g} s")
         assert self.sock is not None
         self.loop.remove_reader(self.sock)
-        self._resting = self.loop.call_later(REST, self._resume)
+        self._resting = self.loop.call_later(ACCEPT_PAUSE_S, self._resume)
 
     def _resume(self) -> None:
         if self.sock is not None:
@@ -174,21 +176,21 @@
             self._spare = None
 
     def _say(self, text: str) -> None:
-        if self.loop.time() - self._said >= SAY:
+        if self.loop.time() - self._said >= LOG_INTERVAL_S:
             self._said = self.loop.time()
             log.warning("%s", text)
 
 
-def _turn_away(sock: socket.socket) -> None:
+def _reject(sock: socket.socket) -> None:
     """Answer and close. What has come is read first, as a close over unread bytes resets the answer away."""
     with sock, contextlib.suppress(OSError):
         sock.setblocking(False)
-        sock.send(BUSY)
+        sock.send(SERVICE_UNAVAILABLE_RESPONSE)
         sock.shutdown(socket.SHUT_WR)
         sock.recv(64 * 1024)
 
 
-def fit(wanted: int) -> int:
+def raise_descriptor_limit(wanted: int) -> int:
     """How many of the wanted descriptors there are; raises the soft limit as far as the hard one allows."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft == resource.RLIM_INFINITY or soft >= wanted:
--- a/balancer/net/metrics_server.py
+++ b/balancer/net/metrics_server.py
@@ -13,43 +13,43 @@
 
 from balancer.core.recovery import Recovery
 from balancer.endpoints import Address
-from balancer.net.component import Running
+from balancer.net.component import RunningNode
 from balancer.observability.metrics import CONTENT_TYPE, Figures, Metrics
-from balancer.operator_settings import Operators
-from balancer.timeline.monitor import Watch
+from balancer.operator_settings import OperatorSettings
+from balancer.timeline.monitor import TimelineMonitor
 
 log = logging.getLogger(__name__)
 
-MOST, HEAD, LIMIT = 8, 8 * 1024, 5.0
-AGAIN = 2.0  # s until an address that could not be had is tried again
-Target = tuple[Address, Watch]
+MAX_CLIENTS, MAX_HEAD_BYTES, CLIENT_TIMEOUT_S = 8, 8 * 1024, 5.0
+RETRY_INTERVAL_S = 2.0  # s until an address that could not be had is tried again
+Target = tuple[Address, TimelineMonitor]
 
 
-class MetricsPart:
+class MetricsComponent:
     """Serves the metrics where the operators' file has `[metrics]`, of the time line that is on by then."""
 
-    def __init__(self, running: Running) -> None:
+    def __init__(self, running: RunningNode) -> None:
         self.running = running
         self.loop = asyncio.get_running_loop()
         self._target: Target | None = None
         self._server: MetricsServer | None = None
         self._moving: asyncio.Task[None] | None = None
 
-    def apply(self, settings: Operators) -> None:
+    def apply(self, settings: OperatorSettings) -> None:
         """Move to another address, or to none."""
         wanted, watch = settings.metrics, self.running.watch
-        self._aim(None if wanted is None or watch is None else (wanted.listen, watch))
+        self._set_target(None if wanted is None or watch is None else (wanted.listen, watch))
 
     async def close(self) -> None:
         """Serve no more."""
-        self._aim(None)
+        self._set_target(None)
         if self._moving is not None:
             await asyncio.gather(self._moving, return_exceptions=True)
 
     def _peers(self) -> Figures | None:
-        return None if self.running.peers is None else self.running.peers.figures()
+        return None if self.running.peers is None else self.running.peers.metrics()
 
-    def _aim(self, target: Target | None) -> None:
+    def _set_target(self, target: Target | None) -> None:
         if target != self._target:
             self._target = target
             self._moving = self.loop.create_task(self._move(target, self._moving))
@@ -71,9 +71,11 @@
             except OSError as err:
                 if not said:
                     why = err.strerror or type(err).__name__
-                    log.error("metrics: %s:%d: %s; it is tried again every %g s", *address, why, AGAIN)
+                    log.error(
+                        "metrics: %s:%d: %s; it is tried again every %g s", *address, why, RETRY_INTERVAL_S
+                    )
                 said = True
-                await asyncio.sleep(AGAIN)
+                await asyncio.sleep(RETRY_INTERVAL_S)
                 continue
             self._server = server
             log.info("metrics at http://%s:%d/metrics", address[0], server.port)
@@ -85,7 +87,7 @@
 
     def __init__(
         self,
-        watch: Watch,
+        watch: TimelineMonitor,
         recovery: Recovery | None = None,
         peers: Callable[[], Figures | None] = lambda: None,
     ) -> None:
@@ -95,7 +97,7 @@
 
     async def listen(self, address: Address) -> None:
         """Begin; raises OSError where that cannot be."""
-        self._server = await asyncio.start_server(self._client, *address, limit=HEAD)
+        self._server = await asyncio.start_server(self._client, *address, limit=MAX_HEAD_BYTES)
 
     @property
     def port(self) -> int:
@@ -117,7 +119,7 @@
         self._tasks.add(task)
         try:
             with contextlib.suppress(TimeoutError, OSError, asyncio.IncompleteReadError, ValueError):
-                async with asyncio.timeout(LIMIT):
+                async with asyncio.timeout(CLIENT_TIMEOUT_S):
                     await self._answer(reader, writer)
         except asyncio.CancelledError:
             pass  # the node ends, or serves metrics no longer
@@ -135,7 +137,7 @@
             return
         method, _, rest = head.partition(b" ")
         target = rest.partition(b" ")[0].partition(b"?")[0]
-        if len(self._tasks) > MOST:
+        if len(self._tasks) > MAX_CLIENTS:
             writer.write(_head(503, "Service Unavailable"))
         elif target != b"/metrics":
             writer.write(_head(404, "Not Found"))
--- a/balancer/net/persistence.py
+++ b/balancer/net/persistence.py
@@ -28,487 +28,591 @@
 from balancer.core.persistence import persisted_state as kept
 from balancer.core.persistence import write_behind as k
 from balancer.core.persistence.persisted_state import (
-    Recalled,
-    Server,
-    recall,
-    successor,
-    without_ended,
+    PersistedEndpoint,
+    RestoredState,
+    next_identity,
+    restore,
+    without_withdrawn,
 )
 from balancer.endpoints import EndpointList, EndpointRecord
 from balancer.net.clock import wall_ms
-from balancer.net.component import PEERS, Running
-from balancer.operator_settings import Operators, StateSettings
+from balancer.net.component import PEERS_SOURCE, RunningNode
+from balancer.operator_settings import OperatorSettings, StateSettings
 from balancer.store.engine import (
     Change,
     Delete,
-    Opened,
+    OpenResult,
     Put,
 )
-from balancer.store.files import Files, StoreFault, Trouble
-from balancer.store.store import Store, StoreFull
+from balancer.store.files import FaultKind, FileSystem, StoreFileError
+from balancer.store.store import Store, WriteQueueFull
 
 log = logging.getLogger(__name__)
 T = TypeVar("T")
 
-SLICE = 250  # servers in one turn of the loop
-AGAIN = 5.0  # s until a directory that could not be had is tried again
-LEARN_MS = 1_000.0  # from the start on, within which what was learned still goes before what is
-HELD = 1.5  # s at most that requests wait at the start for what was kept: under the grace of drains
-CLOSE = 2.0  # s that the end of a node waits for its disk
-LOOK = 1.0  # s between two looks at how the store does
-NOBODY = "?"  # the source of an end that no source told
-LONGEST = 256  # characters of a name
-OFTEN = 1_000  # servers of a source that may be looked at with each change: 0.1 ms
-MOST = 1 << 61  # of a cell's number
+ENDPOINTS_PER_TURN = 250  # servers in one turn of the loop
+OPEN_RETRY_INTERVAL_S = 5.0  # s until a directory that could not be had is tried again
+LEARNED_STATE_RESTORE_WINDOW_MS = (
+    1_000.0  # from the start on, within which what was learned still goes before what is
+)
+MAX_REQUEST_HOLD_S = (
+    1.5  # s at most that requests wait at the start for what was kept: under the grace of drains
+)
+CLOSE_TIMEOUT_S = 2.0  # s that the end of a node waits for its disk
+STORE_STATE_POLL_INTERVAL_S = 1.0  # s between two looks at how the store does
+UNKNOWN_SOURCE = "?"  # the source of an end that no source told
+MAX_NAME_LENGTH = 256  # characters of a name
+MAX_ENDPOINTS_CHECKED_EACH_CHANGE = (
+    1_000  # servers of a source that may be looked at with each change: 0.1 ms
+)
+MAX_CELL = 1 << 61  # of a cell's number
 
 
-def _wall() -> int:
+def _wall_clock_ms() -> int:
     return int(wall_ms())
 
 
-class Opening:
+class BlockingCall:
     """Work on a thread of its own, which holds up neither the loop nor the end of the process."""
 
     def __init__(self, work: Callable[[], object]) -> None:
         self._work, self._loop = work, asyncio.get_running_loop()
-        self.done: asyncio.Future[Any] = self._loop.create_future()
+        self.result: asyncio.Future[Any] = self._loop.create_future()
         threading.Thread(target=self._run, name="state", daemon=True).start()
 
     def _run(self) -> None:
-        found: object = None
+        value: object = None
         error: BaseException | None = None
         try:
-            found = self._work()
-        except BaseException as err:
-            error = err
+            value = self._work()
+        except BaseException as caught:
+            error = caught
         with contextlib.suppress(RuntimeError):  # the loop is closed: nobody waits any more
-            self._loop.call_soon_threadsafe(self._tell, found, error)
+            self._loop.call_soon_threadsafe(self._set_result, value, error)
 
-    def _tell(self, found: object, error: BaseException | None) -> None:
-        if self.done.cancelled():
+    def _set_result(self, value: object, error: BaseException | None) -> None:
+        if self.result.cancelled():
             return
         if error is None:
-            self.done.set_result(found)
+            self.result.set_result(value)
         else:
-            self.done.set_exception(error)
+            self.result.set_exception(error)
 
 
-class StatePart:
+class PersistenceComponent:
     """Keeps the memory where the settings want it."""
 
-    def __init__(self, running: Running, files: Callable[[], Files] | None = None) -> None:
+    def __init__(
+        self, running: RunningNode, file_system_factory: Callable[[], FileSystem] | None = None
+    ) -> None:
         """`files` makes the store's file layer, the machine's own unless a test has another."""
-        self.running, self.files = running, files
-        self.memory: Memory | None = None
-        self.trouble = ""  # why there is none
-        self._wanted: StateSettings | None = None
-        self._moving: asyncio.Task[None] | None = None
-        self._first = True  # no directory was had yet: what it holds is this node's past
+        self.running, self.file_system_factory = running, file_system_factory
+        self.session: PersistenceSession | None = None
+        self.fault = ""  # why there is none
+        self._settings: StateSettings | None = None
+        self._switch_task: asyncio.Task[None] | None = None
+        self._is_first_directory = True  # no directory was had yet: what it holds is this node's past
         self.loop = asyncio.get_running_loop()
         if running.recovery is not None:
-            running.recovery.store, running.recovery.keep = self.report, self._keep
-            if not running.recovery.began:  # the configuration's list may name whom this node saw the end of
+            running.recovery.store_status, running.recovery.persist_incarnation = (
+                self.status,
+                self._persist_incarnation,
+            )
+            if (
+                not running.recovery.has_begun
+            ):  # the configuration's list may name whom this node saw the end of
                 running.node.wait(True)
-                running.fleet.listeners.append(self._heard)
-                self.loop.call_later(HELD, self._go_on)
+                running.fleet.listeners.append(self._on_merge)
+                self.loop.call_later(MAX_REQUEST_HOLD_S, self._release_requests)
 
-    def apply(self, settings: Operators) -> None:
+    def apply(self, settings: OperatorSettings) -> None:
         """Move to another directory, or to none, in the loop's next turns."""
-        was, self._wanted = self._wanted, settings.state
-        if was is not None and settings.state is not None and was.directory == settings.state.directory:
-            if self.memory is not None:
-                self.memory.set(settings.state)
+        previous, self._settings = self._settings, settings.state
+        if (
+            previous is not None
+            and settings.state is not None
+            and previous.directory == settings.state.directory
+        ):
+            if self.session is not None:
+                self.session.apply_settings(settings.state)
             return
-        if was is not settings.state:
-            self.trouble = "being opened" if self._wanted is not None else ""
-            before, self._moving = self._moving, self.loop.create_task(self._move(self._moving))
-            if before is not None:
-                before.cancel()  # it may wait for a disk that says nothing
+        if previous is not settings.state:
+            self.fault = "being opened" if self._settings is not None else ""
+            previous_task, self._switch_task = (
+                self._switch_task,
+                self.loop.create_task(self._switch_directory(self._switch_task)),
+            )
+            if previous_task is not None:
+                previous_task.cancel()  # it may wait for a disk that says nothing
 
-    def _heard(self, event: membership.Event, actions: list[membership.Action]) -> None:
+    def _on_merge(self, event: membership.Event, actions: list[membership.Action]) -> None:
         """Where all sources have spoken, memory has nothing to say on whom to leave alone."""
-        sources = self.running.fleet.membership.sources.values()
-        saved = isinstance(event, membership.Listed) and event.saved
-        if not saved and all(s.state is membership.State.IN_SYNC and not s.remembered for s in sources):
-            self._go_on()
-
-    def _go_on(self) -> None:
+        sources = self.running.fleet.merger.sources.values()
+        is_cached = isinstance(event, membership.EndpointsListed) and event.is_cached
+        if not is_cached and all(
+            s.state is membership.SourceState.IN_SYNC and not s.has_cached_records for s in sources
+        ):
+            self._release_requests()
+
+    def _release_requests(self) -> None:
         self.running.node.wait(False)
-        if self._heard in self.running.fleet.listeners:
+        if self._on_merge in self.running.fleet.listeners:
             # Not while they are told.
-            self.loop.call_soon(self._unheard)
+            self.loop.call_soon(self._stop_listening)
 
-    def _unheard(self) -> None:
-        if self._heard in self.running.fleet.listeners:
-            self.running.fleet.listeners.remove(self._heard)
+    def _stop_listening(self) -> None:
+        if self._on_merge in self.running.fleet.listeners:
+            self.running.fleet.listeners.remove(self._on_merge)
 
-    def _keep(self, incarnation: int) -> None:
-        if self.memory is not None:
-            self.memory.rose(incarnation)
+    def _persist_incarnation(self, incarnation: int) -> None:
+        if self.session is not None:
+            self.session.raise_incarnation(incarnation)
 
     async def close(self) -> None:
         """Write what waits, for a bounded time, and let go."""
-        self._wanted = None
-        self._unheard()
-        if self._moving is not None:
-            self._moving.cancel()
-            await asyncio.gather(self._moving, return_exceptions=True)
-        await self._let_go()
-
-    def report(self) -> dict[str, Any]:
+        self._settings = None
+        self._stop_listening()
+        if self._switch_task is not None:
+            self._switch_task.cancel()
+            await asyncio.gather(self._switch_task, return_exceptions=True)
+        await self._close_session()
+
+    def status(self) -> dict[str, Any]:
         """What `balancer recovery` says of the store."""
-        directory = None if self._wanted is None else str(self._wanted.directory)
-        if self.memory is None:
-            return {"directory": directory, "open": False, "trouble": self.trouble or None}
-        state = self.memory.store.state()
-        slow = f"a write has taken {state.slow_ms / 1000:.0f} s so far" if state.slow_ms else ""
+        directory = None if self._settings is None else str(self._settings.directory)
+        if self.session is None:
+            return {"directory": directory, "open": False, "trouble": self.fault or None}
+        state = self.session.store.status()
+        slow_write = (
+            f"a write has taken {state.slow_commit_ms / 1000:.0f} s so far" if state.slow_commit_ms else ""
+        )
         return {
             "directory": directory,
             "open": True,
-            "trouble": state.reason or slow or None,
-            "waiting": state.waiting,
-            "turned_away": state.turned_away,
-            "commits": state.commits,
-            "failures": state.failures,
+            "trouble": state.reason or slow_write or None,
+            "waiting": state.queued_changes,
+            "turned_away": state.rejected_changes,
+            "commits": state.commit_count,
+            "failures": state.failure_count,
         }
 
-    async def _let_go(self) -> None:
-        memory, self.memory = self.memory, None
-        if memory is not None:
-            await memory.close()
+    async def _close_session(self) -> None:
+        session, self.session = self.session, None
+        if session is not None:
+            await session.close()
 
-    async def _move(self, before: asyncio.Task[None] | None) -> None:
+    async def _switch_directory(self, previous_task: asyncio.Task[None] | None) -> None:
         """Let the old directory go and take the new one, as often as it needs."""
-        if before is not None:
-            await asyncio.gather(before, return_exceptions=True)
-        await self._let_go()
-        wanted, said = self._wanted, ""
-        while wanted is not None:
-            memory = Memory(self.running, wanted, self.files)
+        if previous_task is not None:
+            await asyncio.gather(previous_task, return_exceptions=True)
+        await self._close_session()
+        settings, reported_fault = self._settings, ""
+        while settings is not None:
+            session = PersistenceSession(self.running, settings, self.file_system_factory)
             try:
-                await memory.open(self._first)
-            except StoreFault as fault:
-                self._go_on()
-                self.trouble = str(fault)
-                foreign = fault.trouble is Trouble.FOREIGN  # another node's: it is not touched again
-                if said != self.trouble:
-                    then = "" if foreign else f", it is tried again every {AGAIN:g} s"
-                    log.error("state: %s; the node serves without memory%s", fault, then)
-                said = self.trouble
-                self._without(self.trouble)
-                if foreign:
+                await session.open(self._is_first_directory)
+            except StoreFileError as fault:
+                self._release_requests()
+                self.fault = str(fault)
+                is_foreign = fault.kind is FaultKind.FOREIGN  # another node's: it is not touched again
+                if reported_fault != self.fault:
+                    retry_note = (
+                        "" if is_foreign else f", it is tried again every {OPEN_RETRY_INTERVAL_S:g} s"
+                    )
+                    log.error("state: %s; the node serves without memory%s", fault, retry_note)
+                reported_fault = self.fault
+                self._report_no_persistence(self.fault)
+                if is_foreign:
                     return
-                await asyncio.sleep(AGAIN)
+                await asyncio.sleep(OPEN_RETRY_INTERVAL_S)
                 continue
-            except Exception as err:  # guards the node against a fault of this program's
-                self._go_on()
+            except Exception as error:  # guards the node against a fault of this program's
+                self._release_requests()
                 log.exception("state: failed; the node serves without memory")
-                self.trouble = repr(err)
-                self._without(self.trouble)
+                self.fault = repr(error)
+                self._report_no_persistence(self.fault)
                 return
-            if said:
-                log.warning("state: %s is had now", wanted.directory)
-            self.memory, self.trouble, self._first = memory, "", False
+            if reported_fault:
+                log.warning("state: %s is had now", settings.directory)
+            self.session, self.fault, self._is_first_directory = session, "", False
             if self.running.recovery is not None:  # it may have risen before the directory was had
-                self._keep(self.running.recovery.recovery.incarnation)
-            self._go_on()
-            if self._wanted is not None:
-                memory.set(self._wanted)  # other figures may be wanted by now
+                self._persist_incarnation(self.running.recovery.recovery.incarnation)
+            self._release_requests()
+            if self._settings is not None:
+                session.apply_settings(self._settings)  # other figures may be wanted by now
             return
 
-    def _without(self, fault: str) -> None:
+    def _report_no_persistence(self, fault: str) -> None:
         if self.running.recovery is not None:
             self.running.recovery.begin(None, fault)
 
 
-class Memory:
+class PersistenceSession:
     """One directory, from `open` to `close`."""
 
     def __init__(
-        self, running: Running, settings: StateSettings, files: Callable[[], Files] | None = None
+        self,
+        running: RunningNode,
+        settings: StateSettings,
+        file_system_factory: Callable[[], FileSystem] | None = None,
     ) -> None:
         self.running, self.node, self.fleet = running, running.node, running.fleet
         self.max_age_ms = 1000.0 * settings.max_age
-        self.keeping = k.Keeping(1000.0 * settings.every, self.max_age_ms)
+        self.write_behind = k.WriteBehind(1000.0 * settings.every, self.max_age_ms)
         self.loop = asyncio.get_running_loop()
         self.store = Store(
             str(settings.directory),
             self.loop.call_soon_threadsafe,
-            None if files is None else files(),
-            kept.URGENT,
-            _wall,
+            None if file_system_factory is None else file_system_factory(),
+            kept.URGENT_TABLES,
+            _wall_clock_ms,
         )
-        self.began_ms = self.node.now()
-        self._rows: dict[str, Server] = {}  # as they are kept, without order and times
-        self._members: dict[
+        self.started_at_ms = self.node.now()
+        self._persisted: dict[str, PersistedEndpoint] = {}  # as they are kept, without order and times
+        self._restored_records: dict[
             str, list[EndpointRecord]
         ] = {}  # whom each source had listed, until it is handed over
-        self._ages: dict[str, float] = {}  # the most of them
-        self._queue: dict[str, str] = {}  # names to look at, and the source whose word it was
-        self._first: dict[str, str] = {}  # those of them that leave
-        self._last = NOBODY
-        self._whole: dict[str, tuple[str, int]] = {}  # how far each source is told, changes and all
-        self._checked: dict[str, float] = {}  # when that is looked at next
-        self._odd = self._closed = False
-        self._working = False
-        self._timer: asyncio.TimerHandle | None = None
-        self._watch: asyncio.TimerHandle | None = None
-        self._trouble = ""
-
-    def set(self, settings: StateSettings) -> None:
+        self._restored_age_ms: dict[str, float] = {}  # the most of them
+        self._changed_ids: dict[str, str] = {}  # names to look at, and the source whose word it was
+        self._withdrawn_ids: dict[str, str] = {}  # those of them that leave
+        self._last_source = UNKNOWN_SOURCE
+        self._complete_positions: dict[
+            str, tuple[str, int]
+        ] = {}  # how far each source is told, changes and all
+        self._next_position_check_ms: dict[str, float] = {}  # when that is looked at next
+        self._has_warned_of_names = self._is_closed = False
+        self._is_scan_scheduled = False
+        self._write_behind_timer: asyncio.TimerHandle | None = None
+        self._store_poll_timer: asyncio.TimerHandle | None = None
+        self._reported_fault = ""
+
+    def apply_settings(self, settings: StateSettings) -> None:
         """Other figures hold from now on."""
-        self.max_age_ms = self.keeping.max_age_ms = 1000.0 * settings.max_age
-        self.keeping.every_ms = 1000.0 * settings.every
+        self.max_age_ms = self.write_behind.max_age_ms = 1000.0 * settings.max_age
+        self.write_behind.collection_interval_ms = 1000.0 * settings.every
 
-    def rose(self, incarnation: int) -> None:
+    def raise_incarnation(self, incarnation: int) -> None:
         """Keep that the node goes by this number, if that is a greater one."""
-        self._tell(k.Rose(incarnation))
+        self._handle(k.IncarnationRaised(incarnation))
 
     # --- the start
 
-    async def open(self, first: bool) -> None:
+    async def open(self, is_first_directory: bool) -> None:
         """Take the directory and read it; raises StoreFault. `first`: it holds this node's own past."""
-        opening = Opening(self._load)
+        opening = BlockingCall(self._read_store)
         try:
-            found, recalled = await opening.done
+            opened, restored = await opening.result
         except asyncio.CancelledError:
-            Opening(self.store.close)  # once it is open, if ever; the lock goes with the process
+            BlockingCall(self.store.close)  # once it is open, if ever; the lock goes with the process
             raise
-        for line in recalled.said:
-            log.warning("state: %s", line)
-        if recalled.foreign:
-            await Opening(self.store.close).done
-            raise StoreFault(Trouble.FOREIGN, self.store.engine.directory, recalled.said[-1])
-        for fault in found.faults:
+        for message in restored.said:
+            log.warning("state: %s", message)
+        if restored.foreign:
+            await BlockingCall(self.store.close).result
+            raise StoreFileError(FaultKind.FOREIGN, self.store.engine.directory, restored.said[-1])
+        for fault in opened.faults:
             log.warning("state: not believed: %s", fault)
-        me = successor(recalled, self.running.name, os.urandom(16).hex(), found.generation, _wall())
-        self._tell(k.Started(me, recalled.rows, recalled.order, _wall()))
+        identity = next_identity(
+            restored, self.running.name, os.urandom(16).hex(), opened.generation, _wall_clock_ms()
+        )
+        self._handle(k.StoreOpened(identity, restored.rows, restored.order, _wall_clock_ms()))
         try:
             await asyncio.sleep(0)  # thousands of rows have had their turn
-            if first:
-                self._begin(found, recalled, me.incarnation)
-            self._members.clear()
+            if is_first_directory:
+                self._restore_view(opened, restored, identity.incarnation)
+            self._restored_records.clear()
             # Guards against taking whom the merge has not looked at yet for gone.
-            while any(source.pending for source in self.fleet.membership.sources.values()):
+            while any(source.pending_records for source in self.fleet.merger.sources.values()):
                 await asyncio.sleep(0)
         except asyncio.CancelledError:
-            self._closed = True
-            Opening(self.store.close)
+            self._is_closed = True
+            BlockingCall(self.store.close)
             raise
-        if first and self.node.now() - self.began_ms <= LEARN_MS:
-            self._learn(recalled)
-        self.fleet.listeners.append(self._heard)
-        self._sync(recalled if first else None)
-        self._look()
+        if is_first_directory and self.node.now() - self.started_at_ms <= LEARNED_STATE_RESTORE_WINDOW_MS:
+            self._restore_learned_state(restored)
+        self.fleet.listeners.append(self._on_merge)
+        self._queue_differences(restored if is_first_directory else None)
+        self._poll_store_state()
 
-    def _load(self) -> tuple[Opened, Recalled]:
+    def _read_store(self) -> tuple[OpenResult, RestoredState]:
         """Blocks. What takes long for a large list is done here, too, and not on the loop."""
-        found = self.store.open()
+        opened = self.store.open()
         try:
-            tables = {table: self.store.items(table) for table in kept.TABLES}
-            name = self.running.name
-            recalled = recall(
-                tables, found.found, found.older, found.wrote_ms, name, _wall(), self.max_age_ms
+            tables = {table: self.store.items(table) for table in kept.TABLE_NAMES}
+            node_name = self.running.name
+            restored = restore(
+                tables,
+                opened.restored_generation,
+                opened.is_outdated,
+                opened.committed_at_ms,
+                node_name,
+                _wall_clock_ms(),
+                self.max_age_ms,
             )
-            rows = {key: row for key, row in recalled.rows.get("view", {}).items() if isinstance(row, Server)}
-            rows |= {key: one.server for key, one in recalled.view.items()}
-            self._rows = {key: _plain(row) for key, row in rows.items()}
-            self._members = {name: [] for name in recalled.sources}
-            for key, one in recalled.view.items():
-                for name in self._members.keys() & one.server.sources:
-                    self._members[name].append(_member(key, one.server, name, recalled.ends.get(key)))
-                    self._ages[name] = max(self._ages.get(name, 0.0), one.age_ms)
+            rows = {
+                key: row
+                for key, row in restored.rows.get("view", {}).items()
+                if isinstance(row, PersistedEndpoint)
+            }
+            rows |= {key: restored_endpoint.endpoint for key, restored_endpoint in restored.endpoints.items()}
+            self._persisted = {key: _without_write_times(row) for key, row in rows.items()}
+            self._restored_records = {node_name: [] for node_name in restored.sources}
+            for key, restored_endpoint in restored.endpoints.items():
+                for node_name in self._restored_records.keys() & restored_endpoint.endpoint.sources:
+                    self._restored_records[node_name].append(
+                        _restored_record(
+                            key, restored_endpoint.endpoint, node_name, restored.withdrawals.get(key)
+                        )
+                    )
+                    self._restored_age_ms[node_name] = max(
+                        self._restored_age_ms.get(node_name, 0.0), restored_endpoint.age_ms
+                    )
         except BaseException:
             self.store.close()
             raise
-        return found, recalled
+        return opened, restored
 
-    def _begin(self, found: Opened, recalled: Recalled, incarnation: int) -> None:
+    def _restore_view(self, opened: OpenResult, restored: RestoredState, incarnation: int) -> None:
         """Hand over what may be believed."""
-        if (meter := self.running.recovery) is not None:
-            told, fault = None, ""
-            if recalled.me is not None:
-                older = recalled.memory == "older"
-                told = recovery.Kept(recalled.me.incarnation, float(found.wrote_ms), older)
-            elif recalled.memory == "lost":
-                fault = "; ".join(str(one) for one in found.faults) or recalled.said[-1]
-            meter.begin(told, fault, incarnation, float(_wall()))
-        for name, kept_source in recalled.sources.items():
-            if (listed := self._listed(name, kept_source, recalled)) is not None:
-                count, age = len(listed.listing.records), listed.age_ms / 1000
-                log.info("state: %s listed %d servers %.0f s ago", name, count, age)
-                self.fleet.hand(listed)
-
-    def _listed(self, name: str, told: kept.Source, recalled: Recalled) -> membership.Listed | None:
+        if (recovery_component := self.running.recovery) is not None:
+            previous_run, fault = None, ""
+            if restored.identity is not None:
+                older = restored.memory == "older"
+                previous_run = recovery.PersistedIncarnation(
+                    restored.identity.incarnation, float(opened.committed_at_ms), older
+                )
+            elif restored.memory == "lost":
+                fault = "; ".join(str(one) for one in opened.faults) or restored.said[-1]
+            recovery_component.begin(previous_run, fault, incarnation, float(_wall_clock_ms()))
+        for source_name, position in restored.sources.items():
+            if (snapshot := self._restored_snapshot(source_name, position, restored)) is not None:
+                endpoint_count, age_s = len(snapshot.endpoint_list.records), snapshot.cached_age_ms / 1000
+                log.info("state: %s listed %d servers %.0f s ago", source_name, endpoint_count, age_s)
+                self.fleet.handle(snapshot)
+
+    def _restored_snapshot(
+        self, source_name: str, position: kept.SourcePosition, restored: RestoredState
+    ) -> membership.EndpointsListed | None:
         """A source's list as it is remembered, where the source itself has not said as much by now."""
-        source = self.fleet.membership.sources.get(name)
+        source = self.fleet.merger.sources.get(source_name)
         if source is None:
             return None
-        identity, revision = told.identity, told.revision
+        identity, revision = position.identity, position.revision
         if source.revision is None:
             if source.identity is not None and source.identity != identity:  # it has moved since
                 identity, revision = source.identity, -1
         elif source.identity != identity or revision <= source.revision:
-            return self._less(source, identity, revision, recalled)
-        ends = recalled.ends
-        others = len(self.fleet.membership.sources) > 1
-        gone = tuple(key for key, end in ends.items() if end.gone and end.source == name) if others else ()
-        members = tuple(self._members.pop(name))
-        if not members and (not gone or self._aged(name, recalled)):
-            return self._less(source, identity, revision, recalled)
-        age_ms = self._ages.get(name, 0.0)
-        self._whole[name] = identity, revision
-        return membership.Listed(name, identity, EndpointList(revision, True, members, gone), True, age_ms)
+            return self._snapshot_without_withdrawn(source, identity, revision, restored)
+        withdrawals = restored.withdrawals
+        has_other_sources = len(self.fleet.merger.sources) > 1
+        removed_ids = (
+            tuple(key for key, end in withdrawals.items() if end.is_removed and end.source == source_name)
+            if has_other_sources
+            else ()
+        )
+        records = tuple(self._restored_records.pop(source_name))
+        if not records and (not removed_ids or self._has_expired_endpoints(source_name, restored)):
+            return self._snapshot_without_withdrawn(source, identity, revision, restored)
+        age_ms = self._restored_age_ms.get(source_name, 0.0)
+        self._complete_positions[source_name] = identity, revision
+        return membership.EndpointsListed(
+            source_name, identity, EndpointList(revision, True, records, removed_ids), True, age_ms
+        )
 
     @staticmethod
-    def _aged(name: str, recalled: Recalled) -> bool:
+    def _has_expired_endpoints(source_name: str, restored: RestoredState) -> bool:
         """Whether it listed servers that are not believed any more."""
-        rows = recalled.rows.get("view", {}).items()
+        rows = restored.rows.get("view", {}).items()
         return any(
-            isinstance(row, Server) and name in row.sources and key not in recalled.view for key, row in rows
+            isinstance(row, PersistedEndpoint)
+            and source_name in row.sources
+            and key not in restored.endpoints
+            for key, row in rows
         )
 
     @staticmethod
-    def _less(
-        source: membership.Source, identity: str, revision: int, recalled: Recalled
-    ) -> membership.Listed | None:
+    def _snapshot_without_withdrawn(
+        source: membership.Source, identity: str, revision: int, restored: RestoredState
+    ) -> membership.EndpointsListed | None:
         """Where the list that was kept is not to be had: the one that is there, but for later ends."""
-        order = source.identity or identity
-        if not order or identity not in ("", order):
+        known_identity = source.identity or identity
+        if not known_identity or identity not in ("", known_identity):
             return None
-        rows = recalled.rows.get("view", {}).items()
-        names = {key for key, row in rows if isinstance(row, Server) and source.name in row.sources}
-        newer = source.revision is not None and revision > source.revision
-        seen = (revision, names) if newer else None
-        left = without_ended(source.members, source.revision, recalled.ends, source.name, seen)
-        return None if left is None else membership.Listed(source.name, order, left, True)
-
-    def _learn(self, recalled: Recalled) -> None:
-        if not (recalled.usual or recalled.limit or recalled.weights or recalled.ejections):
+        rows = restored.rows.get("view", {}).items()
+        restored_ids = {
+            key for key, row in rows if isinstance(row, PersistedEndpoint) and source.name in row.sources
+        }
+        is_newer = source.revision is not None and revision > source.revision
+        seen = (revision, restored_ids) if is_newer else None
+        remaining = without_withdrawn(
+            source.records, source.revision, restored.withdrawals, source.name, seen
+        )
+        return (
+            None
+            if remaining is None
+            else membership.EndpointsListed(source.name, known_identity, remaining, True)
+        )
+
+    def _restore_learned_state(self, restored: RestoredState) -> None:
+        if not (
+            restored.expected_latencies
+            or restored.concurrency_limit
+            or restored.slowness
+            or restored.ejection_left_ms
+        ):
             return
-        at = [row.at_ms for row in recalled.usual.values()] + [row.at_ms for row in recalled.weights.values()]
-        at += [] if recalled.limit is None else [recalled.limit.at_ms]
-        age = max([0.0, *(float(_wall() - one) for one in at)]) + recalled.clock_behind_ms
+        recorded_at_ms = [row.at_ms for row in restored.expected_latencies.values()] + [
+            row.at_ms for row in restored.slowness.values()
+        ]
+        recorded_at_ms += [] if restored.concurrency_limit is None else [restored.concurrency_limit.at_ms]
+        age_ms = (
+            max([0.0, *(float(_wall_clock_ms() - one) for one in recorded_at_ms)]) + restored.clock_behind_ms
+        )
         learned = api.LearnedState(
-            {name: (row.usual_ms, row.dev_ms) for name, row in recalled.usual.items()},
-            recalled.limit.limit if recalled.limit is not None else self.node.balancer.limit,
-            {name: row.slow for name, row in recalled.weights.items()},
-            {name: left + age for name, left in recalled.ejections.items()},
+            {
+                name: (row.usual_ms, row.mean_deviation_ms)
+                for name, row in restored.expected_latencies.items()
+            },
+            restored.concurrency_limit.limit
+            if restored.concurrency_limit is not None
+            else self.node.balancer.concurrency_limit,
+            {name: row.slow for name, row in restored.slowness.items()},
+            {name: left + age_ms for name, left in restored.ejection_left_ms.items()},
         )
-        self.node.event(api.LearnedStateRestored(learned, age))
+        self.node.event(api.LearnedStateRestored(learned, age_ms))
 
-    def _sync(self, recalled: Recalled | None) -> None:
+    def _queue_differences(self, restored: RestoredState | None) -> None:
         """What changed while the directory was not had."""
-        view, sources = self.fleet.membership.view, self.fleet.membership.sources
-        for name in sorted(self._rows.keys() - view.keys()):
-            by = self._rows[name].sources[:1] if recalled is None or name in recalled.view else ()
-            heard = by and by[0] in sources and sources[by[0]].state is not membership.State.UNHEARD
-            self._first[name] = by[0] if heard else NOBODY
-        self._queue |= dict.fromkeys(view, NOBODY)
+        view, sources = self.fleet.merger.view, self.fleet.merger.sources
+        for endpoint_id in sorted(self._persisted.keys() - view.keys()):
+            listing_sources = (
+                self._persisted[endpoint_id].sources[:1]
+                if restored is None or endpoint_id in restored.endpoints
+                else ()
+            )
+            is_heard = (
+                listing_sources
+                and listing_sources[0] in sources
+                and sources[listing_sources[0]].state is not membership.SourceState.NO_CONTACT_YET
+            )
+            self._withdrawn_ids[endpoint_id] = listing_sources[0] if is_heard else UNKNOWN_SOURCE
+        self._changed_ids |= dict.fromkeys(view, UNKNOWN_SOURCE)
         for source in reversed(sources.values()):  # the first that lists it
-            self._queue |= dict.fromkeys(source.members.keys() & view.keys(), source.name)
-        self._soon()
+            self._changed_ids |= dict.fromkeys(source.records.keys() & view.keys(), source.name)
+        self._schedule_scan()
 
     # --- what changes
 
-    def _heard(self, event: membership.Event, actions: list[membership.Action]) -> None:
-        if isinstance(event, membership.Listed):
-            self._last = NOBODY if event.source == PEERS else event.source
+    def _on_merge(self, event: membership.Event, actions: list[membership.Action]) -> None:
+        if isinstance(event, membership.EndpointsListed):
+            self._last_source = UNKNOWN_SOURCE if event.source == PEERS_SOURCE else event.source
         for action in actions:
-            if isinstance(action, membership.Apply):
-                up, members = api.Phase.UP, action.members
-                for member in action.removed:
-                    self._first[member.id] = self._last
-                leaving = [m.endpoint.id for m in members if m.endpoint.phase is not up]
-                self._first |= dict.fromkeys(leaving, self._last)
-                rest = [m.endpoint.id for m in members if m.endpoint.phase is up]
-                self._queue |= dict.fromkeys(rest, self._last)
-        if self._first or self._queue:
-            if not self._working:
-                self._soon()
-        elif isinstance(event, (membership.Listed, membership.Heard, membership.Continued)):
-            for name, source in self.fleet.membership.sources.items():
-                if isinstance(event, membership.Continued) or name == event.source:
-                    self._confirm(name, source)
-
-    def _confirm(self, name: str, source: membership.Source) -> None:
+            if isinstance(action, membership.ApplyEndpoints):
+                up, records = api.Phase.UP, action.records
+                for record in action.removed_records:
+                    self._withdrawn_ids[record.id] = self._last_source
+                draining_ids = [m.endpoint.id for m in records if m.endpoint.phase is not up]
+                self._withdrawn_ids |= dict.fromkeys(draining_ids, self._last_source)
+                up_ids = [m.endpoint.id for m in records if m.endpoint.phase is up]
+                self._changed_ids |= dict.fromkeys(up_ids, self._last_source)
+        if self._withdrawn_ids or self._changed_ids:
+            if not self._is_scan_scheduled:
+                self._schedule_scan()
+        elif isinstance(
+            event, (membership.EndpointsListed, membership.SourceConfirmedCurrent, membership.NextSliceDue)
+        ):
+            for source_name, source in self.fleet.merger.sources.items():
+                if isinstance(event, membership.NextSliceDue) or source_name == event.source:
+                    self._confirm_source(source_name, source)
+
+    def _confirm_source(self, source_name: str, source: membership.Source) -> None:
         """It is current, and all that it said is handed over."""
-        if source.state is membership.State.IN_SYNC and not source.behind and self._settled(source):
-            self._tell(k.Confirmed(name, *self._order(name), _wall()))
+        if (
+            source.state is membership.SourceState.IN_SYNC
+            and not source.has_regressed
+            and self._is_settled(source)
+        ):
+            self._handle(
+                k.SourceConfirmed(source_name, *self._complete_position(source_name), _wall_clock_ms())
+            )
 
-    def _soon(self) -> None:
+    def _schedule_scan(self) -> None:
         """At once, but where there are many: whoever brought them has had most of this turn."""
-        if self._first or len(self._queue) <= SLICE:
-            self._work()
+        if self._withdrawn_ids or len(self._changed_ids) <= ENDPOINTS_PER_TURN:
+            self._scan_changed()
         else:
-            self._working = True
-            self.loop.call_soon(self._work)
+            self._is_scan_scheduled = True
+            self.loop.call_soon(self._scan_changed)
 
-    def _work(self) -> None:
+    def _scan_changed(self) -> None:
         """Look at some names, those that leave first; the rest in the loop's next turns."""
-        self._working = False
-        if self._closed:
+        self._is_scan_scheduled = False
+        if self._is_closed:
             return
-        names: dict[str, str] = {}
-        for queue in (self._first, self._queue):
-            while queue and len(names) < SLICE:
+        sources_by_id: dict[str, str] = {}
+        for queue in (self._withdrawn_ids, self._changed_ids):
+            while queue and len(sources_by_id) < ENDPOINTS_PER_TURN:
                 name = next(iter(queue))
-                names[name] = queue.pop(name)
-        rest = bool(self._first or self._queue)
-        by: dict[str, tuple[list[tuple[str, Server]], list[str]]] = {}
-        view, wall = self.fleet.membership.view, _wall()
-        for name, source in names.items():
+                sources_by_id[name] = queue.pop(name)
+        has_more = bool(self._withdrawn_ids or self._changed_ids)
+        changes_by_source: dict[str, tuple[list[tuple[str, PersistedEndpoint]], list[str]]] = {}
+        view, wall_ms = self.fleet.merger.view, _wall_clock_ms()
+        for name, source in sources_by_id.items():
             member = view.get(name)
             if member is None:
-                if self._rows.pop(name, None) is not None:
-                    by.setdefault(source, ([], []))[1].append(name)
+                if self._persisted.pop(name, None) is not None:
+                    changes_by_source.setdefault(source, ([], []))[1].append(name)
                 continue
-            row = self._row(member, wall)
+            row = self._persisted_endpoint(member, wall_ms)
             remembered = member.endpoint.cached_age_ms is not None and not row.draining
-            if remembered or self._rows.get(name) == _plain(row) or not self._writable(name):
+            if (
+                remembered
+                or self._persisted.get(name) == _without_write_times(row)
+                or not self._is_valid_name(name)
+            ):
                 continue
-            self._rows[name] = _plain(row)
-            by.setdefault(source, ([], []))[0].append((name, row))
-        for source, (servers, gone) in by.items():
-            order = self._order(source, bool(gone))
-            self._tell(k.Changed(source, *order, wall, tuple(servers), tuple(gone)))
-        if rest:
-            self._working = True
-            self.loop.call_soon(self._work)
-        elif not by:
-            for name, found in self.fleet.membership.sources.items():
-                self._confirm(name, found)
-
-    def _writable(self, name: str) -> bool:
-        good = 0 < len(name) <= LONGEST and "\0" not in name
-        if not good and not self._odd:
-            log.warning("state: %r is not kept: a name of 1 to %d characters is", name[:80], LONGEST)
-        self._odd = self._odd or not good
-        return good
-
-    def _row(self, member: EndpointRecord, wall: int) -> Server:
-        entry, merge = member.endpoint, self.fleet.membership.sources
-        sources = [name for name, s in merge.items() if member.id in s.members and name != PEERS]
-        age = 0 if entry.cached_age_ms is None else int(entry.cached_age_ms)
-        return Server(
-            member.address[0],
-            member.address[1],
-            entry.zone[:LONGEST],
-            max(-MOST, min(MOST, entry.cell)),
-            min(1e9, entry.weight),
-            entry.phase is not api.Phase.UP,
-            min(1e15, entry.started_at_ms),
-            entry.kind[:LONGEST],
+            self._persisted[name] = _without_write_times(row)
+            changes_by_source.setdefault(source, ([], []))[0].append((name, row))
+        for source, (endpoints, removed_ids) in changes_by_source.items():
+            position = self._complete_position(source, bool(removed_ids))
+            self._handle(k.EndpointsChanged(source, *position, wall_ms, tuple(endpoints), tuple(removed_ids)))
+        if has_more:
+            self._is_scan_scheduled = True
+            self.loop.call_soon(self._scan_changed)
+        elif not changes_by_source:
+            for name, found in self.fleet.merger.sources.items():
+                self._confirm_source(name, found)
+
+    def _is_valid_name(self, name: str) -> bool:
+        is_valid = 0 < len(name) <= MAX_NAME_LENGTH and "\0" not in name
+        if not is_valid and not self._has_warned_of_names:
+            log.warning("state: %r is not kept: a name of 1 to %d characters is", name[:80], MAX_NAME_LENGTH)
+        self._has_warned_of_names = self._has_warned_of_names or not is_valid
+        return is_valid
+
+    def _persisted_endpoint(self, record: EndpointRecord, wall_ms: int) -> PersistedEndpoint:
+        endpoint, merge = record.endpoint, self.fleet.merger.sources
+        sources = [name for name, s in merge.items() if record.id in s.records and name != PEERS_SOURCE]
+        age_ms = 0 if endpoint.cached_age_ms is None else int(endpoint.cached_age_ms)
+        return PersistedEndpoint(
+            record.address[0],
+            record.address[1],
+            endpoint.zone[:MAX_NAME_LENGTH],
+            max(-MAX_CELL, min(MAX_CELL, endpoint.cell)),
+            min(1e9, endpoint.weight),
+            endpoint.phase is not api.Phase.UP,
+            min(1e15, endpoint.started_at_ms),
+            endpoint.kind[:MAX_NAME_LENGTH],
             tuple(sources[:16]),
-            max(0, wall - age),
+            max(0, wall_ms - age_ms),
         )
 
-    def _settled(self, source: membership.Source) -> bool:
+    def _is_settled(self, source: membership.Source) -> bool:
         """Whether its word is in the view as a whole, and all of it was looked at."""
-        waits = source.pending or self._first or self._queue
-        return source.revision is not None and not waits and not source.spoiled
+        waiting = source.pending_records or self._withdrawn_ids or self._changed_ids
+        return source.revision is not None and not waiting and not source.needs_snapshot
 
-    def _order(self, name: str, leaves: bool = False) -> tuple[str, int]:
+    def _complete_position(self, source_name: str, has_removals: bool = False) -> tuple[str, int]:
         """How far a source is told: never further than what is handed over with it.
 
         A source some of whose servers are not kept (odd names, or another source has taken them away) has no
@@ -517,120 +621,138 @@
         an older revision. Where somebody leaves it is looked at always: a start that took an older one as
         seen would believe an older list that has them.
         """
-        source, now = self.fleet.membership.sources.get(name), self.node.now()
-        if source is not None and self._settled(source) and (leaves or now >= self._checked.get(name, 0.0)):
-            self._checked[name] = now + (len(source.members) / 10 if len(source.members) > OFTEN else 0)
-            known = self._rows.keys() >= source.members.keys()
+        source, now_ms = self.fleet.merger.sources.get(source_name), self.node.now()
+        if (
+            source is not None
+            and self._is_settled(source)
+            and (has_removals or now_ms >= self._next_position_check_ms.get(source_name, 0.0))
+        ):
+            self._next_position_check_ms[source_name] = now_ms + (
+                len(source.records) / 10 if len(source.records) > MAX_ENDPOINTS_CHECKED_EACH_CHANGE else 0
+            )
+            all_persisted = self._persisted.keys() >= source.records.keys()
             revision = source.revision if source.revision is not None else -1
-            self._whole[name] = (source.identity or "", revision) if known else ("", -1)
-        return self._whole.get(name, ("", -1))
+            self._complete_positions[source_name] = (
+                (source.identity or "", revision) if all_persisted else ("", -1)
+            )
+        return self._complete_positions.get(source_name, ("", -1))
 
     # --- the decider
 
-    def _tell(self, event: k.Event) -> None:
-        if self._closed:
+    def _handle(self, event: k.Event) -> None:
+        if self._is_closed:
             return
-        for action in self.keeping.handle(self.node.now(), event):
+        for action in self.write_behind.handle(self.node.now(), event):
             match action:
-                case k.Write():
-                    self._write(action)
-                case k.AskLearned():
-                    self._ask()
+                case k.WriteRows():
+                    self._write_rows(action)
+                case k.CollectLearnedState():
+                    self._collect_learned_state()
                 case k.BeginGeneration():
-                    with contextlib.suppress(StoreFull):
+                    with contextlib.suppress(WriteQueueFull):
                         self.store.begin_generation()
-                case k.Say():
+                case k.WriteLog():
                     log.warning("state: %s", action.text)
-        if self._timer is not None:
-            self._timer.cancel()
-        wait = max(0.001, (self.keeping.next_ms() - self.node.now()) / 1000)
-        self._timer = self.loop.call_later(wait, self._due)
+        if self._write_behind_timer is not None:
+            self._write_behind_timer.cancel()
+        delay_s = max(0.001, (self.write_behind.next_ms() - self.node.now()) / 1000)
+        self._write_behind_timer = self.loop.call_later(delay_s, self._advance_time)
 
-    def _due(self) -> None:
-        self._timer = None
-        self._tell(k.Ticked(_wall()))
+    def _advance_time(self) -> None:
+        self._write_behind_timer = None
+        self._handle(k.TimeAdvanced(_wall_clock_ms()))
 
-    def _write(self, action: k.Write) -> None:
-        number = action.number
-        changes = [_change(at, row) for at, row in action.changes]
+    def _write_rows(self, action: k.WriteRows) -> None:
+        write_number = action.write_number
+        changes = [_store_change(at, row) for at, row in action.changes]
 
         def done(stamp: int) -> None:
-            self._tell(k.Written(number))
+            self._handle(k.WriteCommitted(write_number))
 
         try:
             self.store.write(changes, done)
-        except StoreFull:
-            self.loop.call_soon(self._tell, k.TurnedAway(number))
-        except ValueError as err:  # guards against one odd change that would hold up all others
-            log.error("state: %d changes are not kept: %s", len(changes), err)
-            self.loop.call_soon(self._tell, k.Written(number))
+        except WriteQueueFull:
+            self.loop.call_soon(self._handle, k.WriteRejected(write_number))
+        except ValueError as error:  # guards against one odd change that would hold up all others
+            log.error("state: %d changes are not kept: %s", len(changes), error)
+            self.loop.call_soon(self._handle, k.WriteCommitted(write_number))
 
-    def _ask(self) -> None:
+    def _collect_learned_state(self) -> None:
         """What the module learned, as rows; what it says no longer goes."""
-        learned, now = self.node.balancer.learned(self.node.now()), _wall()
-        rows: dict[k.Key, kept.Kept | None] = {
-            at: None for at in self.keeping.state.learned if at[0] in ("weights", "ejections")
+        learned, wall_ms = self.node.balancer.learned(self.node.now()), _wall_clock_ms()
+        rows: dict[k.RowKey, kept.PersistedRow | None] = {
+            key: None
+            for key in self.write_behind.state.written_learned_rows
+            if key[0] in ("weights", "ejections")
         }
-        rows["limit", "node"] = kept.Limit(min(1e9, learned.concurrency_limit), now)
-        for name, (usual, dev) in learned.expected_latency_ms.items():
-            rows["usual", name] = kept.Usual(min(1e12, usual), min(1e12, dev), now)
-        for name, slow in learned.slowness.items():
-            rows["weights", name] = kept.Weight(min(1e9, slow), now)
-        for name, left in learned.ejection_left_ms.items():
-            found = self.node.balancer.backends.get(name)
-            fails = 0 if found is None else found.fails
-            rows["ejections", name] = kept.Ejection(now + int(left), fails, now)
-        bad = [at for at in rows if not self._writable(at[1])]
-        for at in bad:
-            del rows[at]
-        self._tell(k.Learned(rows))
-
-    def _look(self) -> None:
+        rows["limit", "node"] = kept.ConcurrencyLimit(min(1e9, learned.concurrency_limit), wall_ms)
+        for name, (expected_ms, deviation_ms) in learned.expected_latency_ms.items():
+            rows["usual", name] = kept.ExpectedLatency(
+                min(1e12, expected_ms), min(1e12, deviation_ms), wall_ms
+            )
+        for name, slowness in learned.slowness.items():
+            rows["weights", name] = kept.BackendSlowness(min(1e9, slowness), wall_ms)
+        for name, left_ms in learned.ejection_left_ms.items():
+            backend = self.node.balancer.backends.get(name)
+            consecutive_failures = 0 if backend is None else backend.consecutive_failures
+            rows["ejections", name] = kept.BackendEjection(
+                wall_ms + int(left_ms), consecutive_failures, wall_ms
+            )
+        invalid_keys = [key for key in rows if not self._is_valid_name(key[1])]
+        for key in invalid_keys:
+            del rows[key]
+        self._handle(k.LearnedStateCollected(rows))
+
+    def _poll_store_state(self) -> None:
         """Say it once when the store does badly, and once when it is well again."""
-        self._watch = self.loop.call_later(LOOK, self._look)
-        state = self.store.state()
-        trouble = state.reason or ("slow" if state.slow_ms else "")
-        if trouble and not self._trouble:
-            what = state.reason or f"a write has taken {state.slow_ms / 1000:.0f} s so far"
-            log.error("state: %s; nothing new is kept meanwhile, the node serves on", what)
-        elif self._trouble and not trouble:
+        self._store_poll_timer = self.loop.call_later(STORE_STATE_POLL_INTERVAL_S, self._poll_store_state)
+        state = self.store.status()
+        fault = state.reason or ("slow" if state.slow_commit_ms else "")
+        if fault and not self._reported_fault:
+            detail = state.reason or f"a write has taken {state.slow_commit_ms / 1000:.0f} s so far"
+            log.error("state: %s; nothing new is kept meanwhile, the node serves on", detail)
+        elif self._reported_fault and not fault:
             log.warning("state: it is written again")
-        self._trouble = trouble
+        self._reported_fault = fault
 
     async def close(self) -> None:
         """Hand over what waits, write it for a bounded time, let go."""
-        self._ask()
-        self._closed = True
-        if self._heard in self.fleet.listeners:
-            self.fleet.listeners.remove(self._heard)
-        for timer in (self._timer, self._watch):
+        self._collect_learned_state()
+        self._is_closed = True
+        if self._on_merge in self.fleet.listeners:
+            self.fleet.listeners.remove(self._on_merge)
+        for timer in (self._write_behind_timer, self._store_poll_timer):
             if timer is not None:
                 timer.cancel()
-        for changes in (self.keeping.state.urgent, self.keeping.state.dirty):
-            last = [_change(at, row) for at, row in changes.items()]
-            with contextlib.suppress(StoreFull, ValueError):
-                if last:
-                    self.store.write(last)
-        closing = Opening(lambda: self.store.close(CLOSE))
-        left = 0
+        for changes in (self.write_behind.state.urgent_dirty, self.write_behind.state.dirty):
+            store_changes = [_store_change(key, row) for key, row in changes.items()]
+            with contextlib.suppress(WriteQueueFull, ValueError):
+                if store_changes:
+                    self.store.write(store_changes)
+        closing = BlockingCall(lambda: self.store.close(CLOSE_TIMEOUT_S))
+        unwritten_count = 0
         with contextlib.suppress(TimeoutError):
-            left = await asyncio.wait_for(closing.done, CLOSE + 0.5)
-        if left:
-            log.error("state: %d changes were not written by the end", left)
+            unwritten_count = await asyncio.wait_for(closing.result, CLOSE_TIMEOUT_S + 0.5)
+        if unwritten_count:
+            log.error("state: %d changes were not written by the end", unwritten_count)
 
 
-def _change(at: k.Key, row: kept.Kept | None) -> Change:
-    return Delete(*at) if row is None else Put(*at, msgspec.msgpack.encode(row))
+def _store_change(key: k.RowKey, row: kept.PersistedRow | None) -> Change:
+    return Delete(*key) if row is None else Put(*key, msgspec.msgpack.encode(row))
 
 
-def _plain(row: Server) -> Server:
+def _without_write_times(row: PersistedEndpoint) -> PersistedEndpoint:
     """A row without what differs from one writing to the next."""
-    return msgspec.structs.replace(row, order=0, confirmed_ms=0)
+    return msgspec.structs.replace(row, order=0, confirmed_at_ms=0)
 
 
-def _member(name: str, row: Server, source: str, end: kept.End | None) -> EndpointRecord:
+def _restored_record(
+    endpoint_id: str, row: PersistedEndpoint, source_name: str, withdrawal: kept.Withdrawal | None
+) -> EndpointRecord:
     """What a source had said of a server; a drain is that source's who told it."""
-    drains = row.draining and (end is None or end.gone or end.source in (source, NOBODY))
-    phase = api.Phase.DRAINING if drains else api.Phase.UP
-    entry = api.Endpoint(name, row.zone, row.cell, row.weight, phase, row.started_ms, row.kind)
-    return EndpointRecord(entry, (row.host, row.port))
+    is_draining = row.draining and (
+        withdrawal is None or withdrawal.is_removed or withdrawal.source in (source_name, UNKNOWN_SOURCE)
+    )
+    phase = api.Phase.DRAINING if is_draining else api.Phase.UP
+    endpoint = api.Endpoint(endpoint_id, row.zone, row.cell, row.weight, phase, row.started_at_ms, row.kind)
+    return EndpointRecord(endpoint, (row.host, row.port))
--- a/balancer/net/reload.py
+++ b/balancer/net/reload.py
@@ -7,36 +7,36 @@
 from pathlib import Path
 
 from balancer.operator_settings import (
-    Operators,
-    OperatorsError,
+    OperatorSettings,
+    OperatorSettingsError,
     changes,
     load,
 )
 
 log = logging.getLogger(__name__)
 
-MAX_LINES = 20  # of faults or changes in the log for one reading
+MAX_LOG_LINES = 20  # of faults or changes in the log for one reading
 
 
-def reread(path: Path, held: Operators, apply: Callable[[Operators], None]) -> Operators:
+def reread(path: Path, held: OperatorSettings, apply: Callable[[OperatorSettings], None]) -> OperatorSettings:
     """The settings in force after `path` was read again: `held` where it is bad, else what is in it now.
 
     `apply` is called with the new ones if they differ, once what changed is in the log, a line a key.
     """
     try:
         new = load(path)
-    except OperatorsError as err:
-        _say(logging.ERROR, f"the old settings stay: {path}", str(err).splitlines())
+    except OperatorSettingsError as err:
+        _log_lines(logging.ERROR, f"the old settings stay: {path}", str(err).splitlines())
         return held
     found = changes(held, new)
-    _say(logging.INFO, str(path), found or ["nothing changed"])
+    _log_lines(logging.INFO, str(path), found or ["nothing changed"])
     if found:
         apply(new)
     return new
 
 
-def _say(level: int, what: str, lines: list[str]) -> None:
-    for line in lines[:MAX_LINES]:
+def _log_lines(level: int, what: str, lines: list[str]) -> None:
+    for line in lines[:MAX_LOG_LINES]:
         log.log(level, "reload: %s: %s", what, line)
-    if len(lines) > MAX_LINES:
-        log.log(level, "reload: %s: %d more lines", what, len(lines) - MAX_LINES)
+    if len(lines) > MAX_LOG_LINES:
+        log.log(level, "reload: %s: %d more lines", what, len(lines) - MAX_LOG_LINES)
--- a/balancer/net/startup.py
+++ b/balancer/net/startup.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 
 from balancer.net.config import read
-from balancer.operator_settings import Operators, OperatorsError
+from balancer.operator_settings import OperatorSettings, OperatorSettingsError
 from balancer.operator_settings import load as load_operators
 
 SETTINGS = "BALANCER_SETTINGS"
@@ -36,17 +36,17 @@
     return f"settings: {DEPRECATED_SETTINGS} is deprecated: set {SETTINGS} instead"
 
 
-def read_operators(settings: Path | None) -> tuple[Path | None, Operators, list[str]]:
+def read_operators(settings: Path | None) -> tuple[Path | None, OperatorSettings, list[str]]:
     """Where the operators' settings are, what they are, and what is wrong with them."""
     named = settings or settings_from_environment()
     path = Path(named).absolute() if named else None
     try:
-        return path, load_operators(path) if path else Operators(), []
-    except OperatorsError as err:
-        return path, Operators(), [f"{path}: {line}" for line in str(err).splitlines()]
+        return path, load_operators(path) if path else OperatorSettings(), []
+    except OperatorSettingsError as err:
+        return path, OperatorSettings(), [f"{path}: {line}" for line in str(err).splitlines()]
 
 
-def start(settings: Path | None, began: float, hung_up: Sequence[int]) -> int:
+def start_with_operator_settings(settings: Path | None, began: float, hung_up: Sequence[int]) -> int:
     """Run a node to its end; the exit code. `began` is when its program did, by the monotonic clock."""
     files = time.monotonic()
     path, operators, wrong = read_operators(settings)
@@ -65,13 +65,13 @@
         load(operators)
     gc.enable()
     now = time.monotonic()
-    parts = {"interpreter": age_ms() - 1000 * (now - began)}
+    parts = {"interpreter": process_age_ms() - 1000 * (now - began)}
     parts["imports"] = 1000 * (now - imports + files - began)
     parts["files"] = 1000 * (imports - files)
     return assemble.run(config, path, None if path is None else operators, hung_up, parts)
 
 
-def age_ms() -> float:
+def process_age_ms() -> float:
     """For how long this process has been there, by the kernel's word, to 10 ms (proc(5), `starttime`)."""
     try:
         told = Path("/proc/self/stat").read_bytes().rpartition(b")")[2].split()
--- a/balancer/observability/metrics.py
+++ b/balancer/observability/metrics.py
@@ -22,10 +22,10 @@
 from prometheus_client.openmetrics.exposition import CONTENT_TYPE_LATEST, generate_latest
 
 from balancer import interface as api
-from balancer.core.recovery import Memory, Recovery, State
+from balancer.core.recovery import PersistedState, Recovery, RecoveryState
 from balancer.timeline import latency_histogram as sketch
 from balancer.timeline import schema as keys
-from balancer.timeline.monitor import Watch
+from balancer.timeline.monitor import TimelineMonitor
 from balancer.timeline.recorder import OTHERS, Line, Recorder
 
 SERVERS = 50
@@ -41,7 +41,7 @@
 
     def __init__(
         self,
-        watch: Watch,
+        watch: TimelineMonitor,
         recovery: Recovery | None = None,
         peers: Callable[[], Figures | None] = lambda: None,
     ) -> None:
@@ -177,7 +177,7 @@
             "dillport_departures", "Open events by signal and scope.", labels=["signal", "scope"]
         )
         counts: dict[tuple[str, str], int] = {}
-        for event in self.watch.departures.events.values():
+        for event in self.watch.detector.open_anomalies.values():
             key = event.signal.value, event.scope.value
             counts[key] = counts.get(key, 0) + 1
         for labels, count in counts.items():
@@ -188,10 +188,10 @@
 def _recovery(recovery: Recovery) -> Iterator[Metric]:
     """How far the node is back."""
     state = StateSetMetricFamily("dillport_recovery_state", "How far the node is back.")
-    state.add_metric([], {one.value: one is recovery.state for one in State})
+    state.add_metric([], {one.value: one is recovery.state for one in RecoveryState})
     yield state
     memory = StateSetMetricFamily("dillport_recovery_memory", "What is left of an earlier life.")
-    memory.add_metric([], {one.value: one is recovery.memory for one in Memory})
+    memory.add_metric([], {one.value: one is recovery.persisted_state for one in PersistedState})
     yield memory
     life = GaugeMetricFamily("dillport_recovery_incarnation", "The number of the node's life; it only rises.")
     life.add_metric([], recovery.incarnation)
@@ -199,7 +199,7 @@
     phases = GaugeMetricFamily(
         "dillport_recovery_phase_seconds", "From the start to each phase.", labels=["phase"], unit="seconds"
     )
-    for name, ms in {**recovery.parts, **recovery.meter.phases}.items():
+    for name, ms in {**recovery.startup_phases_ms, **recovery.meter.phases_ms}.items():
         phases.add_metric([name], ms / 1000)
     yield phases
 
--- a/balancer/operator_settings/__init__.py
+++ b/balancer/operator_settings/__init__.py
@@ -12,8 +12,8 @@
 """
 
 from balancer.operator_settings.control import ControlSettings
-from balancer.operator_settings.faults import Fault, OperatorsError
-from balancer.operator_settings.file import Operators, load, parse
+from balancer.operator_settings.faults import OperatorSettingsError, SettingFault
+from balancer.operator_settings.file import OperatorSettings, load, parse
 from balancer.operator_settings.membership import EtcdSettings, Membership
 from balancer.operator_settings.metrics import MetricsSettings
 from balancer.operator_settings.peers import PeersSettings
@@ -24,12 +24,12 @@
 __all__ = [
     "ControlSettings",
     "EtcdSettings",
-    "Fault",
     "Membership",
     "MetricsSettings",
-    "Operators",
-    "OperatorsError",
+    "OperatorSettings",
+    "OperatorSettingsError",
     "PeersSettings",
+    "SettingFault",
     "StateSettings",
     "TimelineSettings",
     "changes",
--- a/balancer/operator_settings/checks.py
+++ b/balancer/operator_settings/checks.py
@@ -15,17 +15,17 @@
 from typing import TypeVar
 from urllib.parse import urlsplit
 
-from balancer.operator_settings.faults import At, shown
+from balancer.operator_settings.faults import Location, short_repr
 
-MAX_SECRET = 4 * 1024  # bytes of a password file
-MAX_SOCKET = 100  # bytes of a Unix socket's path: the kernel takes 107
+MAX_SECRET_BYTES = 4 * 1024  # bytes of a password file
+MAX_SOCKET_PATH_BYTES = 100  # bytes of a Unix socket's path: the kernel takes 107
 
 T = TypeVar("T")
 E = TypeVar("E")
 
 _NAME = re.compile(r"[A-Za-z0-9]([A-Za-z0-9._-]{0,251}[A-Za-z0-9])?")
 
-Check = Callable[[object, At], T | None]
+Check = Callable[[object, Location], T | None]
 """Turns a value as TOML gives it into a field's value; None after it has told `At` what is wrong."""
 
 
@@ -41,9 +41,9 @@
 def whole(low: int) -> Check[int]:
     """A whole number from `low` on."""
 
-    def check(value: object, at: At) -> int | None:
+    def check(value: object, at: Location) -> int | None:
         if isinstance(value, bool) or not isinstance(value, int) or value < low or value.bit_length() > 63:
-            at.fault(shown(value), f"a whole number from {low} on, of 63 bits at most")
+            at.fault(short_repr(value), f"a whole number from {low} on, of 63 bits at most")
             return None
         return value
 
@@ -53,9 +53,9 @@
 def seconds(low: int, high: int) -> Check[int]:
     """A whole number of seconds in these bounds."""
 
-    def check(value: object, at: At) -> int | None:
+    def check(value: object, at: Location) -> int | None:
         if isinstance(value, bool) or not isinstance(value, int) or not low <= value <= high:
-            at.fault(shown(value), f"a whole number of seconds from {low} to {high}")
+            at.fault(short_repr(value), f"a whole number of seconds from {low} to {high}")
             return None
         return value
 
@@ -65,9 +65,9 @@
 def choice(*among: str) -> Check[str]:
     """One of these words."""
 
-    def check(value: object, at: At) -> str | None:
+    def check(value: object, at: Location) -> str | None:
         if not isinstance(value, str) or value not in among:
-            at.fault(shown(value), " or ".join(f'"{word}"' for word in among))
+            at.fault(short_repr(value), " or ".join(f'"{word}"' for word in among))
             return None
         return value
 
@@ -78,10 +78,10 @@
     """Text of 1 to `most` printable characters that ends in `end`."""
     allowed = f"text of 1 to {most} printable characters" + (f' that ends in "{end}"' if end else "")
 
-    def check(value: object, at: At) -> str | None:
+    def check(value: object, at: Location) -> str | None:
         fits = isinstance(value, str) and 0 < len(value) <= most and value.isprintable()
         if not fits or not str(value).endswith(end):
-            at.fault(shown(value), allowed)
+            at.fault(short_repr(value), allowed)
             return None
         return str(value)
 
@@ -91,9 +91,9 @@
 def array(each: Check[E], most: int) -> Check[tuple[E, ...]]:
     """An array of 1 to `most` different items, each of which passes `each`."""
 
-    def check(value: object, at: At) -> tuple[E, ...] | None:
+    def check(value: object, at: Location) -> tuple[E, ...] | None:
         if not isinstance(value, list) or not 0 < len(value) <= most:
-            found = f"an array of {len(value)}" if isinstance(value, list) else shown(value)
+            found = f"an array of {len(value)}" if isinstance(value, list) else short_repr(value)
             at.fault(found, f"an array of 1 to {most}")
             return None
         out: list[E] = []
@@ -102,18 +102,18 @@
             if item is None:
                 continue
             if item in out:
-                at.item(index).fault(f"{shown(raw)} a second time", "each one once")
+                at.item(index).fault(f"{short_repr(raw)} a second time", "each one once")
             out.append(item)
         return tuple(out) if len(out) == len(value) else None
 
     return check
 
 
-def url(value: object, at: At) -> str | None:
+def url(value: object, at: Location) -> str | None:
     """`http://HOST:PORT` or `https://HOST:PORT`, in its shortest form. A password in it is never shown."""
     allowed = "http://HOST:PORT or https://HOST:PORT"
     if not isinstance(value, str):
-        at.fault(shown(value), allowed)
+        at.fault(short_repr(value), allowed)
         return None
     try:
         parts = urlsplit(value)
@@ -125,7 +125,7 @@
         return None
     rest = parts.path.removeprefix("/") or parts.query or parts.fragment
     if parts.scheme not in ("http", "https") or not port or not _host(host) or rest:
-        at.fault(shown(value), allowed)
+        at.fault(short_repr(value), allowed)
         return None
     return f"{parts.scheme}://{host.lower()}:{port}"
 
@@ -137,7 +137,7 @@
         return False
 
 
-def address(value: object, at: At) -> tuple[str, int] | None:
+def address(value: object, at: Location) -> tuple[str, int] | None:
     """`HOST:PORT` to listen on, the host an IP address."""
     host, _, port = str(value).rpartition(":") if isinstance(value, str) else ("", "", "")
     try:
@@ -146,7 +146,7 @@
         if number > 65_535 or (found.version == 6) is not (host[:1] == "["):
             raise ValueError
     except ValueError:
-        at.fault(shown(value), '"ADDRESS:PORT", an IP address (IPv6 in brackets) and 0 to 65535')
+        at.fault(short_repr(value), '"ADDRESS:PORT", an IP address (IPv6 in brackets) and 0 to 65535')
         return None
     return str(found), number
 
@@ -154,48 +154,48 @@
 # --- files ---------------------------------------------------------------------------------------------
 
 
-def opened(path: Path, at: At, allowed: str, most: int) -> bytes | None:
+def read_bounded(path: Path, at: Location, allowed: str, most: int) -> bytes | None:
     """The first `most` bytes of a plain file; None after a fault was noted."""
     try:
         # Guards against a pipe, whose open would wait for a writer and hold up the node.
         if path.exists() and not path.is_file():
-            at.fault(f"{shown(str(path))}, which is no plain file", allowed)
+            at.fault(f"{short_repr(str(path))}, which is no plain file", allowed)
             return None
         with path.open("rb") as file:
             return file.read(most)
     except (OSError, ValueError) as err:
         reason = getattr(err, "strerror", None) or str(err)
-        at.fault(f"{shown(str(path))}: {reason}", allowed)
+        at.fault(f"{short_repr(str(path))}: {reason}", allowed)
         return None
 
 
-def readable(value: object, at: At) -> Path | None:
+def readable(value: object, at: Location) -> Path | None:
     """A file that can be read; a relative path is one from the folder of the operators' file."""
     allowed = "the path of a file that can be read"
     if not isinstance(value, str) or not value:
-        at.fault(kind_of(value) if value else shown(value), allowed)
+        at.fault(kind_of(value) if value else short_repr(value), allowed)
         return None
     path = at.folder / value
-    return None if opened(path, at, allowed, 1) is None else path
+    return None if read_bounded(path, at, allowed, 1) is None else path
 
 
-def socket_path(value: object, at: At) -> Path | None:
+def socket_path(value: object, at: Location) -> Path | None:
     """Where a Unix socket can be made."""
-    allowed = f"an absolute path of at most {MAX_SOCKET} bytes in a folder that is there"
+    allowed = f"an absolute path of at most {MAX_SOCKET_PATH_BYTES} bytes in a folder that is there"
     if not isinstance(value, str) or not value.isprintable():
-        at.fault(shown(value), allowed)
+        at.fault(short_repr(value), allowed)
         return None
     path, size = Path(value), len(os.fsencode(value))
-    if not path.is_absolute() or path.name in ("", "..") or size > MAX_SOCKET:
-        at.fault(f"{shown(value)} ({size} bytes)", allowed)
+    if not path.is_absolute() or path.name in ("", "..") or size > MAX_SOCKET_PATH_BYTES:
+        at.fault(f"{short_repr(value)} ({size} bytes)", allowed)
         return None
     if not path.parent.is_dir():
-        at.fault(f"{shown(value)}, whose folder is not there", allowed)
+        at.fault(f"{short_repr(value)}, whose folder is not there", allowed)
         return None
     return path
 
 
-def certificates(ca: Path | None, cert: Path | None, key: Path | None, at: At) -> None:
+def certificates(ca: Path | None, cert: Path | None, key: Path | None, at: Location) -> None:
     """Guards against a file that turns out to be no certificate only when it is needed."""
     import ssl
 
@@ -213,7 +213,7 @@
         at.key("cert").fault(f"files that cannot be loaded ({_reason(err)})", allowed)
 
 
-def digest(paths: Iterable[Path | None]) -> str:
+def files_digest(paths: Iterable[Path | None]) -> str:
     """What is in the files, as a text of no use to anybody else; empty without a file."""
     import hashlib  # three packages of the standard library, for a file that has certificates alone
 
@@ -230,13 +230,13 @@
     return getattr(err, "reason", None) or getattr(err, "strerror", None) or str(err) or type(err).__name__
 
 
-def secret(path: Path, at: At) -> str:
+def secret(path: Path, at: Location) -> str:
     """The first line of a password file; a fault never shows what is in it."""
-    allowed = f"a file of at most {MAX_SECRET} bytes in UTF-8 whose first line is the password"
-    told = opened(path, at, allowed, MAX_SECRET + 1)
+    allowed = f"a file of at most {MAX_SECRET_BYTES} bytes in UTF-8 whose first line is the password"
+    told = read_bounded(path, at, allowed, MAX_SECRET_BYTES + 1)
     if told is None:
         return ""
-    if len(told) > MAX_SECRET:
+    if len(told) > MAX_SECRET_BYTES:
         at.fault("a longer file", allowed)
         return ""
     try:
@@ -252,7 +252,7 @@
 # --- the installation ---------------------------------------------------------------------------------
 
 
-def package(name: str, extra: str, at: At) -> None:
+def package(name: str, extra: str, at: Location) -> None:
     """A package that a bare install leaves out, and the install that has it."""
     if importlib.util.find_spec(name) is None:
         at.fault(f"no package {name}", f"the install `snowloom-balancer[{extra}]`")
--- a/balancer/operator_settings/control.py
+++ b/balancer/operator_settings/control.py
@@ -16,6 +16,6 @@
 
     socket: Annotated[Path, socket_path] = Path("/run/dillport/control.sock")
 
-    def says(self) -> str:
+    def summary(self) -> str:
         """Where it listens."""
         return f"a control socket at {self.socket}"
--- a/balancer/operator_settings/file.py
+++ b/balancer/operator_settings/file.py
@@ -11,13 +11,13 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from balancer.operator_settings.checks import opened
+from balancer.operator_settings.checks import read_bounded
 from balancer.operator_settings.control import ControlSettings
 from balancer.operator_settings.faults import (
-    At,
-    Fault,
-    Faults,
-    OperatorsError,
+    FaultCollector,
+    Location,
+    OperatorSettingsError,
+    SettingFault,
 )
 from balancer.operator_settings.membership import Membership
 from balancer.operator_settings.metrics import MetricsSettings
@@ -26,11 +26,11 @@
 from balancer.operator_settings.table import Table, read_table, tables_of
 from balancer.operator_settings.timeline import TimelineSettings
 
-MAX_FILE = 256 * 1024  # bytes of the operators' file
+MAX_FILE_BYTES = 256 * 1024  # bytes of the operators' file
 
 
 @dataclass(slots=True, frozen=True, kw_only=True)
-class Operators(Table):
+class OperatorSettings(Table):
     """The operators' file. Everything is off where it is empty or there is none."""
 
     membership: Membership = field(default_factory=Membership)
@@ -40,32 +40,32 @@
     state: StateSettings | None = None
     peers: PeersSettings | None = None
 
-    def on(self) -> list[str]:
+    def enabled_tables(self) -> list[str]:
         """What is on, a line a table in plain words."""
-        return [f"{path}: {words}" for path, found in tables_of(self, "") if (words := found.says())]
+        return [f"{path}: {words}" for path, found in tables_of(self, "") if (words := found.summary())]
 
 
-def parse(raw: Mapping[str, object], folder: Path) -> Operators:
+def parse(raw: Mapping[str, object], folder: Path) -> OperatorSettings:
     """The settings out of the tables of a file that lies in `folder`; raises OperatorsError."""
-    faults = Faults()
-    found = read_table(Operators, raw, At("", folder, faults))
-    if faults.kept or found is None:
-        raise OperatorsError(tuple(faults.kept), faults.left_out)
+    faults = FaultCollector()
+    found = read_table(OperatorSettings, raw, Location("", folder, faults))
+    if faults.found or found is None:
+        raise OperatorSettingsError(tuple(faults.found), faults.left_out)
     return found
 
 
-def load(path: Path) -> Operators:
+def load(path: Path) -> OperatorSettings:
     """The settings in a file; raises OperatorsError."""
     return parse(_toml(path), path.absolute().parent)
 
 
 def _toml(path: Path) -> dict[str, object]:
-    faults = Faults()
-    told = opened(path, At("", path, faults), "", MAX_FILE + 1)
+    faults = FaultCollector()
+    told = read_bounded(path, Location("", path, faults), "", MAX_FILE_BYTES + 1)
     if told is None:
-        raise OperatorsError(tuple(faults.kept))
-    if len(told) > MAX_FILE:
-        raise _spoiled(f"longer than {MAX_FILE // 1024} KiB")
+        raise OperatorSettingsError(tuple(faults.found))
+    if len(told) > MAX_FILE_BYTES:
+        raise _spoiled(f"longer than {MAX_FILE_BYTES // 1024} KiB")
     try:
         content = told.decode("utf-8")
     except UnicodeDecodeError as err:
@@ -83,8 +83,8 @@
         raise _spoiled(f"line {_deepest(content)}: arrays or tables nested too deep") from None
 
 
-def _spoiled(what: str) -> OperatorsError:
-    return OperatorsError((Fault("", what, ""),))
+def _spoiled(what: str) -> OperatorSettingsError:
+    return OperatorSettingsError((SettingFault("", what, ""),))
 
 
 def _line(told: bytes, offset: int) -> int:
--- a/balancer/operator_settings/membership.py
+++ b/balancer/operator_settings/membership.py
@@ -11,14 +11,14 @@
     array,
     certificates,
     choice,
-    digest,
+    files_digest,
     readable,
     secret,
     text,
     url,
     whole,
 )
-from balancer.operator_settings.faults import At
+from balancer.operator_settings.faults import Location
 from balancer.operator_settings.table import Table
 
 
@@ -46,7 +46,7 @@
     certificates: str = field(default="", repr=False)  # a digest: they are renewed in their place
 
     @classmethod
-    def together(cls, values: dict[str, Any], given: Set[str], at: At) -> None:
+    def validate(cls, values: dict[str, Any], given: Set[str], at: Location) -> None:
         """One scheme; certificates only with https; `cert` and `key`, `user` and `password_file` in pairs."""
         schemes = {endpoint.partition(":")[0] for endpoint in values.get("endpoints", ())}
         if len(schemes) > 1:
@@ -60,11 +60,11 @@
                     at.key(one).fault(f"no {other} beside it", "both or neither")
         if schemes == {"https"}:
             certificates(values.get("ca"), values.get("cert"), values.get("key"), at)
-        values["certificates"] = digest(values.get(name) for name in ("ca", "cert", "key"))
+        values["certificates"] = files_digest(values.get(name) for name in ("ca", "cert", "key"))
         if "password_file" in values:
             values["password"] = secret(values["password_file"], at.key("password_file"))
 
-    def says(self) -> str:
+    def summary(self) -> str:
         """Which etcd, what of it, what its word may do."""
         does = {"full": "add and remove servers", "add": "only add servers", "remove": "only remove servers"}
         login = f", logged in as {self.user}" if self.user else ""
--- a/balancer/operator_settings/metrics.py
+++ b/balancer/operator_settings/metrics.py
@@ -8,7 +8,7 @@
 from typing import Annotated, Any
 
 from balancer.operator_settings.checks import address, package
-from balancer.operator_settings.faults import At
+from balancer.operator_settings.faults import Location
 from balancer.operator_settings.table import Table
 
 
@@ -20,11 +20,11 @@
     listen: Annotated[tuple[str, int], address] = ("127.0.0.1", 9464)
 
     @classmethod
-    def together(cls, values: dict[str, Any], given: Set[str], at: At) -> None:
+    def validate(cls, values: dict[str, Any], given: Set[str], at: Location) -> None:
         """It needs `prometheus_client`, which a bare install leaves out."""
         package("prometheus_client", "metrics", at)
 
-    def says(self) -> str:
+    def summary(self) -> str:
         """Where it listens."""
         host, port = self.listen
         at = f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
--- a/balancer/operator_settings/peers.py
+++ b/balancer/operator_settings/peers.py
@@ -12,21 +12,21 @@
 from balancer.operator_settings.checks import (
     address,
     array,
-    opened,
+    read_bounded,
     readable,
 )
-from balancer.operator_settings.faults import At, shown
+from balancer.operator_settings.faults import Location, short_repr
 from balancer.operator_settings.table import Table
 
 KEYS = "a file of at most 4096 bytes with a key a line, 32 to 64 hexadecimal digits, the first of which signs"
 MAX_KEYS = 4 * 1024  # bytes of a key file
 
 
-def reached(value: object, at: At) -> tuple[str, int] | None:
+def reached(value: object, at: Location) -> tuple[str, int] | None:
     """An address that datagrams can be sent to."""
     found = address(value, at)
     if found is not None and (not found[1] or ipaddress.ip_address(found[0]).is_unspecified):
-        at.fault(shown(value), '"ADDRESS:PORT" of one machine, and a port from 1 on')
+        at.fault(short_repr(value), '"ADDRESS:PORT" of one machine, and a port from 1 on')
         return None
     return found
 
@@ -45,7 +45,7 @@
     keys: str = field(default="", repr=False)
 
     @classmethod
-    def together(cls, values: dict[str, Any], given: Set[str], at: At) -> None:
+    def validate(cls, values: dict[str, Any], given: Set[str], at: Location) -> None:
         """One address to be seen at, one family of addresses, and keys."""
         listen = values.get("listen")
         if listen is not None and "address" not in given and ipaddress.ip_address(listen[0]).is_unspecified:
@@ -71,7 +71,7 @@
             return ""
         return f"{self.key_file} has the mode {mode:04o}: others may use or change its keys; 0600 is enough"
 
-    def says(self) -> str:
+    def summary(self) -> str:
         """Where it listens, whom it asks, whether its keys lie open."""
         at = written(self.address or self.listen)
         seeds = ", ".join(map(written, self.seeds or ())) or "no seeds: it waits for others"
@@ -84,11 +84,11 @@
     return f"[{at[0]}]:{at[1]}" if ":" in at[0] else f"{at[0]}:{at[1]}"
 
 
-def _keys(path: Path, at: At) -> str:
+def _keys(path: Path, at: Location) -> str:
     """The file's text; a fault never shows what is in it."""
-    from balancer.protocol.gossip import keys_of
+    from balancer.protocol.gossip import parse_keys
 
-    told = opened(path, at, KEYS, MAX_KEYS + 1)
+    told = read_bounded(path, at, KEYS, MAX_KEYS + 1)
     if told is None:
         return ""
     if len(told) > MAX_KEYS:
@@ -100,7 +100,7 @@
         at.fault("a file that is not ASCII", KEYS)
         return ""
     try:
-        keys_of(text)
+        parse_keys(text)
     except ValueError as err:
         at.fault(f"a file with faults ({err})", KEYS)
     return text
--- a/balancer/operator_settings/state.py
+++ b/balancer/operator_settings/state.py
@@ -9,16 +9,16 @@
 from typing import Annotated, Any
 
 from balancer.operator_settings.checks import package, seconds
-from balancer.operator_settings.faults import At, shown
+from balancer.operator_settings.faults import Location, short_repr
 from balancer.operator_settings.table import Table
 
 FOLDER = "the path of a folder that is there and may be written to"
 
 
-def own_folder(value: object, at: At) -> Path | None:
+def own_folder(value: object, at: Location) -> Path | None:
     """A folder that may be written to; a relative path is one from the folder of the operators' file."""
     if not isinstance(value, str) or not value or not value.isprintable():
-        at.fault(shown(value), FOLDER)
+        at.fault(short_repr(value), FOLDER)
         return None
     path = at.folder / value
     try:
@@ -27,7 +27,7 @@
         there = False
     if not there or not os.access(path, os.R_OK | os.W_OK | os.X_OK):
         why = "may not be written to" if there else "is no folder"
-        at.fault(f"{shown(str(path))}, which {why}", FOLDER)
+        at.fault(f"{short_repr(str(path))}, which {why}", FOLDER)
         return None
     return path
 
@@ -41,7 +41,7 @@
     every: Annotated[int, seconds(1, 3_600)] = 10
 
     @classmethod
-    def together(cls, values: dict[str, Any], given: Set[str], at: At) -> None:
+    def validate(cls, values: dict[str, Any], given: Set[str], at: Location) -> None:
         """It needs a directory, and three packages that a bare install leaves out."""
         if "directory" not in given:
             at.key("directory").fault("nothing", FOLDER)
@@ -50,6 +50,6 @@
         for name in ("msgspec", "apsw", "xxhash"):
             package(name, "state", at)
 
-    def says(self) -> str:
+    def summary(self) -> str:
         """Where, how old, how often."""
         return f"memory in {self.directory}, believed for {self.max_age} s, figures each {self.every} s"
--- a/balancer/operator_settings/table.py
+++ b/balancer/operator_settings/table.py
@@ -8,7 +8,7 @@
 from typing import Annotated, Any, ClassVar, TypeVar, cast, get_args, get_origin, get_type_hints
 
 from balancer.operator_settings.checks import Check
-from balancer.operator_settings.faults import At, shown
+from balancer.operator_settings.faults import Location, short_repr
 
 K = TypeVar("K", bound="Table")
 
@@ -28,21 +28,21 @@
     """Tables beside this one without which it makes no sense."""
 
     @classmethod
-    def together(cls, values: dict[str, Any], given: Set[str], at: At) -> None:
+    def validate(cls, values: dict[str, Any], given: Set[str], at: Location) -> None:
         """Check what hangs together, and add what follows from it.
 
         `values` are those that make sense alone, `given` are the keys that the file has.
         """
 
-    def says(self) -> str:
+    def summary(self) -> str:
         """What is on by this table, in plain words; empty where it only holds other tables."""
         return ""
 
 
-def read_table(kind: type[K], raw: object, at: At) -> K | None:
+def read_table(kind: type[K], raw: object, at: Location) -> K | None:
     """The checked table; what makes no sense is told to `at`, and its fields are left as they are."""
     if not isinstance(raw, Mapping):
-        at.fault(shown(raw), "a table")
+        at.fault(short_repr(raw), "a table")
         return None
     checks, tables, defaults = _declared(kind)
     for name in raw:
@@ -60,7 +60,7 @@
         for other in inner.needs:
             if name in raw and other not in raw:
                 at.key(name).fault(f"no [{other}] beside it", f"both, or [{other}] alone")
-    kind.together(values, raw.keys(), at)
+    kind.validate(values, raw.keys(), at)
     return kind(**values)
 
 
@@ -83,7 +83,7 @@
     return list(value) if isinstance(value, tuple) else str(value) if isinstance(value, Path) else value
 
 
-def _unknown(name: str, known: list[str], at: At) -> None:
+def _unknown(name: str, known: list[str], at: Location) -> None:
     """A key that is not known. Its value is not shown: it may be a password in the wrong place."""
     if at.faults.full():  # guards against a file of thousands of them: the nearest name is costly to find
         at.key(name).fault("", "")
@@ -123,4 +123,4 @@
 
 
 def _plain(value: object) -> str:
-    return "not set" if value is None else str(value) if isinstance(value, Path) else shown(value)
+    return "not set" if value is None else str(value) if isinstance(value, Path) else short_repr(value)
--- a/balancer/operator_settings/timeline.py
+++ b/balancer/operator_settings/timeline.py
@@ -7,7 +7,7 @@
 from typing import Annotated, Any
 
 from balancer.operator_settings.checks import package, whole
-from balancer.operator_settings.faults import At
+from balancer.operator_settings.faults import Location
 from balancer.operator_settings.table import Table
 
 
@@ -18,12 +18,12 @@
     memory_mb: Annotated[int, whole(2)] = 16
 
     @classmethod
-    def together(cls, values: dict[str, Any], given: Set[str], at: At) -> None:
+    def validate(cls, values: dict[str, Any], given: Set[str], at: Location) -> None:
         """It needs `msgspec`, which a bare install leaves out."""
         package("msgspec", "timeline", at)
         if values.get("memory_mb", 0) > 4_096:
             at.key("memory_mb").fault(str(values["memory_mb"]), "a whole number from 2 to 4096")
 
-    def says(self) -> str:
+    def summary(self) -> str:
         """What it may hold."""
         return f"the time line of each server in {self.memory_mb} MB; see balancer timeline, events and why"
--- a/balancer/protocol/etcd_entry.py
+++ b/balancer/protocol/etcd_entry.py
@@ -21,22 +21,22 @@
 )
 from balancer.protocol.etcd_watch import KeyValue
 
-FORMATS = ("member", "grpc-naming")
-MAX_VALUE = 64 * 1024  # bytes of a value; an entry has some hundred
+ENTRY_FORMATS = ("member", "grpc-naming")
+MAX_VALUE_BYTES = 64 * 1024  # bytes of a value; an entry has some hundred
 
 
-def name_of(key: bytes, prefix: bytes) -> tuple[str, str | None]:
+def endpoint_id_of_key(key: bytes, key_prefix: bytes) -> tuple[str, str | None]:
     """The id that a key names, and why it names none.
 
     What is shown of a key that names none has a `/` in it, which no id has: it is taken for nobody's.
     """
-    if not key.startswith(prefix):
+    if not key.startswith(key_prefix):
         return f"/{key[:MAX_TEXT_CHARACTERS]!r}", "the key is not below the prefix"
-    rest = key[len(prefix) :]
+    suffix = key[len(key_prefix) :]
     try:
-        text = rest.decode("utf-8")
+        text = suffix.decode("utf-8")
     except UnicodeDecodeError:
-        return f"/{rest[:MAX_TEXT_CHARACTERS]!r}", "the key is not UTF-8"
+        return f"/{suffix[:MAX_TEXT_CHARACTERS]!r}", "the key is not UTF-8"
     if not text:
         return "/", "the key has no id behind the prefix"
     if len(text) > MAX_TEXT_CHARACTERS:
@@ -46,33 +46,37 @@
     return text, None
 
 
-def entry(kv: KeyValue, prefix: bytes, form: str) -> EndpointRecord | InvalidEntry | str:
+def parse_entry(
+    key_value: KeyValue, key_prefix: bytes, entry_format: str
+) -> EndpointRecord | InvalidEntry | str:
     """A member, a fault, or the id of one that is gone."""
-    name, wrong = name_of(kv.key, prefix)
-    if kv.deleted:
-        return name
-    if wrong is not None:
-        return InvalidEntry(name, wrong)
-    if kv.value is None:
-        return InvalidEntry(name, "the value is not base64")
-    if len(kv.value) > MAX_VALUE:
-        return InvalidEntry(name, f"the value has {len(kv.value)} bytes; {MAX_VALUE} are allowed")
+    endpoint_id, key_fault = endpoint_id_of_key(key_value.key, key_prefix)
+    if key_value.is_deleted:
+        return endpoint_id
+    if key_fault is not None:
+        return InvalidEntry(endpoint_id, key_fault)
+    if key_value.value is None:
+        return InvalidEntry(endpoint_id, "the value is not base64")
+    if len(key_value.value) > MAX_VALUE_BYTES:
+        return InvalidEntry(
+            endpoint_id, f"the value has {len(key_value.value)} bytes; {MAX_VALUE_BYTES} are allowed"
+        )
     try:
-        raw = json.loads(kv.value)
+        raw = json.loads(key_value.value)
     except (ValueError, RecursionError):
-        return InvalidEntry(name, f"the value is not JSON: {kv.value[:60]!r}")
+        return InvalidEntry(endpoint_id, f"the value is not JSON: {key_value.value[:60]!r}")
     if not isinstance(raw, dict):
-        return InvalidEntry(name, f"the value is no object: {kv.value[:60]!r}")
-    if form == "grpc-naming":
+        return InvalidEntry(endpoint_id, f"the value is no object: {key_value.value[:60]!r}")
+    if entry_format == "grpc-naming":
         operation = raw.get("Op", 0)
         if isinstance(operation, bool) or operation not in (0, 1):
-            return InvalidEntry(name, f"Op is {operation!r:.60}, not 0 or 1")
+            return InvalidEntry(endpoint_id, f"Op is {operation!r:.60}, not 0 or 1")
         if operation == 1:
-            return name
+            return endpoint_id
         raw = {"host_port": raw.get("Addr"), "phase": "in_service"}
     elif raw.get("phase") == "terminated":
-        return name
+        return endpoint_id
     try:
-        return parse_record(raw, name)
+        return parse_record(raw, endpoint_id)
     except EndpointListError as err:
-        return InvalidEntry(name, str(err), raw.get("phase") == "terminating")
+        return InvalidEntry(endpoint_id, str(err), raw.get("phase") == "terminating")
