--- a/balancer/protocol/etcd_watch.py
+++ b/balancer/protocol/etcd_watch.py
@@ -26,37 +26,39 @@
 
 import httptools
 
-MAX_LINE = 8 * 1024 * 1024  # bytes of one line of a watch, and of a whole answer to any other call
-MAX_HEAD = 16 * 1024  # bytes of a status line with its headers, of trailers, of a chunk's size line
-PAGE = 500  # keys of a page of a range, unless asked otherwise
-LONG = 64 * 1024  # bytes of a line that is worth reading event by event
-SLICE = 250  # events in one message: more of one line come as several, as if etcd had cut them
+MAX_LINE_BYTES = 8 * 1024 * 1024  # bytes of one line of a watch, and of a whole answer to any other call
+MAX_HEAD_BYTES = 16 * 1024  # bytes of a status line with its headers, of trailers, of a chunk's size line
+DEFAULT_PAGE_KEYS = 500  # keys of a page of a range, unless asked otherwise
+LARGE_LINE_BYTES = 64 * 1024  # bytes of a line that is worth reading event by event
+MAX_EVENTS_PER_MESSAGE = (
+    250  # events in one message: more of one line come as several, as if etcd had cut them
+)
 
 
-class Kind(Enum):
+class CallKind(Enum):
     """Which call an answer belongs to."""
 
     RANGE = "range"
     WATCH = "watch"
-    LOGIN = "log-in"
+    AUTHENTICATE = "log-in"
 
 
-class Why(Enum):
+class ResponseFault(Enum):
     """What was wrong with an answer that could not be read."""
 
     NOT_HTTP = "not HTTP"
-    HEAD_TOO_LONG = "head too long"
-    TOO_LONG = "too long"
+    HEAD_TOO_LARGE = "head too long"
+    TOO_LARGE = "too long"
     NOT_JSON = "not JSON"
-    WRONG_SHAPE = "not what etcd answers"
-    CUT_SHORT = "cut short"
+    UNEXPECTED_SHAPE = "not what etcd answers"
+    TRUNCATED = "cut short"
 
 
 # --- messages
 
 
 @dataclass(slots=True, frozen=True)
-class Header:
+class ResponseHeader:
     """Who answered, and how far it is. A number that was left out is 0."""
 
     cluster_id: str
@@ -72,7 +74,7 @@
     key: bytes
     value: bytes | None
     mod_revision: int
-    deleted: bool = False
+    is_deleted: bool = False
 
 
 @dataclass(slots=True, frozen=True)
@@ -82,34 +84,34 @@
     A later page's `header` names the revision of its answer, not that of the range.
     """
 
-    header: Header
-    kvs: tuple[KeyValue, ...]
-    more: bool
-    count: int
-    unreadable: tuple[str, ...] = ()
+    header: ResponseHeader
+    key_values: tuple[KeyValue, ...]
+    has_more: bool
+    key_count: int
+    unreadable_entries: tuple[str, ...] = ()
 
 
 @dataclass(slots=True, frozen=True)
 class WatchCreated:
     """The watch is on."""
 
-    header: Header
+    header: ResponseHeader
 
 
 @dataclass(slots=True, frozen=True)
 class WatchEvents:
     """Events, oldest first; others of the same batch follow a `fragment`, maybe of the same revision."""
 
-    header: Header
+    header: ResponseHeader
     events: tuple[KeyValue, ...]
-    fragment: bool
+    is_fragment: bool
 
 
 @dataclass(slots=True, frozen=True)
 class WatchProgress:
     """All events up to the header's revision were sent."""
 
-    header: Header
+    header: ResponseHeader
 
 
 @dataclass(slots=True, frozen=True)
@@ -117,7 +119,7 @@
     """The watch is off, though its stream stays open: because of a compaction up to `compact_revision`, if
     that is not 0. The header may lack a revision."""
 
-    header: Header
+    header: ResponseHeader
     compact_revision: int
     reason: str
 
@@ -130,37 +132,43 @@
     """
 
     code: int
-    text: str
-    status: int = 200
-    after_s: int = 0
+    message: str
+    http_status: int = 200
+    retry_after_s: int = 0
 
     @property
-    def compacted(self) -> bool:
+    def is_compacted(self) -> bool:
         """The revision asked for is gone, or not there yet: both are gRPC's OUT_OF_RANGE."""
         return self.code == 11
 
     @property
-    def auth_off(self) -> bool:
+    def is_auth_disabled(self) -> bool:
         """There is nothing to log in to."""
-        return self.code == 9 and "authentication is not enabled" in self.text
+        return self.code == 9 and "authentication is not enabled" in self.message
 
     @property
-    def stale_token(self) -> bool:
+    def is_token_expired(self) -> bool:
         """A new log-in may help: the token ran out, or etcd was started anew, or auth was turned on."""
-        return self.code == 16 or self.status == 401 or _any(self.text, "auth token", "auth store is old")
+        return (
+            self.code == 16
+            or self.http_status == 401
+            or _contains_any(self.message, "auth token", "auth store is old")
+        )
 
     @property
-    def busy(self) -> bool:
+    def is_overloaded(self) -> bool:
         """There is more to do than it can: gRPC's RESOURCE_EXHAUSTED, or a proxy's word for that.
 
         etcd's own 503 is gRPC's UNAVAILABLE: it has no leader, or no quorum.
         """
-        return self.code == 8 or self.status == 429 or (self.status == 503 and self.code != 14)
+        return self.code == 8 or self.http_status == 429 or (self.http_status == 503 and self.code != 14)
 
     @property
-    def denied(self) -> bool:
+    def is_permission_denied(self) -> bool:
         """Whoever asked is not let in."""
-        return self.code == 7 or _any(self.text, "user name is empty", "authentication failed", "denied")
+        return self.code == 7 or _contains_any(
+            self.message, "user name is empty", "authentication failed", "denied"
+        )
 
 
 @dataclass(slots=True, frozen=True)
@@ -171,14 +179,14 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Broken:
+class InvalidResponse:
     """The answer cannot be read; nothing further of it is."""
 
-    why: Why
-    text: str
+    fault: ResponseFault
+    detail: str
 
     def __str__(self) -> str:
-        return f"{self.why.value}: {self.text}"
+        return f"{self.fault.value}: {self.detail}"
 
 
 Message = (
@@ -189,55 +197,61 @@
     | WatchCanceled
     | GatewayError
     | Authenticated
-    | Broken
+    | InvalidResponse
 )
 
 
-def _any(text: str, *parts: str) -> bool:
+def _contains_any(text: str, *parts: str) -> bool:
     return any(part in text for part in parts)
 
 
 # --- requests
 
 
-def end_of(prefix: bytes) -> bytes:
+def prefix_range_end(prefix: bytes) -> bytes:
     """The end of the range of all keys that begin with `prefix` (etcd's docs); b"\\0": of all keys."""
-    kept = prefix.rstrip(b"\xff")
-    return kept[:-1] + bytes([kept[-1] + 1]) if kept else b"\0"
+    incrementable = prefix.rstrip(b"\xff")
+    return incrementable[:-1] + bytes([incrementable[-1] + 1]) if incrementable else b"\0"
 
 
-def _text(raw: bytes) -> str:
+def _base64_text(raw: bytes) -> str:
     return base64.b64encode(raw).decode("ascii")
 
 
-class Asks:
+class RequestBuilder:
     """Request bytes for the keys below `prefix`; `host` is the Host header's value."""
 
-    def __init__(self, host: str, prefix: bytes) -> None:
-        self.host, self.prefix = host, prefix
+    def __init__(self, host: str, key_prefix: bytes) -> None:
+        self.host, self.key_prefix = host, key_prefix
 
-    def range(self, after_key: bytes = b"", revision: int = 0, limit: int = PAGE, token: str = "") -> bytes:
+    def range_request(
+        self, after_key: bytes = b"", revision: int = 0, max_keys: int = DEFAULT_PAGE_KEYS, token: str = ""
+    ) -> bytes:
         """A page of the keys behind `after_key`, as of `revision` (0: the present one); linearizable."""
-        key = after_key + b"\0" if after_key else self.prefix or b"\0"
-        body: dict[str, Any] = {"key": _text(key), "range_end": _text(end_of(self.prefix)), "limit": limit}
+        key = after_key + b"\0" if after_key else self.key_prefix or b"\0"
+        body: dict[str, Any] = {
+            "key": _base64_text(key),
+            "range_end": _base64_text(prefix_range_end(self.key_prefix)),
+            "limit": max_keys,
+        }
         if revision:
             body["revision"] = str(revision)
-        return self._post("/v3/kv/range", body, token)
+        return self._post_request("/v3/kv/range", body, token)
 
-    def check(self, token: str = "", count: bool = False) -> bytes:
+    def check_request(self, token: str = "", count: bool = False) -> bytes:
         """A read of one key, linearizable: only a member that reaches its quorum can answer it.
 
         The key is the prefix itself, which whoever may read the members may read, and which costs etcd no
         walk over them; `count` walks, and tells how many keys there are below it.
         """
-        body = {"key": _text(self.prefix or b"\0"), "count_only": True, "serializable": False}
+        body = {"key": _base64_text(self.key_prefix or b"\0"), "count_only": True, "serializable": False}
         if count:
-            body["range_end"] = _text(end_of(self.prefix))
-        return self._post("/v3/kv/range", body, token)
+            body["range_end"] = _base64_text(prefix_range_end(self.key_prefix))
+        return self._post_request("/v3/kv/range", body, token)
 
-    def watch(self, start_revision: int, token: str = "") -> bytes:
+    def watch_request(self, start_revision: int, token: str = "") -> bytes:
         """A watch of everything below the prefix from `start_revision` on."""
-        key, end = _text(self.prefix or b"\0"), _text(end_of(self.prefix))
+        key, end = _base64_text(self.key_prefix or b"\0"), _base64_text(prefix_range_end(self.key_prefix))
         body = {
             "create_request": {
                 "key": key,
@@ -247,13 +261,13 @@
                 "fragment": True,
             }
         }
-        return self._post("/v3/watch", body, token)
+        return self._post_request("/v3/watch", body, token)
 
-    def login(self, user: str, password: str) -> bytes:
+    def authenticate_request(self, user: str, password: str) -> bytes:
         """A log-in, which is answered by a token."""
-        return self._post("/v3/auth/authenticate", {"name": user, "password": password}, "")
+        return self._post_request("/v3/auth/authenticate", {"name": user, "password": password}, "")
 
-    def _post(self, path: str, body: dict[str, Any], token: str) -> bytes:
+    def _post_request(self, path: str, body: dict[str, Any], token: str) -> bytes:
         data = json.dumps(body).encode()
         lines = [f"POST {path} HTTP/1.1", f"Host: {self.host}", "Content-Type: application/json"]
         if token:
@@ -264,16 +278,16 @@
 # --- answers
 
 
-class _Shape(Exception):
+class _UnexpectedShape(Exception):
     """JSON, but not etcd's."""
 
 
-def _plain(text: str) -> str:
+def _printable(text: str) -> str:
     """What an endpoint says, for the log: on one line, without what a terminal would obey."""
     return text[:300] if text[:300].isprintable() else ascii(text[:300])
 
 
-def _number(value: object) -> int:
+def _parse_integer(value: object) -> int:
     """A 64-bit number, which the gateway writes as text; one that was left out is 0."""
     if value is None:
         return 0
@@ -281,92 +295,92 @@
         value = int(value)
     if isinstance(value, int) and not isinstance(value, bool) and abs(value) < 1 << 64:
         return value
-    raise _Shape(f"{value!r:.60} is no number")
+    raise _UnexpectedShape(f"{value!r:.60} is no number")
 
 
-def _object(value: object) -> dict[str, Any]:
+def _require_object(value: object) -> dict[str, Any]:
     if not isinstance(value, dict):
-        raise _Shape(f"{value!r:.60} is no object")
+        raise _UnexpectedShape(f"{value!r:.60} is no object")
     return value
 
 
-def _rows(value: object) -> list[Any]:
+def _parse_list(value: object) -> list[Any]:
     if value is None:
         return []
     if not isinstance(value, list):
-        raise _Shape(f"{value!r:.60} is no list")
+        raise _UnexpectedShape(f"{value!r:.60} is no list")
     return value
 
 
-def _flag(value: object) -> bool:
+def _parse_flag(value: object) -> bool:
     if value is None or isinstance(value, bool):
         return bool(value)
-    raise _Shape(f"{value!r:.60} is neither true nor false")
+    raise _UnexpectedShape(f"{value!r:.60} is neither true nor false")
 
 
-def _bytes(value: object) -> bytes:
+def _decode_base64(value: object) -> bytes:
     if value is None:
         return b""
     if not isinstance(value, str):
-        raise _Shape(f"{value!r:.60} is not base64")
+        raise _UnexpectedShape(f"{value!r:.60} is not base64")
     try:
         return base64.b64decode(value, validate=True)
     except (binascii.Error, ValueError):
-        raise _Shape(f"{value!r:.60} is not base64") from None
+        raise _UnexpectedShape(f"{value!r:.60} is not base64") from None
 
 
-def _header(value: object) -> Header:
+def _parse_header(value: object) -> ResponseHeader:
     """A cluster without an id cannot be told from another: that is no header."""
-    raw = _object(value)
-    cluster = _number(raw.get("cluster_id"))
+    raw = _require_object(value)
+    cluster = _parse_integer(raw.get("cluster_id"))
     if not cluster:
-        raise _Shape("the header has no cluster_id")
-    member, revision, term = (_number(raw.get(k)) for k in ("member_id", "revision", "raft_term"))
-    return Header(str(cluster), str(member), revision, term)
+        raise _UnexpectedShape("the header has no cluster_id")
+    member, revision, term = (_parse_integer(raw.get(k)) for k in ("member_id", "revision", "raft_term"))
+    return ResponseHeader(str(cluster), str(member), revision, term)
 
 
-def _frame(text: str) -> tuple[dict[str, Any], _Rows | None]:
+def _split_events(text: str) -> tuple[dict[str, Any], _EventReader | None]:
     """A long line without its events, and these by themselves, where there are some."""
-    begin, end = EVENTS.search(text), text.rfind("]")
+    begin, end = EVENTS_MEMBER.search(text), text.rfind("]")
     if begin is None or end < begin.end():
-        return _object(json.loads(text)), None
-    raw = _object(json.loads(text[: begin.end()] + text[end:]))
-    return raw, _Rows([], text, begin.end(), end)
+        return _require_object(json.loads(text)), None
+    raw = _require_object(json.loads(text[: begin.end()] + text[end:]))
+    return raw, _EventReader([], text, begin.end(), end)
 
 
-def _kv(raw: object, deleted: bool = False) -> KeyValue:
+def _parse_key_value(raw: object, is_deleted: bool = False) -> KeyValue:
     """The key and the revision have to be there; a value that is not base64 costs its own key alone."""
-    row = _object(raw)
-    key, revision = _bytes(row.get("key")), _number(row.get("mod_revision"))
+    row = _require_object(raw)
+    key, revision = _decode_base64(row.get("key")), _parse_integer(row.get("mod_revision"))
     if not key:
-        raise _Shape("a key is missing")
+        raise _UnexpectedShape("a key is missing")
     value: bytes | None = None
-    if not deleted:
+    if not is_deleted:
         try:
-            value = _bytes(row.get("value"))
-        except _Shape:
+            value = _decode_base64(row.get("value"))
+        except _UnexpectedShape:
             value = None
-    return KeyValue(key, value, revision, deleted)
+    return KeyValue(key, value, revision, is_deleted)
 
 
-def _event(raw: object) -> KeyValue:
-    row = _object(raw)
-    kind = row.get("type")
-    if kind not in (None, "PUT", "DELETE", 0, 1):
-        raise _Shape(f"{kind!r:.60} is no type of event")
-    kv = _kv(row.get("kv"), kind in ("DELETE", 1))
-    if kv.mod_revision <= 0:
-        raise _Shape("an event has no revision")
-    return kv
+def _parse_event(raw: object) -> KeyValue:
+    row = _require_object(raw)
+    event_type = row.get("type")
+    if event_type not in (None, "PUT", "DELETE", 0, 1):
+        raise _UnexpectedShape(f"{event_type!r:.60} is no type of event")
+    key_value = _parse_key_value(row.get("kv"), event_type in ("DELETE", 1))
+    if key_value.mod_revision <= 0:
+        raise _UnexpectedShape("an event has no revision")
+    return key_value
 
 
-DECODER = json.JSONDecoder()
-BETWEEN = re.compile(r"[ \t\r\n]*(,?)[ \t\r\n]*")
+JSON_DECODER = json.JSONDecoder()
+EVENT_SEPARATOR = re.compile(r"[ \t\r\n]*(,?)[ \t\r\n]*")
 # As a key: inside a text its quotes would be escaped.
-EVENTS = re.compile(r'"events"[ \t\r\n]*:[ \t\r\n]*\[[ \t\r\n]*')
+EVENTS_MEMBER = re.compile(r'"events"[ \t\r\n]*:[ \t\r\n]*\[[ \t\r\n]*')
 
 
-class _Rows:
+class _EventReader:
     """The events of a line, taken some at a time; of a long line they are read no sooner than that.
 
     Guards against a line of megabytes that would hold up whoever shares the thread: `json` cannot pause.
@@ -382,8 +396,8 @@
     def take(self, count: int) -> list[Any]:
         """Up to `count` rows; raises ValueError for what is not JSON."""
         while len(self._rows) - self._taken < count and self._at < self._end:
-            row, at = DECODER.raw_decode(self._text, self._at)
-            found = BETWEEN.match(self._text, at, self._end)
+            row, at = JSON_DECODER.raw_decode(self._text, self._at)
+            found = EVENT_SEPARATOR.match(self._text, at, self._end)
             if found is None or bool(found[1]) == (found.end() == self._end):
                 raise ValueError(f"no list of events: char {at}")
             self._rows.append(row)
@@ -395,7 +409,7 @@
         return out
 
 
-class Answer:
+class ResponseDecoder:
     """Reads the answer to one call.
 
     `receive` gives all messages at once. A reader that shares its thread uses `feed` and `pull` instead:
@@ -407,21 +421,21 @@
     smaller one. A head may have MAX_HEAD bytes.
     """
 
-    def __init__(self, kind: Kind) -> None:
+    def __init__(self, kind: CallKind) -> None:
         self.kind = kind
-        self.ended = False  # nothing more will come of it
-        self.reusable = False  # the answer is whole, and the connection can carry another call
+        self.has_ended = False  # nothing more will come of it
+        self.is_reusable = False  # the answer is whole, and the connection can carry another call
         self._parser = httptools.HttpResponseParser(self)
-        self._line = bytearray()  # of the line or body that is not whole yet
-        self._size = 0
-        self._since = 0  # bytes since the last one of a body: of a head, of trailers, of chunk sizes
-        self._status = 0
-        self._after_s = 0
-        self._complete = False
+        self._partial_line = bytearray()  # of the line or body that is not whole yet
+        self._line_bytes = 0
+        self._unframed_bytes = 0  # bytes since the last one of a body: of a head, of trailers, of chunk sizes
+        self._http_status = 0
+        self._retry_after_s = 0
+        self._is_complete = False
         self._lines: deque[bytes] = deque()
-        self._events = _Rows([])  # of a line that was begun
-        self._frame: tuple[Header, bool] | None = None  # what goes with them
-        self._fault: Broken | None = None
+        self._event_reader = _EventReader([])  # of a line that was begun
+        self._batch: tuple[ResponseHeader, bool] | None = None  # what goes with them
+        self._invalid_response: InvalidResponse | None = None
 
     def receive(self, data: bytes) -> list[Message]:
         """All messages that `data` completes."""
@@ -442,61 +456,61 @@
     def feed(self, data: bytes) -> None:
         """Take bytes; `pull` what they hold."""
         start = 0
-        while start < len(data) and self._fault is None and not self.ended:
-            if self._complete:
-                self.reusable = False  # nothing was asked that this could be the answer to
+        while start < len(data) and self._invalid_response is None and not self.has_ended:
+            if self._is_complete:
+                self.is_reusable = False  # nothing was asked that this could be the answer to
                 return
-            piece = data[start : start + MAX_HEAD + 1 - self._since]
+            piece = data[start : start + MAX_HEAD_BYTES + 1 - self._unframed_bytes]
             start += len(piece)
-            self._since += len(piece)
+            self._unframed_bytes += len(piece)
             try:
                 self._parser.feed_data(piece)
             except (httptools.HttpParserError, httptools.HttpParserUpgrade) as err:
-                if not self._complete:
-                    self._break(Why.NOT_HTTP, f"{err}"[:120])
-                self.reusable = False
+                if not self._is_complete:
+                    self._fail(ResponseFault.NOT_HTTP, f"{err}"[:120])
+                self.is_reusable = False
                 return
-            if self._since > MAX_HEAD and not self._complete:
-                self._break(Why.HEAD_TOO_LONG, f"over {MAX_HEAD} bytes")
+            if self._unframed_bytes > MAX_HEAD_BYTES and not self._is_complete:
+                self._fail(ResponseFault.HEAD_TOO_LARGE, f"over {MAX_HEAD_BYTES} bytes")
 
     def feed_end(self) -> None:
         """The connection has ended. A watch may end anywhere; what it was saying is lost and nothing else."""
-        self.reusable = False
-        if self._complete or self._fault is not None or self.ended:
+        self.is_reusable = False
+        if self._is_complete or self._invalid_response is not None or self.has_ended:
             return
-        if self.kind is Kind.WATCH and self._status == 200:
+        if self.kind is CallKind.WATCH and self._http_status == 200:
             try:
-                json.loads(self._line or b"{}")
+                json.loads(self._partial_line or b"{}")
             except (ValueError, RecursionError):
-                self._line.clear()
-                self._break(Why.CUT_SHORT, "the connection ended within a line")
+                self._partial_line.clear()
+                self._fail(ResponseFault.TRUNCATED, "the connection ended within a line")
             else:
                 self._finish()  # a server that ends puts no newline behind its error, nor always a last chunk
-        elif self._status and self._size and not self._parser.should_keep_alive():
+        elif self._http_status and self._line_bytes and not self._parser.should_keep_alive():
             self._finish()  # an answer without a length ends with its connection
         else:
-            self._break(Why.CUT_SHORT, "the connection ended before the answer")
+            self._fail(ResponseFault.TRUNCATED, "the connection ended before the answer")
 
     @property
-    def pending(self) -> bool:
+    def has_pending(self) -> bool:
         """Whether a `pull` has something to read already."""
-        return bool(self._events or self._lines) and not self.ended
+        return bool(self._event_reader or self._lines) and not self.has_ended
 
     def pull(self) -> Message | None:
         """The next message, or None where more bytes are needed."""
-        while not self.ended:
-            if self._events:
-                return self._guard(self._next_events)
+        while not self.has_ended:
+            if self._event_reader:
+                return self._decode_or_fail(self._take_events)
             if self._lines:
                 line = self._lines.popleft()
-                if line.strip() or self._status != 200 or self.kind is not Kind.WATCH:
-                    return self._guard(self._read, line)
+                if line.strip() or self._http_status != 200 or self.kind is not CallKind.WATCH:
+                    return self._decode_or_fail(self._decode_line, line)
                 continue
-            if self._fault is not None:
-                self.ended = True
-                return self._fault
-            if self._complete:
-                self.ended = True
+            if self._invalid_response is not None:
+                self.has_ended = True
+                return self._invalid_response
+            if self._is_complete:
+                self.has_ended = True
             return None
         return None
 
@@ -504,152 +518,152 @@
 
     def on_message_begin(self) -> None:
         """An answer that nothing asked for must not be taken for that of the next call."""
-        if self._complete:
-            self.reusable = False
+        if self._is_complete:
+            self.is_reusable = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """A date needs a clock that both agree on: of `Retry-After` only seconds are taken, five digits."""
-        if name.lower() == b"retry-after" and value.strip().isdigit() and not self._complete:
-            self._after_s = int(value.strip()[:5])
+        if name.lower() == b"retry-after" and value.strip().isdigit() and not self._is_complete:
+            self._retry_after_s = int(value.strip()[:5])
 
     def on_headers_complete(self) -> None:
         """The status is known."""
-        if self._complete:
+        if self._is_complete:
             return
-        self._status = self._parser.get_status_code()
-        self._since = 0
+        self._http_status = self._parser.get_status_code()
+        self._unframed_bytes = 0
 
     def on_body(self, body: bytes) -> None:
         """Cut lines, wherever the chunks were cut."""
-        self._since = 0
-        if self._fault is not None or self._complete:
+        self._unframed_bytes = 0
+        if self._invalid_response is not None or self._is_complete:
             return
-        if self.kind is Kind.WATCH and self._status == 200:
+        if self.kind is CallKind.WATCH and self._http_status == 200:
             *lines, body = body.split(b"\n")
             for line in lines:
-                self._add(line)
-                self._flush()
-        self._add(body)
+                self._append_to_line(line)
+                self._complete_line()
+        self._append_to_line(body)
 
     def on_chunk_complete(self) -> None:
         """A chunk's size line was no endless one."""
-        self._since = 0
+        self._unframed_bytes = 0
 
     def on_message_complete(self) -> None:
         """The answer is whole."""
-        if self._complete or 100 <= self._status < 200:
+        if self._is_complete or 100 <= self._http_status < 200:
             return
-        self.reusable = self._parser.should_keep_alive()
+        self.is_reusable = self._parser.should_keep_alive()
         self._finish()
 
-    def _add(self, part: bytes) -> None:
-        if self._fault is not None or not part:
+    def _append_to_line(self, part: bytes) -> None:
+        if self._invalid_response is not None or not part:
             return
-        self._size += len(part)
-        if self._size > MAX_LINE:
-            self._line.clear()
-            self._break(Why.TOO_LONG, f"over {MAX_LINE} bytes")
+        self._line_bytes += len(part)
+        if self._line_bytes > MAX_LINE_BYTES:
+            self._partial_line.clear()
+            self._fail(ResponseFault.TOO_LARGE, f"over {MAX_LINE_BYTES} bytes")
             return
-        self._line += part
+        self._partial_line += part
 
-    def _flush(self) -> None:
-        if self._fault is None:
-            self._lines.append(bytes(self._line))
-        self._line.clear()
-        self._size = 0
+    def _complete_line(self) -> None:
+        if self._invalid_response is None:
+            self._lines.append(bytes(self._partial_line))
+        self._partial_line.clear()
+        self._line_bytes = 0
 
     def _finish(self) -> None:
-        self._flush()
-        self._complete = True
+        self._complete_line()
+        self._is_complete = True
 
-    def _break(self, why: Why, text: str) -> None:
-        if self._fault is None:
-            self._fault = Broken(why, text)
-            self.reusable = False
+    def _fail(self, fault: ResponseFault, detail: str) -> None:
+        if self._invalid_response is None:
+            self._invalid_response = InvalidResponse(fault, detail)
+            self.is_reusable = False
 
     # --- JSON
 
-    def _guard(self, read: Callable[..., Message], *args: bytes) -> Message:
+    def _decode_or_fail(self, decode: Callable[..., Message], *args: bytes) -> Message:
         """Read; what cannot be is the last that comes of this answer."""
-        why = Why.WRONG_SHAPE
+        fault = ResponseFault.UNEXPECTED_SHAPE
         try:
-            return read(*args)
+            return decode(*args)
         except (ValueError, RecursionError) as err:
-            why, text = Why.NOT_JSON, str(err)
-        except _Shape as err:
-            text = str(err)
-        self.ended, self.reusable = True, False
+            fault, detail = ResponseFault.NOT_JSON, str(err)
+        except _UnexpectedShape as err:
+            detail = str(err)
+        self.has_ended, self.is_reusable = True, False
         self._lines.clear()
-        self._events = _Rows([])
-        return Broken(why, text[:120])
-
-    def _read(self, line: bytes) -> Message:
-        if self._status != 200:
-            return self._refused(line)
-        rows = None
-        if self.kind is Kind.WATCH and len(line) >= LONG:
-            raw, rows = _frame(line.decode("utf-8"))
+        self._event_reader = _EventReader([])
+        return InvalidResponse(fault, detail[:120])
+
+    def _decode_line(self, line: bytes) -> Message:
+        if self._http_status != 200:
+            return self._decode_http_error(line)
+        event_reader = None
+        if self.kind is CallKind.WATCH and len(line) >= LARGE_LINE_BYTES:
+            raw, event_reader = _split_events(line.decode("utf-8"))
         else:
-            raw = _object(json.loads(line))
+            raw = _require_object(json.loads(line))
         if "error" in raw:
-            return self._error(raw)
-        if self.kind is Kind.RANGE:
-            return self._page(raw)
-        if self.kind is Kind.WATCH:
-            return self._watch(_object(raw.get("result")), rows)
+            return self._decode_error(raw)
+        if self.kind is CallKind.RANGE:
+            return self._decode_page(raw)
+        if self.kind is CallKind.WATCH:
+            return self._decode_watch(_require_object(raw.get("result")), event_reader)
         token = raw.get("token")
         if not isinstance(token, str) or not token or not (token.isascii() and token.isprintable()):
-            raise _Shape("the answer to a log-in has no token")
+            raise _UnexpectedShape("the answer to a log-in has no token")
         return Authenticated(token)
 
-    def _refused(self, line: bytes) -> GatewayError:
+    def _decode_http_error(self, line: bytes) -> GatewayError:
         """Any other status than 200; what stands between here and etcd need not answer in JSON."""
         try:
-            return self._error(_object(json.loads(line)))
-        except (ValueError, RecursionError, _Shape):
-            return GatewayError(0, f"HTTP status {self._status}", self._status, self._after_s)
+            return self._decode_error(_require_object(json.loads(line)))
+        except (ValueError, RecursionError, _UnexpectedShape):
+            return GatewayError(0, f"HTTP status {self._http_status}", self._http_status, self._retry_after_s)
 
-    def _error(self, raw: dict[str, Any]) -> GatewayError:
+    def _decode_error(self, raw: dict[str, Any]) -> GatewayError:
         """A stream's error is an object, a call's is a text beside its code."""
-        inner = raw.get("error")
-        about = inner if isinstance(inner, dict) else raw
-        code = about.get("grpc_code", about.get("code"))
-        text = about.get("message") or (inner if isinstance(inner, str) else "")
+        error = raw.get("error")
+        details = error if isinstance(error, dict) else raw
+        code = details.get("grpc_code", details.get("code"))
+        text = details.get("message") or (error if isinstance(error, str) else "")
         if not isinstance(text, str) or (code is not None and not isinstance(code, int)):
-            raise _Shape(f"no error of etcd's: {raw!r:.60}")
-        return GatewayError(code or 0, _plain(text), self._status, self._after_s)
+            raise _UnexpectedShape(f"no error of etcd's: {raw!r:.60}")
+        return GatewayError(code or 0, _printable(text), self._http_status, self._retry_after_s)
 
-    def _page(self, raw: dict[str, Any]) -> RangePage:
-        header, kvs, unreadable = _header(raw.get("header")), [], []
-        for row in _rows(raw.get("kvs")):
+    def _decode_page(self, raw: dict[str, Any]) -> RangePage:
+        header, kvs, unreadable = _parse_header(raw.get("header")), [], []
+        for row in _parse_list(raw.get("kvs")):
             try:
-                kvs.append(_kv(row))
-            except _Shape as err:
+                kvs.append(_parse_key_value(row))
+            except _UnexpectedShape as err:
                 unreadable.append(str(err))
-        more, count = _flag(raw.get("more")), _number(raw.get("count"))
+        more, count = _parse_flag(raw.get("more")), _parse_integer(raw.get("count"))
         return RangePage(header, tuple(kvs), more, count, tuple(unreadable))
 
-    def _watch(self, raw: dict[str, Any], later: _Rows | None) -> Message:
+    def _decode_watch(self, raw: dict[str, Any], event_reader: _EventReader | None) -> Message:
         """A watch that is refused is created and canceled in one line: canceled goes first."""
-        header = _header(raw.get("header"))
-        if _flag(raw.get("canceled")):
+        header = _parse_header(raw.get("header"))
+        if _parse_flag(raw.get("canceled")):
             reason = raw.get("cancel_reason", "")
             text = reason if isinstance(reason, str) else ""
-            return WatchCanceled(header, _number(raw.get("compact_revision")), _plain(text))
-        if _flag(raw.get("created")):
+            return WatchCanceled(header, _parse_integer(raw.get("compact_revision")), _printable(text))
+        if _parse_flag(raw.get("created")):
             return WatchCreated(header)
-        told = _rows(raw.get("events"))
-        if not told and later is None:
+        events = _parse_list(raw.get("events"))
+        if not events and event_reader is None:
             return WatchProgress(header)
-        if later is not None and "events" not in raw:
-            raise _Shape("there are events where none belong")
-        self._events = later or _Rows(told)
-        self._frame = header, _flag(raw.get("fragment"))
-        return self._next_events()
+        if event_reader is not None and "events" not in raw:
+            raise _UnexpectedShape("there are events where none belong")
+        self._event_reader = event_reader or _EventReader(events)
+        self._batch = header, _parse_flag(raw.get("fragment"))
+        return self._take_events()
 
-    def _next_events(self) -> WatchEvents:
+    def _take_events(self) -> WatchEvents:
         """Some of a line's events. An event without a key may be anyone's removal: it breaks the answer."""
-        assert self._frame is not None
-        header, fragment = self._frame
-        events = tuple(_event(row) for row in self._events.take(SLICE))
-        return WatchEvents(header, events, fragment or bool(self._events))
+        assert self._batch is not None
+        header, fragment = self._batch
+        events = tuple(_parse_event(row) for row in self._event_reader.take(MAX_EVENTS_PER_MESSAGE))
+        return WatchEvents(header, events, fragment or bool(self._event_reader))
--- a/balancer/protocol/gossip.py
+++ b/balancer/protocol/gossip.py
@@ -34,46 +34,46 @@
 from struct import Struct
 from typing import Any, NamedTuple
 
-SIZE = 256  # the longest datagram, in bytes
-VERSION = 1
-CODE = 16  # bytes of the code
-TEXT = 64  # the longest name or address, in bytes
-KEYS = 8  # at most so many at once
-SENDERS = 8_192  # windows and known addresses held; beyond, the longest unheard one is dropped
-WINDOW = 64  # counters that may come late
-FORGED = 2_000  # wrong codes a second, before strangers are no longer read
-_HEAD = Struct("!BB2sHIL")  # version, least, key id, counter (high, low), incarnation
-_BODY = Struct("!BL")
-_WORD = Struct("!BLH")
-
-Word = tuple[str, int, int, str, int]  # name, state, incarnation, address, accuser
+MAX_DATAGRAM_BYTES = 256  # the longest datagram, in bytes
+PROTOCOL_VERSION = 1
+MAC_BYTES = 16  # bytes of the code
+MAX_TEXT_BYTES = 64  # the longest name or address, in bytes
+MAX_KEYS = 8  # at most so many at once
+MAX_SENDERS = 8_192  # windows and known addresses held; beyond, the longest unheard one is dropped
+REPLAY_WINDOW_COUNTERS = 64  # counters that may come late
+MAX_FORGED_PER_S = 2_000  # wrong codes a second, before strangers are no longer read
+_HEADER = Struct("!BB2sHIL")  # version, least, key id, counter (high, low), incarnation
+_MESSAGE_HEADER = Struct("!BL")
+_RECORD_HEADER = Struct("!BLH")
+
+MemberRecord = tuple[str, int, int, str, int]  # name, state, incarnation, address, accuser
 Sections = Sequence[tuple[int, bytes]]  # kind, and what the codec of that kind reads
 
 
-class Told(NamedTuple):
+class Message(NamedTuple):
     """What a datagram says, in the shape of the decider's `Message`."""
 
     kind: int
-    seq: int
+    sequence: int
     target: str
     address: str
-    words: Sequence[Word]
+    records: Sequence[MemberRecord]
 
 
-class Read(NamedTuple):
+class AcceptedDatagram(NamedTuple):
     """A right datagram; `fresh` False: of an incarnation of the sender older than one heard."""
 
     sender: str
     incarnation: int
-    message: Told
-    fresh: bool
+    message: Message
+    is_current: bool
     sections: Sections = ()
 
 
-class Refused(NamedTuple):
+class RejectedDatagram(NamedTuple):
     """`why`: long, short, version, key, code, stranger, replay or garbled."""
 
-    why: str
+    reason: str
 
 
 class Key:
@@ -84,7 +84,7 @@
     def __init__(self, secret: bytes) -> None:
         if not 16 <= len(secret) <= 32:
             raise ValueError(f"a key has {len(secret)} bytes; 16 to 32 are allowed")
-        self._state = blake2s(key=secret, digest_size=CODE, person=b"dillport")
+        self._state = blake2s(key=secret, digest_size=MAC_BYTES, person=b"dillport")
         self.id = blake2s(b"id", key=secret, digest_size=2, person=b"key id").digest()
 
     def __repr__(self) -> str:
@@ -93,14 +93,14 @@
     def __reduce__(self) -> str:
         raise TypeError("a key is not written down")
 
-    def code(self, data: bytes) -> bytes:
+    def mac(self, data: bytes) -> bytes:
         """The code of some bytes; the state after the key is copied, which saves a block each."""
         state = self._state.copy()
         state.update(data)
         return state.digest()
 
 
-def keys_of(text: str) -> tuple[Key, ...]:
+def parse_keys(text: str) -> tuple[Key, ...]:
     """Keys of a file: hexadecimal, one a line, the first signs, all verify; blank lines and # do not count.
 
     Raises ValueError with all faults, by line, none of which quotes what is there.
@@ -118,71 +118,77 @@
         if key.id in keys:
             faults.append(f"line {number}: the same key, or the same id, as a line before; make a new one")
         keys[key.id] = key
-    if not faults and not 1 <= len(keys) <= KEYS:
-        faults.append(f"{len(keys)} keys; 1 to {KEYS} are allowed")
+    if not faults and not 1 <= len(keys) <= MAX_KEYS:
+        faults.append(f"{len(keys)} keys; 1 to {MAX_KEYS} are allowed")
     if faults:
         raise ValueError("; ".join(faults))
     return tuple(keys.values())
 
 
-@lru_cache(SENDERS)
-def _text(text: str) -> bytes:
+@lru_cache(MAX_SENDERS)
+def _encode_text(text: str) -> bytes:
     data = text.encode()
-    if len(data) > TEXT:
-        raise ValueError(f"a name or address of {len(data)} bytes; at most {TEXT} are allowed")
+    if len(data) > MAX_TEXT_BYTES:
+        raise ValueError(f"a name or address of {len(data)} bytes; at most {MAX_TEXT_BYTES} are allowed")
     return bytes((len(data),)) + data
 
 
-@lru_cache(SENDERS)
-def _address(text: str) -> bytes:
+@lru_cache(MAX_SENDERS)
+def _encode_address(text: str) -> bytes:
     host, _, port = text.rpartition(":")
     parts = host.split(".")
     if len(parts) == 4 and all(part.isdecimal() and str(int(part)) == part for part in (*parts, port)):
         numbers = [int(part) for part in parts]
         if max(numbers) < 256 and int(port) < 65_536:
             return bytes((255, *numbers, int(port) >> 8, int(port) & 255))
-    return _text(text)
+    return _encode_text(text)
 
 
-def cost(word: Word) -> int:
+def record_size_bytes(record: MemberRecord) -> int:
     """Bytes that a word takes in a datagram."""
-    return 8 + len(_text(word[0])) + len(_address(word[3]))
+    return 8 + len(_encode_text(record[0])) + len(_encode_address(record[3]))
 
 
-def room(name: str, message: tuple[int, int, str, str, Sequence[Word]]) -> int:
+def record_space_bytes(name: str, message: tuple[int, int, str, str, Sequence[MemberRecord]]) -> int:
     """Bytes for words in a datagram of this sender with such a message."""
     _, _, target, address, _ = message
-    used = _HEAD.size + _BODY.size + len(_text(name)) + len(_text(target)) + len(_address(address))
-    return SIZE - CODE - 1 - used
+    used_bytes = (
+        _HEADER.size
+        + _MESSAGE_HEADER.size
+        + len(_encode_text(name))
+        + len(_encode_text(target))
+        + len(_encode_address(address))
+    )
+    return MAX_DATAGRAM_BYTES - MAC_BYTES - 1 - used_bytes
 
 
-class _Cut(Exception):
+class _MalformedDatagram(Exception):
     """A length points behind the end, or what is there is none of what may be."""
 
 
-class _Bytes:
-    __slots__ = ("at", "data", "end")
+class _ByteReader:
+    __slots__ = ("data", "end", "position")
 
-    def __init__(self, data: bytes, at: int, end: int) -> None:
-        self.data, self.at, self.end = data, at, end
+    def __init__(self, data: bytes, position: int, end: int) -> None:
+        self.data, self.position, self.end = data, position, end
 
     def take(self, count: int) -> bytes:
-        if self.at + count > self.end:
-            raise _Cut
-        self.at += count
-        return self.data[self.at - count : self.at]
+        if self.position + count > self.end:
+            raise _MalformedDatagram
+        self.position += count
+        return self.data[self.position - count : self.position]
 
     def text(self) -> str:
         length = self.take(1)[0]
-        if length > TEXT:
-            raise _Cut
+        if length > MAX_TEXT_BYTES:
+            raise _MalformedDatagram
         try:
             return self.take(length).decode()
         except UnicodeDecodeError:
-            raise _Cut from None
+            raise _MalformedDatagram from None
 
     def address(self) -> str:
-        if self.at < self.end and self.data[self.at] == 255:
+        if self.position < self.end and self.data[self.position] == 255:
             raw = self.take(7)
             return f"{raw[1]}.{raw[2]}.{raw[3]}.{raw[4]}:{raw[5] << 8 | raw[6]}"
         return self.text()
@@ -193,11 +199,14 @@
 
     def __init__(self, name: str, keys: Sequence[Key]) -> None:
         self.keys = keys
-        self._name = _text(name)
+        self._encoded_name = _encode_text(name)
         self._counter = self._incarnation = 0
 
     def write(
-        self, incarnation: int, message: tuple[int, int, str, str, Sequence[Word]], sections: Sections = ()
+        self,
+        incarnation: int,
+        message: tuple[int, int, str, str, Sequence[MemberRecord]],
+        sections: Sections = (),
     ) -> bytes:
         """One datagram; each has a counter of its own, so one that is to be sent twice is written twice.
 
@@ -206,34 +215,48 @@
         if incarnation != self._incarnation:
             self._incarnation, self._counter = incarnation, 0
         self._counter += 1
-        kind, seq, target, address, words = message
+        kind, sequence, target, address, records = message
         key = self.keys[0]
         parts = [
-            _HEAD.pack(VERSION, 1, key.id, self._counter >> 32, self._counter & 0xFFFFFFFF, incarnation),
-            self._name,
-            _BODY.pack(kind, seq),
-            _text(target),
-            _address(address),
+            _HEADER.pack(
+                PROTOCOL_VERSION, 1, key.id, self._counter >> 32, self._counter & 0xFFFFFFFF, incarnation
+            ),
+            self._encoded_name,
+            _MESSAGE_HEADER.pack(kind, sequence),
+            _encode_text(target),
+            _encode_address(address),
         ]
-        for name, state, its, where, by in words:
-            word = _WORD.pack(state, its, by) + _text(name) + _address(where)
-            parts.append(bytes((len(word),)) + word)
-        data = b"".join(parts) + b"\0" + b"".join(bytes((kind, len(what))) + what for kind, what in sections)
-        if len(data) + CODE > SIZE:
-            raise ValueError(f"a datagram of {len(data) + CODE} bytes; at most {SIZE} are allowed")
-        return data + key.code(data)
+        for name, state, member_incarnation, member_address, accuser_id in records:
+            record = (
+                _RECORD_HEADER.pack(state, member_incarnation, accuser_id)
+                + _encode_text(name)
+                + _encode_address(member_address)
+            )
+            parts.append(bytes((len(record),)) + record)
+        data = (
+            b"".join(parts)
+            + b"\0"
+            + b"".join(bytes((kind, len(content))) + content for kind, content in sections)
+        )
+        if len(data) + MAC_BYTES > MAX_DATAGRAM_BYTES:
+            raise ValueError(
+                f"a datagram of {len(data) + MAC_BYTES} bytes; at most {MAX_DATAGRAM_BYTES} are allowed"
+            )
+        return data + key.mac(data)
 
 
 class Reader:
     """Datagrams of all others: never raises, whatever came. `refused` counts by reason."""
 
-    def __init__(self, keys: Sequence[Key], versions: int = VERSION) -> None:
+    def __init__(self, keys: Sequence[Key], max_version: int = PROTOCOL_VERSION) -> None:
         self.keys = keys
-        self.refused: dict[str, int] = {}
-        self._version = versions
-        self._windows: OrderedDict[str, tuple[int, int, int]] = OrderedDict()  # incarnation, greatest, bits
-        self._known: OrderedDict[str, None] = OrderedDict()
-        self._second, self._forged = 0, 0
+        self.rejected_counts: dict[str, int] = {}
+        self._max_version = max_version
+        self._replay_windows: OrderedDict[str, tuple[int, int, int]] = (
+            OrderedDict()
+        )  # incarnation, greatest, bits
+        self._known_addresses: OrderedDict[str, None] = OrderedDict()
+        self._current_second, self._forged_count = 0, 0
 
     @property
     def keys(self) -> tuple[Key, ...]:
@@ -244,87 +267,89 @@
     def keys(self, keys: Sequence[Key]) -> None:
         self._keys = {key.id: key for key in keys}
 
-    def read(self, now_ms: float, source: str, data: bytes) -> Read | Refused:
+    def read(self, now_ms: float, source: str, data: bytes) -> AcceptedDatagram | RejectedDatagram:
         """What a datagram says, or why it is not taken."""
-        found = self._checked(now_ms, source, data)
-        if isinstance(found, Refused):
-            self.refused[found.why] = self.refused.get(found.why, 0) + 1
+        found = self._check(now_ms, source, data)
+        if isinstance(found, RejectedDatagram):
+            self.rejected_counts[found.reason] = self.rejected_counts.get(found.reason, 0) + 1
         return found
 
-    def _checked(self, now_ms: float, source: str, data: bytes) -> Read | Refused:
-        if len(data) > SIZE:
-            return Refused("long")
-        if len(data) < _HEAD.size + CODE:
-            return Refused("short")
-        if not data[0] or data[1] > self._version:
-            return Refused("version")
+    def _check(self, now_ms: float, source: str, data: bytes) -> AcceptedDatagram | RejectedDatagram:
+        if len(data) > MAX_DATAGRAM_BYTES:
+            return RejectedDatagram("long")
+        if len(data) < _HEADER.size + MAC_BYTES:
+            return RejectedDatagram("short")
+        if not data[0] or data[1] > self._max_version:
+            return RejectedDatagram("version")
         key = self._keys.get(data[2:4])
         if key is None:
-            return Refused("key")
+            return RejectedDatagram("key")
         second = int(now_ms // 1_000)
-        if second != self._second:
-            self._second, self._forged = second, 0
-        if self._forged >= FORGED and source not in self._known:
-            return Refused("stranger")
-        if not compare_digest(key.code(data[:-CODE]), data[-CODE:]):
-            self._forged += 1
-            return Refused("code")
+        if second != self._current_second:
+            self._current_second, self._forged_count = second, 0
+        if self._forged_count >= MAX_FORGED_PER_S and source not in self._known_addresses:
+            return RejectedDatagram("stranger")
+        if not compare_digest(key.mac(data[:-MAC_BYTES]), data[-MAC_BYTES:]):
+            self._forged_count += 1
+            return RejectedDatagram("code")
         try:
-            sender, incarnation, counter, message, sections = _parsed(data)
-        except _Cut:
-            return Refused("garbled")
-        fresh = self._fresh(sender, incarnation, counter)
+            sender, incarnation, counter, message, sections = _parse(data)
+        except _MalformedDatagram:
+            return RejectedDatagram("garbled")
+        fresh = self._is_current(sender, incarnation, counter)
         if fresh is None:
-            return Refused("replay")
+            return RejectedDatagram("replay")
         if fresh and incarnation:  # all others can be a right one that somebody else sends once more
-            _touch(self._known, source, None)
-        return Read(sender, incarnation, message, fresh, sections)
+            _refresh(self._known_addresses, source, None)
+        return AcceptedDatagram(sender, incarnation, message, fresh, sections)
 
-    def _fresh(self, sender: str, incarnation: int, counter: int) -> bool | None:
+    def _is_current(self, sender: str, incarnation: int, counter: int) -> bool | None:
         """Whether it is new (True), of an older incarnation (False), or was read before (None)."""
         if not incarnation:
             return True
-        its, greatest, bits = self._windows.get(sender, (0, 0, 0))
-        if incarnation < its:
+        newest_incarnation, greatest, seen_bits = self._replay_windows.get(sender, (0, 0, 0))
+        if incarnation < newest_incarnation:
             return False
-        if incarnation > its:
-            greatest, bits = counter, 1
+        if incarnation > newest_incarnation:
+            greatest, seen_bits = counter, 1
         elif counter > greatest:
-            bits = (bits << min(counter - greatest, WINDOW) | 1) & (1 << WINDOW) - 1
+            seen_bits = (seen_bits << min(counter - greatest, REPLAY_WINDOW_COUNTERS) | 1) & (
+                1 << REPLAY_WINDOW_COUNTERS
+            ) - 1
             greatest = counter
-        elif greatest - counter >= WINDOW or bits >> greatest - counter & 1:
+        elif greatest - counter >= REPLAY_WINDOW_COUNTERS or seen_bits >> greatest - counter & 1:
             return None
         else:
-            bits |= 1 << greatest - counter
-        _touch(self._windows, sender, (incarnation, greatest, bits))
+            seen_bits |= 1 << greatest - counter
+        _refresh(self._replay_windows, sender, (incarnation, greatest, seen_bits))
         return True
 
 
-def _touch(table: OrderedDict[str, Any], key: str, value: object) -> None:
+def _refresh(table: OrderedDict[str, Any], key: str, value: object) -> None:
     table[key] = value
     table.move_to_end(key)
-    if len(table) > SENDERS:
+    if len(table) > MAX_SENDERS:
         table.popitem(last=False)
 
 
-def _parsed(data: bytes) -> tuple[str, int, int, Told, Sections]:
-    _, _, _, high, low, incarnation = _HEAD.unpack_from(data)
-    rest = _Bytes(data, _HEAD.size, len(data) - CODE)
-    sender = rest.text()
-    kind, seq = _BODY.unpack(rest.take(_BODY.size))
-    target, address = rest.text(), rest.address()
-    words: list[Word] = []
-    while length := rest.take(1)[0]:
-        inner = _Bytes(data, rest.at, rest.at + length)
-        rest.take(length)
-        state, its, by = _WORD.unpack(inner.take(_WORD.size))
-        words.append((inner.text(), state, its, inner.address(), by))
+def _parse(data: bytes) -> tuple[str, int, int, Message, Sections]:
+    _, _, _, high, low, incarnation = _HEADER.unpack_from(data)
+    reader = _ByteReader(data, _HEADER.size, len(data) - MAC_BYTES)
+    sender = reader.text()
+    kind, sequence = _MESSAGE_HEADER.unpack(reader.take(_MESSAGE_HEADER.size))
+    target, address = reader.text(), reader.address()
+    records: list[MemberRecord] = []
+    while length := reader.take(1)[0]:
+        record_reader = _ByteReader(data, reader.position, reader.position + length)
+        reader.take(length)
+        state, member_incarnation, accuser_id = _RECORD_HEADER.unpack(record_reader.take(_RECORD_HEADER.size))
+        records.append((record_reader.text(), state, member_incarnation, record_reader.address(), accuser_id))
     if not sender:
-        raise _Cut
+        raise _MalformedDatagram
     sections = []
-    with suppress(_Cut):
-        while rest.at < rest.end:
-            which, size = rest.take(2)
-            sections.append((which, rest.take(size)))
-    told = Told(kind, seq, target, address, tuple(words))
-    return sender, incarnation, high << 32 | low, told, tuple(sections)
+    with suppress(_MalformedDatagram):
+        while reader.position < reader.end:
+            section_kind, section_bytes = reader.take(2)
+            sections.append((section_kind, reader.take(section_bytes)))
+    message = Message(kind, sequence, target, address, tuple(records))
+    return sender, incarnation, high << 32 | low, message, tuple(sections)
--- a/balancer/protocol/gossip_sections.py
+++ b/balancer/protocol/gossip_sections.py
@@ -19,17 +19,19 @@
 from collections.abc import Iterable, Sequence
 from struct import Struct, error
 
-GOES_BY, COUNTED, HALVES, LEAF, OUT, SINCE = range(1, 7)
-KIND = 8  # of a datagram that has sections and no words; an older node notes that it heard somebody
-TEXT = 48  # the longest text, in bytes; of a longer one the beginning
-SOURCES = 4
-KNOWN = ("", "platform", "etcd")  # sources that need no name
-BITS = 64  # the greatest number
-_COUNTS, _KNOWN = Struct("!HLL??"), Struct("!HL?")
-_LISTS, _HALF, _ENTRY, _OUT, _LONG, _SINCE = map(Struct, ("!LLL", "!HHL", "!QHL", "!QB", "!L", "!LQ"))
+NODE_STATE, QUOTA_REPORT, TREE_DIGESTS, LEAF_ENTRIES, REMOVALS, REMOVALS_QUERY = range(1, 7)
+MESSAGE_KIND = 8  # of a datagram that has sections and no words; an older node notes that it heard somebody
+MAX_TEXT_BYTES = 48  # the longest text, in bytes; of a longer one the beginning
+MAX_SOURCES = 4
+WELL_KNOWN_SOURCES = ("", "platform", "etcd")  # sources that need no name
+MAX_NUMBER_BITS = 64  # the greatest number
+_QUOTA_HEADER, _NEWCOMER = Struct("!HLL??"), Struct("!HL?")
+_THREE_DIGESTS, _TREE_DIGEST, _LEAF_ENTRY, _REMOVAL_HEADER, _UINT32, _QUERY_TAIL = map(
+    Struct, ("!LLL", "!HHL", "!QHL", "!QB", "!L", "!LQ")
+)
 
 # name, incarnation, edition, number, state, flags, zone cut, nodes, digest, files, version, zone, sources
-Goes = tuple[
+NodeState = tuple[
     str,
     int,
     int,
@@ -44,71 +46,81 @@
     str,
     tuple[tuple[str, int, int, int], ...],
 ]
-Counted = tuple[int, int, int, bool, bool, tuple[tuple[int, int, bool], ...]]
+QuotaReport = tuple[int, int, int, bool, bool, tuple[tuple[int, int, bool], ...]]
 
 
-def _text(text: str) -> bytes:
-    data = text.encode(errors="replace")[:TEXT].decode(errors="ignore").encode()
+def _encode_text(text: str) -> bytes:
+    data = text.encode(errors="replace")[:MAX_TEXT_BYTES].decode(errors="ignore").encode()
     return bytes((len(data),)) + data
 
 
-def _read(data: bytes, at: int) -> tuple[str, int]:
+def _decode_text(data: bytes, at: int) -> tuple[str, int]:
     end = at + 1 + data[at]
     if end > len(data):
         raise IndexError
     return data[at + 1 : end].decode(), end
 
 
-def _number(value: int) -> bytes:
+def _encode_number(value: int) -> bytes:
     out = bytearray()
-    value &= (1 << BITS) - 1
+    value &= (1 << MAX_NUMBER_BITS) - 1
     while value > 127:
         out.append(value & 127 | 128)
         value >>= 7
     return bytes((*out, value))
 
 
-def _read_number(data: bytes, at: int) -> tuple[int, int]:
+def _decode_number(data: bytes, at: int) -> tuple[int, int]:
     value = shift = 0
     while True:
         value |= (data[at] & 127) << shift
         shift, at = shift + 7, at + 1
         if data[at - 1] < 128:
             return value, at
-        if shift >= BITS:
+        if shift >= MAX_NUMBER_BITS:
             raise IndexError
 
 
-def goes_by(word: Goes) -> bytes:
+def encode_node_state(word: NodeState) -> bytes:
     """One node's word on what it goes by."""
     name, *head, digest, files, version, zone, sources = word
-    parts = [_text(name), *map(_number, head), _LISTS.pack(digest, *files), _text(version), _text(zone)]
-    parts.append(bytes((min(len(sources), SOURCES),)))
-    for of, order, revision, state in sources[:SOURCES]:
-        parts.append(bytes((KNOWN.index(of),)) if of in KNOWN[1:] else b"\0" + _text(of))
-        parts += (_LONG.pack(order), _number(revision), _number(state))
+    parts = [
+        _encode_text(name),
+        *map(_encode_number, head),
+        _THREE_DIGESTS.pack(digest, *files),
+        _encode_text(version),
+        _encode_text(zone),
+    ]
+    parts.append(bytes((min(len(sources), MAX_SOURCES),)))
+    for of, order, revision, state in sources[:MAX_SOURCES]:
+        parts.append(
+            bytes((WELL_KNOWN_SOURCES.index(of),))
+            if of in WELL_KNOWN_SOURCES[1:]
+            else b"\0" + _encode_text(of)
+        )
+        parts += (_UINT32.pack(order), _encode_number(revision), _encode_number(state))
     return b"".join(parts)
 
 
-def read_goes_by(data: bytes) -> Goes | None:
+def decode_node_state(data: bytes) -> NodeState | None:
     """The same, or None."""
     try:
-        name, at = _read(data, 0)
+        name, at = _decode_text(data, 0)
         head = []
         for _ in range(7):
-            value, at = _read_number(data, at)
+            value, at = _decode_number(data, at)
             head.append(value)
-        digest, one, two = _LISTS.unpack_from(data, at)
-        version, at = _read(data, at + _LISTS.size)
-        zone, at = _read(data, at)
+        digest, one, two = _THREE_DIGESTS.unpack_from(data, at)
+        version, at = _decode_text(data, at + _THREE_DIGESTS.size)
+        zone, at = _decode_text(data, at)
         count, sources, at = data[at], [], at + 1
-        for _ in range(min(count, SOURCES)):
-            of, at = KNOWN[data[at]], at + 1
+        for _ in range(min(count, MAX_SOURCES)):
+            of, at = WELL_KNOWN_SOURCES[data[at]], at + 1
             if not of:
-                of, at = _read(data, at)
-            (order,) = _LONG.unpack_from(data, at)
-            revision, at = _read_number(data, at + _LONG.size)
-            state, at = _read_number(data, at)
+                of, at = _decode_text(data, at)
+            (order,) = _UINT32.unpack_from(data, at)
+            revision, at = _decode_number(data, at + _UINT32.size)
+            state, at = _decode_number(data, at)
             sources.append((of, order, revision, state))
     except (error, IndexError, UnicodeDecodeError):
         return None
@@ -120,76 +132,80 @@
     return name, *numbers, digest, files, version, zone, tuple(sources)
 
 
-def counted(
+def encode_quota_report(
     number: int, life: int, counts: int, sure: bool, asks: bool, known: Iterable[tuple[int, int, bool]]
 ) -> bytes:
     """Whom a node counts, in the order of `shares.Told`."""
-    return _COUNTS.pack(number, life, counts, sure, asks) + b"".join(_KNOWN.pack(*one) for one in known)
+    return _QUOTA_HEADER.pack(number, life, counts, sure, asks) + b"".join(
+        _NEWCOMER.pack(*one) for one in known
+    )
 
 
-def read_counted(data: bytes) -> Counted | None:
+def decode_quota_report(data: bytes) -> QuotaReport | None:
     """The same, or None."""
-    if len(data) < _COUNTS.size or (len(data) - _COUNTS.size) % _KNOWN.size:
+    if len(data) < _QUOTA_HEADER.size or (len(data) - _QUOTA_HEADER.size) % _NEWCOMER.size:
         return None
-    return *_COUNTS.unpack_from(data), tuple(_KNOWN.iter_unpack(data[_COUNTS.size :]))
+    return *_QUOTA_HEADER.unpack_from(data), tuple(_NEWCOMER.iter_unpack(data[_QUOTA_HEADER.size :]))
 
 
-def halves(digests: Iterable[tuple[int, int]]) -> bytes:
+def encode_tree_digests(digests: Iterable[tuple[int, int]]) -> bytes:
     """Places of the tree with digests of 48 bits."""
-    return b"".join(_HALF.pack(place, digest >> 32, digest & 0xFFFFFFFF) for place, digest in digests)
+    return b"".join(_TREE_DIGEST.pack(place, digest >> 32, digest & 0xFFFFFFFF) for place, digest in digests)
 
 
-def read_halves(data: bytes) -> list[tuple[int, int]]:
+def decode_tree_digests(data: bytes) -> list[tuple[int, int]]:
     """The same."""
-    whole = data[: len(data) // _HALF.size * _HALF.size]
-    return [(place, high << 32 | low) for place, high, low in _HALF.iter_unpack(whole)]
+    whole = data[: len(data) // _TREE_DIGEST.size * _TREE_DIGEST.size]
+    return [(place, high << 32 | low) for place, high, low in _TREE_DIGEST.iter_unpack(whole)]
 
 
-def leaf(place: int, entries: Iterable[tuple[int, int]]) -> bytes:
+def encode_leaf_entries(place: int, entries: Iterable[tuple[int, int]]) -> bytes:
     """All entries of a leaf: key and digest."""
-    packed = (_ENTRY.pack(key, digest >> 32, digest & 0xFFFFFFFF) for key, digest in entries)
+    packed = (_LEAF_ENTRY.pack(key, digest >> 32, digest & 0xFFFFFFFF) for key, digest in entries)
     return place.to_bytes(2) + b"".join(packed)
 
 
-def read_leaf(data: bytes) -> tuple[int, list[tuple[int, int]]] | None:
+def decode_leaf_entries(data: bytes) -> tuple[int, list[tuple[int, int]]] | None:
     """The same, or None."""
-    if len(data) < 2 or (len(data) - 2) % _ENTRY.size:
+    if len(data) < 2 or (len(data) - 2) % _LEAF_ENTRY.size:
         return None
-    entries = [(key, high << 32 | low) for key, high, low in _ENTRY.iter_unpack(data[2:])]
+    entries = [(key, high << 32 | low) for key, high, low in _LEAF_ENTRY.iter_unpack(data[2:])]
     return int.from_bytes(data[:2]), entries
 
 
-def out(source: str, order: int, entries: Sequence[tuple[str, int, int]]) -> bytes:
+def encode_removals(source: str, order: int, entries: Sequence[tuple[str, int, int]]) -> bytes:
     """Servers that drain or are gone, each with the revision of the source that said so: 0 drains, 1 gone."""
-    parts = [_OUT.pack(revision, phase) + _text(server) for server, revision, phase in entries]
-    return b"".join((_text(source), order.to_bytes(4), *parts))
+    parts = [
+        _REMOVAL_HEADER.pack(revision, phase) + _encode_text(server) for server, revision, phase in entries
+    ]
+    return b"".join((_encode_text(source), order.to_bytes(4), *parts))
 
 
-def read_out(data: bytes) -> tuple[str, int, list[tuple[str, int, int]]] | None:
+def decode_removals(data: bytes) -> tuple[str, int, list[tuple[str, int, int]]] | None:
     """The same, or None."""
     entries: list[tuple[str, int, int]] = []
     try:
-        source, at = _read(data, 0)
+        source, at = _decode_text(data, 0)
         order, at = int.from_bytes(data[at : at + 4]), at + 4
         while at < len(data):
-            revision, phase = _OUT.unpack_from(data, at)
-            server, at = _read(data, at + _OUT.size)
+            revision, phase = _REMOVAL_HEADER.unpack_from(data, at)
+            server, at = _decode_text(data, at + _REMOVAL_HEADER.size)
             entries.append((server, revision, phase))
     except (error, IndexError, UnicodeDecodeError):
         return None
     return source, order, entries
 
 
-def since(source: str, order: int, revision: int) -> bytes:
+def encode_removals_query(source: str, order: int, revision: int) -> bytes:
     """A question: what drained or went after this revision."""
-    return _text(source) + _SINCE.pack(order, revision)
+    return _encode_text(source) + _QUERY_TAIL.pack(order, revision)
 
 
-def read_since(data: bytes) -> tuple[str, int, int] | None:
+def decode_removals_query(data: bytes) -> tuple[str, int, int] | None:
     """The same, or None."""
     try:
-        source, at = _read(data, 0)
-        order, revision = _SINCE.unpack_from(data, at)
+        source, at = _decode_text(data, 0)
+        order, revision = _QUERY_TAIL.unpack_from(data, at)
     except (error, IndexError, UnicodeDecodeError):
         return None
     return source, order, revision
--- a/balancer/store/engine.py
+++ b/balancer/store/engine.py
@@ -35,30 +35,34 @@
 import msgspec
 
 from balancer.store.files import (
-    Files,
-    Held,
-    StoreFault,
-    Trouble,
-    of_os,
+    DirectoryLock,
+    FaultKind,
+    FileSystem,
+    StoreFileError,
+    store_error_from_os,
 )
 from balancer.store.sqlite_file import (
-    FORMAT,
-    Piece,
+    FORMAT_VERSION,
     Row,
     Seal,
-    checksum,
+    SealedFile,
+    record_checksum,
 )
 
 MAX_ROWS = 200_000
-MAX_VALUE = 64 * 1024  # bytes
-MAX_KEY = 512  # characters
-KEPT = 2  # generations
-SEGMENT = 8 * 1024 * 1024  # bytes of a journal's segment, about
-JUMP = 1_000_000_000  # positions left out after a segment that cannot be read: none is given twice
-TABLES = re.compile(r"tables-(\d{8})\.db")
-JOURNAL = re.compile(r"journal-([a-z][a-z0-9_]{0,39})-(\d{12})\.db")
-OURS = re.compile(r"(tables-\d{8}|journal-[a-z][a-z0-9_]{0,39}-\d{12}|new)\.db(-wal|-journal|-shm)?")
-NAME = re.compile(r"[a-z][a-z0-9_]{0,39}")
+MAX_VALUE_BYTES = 64 * 1024  # bytes
+MAX_KEY_LENGTH = 512  # characters
+RETAINED_GENERATION_COUNT = 2  # generations
+SEGMENT_SIZE_BYTES = 8 * 1024 * 1024  # bytes of a journal's segment, about
+UNREADABLE_SEGMENT_POSITION_GAP = (
+    1_000_000_000  # positions left out after a segment that cannot be read: none is given twice
+)
+GENERATION_NAME_PATTERN = re.compile(r"tables-(\d{8})\.db")
+SEGMENT_NAME_PATTERN = re.compile(r"journal-([a-z][a-z0-9_]{0,39})-(\d{12})\.db")
+STORE_FILE_NAME_PATTERN = re.compile(
+    r"(tables-\d{8}|journal-[a-z][a-z0-9_]{0,39}-\d{12}|new)\.db(-wal|-journal|-shm)?"
+)
+TABLE_NAME_PATTERN = re.compile(r"[a-z][a-z0-9_]{0,39}")
 
 Tables = dict[str, dict[str, Row]]
 Migration = Callable[[dict[str, dict[str, bytes]]], dict[str, dict[str, bytes]]]
@@ -83,32 +87,32 @@
 Change = Put | Delete
 
 
-class Record(NamedTuple):
+class JournalRecord(NamedTuple):
     """One record of a journal; `value` is None where it was written and cannot be believed, or is missing."""
 
     position: int
-    at_ms: int  # wall clock, when it was written
+    written_at_ms: int  # wall clock, when it was written
     value: bytes | None
 
 
-class Opened(msgspec.Struct):
+class OpenResult(msgspec.Struct):
     """What was found at the start.
 
     `older`: a newer generation was there than the one that could be believed, so what was durable may be
     missing. `faults` name each file that is not believed.
     """
 
-    generation: int = 0  # that which the first write begins
-    found: int = 0  # that believed; 0: none
-    older: bool = False
-    wrote_ms: int = 0  # wall clock of the last commit that is believed
-    faults: list[StoreFault] = []
+    next_generation: int = 0  # that which the first write begins
+    restored_generation: int = 0  # that believed; 0: none
+    is_outdated: bool = False
+    committed_at_ms: int = 0  # wall clock of the last commit that is believed
+    faults: list[StoreFileError] = []
 
 
-class _Journal(msgspec.Struct):
-    firsts: list[int] = []  # of its segments, rising
-    piece: Piece | None = None
-    next: int = 1
+class _JournalState(msgspec.Struct):
+    first_positions: list[int] = []  # of its segments, rising
+    open_segment: SealedFile | None = None
+    next_position: int = 1
 
 
 class Engine:
@@ -116,96 +120,116 @@
 
     def __init__(
         self,
-        files: Files,
+        file_system: FileSystem,
         directory: str,
-        wall_ms: Callable[[], int],
+        wall_clock_ms: Callable[[], int],
         migrations: Sequence[Migration] = MIGRATIONS,
-        segment: int = SEGMENT,
+        segment_size_bytes: int = SEGMENT_SIZE_BYTES,
     ) -> None:
-        self.files, self.directory, self.wall_ms = files, os.path.realpath(directory), wall_ms
-        self.migrations, self.segment = migrations, segment
+        self.file_system, self.directory, self.wall_clock_ms = (
+            file_system,
+            os.path.realpath(directory),
+            wall_clock_ms,
+        )
+        self.migrations, self.segment_size_bytes = migrations, segment_size_bytes
         self.tables: Tables = {}  # what is durable
         self.generation = 0
-        self._held: Held | None = None
-        self._piece: Piece | None = None
-        self._inode = 0
+        self._lock: DirectoryLock | None = None
+        self._generation_file: SealedFile | None = None
+        self._generation_inode = 0
         self._seal = Seal()
-        self._journals: dict[str, _Journal] = {}
-        self._over: list[int] | None = None  # generations to go once this start has begun its own
+        self._journals: dict[str, _JournalState] = {}
+        self._surplus_generations: list[int] | None = (
+            None  # generations to go once this start has begun its own
+        )
 
     # --- the start ---
 
-    def open(self) -> Opened:
+    def open(self) -> OpenResult:
         """Take the directory, believe what can be believed; raises StoreFault. Nothing is synced."""
-        out = Opened()
-        with _system(self.directory):
+        result = OpenResult()
+        with translate_os_errors(self.directory):
             try:
-                self._held = self.files.lock(self.directory)
-            except BlockingIOError as err:
-                raise StoreFault(Trouble.OWNED, self.directory, str(err.strerror or err)) from err
+                self._lock = self.file_system.lock(self.directory)
+            except BlockingIOError as error:
+                raise StoreFileError(
+                    FaultKind.LOCKED, self.directory, str(error.strerror or error)
+                ) from error
         try:
-            names = self._swept()
-            numbers = sorted((int(m[1]) for n in names if (m := TABLES.fullmatch(n))), reverse=True)
+            names = self._sweep_unfinished_files()
+            numbers = sorted(
+                (int(m[1]) for n in names if (m := GENERATION_NAME_PATTERN.fullmatch(n))), reverse=True
+            )
             self.generation = numbers[0] if numbers else 0
-            good = self._believe(numbers, out)
+            valid_numbers = self._load_newest_valid(numbers, result)
             for name in names:
-                if match := JOURNAL.fullmatch(name):
-                    self._journals.setdefault(match[1], _Journal()).firsts.append(int(match[2]))
+                if match := SEGMENT_NAME_PATTERN.fullmatch(name):
+                    self._journals.setdefault(match[1], _JournalState()).first_positions.append(int(match[2]))
             for journal in self._journals.values():
-                journal.firsts.sort()
+                journal.first_positions.sort()
             for name in self._journals:
-                self._resume(name, out)
+                self._resume_journal(name, result)
             # Over the bound: KEPT that are believed, the one to come among them, and KEPT others.
-            self._over = good[KEPT - 1 :] + [n for n in numbers if n not in good][KEPT:]
+            self._surplus_generations = (
+                valid_numbers[RETAINED_GENERATION_COUNT - 1 :]
+                + [n for n in numbers if n not in valid_numbers][RETAINED_GENERATION_COUNT:]
+            )
         except BaseException:
             self.close()
             raise
-        out.generation = self.generation + 1
-        return out
+        result.next_generation = self.generation + 1
+        return result
 
-    def _swept(self) -> list[str]:
+    def _sweep_unfinished_files(self) -> list[str]:
         """Names of the directory once what was left half made is gone."""
-        with _system(self.directory):
-            names = self.files.names(self.directory)
+        with translate_os_errors(self.directory):
+            names = self.file_system.list_names(self.directory)
             for name in names:
-                base = name.rpartition("-")[0] if name.endswith(("-wal", "-journal", "-shm")) else name
-                if OURS.fullmatch(name) and (base == "new.db" or base not in names):
-                    self.files.remove(self._path(name))
-        return [n for n in names if OURS.fullmatch(n)]
-
-    def _believe(self, numbers: list[int], out: Opened) -> list[int]:
+                main_name = name.rpartition("-")[0] if name.endswith(("-wal", "-journal", "-shm")) else name
+                if STORE_FILE_NAME_PATTERN.fullmatch(name) and (
+                    main_name == "new.db" or main_name not in names
+                ):
+                    self.file_system.remove(self._path(name))
+        return [n for n in names if STORE_FILE_NAME_PATTERN.fullmatch(n)]
+
+    def _load_newest_valid(self, numbers: list[int], result: OpenResult) -> list[int]:
         """Load the newest generation that holds; which of them do."""
-        good: list[int] = []
+        valid_numbers: list[int] = []
         for number in numbers:
-            piece = None
+            generation_file = None
             try:
-                piece = Piece(self.files, self._path(_tables_name(number)))
-                rows = piece.read_rows()
-                if not good:
-                    self.tables = self._migrated(rows, piece.version)
-                    sums = [row.sum for found in self.tables.values() for row in found.values()]
-                    digest = reduce(operator.xor, sums, 0)
-                    self._seal = msgspec.structs.replace(piece.seal, rows=len(sums), digest=digest)
-                    out.found, out.wrote_ms = number, piece.seal.wrote_ms
-                good.append(number)
-            except StoreFault as fault:
-                out.faults.append(fault)
-                out.older = out.older or not good
+                generation_file = SealedFile(self.file_system, self._path(generation_file_name(number)))
+                rows = generation_file.read_rows()
+                if not valid_numbers:
+                    self.tables = self._migrate(rows, generation_file.format_version)
+                    checksums = [row.checksum for found in self.tables.values() for row in found.values()]
+                    digest = reduce(operator.xor, checksums, 0)
+                    self._seal = msgspec.structs.replace(
+                        generation_file.seal, row_count=len(checksums), checksum_xor=digest
+                    )
+                    result.restored_generation, result.committed_at_ms = (
+                        number,
+                        generation_file.seal.committed_at_ms,
+                    )
+                valid_numbers.append(number)
+            except StoreFileError as fault:
+                result.faults.append(fault)
+                result.is_outdated = result.is_outdated or not valid_numbers
             finally:
-                if piece is not None:
-                    piece.abandon()
-        return good
+                if generation_file is not None:
+                    generation_file.abandon()
+        return valid_numbers
 
-    def _migrated(self, rows: Tables, version: int) -> Tables:
+    def _migrate(self, rows: Tables, version: int) -> Tables:
         """Rows of this program's format out of those of an older one; the older file is left as it is."""
-        if version >= FORMAT:
+        if version >= FORMAT_VERSION:
             return rows
-        plain = {table: {key: row.value for key, row in found.items()} for table, found in rows.items()}
-        for step in self.migrations[version - 1 : FORMAT - 1]:
-            plain = step(plain)
+        values = {table: {key: row.value for key, row in found.items()} for table, found in rows.items()}
+        for migration in self.migrations[version - 1 : FORMAT_VERSION - 1]:
+            values = migration(values)
         return {
-            table: {key: Row(1, value, checksum(table, key, 1, value)) for key, value in found.items()}
-            for table, found in plain.items()
+            table: {key: Row(1, value, record_checksum(table, key, 1, value)) for key, value in found.items()}
+            for table, found in values.items()
         }
 
     # --- tables ---
@@ -215,15 +239,15 @@
 
         After a StoreFault the file in use counts no more: the next `commit` begins a generation.
         """
-        seal, rows, after = self._planned(changes)
+        seal, rows, after = self._plan_commit(changes)
         try:
-            if self._piece is None:
+            if self._generation_file is None:
                 self.begin_generation(rows, seal)
             else:
-                self._present()
-                self._piece.commit(seal, rows)
+                self._check_generation_file()
+                self._generation_file.commit(seal, rows)
         except BaseException:
-            self._drop()
+            self._abandon_generation_file()
             raise
         for table, key, row in rows:
             if row is not None:
@@ -231,242 +255,292 @@
             elif table in self.tables:
                 self.tables[table].pop(key, None)
         self._seal = after
-        return seal.stamp
+        return seal.last_sequence_number
 
-    def _planned(self, changes: Sequence[Change]) -> tuple[Seal, list[tuple[str, str, Row | None]], Seal]:
+    def _plan_commit(self, changes: Sequence[Change]) -> tuple[Seal, list[tuple[str, str, Row | None]], Seal]:
         """The last word on each key, and the seal that holds after it."""
-        count, digest, stamp = self._seal.rows, self._seal.digest, self._seal.stamp
+        count, checksum_xor, sequence_number = (
+            self._seal.row_count,
+            self._seal.checksum_xor,
+            self._seal.last_sequence_number,
+        )
         planned: dict[tuple[str, str], Row | None] = {}
         for change in changes:
-            stamp += 1
-            at = change[0], change[1]
-            old = planned[at] if at in planned else self.tables.get(at[0], {}).get(at[1])
-            if old is not None:
-                count, digest = count - 1, digest ^ old.sum
-            planned[at] = None
+            sequence_number += 1
+            place = change[0], change[1]
+            replaced = planned[place] if place in planned else self.tables.get(place[0], {}).get(place[1])
+            if replaced is not None:
+                count, checksum_xor = count - 1, checksum_xor ^ replaced.checksum
+            planned[place] = None
             if isinstance(change, Put):
-                row = Row(stamp, change.value, checksum(*at, stamp, change.value))
-                count, digest, planned[at] = count + 1, digest ^ row.sum, row
+                row = Row(
+                    sequence_number, change.value, record_checksum(*place, sequence_number, change.value)
+                )
+                count, checksum_xor, planned[place] = count + 1, checksum_xor ^ row.checksum, row
         if count > MAX_ROWS:
             raise ValueError(f"over {MAX_ROWS} rows")
-        seal = Seal(count, digest, stamp, self.wall_ms())
-        return seal, [(*at, found) for at, found in planned.items()], seal
+        seal = Seal(count, checksum_xor, sequence_number, self.wall_clock_ms())
+        return seal, [(*place, found) for place, found in planned.items()], seal
 
     def begin_generation(
-        self, more: Sequence[tuple[str, str, Row | None]] = (), seal: Seal | None = None
+        self, changed_rows: Sequence[tuple[str, str, Row | None]] = (), seal: Seal | None = None
     ) -> None:
         """Write all tables, with `more` on top, into a new file that takes the place of that in use."""
-        over = {(table, key): row for table, key, row in more}
+        changed = {(table, key): row for table, key, row in changed_rows}
         # One row after another, with the interpreter let go of at each: a long list would hold up the loop.
-        kept = (
+        unchanged_rows = (
             (table, key, row)
             for table, found in self.tables.items()
             for key, row in found.items()
-            if (table, key) not in over
+            if (table, key) not in changed
+        )
+        added_rows = ((*at, row) for at, row in changed.items() if row is not None)
+        seal = seal or Seal(
+            self._seal.row_count,
+            self._seal.checksum_xor,
+            self._seal.last_sequence_number,
+            self.wall_clock_ms(),
         )
-        added = ((*at, row) for at, row in over.items() if row is not None)
-        seal = seal or Seal(self._seal.rows, self._seal.digest, self._seal.stamp, self.wall_ms())
         number = self.generation + 1
-        before = self.generation if self._piece is not None else 0
-        fresh = self._made(_tables_name(number), seal, chain(kept, added))
-        self._drop()
-        self._piece, self.generation = fresh, number
-        with _system(fresh.path):
-            self._inode = self.files.inode(fresh.path)
-            if before:
-                names = sorted(m[0] for n in self.files.names(self.directory) if (m := TABLES.fullmatch(n)))
-                for name in names[:-KEPT]:
+        previous = self.generation if self._generation_file is not None else 0
+        generation_file = self._create_file(
+            generation_file_name(number), seal, chain(unchanged_rows, added_rows)
+        )
+        self._abandon_generation_file()
+        self._generation_file, self.generation = generation_file, number
+        with translate_os_errors(generation_file.path):
+            self._generation_inode = self.file_system.inode(generation_file.path)
+            if previous:
+                names = sorted(
+                    m[0]
+                    for n in self.file_system.list_names(self.directory)
+                    if (m := GENERATION_NAME_PATTERN.fullmatch(n))
+                )
+                for name in names[:-RETAINED_GENERATION_COUNT]:
                     self._remove(name)
-        rest, self._over = self._over or [], None
-        for old in rest:
+        surplus, self._surplus_generations = self._surplus_generations or [], None
+        for surplus_number in surplus:
             with contextlib.suppress(OSError):  # a folder of that name is in nobody's way
-                self._remove(_tables_name(old))
+                self._remove(generation_file_name(surplus_number))
 
-    def _made(self, name: str, seal: Seal, rows: Iterable[tuple[str, str, Row | None]] = ()) -> Piece:
+    def _create_file(
+        self, name: str, seal: Seal, rows: Iterable[tuple[str, str, Row | None]] = ()
+    ) -> SealedFile:
         """A new file, whole and durable under its name before this returns, opened; raises StoreFault."""
-        new = self._path("new.db")
-        with _system(self.directory):
+        temporary_path = self._path("new.db")
+        with translate_os_errors(self.directory):
             self._remove("new.db")
-        piece = None
+        sealed_file = None
         try:
-            piece = Piece(self.files, new, make=True)
-            piece.commit(seal, rows)
-            piece.finish()
-            with _system(self.directory):
+            sealed_file = SealedFile(self.file_system, temporary_path, create=True)
+            sealed_file.commit(seal, rows)
+            sealed_file.checkpoint_and_close()
+            with translate_os_errors(self.directory):
                 self._remove(name)  # guards against the log of a file of this name that counts no more
-                self.files.rename(new, self._path(name))
-                self.files.settle(self.directory)
-            piece = Piece(self.files, self._path(name))
-            piece.seal = seal
-            return piece
+                self.file_system.rename(temporary_path, self._path(name))
+                self.file_system.sync_directory(self.directory)
+            sealed_file = SealedFile(self.file_system, self._path(name))
+            sealed_file.seal = seal
+            return sealed_file
         except BaseException:
-            if piece is not None:
-                piece.abandon()
+            if sealed_file is not None:
+                sealed_file.abandon()
             with contextlib.suppress(OSError):  # it may be what fills the disk
                 self._remove("new.db")
             raise
 
-    def _present(self) -> None:
+    def _check_generation_file(self) -> None:
         """Guards against a directory that was taken away: the kernel goes on with files of no name."""
-        with _system(self._path(_tables_name(self.generation))):
-            if self.files.inode(self._path(_tables_name(self.generation))) != self._inode:
-                raise StoreFault(Trouble.GONE, self.directory, "the file in use is another one by now")
-
-    def _drop(self) -> None:
-        if self._piece is not None:
-            self._piece.abandon()
-        self._piece = None
+        with translate_os_errors(self._path(generation_file_name(self.generation))):
+            if (
+                self.file_system.inode(self._path(generation_file_name(self.generation)))
+                != self._generation_inode
+            ):
+                raise StoreFileError(
+                    FaultKind.MISSING, self.directory, "the file in use is another one by now"
+                )
+
+    def _abandon_generation_file(self) -> None:
+        if self._generation_file is not None:
+            self._generation_file.abandon()
+        self._generation_file = None
 
     # --- journals ---
 
     def append(self, name: str, values: Sequence[bytes]) -> int:
         """Add records, durable once this returns; the position of the first. Raises StoreFault."""
         if not values:
-            return self._journals[name].next if name in self._journals else 1
-        if self._over is not None:  # by it a directory that was taken away is found
+            return self._journals[name].next_position if name in self._journals else 1
+        if self._surplus_generations is not None:  # by it a directory that was taken away is found
             self.begin_generation()
-        journal = self._journals.setdefault(name, _Journal())
-        first, now = journal.next, self.wall_ms()
+        journal = self._journals.setdefault(name, _JournalState())
+        first, now_ms = journal.next_position, self.wall_clock_ms()
         try:
-            piece = journal.piece
-            if piece is not None:
-                self._present()
-                if self._size(name, piece.seal.first) >= self.segment:
-                    piece.finish()
-                    piece = journal.piece = None
-            if piece is None:
-                piece = self._segment(name, journal)
-            seal = Seal(first=piece.seal.first, next=first + len(values), wrote_ms=now)
-            piece.commit(seal, records=[(first + n, now, value) for n, value in enumerate(values)])
+            segment = journal.open_segment
+            if segment is not None:
+                self._check_generation_file()
+                if (
+                    self._segment_file_size_bytes(name, segment.seal.first_position)
+                    >= self.segment_size_bytes
+                ):
+                    segment.checkpoint_and_close()
+                    segment = journal.open_segment = None
+            if segment is None:
+                segment = self._begin_segment(name, journal)
+            seal = Seal(
+                first_position=segment.seal.first_position,
+                next_position=first + len(values),
+                committed_at_ms=now_ms,
+            )
+            segment.commit(seal, records=[(first + n, now_ms, value) for n, value in enumerate(values)])
         except BaseException:
-            if journal.piece is not None:
-                journal.piece.abandon()
-            journal.piece = None
+            if journal.open_segment is not None:
+                journal.open_segment.abandon()
+            journal.open_segment = None
             raise
-        journal.next = first + len(values)
+        journal.next_position = first + len(values)
         return first
 
-    def _segment(self, name: str, journal: _Journal) -> Piece:
-        first = journal.next
-        piece = self._made(_segment_name(name, first), Seal(first=first, next=first, wrote_ms=self.wall_ms()))
-        if first not in journal.firsts:
-            journal.firsts.append(first)
-        journal.piece = piece
-        return piece
+    def _begin_segment(self, name: str, journal: _JournalState) -> SealedFile:
+        first = journal.next_position
+        segment = self._create_file(
+            segment_file_name(name, first),
+            Seal(first_position=first, next_position=first, committed_at_ms=self.wall_clock_ms()),
+        )
+        if first not in journal.first_positions:
+            journal.first_positions.append(first)
+        journal.open_segment = segment
+        return segment
 
-    def _resume(self, name: str, out: Opened) -> None:
+    def _resume_journal(self, name: str, result: OpenResult) -> None:
         """Go on with a journal's newest segment, or behind it where it cannot be believed."""
         journal = self._journals[name]
-        first = journal.firsts[-1]
-        piece = None
+        first = journal.first_positions[-1]
+        segment = None
         try:
-            piece = Piece(self.files, self._path(_segment_name(name, first)))
-            seal = piece.read_seal()
-            tail = piece.read_records(max(first, seal.next - 1), 2)
-            if seal.first != first or (seal.next > first and [r[0] for r in tail] != [seal.next - 1]):
-                raise StoreFault(Trouble.SPOILED, piece.path, "its last record is not that of its seal")
-            journal.piece, journal.next = piece, seal.next
-        except StoreFault as fault:
-            if piece is not None:
-                piece.abandon()
-            out.faults.append(fault)
-            journal.next = first + JUMP
-
-    def read(self, name: str, position: int, count: int) -> list[Record]:
+            segment = SealedFile(self.file_system, self._path(segment_file_name(name, first)))
+            seal = segment.read_seal()
+            tail = segment.read_records(max(first, seal.next_position - 1), 2)
+            if seal.first_position != first or (
+                seal.next_position > first and [r[0] for r in tail] != [seal.next_position - 1]
+            ):
+                raise StoreFileError(
+                    FaultKind.CORRUPT, segment.path, "its last record is not that of its seal"
+                )
+            journal.open_segment, journal.next_position = segment, seal.next_position
+        except StoreFileError as fault:
+            if segment is not None:
+                segment.abandon()
+            result.faults.append(fault)
+            journal.next_position = first + UNREADABLE_SEGMENT_POSITION_GAP
+
+    def read_journal(self, name: str, position: int, count: int) -> list[JournalRecord]:
         """Up to `count` records from `position` on, as far as they are durable; raises StoreFault.
 
         A stretch that is missing, and a segment that can't be read, is one record without a value at its
         first position. Records that a later segment writes anew don't count.
         """
-        out: list[Record] = []
-        journal = self._journals.get(name, _Journal())
-        ends = [*journal.firsts[1:], journal.next]
-        for first, end in zip(journal.firsts, ends, strict=False):
-            if end <= position or len(out) >= count:
+        records: list[JournalRecord] = []
+        journal = self._journals.get(name, _JournalState())
+        ends = [*journal.first_positions[1:], journal.next_position]
+        for first, end in zip(journal.first_positions, ends, strict=False):
+            if end <= position or len(records) >= count:
                 continue
-            want = max(first, position)
-            for at, at_ms, value in self._records(name, journal, first, want, count - len(out)):
-                if at >= end or len(out) >= count:
+            expected_position = max(first, position)
+            for record_position, at_ms, value in self._read_segment(
+                name, journal, first, expected_position, count - len(records)
+            ):
+                if record_position >= end or len(records) >= count:
                     break
-                if at > want:
-                    out.append(Record(want, 0, None))
-                out.append(Record(at, at_ms, value))
-                want = at + 1
-            if len(out) < count and want < end:
-                out.append(Record(want, 0, None))
-        return out[:count]
-
-    def _records(
-        self, name: str, journal: _Journal, first: int, position: int, count: int
+                if record_position > expected_position:
+                    records.append(JournalRecord(expected_position, 0, None))
+                records.append(JournalRecord(record_position, at_ms, value))
+                expected_position = record_position + 1
+            if len(records) < count and expected_position < end:
+                records.append(JournalRecord(expected_position, 0, None))
+        return records[:count]
+
+    def _read_segment(
+        self, name: str, journal: _JournalState, first: int, position: int, count: int
     ) -> list[tuple[int, int, bytes | None]]:
-        in_use = journal.piece is not None and first == journal.firsts[-1]
+        is_open = journal.open_segment is not None and first == journal.first_positions[-1]
         try:
-            piece = journal.piece if in_use else Piece(self.files, self._path(_segment_name(name, first)))
-        except StoreFault:
+            segment = (
+                journal.open_segment
+                if is_open
+                else SealedFile(self.file_system, self._path(segment_file_name(name, first)))
+            )
+        except StoreFileError:
             return []
-        assert piece is not None
+        assert segment is not None
         try:
-            return piece.read_records(position, count)
-        except StoreFault:
+            return segment.read_records(position, count)
+        except StoreFileError:
             return []
         finally:
-            if not in_use:
-                piece.abandon()
+            if not is_open:
+                segment.abandon()
 
-    def cut(self, name: str, before_ms: int = 0, most_bytes: int | None = None) -> int:
+    def trim_journal(self, name: str, before_ms: int = 0, max_bytes: int | None = None) -> int:
         """Take away old segments; how many.
 
         Those whose last record is from before `before_ms` (wall clock), and as many as are over `most_bytes`
         in all. The one in use stays, and one that can't be read goes by size alone.
         """
-        journal, out = self._journals.get(name, _Journal()), 0
-        with _system(self.directory):
-            sizes = [self._size(name, first) for first in journal.firsts]
-            while len(journal.firsts) > 1:
-                over = most_bytes is not None and sum(sizes) > most_bytes
-                if not over and self._wrote_ms(name, journal.firsts[0]) >= before_ms:
+        journal, removed_count = self._journals.get(name, _JournalState()), 0
+        with translate_os_errors(self.directory):
+            sizes = [self._segment_file_size_bytes(name, first) for first in journal.first_positions]
+            while len(journal.first_positions) > 1:
+                is_oversized = max_bytes is not None and sum(sizes) > max_bytes
+                if (
+                    not is_oversized
+                    and self._segment_committed_at_ms(name, journal.first_positions[0]) >= before_ms
+                ):
                     break
-                self._remove(_segment_name(name, journal.firsts.pop(0)))
+                self._remove(segment_file_name(name, journal.first_positions.pop(0)))
                 sizes.pop(0)
-                out += 1
-        return out
+                removed_count += 1
+        return removed_count
 
-    def _size(self, name: str, first: int) -> int:
+    def _segment_file_size_bytes(self, name: str, first: int) -> int:
         """Bytes of a segment and its log."""
-        path, out = self._path(_segment_name(name, first)), 0
+        path, size_bytes = self._path(segment_file_name(name, first)), 0
         for part in (path, path + "-wal"):
-            with _system(path), contextlib.suppress(FileNotFoundError):
-                out += self.files.size(part)
-        return out
+            with translate_os_errors(path), contextlib.suppress(FileNotFoundError):
+                size_bytes += self.file_system.size_bytes(part)
+        return size_bytes
 
-    def _wrote_ms(self, name: str, first: int) -> float:
+    def _segment_committed_at_ms(self, name: str, first: int) -> float:
         try:
-            piece = Piece(self.files, self._path(_segment_name(name, first)))
-        except StoreFault:
+            segment = SealedFile(self.file_system, self._path(segment_file_name(name, first)))
+        except StoreFileError:
             return float("inf")
         try:
-            return piece.read_seal().wrote_ms
-        except StoreFault:
+            return segment.read_seal().committed_at_ms
+        except StoreFileError:
             return float("inf")
         finally:
-            piece.abandon()
+            segment.abandon()
 
-    def journals(self) -> Mapping[str, tuple[int, int]]:
+    def journal_ranges(self) -> Mapping[str, tuple[int, int]]:
         """Of each journal its first position and the one to come."""
-        return {name: (j.firsts[0] if j.firsts else j.next, j.next) for name, j in self._journals.items()}
+        return {
+            name: (j.first_positions[0] if j.first_positions else j.next_position, j.next_position)
+            for name, j in self._journals.items()
+        }
 
     # --- the end ---
 
     def close(self) -> None:
         """Let go of all; what is durable stays so."""
         for journal in self._journals.values():
-            if journal.piece is not None:
-                journal.piece.abandon()
-                journal.piece = None
-        self._drop()
-        if self._held is not None:
-            self._held.release()
-        self._held = None
+            if journal.open_segment is not None:
+                journal.open_segment.abandon()
+                journal.open_segment = None
+        self._abandon_generation_file()
+        if self._lock is not None:
+            self._lock.release()
+        self._lock = None
 
     def _path(self, name: str) -> str:
         return os.path.join(self.directory, name)
@@ -474,20 +548,20 @@
     def _remove(self, name: str) -> None:
         """A file and its logs, the file first: a log alone is swept, a file without one would look whole."""
         for end in ("", "-wal", "-journal"):
-            self.files.remove(self._path(name + end))
+            self.file_system.remove(self._path(name + end))
 
 
-def _tables_name(number: int) -> str:
+def generation_file_name(number: int) -> str:
     return f"tables-{number:08}.db"
 
 
-def _segment_name(name: str, first: int) -> str:
+def segment_file_name(name: str, first: int) -> str:
     return f"journal-{name}-{first:012}.db"
 
 
 @contextlib.contextmanager
-def _system(where: str) -> Iterator[None]:
+def translate_os_errors(path: str) -> Iterator[None]:
     try:
         yield
-    except OSError as err:
-        raise of_os(err, where) from err
+    except OSError as error:
+        raise store_error_from_os(error, path) from error
--- a/balancer/store/files.py
+++ b/balancer/store/files.py
@@ -15,71 +15,71 @@
 from typing import Protocol
 
 
-class Trouble(Enum):
+class FaultKind(Enum):
     """What is wrong with the store, or with a part of it."""
 
-    OWNED = "owned"  # another living process holds the directory
-    GONE = "gone"  # the directory or the file in use is not there (any more)
-    FULL = "full"
+    LOCKED = "owned"  # another living process holds the directory
+    MISSING = "gone"  # the directory or the file in use is not there (any more)
+    DISK_FULL = "full"
     READ_ONLY = "read-only"
     FOREIGN = "foreign"  # a folder, a link or another program's file where one of the store's should be
-    FORMAT = "format"  # a version that this program cannot read
-    SPOILED = "spoiled"  # a checksum, a seal or SQLite's own structure does not hold
-    FAILED = "failed"  # a read, write or sync came back with an error
+    UNSUPPORTED_FORMAT = "format"  # a version that this program cannot read
+    CORRUPT = "spoiled"  # a checksum, a seal or SQLite's own structure does not hold
+    IO_ERROR = "failed"  # a read, write or sync came back with an error
 
 
-class StoreFault(Exception):
+class StoreFileError(Exception):
     """Something of the store cannot be used: what, where, and why."""
 
-    def __init__(self, trouble: Trouble, where: str, what: str) -> None:
-        self.trouble, self.where, self.what = trouble, where, what
-        super().__init__(f"{where}: {trouble.value}: {what}")
+    def __init__(self, kind: FaultKind, path: str, detail: str) -> None:
+        self.kind, self.path, self.detail = kind, path, detail
+        super().__init__(f"{path}: {kind.value}: {detail}")
 
 
-def of_os(err: OSError, where: str) -> StoreFault:
+def store_error_from_os(error: OSError, path: str) -> StoreFileError:
     """The fault that an error of the system stands for."""
     kinds = {
-        errno.ENOSPC: Trouble.FULL,
-        errno.EDQUOT: Trouble.FULL,
-        errno.EROFS: Trouble.READ_ONLY,
-        errno.EACCES: Trouble.READ_ONLY,
-        errno.EPERM: Trouble.READ_ONLY,
-        errno.ENOENT: Trouble.GONE,
-        errno.ELOOP: Trouble.FOREIGN,
-        errno.EISDIR: Trouble.FOREIGN,
-        errno.ENOTDIR: Trouble.FOREIGN,
+        errno.ENOSPC: FaultKind.DISK_FULL,
+        errno.EDQUOT: FaultKind.DISK_FULL,
+        errno.EROFS: FaultKind.READ_ONLY,
+        errno.EACCES: FaultKind.READ_ONLY,
+        errno.EPERM: FaultKind.READ_ONLY,
+        errno.ENOENT: FaultKind.MISSING,
+        errno.ELOOP: FaultKind.FOREIGN,
+        errno.EISDIR: FaultKind.FOREIGN,
+        errno.ENOTDIR: FaultKind.FOREIGN,
     }
-    return StoreFault(kinds.get(err.errno or 0, Trouble.FAILED), where, err.strerror or str(err))
+    return StoreFileError(kinds.get(error.errno or 0, FaultKind.IO_ERROR), path, error.strerror or str(error))
 
 
-class Held(Protocol):
+class DirectoryLock(Protocol):
     """The directory while it is one's own."""
 
     def release(self) -> None:
         """Let others have it."""
 
 
-class Files(Protocol):
+class FileSystem(Protocol):
     """What the store asks of the disk beside SQLite's own calls, which go to the VFS named `vfs`.
 
     All raise OSError.
     """
 
-    vfs: str
+    vfs_name: str
 
-    def lock(self, directory: str) -> Held:
+    def lock(self, directory: str) -> DirectoryLock:
         """Be the one owner; BlockingIOError while another lives. A dead owner holds nothing."""
 
-    def names(self, directory: str) -> list[str]:
+    def list_names(self, directory: str) -> list[str]:
         """Names in it, in no order."""
 
-    def plain(self, path: str) -> bool:
+    def is_regular_file(self, path: str) -> bool:
         """Whether this is a file of its own, no folder and no link."""
 
     def inode(self, path: str) -> int:
         """What tells a file from another one of the same name."""
 
-    def size(self, path: str) -> int:
+    def size_bytes(self, path: str) -> int:
         """Bytes."""
 
     def rename(self, old: str, new: str) -> None:
@@ -88,11 +88,11 @@
     def remove(self, path: str) -> None:
         """Take a file away; one that is not there is no error."""
 
-    def settle(self, directory: str) -> None:
+    def sync_directory(self, directory: str) -> None:
         """Make names, as they are now, durable."""
 
 
-class _Lock:
+class _FlockLock:
     def __init__(self, fd: int) -> None:
         self._fd = fd
 
@@ -103,12 +103,12 @@
         self._fd = -1
 
 
-class Real:
+class LocalFileSystem:
     """The machine's own files."""
 
-    vfs = "unix"
+    vfs_name = "unix"
 
-    def lock(self, directory: str) -> Held:
+    def lock(self, directory: str) -> DirectoryLock:
         """By flock(2) on the file `owner`: the kernel lets go of it when its process dies."""
         path, flags = os.path.join(directory, "owner"), os.O_RDWR | os.O_CREAT | os.O_NOFOLLOW | os.O_CLOEXEC
         fd = os.open(path, flags, 0o600)
@@ -122,13 +122,13 @@
         except BaseException:
             os.close(fd)
             raise
-        return _Lock(fd)
+        return _FlockLock(fd)
 
-    def names(self, directory: str) -> list[str]:
+    def list_names(self, directory: str) -> list[str]:
         """By listdir(3)."""
         return os.listdir(directory)
 
-    def plain(self, path: str) -> bool:
+    def is_regular_file(self, path: str) -> bool:
         """By lstat(2)."""
         return stat.S_ISREG(os.lstat(path).st_mode)
 
@@ -136,7 +136,7 @@
         """By lstat(2)."""
         return os.lstat(path).st_ino
 
-    def size(self, path: str) -> int:
+    def size_bytes(self, path: str) -> int:
         """By lstat(2)."""
         return os.lstat(path).st_size
 
@@ -149,7 +149,7 @@
         with contextlib.suppress(FileNotFoundError):
             os.unlink(path)
 
-    def settle(self, directory: str) -> None:
+    def sync_directory(self, directory: str) -> None:
         """By fsync(2) of the directory."""
         fd = os.open(directory, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
--- a/balancer/store/store.py
+++ b/balancer/store/store.py
@@ -23,85 +23,87 @@
 import msgspec
 
 from balancer.store.engine import (
-    MAX_KEY,
-    MAX_VALUE,
-    NAME,
+    MAX_KEY_LENGTH,
+    MAX_VALUE_BYTES,
+    TABLE_NAME_PATTERN,
     Change,
     Delete,
     Engine,
-    Opened,
+    JournalRecord,
+    OpenResult,
     Put,
-    Record,
 )
 from balancer.store.files import (
-    Files,
-    Real,
-    StoreFault,
-    Trouble,
+    FaultKind,
+    FileSystem,
+    LocalFileSystem,
+    StoreFileError,
 )
 
-MAX_WAITING = 20_000  # changes and records of a lane
-MAX_WAITING_BYTES = 8 * 1024 * 1024  # of a lane
-GROUP = 1_000  # changes and records of one commit, or one batch more
-CHUNK = 100  # calls of `done` in one turn of the loop
-RETRY_FIRST, RETRY_MOST = 0.1, 10.0  # s
-LOCK_WAIT = 0.5  # s for which a start waits for an owner to go
-SLOW = 1.0  # s of a commit from which the store says that it is slow
+MAX_LANE_CHANGES = 20_000  # changes and records of a lane
+MAX_LANE_BYTES = 8 * 1024 * 1024  # of a lane
+GROUP_COMMIT_CHANGES = 1_000  # changes and records of one commit, or one batch more
+CALLBACKS_PER_LOOP_TURN = 100  # calls of `done` in one turn of the loop
+MIN_RETRY_BACKOFF_S, MAX_RETRY_BACKOFF_S = 0.1, 10.0  # s
+LOCK_WAIT_TIMEOUT_S = 0.5  # s for which a start waits for an owner to go
+SLOW_COMMIT_THRESHOLD_S = 1.0  # s of a commit from which the store says that it is slow
 
-Done = Callable[[int], None]
-HandOver = Callable[[Callable[[], None]], object]
+DurableCallback = Callable[[int], None]
+CallSoonThreadsafe = Callable[[Callable[[], None]], object]
 
 
-class StoreFull(Exception):
+class WriteQueueFull(Exception):
     """As much waits to be written as may; nothing of this was taken."""
 
 
 class StorePort(Protocol):
     """What others know of the store. `done` gets a journal's position, or the stamp of the last change."""
 
-    def append(self, journal: str, record: object, done: Done | None = None) -> None:
+    def append(self, journal: str, record: object, done: DurableCallback | None = None) -> None:
         """Add a record to a journal; raises StoreFull, ValueError."""
 
-    def put(self, table: str, key: str, value: object, done: Done | None = None) -> None:
+    def put(self, table: str, key: str, value: object, done: DurableCallback | None = None) -> None:
         """Set a key; raises StoreFull, ValueError."""
 
-    def delete(self, table: str, key: str, done: Done | None = None) -> None:
+    def delete(self, table: str, key: str, done: DurableCallback | None = None) -> None:
         """Take a key out; raises StoreFull."""
 
     def items(self, table: str) -> dict[str, bytes]:
         """A table as it is durable, each value as MessagePack. Not for the loop where it is long."""
 
-    def read(self, journal: str, position: int, count: int, then: Callable[[list[Record]], None]) -> None:
+    def read(
+        self, journal: str, position: int, count: int, then: Callable[[list[JournalRecord]], None]
+    ) -> None:
         """Up to `count` records from `position` on, as they are durable."""
 
 
-class StoreState(msgspec.Struct, frozen=True):
+class StoreStatus(msgspec.Struct, frozen=True):
     """How the store does, for pages and logs. `trouble` is None while all is well."""
 
-    trouble: Trouble | None
+    fault: FaultKind | None
     reason: str
-    waiting: int
-    waiting_bytes: int
-    turned_away: int
-    commits: int
-    failures: int
-    slow_ms: int  # how long the commit at work takes by now, where that is over SLOW; else 0
+    queued_changes: int
+    queued_bytes: int
+    rejected_changes: int
+    commit_count: int
+    failure_count: int
+    slow_commit_ms: int  # how long the commit at work takes by now, where that is over SLOW; else 0
 
 
-class _Work(msgspec.Struct):
+class _QueuedWork(msgspec.Struct):
     changes: Sequence[Change] = ()
     journal: str = ""
     record: bytes = b""
-    done: Done | None = None
-    ask: Callable[[Engine], Callable[[], None] | None] | None = None
-    size: int = 0
-    count: int = 1
+    on_durable: DurableCallback | None = None
+    engine_call: Callable[[Engine], Callable[[], None] | None] | None = None
+    size_bytes: int = 0
+    change_count: int = 1
 
 
 class _Lane(msgspec.Struct):
-    work: deque[_Work] = msgspec.field(default_factory=deque)
-    count: int = 0
-    size: int = 0
+    queue: deque[_QueuedWork] = msgspec.field(default_factory=deque)
+    change_count: int = 0
+    size_bytes: int = 0
 
 
 class Store:
@@ -110,85 +112,97 @@
     def __init__(
         self,
         directory: str,
-        hand_over: HandOver,
-        files: Files | None = None,
-        urgent: frozenset[str] = frozenset(),
-        wall_ms: Callable[[], int] = lambda: time.time_ns() // 1_000_000,
+        call_soon_threadsafe: CallSoonThreadsafe,
+        file_system: FileSystem | None = None,
+        urgent_tables: frozenset[str] = frozenset(),
+        wall_clock_ms: Callable[[], int] = lambda: time.time_ns() // 1_000_000,
     ) -> None:
         """`urgent` tables are written before all else."""
-        self.engine = Engine(files or Real(), directory, wall_ms)
-        self._hand_over, self._urgent_tables = hand_over, urgent
+        self.engine = Engine(file_system or LocalFileSystem(), directory, wall_clock_ms)
+        self._call_soon_threadsafe, self._urgent_tables = call_soon_threadsafe, urgent_tables
         self._lanes = (_Lane(), _Lane())
-        self._turn = threading.Condition()
+        self._condition = threading.Condition()
         self._thread: threading.Thread | None = None
-        self._closing = False
-        self._trouble: StoreFault | None = None
-        self._turned_away = self._commits = self._failures = 0
-        self._began = 0.0
-        self._alone = False  # one piece of work a commit, to find the one that cannot be done
+        self._is_closing = False
+        self._last_error: StoreFileError | None = None
+        self._rejected_changes = self._commit_count = self._failure_count = 0
+        self._commit_started_s = 0.0
+        self._commits_singly = False  # one piece of work a commit, to find the one that cannot be done
 
-    def open(self) -> Opened:
+    def open(self) -> OpenResult:
         """Take the directory and load it; blocks, so not on the loop. Raises StoreFault.
 
         It waits for no sync: the first write begins this start's generation, and `state` says where that
         fails.
         """
-        until = time.monotonic() + LOCK_WAIT
+        deadline_s = time.monotonic() + LOCK_WAIT_TIMEOUT_S
         while True:
             try:
-                out = self.engine.open()
+                result = self.engine.open()
                 break
-            except StoreFault as fault:  # a process that is dying, or a look at the directory
-                if fault.trouble is not Trouble.OWNED or time.monotonic() > until:
+            except StoreFileError as fault:  # a process that is dying, or a look at the directory
+                if fault.kind is not FaultKind.LOCKED or time.monotonic() > deadline_s:
                     raise
                 time.sleep(0.02)
-        self._thread = threading.Thread(target=self._run, name="store", daemon=True)
+        self._thread = threading.Thread(target=self._run_writer, name="store", daemon=True)
         self._thread.start()
-        return out
+        return result
 
-    def close(self, wait_s: float = 2.0) -> int:
+    def close(self, timeout_s: float = 2.0) -> int:
         """Write what waits, for so long at most, and let go; how much was not written. Blocks."""
-        with self._turn:
-            self._closing = True
-            self._turn.notify()
+        with self._condition:
+            self._is_closing = True
+            self._condition.notify()
         if self._thread is not None:
-            self._thread.join(wait_s)
+            self._thread.join(timeout_s)
             if self._thread.is_alive():  # a disk that hangs: the kernel lets go of the lock with the process
-                return max(1, sum(lane.count for lane in self._lanes))
+                return max(1, sum(lane.change_count for lane in self._lanes))
         self.engine.close()
-        return sum(lane.count for lane in self._lanes)
+        return sum(lane.change_count for lane in self._lanes)
 
     # --- what others ask ---
 
-    def put(self, table: str, key: str, value: object, done: Done | None = None) -> None:
+    def put(self, table: str, key: str, value: object, on_durable: DurableCallback | None = None) -> None:
         """See StorePort."""
-        self.write([Put(table, key, msgspec.msgpack.encode(value))], done)
+        self.write([Put(table, key, msgspec.msgpack.encode(value))], on_durable)
 
-    def delete(self, table: str, key: str, done: Done | None = None) -> None:
+    def delete(self, table: str, key: str, on_durable: DurableCallback | None = None) -> None:
         """See StorePort."""
-        self.write([Delete(table, key)], done)
+        self.write([Delete(table, key)], on_durable)
 
-    def write(self, changes: Sequence[Change], done: Done | None = None) -> None:
+    def write(self, changes: Sequence[Change], on_durable: DurableCallback | None = None) -> None:
         """All of them in one commit, all or none; the tables of one lane. Raises StoreFull, ValueError."""
         if not changes:
             raise ValueError("nothing to write")
-        lanes = {change.table in self._urgent_tables for change in changes}
-        if len(lanes) > 1:
+        urgencies = {change.table in self._urgent_tables for change in changes}
+        if len(urgencies) > 1:
             raise ValueError("urgent tables and others in one commit")
-        size = 0
+        size_bytes = 0
         for change in changes:
-            if not NAME.fullmatch(change.table) or not 0 < len(change.key) <= MAX_KEY or "\0" in change.key:
+            if (
+                not TABLE_NAME_PATTERN.fullmatch(change.table)
+                or not 0 < len(change.key) <= MAX_KEY_LENGTH
+                or "\0" in change.key
+            ):
                 raise ValueError(f"no key of a table: {change.table!r:.60}, {change.key!r:.120}")
             if isinstance(change, Put):
-                size += len(change.key) + _sized(change.value)
-        self._take(self._lanes[not lanes.pop()], _Work(changes, done=done, size=size, count=len(changes)))
+                size_bytes += len(change.key) + _checked_size_bytes(change.value)
+        self._enqueue(
+            self._lanes[not urgencies.pop()],
+            _QueuedWork(changes, on_durable=on_durable, size_bytes=size_bytes, change_count=len(changes)),
+        )
 
-    def append(self, journal: str, record: object, done: Done | None = None) -> None:
+    def append(self, journal: str, record: object, on_durable: DurableCallback | None = None) -> None:
         """See StorePort."""
-        if not NAME.fullmatch(journal):
+        if not TABLE_NAME_PATTERN.fullmatch(journal):
             raise ValueError(f"no name of a journal: {journal!r:.60}")
         packed = msgspec.msgpack.encode(record)
-        self._take(self._lanes[1], _Work(journal=journal, record=packed, done=done, size=_sized(packed)))
+        self._enqueue(
+            self._lanes[1],
+            _QueuedWork(
+                journal=journal, record=packed, on_durable=on_durable, size_bytes=_checked_size_bytes(packed)
+            ),
+        )
 
     def items(self, table: str) -> dict[str, bytes]:
         """See StorePort."""
@@ -200,151 +214,171 @@
         row = self.engine.tables.get(table, {}).get(key)
         return None if row is None else row.value
 
-    def read(self, journal: str, position: int, count: int, then: Callable[[list[Record]], None]) -> None:
+    def read_journal(
+        self, journal: str, position: int, count: int, on_read: Callable[[list[JournalRecord]], None]
+    ) -> None:
         """See StorePort."""
 
         def ask(engine: Engine) -> Callable[[], None]:
-            found = engine.read(journal, position, count)
-            return lambda: then(found)
+            found = engine.read_journal(journal, position, count)
+            return lambda: on_read(found)
 
-        self._take(self._lanes[1], _Work(ask=ask))
+        self._enqueue(self._lanes[1], _QueuedWork(engine_call=ask))
 
-    def cut(self, journal: str, before_ms: int = 0, most_bytes: int | None = None) -> None:
+    def trim_journal(self, journal: str, before_ms: int = 0, max_bytes: int | None = None) -> None:
         """Take away a journal's old segments (`Engine.cut`), at some time soon."""
 
         def ask(engine: Engine) -> None:
-            engine.cut(journal, before_ms, most_bytes)
+            engine.trim_journal(journal, before_ms, max_bytes)
 
-        self._take(self._lanes[1], _Work(ask=ask))
+        self._enqueue(self._lanes[1], _QueuedWork(engine_call=ask))
 
     def begin_generation(self) -> None:
         """Write all tables anew, at some time soon; who changes them waits for so long."""
-        self._take(self._lanes[1], _Work(ask=lambda engine: engine.begin_generation()))
+        self._enqueue(self._lanes[1], _QueuedWork(engine_call=lambda engine: engine.begin_generation()))
 
-    def state(self) -> StoreState:
+    def status(self) -> StoreStatus:
         """How it does."""
-        began, trouble = self._began, self._trouble
-        slow = time.monotonic() - began if began else 0.0
-        return StoreState(
-            trouble.trouble if trouble else None,
-            str(trouble or ""),
-            sum(lane.count for lane in self._lanes),
-            sum(lane.size for lane in self._lanes),
-            self._turned_away,
-            self._commits,
-            self._failures,
-            int(slow * 1000) if slow > SLOW else 0,
+        commit_started_s, last_error = self._commit_started_s, self._last_error
+        commit_duration_s = time.monotonic() - commit_started_s if commit_started_s else 0.0
+        return StoreStatus(
+            last_error.kind if last_error else None,
+            str(last_error or ""),
+            sum(lane.change_count for lane in self._lanes),
+            sum(lane.size_bytes for lane in self._lanes),
+            self._rejected_changes,
+            self._commit_count,
+            self._failure_count,
+            int(commit_duration_s * 1000) if commit_duration_s > SLOW_COMMIT_THRESHOLD_S else 0,
         )
 
-    def _take(self, lane: _Lane, work: _Work) -> None:
-        with self._turn:
-            over = lane.count + work.count > MAX_WAITING or lane.size + work.size > MAX_WAITING_BYTES
-            if self._closing or over:
-                self._turned_away += work.count
-                raise StoreFull("the store is closing" if self._closing else f"{lane.count} changes wait")
-            lane.work.append(work)
-            lane.count += work.count
-            lane.size += work.size
-            self._turn.notify()
+    def _enqueue(self, lane: _Lane, work: _QueuedWork) -> None:
+        with self._condition:
+            is_over_limit = (
+                lane.change_count + work.change_count > MAX_LANE_CHANGES
+                or lane.size_bytes + work.size_bytes > MAX_LANE_BYTES
+            )
+            if self._is_closing or is_over_limit:
+                self._rejected_changes += work.change_count
+                raise WriteQueueFull(
+                    "the store is closing" if self._is_closing else f"{lane.change_count} changes wait"
+                )
+            lane.queue.append(work)
+            lane.change_count += work.change_count
+            lane.size_bytes += work.size_bytes
+            self._condition.notify()
 
     # --- the writer ---
 
-    def _run(self) -> None:
-        wait_s = RETRY_FIRST
-        while group := self._group():
+    def _run_writer(self) -> None:
+        backoff_s = MIN_RETRY_BACKOFF_S
+        while group := self._next_group():
             try:
-                self._began = time.monotonic()
-                told = self._carried_out(group)
-            except Exception as err:  # guards against a store that stops for good by one odd error
-                odd = StoreFault(Trouble.FAILED, self.engine.directory, repr(err))
-                self._trouble, self._began = err if isinstance(err, StoreFault) else odd, 0.0
-                self._failures += 1
-                with self._turn:
-                    if self._closing:
+                self._commit_started_s = time.monotonic()
+                callbacks = self._execute_group(group)
+            except Exception as error:  # guards against a store that stops for good by one odd error
+                unexpected = StoreFileError(FaultKind.IO_ERROR, self.engine.directory, repr(error))
+                self._last_error, self._commit_started_s = (
+                    error if isinstance(error, StoreFileError) else unexpected,
+                    0.0,
+                )
+                self._failure_count += 1
+                with self._condition:
+                    if self._is_closing:
                         return
-                    if isinstance(err, ValueError):  # a change that can never be made: it alone goes
-                        if self._alone:
-                            self._gone(group)
-                            self._turned_away += group[0].count
-                        self._alone = not self._alone
+                    if isinstance(error, ValueError):  # a change that can never be made: it alone goes
+                        if self._commits_singly:
+                            self._dequeue_group(group)
+                            self._rejected_changes += group[0].change_count
+                        self._commits_singly = not self._commits_singly
                         continue
-                    self._turn.wait_for(lambda: self._closing, wait_s)
-                wait_s = min(2 * wait_s, RETRY_MOST)
+                    self._condition.wait_for(lambda: self._is_closing, backoff_s)
+                backoff_s = min(2 * backoff_s, MAX_RETRY_BACKOFF_S)
                 continue
-            self._began, self._trouble, wait_s = 0.0, None, RETRY_FIRST
-            self._alone = False
-            self._commits += 1
-            self._tell(told)
+            self._commit_started_s, self._last_error, backoff_s = 0.0, None, MIN_RETRY_BACKOFF_S
+            self._commits_singly = False
+            self._commit_count += 1
+            self._notify(callbacks)
 
-    def _group(self) -> list[_Work]:
+    def _next_group(self) -> list[_QueuedWork]:
         """What one commit takes; it stays in its lane until it is durable. Empty: nothing is left."""
-        with self._turn:
-            while not any(lane.work for lane in self._lanes):
-                if self._closing:
+        with self._condition:
+            while not any(lane.queue for lane in self._lanes):
+                if self._is_closing:
                     return []
-                self._turn.wait()
-            lane = self._lanes[0] if self._lanes[0].work else self._lanes[1]
-            out: list[_Work] = []
-            count, first = 0, lane.work[0]
-            for work in lane.work:
-                apart = self._alone or work.ask is not None or _kind(work) != _kind(first)
-                if out and (apart or count >= GROUP):
+                self._condition.wait()
+            lane = self._lanes[0] if self._lanes[0].queue else self._lanes[1]
+            group: list[_QueuedWork] = []
+            count, first = 0, lane.queue[0]
+            for work in lane.queue:
+                starts_next_group = (
+                    self._commits_singly
+                    or work.engine_call is not None
+                    or _group_key(work) != _group_key(first)
+                )
+                if group and (starts_next_group or count >= GROUP_COMMIT_CHANGES):
                     break
-                out.append(work)
-                count += work.count
-            return out
+                group.append(work)
+                count += work.change_count
+            return group
 
-    def _carried_out(self, group: list[_Work]) -> list[Callable[[], None]]:
+    def _execute_group(self, group: list[_QueuedWork]) -> list[Callable[[], None]]:
         first = group[0]
-        told: list[Callable[[], None]] = []
-        if first.ask is not None:
-            answer = first.ask(self.engine)
-            told += [answer] if answer is not None else []
+        callbacks: list[Callable[[], None]] = []
+        if first.engine_call is not None:
+            callback = first.engine_call(self.engine)
+            callbacks += [callback] if callback is not None else []
         elif first.journal:
             position = self.engine.append(first.journal, [work.record for work in group])
-            told += [_call(w.done, position + n) for n, w in enumerate(group) if w.done is not None]
+            callbacks += [
+                _bind_callback(w.on_durable, position + n)
+                for n, w in enumerate(group)
+                if w.on_durable is not None
+            ]
         else:
             stamp = self.engine.commit([change for work in group for change in work.changes])
-            told += [_call(work.done, stamp) for work in group if work.done is not None]
-        with self._turn:
-            self._gone(group)
-        return told
-
-    def _gone(self, group: list[_Work]) -> None:
+            callbacks += [
+                _bind_callback(work.on_durable, stamp) for work in group if work.on_durable is not None
+            ]
+        with self._condition:
+            self._dequeue_group(group)
+        return callbacks
+
+    def _dequeue_group(self, group: list[_QueuedWork]) -> None:
         """It waits no more."""
         urgent, other = self._lanes
-        lane = urgent if urgent.work and urgent.work[0] is group[0] else other
+        lane = urgent if urgent.queue and urgent.queue[0] is group[0] else other
         for work in group:
-            lane.work.popleft()
-            lane.count -= work.count
-            lane.size -= work.size
+            lane.queue.popleft()
+            lane.change_count -= work.change_count
+            lane.size_bytes -= work.size_bytes
 
-    def _tell(self, told: list[Callable[[], None]]) -> None:
+    def _notify(self, callbacks: list[Callable[[], None]]) -> None:
         try:
-            for at in range(0, len(told), CHUNK):
-                self._hand_over(_all(told[at : at + CHUNK]))
+            for start in range(0, len(callbacks), CALLBACKS_PER_LOOP_TURN):
+                self._call_soon_threadsafe(_run_all(callbacks[start : start + CALLBACKS_PER_LOOP_TURN]))
         except RuntimeError:  # the loop is closed: nobody waits any more
             pass
 
 
-def _kind(work: _Work) -> str:
-    return work.journal if work.record else "?" if work.ask is not None else ""
+def _group_key(work: _QueuedWork) -> str:
+    return work.journal if work.record else "?" if work.engine_call is not None else ""
 
 
-def _call(done: Done | None, value: int) -> Callable[[], None]:
-    assert done is not None
-    return lambda: done(value)
+def _bind_callback(on_durable: DurableCallback | None, value: int) -> Callable[[], None]:
+    assert on_durable is not None
+    return lambda: on_durable(value)
 
 
-def _all(told: list[Callable[[], None]]) -> Callable[[], None]:
+def _run_all(callbacks: list[Callable[[], None]]) -> Callable[[], None]:
     def run() -> None:
-        for one in told:
+        for one in callbacks:
             one()
 
     return run
 
 
-def _sized(value: bytes) -> int:
-    if len(value) > MAX_VALUE:
-        raise ValueError(f"a value of {len(value)} bytes, where {MAX_VALUE} are allowed")
+def _checked_size_bytes(value: bytes) -> int:
+    if len(value) > MAX_VALUE_BYTES:
+        raise ValueError(f"a value of {len(value)} bytes, where {MAX_VALUE_BYTES} are allowed")
     return len(value)
--- a/balancer/testbed/disk_faults.py
+++ b/balancer/testbed/disk_faults.py
@@ -22,80 +22,84 @@
 from pathlib import Path
 
 
-def newest(directory: Path) -> Path | None:
+def newest_file(directory: Path) -> Path | None:
     """The file with something in it that was written last, however deep; None where there is none."""
     found = [path for path in directory.rglob("*") if path.is_file() and not path.is_symlink()]
     filled = [(path.stat().st_mtime_ns, str(path), path) for path in found if path.stat().st_size]
     return max(filled)[2] if filled else None
 
 
-def torn(directory: Path, rng: random.Random) -> None:
+def truncate_newest_file(directory: Path, rng: random.Random) -> None:
     """The newest file ends at any byte."""
-    if (path := newest(directory)) is not None:
-        with path.open("r+b") as out:
-            out.truncate(rng.randrange(path.stat().st_size))
+    if (path := newest_file(directory)) is not None:
+        with path.open("r+b") as file:
+            file.truncate(rng.randrange(path.stat().st_size))
 
 
-def flipped(directory: Path, rng: random.Random, bits: int = 8) -> None:
+def flip_bits_in_newest_file(directory: Path, rng: random.Random, bit_count: int = 8) -> None:
     """So many different bits of the newest file are the other way round."""
-    if (path := newest(directory)) is not None:
+    if (path := newest_file(directory)) is not None:
         data = bytearray(path.read_bytes())
-        for bit in rng.sample(range(8 * len(data)), min(bits, 8 * len(data))):
+        for bit in rng.sample(range(8 * len(data)), min(bit_count, 8 * len(data))):
             data[bit // 8] ^= 1 << bit % 8
         path.write_bytes(data)
 
 
-def blocked(directory: Path) -> None:
+def replace_newest_file_by_directory(directory: Path) -> None:
     """A folder is where the newest file was."""
-    if (path := newest(directory)) is not None:
+    if (path := newest_file(directory)) is not None:
         path.unlink()
         path.mkdir()
 
 
-def wiped(directory: Path) -> None:
+def empty_directory(directory: Path) -> None:
     """Nothing is in it."""
     shutil.rmtree(directory)
     directory.mkdir()
 
 
-def swapped(directories: Sequence[Path]) -> None:
+def swap_directories(directories: Sequence[Path]) -> None:
     """Each gets what the one before it had, the first what the last had."""
-    kept = [path.rename(path.with_suffix(".swap")) for path in directories]
-    for path, other in zip(directories, [kept[-1], *kept[:-1]], strict=True):
+    moved = [path.rename(path.with_suffix(".swap")) for path in directories]
+    for path, other in zip(directories, [moved[-1], *moved[:-1]], strict=True):
         other.rename(path)
 
 
-def copied(directory: Path) -> None:
+def save_copy(directory: Path) -> None:
     """Keep a copy of what is in it now, in place of one that was kept before."""
-    shutil.rmtree(_copy(directory), ignore_errors=True)
-    shutil.copytree(directory, _copy(directory))
+    shutil.rmtree(_copy_path(directory), ignore_errors=True)
+    shutil.copytree(directory, _copy_path(directory))
 
 
-def restored(directory: Path) -> None:
+def restore_copy(directory: Path) -> None:
     """It is as it was when it was copied; raises FileNotFoundError where it never was."""
-    kept = _copy(directory)
-    if not kept.is_dir():
+    copy_path = _copy_path(directory)
+    if not copy_path.is_dir():
         raise FileNotFoundError(f"no copy of {directory.name} was taken")
     shutil.rmtree(directory)
-    shutil.copytree(kept, directory)
+    shutil.copytree(copy_path, directory)
 
 
-def _copy(directory: Path) -> Path:
+def _copy_path(directory: Path) -> Path:
     return directory.with_suffix(".copy")
 
 
-def full(pid: int, size: int | None) -> None:
+def limit_file_size(pid: int, max_size_bytes: int | None) -> None:
     """No file of a process of ours may go on past so many bytes; None: as before."""
-    _, most = resource.prlimit(pid, resource.RLIMIT_FSIZE)
-    resource.prlimit(pid, resource.RLIMIT_FSIZE, (most if size is None else size, most))
+    _, hard_limit_bytes = resource.prlimit(pid, resource.RLIMIT_FSIZE)
+    resource.prlimit(
+        pid,
+        resource.RLIMIT_FSIZE,
+        (hard_limit_bytes if max_size_bytes is None else max_size_bytes, hard_limit_bytes),
+    )
 
 
-def away(directory: Path, on: bool) -> None:
+def set_directory_hidden(directory: Path, is_hidden: bool) -> None:
     """A file is in its place, or it is there again."""
-    kept = directory.with_suffix(".away")
-    if on and not kept.exists():
-        directory.rename(kept)
+    hidden_path = directory.with_suffix(".away")
+    if is_hidden and not hidden_path.exists():
+        directory.rename(hidden_path)
         directory.touch()
-    elif not on and kept.exists():
+    elif not is_hidden and hidden_path.exists():
         directory.unlink()
-        kept.rename(directory)
+        hidden_path.rename(directory)
--- a/balancer/testbed/dual_source_cluster.py
+++ b/balancer/testbed/dual_source_cluster.py
@@ -349,7 +349,7 @@
         begun = now_ms()
         async with asyncio.timeout(STEADY_S):
             while True:
-                with contextlib.suppress(control.ControlError):
+                with contextlib.suppress(control.AdminSocketError):
                     found = (await self.report(node))["sources"]
                     if any(one["name"] == source and one["state"] == wanted for one in found):
                         return (now_ms() - begun) / 1000
--- a/balancer/testbed/scenario.py
+++ b/balancer/testbed/scenario.py
@@ -191,7 +191,7 @@
         how(node)
         await node.ended()
         if strike.wipe:
-            disk.wiped(node.state)
+            disk.empty_directory(node.state)
             node.kept_ms = None
 
     async def start(node: Node) -> None:
@@ -237,7 +237,7 @@
     def done(world: World, strike: Strike) -> None:
         for node in _nodes(world, strike):
             if node.process is not None and node.process.returncode is None:
-                disk.full(node.process.pid, size(strike))
+                disk.limit_file_size(node.process.pid, size(strike))
                 node.full_ms = node.full_ms or now_ms()  # and on: nobody says when it has caught up
 
     return done
@@ -250,20 +250,20 @@
 
 
 def _swapped(world: World, strike: Strike, nodes: list[Node]) -> None:
-    disk.swapped([node.state for node in nodes])
+    disk.swap_directories([node.state for node in nodes])
     for node in nodes:
         node.kept_ms = None
 
 
 def _away(node: Node) -> None:
-    disk.away(node.state, True)
+    disk.set_directory_hidden(node.state, True)
     node.full_ms = node.full_ms or now_ms()
 
 
 def _copied(node: Node) -> None:
     """All of it at one instant, as after a power cut."""
     node.stand()
-    disk.copied(node.state)
+    disk.save_copy(node.state)
     node.copied_ms = node.durable_ms()
     node.go_on()
 
@@ -428,15 +428,17 @@
     "lists silent": Kind(
         "node", _node(lambda n: n.agent.silence(True), lambda n: n.agent.silence(False)), ("for_s",)
     ),
-    "disk torn": Kind("node", partial(_ended, between=_broken(disk.torn))),
-    "disk flipped": Kind("node", partial(_ended, between=_broken(disk.flipped))),
-    "disk blocked": Kind("node", partial(_ended, between=_broken(lambda d, rng: disk.blocked(d)))),
-    "disk wiped": Kind("node", partial(_ended, between=_broken(lambda d, rng: disk.wiped(d)))),
+    "disk torn": Kind("node", partial(_ended, between=_broken(disk.truncate_newest_file))),
+    "disk flipped": Kind("node", partial(_ended, between=_broken(disk.flip_bits_in_newest_file))),
+    "disk blocked": Kind(
+        "node", partial(_ended, between=_broken(lambda d, rng: disk.replace_newest_file_by_directory(d)))
+    ),
+    "disk wiped": Kind("node", partial(_ended, between=_broken(lambda d, rng: disk.empty_directory(d)))),
     "disk swapped": Kind("node", partial(_ended, between=_swapped)),
     "disk copied": Kind("node", _node(_copied)),
-    "disk restored": Kind("node", partial(_ended, between=_broken(lambda d, rng: disk.restored(d)))),
+    "disk restored": Kind("node", partial(_ended, between=_broken(lambda d, rng: disk.restore_copy(d)))),
     "disk full": Kind("node", _full, ("for_s",)),
-    "disk away": Kind("node", _node(_away, lambda n: disk.away(n.state, False)), ("for_s",)),
+    "disk away": Kind("node", _node(_away, lambda n: disk.set_directory_hidden(n.state, False)), ("for_s",)),
     "die": Kind("server", _dies),
     "drain": Kind("server", lambda w, s: w.drain(*s.names)),
     "remove": Kind("server", lambda w, s: w.remove(*s.names)),
@@ -667,7 +669,7 @@
         await world.play(script.rate, script.seconds, steps, tell)
         await asyncio.gather(*running)
         for node in world.nodes if script.state else ():
-            with contextlib.suppress(control.ControlError):
+            with contextlib.suppress(control.AdminSocketError):
                 returns[node.name] = await asyncio.to_thread(control.ask, Path(node.socket), "recovery")
         if watch is not None:
             watch(world)
--- a/balancer/testbed/simulated_disk.py
+++ b/balancer/testbed/simulated_disk.py
@@ -22,17 +22,20 @@
 
 import apsw
 
-SECTOR = 512  # bytes that a disk writes whole
+SECTOR_SIZE_BYTES = 512  # bytes that a disk writes whole
 _numbers = count()
-_KINDS: dict[int, type[apsw.Error]] = {errno.ENOSPC: apsw.FullError, errno.EROFS: apsw.ReadOnlyError}
+_APSW_ERROR_BY_ERRNO: dict[int, type[apsw.Error]] = {
+    errno.ENOSPC: apsw.FullError,
+    errno.EROFS: apsw.ReadOnlyError,
+}
 
 
-class Broken(Exception):
+class InjectedError(Exception):
     """A call comes back with an error of this number (errno)."""
 
-    def __init__(self, number: int = errno.EIO) -> None:
-        self.number = number
-        super().__init__(errno.errorcode[number])
+    def __init__(self, error_number: int = errno.EIO) -> None:
+        self.error_number = error_number
+        super().__init__(errno.errorcode[error_number])
 
 
 class PowerCut(BaseException):
@@ -40,69 +43,71 @@
 
 
 @dataclass(eq=False)
-class Content:
+class FileContent:
     """A file: its bytes now, its bytes that are durable, what was written since."""
 
-    number: int = field(default_factory=lambda: next(_numbers))
-    now: bytearray = field(default_factory=bytearray)
+    inode: int = field(default_factory=lambda: next(_numbers))
+    current: bytearray = field(default_factory=bytearray)
     durable: bytes = b""
-    unsynced: list[tuple[int, bytes]] = field(default_factory=list)  # offset and bytes; -1: cut to a length
+    unsynced_writes: list[tuple[int, bytes]] = field(
+        default_factory=list
+    )  # offset and bytes; -1: cut to a length
 
-    def apply(self, onto: bytearray, offset: int, data: bytes) -> None:
+    def apply(self, target: bytearray, offset: int, data: bytes) -> None:
         """Carry out one write, or a cut."""
         if offset < 0:
-            del onto[int.from_bytes(data, "big") :]
+            del target[int.from_bytes(data, "big") :]
             return
-        onto.extend(bytes(max(0, offset + len(data) - len(onto))))
-        onto[offset : offset + len(data)] = data
+        target.extend(bytes(max(0, offset + len(data) - len(target))))
+        target[offset : offset + len(data)] = data
 
 
-Plan = Callable[[int, str], None]  # told a call's number and name; raises what is to happen to it
+FaultPlan = Callable[[int, str], None]  # told a call's number and name; raises what is to happen to it
 
 
-class Disk:
+class SimulatedDisk:
     """The medium and its directory (there is one)."""
 
     def __init__(self) -> None:
-        self.names: dict[str, Content] = {}
-        self.durable: dict[str, Content] = {}
-        self.calls = 0
-        self.points: list[str] = []
-        self.plan: Plan = lambda number, name: None
-        self.sync_s = 0.0
-        self.locked = False
-        self.dead = False
-        self._seen: Counter[str] = Counter()
-
-    def call(self, what: str, path: str, sqlite: bool = True) -> None:
+        self.files: dict[str, FileContent] = {}
+        self.durable_files: dict[str, FileContent] = {}
+        self.call_count = 0
+        self.call_names: list[str] = []
+        self.fault_plan: FaultPlan = lambda number, name: None
+        self.sync_duration_s = 0.0
+        self.is_locked = False
+        self.is_powered_off = False
+        self._call_counts: Counter[str] = Counter()
+
+    def record_call(self, operation: str, path: str, by_sqlite: bool = True) -> None:
         """A call that changes something is about to be made, by SQLite or by the store itself."""
-        if self.dead:
+        if self.is_powered_off:
             raise PowerCut
-        name = f"{what} {path.rpartition('/')[2]}"
-        self._seen[name] += 1
-        self.calls += 1
-        self.points.append(f"{name} {self._seen[name]}")
+        name = f"{operation} {path.rpartition('/')[2]}"
+        self._call_counts[name] += 1
+        self.call_count += 1
+        self.call_names.append(f"{name} {self._call_counts[name]}")
         try:
-            self.plan(self.calls, self.points[-1])
-        except Broken as err:
-            if not sqlite:
-                raise OSError(err.number, os.strerror(err.number)) from None
-            raise _KINDS.get(err.number, apsw.IOError)(str(err)) from None
+            self.fault_plan(self.call_count, self.call_names[-1])
+        except InjectedError as error:
+            if not by_sqlite:
+                raise OSError(error.error_number, os.strerror(error.error_number)) from None
+            raise _APSW_ERROR_BY_ERRNO.get(error.error_number, apsw.IOError)(str(error)) from None
         except PowerCut:
-            self.dead = True  # whatever the dying process still does reaches nothing
+            self.is_powered_off = True  # whatever the dying process still does reaches nothing
             raise
 
     def crash(self, rng: random.Random) -> None:
         """The power was cut; from here on the disk is as it came out of it."""
-        names = dict(self.durable)
-        for path in {*self.names, *self.durable}:
-            if self.names.get(path) is not self.durable.get(path) and rng.random() < 0.5:
-                names.pop(path, None)
-                if path in self.names:
-                    names[path] = self.names[path]
-        for content in set(names.values()):
-            out = bytearray(content.durable)
-            writes = content.unsynced[:]
+        files = dict(self.durable_files)
+        for path in {*self.files, *self.durable_files}:
+            if self.files.get(path) is not self.durable_files.get(path) and rng.random() < 0.5:
+                files.pop(path, None)
+                if path in self.files:
+                    files[path] = self.files[path]
+        for content in set(files.values()):
+            restored = bytearray(content.durable)
+            writes = content.unsynced_writes[:]
             if rng.random() < 0.5:
                 rng.shuffle(writes)  # guards against a reliance on their order
             for offset, data in writes:
@@ -110,95 +115,97 @@
                 if fate < 0.4:
                     continue
                 if fate < 0.6 and offset >= 0:  # torn, at the border of a sector
-                    data = data[: rng.randrange(0, len(data) + SECTOR, SECTOR)]
-                content.apply(out, offset, data)
-            content.now, content.durable, content.unsynced = out, bytes(out), []
-        self.names, self.durable = names, dict(names)
-        self.locked = self.dead = False
-        self.plan = lambda number, name: None
-
-    def sync(self, content: Content) -> None:
+                    data = data[: rng.randrange(0, len(data) + SECTOR_SIZE_BYTES, SECTOR_SIZE_BYTES)]
+                content.apply(restored, offset, data)
+            content.current, content.durable, content.unsynced_writes = restored, bytes(restored), []
+        self.files, self.durable_files = files, dict(files)
+        self.is_locked = self.is_powered_off = False
+        self.fault_plan = lambda number, name: None
+
+    def sync(self, content: FileContent) -> None:
         """All that was written to a file is durable."""
-        if self.sync_s:
-            time.sleep(self.sync_s)
-        content.durable, content.unsynced = bytes(content.now), []
+        if self.sync_duration_s:
+            time.sleep(self.sync_duration_s)
+        content.durable, content.unsynced_writes = bytes(content.current), []
 
-    def copy(self) -> Disk:
+    def copy(self) -> SimulatedDisk:
         """The same content, durable, on another disk."""
-        out = Disk()
-        for path, content in self.names.items():
-            out.names[path] = Content(now=bytearray(content.now), durable=bytes(content.now))
-        out.durable = dict(out.names)
-        return out
+        copied = SimulatedDisk()
+        for path, content in self.files.items():
+            copied.files[path] = FileContent(
+                current=bytearray(content.current), durable=bytes(content.current)
+            )
+        copied.durable_files = dict(copied.files)
+        return copied
 
 
-class _Lock:
-    def __init__(self, disk: Disk) -> None:
+class _SimulatedLock:
+    def __init__(self, disk: SimulatedDisk) -> None:
         self.disk = disk
 
     def release(self) -> None:
-        self.disk.locked = False
+        self.disk.is_locked = False
 
 
-class SimFiles:
+class SimulatedFileSystem:
     """The store's file port on a `Disk`. Close it when done: SQLite holds its VFS by name."""
 
-    def __init__(self, disk: Disk) -> None:
+    def __init__(self, disk: SimulatedDisk) -> None:
         self.disk = disk
-        self.vfs = f"sim-{next(_numbers)}"
-        self._vfs = _Vfs(self.vfs, disk)
+        self.vfs_name = f"sim-{next(_numbers)}"
+        self._vfs = _SimulatedVfs(self.vfs_name, disk)
 
     def close(self) -> None:
         """Take the VFS back."""
         self._vfs.unregister()
 
-    def lock(self, directory: str) -> _Lock:
+    def lock(self, directory: str) -> _SimulatedLock:
         """One owner of the disk."""
-        if self.disk.locked:
+        if self.disk.is_locked:
             raise BlockingIOError(errno.EAGAIN, "another process")
-        self.disk.locked = True
-        return _Lock(self.disk)
+        self.disk.is_locked = True
+        return _SimulatedLock(self.disk)
 
-    def names(self, directory: str) -> list[str]:
+    def list_names(self, directory: str) -> list[str]:
         """Of the directory's files."""
-        return [path.rpartition("/")[2] for path in self.disk.names]
+        return [path.rpartition("/")[2] for path in self.disk.files]
 
-    def plain(self, path: str) -> bool:
+    def is_regular_file(self, path: str) -> bool:
         """A file that is there."""
-        return bool(self._at(path))
+        return bool(self._content(path))
 
     def inode(self, path: str) -> int:
         """The number of the content."""
-        return self._at(path).number
+        return self._content(path).inode
 
-    def size(self, path: str) -> int:
+    def size_bytes(self, path: str) -> int:
         """Bytes now."""
-        return len(self._at(path).now)
+        return len(self._content(path).current)
 
     def rename(self, old: str, new: str) -> None:
         """Names alone; not durable."""
-        self.disk.call("rename", new, False)
-        self.disk.names[new] = self.disk.names.pop(old)
+        self.disk.record_call("rename", new, False)
+        self.disk.files[new] = self.disk.files.pop(old)
 
     def remove(self, path: str) -> None:
         """Names alone; not durable."""
-        if path in self.disk.names:
-            self.disk.call("remove", path, False)
-            self.disk.names.pop(path, None)
+        if path in self.disk.files:
+            self.disk.record_call("remove", path, False)
+            self.disk.files.pop(path, None)
 
-    def settle(self, directory: str) -> None:
+    def sync_directory(self, directory: str) -> None:
         """Names are durable."""
-        self.disk.call("settle", directory, False)
-        self.disk.durable = dict(self.disk.names)
+        self.disk.record_call("settle", directory, False)
+        self.disk.durable_files = dict(self.disk.files)
 
-    def _at(self, path: str) -> Content:
-        if path not in self.disk.names:
+    def _content(self, path: str) -> FileContent:
+        if path not in self.disk.files:
             raise FileNotFoundError(errno.ENOENT, "No such file")
-        return self.disk.names[path]
+        return self.disk.files[path]
 
 
-class _Vfs(apsw.VFS):
-    def __init__(self, name: str, disk: Disk) -> None:
+class _SimulatedVfs(apsw.VFS):
+    def __init__(self, name: str, disk: SimulatedDisk) -> None:
         self.disk = disk
         super().__init__(name, "unix")
 
@@ -206,56 +213,56 @@
         return name
 
     def xAccess(self, pathname: str, flags: int) -> bool:
-        return pathname in self.disk.names
+        return pathname in self.disk.files
 
     def xDelete(self, filename: str, syncdir: bool) -> None:
-        if filename not in self.disk.names:
+        if filename not in self.disk.files:
             raise apsw.IOError
-        self.disk.call("remove", filename)
-        del self.disk.names[filename]
+        self.disk.record_call("remove", filename)
+        del self.disk.files[filename]
         if syncdir:
-            self.disk.durable = dict(self.disk.names)
+            self.disk.durable_files = dict(self.disk.files)
 
-    def xOpen(self, name: str | apsw.URIFilename | None, flags: list[int]) -> _File:  # type: ignore[override]
+    def xOpen(self, name: str | apsw.URIFilename | None, flags: list[int]) -> _SimulatedFile:  # type: ignore[override]
         path = name.filename() if isinstance(name, apsw.URIFilename) else str(name)
-        content = self.disk.names.get(path)
+        content = self.disk.files.get(path)
         if content is None:
             if not flags[0] & apsw.SQLITE_OPEN_CREATE:
                 raise apsw.CantOpenError
-            self.disk.call("create", path)
-            content = self.disk.names[path] = Content()
+            self.disk.record_call("create", path)
+            content = self.disk.files[path] = FileContent()
         flags[1] = flags[0]
-        return _File(self.disk, path, content)
+        return _SimulatedFile(self.disk, path, content)
 
 
-class _File:
+class _SimulatedFile:
     """SQLite's methods of an open file."""
 
-    def __init__(self, disk: Disk, path: str, content: Content) -> None:
+    def __init__(self, disk: SimulatedDisk, path: str, content: FileContent) -> None:
         self.disk, self.path, self.content = disk, path, content
 
     def xRead(self, amount: int, offset: int) -> bytes:
-        return bytes(self.content.now[offset : offset + amount])
+        return bytes(self.content.current[offset : offset + amount])
 
     def xWrite(self, data: bytes, offset: int) -> None:
-        self.disk.call("write", self.path)
-        self.content.unsynced.append((offset, bytes(data)))
-        self.content.apply(self.content.now, offset, bytes(data))
+        self.disk.record_call("write", self.path)
+        self.content.unsynced_writes.append((offset, bytes(data)))
+        self.content.apply(self.content.current, offset, bytes(data))
 
     def xTruncate(self, newsize: int) -> None:
-        self.disk.call("cut", self.path)
+        self.disk.record_call("cut", self.path)
         length = newsize.to_bytes(8, "big")
-        self.content.unsynced.append((-1, length))
-        self.content.apply(self.content.now, -1, length)
+        self.content.unsynced_writes.append((-1, length))
+        self.content.apply(self.content.current, -1, length)
 
     def xSync(self, flags: int) -> None:
-        self.disk.call("sync", self.path)
+        self.disk.record_call("sync", self.path)
         self.disk.sync(self.content)
-        if self.path not in self.disk.durable and self.path.endswith(("-wal", "-journal")):
-            self.disk.durable[self.path] = self.content  # as SQLite's own VFS syncs the directory then
+        if self.path not in self.disk.durable_files and self.path.endswith(("-wal", "-journal")):
+            self.disk.durable_files[self.path] = self.content  # as SQLite's own VFS syncs the directory then
 
     def xFileSize(self) -> int:
-        return len(self.content.now)
+        return len(self.content.current)
 
     def xLock(self, level: int) -> None:
         """There is one owner."""
@@ -270,7 +277,7 @@
         return False
 
     def xSectorSize(self) -> int:
-        return SECTOR
+        return SECTOR_SIZE_BYTES
 
     def xDeviceCharacteristics(self) -> int:
         return 0
--- a/balancer/timeline/monitor.py
+++ b/balancer/timeline/monitor.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Sequence
 
 from balancer import interface as api
-from balancer.core.anomaly_detection.detector import Departures, Row, Told
+from balancer.core.anomaly_detection.detector import AnomalyDetector, ServerObservation, TimelineEvent
 from balancer.timeline import latency_histogram as sketch
 from balancer.timeline import schema as keys
 from balancer.timeline.recorder import (
@@ -20,57 +20,57 @@
     Recorder,
 )
 
-EVENTS = 2_000
-AFTER_RAMP_MS = 10_000.0  # from the end of its slow start on a server's answer times count
+MAX_PAST_EVENTS = 2_000
+POST_SLOW_START_MS = 10_000.0  # from the end of its slow start on a server's answer times count
 
-Listener = Callable[[Sequence[Told]], None]
+Listener = Callable[[Sequence[TimelineEvent]], None]
 
 
-class Watch:
+class TimelineMonitor:
     """One node's time line; an `Observer`."""
 
     def __init__(self, settings: api.Settings, memory_mb: float, look: Look = lambda name: None) -> None:
-        self.names = [c.name for c in settings.classes]
-        self.ramp_ms = settings.slow_start_duration_ms
-        self.recorder = Recorder(self.names, memory_mb, look)
-        self.departures = Departures()
-        self.events: deque[Told] = deque(maxlen=EVENTS)
-        self.told = 0  # events so far
+        self.class_names = [c.name for c in settings.classes]
+        self.slow_start_duration_ms = settings.slow_start_duration_ms
+        self.recorder = Recorder(self.class_names, memory_mb, look)
+        self.detector = AnomalyDetector()
+        self.events: deque[TimelineEvent] = deque(maxlen=MAX_PAST_EVENTS)
+        self.event_count = 0  # events so far
         self.listeners: list[Listener] = []
         self.on_decision = self.recorder.on_decision
-        self._open = False
+        self._is_round_open = False
 
-    def tell(self, told: Told) -> None:
+    def add_event(self, event: TimelineEvent) -> None:
         """An event that somebody else found."""
-        self.events.append(told)
-        self.told += 1
+        self.events.append(event)
+        self.event_count += 1
 
     def begin(self, now_ms: float, stall_ms: float = 0.0) -> None:
         """A second is over; `stall_ms` is by how much the node itself was late for it."""
-        if not self._open and self.departures.begin(now_ms, stall_ms):
-            self._open = True
+        if not self._is_round_open and self.detector.begin_round(now_ms, stall_ms):
+            self._is_round_open = True
             self.recorder.begin(now_ms)
 
     def step(self) -> bool:
         """Some of the work of a second; False once it is done."""
-        if not self._open:
+        if not self._is_round_open:
             return False
         closed = self.recorder.step()
         for one in closed:
             if one.line.scope == SERVER and one.line is not self.recorder.others:
-                self.departures.row(self._row(one))
+                self.detector.observe(self._observation(one))
         if closed:
             return True
-        self._open = False
-        if told := self.departures.end():
-            self.events.extend(told)
-            self.told += len(told)
+        self._is_round_open = False
+        if events := self.detector.end_round():
+            self.events.extend(events)
+            self.event_count += len(events)
             for listener in list(self.listeners):
-                listener(told)
+                listener(events)
         return False
 
-    def _row(self, closed: Closed) -> Row:
-        line, counts, now_ms = closed.line, closed.counts, self.departures.now_ms
+    def _observation(self, closed: Closed) -> ServerObservation:
+        line, counts, now_ms = closed.line, closed.counts, self.detector.now_ms
         times: dict[str, tuple[int, float, float]] = {}
         by_class: dict[int, list[tuple[int, int]]] = {}
         for key, count in counts.items():
@@ -78,22 +78,23 @@
                 at = key - keys.TIMES
                 by_class.setdefault(at // keys.WIDTH, []).append((at % keys.WIDTH, count))
         for number, bins in by_class.items():
-            times[self.names[number]] = sketch.moments(bins)
+            times[self.class_names[number]] = sketch.moments(bins)
         gauges = closed.gauges
-        return Row(
+        return ServerObservation(
             line.name,
             line.zone,
             line.kind,
             line.cell,
             times,
-            answers=counts.get(keys.OK, 0),
+            successes=counts.get(keys.OK, 0),
             errors=sum(counts.get(key, 0) for key in keys.ERRORS),
-            turned_away=counts.get(keys.TURNED_AWAY, 0),
-            silent=counts.get(keys.TIMED_OUT, 0),
-            load=gauges.in_flight if gauges.in_flight is not None else gauges.queue,
-            changes=counts.get(keys.STARTED, 0) + counts.get(keys.PHASED, 0),
-            same=line.same,
-            same_ms=now_ms - line.same_ms if line.same else 0.0,
-            spread=line.same_high - line.same_low,
-            cold=line.started_at > 0 and now_ms < line.started_at + self.ramp_ms + AFTER_RAMP_MS,
+            rejections=counts.get(keys.TURNED_AWAY, 0),
+            timeouts=counts.get(keys.TIMED_OUT, 0),
+            reported_load=gauges.in_flight if gauges.in_flight is not None else gauges.queue,
+            lifecycle_changes=counts.get(keys.STARTED, 0) + counts.get(keys.PHASED, 0),
+            identical_reports=line.same,
+            identical_reports_ms=now_ms - line.same_ms if line.same else 0.0,
+            own_count_spread=line.same_high - line.same_low,
+            is_warming_up=line.started_at > 0
+            and now_ms < line.started_at + self.slow_start_duration_ms + POST_SLOW_START_MS,
         )
--- a/balancer/timeline/queries.py
+++ b/balancer/timeline/queries.py
@@ -8,7 +8,7 @@
 from balancer.timeline import latency_histogram as sketch
 from balancer.timeline import request_traces as trails
 from balancer.timeline import schema as keys
-from balancer.timeline.monitor import Watch
+from balancer.timeline.monitor import TimelineMonitor
 from balancer.timeline.recorder import (
     CLASS,
     NODE,
@@ -60,7 +60,7 @@
     return recorder.node if name == NODE else table.get(rest) or next(past, None)
 
 
-def timeline(watch: Watch, asked: dict[str, Any]) -> dict[str, Any]:
+def timeline(watch: TimelineMonitor, asked: dict[str, Any]) -> dict[str, Any]:
     """Answer `timeline`: one line with its points, or an overview. Times asked for are ms since 1970."""
     recorder = watch.recorder
     now = recorder.second
@@ -113,23 +113,23 @@
         yield {"name": line.name, "scope": line.scope, "zone": line.zone, **row}
 
 
-def events(watch: Watch, asked: dict[str, Any]) -> dict[str, Any]:
+def events(watch: TimelineMonitor, asked: dict[str, Any]) -> dict[str, Any]:
     """Answer `events`: those told since `after` (a running number), the oldest first."""
     after = asked.get("after") or 0
     if not isinstance(after, int):
         return {"error": "after is the number of an event"}
-    first = watch.told - len(watch.events)
+    first = watch.event_count - len(watch.events)
     skip = max(0, after - first)
-    told = (one.json() for one in list(watch.events)[skip:])
+    told = (one.to_json() for one in list(watch.events)[skip:])
     return {
-        "next": watch.told,
+        "next": watch.event_count,
         "missed": max(0, first - after),
-        "left_out": watch.departures.left_out,
+        "left_out": watch.detector.suppressed_count,
         "events": told,
     }
 
 
-def why(watch: Watch, asked: dict[str, Any]) -> dict[str, Any]:
+def why(watch: TimelineMonitor, asked: dict[str, Any]) -> dict[str, Any]:
     """Answer `why`: the decisions about one request."""
     name = str(asked.get("request") or "")
     found = watch.recorder.trails.find(name)
--- a/benchmarks/anomaly_detection.py
+++ b/benchmarks/anomaly_detection.py
@@ -26,11 +26,11 @@
 from typing import Any
 
 from balancer.core.anomaly_detection.detector import (
-    Departures,
-    Row,
+    AnomalyDetector,
+    EventType,
+    ServerObservation,
     Signal,
-    Step,
-    Told,
+    TimelineEvent,
 )
 from benchmarks.result_table import Row as Line
 from benchmarks.result_table import table
@@ -84,14 +84,14 @@
         self.wander = [0.0] * self.servers
         self.bad = self.rng.randrange(self.servers)
 
-    def second(self, now: int) -> Iterator[tuple[int, Row, list[float]]]:
+    def second(self, now: int) -> Iterator[tuple[int, ServerObservation, list[float]]]:
         """The rows of one second, and the share of errors of each."""
         rng, out = self.rng, now - WARM_S
         wave = WAVE / 2 * (1 - math.cos(2 * math.pi * now / 86_400)) if self.wave else 0.0
         for number in range(self.servers):
             self.wander[number] += -self.wander[number] / 60 + rng.gauss(0.0, WANDER * math.sqrt(2 / 60))
             departs = self.trouble if self.trouble and number == self.bad and out >= 0 else None
-            row = Row(f"s{number}", ZONES[number % 3], "m", number % 8)
+            row = ServerObservation(f"s{number}", ZONES[number % 3], "m", number % 8)
             times = []
             for name, usual in CLASSES.items():
                 n = poisson(rng, self.rate / 2)
@@ -105,10 +105,10 @@
                     mean += math.log(departs.factor) + departs.drift * out
                 total = rng.gauss(n * mean, SIGMA * math.sqrt(n))
                 spread = SIGMA * SIGMA * rng.gammavariate((n - 1) / 2, 2.0) if n > 1 else 0.0
-                row.times[name] = (n, total, total * total / n + spread)
-                row.answers += n
+                row.response_times[name] = (n, total, total * total / n + spread)
+                row.successes += n
                 times.append(total / n - math.log(usual))
-            if row.answers or row.errors:
+            if row.successes or row.errors:
                 yield number, row, times
 
 
@@ -127,11 +127,11 @@
     def __init__(self) -> None:
         self.counts: dict[int, list[int]] = {}
 
-    def feed(self, number: int, row: Row) -> None:
+    def feed(self, number: int, row: ServerObservation) -> None:
         """A row."""
         count = self.counts.setdefault(number, [0, 0])
-        count[0] += row.answers
-        count[1] += row.answers + row.errors
+        count[0] += row.successes
+        count[1] += row.successes + row.errors
 
     def end(self, now: int) -> set[int]:
         """Who is out, each 10 s."""
@@ -152,7 +152,7 @@
         self.name = name
         self.all: dict[int, Any] = {}
 
-    def feed(self, number: int, row: Row, times: list[float], errors: bool) -> bool:
+    def feed(self, number: int, row: ServerObservation, times: list[float], errors: bool) -> bool:
         """A row; whether a drift is seen."""
         from river import drift
 
@@ -160,7 +160,7 @@
             made: Any = drift.ADWIN if self.name == "ADWIN" else partial(drift.PageHinkley, mode="up")
             self.all[number] = made()
         one: Any = self.all[number]
-        total = row.answers + row.errors
+        total = row.successes + row.errors
         value = row.errors / total if errors else sum(times) / len(times) if times else None
         if value is None:
             return False
@@ -180,7 +180,7 @@
 def play(trouble: Trouble | None, servers: int, seed: int, seconds: int, others: bool) -> Result:
     """One run."""
     fleet = Fleet(servers, trouble.rate if trouble else 10.0, seed, trouble)
-    ours, envoy = Departures(), Envoy()
+    ours, envoy = AnomalyDetector(), Envoy()
     river = [River("Page-Hinkley"), River("ADWIN")] if others else []
     names = ["ours", *(["Envoy"] if others else []), *(one.name for one in river)]
     delay: dict[str, float | None] = dict.fromkeys(names)
@@ -195,16 +195,16 @@
             wrong[name] += 1
 
     for now in range(WARM_S + seconds):
-        ours.begin((now + 1) * 1000.0)
+        ours.begin_round((now + 1) * 1000.0)
         for number, row, times in fleet.second(now):
-            ours.row(row)
+            ours.observe(row)
             if others:
                 envoy.feed(number, row)
                 for one in river:
                     if one.feed(number, row, times, errors):
                         named(one.name, number, now)
-        for told in ours.end():
-            if told.step is Step.BEGAN:
+        for told in ours.end_round():
+            if told.event_type is EventType.ANOMALY_BEGAN:
                 ours_named(named, told, now, trouble)
         if others:
             for number in envoy.end(now + 1):
@@ -217,9 +217,9 @@
     return Result(delay, wrong, at)
 
 
-def ours_named(named: Any, told: Told, now: int, trouble: Trouble | None) -> None:
+def ours_named(named: Any, told: TimelineEvent, now: int, trouble: Trouble | None) -> None:
     """An event of ours."""
-    wanted = Signal.ERRORS if trouble and trouble.errors else Signal.ANSWER_TIME
+    wanted = Signal.ERRORS if trouble and trouble.errors else Signal.RESPONSE_TIME
     number = int(told.subject[1:]) if told.scope.value == "server" and told.signal is wanted else -1
     named("ours", number, now)
 
--- a/benchmarks/cap_guidance.py
+++ b/benchmarks/cap_guidance.py
@@ -14,7 +14,7 @@
 from dataclasses import replace
 
 from balancer import interface as api
-from balancer.policy.balancer import EWMA, FEEDERS, Balancer
+from balancer.policy.balancer import EWMA_WEIGHT, NODES_PER_BACKEND, Balancer
 from balancer.policy.records import Backend, Request
 from balancer.testbed.simulation import Report, Scenario, play
 from balancer.testbed.simulation.policies import Policy
@@ -31,7 +31,7 @@
     told = 1
 
     def _cap(self, req: Request) -> int:
-        return self.told * self.cfg.node_count  # the dispatcher's share of it is the whole again
+        return self.told * self.settings.node_count  # the dispatcher's share of it is the whole again
 
 
 class Told(Balancer):
@@ -43,7 +43,7 @@
 
     def _report(self, b: Backend, report: api.LoadReport | None, fresh: bool) -> None:
         idle = report is not None and report.in_flight is not None and report.in_flight < 0.5
-        self.signs += EWMA / 10 * (idle - self.signs)
+        self.signs += EWMA_WEIGHT / 10 * (idle - self.signs)
         super()._report(b, report, fresh)
 
     def _guide(self, delta: float) -> int:
@@ -53,22 +53,22 @@
         return max(1, min(best, math.floor(1 / delta)))
 
     def _cap(self, req: Request) -> int:
-        return self._guide(self.signs) * self.cfg.node_count
+        return self._guide(self.signs) * self.settings.node_count
 
 
 class Feeders(Balancer):
     """The module's m, shared by those that feed a server and not by the whole group."""
 
     def _cap(self, req: Request) -> int:
-        sharing = min(FEEDERS, self.cfg.node_count)
-        return max(1, super()._cap(req) // sharing) * self.cfg.node_count
+        sharing = min(NODES_PER_BACKEND, self.settings.node_count)
+        return max(1, super()._cap(req) // sharing) * self.settings.node_count
 
 
 class Whole(Balancer):
     """The module's m, not shared."""
 
     def _cap(self, req: Request) -> int:
-        return super()._cap(req) * self.cfg.node_count
+        return super()._cap(req) * self.settings.node_count
 
 
 GUIDES: dict[str, type[Balancer]] = {"own": Balancer, "by feeders": Feeders, "unshared": Whole, "paper": Told}
--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -77,7 +77,9 @@
             self._arrive()
 
     def _arrive(self) -> None:
-        self.node.limit = self.node.least = 1e9  # what is out is set by the measurement
+        self.node.concurrency_limit = self.node.min_concurrency_limit = (
+            1e9  # what is out is set by the measurement
+        )
         rid = f"r{next(self.ids)}"
         event = api.RequestArrived(rid, self.rng.choice(CLASSES).name, self.now + 1000.0)
         for act in self.node.handle(self.now, event):
--- a/benchmarks/discovery_outage.py
+++ b/benchmarks/discovery_outage.py
@@ -47,7 +47,7 @@
 
     def __init__(self, clock: Clock, seed: int, frozen: bool) -> None:
         self.clock, self.frozen = clock, frozen
-        self.follow = ef.EtcdFollow("etcd", 3, random.Random(seed))
+        self.follow = ef.EtcdWatcher("etcd", 3, random.Random(seed))
         self.back: list[float] = []  # moments of what an etcd that is there again said
         self.watch = 0
 
@@ -58,20 +58,20 @@
 
     def hand(self, event: ef.Event) -> None:
         """An event; what was decided on it."""
-        heard = isinstance(event, ef.CheckAnswered) and event.call == self.follow.check_call
+        heard = isinstance(event, ef.CheckAnswered) and event.call_id == self.follow.check_call_id
         if heard and self.clock.now_ms >= UNTIL_MS:
             self.back.append(self.clock.now_ms)
         for action in self.follow.handle(self.clock.now_ms, event):
             match action:
                 case ef.SetTimer():
                     self._later(action.at_ms - self.clock.now_ms, ef.TimerFired(action.token))
-                case ef.Check():
-                    self._call(action.call, ef.CheckAnswered(action.call, WHERE))
-                case ef.Range():
-                    self._call(action.call, ef.PageAnswered(action.call, WHERE, (), b"", False))
-                case ef.Watch():
-                    self.watch = action.call
-                    self._call(action.call, ef.WatchCreated(action.call, WHERE))
+                case ef.CheckEndpoint():
+                    self._call(action.call_id, ef.CheckAnswered(action.call_id, WHERE))
+                case ef.FetchSnapshotPage():
+                    self._call(action.call_id, ef.SnapshotPageReceived(action.call_id, WHERE, (), b"", False))
+                case ef.OpenWatch():
+                    self.watch = action.call_id
+                    self._call(action.call_id, ef.WatchCreated(action.call_id, WHERE))
 
     def _call(self, call: int, answer: ef.Event) -> None:
         if not self.away:
@@ -79,7 +79,7 @@
         elif self.frozen:  # what it was asked is answered once it goes on
             self._later(UNTIL_MS - self.clock.now_ms + CALL_MS, answer)
         else:
-            self._later(CALL_MS, ef.CallFailed(call, ef.Trouble.FAILED, "refused"))
+            self._later(CALL_MS, ef.CallFailed(call, ef.CallFault.FAILED, "refused"))
 
     def _later(self, wait_ms: float, event: ef.Event) -> None:
         self.clock.at(self.clock.now_ms + wait_ms, lambda: self.hand(event))
@@ -87,7 +87,7 @@
     def lose(self) -> None:
         """etcd goes: whoever only stands still does not say so."""
         if not self.frozen:
-            self.hand(ef.CallFailed(self.watch, ef.Trouble.FAILED, "the connection ended"))
+            self.hand(ef.CallFailed(self.watch, ef.CallFault.FAILED, "the connection ended"))
 
 
 class PlatformNode:
@@ -95,7 +95,9 @@
 
     def __init__(self, clock: Clock, seed: int, frozen: bool) -> None:
         self.clock = clock
-        self.follow = pf.PlatformFollow(random.Random(seed), False, pf.MOST_MS / pf.WAIT_PART)
+        self.follow = pf.PlatformWatcher(
+            random.Random(seed), False, pf.MAX_RETRY_WAIT_MS / pf.RETRY_WAIT_PER_DRAIN_GRACE
+        )
         self.back: list[float] = []
 
     def hand(self, event: pf.Event) -> None:
@@ -103,18 +105,18 @@
         now_ms = self.clock.now_ms
         for action in self.follow.handle(now_ms, event, 1):
             match action:
-                case pf.Wait():
-                    self.clock.at(action.until_ms, lambda: self.hand(pf.Due()))
-                case pf.WatchFrom():
+                case pf.SetRetryTimer():
+                    self.clock.at(action.at_ms, lambda: self.hand(pf.RetryTimerFired()))
+                case pf.StartWatch():
                     if now_ms >= UNTIL_MS:
                         self.back.append(now_ms)
                     away = FROM_MS <= now_ms < UNTIL_MS
-                    answer = pf.Ended(False) if away else pf.Answered()
+                    answer = pf.CallEnded(False) if away else pf.DiscoveryAnswered()
                     self.clock.at(now_ms + CALL_MS, lambda said=answer: self.hand(said))  # type: ignore[misc]
 
     def lose(self) -> None:
         """Discovery goes: its watches end."""
-        self.hand(pf.Ended(False))
+        self.hand(pf.CallEnded(False))
 
 
 def crowd(moments: list[float], within_ms: float = 1000.0) -> int:
@@ -133,7 +135,7 @@
         clock, rng = Clock(), random.Random(7)
         fleet = [kind(clock, seed, frozen) for seed in range(nodes)]
         for node in fleet:
-            begin = ef.Started() if isinstance(node, EtcdNode) else pf.Wanted(True)
+            begin = ef.WatcherStarted() if isinstance(node, EtcdNode) else pf.SubscriptionChanged(True)
             clock.at(rng.uniform(0, 1000.0), lambda n=node, e=begin: n.hand(e))  # type: ignore[misc]
             clock.at(FROM_MS, node.lose)
         clock.run(UNTIL_MS + AFTER_MS)
--- a/benchmarks/failure_detection.py
+++ b/benchmarks/failure_detection.py
@@ -24,7 +24,7 @@
 from balancer.core.cluster import failure_detector as pr
 from balancer.protocol import gossip
 
-PERIOD = pr.PERIOD_MS
+PERIOD = pr.PROBE_INTERVAL_MS
 
 
 class Net:
@@ -43,23 +43,23 @@
         self.now = 0.0
         self.heap: list[tuple[float, int, str, object]] = []
         self.count = 0
-        self.nodes: dict[str, pr.Peers] = {}  # by address
+        self.nodes: dict[str, pr.FailureDetector] = {}  # by address
         self.wakes: dict[str, float] = {}
         self.stalled: dict[str, tuple[float, float]] = {}  # address -> since, until
         self.cut: Callable[[str, str], bool] = lambda one, other: False
         self.sent = self.bytes = self.largest = 0
         self.firsts: dict[tuple[str, str, int], str] = {}  # what, of whom, its incarnation -> by whom first
-        self.told: list[tuple[float, str, pr.Tell]] = []
+        self.told: list[tuple[float, str, pr.NotifyPeerChange]] = []
         names = [f"n{number}" for number in range(count)]
         for name in names:
             self.add(name, [self.address(name) for name in names[:3]], 0)
         if not cold:
-            words = [pr.Word(name, pr.State.ALIVE, 1, self.address(name)) for name in names]
+            words = [pr.MemberRecord(name, pr.PeerState.ALIVE, 1, self.address(name)) for name in names]
             for node in self.nodes.values():
                 for word in self.random.sample(words, count):
                     if word.name != node.name:
-                        node._take(0.0, word, "")
-                node._rumours = pr._Rumours()
+                        node._merge(0.0, word, "")
+                node._pending_broadcasts = pr.PendingBroadcasts()
         for address in self.nodes:
             self.do(address, pr.Started())
 
@@ -68,10 +68,17 @@
         number = int(name[1:])
         return f"10.0.{number >> 8}.{number & 255}:7946"
 
-    def add(self, name: str, seeds: Sequence[str], kept: int | None, at: str = "") -> pr.Peers:
+    def add(self, name: str, seeds: Sequence[str], kept: int | None, at: str = "") -> pr.FailureDetector:
         where = at or self.address(name)
-        node = pr.Peers(
-            name, where, seeds, kept, Random(self.random.random()), gossip.cost, gossip.room, self.options
+        node = pr.FailureDetector(
+            name,
+            where,
+            seeds,
+            kept,
+            Random(self.random.random()),
+            gossip.record_size_bytes,
+            gossip.record_space_bytes,
+            self.options,
         )
         self.nodes[where] = node
         return node
@@ -85,25 +92,27 @@
         if node is None:
             return
         for action in node.handle(self.now, event):
-            if isinstance(action, pr.Send):
+            if isinstance(action, pr.SendDatagram):
                 self.send(address, action, node)
-            elif isinstance(action, pr.Wake):
+            elif isinstance(action, pr.SetTimer):
                 if action.at_ms != self.wakes.get(address):
                     self.wakes[address] = action.at_ms
                     self.push(action.at_ms, address, action.at_ms)
-            elif isinstance(action, pr.Tell):
+            elif isinstance(action, pr.NotifyPeerChange):
                 self.told.append((self.now, node.name, action))
-                if action.what in _BAD:
-                    its = node.peers[action.name].word.incarnation
-                    self.firsts.setdefault((action.what, action.name, its), node.name)
+                if action.change in _BAD:
+                    its = node.peers[action.name].record.incarnation
+                    self.firsts.setdefault((action.change, action.name, its), node.name)
 
-    def send(self, source: str, action: pr.Send, node: pr.Peers) -> None:
-        words = sum(map(gossip.cost, action.message.words))
-        size = gossip.SIZE - gossip.room(node.name, action.message) + words
+    def send(self, source: str, action: pr.SendDatagram, node: pr.FailureDetector) -> None:
+        words = sum(map(gossip.record_size_bytes, action.message.records))
+        size = gossip.MAX_DATAGRAM_BYTES - gossip.record_space_bytes(node.name, action.message) + words
         self.sent, self.bytes, self.largest = self.sent + 1, self.bytes + size, max(self.largest, size)
-        if self.random.random() >= self.loss and not self.cut(source, action.to):
+        if self.random.random() >= self.loss and not self.cut(source, action.address):
             at = self.now + self.random.uniform(*self.delay_ms)
-            self.push(at, action.to, pr.Heard(node.name, action.incarnation, source, action.message))
+            self.push(
+                at, action.address, pr.DatagramReceived(node.name, action.incarnation, source, action.message)
+            )
 
     def stall(self, address: str, ms: float) -> None:
         self.stalled[address] = (self.now, self.now + ms)
@@ -118,15 +127,15 @@
                 if what == "on" and at >= end:
                     del self.stalled[address]
                     if end - since > 1_000:
-                        self.do(address, pr.Stood(end - since))
-                    self.do(address, pr.Ticked())
+                        self.do(address, pr.ProcessStalled(end - since))
+                    self.do(address, pr.TimerFired())
                 else:
                     self.push(end + 0.01, address, what)  # waits in its socket
                 continue
             if isinstance(what, float):
                 if what == self.wakes.get(address):
-                    self.do(address, pr.Ticked())
-            elif isinstance(what, pr.Heard):
+                    self.do(address, pr.TimerFired())
+            elif isinstance(what, pr.DatagramReceived):
                 self.do(address, what)
             if done and done():
                 return
@@ -170,12 +179,12 @@
 
             def done(net: Net = net, seen: list[int] = seen, size: int = size) -> bool:
                 for _, _, tell in net.told[seen[0] :]:
-                    seen[1] += tell.what == "failed" and tell.name == "n1"
+                    seen[1] += tell.change == "failed" and tell.name == "n1"
                 seen[0] = len(net.told)
                 return seen[1] >= size - 1
 
             net.run(died + 20_000, done)
-            of = [(at, tell.what) for at, _, tell in net.told if tell.name == "n1"]
+            of = [(at, tell.change) for at, _, tell in net.told if tell.name == "n1"]
             first = {w: min((at for at, what in of if what == w), default=math.nan) for w in _BAD}
             seconds = (rates[2] - 1_000) / 1_000
             node = next(iter(net.nodes.values()))
@@ -184,7 +193,7 @@
                     first["suspected"] - died,
                     first["failed"] - died,
                     net.now - died,
-                    node.suspicion_ms(pr.SHARERS),
+                    node.suspicion_timeout_ms(pr.MAX_SUSPICION_CONFIRMATIONS),
                     rates[0] / size / max(seconds, 0.05),
                     rates[1] / size / max(seconds, 0.05),
                 ]
@@ -207,12 +216,18 @@
 _BAD = ("suspected", "failed")
 VARIANTS = {
     "all": pr.Options(),
-    "no local health": pr.Options(health=False),
-    "no dogpile": pr.Options(dogpile=False),
-    "no buddy": pr.Options(buddy=False),
-    "no filling": pr.Options(fill=False),
-    "no news at once": pr.Options(news=False),
-    "SWIM alone": pr.Options(health=False, dogpile=False, buddy=False, fill=False, news=False),
+    "no local health": pr.Options(local_health=False),
+    "no dogpile": pr.Options(dogpile_suspicion=False),
+    "no buddy": pr.Options(buddy_system=False),
+    "no filling": pr.Options(fill_datagrams=False),
+    "no news at once": pr.Options(immediate_gossip=False),
+    "SWIM alone": pr.Options(
+        local_health=False,
+        dogpile_suspicion=False,
+        buddy_system=False,
+        fill_datagrams=False,
+        immediate_gossip=False,
+    ),
 }
 
 
@@ -268,7 +283,7 @@
         cold = Net(size, 3, cold=True)
 
         def whole(net: Net) -> bool:
-            return all(len(node._ring) == len(net.nodes) - 1 for node in net.nodes.values())
+            return all(len(node._probe_ring) == len(net.nodes) - 1 for node in net.nodes.values())
 
         def until(net: Net, done: Callable[[Net], bool], most: float) -> float:
             start = net.now
@@ -285,7 +300,7 @@
 
         def parted(net: Net, few: int = few, side: dict[str, bool] = side) -> bool:
             most = {True: few - 1, False: len(side) - few - 1}
-            return all(len(node._ring) <= most[side[at]] for at, node in net.nodes.items())
+            return all(len(node._probe_ring) <= most[side[at]] for at, node in net.nodes.items())
 
         cut = until(net, parted, 30_000)
         net.run(31_000)
@@ -318,7 +333,7 @@
         "HMAC-SHA256, state copied": copied,
         "BLAKE2s keyed": lambda: hashlib.blake2s(data, key=secret, digest_size=16).digest(),
         "BLAKE2b keyed": lambda: hashlib.blake2b(data, key=secret, digest_size=16).digest(),
-        "BLAKE2s keyed, state copied (Key.code)": lambda: keyed.code(data),
+        "BLAKE2s keyed, state copied (Key.code)": lambda: keyed.mac(data),
     }
     try:
         from blake3 import blake3  # type: ignore[import-not-found]  # not among the requirements
@@ -327,7 +342,7 @@
     else:
         kinds["BLAKE3 keyed"] = lambda: blake3(data, key=secret).digest(length=16)
     words = [(f"n{number}", 0, 5, f"10.0.0.{number}:7946", 0) for number in range(9)]
-    writer, message = gossip.Writer("n1", [keyed]), gossip.Told(1, 7, "n2", "", words)
+    writer, message = gossip.Writer("n1", [keyed]), gossip.Message(1, 7, "n2", "", words)
     one = writer.write(3, message)
     reader, forger = gossip.Reader([keyed]), gossip.Reader([keyed])
     forged = one[:-1] + bytes((one[-1] ^ 1,))
@@ -337,7 +352,7 @@
     kinds["forged, each checked"] = lambda: forger.read(next(clock) * 1_000, "a", forged)
     kinds["forged, beyond the bound"] = lambda: forger.read(0, "b", forged)
     kinds["unknown key"] = lambda: forger.read(0, "b", b"\1\1zz" + forged[4:])
-    for _ in range(gossip.FORGED + 1):
+    for _ in range(gossip.MAX_FORGED_PER_S + 1):
         forger.read(0, "b", forged)
     _head("what", "us")
     for name, what in kinds.items():
@@ -350,7 +365,7 @@
     key = gossip.Key(bytes(32))
     words = [(f"n{number}", 0, 5, f"10.0.0.{number}:7946", 0) for number in range(9)]
     writer, reader = gossip.Writer("n1", [key]), gossip.Reader([key])
-    both = _us(lambda: reader.read(0, "a", writer.write(3, gossip.Told(1, 7, "n2", "", words))), 10_000)
+    both = _us(lambda: reader.read(0, "a", writer.write(3, gossip.Message(1, 7, "n2", "", words))), 10_000)
     for size in sizes:
         net = Net(size, 1)
         net.run(1_000)
--- a/benchmarks/failure_detection_processes.py
+++ b/benchmarks/failure_detection_processes.py
@@ -44,7 +44,7 @@
     while True:
         try:
             return await asyncio.to_thread(control.ask, Path(node.socket), word, **more)
-        except control.ControlError:
+        except control.AdminSocketError:
             await asyncio.sleep(0.1)
 
 
--- a/benchmarks/gossiped_removals.py
+++ b/benchmarks/gossiped_removals.py
@@ -20,25 +20,25 @@
 from balancer.core.cluster import gossiped_removals as hearsay
 from balancer.core.cluster import node_state as views
 from balancer.core.cluster.gossiped_removals import (
-    Answer,
-    Asked,
-    Hearsay,
-    Out,
-    Own,
-    Question,
-    Rule,
-    Told,
+    AcceptanceRule,
+    GossipedRemovals,
+    QueryRemovals,
+    RemovalsQueried,
+    RemovalsReceived,
+    ReportedRemoval,
+    SendRemovals,
+    SourceAdvanced,
 )
 from balancer.core.discovery.endpoint_merger import (
     Action,
-    Apply,
-    Continue,
-    Continued,
-    Listed,
-    Membership,
+    ApplyEndpoints,
+    EndpointMerger,
+    EndpointsListed,
+    NextSliceDue,
+    ScheduleNextSlice,
     Source,
 )
-from balancer.core.staggering import Turns
+from balancer.core.staggering import StaggeredSchedule
 from balancer.endpoints import EndpointList, EndpointRecord
 from balancer.interface import Phase
 from balancer.protocol import gossip_sections as goes_by
@@ -55,7 +55,7 @@
 SERVERS = 100
 
 
-def fits(source: str, out: Sequence[Out]) -> int:
+def fits(source: str, out: Sequence[ReportedRemoval]) -> int:
     """How many fit a datagram of a node with a name of 8 bytes."""
     count = 0
     while count < len(out) and 2 + len(packed(source, out[: count + 1])) <= room("node-123"):
@@ -63,35 +63,46 @@
     return count
 
 
-def packed(source: str, out: Sequence[Out]) -> bytes:
-    return goes_by.out(source, ORDER, [(one.server, one.revision, int(one.gone)) for one in out])
+def packed(source: str, out: Sequence[ReportedRemoval]) -> bytes:
+    return goes_by.encode_removals(
+        source, ORDER, [(one.endpoint_id, one.revision, int(one.is_gone)) for one in out]
+    )
 
 
 class Town(World):
     """Nodes with views of SERVERS servers, and what they tell each other of them."""
 
-    def __init__(self, count: int, seed: int, loss: float = 0.0, rule: Rule = Rule.TAKEN) -> None:
+    def __init__(
+        self,
+        count: int,
+        seed: int,
+        loss: float = 0.0,
+        rule: AcceptanceRule = AcceptanceRule.TWO_REPORTERS_OR_ONLY_SOURCE,
+    ) -> None:
         super().__init__(count, seed, loss)
         self.revision, self.silent_at = 1, dict.fromkeys(self.nodes, float("inf"))
-        self.hearsay: dict[str, Hearsay] = {}
-        self.merge: dict[str, Membership] = {}
+        self.hearsay: dict[str, GossipedRemovals] = {}
+        self.merge: dict[str, EndpointMerger] = {}
         self.held = dict.fromkeys(self.nodes, 1)  # the revision that the own source has told
         self.up: dict[str, list[float]] = {}  # when a node's view changed
         self.asks = 0
         for number, address in enumerate(self.nodes):
             random = Random(seed * 77 + number)
-            self.hearsay[address] = Hearsay(Turns(number, count, 50), random, fits, rule)
-            self.merge[address] = Membership([Source("platform"), hearsay.source()])
+            self.hearsay[address] = GossipedRemovals(StaggeredSchedule(number, count, 50), random, fits, rule)
+            self.merge[address] = EndpointMerger([Source("platform"), hearsay.gossip_source()])
             everything = tuple(map(member, range(SERVERS)))
-            self.listed(address, Listed("platform", "p", EndpointList(1, True, everything)))
-            self.hearsay[address].handle(0, Own("platform", ORDER, 1, True))
+            self.listed(address, EndpointsListed("platform", "p", EndpointList(1, True, everything)))
+            self.hearsay[address].handle(0, SourceAdvanced("platform", ORDER, 1, True))
 
-    def listed(self, address: str, event: Listed) -> None:
-        todo: list[Listed | Continued] = [event]
+    def listed(self, address: str, event: EndpointsListed) -> None:
+        todo: list[EndpointsListed | NextSliceDue] = [event]
         while todo:
             done: list[Action] = self.merge[address].handle(self.now, todo.pop())
-            todo += [Continued() for action in done if isinstance(action, Continue)]
-            if any(isinstance(action, Apply) and action.removed + action.members for action in done):
+            todo += [NextSliceDue() for action in done if isinstance(action, ScheduleNextSlice)]
+            if any(
+                isinstance(action, ApplyEndpoints) and action.removed_records + action.records
+                for action in done
+            ):
                 self.up.setdefault(address, []).append(self.now)
 
     def out(self, number: int, gone: bool = False) -> None:
@@ -105,8 +116,10 @@
                 changes = EndpointList(
                     self.revision, False, () if gone else (drains,), (name,) if gone else ()
                 )
-                self.listed(address, Listed("platform", "p", changes))
-                own = Own("platform", ORDER, self.revision, True, (Out(name, self.revision, gone),))
+                self.listed(address, EndpointsListed("platform", "p", changes))
+                own = SourceAdvanced(
+                    "platform", ORDER, self.revision, True, (ReportedRemoval(name, self.revision, gone),)
+                )
                 self.hearsay[address].handle(self.now, own)
                 self.held[address] = self.revision
 
@@ -116,27 +129,32 @@
         self.silent_at |= dict.fromkeys(addresses, self.now + SILENT_MS)
 
     def after_round(self) -> None:
-        sent: list[tuple[str, Question | Answer]] = []
+        sent: list[tuple[str, QueryRemovals | SendRemovals]] = []
         for number, (address, node) in enumerate(self.nodes.items()):
             silent = self.now >= self.silent_at[address]
             own, its = self.hearsay[address], self.views[address]
-            own.handle(self.now, Own("platform", ORDER, self.held[address], not silent))
-            flags = views.NO_DISCOVERY if silent else 0
+            own.handle(self.now, SourceAdvanced("platform", ORDER, self.held[address], not silent))
+            flags = views.FLAG_NO_DISCOVERY if silent else 0
             self.say(address, goes(node.name, number, self.held[address], flags=flags, digest=0))
-            words = [its.words[name] for name in its.here if name in its.words]
-            round_ = hearsay.Round(words, its.here, self.merge[address].view)
+            words = [its.states[name] for name in its.peer_addresses if name in its.states]
+            round_ = hearsay.GossipIntervalElapsed(words, its.peer_addresses, self.merge[address].view)
             for action in own.handle(self.now, round_):
-                if isinstance(action, Listed):
+                if isinstance(action, EndpointsListed):
                     self.listed(address, action)
-                elif isinstance(action, Question | Answer):
+                elif isinstance(action, QueryRemovals | SendRemovals):
                     sent.append((address, action))
-                self.asks += isinstance(action, hearsay.Ask)
+                self.asks += isinstance(action, hearsay.FetchSnapshot)
         for address, action in sent:
-            if self.passes(address, action.to) and isinstance(action, Question):
-                asked = Asked(address, action.source, action.order, action.since)
-                for answer in self.hearsay[action.to].handle(self.now, asked):
-                    if isinstance(answer, Answer) and self.passes(action.to, address):
-                        told = Told(self.nodes[action.to].name, answer.source, answer.order, answer.out)
+            if self.passes(address, action.address) and isinstance(action, QueryRemovals):
+                asked = RemovalsQueried(address, action.source, action.identity_hash, action.since_revision)
+                for answer in self.hearsay[action.address].handle(self.now, asked):
+                    if isinstance(answer, SendRemovals) and self.passes(action.address, address):
+                        told = RemovalsReceived(
+                            self.nodes[action.address].name,
+                            answer.source,
+                            answer.identity_hash,
+                            answer.removals,
+                        )
                         self.hearsay[address].handle(self.now, told)
 
     def passes(self, one: str, other: str) -> bool:
@@ -144,10 +162,10 @@
 
     def lie(self, liars: Sequence[str], numbers: Sequence[int], revision: int = 10**9) -> None:
         """Some tell all others that servers are gone, at a revision in the future."""
-        words = tuple(Out(f"server-{number}", revision, True) for number in numbers)
+        words = tuple(ReportedRemoval(f"server-{number}", revision, True) for number in numbers)
         for address in self.nodes:
             for liar in liars:
-                self.hearsay[address].handle(self.now, Told(liar, "platform", ORDER, words))
+                self.hearsay[address].handle(self.now, RemovalsReceived(liar, "platform", ORDER, words))
 
     def missing(self, address: str) -> int:
         """Servers that this node sends nothing new to."""
@@ -165,7 +183,7 @@
         "after 10 s: known, s (worst)",
         "asks of discovery",
     )
-    for rule in Rule:
+    for rule in AcceptanceRule:
         for hears, loss in ((size - 1, 0.0), (size - 1, 0.3), (size // 2, 0.0), (2, 0.0), (1, 0.0)):
             times: list[list[float]] = [[], []]
             asks = 0
@@ -194,7 +212,7 @@
 def lies(size: int, seeds: int) -> None:
     """One, or two that agree, tell for 30 s that all servers are gone: how many a node leaves out at most."""
     _head("rule", "liars", "all hear discovery", "half do", "the liars alone do", "30 s after all hear it")
-    for rule in Rule:
+    for rule in AcceptanceRule:
         for count in (1, 2):
             most = [0, 0, 0]
             after = 0
