--- a/benchmarks/list_change_cost.py
+++ b/benchmarks/list_change_cost.py
@@ -15,15 +15,15 @@
 from statistics import median
 
 from balancer.core.discovery.endpoint_merger import (
-    Apply,
-    Listed,
-    Membership,
-    Role,
+    ApplyEndpoints,
+    EndpointMerger,
+    EndpointsListed,
     Source,
+    SourceRole,
 )
 from balancer.endpoints import EndpointList, EndpointRecord
 from balancer.interface import Endpoint, EndpointsUpdated, Phase
-from balancer.net.backend_pool import Pool
+from balancer.net.backend_pool import BackendPool
 from balancer.platform_settings import parse
 from balancer.policy.balancer import Balancer
 from balancer.testbed.service_profile import Site
@@ -49,24 +49,26 @@
         self.size, self.layer = size, layer
         self.rng = random.Random(size)
         settings = parse(Site().settings(0, NODES))
-        self.merge = Membership([Source("platform"), Source(WHO, Role.FULL, pieces=True)])
-        self.pool = None if layer == LAYERS[0] else Pool(settings, 400)
+        self.merge = EndpointMerger(
+            [Source("platform"), Source(WHO, SourceRole.FULL, has_partial_revisions=True)]
+        )
+        self.pool = None if layer == LAYERS[0] else BackendPool(settings, 400)
         self.module = Balancer(settings, 1) if layer == LAYERS[2] else None
         self.now_ms, self.revision = 0.0, 1
         self.spent: list[list[float]] = [[] for _ in KINDS]
-        self._hand(Listed("platform", "127.0.0.1:1", EndpointList(1, True, ()), saved=True))
+        self._hand(EndpointsListed("platform", "127.0.0.1:1", EndpointList(1, True, ()), is_cached=True))
         whole = EndpointList(1, True, tuple(server(n) for n in range(size)))
-        self._hand(Listed(WHO, ORDER, whole, saved=True))
+        self._hand(EndpointsListed(WHO, ORDER, whole, is_cached=True))
 
-    def _hand(self, event: Listed) -> None:
+    def _hand(self, event: EndpointsListed) -> None:
         self.now_ms += 1.0
         for action in self.merge.handle(self.now_ms, event):
-            if not isinstance(action, Apply):
+            if not isinstance(action, ApplyEndpoints):
                 continue
             if self.pool is not None:
-                self.pool.update(action.members, [m.id for m in action.removed])
+                self.pool.update(action.records, [m.id for m in action.removed_records])
             if self.module is not None:
-                entries = [m.endpoint for m in (*action.removed, *action.members)]
+                entries = [m.endpoint for m in (*action.removed_records, *action.records)]
                 self.module.handle(self.now_ms, EndpointsUpdated(action.kind, entries, action.revision))
 
     def turn(self) -> None:
@@ -78,7 +80,7 @@
             words = (((lighter,), ()), ((drains,), ()), ((), (one.id,)), ((one,), ()))
             for spent, (said, gone) in zip(self.spent, words, strict=True):
                 self.revision += 1
-                event = Listed(WHO, ORDER, EndpointList(self.revision, False, said, gone))
+                event = EndpointsListed(WHO, ORDER, EndpointList(self.revision, False, said, gone))
                 began = time.perf_counter_ns()
                 self._hand(event)
                 spent.append((time.perf_counter_ns() - began) / 1e6)
--- a/benchmarks/list_processing_stalls.py
+++ b/benchmarks/list_processing_stalls.py
@@ -17,19 +17,19 @@
 from pathlib import Path
 from typing import Any
 
-from balancer.core.discovery.endpoint_merger import Listed, Membership, Source
+from balancer.core.discovery.endpoint_merger import EndpointMerger, EndpointsListed, Source
 from balancer.net import persistence as state
-from balancer.net.admin_socket import Control
-from balancer.net.backend_pool import Pool
-from balancer.net.component import Running
+from balancer.net.admin_socket import AdminSocket
+from balancer.net.backend_pool import BackendPool
+from balancer.net.component import RunningNode
 from balancer.net.config import load
 from balancer.net.discovery import platform
-from balancer.net.discovery.platform import Call, PlatformSource
-from balancer.net.endpoint_view import Fleet
-from balancer.net.persistence import StatePart
-from balancer.net.recovery import RecoveryPart
-from balancer.net.request_dispatcher import Node
-from balancer.operator_settings import Operators, StateSettings
+from balancer.net.discovery.platform import DiscoveryCall, PlatformSource
+from balancer.net.endpoint_view import EndpointView
+from balancer.net.persistence import PersistenceComponent
+from balancer.net.recovery import RecoveryComponent
+from balancer.net.request_dispatcher import RequestDispatcher
+from balancer.operator_settings import OperatorSettings, StateSettings
 from balancer.policy.balancer import Balancer
 from balancer.testbed.service_profile import Site
 from benchmarks.measured_process import Probe
@@ -37,11 +37,11 @@
 
 NODES = 1000  # that share the fleet, as the settings say
 PARTS: dict[str, tuple[Any, tuple[str, ...]]] = {
-    "read": (Call, ("_read", "data_received")),
-    "merge": (Membership, ("handle",)),
-    "pool": (Pool, ("update",)),
+    "read": (DiscoveryCall, ("_read", "data_received")),
+    "merge": (EndpointMerger, ("handle",)),
+    "pool": (BackendPool, ("update",)),
     "module": (Balancer, ("handle",)),
-    "keeping": (state.Memory, ("_heard", "_work", "_sync", "_begin", "_tell")),
+    "keeping": (state.PersistenceSession, ("_heard", "_work", "_sync", "_begin", "_tell")),
     "learned": (Balancer, ("learned",)),
 }
 
@@ -140,25 +140,29 @@
         }
         (path / "node.json").write_text(json.dumps(table))
         config = load({"PROXY_CONFIG": str(path / "node.json")})
-        self.node, source = Node(config), Source(platform.NAME)
-        self.fleet = Fleet(self.node, [source])
-        identity = platform.identity(config.discovery)
-        self.fleet.hand(Listed(platform.NAME, identity, config.known, saved=True))
+        self.node, source = RequestDispatcher(config), Source(platform.SOURCE_NAME)
+        self.fleet = EndpointView(self.node, [source])
+        identity = platform.source_identity(config.discovery_address)
+        self.fleet.handle(
+            EndpointsListed(platform.SOURCE_NAME, identity, config.configured_endpoints, is_cached=True)
+        )
         self.source = PlatformSource(
-            config.discovery,
+            config.discovery_address,
             False,
             1000.0,
             self.node.now,
-            self.fleet.hand,
-            lambda: self.fleet.resume(platform.NAME),
+            self.fleet.handle,
+            lambda: self.fleet.watch_revision(platform.SOURCE_NAME),
             lambda: None,
         )
-        running = Running(self.node, self.fleet, (source,), Control(), name="n0", parts={"imports": 1.0})
-        self.recovery = RecoveryPart(running) if kept else None
-        self.state = StatePart(running) if kept else None
+        running = RunningNode(
+            self.node, self.fleet, (source,), AdminSocket(), name="n0", start_phases_ms={"imports": 1.0}
+        )
+        self.recovery = RecoveryComponent(running) if kept else None
+        self.state = PersistenceComponent(running) if kept else None
         if self.state is not None and self.recovery is not None:
             (path / "state").mkdir(exist_ok=True)
-            on = Operators(state=StateSettings(directory=path / "state", every=1))
+            on = OperatorSettings(state=StateSettings(directory=path / "state", every=1))
             self.recovery.apply(on)
             self.state.apply(on)
 
@@ -166,12 +170,14 @@
         """So many servers of this weight are in the module, and all is kept."""
         while True:
             await asyncio.sleep(0.01)
-            order, memory = self.node.balancer.index.order, self.state and self.state.memory
-            if len(order) < size or any(e[3].entry.weight != weight for e in order) or not self.node.ready:
+            order, memory = self.node.balancer.index.order, self.state and self.state.session
+            if len(order) < size or any(e[3].endpoint.weight != weight for e in order) or not self.node.ready:
                 continue
             if self.state is None:
                 return
-            if memory and not (memory._queue or memory.keeping.state.dirty or memory.keeping.state.out):
+            if memory and not (
+                memory._changed_ids or memory.write_behind.state.dirty or memory.write_behind.state.in_flight
+            ):
                 return
 
     async def close(self) -> None:
@@ -202,7 +208,7 @@
 
     subject = Subject(path, port, kept)
     async with asyncio.timeout(60):
-        while subject.state is not None and subject.state.memory is None:
+        while subject.state is not None and subject.state.session is None:
             await asyncio.sleep(0.01)
     gc.freeze()
     for revision, what in ((1, "first list"), (2, "another list")):
--- a/benchmarks/measured_process.py
+++ b/benchmarks/measured_process.py
@@ -26,18 +26,18 @@
 
 from balancer import operator_settings as operators
 from balancer.core.discovery import endpoint_merger as membership
-from balancer.core.discovery.endpoint_merger import Listed, Source
+from balancer.core.discovery.endpoint_merger import EndpointsListed, Source
 from balancer.net import application as assemble
-from balancer.net.admin_socket import Control
-from balancer.net.backend_pool import Pool
+from balancer.net.admin_socket import AdminSocket
+from balancer.net.backend_pool import BackendPool
 from balancer.net.config import Config, load
 from balancer.net.discovery import platform
-from balancer.net.discovery.etcd import EtcdSource
+from balancer.net.discovery.etcd import EtcdDiscovery
 from balancer.net.discovery.platform import PlatformSource
-from balancer.net.endpoint_view import Fleet, ViewSink
-from balancer.net.etcd_component import EtcdPart
-from balancer.net.request_dispatcher import Node
-from balancer.operator_settings import Operators
+from balancer.net.endpoint_view import EndpointView, ViewSink
+from balancer.net.etcd_component import EtcdComponent
+from balancer.net.request_dispatcher import RequestDispatcher
+from balancer.operator_settings import OperatorSettings
 
 EVERY = 0.001  # s between two looks at the loop
 WORTH = 1.0  # ms of lateness, or of a collection, that are kept
@@ -78,38 +78,45 @@
     """Takes changes of the view as a node does, without its decision module."""
 
     def __init__(self, config: Config) -> None:
-        self.pool = Pool(config.settings, config.upstream_sockets)
+        self.pool = BackendPool(config.settings, config.max_backend_sockets)
 
     def now(self) -> float:
         """Milliseconds; never goes back."""
         return time.monotonic() * 1000
 
-    def apply(self, change: membership.Apply) -> None:
+    def apply(self, change: membership.ApplyEndpoints) -> None:
         """Take a change."""
-        self.pool.update(change.members, [m.id for m in change.removed])
+        self.pool.update(change.records, [m.id for m in change.removed_records])
 
 
-async def parts(config: Config, settings: Operators, sink: ViewSink) -> None:
+async def parts(config: Config, settings: OperatorSettings, sink: ViewSink) -> None:
     """The membership of a node, put together as `assemble.serve` does, until SIGTERM."""
-    listed = Source(platform.NAME)
-    fleet = Fleet(sink, [listed])
+    listed = Source(platform.SOURCE_NAME)
+    fleet = EndpointView(sink, [listed])
     discovery = PlatformSource(
-        config.discovery,
+        config.discovery_address,
         False,
         config.settings.drain_grace_ms,
         sink.now,
-        fleet.hand,
-        lambda: fleet.resume(platform.NAME),
+        fleet.handle,
+        lambda: fleet.watch_revision(platform.SOURCE_NAME),
         lambda: None,
     )
-    etcd = EtcdPart(fleet, (listed,), lambda table, seen: EtcdSource(table, fleet.hand, seen=seen))
-    control = Control()
+    etcd = EtcdComponent(fleet, (listed,), lambda table, seen: EtcdDiscovery(table, fleet.handle, seen=seen))
+    control = AdminSocket()
     control.register("members", fleet.report)
     if settings.control is not None:
         await control.listen(settings.control.socket)
     stop = asyncio.Event()
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, stop.set)
-    fleet.hand(Listed(platform.NAME, platform.identity(config.discovery), config.known, saved=True))
+    fleet.handle(
+        EndpointsListed(
+            platform.SOURCE_NAME,
+            platform.source_identity(config.discovery_address),
+            config.configured_endpoints,
+            is_cached=True,
+        )
+    )
     discovery.watch(True)
     etcd.apply(settings)
     gc.freeze()
@@ -120,7 +127,7 @@
     await control.close()
 
 
-async def watched(mode: str, config: Config, path: Path | None, settings: Operators) -> Probe:
+async def watched(mode: str, config: Config, path: Path | None, settings: OperatorSettings) -> Probe:
     """Run it with the probe beside it."""
     probe = Probe()
     if os.environ.get(LOOK) != "0":
@@ -128,7 +135,7 @@
     if mode == "node":
         await assemble.serve(config, path, settings)
     else:
-        await parts(config, settings, Node(config) if mode == "module" else PoolSink(config))
+        await parts(config, settings, RequestDispatcher(config) if mode == "module" else PoolSink(config))
     return probe
 
 
@@ -140,7 +147,9 @@
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(message)s")
     config, named = load(os.environ), os.environ.get("BALANCER_SETTINGS")
     path = Path(named) if named else None
-    probe = uvloop.run(watched(sys.argv[1], config, path, operators.load(path) if path else Operators()))
+    probe = uvloop.run(
+        watched(sys.argv[1], config, path, operators.load(path) if path else OperatorSettings())
+    )
     print(json.dumps({"lags": probe.lags, "collections": probe.collections}))
     return 0
 
--- a/benchmarks/node_state_gossip.py
+++ b/benchmarks/node_state_gossip.py
@@ -25,17 +25,19 @@
 from benchmarks.failure_detection import Net, _head, _line
 
 
-def cost(word: views.Goes) -> int:
-    return 2 + len(goes_by.goes_by(word))
+def cost(word: views.AdvertisedState) -> int:
+    return 2 + len(goes_by.encode_node_state(word))
 
 
 def room(name: str) -> int:
-    return gossip.room(name, gossip.Told(goes_by.KIND, 0, "", "", ()))
+    return gossip.record_space_bytes(name, gossip.Message(goes_by.MESSAGE_KIND, 0, "", "", ()))
 
 
-def goes(name: str, number: int = 0, revision: int = 1, digest: int = 7, **other: object) -> views.Goes:
+def goes(
+    name: str, number: int = 0, revision: int = 1, digest: int = 7, **other: object
+) -> views.AdvertisedState:
     sources = (("platform", 5, revision, 2), ("etcd", 6, 1, 2))
-    word = views.Goes(name, 1, 0, number, 3, 0, 0, 5, digest, (1, 2), "0.34.0", "zone-1", sources)
+    word = views.AdvertisedState(name, 1, 0, number, 3, 0, 0, 5, digest, (1, 2), "0.34.0", "zone-1", sources)
     return word._replace(**other)  # type: ignore[arg-type]
 
 
@@ -44,46 +46,50 @@
 
     def __init__(self, count: int, seed: int, loss: float = 0.0) -> None:
         super().__init__(count, seed, loss)
-        self.views: dict[str, views.Views] = {}
-        self.cuts: dict[str, cuts.Cuts] = {}
+        self.views: dict[str, views.NodeStateTable] = {}
+        self.cuts: dict[str, cuts.PartitionDetector] = {}
         self.events: list[tuple[float, str, object]] = []
         self.deaf: set[str] = set()  # addresses that do not hear discovery
         self.datagrams = self.section_bytes = 0
         for number, (address, node) in enumerate(self.nodes.items()):
-            self.views[address] = views.Views(node.name, Random(seed * 1_000 + number), cost, room(node.name))
-            self.cuts[address] = cuts.Cuts()
+            self.views[address] = views.NodeStateTable(
+                node.name, Random(seed * 1_000 + number), cost, room(node.name)
+            )
+            self.cuts[address] = cuts.PartitionDetector()
             self.say(address, goes(node.name, number))
 
-    def say(self, address: str, word: views.Goes) -> None:
-        self.views[address].handle(self.now, views.Mine(word))
+    def say(self, address: str, word: views.AdvertisedState) -> None:
+        self.views[address].handle(self.now, views.OwnStateChanged(word))
 
     def rounds(self, ms: float, done: Callable[[], bool] = lambda: False) -> float:
         """Goes on for so long, or until it is done: how long that took."""
         start = self.now
         while self.now < start + ms and not done():
-            self.run(self.now + views.ROUND_MS)
-            sent: list[tuple[str, views.Send]] = []
+            self.run(self.now + views.GOSSIP_INTERVAL_MS)
+            sent: list[tuple[str, views.SendStates]] = []
             for address, node in self.nodes.items():
-                heard, gone = cuts.heard_and_lost(node, self.now)
-                here = {n: p.word.address for n, p in node.peers.items() if p.word.state <= 1}
+                heard, gone = cuts.classify_peers(node, self.now)
+                here = {n: p.record.address for n, p in node.peers.items() if p.record.state <= 1}
                 its = self.views[address]
-                for action in its.handle(self.now, views.Round(here)):
-                    if isinstance(action, views.Send):
+                for action in its.handle(self.now, views.GossipIntervalElapsed(here)):
+                    if isinstance(action, views.SendStates):
                         sent.append((address, action))
                     else:
                         self.events.append((self.now, node.name, action))
-                words = [its.words[name] for name in here if name in its.words]
-                saw = cuts.Saw(heard, gone, address not in self.deaf, {}, words, node.doubt is not None)
+                words = [its.states[name] for name in here if name in its.states]
+                saw = cuts.Evidence(
+                    heard, gone, address not in self.deaf, {}, words, node.heard_since_stall is not None
+                )
                 for event in self.cuts[address].handle(self.now, saw):
                     self.events.append((self.now, node.name, event))
             self.after_round()
             for address, send in sent:
                 self.datagrams += 1
-                head = gossip.SIZE - room(self.nodes[address].name)
-                self.section_bytes += head + sum(map(cost, send.words))
-                lost = self.random.random() < self.loss or self.cut(address, send.to)
-                if send.to in self.nodes and not lost:
-                    self.views[send.to].handle(self.now, views.Heard(send.words))
+                head = gossip.MAX_DATAGRAM_BYTES - room(self.nodes[address].name)
+                self.section_bytes += head + sum(map(cost, send.states))
+                lost = self.random.random() < self.loss or self.cut(address, send.address)
+                if send.address in self.nodes and not lost:
+                    self.views[send.address].handle(self.now, views.StatesReceived(send.states))
         return self.now - start
 
     def after_round(self) -> None:
@@ -95,24 +101,24 @@
     return EndpointRecord(entry, (f"10.1.{number >> 8}.{number & 255}", 8080))
 
 
-def search(one: halves.Halves, other: halves.Halves) -> tuple[set[str], int, int, int]:
+def search(one: halves.DigestTree, other: halves.DigestTree) -> tuple[set[str], int, int, int]:
     """Names found, datagrams, bytes with all that a datagram carries, and legs."""
-    flying: list[tuple[bool, halves.Digests | halves.Leaf]] = [(True, one.ask())]
+    flying: list[tuple[bool, halves.TreeDigests | halves.LeafEntries]] = [(True, one.start_search())]
     names: set[str] = set()
     count = size = legs = 0
-    head = gossip.SIZE - room("node-1") + 2
+    head = gossip.MAX_DATAGRAM_BYTES - room("node-1") + 2
     while flying:
         legs += 1
         following = []
         for to_other, told in flying:
             count += 1
-            if isinstance(told, halves.Digests):
-                data = goes_by.halves(told.of)
+            if isinstance(told, halves.TreeDigests):
+                data = goes_by.encode_tree_digests(told.digests)
             else:
-                data = goes_by.leaf(told.place, told.entries)
+                data = goes_by.encode_leaf_entries(told.tree_index, told.entries)
             size += head + len(data)
-            assert head + len(data) <= gossip.SIZE
-            answers, found = (other if to_other else one).heard(told)
+            assert head + len(data) <= gossip.MAX_DATAGRAM_BYTES
+            answers, found = (other if to_other else one).receive(told)
             names |= set(found.names) if found else set()
             following += [(not to_other, answer) for answer in answers]
         flying = following
@@ -126,7 +132,7 @@
         for count in (1, 10, 100):
             rows = []
             for seed in range(seeds):
-                one, other = halves.Halves(down), halves.Halves(down)
+                one, other = halves.DigestTree(down), halves.DigestTree(down)
                 one.apply(map(member, range(10_000)), ())
                 bad = Random(seed).sample(range(10_000), count)
                 other.apply(map(member, range(10_000)), ())
@@ -168,29 +174,30 @@
             start = world.now
 
             def known(world: World = world) -> bool:
-                now = {its.name: its.words[its.name] for its in world.views.values()}
-                return all(its.words.get(n) == w for its in world.views.values() for n, w in now.items())
+                now = {its.name: its.states[its.name] for its in world.views.values()}
+                return all(its.states.get(n) == w for its in world.views.values() for n, w in now.items())
 
             world.rounds(60_000, known)
             world.say(names["n1"], goes("n1", 1, zone="moved"))
             one = world.rounds(60_000, known)
             world.events.clear()
             for number, (name, address) in enumerate(names.items()):
-                world.say(address, goes(name, number, 2, files=(1, 3)))
+                world.say(address, goes(name, number, 2, settings_digests=(1, 3)))
             every = world.rounds(60_000, known)
-            wrong = sum(isinstance(event, views.Began) for _, _, event in world.events) / size
+            wrong = sum(isinstance(event, views.DivergenceBegan) for _, _, event in world.events) / size
             for number, (name, address) in enumerate(names.items()):
-                world.say(address, goes(name, number, 2 if name == "n1" else 3, files=(1, 3)))
+                world.say(address, goes(name, number, 2 if name == "n1" else 3, settings_digests=(1, 3)))
 
             def named(what: str, on: bool, world: World = world) -> Callable[[], bool]:
                 return lambda: all(
-                    any(key[0] == what for key in its.steady.on) == on for its in world.views.values()
+                    any(key[0] == what for key in its.divergence_hysteresis.active_since_ms) == on
+                    for its in world.views.values()
                 )
 
             late = world.rounds(60_000, named("behind", True))
-            world.say(names["n1"], goes("n1", 1, 3, digest=8, files=(1, 3)))
+            world.say(names["n1"], goes("n1", 1, 3, digest=8, settings_digests=(1, 3)))
             bad = world.rounds(60_000, named("list", True))
-            world.say(names["n1"], goes("n1", 1, 3, files=(1, 3)))
+            world.say(names["n1"], goes("n1", 1, 3, settings_digests=(1, 3)))
             over = world.rounds(60_000, named("list", False))
             seconds = (world.now - start) / 1e3
             rows.append(
@@ -225,7 +232,7 @@
                     return (one in part) != (other in part)
 
                 def all_on(on: bool, world: World = world, who: set[str] = concerned) -> Callable[[], bool]:
-                    return lambda: all(bool(world.cuts[address].cut) == on for address in who)
+                    return lambda: all(bool(world.cuts[address].partitions) == on for address in who)
 
                 start = world.now
                 if kind == "discovery":
@@ -248,7 +255,9 @@
                     world.rounds(10_000)
                 world.cut = lambda one, other: False
                 over = world.rounds(30_000, all_on(False))
-                began = sum(isinstance(event, cuts.Began) for _, _, event in world.events) / len(concerned)
+                began = sum(isinstance(event, cuts.PartitionBegan) for _, _, event in world.events) / len(
+                    concerned
+                )
                 rows.append((named / 1e3, over / 1e3, began))
             by = list(zip(*rows, strict=True))
             _line([size, kind, *(f"{mean(of):.2f} ({max(of):.2f})" for of in by[:2]), mean(by[2])])
--- a/benchmarks/restart_recovery.py
+++ b/benchmarks/restart_recovery.py
@@ -30,9 +30,9 @@
 from balancer import interface as api
 from balancer.core.discovery import etcd_watcher as ef
 from balancer.core.discovery import platform_watcher as pf
-from balancer.core.discovery.endpoint_merger import Listed
-from balancer.core.recovery import End, Meter
-from balancer.core.staggering import Turns
+from balancer.core.discovery.endpoint_merger import EndpointsListed
+from balancer.core.recovery import RequestOutcome, ServiceMeter
+from balancer.core.staggering import StaggeredSchedule
 from balancer.policy.balancer import Balancer
 from balancer.testbed.simulation import Scenario, World
 from balancer.testbed.simulation.policies import make
@@ -109,7 +109,7 @@
         self.answered: dict[int, float] = {}
         self.worths = [0.0, 0.0]
         self.retries: list[float] = []
-        self.meter: Meter | None = None
+        self.meter: ServiceMeter | None = None
         self.ghosts: dict[str, str] = {}
         count = len(self.places)
         for kind, part in (("gone", case.gone), ("mute", case.mute), ("wrong", case.wrong)):
@@ -128,7 +128,7 @@
         out = self.out
         out.first_ms = [at - KILL_MS for number, at in self.answered.items() if number in self.again]
         if self.meter is not None:
-            out.full_ms = self.meter.phases.get("full", float("inf"))
+            out.full_ms = self.meter.phases_ms.get("full", float("inf"))
         out.lost = 1 - self.worths[1] / max(1.0, self.worths[0])
         after = [[at for at in times if at >= KILL_MS] for times in self.opened.values()]
         before = [[at for at in times if KILL_MS / 2 <= at < KILL_MS] for times in self.opened.values()]
@@ -173,7 +173,7 @@
         self.at(self.now + START_MS[1], self._measure, None)
 
     def _measure(self, _: None) -> None:
-        self.meter = Meter(self.now)
+        self.meter = ServiceMeter(self.now)
 
     def _start_node(self, what: tuple[int, list[api.Endpoint], api.LearnedState]) -> None:
         number, listed, learned = what
@@ -216,7 +216,9 @@
         good = kind == "served" and took <= ask.want.cls.aim_ms
         self.worths[1] += ask.want.cls.worth * (good and ask.want.at_ms >= KILL_MS)
         if ask.node in self.again and self.meter is not None:
-            self.meter.ended(self.now, ask.want.cls.name, End.SERVED if good else End.FAILED)
+            self.meter.record_outcome(
+                self.now, ask.want.cls.name, RequestOutcome.SERVED if good else RequestOutcome.FAILED
+            )
             if kind == "served":
                 self.answered.setdefault(ask.node, self.now)
 
@@ -325,20 +327,22 @@
 
     def __init__(self, clock: Clock, lister: Lister, me: int, nodes: int, rule: str) -> None:
         self.clock, self.lister, self.listed_ms = clock, lister, float("inf")
-        self.turns = Turns(me, nodes, BEARS) if rule == "turns" else None
+        self.turns = StaggeredSchedule(me, nodes, BEARS) if rule == "turns" else None
         self.asks = (
             Balancer(api.Settings(tuple(SITE_CLASSES), must_poll=True), me) if rule == "asks" else None
         )
-        self.follow = pf.PlatformFollow(random.Random(me), False, pf.MOST_MS / pf.WAIT_PART)
+        self.follow = pf.PlatformWatcher(
+            random.Random(me), False, pf.MAX_RETRY_WAIT_MS / pf.RETRY_WAIT_PER_DRAIN_GRACE
+        )
 
     def start(self) -> None:
         """The process is up."""
         if self.asks is not None:
             self.tell(api.EndpointsUpdated(api.EndpointUpdateKind.CACHED, []))
         elif self.turns is None:
-            self.hand(pf.Wanted(True))
+            self.hand(pf.SubscriptionChanged(True))
         else:
-            self.clock.at(self.clock.now_ms + self.turns.first_ms(), self.ask)
+            self.clock.at(self.clock.now_ms + self.turns.first_delay_ms(), self.ask)
 
     def ask(self) -> None:
         """One call."""
@@ -352,9 +356,9 @@
         elif self.asks is not None:
             self.tell(api.EndpointsUpdated(api.EndpointUpdateKind.FAILED, []))
         elif self.turns is None:
-            self.hand(pf.Ended(False))
+            self.hand(pf.CallEnded(False))
         else:
-            self.clock.at(now + self.turns.again_ms(how == "refused"), self.ask)
+            self.clock.at(now + self.turns.retry_delay_ms(how == "refused"), self.ask)
 
     def tell(self, event: api.Event) -> None:
         """To the module, which says when to ask where it has to."""
@@ -368,10 +372,10 @@
     def hand(self, event: pf.Event) -> None:
         """To the decider of a watch."""
         for action in self.follow.handle(self.clock.now_ms, event, None):
-            if isinstance(action, pf.AskWhole):
+            if isinstance(action, pf.FetchSnapshot):
                 self.ask()
-            elif isinstance(action, pf.Wait):
-                self.clock.at(action.until_ms, lambda: self.hand(pf.Due()))
+            elif isinstance(action, pf.SetRetryTimer):
+                self.clock.at(action.at_ms, lambda: self.hand(pf.RetryTimerFired()))
 
 
 RULES = {"watches": "before: a watch", "asks": "before: asked for (must_ask)", "turns": "new: turns"}
@@ -418,39 +422,39 @@
 CALL_MS = 1.0  # that a call takes but for a whole list
 
 
-class AtOnce(Turns):
+class AtOnce(StaggeredSchedule):
     """Weighed for a blank node: its first call at once, which says nothing of what etcd bears; then turns."""
 
     begun = False
 
-    def first_ms(self) -> float:
+    def first_delay_ms(self) -> float:
         """No wait before the first call."""
-        return super().first_ms() if self.begun else 0.0
+        return super().first_delay_ms() if self.begun else 0.0
 
-    def again_ms(self, refused: bool, advice_ms: float = 0.0) -> float:
+    def retry_delay_ms(self, refused: bool, advice_ms: float = 0.0) -> float:
         """After the first call its turn in this stretch; from then on as any other."""
         if not self.begun:
             self.begun = True
-            return max(self.first_ms(), advice_ms)
-        return super().again_ms(refused, advice_ms)
+            return max(self.first_delay_ms(), advice_ms)
+        return super().retry_delay_ms(refused, advice_ms)
 
 
 class EtcdNode:
     """A node's `EtcdFollow` before an etcd whose whole lists `Lister` works through."""
 
-    def __init__(self, clock: Clock, lister: Lister, me: int, turns: Turns | None) -> None:
+    def __init__(self, clock: Clock, lister: Lister, me: int, turns: StaggeredSchedule | None) -> None:
         self.clock, self.lister, self.listed_ms, self.news_ms = clock, lister, float("inf"), float("inf")
-        self.follow = ef.EtcdFollow("etcd", 3, random.Random(me), turns=turns)
+        self.follow = ef.EtcdWatcher("etcd", 3, random.Random(me), time_slots=turns)
         self.watch = 0
 
     def start(self) -> None:
         """The process is up."""
-        self.hand(ef.Started())
+        self.hand(ef.WatcherStarted())
 
     def compacted(self) -> None:
         """Its watch ends, and where it was is nothing left."""
         self.listed_ms = self.news_ms = float("inf")
-        self.hand(ef.WatchCanceled(self.watch, 90, ef.Trouble.FAILED, "compacted"))
+        self.hand(ef.WatchCanceled(self.watch, 90, ef.CallFault.FAILED, "compacted"))
 
     def hand(self, event: ef.Event) -> None:
         """An event; what was decided on it."""
@@ -461,32 +465,32 @@
             match action:
                 case ef.SetTimer():
                     self.clock.at(action.at_ms, partial(self.hand, ef.TimerFired(action.token)))
-                case ef.Check():
-                    self._soon(ef.CheckAnswered(action.call, WHERE))
-                case ef.Range():
-                    self.lister.call(partial(self._ranged, action.call))
-                case ef.Watch():
-                    self.watch = action.call
-                    self._soon(ef.WatchCreated(action.call, WHERE))
-                case ef.Deliver(event=Listed()):
+                case ef.CheckEndpoint():
+                    self._soon(ef.CheckAnswered(action.call_id, WHERE))
+                case ef.FetchSnapshotPage():
+                    self.lister.call(partial(self._ranged, action.call_id))
+                case ef.OpenWatch():
+                    self.watch = action.call_id
+                    self._soon(ef.WatchCreated(action.call_id, WHERE))
+                case ef.DeliverUpdate(update=EndpointsListed()):
                     self.listed_ms = now
 
     def _soon(self, event: ef.Event) -> None:
         away = self.clock.now_ms < self.lister.away_ms
-        call = getattr(event, "call", 0)
-        told = ef.CallFailed(call, ef.Trouble.FAILED, "no connection") if away else event
+        call = getattr(event, "call_id", 0)
+        told = ef.CallFailed(call, ef.CallFault.FAILED, "no connection") if away else event
         self.clock.at(self.clock.now_ms + CALL_MS, partial(self.hand, told))
 
     def _ranged(self, call: int, how: str) -> None:
-        trouble = ef.Trouble.BUSY if how == "refused" else ef.Trouble.FAILED
-        page = ef.PageAnswered(call, WHERE, (), b"", False)
+        trouble = ef.CallFault.OVERLOADED if how == "refused" else ef.CallFault.FAILED
+        page = ef.SnapshotPageReceived(call, WHERE, (), b"", False)
         self.hand(page if how == "listed" else ef.CallFailed(call, trouble, how))
 
 
-Make = Callable[[int, int], Turns | None]
+Make = Callable[[int, int], StaggeredSchedule | None]
 ETCD_RULES: dict[str, Make] = {
     "`bears` left out": lambda me, nodes: None,
-    "`bears = 50`": lambda me, nodes: Turns(me, nodes, BEARS),
+    "`bears = 50`": lambda me, nodes: StaggeredSchedule(me, nodes, BEARS),
     "weighed: the first at once": lambda me, nodes: AtOnce(me, nodes, BEARS),
 }
 
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -32,14 +32,14 @@
 
 from balancer.core.persistence import write_behind as k
 from balancer.core.persistence.persisted_state import (
-    URGENT,
-    Self,
-    Server,
-    recall,
+    URGENT_TABLES,
+    NodeIdentity,
+    PersistedEndpoint,
+    restore,
 )
 from balancer.store.engine import Delete, Put
-from balancer.store.store import Store, StoreFull
-from balancer.testbed.simulated_disk import Disk, SimFiles
+from balancer.store.store import Store, WriteQueueFull
+from balancer.testbed.simulated_disk import SimulatedDisk, SimulatedFileSystem
 from benchmarks.result_table import (
     Row,
     cores,
@@ -143,7 +143,7 @@
     """The decider and the store, as a node has them."""
 
     def __init__(self, store: Store) -> None:
-        self.store, self.keeping = store, k.Keeping(10_000, 86_400_000)
+        self.store, self.keeping = store, k.WriteBehind(10_000, 86_400_000)
         self.turns: list[float] = []
         self.timer: asyncio.TimerHandle | None = None
 
@@ -152,16 +152,16 @@
         began = time.perf_counter()
         loop = asyncio.get_running_loop()
         for action in self.keeping.handle(time.monotonic() * 1000, event):
-            if isinstance(action, k.Write):
+            if isinstance(action, k.WriteRows):
                 changes = [
                     Delete(*at) if row is None else Put(*at, msgspec.msgpack.encode(row))
                     for at, row in action.changes
                 ]
-                number = action.number
+                number = action.write_number
                 try:
-                    self.store.write(changes, lambda stamp, n=number: self.tell(k.Written(n)))  # type: ignore[misc]
-                except StoreFull:
-                    loop.call_soon(self.tell, k.TurnedAway(number))
+                    self.store.write(changes, lambda stamp, n=number: self.tell(k.WriteCommitted(n)))  # type: ignore[misc]
+                except WriteQueueFull:
+                    loop.call_soon(self.tell, k.WriteRejected(number))
             elif isinstance(action, k.BeginGeneration):
                 self.store.begin_generation()
         if self.timer is not None:
@@ -173,7 +173,7 @@
     def tick(self) -> None:
         """Time went by."""
         self.timer = None
-        self.tell(k.Ticked(time.time_ns() // 1_000_000))
+        self.tell(k.TimeAdvanced(time.time_ns() // 1_000_000))
 
 
 async def watch(late: list[float]) -> None:
@@ -185,10 +185,10 @@
         late.append((loop.time() - due) * 1000)
 
 
-def server(n: int) -> Server:
+def server(n: int) -> PersistedEndpoint:
     """One of the fleet's."""
     host = f"10.{n >> 8 & 255}.{n & 255}.1"
-    return Server(host, 8080, "zone-a", n % 7, 1.5, False, 1e9, "small", ("platform",))
+    return PersistedEndpoint(host, 8080, "zone-a", n % 7, 1.5, False, 1e9, "small", ("platform",))
 
 
 async def watched(work: Callable[[], object]) -> tuple[str, list[float]]:
@@ -210,21 +210,21 @@
     """The loop's table."""
     out = [Row("nothing written", (await watched(lambda: asyncio.sleep(seconds)))[0])]
     for name, slow in (("disk", 0.0), ("disk of 1 s a sync", 1.0)):
-        disk = Disk()
-        files = SimFiles(disk) if slow else None
+        disk = SimulatedDisk()
+        files = SimulatedFileSystem(disk) if slow else None
         loop = asyncio.get_running_loop()
-        store = Store("/d" if slow else folder, loop.call_soon_threadsafe, files, URGENT)
+        store = Store("/d" if slow else folder, loop.call_soon_threadsafe, files, URGENT_TABLES)
         await asyncio.to_thread(store.open)
-        disk.sync_s = slow
+        disk.sync_duration_s = slow
         part = Part(store)
-        part.tell(k.Started(Self("id", "n0", 1, 0), {}, 0, time.time_ns() // 1_000_000))
+        part.tell(k.StoreOpened(NodeIdentity("id", "n0", 1, 0), {}, 0, time.time_ns() // 1_000_000))
 
         async def view(part: Part = part) -> None:
             for at in range(0, servers, SLICE):
                 told = tuple((f"s{n}", server(n)) for n in range(at, min(servers, at + SLICE)))
-                part.tell(k.Changed("platform", "x", 1, time.time_ns() // 1_000_000, told))
+                part.tell(k.EndpointsChanged("platform", "x", 1, time.time_ns() // 1_000_000, told))
                 await asyncio.sleep(0)
-            while part.keeping.state.dirty or part.keeping.state.out:
+            while part.keeping.state.dirty or part.keeping.state.in_flight:
                 await asyncio.sleep(0.01)
 
         async def storm(part: Part = part) -> None:
@@ -233,15 +233,15 @@
                 wall = time.time_ns() // 1_000_000
                 names = [rng.randrange(servers) for _ in range(5)]
                 told = tuple((f"s{i}", server(i)) for i in names[:4])
-                part.tell(k.Changed("platform", "x", n + 2, wall, told, (f"s{names[4]}",)))
+                part.tell(k.EndpointsChanged("platform", "x", n + 2, wall, told, (f"s{names[4]}",)))
                 await asyncio.sleep(max(0, until - seconds + n / 200 - time.monotonic()))
 
         for what, work in (("a first view", view), ("1,000 changes a second", storm)):
             part.turns.clear()
-            before = store.state().commits
+            before = store.status().commit_count
             said, _ = await watched(work)
             turn = f"turn {max(part.turns):.2f} ms at most"
-            count = store.state().commits - before
+            count = store.status().commit_count - before
             out.append(Row(f"{what}, {name}", f"{said}; {turn}; {count} commits", "no stall over 5 ms"))
         if part.timer is not None:
             part.timer.cancel()
@@ -254,7 +254,15 @@
     found = again.open()
     opened = (time.perf_counter() - began) * 1000
     tables = {name: again.items(name) for name in again.engine.tables}
-    memory = recall(tables, found.found, found.older, found.wrote_ms, "n0", time.time_ns() // 1_000_000, 1e9)
+    memory = restore(
+        tables,
+        found.restored_generation,
+        found.is_outdated,
+        found.committed_at_ms,
+        "n0",
+        time.time_ns() // 1_000_000,
+        1e9,
+    )
     read = (time.perf_counter() - began) * 1000 - opened
     generation(again)
     wrote = (time.perf_counter() - began) * 1000 - opened - read
@@ -262,7 +270,7 @@
     again.close()
     what = f"{opened:.0f} ms to open, {read:.0f} ms to read, then {wrote:.0f} ms for a new generation"
     what += f"; {size:.1f} MB on disk"
-    return [*out, Row(f"the next start ({len(memory.view)} servers)", what)]
+    return [*out, Row(f"the next start ({len(memory.endpoints)} servers)", what)]
 
 
 def generation(store: Store) -> None:
--- a/tests/cli/test_command_line.py
+++ b/tests/cli/test_command_line.py
@@ -83,7 +83,7 @@
         assert word in got.stdout
 
 
-@pytest.mark.parametrize("word", cli.MODULES)
+@pytest.mark.parametrize("word", cli.COMMAND_MODULES)
 def test_each_word_has_a_help_and_takes_no_abbreviation(
     word: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
@@ -151,7 +151,7 @@
     words: str, node: str | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """`node` is the file it is started with; None: these words are left to the command line."""
-    starts, settings = program.node_words(words.split())
+    starts, settings = program.parse_node_arguments(words.split())
     assert (settings if starts else None) == node
     if starts:
         started: list[Path | None] = []
@@ -160,8 +160,8 @@
             started.append(settings)
             return 0
 
-        monkeypatch.setattr(node_word, "start", start)
-        monkeypatch.setattr(program, "held_hangups", list)
+        monkeypatch.setattr(node_word, "start_with_operator_settings", start)
+        monkeypatch.setattr(program, "record_hangups", list)
         monkeypatch.delenv(SETTINGS, raising=False)
         assert main(words.split()) == 0 and started == [Path(node) if node else None]
 
--- a/tests/cli/test_state_commands.py
+++ b/tests/cli/test_state_commands.py
@@ -10,8 +10,8 @@
 import pytest
 
 from balancer.cli import main
-from balancer.core.persistence.persisted_state import Self, Server
-from balancer.net.admin_socket import Control
+from balancer.core.persistence.persisted_state import NodeIdentity, PersistedEndpoint
+from balancer.net.admin_socket import AdminSocket
 from balancer.store.store import Store
 
 
@@ -22,13 +22,13 @@
     out.mkdir()
     store = Store(str(out), lambda run: run())
     store.open()
-    store.put("self", "node", Self("an id", "n0", 3, 1_000))
-    store.put("view", "s1", Server("127.0.0.1", 80, started_ms=1.8e12, sources=("platform",)))
+    store.put("self", "node", NodeIdentity("an id", "n0", 3, 1_000))
+    store.put("view", "s1", PersistedEndpoint("127.0.0.1", 80, started_at_ms=1.8e12, sources=("platform",)))
     assert store.close() == 0
     return out
 
 
-def says(capsys: pytest.CaptureFixture[str], *words: str) -> tuple[int, str, str]:
+def run_command(capsys: pytest.CaptureFixture[str], *words: str) -> tuple[int, str, str]:
     code = main(words)
     out, err = capsys.readouterr()
     return code, out, err
@@ -36,15 +36,15 @@
 
 def test_show_and_verify(directory: Path, capsys: pytest.CaptureFixture[str]) -> None:
     here = ("--directory", str(directory))
-    code, out, _ = says(capsys, "state", "show", "--json", *here)
+    code, out, _ = run_command(capsys, "state", "show", "--json", *here)
     told = json.loads(out)
     assert code == 0 and told["node"]["incarnation"] == 3 and told["tables"] == {"self": 1, "view": 1}
-    code, out, _ = says(capsys, "state", "show", *here)
+    code, out, _ = run_command(capsys, "state", "show", *here)
     assert code == 0 and "node n0, life 3" in out and "memory kept" in out
-    assert says(capsys, "state", "verify", *here) == (0, f"{directory}: no fault\n", "")
+    assert run_command(capsys, "state", "verify", *here) == (0, f"{directory}: no fault\n", "")
     for file in directory.glob("tables-*"):
         file.write_bytes(file.read_bytes()[:100])
-    code, out, _ = says(capsys, "state", "verify", "--json", *here)
+    code, out, _ = run_command(capsys, "state", "verify", "--json", *here)
     assert code == 1 and json.loads(out)["faults"]
 
 
@@ -54,31 +54,33 @@
     words = ("state", "clear", "--directory", str(directory))
     before = sorted(directory.iterdir())
     monkeypatch.setattr("click.termui.visible_prompt_func", lambda text="": "n")
-    assert says(capsys, *words)[0] == 1 and sorted(directory.iterdir()) == before
+    assert run_command(capsys, *words)[0] == 1 and sorted(directory.iterdir()) == before
 
     def nobody(text: str = "") -> str:
         raise EOFError
 
     monkeypatch.setattr("click.termui.visible_prompt_func", nobody)
-    code, _, err = says(capsys, *words)
+    code, _, err = run_command(capsys, *words)
     assert code == 2 and "--yes" in err and sorted(directory.iterdir()) == before
     held = Store(str(directory), lambda run: run())
     held.open()
-    code, _, err = says(capsys, *words, "--yes")
-    assert code == 1 and "a node holds it" in err and says(capsys, "state", "verify", *words[2:])[0] == 1
+    code, _, err = run_command(capsys, *words, "--yes")
+    assert (
+        code == 1 and "a node holds it" in err and run_command(capsys, "state", "verify", *words[2:])[0] == 1
+    )
     held.close()
-    code, out, _ = says(capsys, *words, "--yes", "--json")
+    code, out, _ = run_command(capsys, *words, "--yes", "--json")
     assert code == 0 and json.loads(out)["removed"] and not list(directory.glob("tables-*"))
 
 
 def test_words_that_make_no_sense_are_2(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    code, _, err = says(capsys, "state", "show", "--directory", str(tmp_path / "none"))
+    code, _, err = run_command(capsys, "state", "show", "--directory", str(tmp_path / "none"))
     assert code == 2 and "No such file" in err
-    code, _, err = says(capsys, "state", "show")
+    code, _, err = run_command(capsys, "state", "show")
     assert code == 2 and "no [state] in the settings and no --directory" in err
-    code, _, err = says(capsys, "recovery")
+    code, _, err = run_command(capsys, "recovery")
     assert code == 2 and "no [control]" in err
-    assert says(capsys, "recovery", "--control", str(tmp_path / "none"))[0] == 1
+    assert run_command(capsys, "recovery", "--control", str(tmp_path / "none"))[0] == 1
 
 
 @pytest.mark.parametrize("as_json", [True, False])
@@ -96,12 +98,12 @@
     }
 
     async def test() -> tuple[int, str, str]:
-        control = Control()
+        control = AdminSocket()
         control.register("recovery", lambda: told)
         await control.listen(tmp_path / "c.sock")
         words = ("recovery", "--control", str(tmp_path / "c.sock"), *(["--json"] if as_json else []))
         try:
-            return await asyncio.to_thread(says, capsys, *words)
+            return await asyncio.to_thread(run_command, capsys, *words)
         finally:
             await control.close()
 
--- a/tests/compatibility/datagrams.py
+++ b/tests/compatibility/datagrams.py
@@ -38,41 +38,41 @@
 def sections() -> dict[str, tuple[int, bytes]]:
     """One section of each kind."""
     return {
-        "goes_by": (goes_by.GOES_BY, goes_by.goes_by(GOES_BY)),
-        "counted": (goes_by.COUNTED, goes_by.counted(*COUNTED)),
-        "halves": (goes_by.HALVES, goes_by.halves(DIGESTS)),
-        "leaf": (goes_by.LEAF, goes_by.leaf(*LEAF)),
-        "out": (goes_by.OUT, goes_by.out(*REMOVALS)),
-        "since": (goes_by.SINCE, goes_by.since(*SINCE)),
+        "goes_by": (goes_by.NODE_STATE, goes_by.encode_node_state(GOES_BY)),
+        "counted": (goes_by.QUOTA_REPORT, goes_by.encode_quota_report(*COUNTED)),
+        "halves": (goes_by.TREE_DIGESTS, goes_by.encode_tree_digests(DIGESTS)),
+        "leaf": (goes_by.LEAF_ENTRIES, goes_by.encode_leaf_entries(*LEAF)),
+        "out": (goes_by.REMOVALS, goes_by.encode_removals(*REMOVALS)),
+        "since": (goes_by.REMOVALS_QUERY, goes_by.encode_removals_query(*SINCE)),
     }
 
 
 def read_section(kind: int, data: bytes) -> Any:
     """What the codec of that kind reads."""
     readers: dict[int, Any] = {
-        goes_by.GOES_BY: goes_by.read_goes_by,
-        goes_by.COUNTED: goes_by.read_counted,
-        goes_by.HALVES: goes_by.read_halves,
-        goes_by.LEAF: goes_by.read_leaf,
-        goes_by.OUT: goes_by.read_out,
-        goes_by.SINCE: goes_by.read_since,
+        goes_by.NODE_STATE: goes_by.decode_node_state,
+        goes_by.QUOTA_REPORT: goes_by.decode_quota_report,
+        goes_by.TREE_DIGESTS: goes_by.decode_tree_digests,
+        goes_by.LEAF_ENTRIES: goes_by.decode_leaf_entries,
+        goes_by.REMOVALS: goes_by.decode_removals,
+        goes_by.REMOVALS_QUERY: goes_by.decode_removals_query,
     }
     return readers[kind](data)
 
 
 def write_section(kind: int, value: Any) -> bytes:
     """The bytes of a section's value."""
-    if kind == goes_by.GOES_BY:
-        return goes_by.goes_by(value)
-    if kind == goes_by.COUNTED:
-        return goes_by.counted(*value)
-    if kind == goes_by.HALVES:
-        return goes_by.halves(value)
-    if kind == goes_by.LEAF:
-        return goes_by.leaf(*value)
-    if kind == goes_by.OUT:
-        return goes_by.out(*value)
-    return goes_by.since(*value)
+    if kind == goes_by.NODE_STATE:
+        return goes_by.encode_node_state(value)
+    if kind == goes_by.QUOTA_REPORT:
+        return goes_by.encode_quota_report(*value)
+    if kind == goes_by.TREE_DIGESTS:
+        return goes_by.encode_tree_digests(value)
+    if kind == goes_by.LEAF_ENTRIES:
+        return goes_by.encode_leaf_entries(*value)
+    if kind == goes_by.REMOVALS:
+        return goes_by.encode_removals(*value)
+    return goes_by.encode_removals_query(*value)
 
 
 def plain(value: Any) -> Any:
@@ -90,7 +90,7 @@
     for kind in range(9):
         out.append((kind, (kind, 1_000 + kind, "b", "10.0.0.2:7946", MEMBERS[: kind % 4]), []))
     for section in sections().values():
-        out.append((2**32 - 1, (goes_by.KIND, 0, "", "", ()), [section]))
+        out.append((2**32 - 1, (goes_by.MESSAGE_KIND, 0, "", "", ()), [section]))
     both = [sections()["counted"], sections()["halves"]]
     out.append((20, (1, 7, "b", "[::1]:80", MEMBERS[:1]), both))
     return out
@@ -109,7 +109,7 @@
 def read(data: bytes) -> dict[str, Any]:
     """What the reader makes of one datagram."""
     found = gossip.Reader([gossip.Key(SECRET)]).read(0, "10.0.0.1:1", data)
-    assert isinstance(found, gossip.Read), found
+    assert isinstance(found, gossip.AcceptedDatagram), found
     return {
         "sender": found.sender,
         "incarnation": found.incarnation,
--- a/tests/compatibility/exported_names.py
+++ b/tests/compatibility/exported_names.py
@@ -25,13 +25,13 @@
 from balancer.core.discovery import endpoint_merger as membership
 from balancer.core.persistence import persisted_state as kept
 from balancer.observability.metrics import Metrics
-from balancer.operator_settings import Operators
+from balancer.operator_settings import OperatorSettings
 from balancer.protocol import gossip
 from balancer.protocol import gossip_sections as goes_by
 from balancer.store import files
 from balancer.store import sqlite_file as piece
 from balancer.timeline import schema as keys
-from balancer.timeline.monitor import Watch
+from balancer.timeline.monitor import TimelineMonitor
 from tests.helpers import BASE
 from tests.sockets import (
     ROOT,
@@ -70,18 +70,18 @@
         "reports": _values(api.LoadReportSource),
         "reason": _values(api.DecisionReason),
         "note": _values(api.BackendDecision),
-        "event_step": _values(departure.Step),
+        "event_step": _values(departure.EventType),
         "event_scope": _values(departure.Scope),
         "event_signal": _values(departure.Signal),
-        "recovery_state": _values(recovery.State),
-        "recovery_end": _values(recovery.End),
-        "recovery_memory": _values(recovery.Memory),
-        "membership_state": _values(membership.State),
-        "peer_state": [member.name.lower() for member in peers.State],
-        "peer_state_number": _values(peers.State),
-        "message_kind_number": _values(peers.Kind),
+        "recovery_state": _values(recovery.RecoveryState),
+        "recovery_end": _values(recovery.RequestOutcome),
+        "recovery_memory": _values(recovery.PersistedState),
+        "membership_state": _values(membership.SourceState),
+        "peer_state": [member.name.lower() for member in peers.PeerState],
+        "peer_state_number": _values(peers.PeerState),
+        "message_kind_number": _values(peers.MessageKind),
         "partition": _values(cuts.Verdict),
-        "store_fault": _values(files.Trouble),
+        "store_fault": _values(files.FaultKind),
         "timeline_counters": list(keys.NAMES.values()),
     }
 
@@ -89,30 +89,30 @@
 def stored_names() -> dict[str, Any]:
     """Tables, the order of the fields of each row, and numbers of the file formats."""
     rows: dict[str, type[msgspec.Struct]] = {
-        "self": kept.Self,
-        "view": kept.Server,
-        "ends": kept.End,
-        "sources": kept.Source,
-        "usual": kept.Usual,
-        "limit": kept.Limit,
-        "weights": kept.Weight,
-        "ejections": kept.Ejection,
+        "self": kept.NodeIdentity,
+        "view": kept.PersistedEndpoint,
+        "ends": kept.Withdrawal,
+        "sources": kept.SourcePosition,
+        "usual": kept.ExpectedLatency,
+        "limit": kept.ConcurrencyLimit,
+        "weights": kept.BackendSlowness,
+        "ejections": kept.BackendEjection,
     }
     return {
-        "tables": list(kept.TABLES),
-        "urgent": sorted(kept.URGENT),
+        "tables": list(kept.TABLE_NAMES),
+        "urgent": sorted(kept.URGENT_TABLES),
         "row_lengths": {name: len(msgspec.structs.fields(kind)) for name, kind in rows.items()},
-        "application_id": piece.APPLICATION,
-        "format": piece.FORMAT,
-        "gossip_version": gossip.VERSION,
-        "gossip_size": gossip.SIZE,
+        "application_id": piece.APPLICATION_ID,
+        "format": piece.FORMAT_VERSION,
+        "gossip_version": gossip.PROTOCOL_VERSION,
+        "gossip_size": gossip.MAX_DATAGRAM_BYTES,
         "sections": [
-            goes_by.GOES_BY,
-            goes_by.COUNTED,
-            goes_by.HALVES,
-            goes_by.LEAF,
-            goes_by.OUT,
-            goes_by.SINCE,
+            goes_by.NODE_STATE,
+            goes_by.QUOTA_REPORT,
+            goes_by.TREE_DIGESTS,
+            goes_by.LEAF_ENTRIES,
+            goes_by.REMOVALS,
+            goes_by.REMOVALS_QUERY,
         ],
     }
 
@@ -120,7 +120,7 @@
 def metric_names() -> dict[str, list[str]]:
     """Label names of the samples of every metric that a node with all tables exposes."""
     meter = recovery.Recovery(0.0)
-    metrics = Metrics(Watch(BASE, 8.0), meter, lambda: PEER_FIGURES)
+    metrics = Metrics(TimelineMonitor(BASE, 8.0), meter, lambda: PEER_FIGURES)
     watch = metrics.watch
     send = api.SendAttempt(
         "r1", "b1", 0.0, api.DecisionReason.LOWEST_ESTIMATE_BELOW_CAP, api.DecisionReason.FIRST_ATTEMPT, 3
@@ -149,7 +149,7 @@
                 assert inner is not None
                 walk(inner, f"{path} {name}".strip())
 
-    walk(cli.words, "")
+    walk(cli.command_line, "")
     return out
 
 
@@ -164,7 +164,7 @@
                 if isinstance(inner, type) and dataclasses.is_dataclass(inner):
                     yield from fields(inner, f"{path}{field.name}.")
 
-    return sorted(fields(Operators, ""))
+    return sorted(fields(OperatorSettings, ""))
 
 
 def shape(value: Any, path: str = "") -> Iterator[str]:
--- a/tests/compatibility/stored_data.py
+++ b/tests/compatibility/stored_data.py
@@ -9,20 +9,20 @@
 import msgspec
 
 from balancer.core.persistence.persisted_state import (
-    Ejection,
-    End,
-    Limit,
-    Recalled,
-    Self,
-    Server,
-    Source,
-    Usual,
-    Weight,
-    recall,
+    BackendEjection,
+    BackendSlowness,
+    ConcurrencyLimit,
+    ExpectedLatency,
+    NodeIdentity,
+    PersistedEndpoint,
+    RestoredState,
+    SourcePosition,
+    Withdrawal,
+    restore,
 )
 from balancer.store import inspect
 from balancer.store.engine import Delete, Engine, Put
-from balancer.store.files import Real
+from balancer.store.files import LocalFileSystem
 
 WROTE_MS = 1_790_000_000_000
 """Wall clock of the first commit."""
@@ -37,9 +37,9 @@
 
 
 def _first_commit() -> list[Put]:
-    rows = [_put("self", "node", Self("id-1", "n0", 7, WROTE_MS - 9_000))]
+    rows = [_put("self", "node", NodeIdentity("id-1", "n0", 7, WROTE_MS - 9_000))]
     for number in range(6):
-        server = Server(
+        server = PersistedEndpoint(
             f"10.0.0.{number}",
             8_000 + number,
             "ab"[number % 2],
@@ -53,20 +53,20 @@
             number + 1,
         )
         rows.append(_put("view", f"s{number}", server))
-    rows.append(_put("view", "old", Server("10.0.1.1", 80, confirmed_ms=WROTE_MS - 10_000_000)))
-    rows.append(_put("sources", "platform", Source("cluster-1", 41, WROTE_MS - 500)))
-    rows.append(_put("sources", "etcd", Source("etcd-9", 77, WROTE_MS - 700)))
+    rows.append(_put("view", "old", PersistedEndpoint("10.0.1.1", 80, confirmed_at_ms=WROTE_MS - 10_000_000)))
+    rows.append(_put("sources", "platform", SourcePosition("cluster-1", 41, WROTE_MS - 500)))
+    rows.append(_put("sources", "etcd", SourcePosition("etcd-9", 77, WROTE_MS - 700)))
     return rows
 
 
 def _learned_commit() -> list[Put]:
     return [
-        _put("usual", "read", Usual(41.5, 7.25, WROTE_MS)),
-        _put("usual", "pay", Usual(120.0, 30.0, WROTE_MS - 2 * 3_600_000)),
-        _put("limit", "node", Limit(13.5, WROTE_MS)),
-        _put("weights", "s1", Weight(2.5, WROTE_MS)),
-        _put("ejections", "s2", Ejection(WROTE_MS + 90_000, 4, WROTE_MS)),
-        _put("ejections", "s3", Ejection(WROTE_MS + 5_000, 4, WROTE_MS)),
+        _put("usual", "read", ExpectedLatency(41.5, 7.25, WROTE_MS)),
+        _put("usual", "pay", ExpectedLatency(120.0, 30.0, WROTE_MS - 2 * 3_600_000)),
+        _put("limit", "node", ConcurrencyLimit(13.5, WROTE_MS)),
+        _put("weights", "s1", BackendSlowness(2.5, WROTE_MS)),
+        _put("ejections", "s2", BackendEjection(WROTE_MS + 90_000, 4, WROTE_MS)),
+        _put("ejections", "s3", BackendEjection(WROTE_MS + 5_000, 4, WROTE_MS)),
         Put("weights", "s9", b"\x93\x01\x02"),
     ]
 
@@ -76,14 +76,14 @@
     shutil.rmtree(directory, ignore_errors=True)
     directory.mkdir(parents=True)
     clock = [WROTE_MS]
-    engine = Engine(Real(), str(directory), lambda: clock[0], segment=16_000)
+    engine = Engine(LocalFileSystem(), str(directory), lambda: clock[0], segment_size_bytes=16_000)
     engine.open()
     engine.commit(_first_commit())
     engine.commit(
         [
-            _put("ends", "s1", End(True, "platform", 43, WROTE_MS, 11)),
-            _put("ends", "s2", End(False, "etcd", 78, WROTE_MS, 12)),
-            _put("ends", "s5", End(True, "etcd", 70, WROTE_MS, 2)),
+            _put("ends", "s1", Withdrawal(True, "platform", 43, WROTE_MS, 11)),
+            _put("ends", "s2", Withdrawal(False, "etcd", 78, WROTE_MS, 12)),
+            _put("ends", "s5", Withdrawal(True, "etcd", 70, WROTE_MS, 2)),
         ]
     )
     engine.commit(_learned_commit())
@@ -91,7 +91,7 @@
     engine.append("log", [b"last"])
     engine.begin_generation()
     clock[0] += 1_000
-    engine.commit([_put("view", "s6", Server("10.0.0.6", 8_006, order=20)), Delete("view", "s0")])
+    engine.commit([_put("view", "s6", PersistedEndpoint("10.0.0.6", 8_006, order=20)), Delete("view", "s0")])
     engine.close()
     newest = sorted(directory.glob("tables-*.db"))[-1]
     number = int(newest.stem.removeprefix("tables-")) + 1
@@ -104,21 +104,21 @@
     return msgspec.to_builtins(value)
 
 
-def canonical_recalled(found: Recalled) -> dict[str, Any]:
+def canonical_recalled(found: RestoredState) -> dict[str, Any]:
     """What a start would believe, with names of its own."""
     return {
         "memory": found.memory,
-        "self": _plain(found.me),
+        "self": _plain(found.identity),
         "foreign": found.foreign,
         "clock_behind_ms": found.clock_behind_ms,
         "order": found.order,
-        "view": {name: [_plain(row.server), row.age_ms] for name, row in sorted(found.view.items())},
-        "ends": {name: _plain(row) for name, row in sorted(found.ends.items())},
+        "view": {name: [_plain(row.endpoint), row.age_ms] for name, row in sorted(found.endpoints.items())},
+        "ends": {name: _plain(row) for name, row in sorted(found.withdrawals.items())},
         "sources": {name: _plain(row) for name, row in sorted(found.sources.items())},
-        "usual": {name: _plain(row) for name, row in sorted(found.usual.items())},
-        "limit": _plain(found.limit),
-        "weights": {name: _plain(row) for name, row in sorted(found.weights.items())},
-        "ejections": dict(sorted(found.ejections.items())),
+        "usual": {name: _plain(row) for name, row in sorted(found.expected_latencies.items())},
+        "limit": _plain(found.concurrency_limit),
+        "weights": {name: _plain(row) for name, row in sorted(found.slowness.items())},
+        "ejections": dict(sorted(found.ejection_left_ms.items())),
         "tables": {name: sorted(rows) for name, rows in sorted(found.rows.items())},
         "messages": found.said,
     }
@@ -130,22 +130,32 @@
     shown.pop("directory")
     faults = [line.replace(str(directory), "DIRECTORY") for line in shown.pop("faults")]
     verified = [line.replace(str(directory), "DIRECTORY") for line in inspect.verify(str(directory))]
-    engine = Engine(Real(), str(directory), lambda: READ_MS, segment=16_000)
+    engine = Engine(LocalFileSystem(), str(directory), lambda: READ_MS, segment_size_bytes=16_000)
     opened = engine.open()
     tables = {table: {key: row.value for key, row in rows.items()} for table, rows in engine.tables.items()}
     recalls = {}
     for node, now_ms in (("n0", READ_MS), ("n0", WROTE_MS - 5_000), ("other", READ_MS)):
-        found = recall(tables, opened.found, opened.older, opened.wrote_ms, node, now_ms, MAX_AGE_MS)
+        found = restore(
+            tables,
+            opened.restored_generation,
+            opened.is_outdated,
+            opened.committed_at_ms,
+            node,
+            now_ms,
+            MAX_AGE_MS,
+        )
         recalls[f"{node} {now_ms - WROTE_MS}"] = canonical_recalled(found)
-    journal = [[one.position, one.at_ms, len(one.value or b"")] for one in engine.read("log", 1, 100)]
+    journal = [
+        [one.position, one.written_at_ms, len(one.value or b"")] for one in engine.read_journal("log", 1, 100)
+    ]
     out = {
         "shown": shown,
         "shown_faults": faults,
         "verified": verified,
-        "generation": opened.generation,
-        "found": opened.found,
-        "older": opened.older,
-        "wrote_ms": opened.wrote_ms,
+        "generation": opened.next_generation,
+        "found": opened.restored_generation,
+        "older": opened.is_outdated,
+        "wrote_ms": opened.committed_at_ms,
         "journal": journal,
         "recalled": recalls,
     }
--- a/tests/compatibility/test_datagrams.py
+++ b/tests/compatibility/test_datagrams.py
@@ -30,7 +30,7 @@
     for recorded in RECORDED:
         data = bytes.fromhex(recorded["bytes"])
         found = gossip.Reader([key]).read(0, "10.0.0.1:1", data)
-        assert isinstance(found, gossip.Read)
+        assert isinstance(found, gossip.AcceptedDatagram)
         sections: list[tuple[int, Any]] = []
         for kind, raw in found.sections:
             again = datagrams.write_section(kind, datagrams.read_section(kind, raw))
--- a/tests/core/anomaly_detection/test_detector.py
+++ b/tests/core/anomaly_detection/test_detector.py
@@ -10,12 +10,12 @@
 
 from balancer.core.anomaly_detection import detector as departure
 from balancer.core.anomaly_detection.detector import (
-    Departures,
-    Row,
+    AnomalyDetector,
+    EventType,
     Scope,
+    ServerObservation,
     Signal,
-    Step,
-    Told,
+    TimelineEvent,
 )
 
 USUAL = {"read": 40.0, "book": 120.0}
@@ -29,14 +29,14 @@
         self.rng, self.rate, self.now = random.Random(seed), rate, 0
         self.names = [f"s{n}" for n in range(servers)]
         self.own = {name: self.rng.gauss(0, 0.1) for name in self.names}
-        self.all = Departures()
-        self.told: list[Told] = []
+        self.all = AnomalyDetector()
+        self.told: list[TimelineEvent] = []
 
     def zone(self, name: str) -> str:
         return "abc"[int(name[1:]) % 3]
 
-    def row(self, name: str, factors: dict[str, float], errors: float = 0.001) -> Row:
-        rng, row = self.rng, Row(name, self.zone(name), "m", int(name[1:]) % 7)
+    def row(self, name: str, factors: dict[str, float], errors: float = 0.001) -> ServerObservation:
+        rng, row = self.rng, ServerObservation(name, self.zone(name), "m", int(name[1:]) % 7)
         for cls, usual in USUAL.items():
             n = sum(rng.random() < self.rate / 40 for _ in range(20))
             bad = sum(rng.random() < errors for _ in range(n))
@@ -46,8 +46,8 @@
                 for _ in range(n - bad)
             ]
             if logs:
-                row.times[cls] = (len(logs), sum(logs), sum(x * x for x in logs))
-                row.answers += len(logs)
+                row.response_times[cls] = (len(logs), sum(logs), sum(x * x for x in logs))
+                row.successes += len(logs)
         return row
 
     def play(
@@ -55,19 +55,19 @@
         seconds: int,
         factors: Callable[[str, int], dict[str, float]] = lambda name, at: {},
         errors: Callable[[str], float] = lambda name: 0.001,
-        alter: Callable[[Row], Row | None] = lambda r: r,
+        alter: Callable[[ServerObservation], ServerObservation | None] = lambda r: r,
         stall_ms: float = 0.0,
-    ) -> list[Told]:
+    ) -> list[TimelineEvent]:
         """So many seconds; what was told in them."""
         before = len(self.told)
         for at in range(seconds):
             self.now += 1
-            assert self.all.begin(self.now * 1000.0, stall_ms)
+            assert self.all.begin_round(self.now * 1000.0, stall_ms)
             for name in self.names:
                 row = alter(self.row(name, factors(name, at), errors(name)))
-                if row is not None and (row.answers or row.errors or row.silent or row.turned_away):
-                    self.all.row(row)
-            self.told += self.all.end()
+                if row is not None and (row.successes or row.errors or row.timeouts or row.rejections):
+                    self.all.observe(row)
+            self.told += self.all.end_round()
         return self.told[before:]
 
     def calm(self, seconds: int = WARM) -> Streams:
@@ -79,21 +79,21 @@
     return lambda name, at: {c: by for c in USUAL if cls in ("", c)} if name == who else {}
 
 
-def began(told: list[Told]) -> list[tuple[Scope, str, Signal]]:
-    return [(t.scope, t.subject, t.signal) for t in told if t.step is Step.BEGAN]
+def began(told: list[TimelineEvent]) -> list[tuple[Scope, str, Signal]]:
+    return [(t.scope, t.subject, t.signal) for t in told if t.event_type is EventType.ANOMALY_BEGAN]
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_three_times_slower_is_named_within_six_rounds_and_nobody_else(seed: int) -> None:
     told = Streams(seed=seed).calm().play(6, slow("s4", 3.0))
-    assert began(told) == [(Scope.SERVER, "s4", Signal.ANSWER_TIME)]
+    assert began(told) == [(Scope.SERVER, "s4", Signal.RESPONSE_TIME)]
     assert 2.0 < float(str(told[0].evidence["ratio"])) < 4.5
     assert 0 <= told[0].at_ms - told[0].since_ms < 8_000 and told[0].since_ms >= (WARM - 2) * 1_000
 
 
 def test_half_the_speed_in_one_class_names_the_class() -> None:
     told = Streams().calm().play(25, slow("s4", 2.0, "book"))
-    assert began(told) == [(Scope.SERVER, "s4", Signal.ANSWER_TIME)] and told[0].evidence["class"] == "book"
+    assert began(told) == [(Scope.SERVER, "s4", Signal.RESPONSE_TIME)] and told[0].evidence["class"] == "book"
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
@@ -105,10 +105,12 @@
 def test_an_event_ends_once_its_cause_has_and_not_at_the_first_good_row() -> None:
     streams = Streams().calm()
     streams.play(10, slow("s4", 3.0))
-    assert all(t.step is not Step.ENDED for t in streams.play(4))
+    assert all(t.event_type is not EventType.ANOMALY_ENDED for t in streams.play(4))
     told = streams.play(60)
-    assert [t.step for t in told if t.step is not Step.CHANGED] == [Step.ENDED]
-    assert int(str(told[-1].evidence["lasted_ms"])) > 8_000 and not streams.all.events
+    assert [t.event_type for t in told if t.event_type is not EventType.ANOMALY_CHANGED] == [
+        EventType.ANOMALY_ENDED
+    ]
+    assert int(str(told[-1].evidence["lasted_ms"])) > 8_000 and not streams.all.open_anomalies
 
 
 def test_one_odd_second_tells_nothing() -> None:
@@ -128,11 +130,15 @@
 def test_a_cut_zone_is_one_event(servers: int) -> None:
     streams = Streams(servers).calm()
 
-    def cut(row: Row) -> Row:
-        return Row(row.server, row.zone, row.kind, row.cell, silent=3) if row.zone == "b" else row
+    def cut(row: ServerObservation) -> ServerObservation:
+        return (
+            ServerObservation(row.server, row.zone, row.kind, row.cell, timeouts=3)
+            if row.zone == "b"
+            else row
+        )
 
     told = streams.play(12, alter=cut)
-    assert began(told) == [(Scope.ZONE, "b", Signal.SILENCE)]
+    assert began(told) == [(Scope.ZONE, "b", Signal.TIMEOUTS)]
 
 
 @pytest.mark.parametrize("first", [("s1", "s4"), ("s4",)])
@@ -140,14 +146,14 @@
     """Where two are sure they wait a round for the others; one that was told alone becomes part of it."""
     streams = Streams(15).calm()
 
-    def cut(row: Row) -> Row:
+    def cut(row: ServerObservation) -> ServerObservation:
         hit = row.server in first or (row.zone == "b" and streams.now > WARM + 1)
-        return Row(row.server, row.zone, row.kind, row.cell, silent=6) if hit else row
+        return ServerObservation(row.server, row.zone, row.kind, row.cell, timeouts=6) if hit else row
 
     told = streams.play(12, alter=cut)
-    zone = (Scope.ZONE, "b", Signal.SILENCE)
-    assert began(told) == ([zone] if len(first) == 2 else [(Scope.SERVER, "s4", Signal.SILENCE), zone])
-    ended = [str(t.evidence["ended_as"]) for t in told if t.step is Step.ENDED]
+    zone = (Scope.ZONE, "b", Signal.TIMEOUTS)
+    assert began(told) == ([zone] if len(first) == 2 else [(Scope.SERVER, "s4", Signal.TIMEOUTS), zone])
+    ended = [str(t.evidence["ended_as"]) for t in told if t.event_type is EventType.ANOMALY_ENDED]
     assert ended == ([] if len(first) == 2 else ["part of event 2"])
 
 
@@ -156,39 +162,41 @@
     told = [t for _ in range(3) for t in streams.play(6, slow("s4", 3.0)) + streams.play(14)]
     assert len(began(told)) == 1
     streams.play(60)
-    assert not streams.all.events
-    assert began(streams.play(300, slow("s4", 3.0))) == [(Scope.SERVER, "s4", Signal.ANSWER_TIME)]
-    assert [t.step for t in streams.play(40) if t.step is Step.ENDED]  # however long it lasted
+    assert not streams.all.open_anomalies
+    assert began(streams.play(300, slow("s4", 3.0))) == [(Scope.SERVER, "s4", Signal.RESPONSE_TIME)]
+    assert [
+        t.event_type for t in streams.play(40) if t.event_type is EventType.ANOMALY_ENDED
+    ]  # however long it lasted
 
 
 def test_a_slow_zone_is_one_event_of_the_zone() -> None:
     streams = Streams(30).calm()
     told = streams.play(15, lambda name, at: dict.fromkeys(USUAL, 3.0) if streams.zone(name) == "c" else {})
-    assert began(told) == [(Scope.ZONE, "c", Signal.ANSWER_TIME)]
+    assert began(told) == [(Scope.ZONE, "c", Signal.RESPONSE_TIME)]
 
 
 def test_half_of_the_fleet_slow_at_once_is_one_event_of_all() -> None:
     streams = Streams(30).calm()
     told = streams.play(15, lambda name, at: dict.fromkeys(USUAL, 3.0) if int(name[1:]) % 2 else {})
-    assert [(scope, signal) for scope, _, signal in began(told)] == [(Scope.ALL, Signal.ANSWER_TIME)]
+    assert [(scope, signal) for scope, _, signal in began(told)] == [(Scope.FLEET, Signal.RESPONSE_TIME)]
 
 
 def test_a_class_that_gets_costlier_everywhere_is_one_event_of_the_class() -> None:
     told = Streams(30).calm().play(40, lambda name, at: {"book": 3.0})
-    assert began(told) == [(Scope.CLASS, "book", Signal.ANSWER_TIME)]
+    assert began(told) == [(Scope.CLASS, "book", Signal.RESPONSE_TIME)]
 
 
 def test_all_classes_slower_everywhere_is_one_event_of_all() -> None:
     told = Streams(30).calm().play(40, lambda name, at: dict.fromkeys(USUAL, 3.0))
-    assert began(told) == [(Scope.ALL, "all", Signal.ANSWER_TIME)]
+    assert began(told) == [(Scope.FLEET, "all", Signal.RESPONSE_TIME)]
 
 
 def test_the_nodes_own_stall_is_no_servers_fault() -> None:
     streams = Streams(30).calm()
     told = streams.play(3, lambda name, at: dict.fromkeys(USUAL, 20.0), stall_ms=800.0)
-    assert began(told) == [(Scope.NODE, "node", Signal.ANSWER_TIME)]
+    assert began(told) == [(Scope.NODE, "node", Signal.RESPONSE_TIME)]
     told = streams.play(20)
-    assert [t.step for t in told] == [Step.ENDED] and told[0].scope is Scope.NODE
+    assert [t.event_type for t in told] == [EventType.ANOMALY_ENDED] and told[0].scope is Scope.NODE
 
 
 def test_nothing_that_the_node_did_raises_one() -> None:
@@ -208,7 +216,7 @@
     assert began(told) == []
     streams.rate = 20.0
     told = streams.play(60, lambda name, at: dict.fromkeys(USUAL, 2.2))
-    assert {scope for scope, _, _ in began(told)} <= {Scope.ALL, Scope.CLASS}
+    assert {scope for scope, _, _ in began(told)} <= {Scope.FLEET, Scope.CLASS}
 
 
 def test_a_decline_of_one_percent_a_minute_is_named_before_a_quarter() -> None:
@@ -216,39 +224,42 @@
     told = streams.play(
         23 * 60, lambda name, at: dict.fromkeys(USUAL, 1.01 ** (at / 60)) if name == "s4" else {}
     )
-    assert began(told) == [(Scope.SERVER, "s4", Signal.ANSWER_TIME)]
+    assert began(told) == [(Scope.SERVER, "s4", Signal.RESPONSE_TIME)]
 
 
 def test_a_periodic_trouble_is_an_event_each_time() -> None:
     streams = Streams().calm()
     for _ in range(2):
         told = streams.play(60, slow("s4", 3.0)) + streams.play(240)
-        assert began(told) == [(Scope.SERVER, "s4", Signal.ANSWER_TIME)]
-        assert [t.step for t in told if t.step is not Step.CHANGED] == [Step.BEGAN, Step.ENDED]
+        assert began(told) == [(Scope.SERVER, "s4", Signal.RESPONSE_TIME)]
+        assert [t.event_type for t in told if t.event_type is not EventType.ANOMALY_CHANGED] == [
+            EventType.ANOMALY_BEGAN,
+            EventType.ANOMALY_ENDED,
+        ]
 
 
 def test_a_server_with_three_answers_a_minute_is_named_in_time_and_not_without_a_cause() -> None:
-    rng, all_, told, now = random.Random(4), Departures(), [], 0.0
+    rng, all_, told, now = random.Random(4), AnomalyDetector(), [], 0.0
     for step in range(1_400):
         now += 20_000.0
-        all_.begin(now)
+        all_.begin_round(now)
         for n in range(12):
             x = math.log(40.0 * (6.0 if n == 3 and step >= 1_200 else 1.0)) + rng.gauss(0, 0.6)
-            all_.row(Row(f"s{n}", times={"read": (1, x, x * x)}, answers=1))
-        out = all_.end()
+            all_.observe(ServerObservation(f"s{n}", response_times={"read": (1, x, x * x)}, successes=1))
+        out = all_.end_round()
         assert step >= 1_200 or not out
         told += out
-    assert (Scope.SERVER, "s3", Signal.ANSWER_TIME) in began(told) and {t.subject for t in told} == {"s3"}
+    assert (Scope.SERVER, "s3", Signal.RESPONSE_TIME) in began(told) and {t.subject for t in told} == {"s3"}
 
 
 def test_noisy_and_missing_reports_raise_none_and_a_crowded_server_does() -> None:
     streams, rng = Streams().calm(), random.Random(9)
 
-    def noisy(crowded: str) -> Callable[[Row], Row]:
-        def alter(row: Row) -> Row:
+    def noisy(crowded: str) -> Callable[[ServerObservation], ServerObservation]:
+        def alter(row: ServerObservation) -> ServerObservation:
             if int(row.server[1:]) % 4:  # some never report
-                row.load = rng.choice((0.5, 1.0, 1.0, 1.5)) * rng.randint(1, 3)
-                row.load += 12.0 if row.server == crowded else 0.0
+                row.reported_load = rng.choice((0.5, 1.0, 1.0, 1.5)) * rng.randint(1, 3)
+                row.reported_load += 12.0 if row.server == crowded else 0.0
             return row
 
         return alter
@@ -258,9 +269,9 @@
 
 
 def test_a_report_that_stands_still_while_the_own_count_moves() -> None:
-    def stands(row: Row, spread: int) -> Row:
+    def stands(row: ServerObservation, spread: int) -> ServerObservation:
         if row.server == "s3":
-            row.same, row.same_ms, row.spread = 50, 11_000.0, spread
+            row.identical_reports, row.identical_reports_ms, row.own_count_spread = 50, 11_000.0, spread
         return row
 
     streams = Streams().calm()
@@ -268,48 +279,58 @@
     assert began(streams.play(3, alter=lambda row: stands(row, 4))) == [
         (Scope.SERVER, "s3", Signal.STALE_REPORT)
     ]
-    assert [t.step for t in streams.play(20)] == [Step.ENDED]
+    assert [t.event_type for t in streams.play(20)] == [EventType.ANOMALY_ENDED]
 
 
 def test_one_that_comes_and_goes_flaps_and_a_deploy_does_not() -> None:
     streams = Streams().calm()
 
-    def starts(row: Row) -> Row:
+    def starts(row: ServerObservation) -> ServerObservation:
         deployed = streams.now <= WARM + 2 and int(row.server[1:]) % 3 == 0  # they drain and start, once
-        row.changes = 2 * deployed + (row.server == "s1")
+        row.lifecycle_changes = 2 * deployed + (row.server == "s1")
         return row
 
     assert began(streams.play(12, alter=starts)) == [(Scope.SERVER, "s1", Signal.FLAPPING)]
 
 
 def test_cold_servers_may_be_slow() -> None:
-    def cold(row: Row) -> Row:
-        row.cold = row.server == "s4"
+    def cold(row: ServerObservation) -> ServerObservation:
+        row.is_warming_up = row.server == "s4"
         return row
 
     assert began(Streams().calm().play(30, slow("s4", 4.0), alter=cold)) == []
 
 
 def test_a_thousand_events_in_one_second_are_told_in_bounded_lines_none_of_a_kind_lost() -> None:
-    all_, told = Departures(), []
+    all_, told = AnomalyDetector(), []
     for second in range(1, 9):
-        all_.begin(second * 1_000.0)
+        all_.begin_round(second * 1_000.0)
         for n in range(4_000):
-            all_.row(Row(f"s{n}", zone=str(n), cell=n, answers=1, changes=int(n < 1_000)))
+            all_.observe(
+                ServerObservation(f"s{n}", zone=str(n), cell=n, successes=1, lifecycle_changes=int(n < 1_000))
+            )
         if second >= 3:
-            all_.row(Row("odd", answers=1, same=99, same_ms=20_000.0, spread=9))
-        out = all_.end()
-        assert len(out) <= departure.MOST_TOLD
+            all_.observe(
+                ServerObservation(
+                    "odd",
+                    successes=1,
+                    identical_reports=99,
+                    identical_reports_ms=20_000.0,
+                    own_count_spread=9,
+                )
+            )
+        out = all_.end_round()
+        assert len(out) <= departure.MAX_EVENTS_PER_ROUND
         told += out
     assert {t.signal for t in told} == {Signal.FLAPPING, Signal.STALE_REPORT}
     # Those beyond what may be open, and those that were open but not told one by one.
-    assert len(all_.events) == departure.MOST_EVENTS
-    assert all_.left_out == 1_001 - len([t for t in told if t.step is Step.BEGAN])
+    assert len(all_.open_anomalies) == departure.MAX_OPEN_ANOMALIES
+    assert all_.suppressed_count == 1_001 - len([t for t in told if t.event_type is EventType.ANOMALY_BEGAN])
 
 
 def test_a_clock_that_stands_still_is_no_round() -> None:
-    all_ = Departures()
-    assert all_.begin(5.0) and not all_.begin(5.0) and not all_.begin(4.0)
+    all_ = AnomalyDetector()
+    assert all_.begin_round(5.0) and not all_.begin_round(5.0) and not all_.begin_round(4.0)
 
 
 def test_servers_that_are_gone_are_forgotten_and_their_events_end() -> None:
@@ -317,14 +338,16 @@
     streams.play(8, slow("s4", 3.0))
     streams.names.remove("s4")
     told = streams.play(130)
-    assert [t.step for t in told if t.step is not Step.CHANGED] == [Step.ENDED]
+    assert [t.event_type for t in told if t.event_type is not EventType.ANOMALY_CHANGED] == [
+        EventType.ANOMALY_ENDED
+    ]
     assert "heard" in str(told[-1].evidence["ended_as"])
     streams.play(800)
     assert "s4" not in streams.all.servers
 
 
 def test_an_event_as_json_has_the_names_that_operators_were_promised() -> None:
-    told = Streams().calm().play(8, slow("s4", 3.0))[0].json()
+    told = Streams().calm().play(8, slow("s4", 3.0))[0].to_json()
     assert list(told) == ["event", "id", "at", "since", "scope", "subject", "signal", "evidence"]
     assert told["event"] == "departure_began" and told["scope"] == "server" and told["subject"] == "s4"
 
@@ -334,13 +357,13 @@
     streams, rng = Streams(15, rate=6.0, seed=5), random.Random(7)
     starts: dict[str, int] = {}
 
-    def alter(row: Row) -> Row:
+    def alter(row: ServerObservation) -> ServerObservation:
         at = streams.now
         if at % 400 == 200 and int(row.server[1:]) % 3 == (at // 400) % 3:
-            starts[row.server], row.changes = at, 2
-        row.cold = at - starts.get(row.server, -99) < 20
+            starts[row.server], row.lifecycle_changes = at, 2
+        row.is_warming_up = at - starts.get(row.server, -99) < 20
         if int(row.server[1:]) % 5:  # a fifth never reports; half of the rest are off by half, a third late
-            row.load = 2.0 * rng.choice((0.5, 1.0, 1.0, 1.5)) * (0.5 if rng.random() < 0.3 else 1.0)
+            row.reported_load = 2.0 * rng.choice((0.5, 1.0, 1.0, 1.5)) * (0.5 if rng.random() < 0.3 else 1.0)
         return row
 
     def factors(name: str, at: int) -> dict[str, float]:
@@ -353,15 +376,19 @@
     for stretch in range(6):
         streams.rate = 12.0 if stretch == 3 else 6.0  # a burst to twice the load
         told += streams.play(400, factors, alter=alter)
-    assert {scope for scope, _, _ in began(told)} <= {Scope.ALL, Scope.CLASS}
+    assert {scope for scope, _, _ in began(told)} <= {Scope.FLEET, Scope.CLASS}
 
 
 def test_one_that_errs_among_thousands_is_told_apart() -> None:
-    all_, told = Departures(), []
+    all_, told = AnomalyDetector(), []
     for second in range(1, 30):
-        all_.begin(second * 1_000.0)
+        all_.begin_round(second * 1_000.0)
         for n in range(0, 10_000, 5):
-            all_.row(Row(f"s{n}", zone="ab"[n % 2], times={"read": (1, 4.0, 16.0)}, answers=1))
-        all_.row(Row("s77", zone="a", answers=2, errors=8))
-        told += all_.end()
+            all_.observe(
+                ServerObservation(
+                    f"s{n}", zone="ab"[n % 2], response_times={"read": (1, 4.0, 16.0)}, successes=1
+                )
+            )
+        all_.observe(ServerObservation("s77", zone="a", successes=2, errors=8))
+        told += all_.end_round()
     assert began(told) == [(Scope.SERVER, "s77", Signal.ERRORS)]
--- a/tests/core/cluster/test_gossiped_removals.py
+++ b/tests/core/cluster/test_gossiped_removals.py
@@ -10,19 +10,19 @@
 
 from balancer.core.cluster import gossiped_removals as hearsay
 from balancer.core.cluster.gossiped_removals import (
-    Answer,
-    Ask,
-    Asked,
-    Hearsay,
-    Out,
-    Own,
-    Question,
-    Round,
-    Rule,
-    Told,
+    AcceptanceRule,
+    FetchSnapshot,
+    GossipedRemovals,
+    GossipIntervalElapsed,
+    QueryRemovals,
+    RemovalsQueried,
+    RemovalsReceived,
+    ReportedRemoval,
+    SendRemovals,
+    SourceAdvanced,
 )
-from balancer.core.discovery.endpoint_merger import Listed, Membership, Source
-from balancer.core.staggering import Turns
+from balancer.core.discovery.endpoint_merger import EndpointMerger, EndpointsListed, Source
+from balancer.core.staggering import StaggeredSchedule
 from balancer.endpoints import EndpointList
 from balancer.interface import Phase
 from balancer.protocol import gossip_sections as goes_by
@@ -40,22 +40,22 @@
 HERE = {name: f"10.0.0.{at}:1" for at, name in enumerate("bcdefghijk")}
 
 
-def node(revision: int = 1, in_sync: bool = True) -> Hearsay:
-    its = Hearsay(Turns(3, 5, 50), Random(1), fits)
-    its.handle(0, Own("platform", ORDER, revision, in_sync))
-    its.handle(0, Round(WORDS, HERE, VIEW))
+def node(revision: int = 1, in_sync: bool = True) -> GossipedRemovals:
+    its = GossipedRemovals(StaggeredSchedule(3, 5, 50), Random(1), fits)
+    its.handle(0, SourceAdvanced("platform", ORDER, revision, in_sync))
+    its.handle(0, GossipIntervalElapsed(WORDS, HERE, VIEW))
     return its
 
 
 def told(
-    its: Hearsay, at: float, senders: str, *servers: str, revision: int = 9, words: int = 10
+    its: GossipedRemovals, at: float, senders: str, *servers: str, revision: int = 9, words: int = 10
 ) -> set[str]:
     """Who is out after a round."""
-    out = [Out(server, revision, True) for server in servers]
+    out = [ReportedRemoval(server, revision, True) for server in servers]
     for sender in senders:
-        its.handle(at, Told(sender, "platform", ORDER, out))
-    its.handle(at, Round(WORDS[:words], HERE, VIEW))
-    return {server for _, server in its.taken}
+        its.handle(at, RemovalsReceived(sender, "platform", ORDER, out))
+    its.handle(at, GossipIntervalElapsed(WORDS[:words], HERE, VIEW))
+    return {server for _, server in its.accepted}
 
 
 @pytest.mark.parametrize(
@@ -81,23 +81,27 @@
     its = node(9)
     assert not told(its, 0, "bcd", "server-1")
     assert not told(its, 0, "bcd", "server-x", revision=10) and not its.claims
-    its.handle(0, Told("b", "platform", ORDER + 1, [Out("server-1", 10, True)]))
-    its.handle(0, Told("b", "etcd", ORDER, [Out("server-1", 10, True)]))
-    its.handle(0, Told("b", "platform", ORDER, [Out("server-1", 9, True)]))
+    its.handle(0, RemovalsReceived("b", "platform", ORDER + 1, [ReportedRemoval("server-1", 10, True)]))
+    its.handle(0, RemovalsReceived("b", "etcd", ORDER, [ReportedRemoval("server-1", 10, True)]))
+    its.handle(0, RemovalsReceived("b", "platform", ORDER, [ReportedRemoval("server-1", 9, True)]))
     assert not its.claims
     assert told(its, 0, "bc", "server-1", revision=10) == {"server-1"}
 
 
 def test_the_own_source_ends_it_and_a_new_order_too() -> None:
-    for own in (Own("platform", ORDER, 9, True), Own("platform", ORDER + 1, 1, True)):
+    for own in (SourceAdvanced("platform", ORDER, 9, True), SourceAdvanced("platform", ORDER + 1, 1, True)):
         its = node(1, False)
         assert told(its, 0, "bc", "server-1")
         its.handle(1, own)
-        (listed,) = (a for a in its.handle(1, Round(WORDS, HERE, VIEW)) if isinstance(a, Listed))
-        assert not its.taken and not its.claims
-        assert [m.endpoint.phase for m in listed.listing.records] == [
+        (listed,) = (
+            a
+            for a in its.handle(1, GossipIntervalElapsed(WORDS, HERE, VIEW))
+            if isinstance(a, EndpointsListed)
+        )
+        assert not its.accepted and not its.claims
+        assert [m.endpoint.phase for m in listed.endpoint_list.records] == [
             Phase.UP
-        ] and not listed.listing.removed_ids
+        ] and not listed.endpoint_list.removed_ids
 
 
 def test_a_wrong_word_ends_while_the_source_is_in_sync_and_is_not_taken_again() -> None:
@@ -105,14 +109,14 @@
     its = node()
     assert told(its, 0, "bc", "server-1", revision=2**60)
     for at in range(0, 6_000, 200):
-        its.handle(at, Own("platform", ORDER, 2 + at, True))
-        its.handle(at, Round(WORDS, HERE, VIEW))
-    assert not its.taken and not told(its, 6_000, "bc", "server-1", revision=2**60)
+        its.handle(at, SourceAdvanced("platform", ORDER, 2 + at, True))
+        its.handle(at, GossipIntervalElapsed(WORDS, HERE, VIEW))
+    assert not its.accepted and not told(its, 6_000, "bc", "server-1", revision=2**60)
     most = node()
     assert told(most, 0, "bcdefg", "server-1")
     for at in range(0, 60_000, 1_000):
-        most.handle(at, Round(WORDS, HERE, VIEW))
-    assert most.taken
+        most.handle(at, GossipIntervalElapsed(WORDS, HERE, VIEW))
+    assert most.accepted
 
 
 def test_all_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -123,36 +127,54 @@
     assert len(its.claims["platform", "server-1"]) == 4
     for at in range(0, 30_000, 1_000):
         told(its, at, "bc", *list(VIEW)[: 20 if at < 9_000 else 6], revision=10 + at // 10_000)
-        assert len(its.claims) <= 6 and len(its._lies) <= 4 and its._claimed.keys() == its.claims.keys()
-        out = tuple(Out(f"x{number}", 1, True) for number in range(9))
-        its.handle(at, Own("platform", ORDER, 1, True, out))
-    assert len(its._lies) == 4 == len(its.own["platform"].out)
+        assert (
+            len(its.claims) <= 6
+            and len(its._refuted) <= 4
+            and its._claimed_since_ms.keys() == its.claims.keys()
+        )
+        out = tuple(ReportedRemoval(f"x{number}", 1, True) for number in range(9))
+        its.handle(at, SourceAdvanced("platform", ORDER, 1, True, out))
+    assert len(its._refuted) == 4 == len(its.sources["platform"].recent_removals)
 
 
 def test_the_own_source_is_asked_in_its_turn_and_ever_more_rarely() -> None:
     its, asks, questions = node(), [], 0
     for at in range(0, 120_000, 100):
-        actions = its.handle(at, Round(WORDS, HERE, VIEW))
-        asks += [at for action in actions if isinstance(action, Ask)]
-        questions += sum(isinstance(action, Question) for action in actions)
-    assert asks and hearsay.NEWER_MS <= asks[0] <= hearsay.NEWER_MS + its._turns.stretch_ms + 100
-    assert len(asks) <= 3 * hearsay.TRIES and questions <= 120_000 / hearsay.AGAIN_MS * hearsay.ASKED
-    its.handle(120_000, Own("platform", ORDER, 9, True))
-    assert not its.handle(120_100, Round(WORDS, HERE, VIEW))
+        actions = its.handle(at, GossipIntervalElapsed(WORDS, HERE, VIEW))
+        asks += [at for action in actions if isinstance(action, FetchSnapshot)]
+        questions += sum(isinstance(action, QueryRemovals) for action in actions)
+    assert (
+        asks
+        and hearsay.NEWER_REVISION_GRACE_MS
+        <= asks[0]
+        <= hearsay.NEWER_REVISION_GRACE_MS + its._time_slots.period_ms + 100
+    )
+    assert (
+        len(asks) <= 3 * hearsay.MAX_FETCHES_BEFORE_PAUSE
+        and questions <= 120_000 / hearsay.QUERY_INTERVAL_MS * hearsay.MAX_PEERS_QUERIED
+    )
+    its.handle(120_000, SourceAdvanced("platform", ORDER, 9, True))
+    assert not its.handle(120_100, GossipIntervalElapsed(WORDS, HERE, VIEW))
 
 
 def test_answers_are_the_own_sources_word_and_fit_their_datagrams() -> None:
     its = node(1, False)
     assert told(its, 0, "bc", "server-1")
-    assert not its.handle(0, Asked("x", "platform", ORDER, 0))  # hearsay is not told on
-    out = tuple(Out(f"server-{number}", 2 + number, True) for number in range(60))
-    its.handle(0, Own("platform", ORDER, 70, True, out))
-    answers = [a for a in its.handle(0, Asked("x", "platform", ORDER, 50)) if isinstance(a, Answer)]
-    assert [one.revision for answer in answers for one in answer.out] == list(range(61, 50, -1))
-    assert all(2 + len(packed("platform", answer.out)) <= room("node-123") for answer in answers)
-    assert len(its.handle(0, Asked("x", "platform", ORDER, 0))) == hearsay.ANSWERS
-    assert not its.handle(hearsay.RECENT_MS + 1, Asked("x", "platform", ORDER, 0))
-    assert goes_by.read_since(goes_by.since("platform", ORDER, 9)) == ("platform", ORDER, 9)
+    assert not its.handle(0, RemovalsQueried("x", "platform", ORDER, 0))  # hearsay is not told on
+    out = tuple(ReportedRemoval(f"server-{number}", 2 + number, True) for number in range(60))
+    its.handle(0, SourceAdvanced("platform", ORDER, 70, True, out))
+    answers = [
+        a for a in its.handle(0, RemovalsQueried("x", "platform", ORDER, 50)) if isinstance(a, SendRemovals)
+    ]
+    assert [one.revision for answer in answers for one in answer.removals] == list(range(61, 50, -1))
+    assert all(2 + len(packed("platform", answer.removals)) <= room("node-123") for answer in answers)
+    assert len(its.handle(0, RemovalsQueried("x", "platform", ORDER, 0))) == hearsay.MAX_ANSWER_DATAGRAMS
+    assert not its.handle(hearsay.RECENT_REMOVAL_TTL_MS + 1, RemovalsQueried("x", "platform", ORDER, 0))
+    assert goes_by.decode_removals_query(goes_by.encode_removals_query("platform", ORDER, 9)) == (
+        "platform",
+        ORDER,
+        9,
+    )
 
 
 STEP = st.one_of(
@@ -171,18 +193,20 @@
     steps: list[tuple[str, int, int, bool, int] | int | bool | float], hearing: int
 ) -> None:
     """Beside the real merge: peers only take away, and nothing at or below the own source's revision."""
-    its, merge, now = node(), Membership([Source("platform"), hearsay.source()]), 0.0
+    its, merge, now = node(), EndpointMerger([Source("platform"), hearsay.gossip_source()]), 0.0
     listing = EndpointList(1, True, tuple(VIEW.values()))
-    merge.handle(now, Listed("platform", "p", listing))
-    while merge.sources["platform"].pending:
-        merge._continue()
+    merge.handle(now, EndpointsListed("platform", "p", listing))
+    while merge.sources["platform"].pending_records:
+        merge._apply_next_slice()
     told_at: dict[str, int] = {}
     revision, in_sync = 1, True
     for step in steps:
         if isinstance(step, tuple):
             sender, number, its_revision, gone, order = step
             name = f"server-{number}"
-            its.handle(now, Told(sender, "platform", order, [Out(name, its_revision, gone)]))
+            its.handle(
+                now, RemovalsReceived(sender, "platform", order, [ReportedRemoval(name, its_revision, gone)])
+            )
             told_at[name] = max(told_at.get(name, 0), its_revision)
         elif isinstance(step, bool):
             in_sync = step
@@ -190,35 +214,44 @@
             revision = max(revision, step)
         else:
             now += step
-        its.handle(now, Own("platform", ORDER, revision, in_sync))
-        for action in its.handle(now, Round(WORDS[:hearing], HERE, merge.view)):
-            if isinstance(action, Listed):
+        its.handle(now, SourceAdvanced("platform", ORDER, revision, in_sync))
+        for action in its.handle(now, GossipIntervalElapsed(WORDS[:hearing], HERE, merge.view)):
+            if isinstance(action, EndpointsListed):
                 merge.handle(now, action)
         up = {name for name, one in merge.view.items() if one.endpoint.phase is Phase.UP}
         assert up <= VIEW.keys() and all(merge.view[name] == VIEW[name] for name in up)
         for name in VIEW.keys() - up:
             assert told_at[name] > revision
-        assert len(VIEW) - len(up) == len(its.taken)
+        assert len(VIEW) - len(up) == len(its.accepted)
 
 
 def test_what_was_lifted_is_forgotten_in_the_end(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(hearsay, "LIFTED", 3)
+    monkeypatch.setattr(hearsay, "MAX_WITHDRAWN_REMOVALS", 3)
     its, renewed = node(1, False), []
     for turn in range(8):
         told(its, turn, "bc", f"server-{turn}", revision=9 + turn)
-        its.handle(turn, Own("platform", ORDER, 9 + turn, False))
-        renewed += [a for a in its.handle(turn, Round(WORDS, HERE, VIEW)) if isinstance(a, hearsay.Renew)]
+        its.handle(turn, SourceAdvanced("platform", ORDER, 9 + turn, False))
+        renewed += [
+            a
+            for a in its.handle(turn, GossipIntervalElapsed(WORDS, HERE, VIEW))
+            if isinstance(a, hearsay.ResetGossipSource)
+        ]
     assert len(renewed) == 2 and not its._listed
     told(its, 9, "bc", "server-1", revision=99)
-    (first, *_) = (action for action in its._out if isinstance(action, Listed))
-    assert first.listing.is_complete  # the source begins anew
+    (first, *_) = (action for action in its._actions if isinstance(action, EndpointsListed))
+    assert first.endpoint_list.is_complete  # the source begins anew
 
 
 @pytest.mark.parametrize(
-    ("hears", "rule", "knows"), [(9, Rule.TAKEN, True), (1, Rule.TAKEN, True), (9, Rule.NOBODY, False)]
+    ("hears", "rule", "knows"),
+    [
+        (9, AcceptanceRule.TWO_REPORTERS_OR_ONLY_SOURCE, True),
+        (1, AcceptanceRule.TWO_REPORTERS_OR_ONLY_SOURCE, True),
+        (9, AcceptanceRule.NEVER, False),
+    ],
 )
 def test_one_cut_off_from_discovery_hears_of_a_drain_and_of_a_removal(
-    hears: int, rule: Rule, knows: bool
+    hears: int, rule: AcceptanceRule, knows: bool
 ) -> None:
     town = Town(10, 1, 0.0, rule)
     town.rounds(4_000)
@@ -234,7 +267,7 @@
     for address in cut:  # its source has come back, and has another word
         now = tuple(map(member, range(SERVERS)))
         town.held[address] = town.revision = town.revision + 1
-        town.listed(address, Listed("platform", "p", EndpointList(town.revision, True, now)))
+        town.listed(address, EndpointsListed("platform", "p", EndpointList(town.revision, True, now)))
     town.rounds(1_000)
     assert not any(map(town.missing, cut))
 
--- a/tests/core/cluster/test_node_state.py
+++ b/tests/core/cluster/test_node_state.py
@@ -20,29 +20,29 @@
 from balancer.core.cluster import (
     partition_detector as cuts,
 )
-from balancer.core.cluster.anti_entropy import Halves
+from balancer.core.cluster.anti_entropy import DigestTree
 from balancer.core.cluster.node_state import (
-    Goes,
-    Heard,
-    Mine,
-    Round,
-    Views,
-    newer,
+    AdvertisedState,
+    GossipIntervalElapsed,
+    NodeStateTable,
+    OwnStateChanged,
+    StatesReceived,
+    latest,
 )
 from balancer.core.cluster.partition_detector import (
-    Cuts,
-    From,
-    Roles,
-    Saw,
+    Evidence,
+    LeasePolicy,
+    PartitionDetector,
+    PartitionScope,
     Verdict,
 )
 from balancer.core.discovery.endpoint_merger import (
-    Continued,
-    Listed,
-    Membership,
+    EndpointMerger,
+    EndpointsListed,
+    NextSliceDue,
     Source,
 )
-from balancer.core.hysteresis import Steady
+from balancer.core.hysteresis import Hysteresis
 from balancer.endpoints import EndpointList
 from balancer.protocol import gossip
 from benchmarks.node_state_gossip import (
@@ -55,7 +55,9 @@
 )
 
 WORDS = st.builds(
-    lambda its, edition, revision, digest: goes("b", 1, revision, digest, incarnation=its, edition=edition),
+    lambda its, edition, revision, digest: goes(
+        "b", 1, revision, digest, incarnation=its, sequence_number=edition
+    ),
     st.integers(1, 2),
     st.integers(1, 3),
     st.integers(1, 3),
@@ -63,48 +65,54 @@
 )
 
 
-def node(*others: Goes, mine: Goes | None = None) -> Views:
-    its = Views("a", Random(1), cost, room("a"))
-    its.handle(0, Mine(mine or goes("a")))
-    its.handle(0, Heard(others))
+def node(*others: AdvertisedState, mine: AdvertisedState | None = None) -> NodeStateTable:
+    its = NodeStateTable("a", Random(1), cost, room("a"))
+    its.handle(0, OwnStateChanged(mine or goes("a")))
+    its.handle(0, StatesReceived(others))
     return its
 
 
-def on_for(its: Views, ms: float, start: float = 0.0) -> list[views.Action]:
-    here = {name: f"10.0.0.{at}:1" for at, name in enumerate(sorted(its.words)) if name != its.name}
+def on_for(its: NodeStateTable, ms: float, start: float = 0.0) -> list[views.Action]:
+    here = {name: f"10.0.0.{at}:1" for at, name in enumerate(sorted(its.states)) if name != its.name}
     times = range(int(start), int(start + ms), 200)
-    return [action for at in times for action in its.handle(at, Round(here))]
+    return [action for at in times for action in its.handle(at, GossipIntervalElapsed(here))]
 
 
 # --- merging
 
 
 @given(WORDS, WORDS, WORDS)
-def test_merging_is_associative_commutative_and_idempotent(one: Goes, two: Goes, three: Goes) -> None:
-    assert newer(one, two) == newer(two, one) and newer(one, one) == one
-    assert newer(newer(one, two), three) == newer(one, newer(two, three))
+def test_merging_is_associative_commutative_and_idempotent(
+    one: AdvertisedState, two: AdvertisedState, three: AdvertisedState
+) -> None:
+    assert latest(one, two) == latest(two, one) and latest(one, one) == one
+    assert latest(latest(one, two), three) == latest(one, latest(two, three))
 
 
 @given(st.lists(WORDS, min_size=1, max_size=6), st.randoms())
-def test_order_and_doubling_of_words_do_not_matter(words: list[Goes], random: Random) -> None:
+def test_order_and_doubling_of_words_do_not_matter(words: list[AdvertisedState], random: Random) -> None:
     again = words * 2
     random.shuffle(again)
-    assert node(*words).words["b"] == node(*again).words["b"]
+    assert node(*words).states["b"] == node(*again).states["b"]
 
 
 def test_a_word_is_put_above_what_others_hold_of_its_node_and_a_lie_has_a_bound() -> None:
-    its = node(goes("a", 0, 9, edition=40), goes("b", edition=2**32 - 1), goes("c", incarnation=2**32 - 1))
-    assert its.words == {"a": goes("a", edition=41)}
+    its = node(
+        goes("a", 0, 9, sequence_number=40),
+        goes("b", sequence_number=2**32 - 1),
+        goes("c", incarnation=2**32 - 1),
+    )
+    assert its.states == {"a": goes("a", sequence_number=41)}
 
 
 def test_words_are_bounded_and_every_datagram_fits(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(views, "PEERS_MAX", 100)
     its = node(*(goes(f"x{number}", zone="z" * (number % 50)) for number in range(200)))
-    assert len(its.words) == 101
-    sent = [action for action in on_for(its, 2_000) if isinstance(action, views.Send)]
-    assert len(sent) == 20 and all(0 < sum(map(cost, send.words)) <= room("a") for send in sent)
-    its.handle(0, Round({"x1": "x"}))
-    assert its.words.keys() == {"a", "x1"}
+    assert len(its.states) == 101
+    sent = [action for action in on_for(its, 2_000) if isinstance(action, views.SendStates)]
+    assert len(sent) == 20 and all(0 < sum(map(cost, send.states)) <= room("a") for send in sent)
+    its.handle(0, GossipIntervalElapsed({"x1": "x"}))
+    assert its.states.keys() == {"a", "x1"}
 
 
 # --- who disagrees
@@ -123,77 +131,90 @@
 def test_the_odd_one_is_named_by_itself_and_by_others(what: str, of: str, other: dict[str, object]) -> None:
     odd = goes("b", **other)  # type: ignore[arg-type]
     for its in (node(odd, goes("c")), node(goes("b"), goes("c"), mine=odd._replace(name="a"))):
-        began = [action for action in on_for(its, 3_000) if isinstance(action, views.Began)]
-        assert [(action.what, action.of, action.count) for action in began] == [(what, of, 1)]
-        assert its.odd == ([(what, of)] if began[0].names == ("a",) else [])
-        its.handle(3_000, Heard([goes("b", edition=5)]))
-        its.handle(3_000, Mine(goes("a")))
-        ended = [action for action in on_for(its, 4_000, 3_200) if isinstance(action, views.Ended)]
-        assert [(action.what, action.of) for action in ended] == [(what, of)] and not its.odd
+        began = [action for action in on_for(its, 3_000) if isinstance(action, views.DivergenceBegan)]
+        assert [(action.kind, action.subject, action.node_count) for action in began] == [(what, of, 1)]
+        assert its.own_divergences == ([(what, of)] if began[0].node_names == ("a",) else [])
+        its.handle(3_000, StatesReceived([goes("b", sequence_number=5)]))
+        its.handle(3_000, OwnStateChanged(goes("a")))
+        ended = [action for action in on_for(its, 4_000, 3_200) if isinstance(action, views.DivergenceEnded)]
+        assert [(action.kind, action.subject) for action in ended] == [(what, of)] and not its.own_divergences
 
 
 def test_lists_are_compared_at_the_same_revisions_only_and_a_tie_names_both() -> None:
     for others in ((goes("b", 1, 2, 9), goes("c", 2, 2, 9)), (goes("b", digest=0), goes("c"))):
         its = node(*others)
         on_for(its, 1_000)
-        assert ("list", "") not in its.disagreements
+        assert ("list", "") not in its.divergences
     its = node(goes("b", digest=9))
-    (began,) = (action for action in on_for(its, 3_000) if isinstance(action, views.Began))
-    assert began.names == ("a", "b")
+    (began,) = (action for action in on_for(its, 3_000) if isinstance(action, views.DivergenceBegan))
+    assert began.node_names == ("a", "b")
 
 
 def test_a_word_says_what_the_own_sources_are_at_and_no_digest_of_what_is_not_theirs() -> None:
-    merge = Membership([Source("platform"), hearsay.source()])
-    assert views.told_of(merge.sources.values()) == (("platform", 0, 0, 0),)
-    merge.handle(0, Listed("platform", "p", EndpointList(7, True, tuple(map(member, range(501))))))
-    assert views.told_of(merge.sources.values()) == (("platform", views.order_of("p"), 7, 2),)
-    assert not views.comparable(merge.sources.values())  # a slice waits
-    merge.handle(0, Continued())
-    assert views.comparable(merge.sources.values())
+    merge = EndpointMerger([Source("platform"), hearsay.gossip_source()])
+    assert views.advertised_sources(merge.sources.values()) == (("platform", 0, 0, 0),)
+    merge.handle(0, EndpointsListed("platform", "p", EndpointList(7, True, tuple(map(member, range(501))))))
+    assert views.advertised_sources(merge.sources.values()) == (("platform", views.identity_hash("p"), 7, 2),)
+    assert not views.is_comparable(merge.sources.values())  # a slice waits
+    merge.handle(0, NextSliceDue())
+    assert views.is_comparable(merge.sources.values())
     for number, listing in enumerate((EndpointList(1, True, ()), EndpointList(2, False, (), ("server-1",)))):
-        merge.handle(0, Listed(views.PEERS, "", listing))
-        assert views.comparable(merge.sources.values()) is not bool(number)
+        merge.handle(0, EndpointsListed(views.GOSSIP_SOURCE_NAME, "", listing))
+        assert views.is_comparable(merge.sources.values()) is not bool(number)
 
 
 def test_who_is_behind_is_named_late_enough_and_not_for_one_that_lies() -> None:
     its = node(goes("b", 1, 5), goes("c", 2, 5))  # a: revision 1
-    assert not [a for a in on_for(its, views.LATE_MS) if isinstance(a, views.Began)]
-    (began,) = (a for a in on_for(its, 3_000, views.LATE_MS) if isinstance(a, views.Began))
-    assert began.names == ("a",) and "4 revisions" in began.why and its.words["a"].flags == views.BEHIND
-    its.handle(5_000, Mine(goes("a", 0, 5)))
-    assert on_for(its, 4_000, 5_000)[-1] != began and not its.words["a"].flags and not its.steady.on
-    for flags in (0, views.BEHIND):  # others are late by their own word alone, as what is held may be old
+    assert not [a for a in on_for(its, views.MAX_REVISION_LAG_MS) if isinstance(a, views.DivergenceBegan)]
+    (began,) = (
+        a for a in on_for(its, 3_000, views.MAX_REVISION_LAG_MS) if isinstance(a, views.DivergenceBegan)
+    )
+    assert (
+        began.node_names == ("a",)
+        and "4 revisions" in began.reason
+        and its.states["a"].flags == views.FLAG_BEHIND
+    )
+    its.handle(5_000, OwnStateChanged(goes("a", 0, 5)))
+    assert (
+        on_for(its, 4_000, 5_000)[-1] != began
+        and not its.states["a"].flags
+        and not its.divergence_hysteresis.active_since_ms
+    )
+    for flags in (
+        0,
+        views.FLAG_BEHIND,
+    ):  # others are late by their own word alone, as what is held may be old
         its = node(goes("b", 1, 1, flags=flags), goes("c", 2, 5), mine=goes("a", 0, 5))
-        assert bool([a for a in on_for(its, 9_000) if isinstance(a, views.Began)]) is bool(flags)
+        assert bool([a for a in on_for(its, 9_000) if isinstance(a, views.DivergenceBegan)]) is bool(flags)
     two = node(goes("b", 1, 2**60), goes("c", 2, 2**60))
-    assert [a for a in on_for(two, 5_000) if isinstance(a, views.Began)]
-    two.handle(5_000, Heard([goes("b", edition=2), goes("c", edition=2)]))
+    assert [a for a in on_for(two, 5_000) if isinstance(a, views.DivergenceBegan)]
+    two.handle(5_000, StatesReceived([goes("b", sequence_number=2), goes("c", sequence_number=2)]))
     on_for(two, 3_000, 5_000)
-    assert not two.steady.on  # as soon as it is taken back
+    assert not two.divergence_hysteresis.active_since_ms  # as soon as it is taken back
     liar = node(goes("b", 1, 2**60), goes("c"))
-    assert not [a for a in on_for(liar, 9_000) if isinstance(a, views.Began)]
+    assert not [a for a in on_for(liar, 9_000) if isinstance(a, views.DivergenceBegan)]
 
 
 def test_old_words_of_many_are_no_disagreement_for_as_long_as_a_turn_takes() -> None:
-    its = node(*(goes(f"x{number}", files=(1, number % 2)) for number in range(60)))
+    its = node(*(goes(f"x{number}", settings_digests=(1, number % 2)) for number in range(60)))
     on_for(its, 200)
-    began = [a for a in on_for(its, its.turn_ms - 600, 200) if isinstance(a, views.Began)]
-    assert not began and its.turn_ms > 10_000
-    assert [a for a in on_for(its, 3_000, its.turn_ms) if isinstance(a, views.Began)]
+    began = [a for a in on_for(its, its.propagation_ms - 600, 200) if isinstance(a, views.DivergenceBegan)]
+    assert not began and its.propagation_ms > 10_000
+    assert [a for a in on_for(its, 3_000, its.propagation_ms) if isinstance(a, views.DivergenceBegan)]
 
 
 def test_a_list_that_changes_all_the_time_makes_nobody_late() -> None:
     its = node(goes("b"), goes("c"))
     for turn in range(200):
         for at, name in enumerate("abc"):
-            word = goes(name, at, 2 + turn - at, edition=turn + 2)  # up to two rounds late
-            its.handle(turn * 200, Mine(word) if name == "a" else Heard([word]))
-        assert not [a for a in on_for(its, 200, turn * 200) if isinstance(a, views.Began)], turn
+            word = goes(name, at, 2 + turn - at, sequence_number=turn + 2)  # up to two rounds late
+            its.handle(turn * 200, OwnStateChanged(word) if name == "a" else StatesReceived([word]))
+        assert not [a for a in on_for(its, 200, turn * 200) if isinstance(a, views.DivergenceBegan)], turn
 
 
 @given(st.lists(st.booleans(), max_size=40))
 def test_what_is_steady_begins_and_ends_in_turn_and_never_by_a_short_one(present: list[bool]) -> None:
-    its: Steady[str] = Steady(500, 1_500)
+    its: Hysteresis[str] = Hysteresis(500, 1_500)
     events, run, last = [], 0, None
     for at, now in enumerate(present):
         run = run + 1 if now == last else 1
@@ -220,12 +241,12 @@
     """Names that only the searched side has are counted, as it has no name for them."""
     sides = []
     for entries in (one, other):
-        its = Halves(down)
+        its = DigestTree(down)
         its.apply((member(n, 9.0) for n in range(61)), ())  # what came and went leaves nothing behind
         its.apply((), [member(n) for n in range(61) if n not in entries])
         its.apply([member(n, float(weight)) for n, weight in entries.items()], ())
         sides.append(its)
-        fresh = Halves()
+        fresh = DigestTree()
         fresh.apply([member(n, float(weight)) for n, weight in sorted(entries.items())], ())
         assert fresh.digest == its.digest
     assert (sides[0].digest == sides[1].digest) == (one == other)
@@ -234,37 +255,80 @@
 
 
 def test_a_search_in_ten_thousand_has_a_bound_whatever_is_asked() -> None:
-    one, other = Halves(), Halves()
+    one, other = DigestTree(), DigestTree()
     one.apply(map(member, range(10_000)), ())
     other.apply(map(member, range(10_000)), ())
     other.apply([member(7, 2.0)], ())
     names, datagrams, size, _ = search(one, other)
-    assert names == {"server-7"} and datagrams <= 6 and size <= datagrams * gossip.SIZE
-    for start in (1, 200, halves.LEAVES):
-        asked = halves.Digests(tuple((place, 1) for place in range(start, 2 * halves.LEAVES)))
-        assert 1 < len(one.heard(asked)[0]) <= halves.ANSWERS
-    assert one.heard(halves.Digests(((0, 1), (70_000, 1)))) == ([], None)
+    assert names == {"server-7"} and datagrams <= 6 and size <= datagrams * gossip.MAX_DATAGRAM_BYTES
+    for start in (1, 200, halves.LEAF_COUNT):
+        asked = halves.TreeDigests(tuple((place, 1) for place in range(start, 2 * halves.LEAF_COUNT)))
+        assert 1 < len(one.receive(asked)[0]) <= halves.MAX_ANSWER_DATAGRAMS
+    assert one.receive(halves.TreeDigests(((0, 1), (70_000, 1)))) == ([], None)
 
 
 # --- cuts
 
-FAR, NEAR = goes("b"), goes("c", flags=views.NO_DISCOVERY, zone_cut=cuts.zone_id("z"))
+FAR, NEAR = goes("b"), goes("c", flags=views.FLAG_NO_DISCOVERY, partitioned_zone_id=cuts.zone_id("z"))
 ZONES = {"z": (4, 4), "y": (4, 0)}
 CASES = [
-    (Saw(4, (), True), {}, Roles.KEEP, True),
-    (Saw(3, ("e",), True), {From.SOME_PEERS: Verdict.UNKNOWN}, Roles.MAJORITY, True),
-    (Saw(1, ("c", "d", "e"), True), {From.SOME_PEERS: Verdict.UNKNOWN}, Roles.MAJORITY, False),
-    (Saw(0, ("b",), True), {From.PEERS: Verdict.UNKNOWN}, Roles.END, False),
-    (Saw(2, (), False, words=(FAR, NEAR)), {From.DISCOVERY: Verdict.CUT}, Roles.KEEP, True),
-    (Saw(1, (), False, words=(NEAR,)), {From.DISCOVERY: Verdict.AWAY}, Roles.KEEP, True),
-    (Saw(0, (), False), {From.DISCOVERY: Verdict.UNKNOWN}, Roles.KEEP, True),
-    (Saw(2, (), True, ZONES, (FAR, NEAR)), {From.ZONE: Verdict.CUT}, Roles.KEEP, True),
-    (Saw(1, (), True, ZONES, (NEAR,)), {From.ZONE: Verdict.AWAY}, Roles.KEEP, True),
-    (Saw(2, (), True, {"z": (4, 4)}, (FAR, NEAR)), {From.SERVERS: Verdict.CUT}, Roles.END, False),
+    (Evidence(4, (), True), {}, LeasePolicy.KEEP, True),
+    (
+        Evidence(3, ("e",), True),
+        {PartitionScope.SOME_PEERS: Verdict.UNKNOWN},
+        LeasePolicy.REQUIRE_MAJORITY,
+        True,
+    ),
+    (
+        Evidence(1, ("c", "d", "e"), True),
+        {PartitionScope.SOME_PEERS: Verdict.UNKNOWN},
+        LeasePolicy.REQUIRE_MAJORITY,
+        False,
+    ),
+    (Evidence(0, ("b",), True), {PartitionScope.ALL_PEERS: Verdict.UNKNOWN}, LeasePolicy.RELEASE, False),
+    (
+        Evidence(2, (), False, peer_states=(FAR, NEAR)),
+        {PartitionScope.DISCOVERY: Verdict.PARTITIONED},
+        LeasePolicy.KEEP,
+        True,
+    ),
+    (
+        Evidence(1, (), False, peer_states=(NEAR,)),
+        {PartitionScope.DISCOVERY: Verdict.TARGET_DOWN},
+        LeasePolicy.KEEP,
+        True,
+    ),
+    (Evidence(0, (), False), {PartitionScope.DISCOVERY: Verdict.UNKNOWN}, LeasePolicy.KEEP, True),
+    (
+        Evidence(2, (), True, ZONES, (FAR, NEAR)),
+        {PartitionScope.BACKEND_ZONE: Verdict.PARTITIONED},
+        LeasePolicy.KEEP,
+        True,
+    ),
+    (
+        Evidence(1, (), True, ZONES, (NEAR,)),
+        {PartitionScope.BACKEND_ZONE: Verdict.TARGET_DOWN},
+        LeasePolicy.KEEP,
+        True,
+    ),
+    (
+        Evidence(2, (), True, {"z": (4, 4)}, (FAR, NEAR)),
+        {PartitionScope.ALL_BACKENDS: Verdict.PARTITIONED},
+        LeasePolicy.RELEASE,
+        False,
+    ),
     (
-        Saw(0, ("b",), False, {"z": (4, 4)}),
-        dict.fromkeys((From.PEERS, From.DISCOVERY, From.SERVERS, From.ALL), Verdict.UNKNOWN),
-        Roles.END,
+        Evidence(0, ("b",), False, {"z": (4, 4)}),
+        dict.fromkeys(
+            (
+                PartitionScope.ALL_PEERS,
+                PartitionScope.DISCOVERY,
+                PartitionScope.ALL_BACKENDS,
+                PartitionScope.EVERYTHING,
+            ),
+            Verdict.UNKNOWN,
+        ),
+        LeasePolicy.RELEASE,
         False,
     ),
 ]
@@ -272,43 +336,47 @@
 
 @pytest.mark.parametrize(("saw", "of", "roles", "keeps"), CASES)
 def test_each_cut_is_told_apart_and_means_what_the_table_says(
-    saw: Saw, of: dict[From, Verdict], roles: Roles, keeps: bool
+    saw: Evidence, of: dict[PartitionScope, Verdict], roles: LeasePolicy, keeps: bool
 ) -> None:
-    its = Cuts()
+    its = PartitionDetector()
     began = [event for at in range(0, 1_000, 200) for event in its.handle(at, saw)]
-    assert {event.of: event.verdict for event in began if isinstance(event, cuts.Began)} == of
-    assert its.means.roles is roles and its.may_keep_roles is keeps
-    assert its.means.drains == (From.DISCOVERY in of and From.PEERS not in of)
-    assert cuts.MEANS.keys() == set(From)
-    ended = [event for at in range(1_000, 4_000, 200) for event in its.handle(at, Saw(4, (), True))]
-    assert {event.of for event in ended} == set(of) and not its.cut
+    assert {event.scope: event.verdict for event in began if isinstance(event, cuts.PartitionBegan)} == of
+    assert its.consequences.lease_policy is roles and its.may_hold_leases is keeps
+    assert its.consequences.accepts_gossiped_removals == (
+        PartitionScope.DISCOVERY in of and PartitionScope.ALL_PEERS not in of
+    )
+    assert cuts.CONSEQUENCES.keys() == set(PartitionScope)
+    ended = [event for at in range(1_000, 4_000, 200) for event in its.handle(at, Evidence(4, (), True))]
+    assert {event.scope for event in ended} == set(of) and not its.partitions
 
 
 def test_one_in_doubt_calls_nothing_a_cut_and_a_flapping_one_is_one() -> None:
-    its, saw = Cuts(), Saw(0, ("b",), True)
-    assert not [e for at in range(0, 5_000, 200) for e in its.handle(at, Saw(0, ("b",), False, doubt=True))]
+    its, saw = PartitionDetector(), Evidence(0, ("b",), True)
+    assert not [
+        e for at in range(0, 5_000, 200) for e in its.handle(at, Evidence(0, ("b",), False, is_in_doubt=True))
+    ]
     events = []
     for at in range(5_000, 30_000, 200):
-        events += its.handle(at, saw if at // 1_000 % 2 else Saw(1, (), True))
-    assert [type(event) for event in events] == [cuts.Began]
+        events += its.handle(at, saw if at // 1_000 % 2 else Evidence(1, (), True))
+    assert [type(event) for event in events] == [cuts.PartitionBegan]
 
 
 def test_a_cut_in_a_world_is_named_by_both_sides_once_and_views_meet_again() -> None:
     """With a node that knows nothing of all this: an older one."""
     world = World(10, 3, 0.1)
     old = world.address("n9")
-    quiet, world.views[old] = world.views[old], Views("n9", Random(1), cost, room("n9"))
-    assert quiet.words
+    quiet, world.views[old] = world.views[old], NodeStateTable("n9", Random(1), cost, room("n9"))
+    assert quiet.states
     world.rounds(4_000)
     part = set(list(world.nodes)[:4])
     world.events.clear()
     world.cut = lambda one, other: (one in part) != (other in part)
     world.rounds(8_000)
-    began = [(name, e.of) for _, name, e in world.events if isinstance(e, cuts.Began)]
-    assert sorted(began) == sorted((node.name, From.SOME_PEERS) for node in world.nodes.values())
+    began = [(name, e.scope) for _, name, e in world.events if isinstance(e, cuts.PartitionBegan)]
+    assert sorted(began) == sorted((node.name, PartitionScope.SOME_PEERS) for node in world.nodes.values())
     world.say(world.address("n1"), goes("n1", 1, zone="moved"))
     world.cut = lambda one, other: False
     world.rounds(20_000)
-    assert not any(its.cut for its in world.cuts.values())
-    assert {its.words["n1"].zone for its in world.views.values()} == {"moved"}
-    assert all(node.state("n9") == 0 for node in world.nodes.values() if node.name != "n9")
+    assert not any(its.partitions for its in world.cuts.values())
+    assert {its.states["n1"].zone for its in world.views.values()} == {"moved"}
+    assert all(node.state_of("n9") == 0 for node in world.nodes.values() if node.name != "n9")
--- a/tests/core/test_connection_admission.py
+++ b/tests/core/test_connection_admission.py
@@ -6,71 +6,71 @@
 from hypothesis import strategies as st
 
 from balancer.core.connection_admission import (
-    GRACE_MS,
-    LEAST_BUDGET,
-    LEAST_LONG,
-    LEAST_SOCKETS,
-    SPARE,
-    STALL_MS,
-    USUAL_BODY,
-    LongBodies,
-    UnreadAnswers,
-    long_budget,
-    places,
-    shares,
-    unread_budget,
+    MIN_DESCRIPTORS,
+    MIN_LARGE_BODY_BUDGET_BYTES,
+    MIN_UNREAD_BUDGET_BYTES,
+    READ_PROGRESS_GRACE_MS,
+    READ_STALL_TIMEOUT_MS,
+    RESERVED_DESCRIPTORS,
+    UNBUDGETED_BODY_BYTES,
+    LargeBodyBudget,
+    UnreadResponses,
+    connection_limits,
+    descriptor_quotas,
+    large_body_budget_bytes,
+    unread_budget_bytes,
 )
 
 
-@given(st.integers(LEAST_SOCKETS, 100_000))
+@given(st.integers(MIN_DESCRIPTORS, 100_000))
 def test_the_shares_and_what_is_kept_make_the_whole(sockets: int) -> None:
-    clients, servers = shares(sockets)
-    cap, over = places(clients)
-    assert clients + servers + SPARE == sockets and min(cap, servers) >= 1
+    clients, servers = descriptor_quotas(sockets)
+    cap, over = connection_limits(clients)
+    assert clients + servers + RESERVED_DESCRIPTORS == sockets and min(cap, servers) >= 1
     assert cap + over == clients and 0 <= over <= cap
 
 
 def test_the_budget_is_an_eighth_of_the_memory_and_never_tiny() -> None:
-    assert unread_budget(192) == 24 * 1024 * 1024
-    assert unread_budget(1) == LEAST_BUDGET
+    assert unread_budget_bytes(192) == 24 * 1024 * 1024
+    assert unread_budget_bytes(1) == MIN_UNREAD_BUDGET_BYTES
 
 
 def test_a_stalled_connection_goes_after_its_time_and_its_deadline() -> None:
-    held = UnreadAnswers[str](1000)
-    held.note("a", 10, 0.0)
-    held.note("late", 10, 0.0, until_ms=STALL_MS + 500)
-    assert held.stalled(STALL_MS) == []
-    assert held.stalled(STALL_MS + 1) == ["a"]
-    assert held.stalled(STALL_MS + 501) == ["a", "late"]
+    held = UnreadResponses[str](1000)
+    held.update("a", 10, 0.0)
+    held.update("late", 10, 0.0, keep_until_ms=READ_STALL_TIMEOUT_MS + 500)
+    assert held.stalled(READ_STALL_TIMEOUT_MS) == []
+    assert held.stalled(READ_STALL_TIMEOUT_MS + 1) == ["a"]
+    assert held.stalled(READ_STALL_TIMEOUT_MS + 501) == ["a", "late"]
 
 
 def test_progress_starts_the_time_anew_and_more_bytes_do_not() -> None:
-    held = UnreadAnswers[str](1000)
-    held.note("reads", 10, 0.0)
-    held.note("asks", 10, 0.0)
-    held.note("reads", 9, STALL_MS)
-    held.note("asks", 11, STALL_MS)
-    assert held.stalled(STALL_MS + 1) == ["asks"]
+    held = UnreadResponses[str](1000)
+    held.update("reads", 10, 0.0)
+    held.update("asks", 10, 0.0)
+    held.update("reads", 9, READ_STALL_TIMEOUT_MS)
+    held.update("asks", 11, READ_STALL_TIMEOUT_MS)
+    assert held.stalled(READ_STALL_TIMEOUT_MS + 1) == ["asks"]
 
 
 def test_over_the_budget_the_largest_without_progress_go_first() -> None:
-    held = UnreadAnswers[str](100)
-    held.note("small", 10, 0.0)
-    held.note("large", 60, 0.0)
-    held.note("reads", 80, 0.0)
-    held.note("reads", 70, GRACE_MS)
-    assert held.full
-    assert held.excess(GRACE_MS + 1) == ["large"]  # 80 are left, which fits
-    held.forget("large")
-    assert not held.full and held.excess(GRACE_MS + 1) == []
+    held = UnreadResponses[str](100)
+    held.update("small", 10, 0.0)
+    held.update("large", 60, 0.0)
+    held.update("reads", 80, 0.0)
+    held.update("reads", 70, READ_PROGRESS_GRACE_MS)
+    assert held.is_over_budget
+    assert held.excess(READ_PROGRESS_GRACE_MS + 1) == ["large"]  # 80 are left, which fits
+    held.discard("large")
+    assert not held.is_over_budget and held.excess(READ_PROGRESS_GRACE_MS + 1) == []
 
 
 def test_those_that_read_go_only_over_twice_the_budget() -> None:
-    held = UnreadAnswers[str](100)
-    held.note("one", 90, 0.0)
-    held.note("two", 110, 0.0)
+    held = UnreadResponses[str](100)
+    held.update("one", 90, 0.0)
+    held.update("two", 110, 0.0)
     assert held.excess(0.0) == []
-    held.note("three", 1, 0.0)
+    held.update("three", 1, 0.0)
     assert held.excess(0.0) == ["two"]
 
 
@@ -81,35 +81,35 @@
 def test_whatever_comes_twice_the_budget_holds_and_the_sum_is_right(
     steps: list[tuple[int, int, float, float]],
 ) -> None:
-    held, now, model = UnreadAnswers[int](400), 0.0, dict[int, int]()
+    held, now, model = UnreadResponses[int](400), 0.0, dict[int, int]()
     for key, size, passed, until in steps:
         now += passed
-        held.note(key, size, now, now + until)
+        held.update(key, size, now, now + until)
         model[key] = size
         for other in [*held.excess(now), *held.stalled(now)]:
-            held.forget(other)
+            held.discard(other)
             model[other] = 0
-        assert held.total == sum(model.values()) <= 800
+        assert held.total_bytes == sum(model.values()) <= 800
         assert set(held) == {k for k, v in model.items() if v}
     for key in list(model):
-        held.forget(key)
-    assert held.total == 0 and len(held) == 0
+        held.discard(key)
+    assert held.total_bytes == 0 and len(held) == 0
 
 
 def test_long_bodies_get_what_is_there_and_give_it_back() -> None:
-    long = LongBodies(100)
-    assert long.take(0, USUAL_BODY) == 0  # a usual one needs nothing
-    first = long.take(0, USUAL_BODY + 60)
+    long = LargeBodyBudget(100)
+    assert long.reserve(0, UNBUDGETED_BODY_BYTES) == 0  # a usual one needs nothing
+    first = long.reserve(0, UNBUDGETED_BODY_BYTES + 60)
     assert first == 60
-    more = long.take(first, USUAL_BODY + 90)
+    more = long.reserve(first, UNBUDGETED_BODY_BYTES + 90)
     assert more == 90
-    assert long.take(0, USUAL_BODY + 11) is None  # and takes nothing
-    assert long.take(0, USUAL_BODY) == 0  # a usual one is never kept out
-    assert long.take(more, USUAL_BODY + 101) is None and long.total == 90
-    long.give(more)
-    assert long.total == 0
+    assert long.reserve(0, UNBUDGETED_BODY_BYTES + 11) is None  # and takes nothing
+    assert long.reserve(0, UNBUDGETED_BODY_BYTES) == 0  # a usual one is never kept out
+    assert long.reserve(more, UNBUDGETED_BODY_BYTES + 101) is None and long.reserved_bytes == 90
+    long.release(more)
+    assert long.reserved_bytes == 0
 
 
 def test_the_budget_of_long_bodies_is_a_sixteenth_of_the_memory_and_holds_two() -> None:
-    assert long_budget(192) == 12 * 1024 * 1024
-    assert long_budget(1) == LEAST_LONG
+    assert large_body_budget_bytes(192) == 12 * 1024 * 1024
+    assert large_body_budget_bytes(1) == MIN_LARGE_BODY_BUDGET_BYTES
--- a/tests/net/test_admin_socket.py
+++ b/tests/net/test_admin_socket.py
@@ -15,7 +15,7 @@
 import pytest
 
 from balancer.net import admin_socket as control
-from balancer.net.admin_socket import Control, ControlError, ask
+from balancer.net.admin_socket import AdminSocket, AdminSocketError, ask
 
 WAIT = 10.0
 
@@ -31,9 +31,9 @@
 
 
 @contextlib.asynccontextmanager
-async def serving(path: Path, uids: frozenset[int] | None = None) -> AsyncIterator[Control]:
+async def serving(path: Path, uids: frozenset[int] | None = None) -> AsyncIterator[AdminSocket]:
     """A control socket with two answers."""
-    out = Control(uids)
+    out = AdminSocket(uids)
     out.register("members", lambda: {"node": "n0", "members": [{"id": "a"}], "count": 1})
     out.register("broken", lambda: {"x": 1 // 0})
     await out.listen(path)
@@ -107,7 +107,7 @@
             got = await asked(path, "rows")
             counting.cancel()
         assert got == {"rows": [{"id": n} for n in range(10_000)], "none": [], "end": []}
-        assert len(seen) >= 10_000 / control.PIECE
+        assert len(seen) >= 10_000 / control.ROWS_PER_CHUNK
 
     run(test)
 
@@ -140,7 +140,9 @@
 
     async def test() -> None:
         async with serving(path, uids=frozenset({os.geteuid() + 1})):
-            with pytest.raises(ControlError, match=f"user {os.geteuid()} is neither root nor the node's own"):
+            with pytest.raises(
+                AdminSocketError, match=f"user {os.geteuid()} is neither root nor the node's own"
+            ):
                 await asked(path, "members")
 
     run(test)
@@ -150,12 +152,12 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     path = tmp_path / "c.sock"
-    monkeypatch.setattr(control, "LIMIT", 0.5)
+    monkeypatch.setattr(control, "CLIENT_TIMEOUT_S", 0.5)
 
     async def test() -> None:
         async with serving(path):
             silent = [await asyncio.open_unix_connection(path) for _ in range(8)]
-            with pytest.raises(ControlError, match="8 clients are being served"):
+            with pytest.raises(AdminSocketError, match="8 clients are being served"):
                 await asked(path, "members")
             for reader, writer in silent:
                 assert await reader.read() == b""
@@ -167,7 +169,7 @@
 
 def test_a_client_that_does_not_read_is_left(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     path = tmp_path / "c.sock"
-    monkeypatch.setattr(control, "LIMIT", 0.3)
+    monkeypatch.setattr(control, "CLIENT_TIMEOUT_S", 0.3)
 
     async def test() -> None:
         calls = 0
@@ -199,8 +201,8 @@
 
     async def test() -> None:
         async with serving(path):
-            with pytest.raises(ControlError, match=r"c\.sock: a running process listens there"):
-                await Control().listen(path)
+            with pytest.raises(AdminSocketError, match=r"c\.sock: a running process listens there"):
+                await AdminSocket().listen(path)
             assert (await asked(path, "members"))["node"] == "n0"
 
     run(test)
@@ -211,10 +213,10 @@
     path.write_text("precious")
 
     async def test() -> None:
-        with pytest.raises(ControlError, match="is no socket"):
-            await Control().listen(path)
-        with pytest.raises(ControlError, match="No such file"):
-            await Control().listen(tmp_path / "nowhere" / "c.sock")
+        with pytest.raises(AdminSocketError, match="is no socket"):
+            await AdminSocket().listen(path)
+        with pytest.raises(AdminSocketError, match="No such file"):
+            await AdminSocket().listen(tmp_path / "nowhere" / "c.sock")
 
     run(test)
     assert path.read_text() == "precious"
@@ -226,7 +228,7 @@
     async def test() -> None:
         async with serving(one) as server:
             (tmp_path / "file").write_text("")
-            with pytest.raises(ControlError):
+            with pytest.raises(AdminSocketError):
                 await server.listen(tmp_path / "file")
             assert (await asked(one, "members"))["node"] == "n0", "a bad path costs the old one"
             await server.listen(two)
@@ -250,12 +252,12 @@
 
 
 def test_asking_where_nobody_answers(tmp_path: Path) -> None:
-    with pytest.raises(ControlError, match=r"c\.sock: no node answers there: No such file"):
+    with pytest.raises(AdminSocketError, match=r"c\.sock: no node answers there: No such file"):
         ask(tmp_path / "c.sock", "members")
     with socket.socket(socket.AF_UNIX) as mute:
         mute.bind(str(tmp_path / "c.sock"))
         mute.listen()
-        with pytest.raises(ControlError, match=r"no answer within 0\.1 s"):
+        with pytest.raises(AdminSocketError, match=r"no answer within 0\.1 s"):
             ask(tmp_path / "c.sock", "members", wait=0.1)
 
 
@@ -264,9 +266,9 @@
 
     def rows() -> Iterator[int]:
         for number in range(5):
-            time.sleep(2 * control.TURN)
+            time.sleep(2 * control.MAX_TURN_S)
             yield number
 
-    pieces = list(control._pieces({"rows": rows()}))
+    pieces = list(control._chunks({"rows": rows()}))
     assert json.loads("".join(pieces)) == {"rows": [0, 1, 2, 3, 4]}
     assert sum(any(c.isdigit() for c in piece) for piece in pieces) == 5
--- a/tests/net/test_application.py
+++ b/tests/net/test_application.py
@@ -15,9 +15,9 @@
 from balancer.net import application as assemble
 from balancer.net import clock
 from balancer.net.config import load
-from balancer.net.endpoint_view import Fleet
-from balancer.net.request_dispatcher import Node
-from balancer.operator_settings import Operators
+from balancer.net.endpoint_view import EndpointView
+from balancer.net.request_dispatcher import RequestDispatcher
+from balancer.operator_settings import OperatorSettings
 from tests.sockets import configuration
 
 
@@ -33,11 +33,11 @@
     config = load({"PROXY_CONFIG": str(tmp_path / "c.json")})
     found: list[Any] = []
 
-    def hand(self: Fleet, event: object) -> None:
+    def hand(self: EndpointView, event: object) -> None:
         found.append(signal.getsignal(signal.SIGHUP))
         raise Reached
 
-    monkeypatch.setattr(Fleet, "hand", hand)
+    monkeypatch.setattr(EndpointView, "handle", hand)
     before = signal.getsignal(signal.SIGHUP)
     with pytest.raises(Reached):
         asyncio.run(assemble.serve(config))
@@ -53,17 +53,17 @@
     off: list[float] = []
 
     async def now() -> float:
-        return Node(config).now()
+        return RequestDispatcher(config).now()
 
     def stopped(work: Coroutine[Any, Any, None]) -> None:
         work.close()
         off.append(round((asyncio.run(now()) / 1000 - time.time()) / 10) * 10)
 
     monkeypatch.setattr("uvloop.run", stopped)
-    monkeypatch.setattr(clock, "_off_ms", 0.0)
+    monkeypatch.setattr(clock, "_offset_ms", 0.0)
     monkeypatch.setenv(clock.TEST_CLOCK, "-90000")
-    assert assemble.run(config) == 0 and assemble.run(config, tmp_path, Operators()) == 0
+    assert assemble.run(config) == 0 and assemble.run(config, tmp_path, OperatorSettings()) == 0
     assert off == [0, -90]
     monkeypatch.setenv(clock.TEST_CLOCK, "soon")
-    assert assemble.run(config, tmp_path, Operators()) == 2
+    assert assemble.run(config, tmp_path, OperatorSettings()) == 2
     assert "BALANCER_TEST_CLOCK_MS: found 'soon'; allowed: whole milliseconds" in capsys.readouterr().err
--- a/tests/net/test_backend_pool.py
+++ b/tests/net/test_backend_pool.py
@@ -17,17 +17,17 @@
 import pytest
 import uvloop
 
-from balancer.core.connection_admission import USUAL_BODY
-from balancer.core.stall_detector import STOOD_MS
+from balancer.core.connection_admission import UNBUDGETED_BODY_BYTES
+from balancer.core.stall_detector import STALL_THRESHOLD_MS
 from balancer.endpoints import parse_endpoint_list
 from balancer.interface import AttemptStatus, Idempotency, Settings
 from balancer.interface import RequestClass as Class
 from balancer.net import backend_pool as upstream
 from balancer.net.backend_pool import (
-    KEEP,
-    REST,
-    Answer,
-    Pool,
+    IDLE_LIMIT_RATIO,
+    REUSE_DELAY_S,
+    BackendPool,
+    BackendResponse,
 )
 from tests.sockets import HOUR, WAIT, answer
 
@@ -66,10 +66,10 @@
         self.listener.settimeout(WAIT)
         # No connection fails for a slow machine: its test would wait for one that never comes.
         usual = {"conn_idle": 60_000.0, "connect_timeout": HOUR}
-        self.pool = Pool(Settings(classes=(READ,), **usual | over), limit)
+        self.pool = BackendPool(Settings(classes=(READ,), **usual | over), limit)
         self.port = self.listener.getsockname()[1]
         self.pool.update(members(self.port))
-        self.ends: list[Answer] = []
+        self.ends: list[BackendResponse] = []
         self.peers: list[socket.socket] = []
 
     def start(self, data: bytes, begin_by: float = math.inf) -> Any:
@@ -96,7 +96,7 @@
         peer.settimeout(WAIT)
         return out
 
-    async def ended(self, count: int) -> Answer:
+    async def ended(self, count: int) -> BackendResponse:
         """The so manieth end."""
         while len(self.ends) < count:
             await asyncio.sleep(0)
@@ -210,7 +210,7 @@
     new_loop: NewLoop, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards against serving a client with another's answer: the next request was written in between."""
-    monkeypatch.setattr(upstream, "REST", LONG)
+    monkeypatch.setattr(upstream, "REUSE_DELAY_S", LONG)
 
     async def test() -> None:
         stand = Stand()
@@ -233,7 +233,7 @@
 
 
 def test_a_connection_that_has_rested_is_used_again_the_latest_first(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(upstream, "REST", LONG)
+    monkeypatch.setattr(upstream, "REUSE_DELAY_S", LONG)
 
     async def test() -> None:
         stand = Stand()
@@ -255,7 +255,7 @@
         assert await stand.request(peers[1], 3) == b"two"
         stand.start(b"six")
         assert await stand.request(peers[0], 3) == b"six"
-        monkeypatch.setattr(upstream, "REST", 0.5)
+        monkeypatch.setattr(upstream, "REUSE_DELAY_S", 0.5)
         used[2].idle_since = time.monotonic()
         stand.start(b"ten")  # the only one is waited for
         assert not used[2].wrote and stand.pool.count == 3
@@ -270,7 +270,7 @@
     monkeypatch: pytest.MonkeyPatch, comes: bytes
 ) -> None:
     """By bytes that come late or by its end, at the cap, too; it counts as one attempt that went out once."""
-    monkeypatch.setattr(upstream, "REST", LONG)
+    monkeypatch.setattr(upstream, "REUSE_DELAY_S", LONG)
 
     async def test() -> None:
         stand = Stand(limit=1)
@@ -297,7 +297,7 @@
     monkeypatch: pytest.MonkeyPatch, how: str
 ) -> None:
     """Nothing is written for a client that has left, or to a server that drains, is gone or another one."""
-    monkeypatch.setattr(upstream, "REST", 0.05)
+    monkeypatch.setattr(upstream, "REUSE_DELAY_S", 0.05)
 
     async def test() -> None:
         stand = Stand()
@@ -337,7 +337,7 @@
         await stand.ended(1)
         assert stand.pool.count == len(stand.pool.hosts["b0"].idle) == (limit == 300.0)
         assert await asyncio.to_thread(peer.recv, 10) == b""
-        assert limit < 300 or time.monotonic() - began > KEEP * 0.3
+        assert limit < 300 or time.monotonic() - began > IDLE_LIMIT_RATIO * 0.3
         await wait_until(lambda: not stand.pool.count)
         stand.close()
 
@@ -509,7 +509,7 @@
     new_loop: NewLoop, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The server drains meanwhile; under uvloop its time is up before that is read."""
-    monkeypatch.setattr(upstream, "REST", rest := 0.5)  # s, in which the second request is begun
+    monkeypatch.setattr(upstream, "REUSE_DELAY_S", rest := 0.5)  # s, in which the second request is begun
 
     async def test() -> None:
         stand, loop = Stand(), asyncio.get_running_loop()
@@ -524,7 +524,7 @@
         def stands_still() -> None:
             loop.remove_reader(far)
             news.send(b"x")
-            time.sleep(rest + STOOD_MS / 1000)
+            time.sleep(rest + STALL_THRESHOLD_MS / 1000)
 
         def learns() -> None:
             loop.remove_reader(told)
@@ -622,7 +622,7 @@
 # --- answers without end
 
 CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-TINY = b"".join(b"1\r\n%c\r\n" % (97 + n % 26) for n in range(USUAL_BODY))
+TINY = b"".join(b"1\r\n%c\r\n" % (97 + n % 26) for n in range(UNBUDGETED_BODY_BYTES))
 
 
 def test_a_body_in_the_smallest_chunks_is_served() -> None:
@@ -633,7 +633,7 @@
         await stand.request(peer, 3)
         await asyncio.to_thread(peer.sendall, CHUNKED + TINY + b"0\r\n\r\n")
         end = await stand.ended(1)
-        assert end.status is AttemptStatus.OK and len(end.body) == USUAL_BODY
+        assert end.status is AttemptStatus.OK and len(end.body) == UNBUDGETED_BODY_BYTES
         stand.close()
 
     run(test)
@@ -684,14 +684,14 @@
 
 def cross(monkeypatch: pytest.MonkeyPatch, before: Callable[[], Any], behind: Callable[[], Any]) -> None:
     """What happens before and behind each write to a backend, in its turn."""
-    write = upstream.Connection.write
+    write = upstream.BackendConnection.write
 
-    def crossed(connection: upstream.Connection, attempt: upstream.Attempt) -> None:
+    def crossed(connection: upstream.BackendConnection, attempt: upstream.Exchange) -> None:
         before()
         write(connection, attempt)
         behind()
 
-    monkeypatch.setattr(upstream.Connection, "write", crossed)
+    monkeypatch.setattr(upstream.BackendConnection, "write", crossed)
 
 
 def nothing() -> None:
@@ -713,7 +713,7 @@
         await stand.request(peer, 3)
         peer.sendall(answer(b"x"))
         await stand.ended(1)
-        stand.pool.hosts["b0"].idle[0].idle_since -= REST
+        stand.pool.hosts["b0"].idle[0].idle_since -= REUSE_DELAY_S
 
         def end() -> None:
             if reset:
--- a/tests/net/test_bulk_update.py
+++ b/tests/net/test_bulk_update.py
@@ -25,25 +25,29 @@
 from balancer.net.config import load
 from balancer.net.discovery import platform
 from balancer.net.discovery.platform import PlatformSource
-from balancer.net.endpoint_view import Fleet
-from balancer.net.http_server import Front
-from balancer.net.request_dispatcher import Node
+from balancer.net.endpoint_view import EndpointView
+from balancer.net.http_server import HttpServer
+from balancer.net.request_dispatcher import RequestDispatcher
 from benchmarks.proxy_fleet import Servers
 from tests.net.test_etcd_discovery import WAIT, run, until
-from tests.net.test_platform_discovery import Answers
+from tests.net.test_platform_discovery import FixedAnswerDiscovery
 from tests.sockets import Client, configuration
 
-COUNT = 3_000
+ENDPOINT_COUNT = 3_000
 
 
-class World:
+class NodeWithList:
     """A node with its front in this process, its discovery, and so many servers that answer."""
 
     def __init__(self, path: Path, servers: Servers) -> None:
         (path / "c.json").write_text(json.dumps(configuration([], 1)))
         config = load({"PROXY_CONFIG": str(path / "c.json")})
-        self.servers, self.node, self.listed = servers, Node(config), m.Source(platform.NAME)
-        self.fleet, self.front = Fleet(self.node, [self.listed]), Front(self.node, 9)
+        self.servers, self.node, self.listed = (
+            servers,
+            RequestDispatcher(config),
+            m.Source(platform.SOURCE_NAME),
+        )
+        self.fleet, self.front = EndpointView(self.node, [self.listed]), HttpServer(self.node, 9)
         self.sent: list[str] = []
         start = self.node.pool.start
 
@@ -54,29 +58,35 @@
         self.node.pool.start = noted  # type: ignore[method-assign, assignment]
         self.kinds: list[int] = []  # how many servers each change of the view brought
         self.fleet.listeners.append(
-            lambda _, actions: self.kinds.extend(len(a.members) for a in actions if isinstance(a, m.Apply))
+            lambda _, actions: self.kinds.extend(
+                len(a.records) for a in actions if isinstance(a, m.ApplyEndpoints)
+            )
         )
 
     async def fetch(self, revision: int, weight: float) -> None:
         """Have the whole list called for, from a discovery that has this one."""
         rows = [{**one, "size": weight} for one in self.servers.entries]
         body = json.dumps({"revision": revision, "complete": True, "members": rows}).encode()
-        assert len(body) > platform.LONG
-        discovery = Answers(b"200 OK", body)
+        assert len(body) > platform.MAX_UNSLICED_LINE_BYTES
+        discovery = FixedAnswerDiscovery(b"200 OK", body)
         await discovery.start()
         PlatformSource(
             ("127.0.0.1", discovery.port),
             False,
             1000.0,
             self.node.now,
-            lambda event: self.fleet.hand(self.here(event)),
+            lambda event: self.fleet.handle(self.here(event)),
             lambda: None,
             lambda: None,
         ).fetch()
 
     def here(self, event: m.Event) -> m.Event:
         """All discoveries are one."""
-        return m.Listed(event.source, "here", event.listing) if isinstance(event, m.Listed) else event
+        return (
+            m.EndpointsListed(event.source, "here", event.endpoint_list)
+            if isinstance(event, m.EndpointsListed)
+            else event
+        )
 
     async def turns(self, met: Callable[[], object]) -> None:
         """The loop's next turns, one at a time, until this holds."""
@@ -86,9 +96,9 @@
 
 
 @contextlib.asynccontextmanager
-async def world(path: Path) -> AsyncIterator[tuple[World, Client]]:
-    async with Servers(COUNT) as servers:
-        out = World(path, servers)
+async def running_node(path: Path) -> AsyncIterator[tuple[NodeWithList, Client]]:
+    async with Servers(ENDPOINT_COUNT) as servers:
+        out = NodeWithList(path, servers)
         await out.front.listen(("127.0.0.1", 0))
         host, port = out.front.address
         client = Client(*await asyncio.open_connection(host, port))
@@ -105,19 +115,23 @@
     tmp_path: Path,
 ) -> None:
     async def test() -> None:
-        async with world(tmp_path) as (here, client):
+        async with running_node(tmp_path) as (here, client):
             assert (await client.ask("/up")).code == 503
             await here.fetch(1, 1.0)
-            await here.turns(lambda: here.node.laying)
+            await here.turns(lambda: here.node.bulk_update)
             names = [one["id"] for one in here.servers.entries]
-            assert (await client.ask("/up")).code == 503 and here.node.laying, "answered between its slices"
+            assert (await client.ask("/up")).code == 503 and here.node.bulk_update, (
+                "answered between its slices"
+            )
             asked = asyncio.create_task(client.ask("/read", "Request-Timeout: 3000m"))
             await here.turns(lambda: here.node.open)
-            assert here.node.laying and not here.sent
-            left = m.Listed("platform", "here", EndpointList(2, False, (), tuple(names[:7] + names[8:])))
-            here.fleet.hand(left)
+            assert here.node.bulk_update and not here.sent
+            left = m.EndpointsListed(
+                "platform", "here", EndpointList(2, False, (), tuple(names[:7] + names[8:]))
+            )
+            here.fleet.handle(left)
             assert (await asked).code == 200 and here.sent == [names[7]]
-            assert here.node.laying is None and here.node.balancer.order == [names[7]]
+            assert here.node.bulk_update is None and here.node.balancer.order == [names[7]]
             assert (await client.ask("/up")).code == 200 and [*here.node.pool.hosts] == [names[7]]
 
     run(test)
@@ -126,50 +140,53 @@
 def test_requests_are_answered_between_the_slices_of_another_list(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(m, "NEWS", 25)  # 120 turns
+    monkeypatch.setattr(m, "CHANGE_SLICE_ENTRIES", 25)  # 120 turns
 
     async def test() -> None:
-        async with world(tmp_path) as (here, client):
+        async with running_node(tmp_path) as (here, client):
             await here.fetch(1, 1.0)
             await until(lambda: here.node.ready)
-            assert here.kinds[-1] == COUNT, "a first list in one piece"
+            assert here.kinds[-1] == ENDPOINT_COUNT, "a first list in one piece"
             assert (await client.ask("/read", "Request-Timeout: 3000m")).code == 200
             await here.fetch(2, 2.0)
-            await here.turns(lambda: here.listed.pending)
+            await here.turns(lambda: here.listed.pending_records)
             assert (await client.ask("/read", "Request-Timeout: 3000m")).code == 200
-            assert here.listed.pending, "answered between its slices"
-            await until(lambda: not here.listed.pending)
-            weights = {b.entry.weight for b in here.node.balancer.backends.values()}
-            assert weights == {2.0} and len(here.node.balancer.order) == COUNT
-            assert max(here.kinds[here.kinds.index(COUNT) + 1 :]) <= m.NEWS
+            assert here.listed.pending_records, "answered between its slices"
+            await until(lambda: not here.listed.pending_records)
+            weights = {b.endpoint.weight for b in here.node.balancer.backends.values()}
+            assert weights == {2.0} and len(here.node.balancer.order) == ENDPOINT_COUNT
+            assert max(here.kinds[here.kinds.index(ENDPOINT_COUNT) + 1 :]) <= m.CHANGE_SLICE_ENTRIES
 
     run(test)
 
 
-@pytest.mark.parametrize("count", [node_module.LARGE, node_module.LARGE + 1])
+@pytest.mark.parametrize("count", [node_module.LARGE_LIST_ENDPOINTS, node_module.LARGE_LIST_ENDPOINTS + 1])
 def test_up_to_a_stated_size_a_first_list_is_taken_in_the_very_turn(tmp_path: Path, count: int) -> None:
     async def test() -> None:
         (tmp_path / "c.json").write_text(json.dumps(configuration([], 1)))
-        node = Node(load({"PROXY_CONFIG": str(tmp_path / "c.json")}))
+        node = RequestDispatcher(load({"PROXY_CONFIG": str(tmp_path / "c.json")}))
         up = Phase.UP
         found = [
             EndpointRecord(Endpoint(f"s{n}", "a", 0, 1.0, up, 0.0), ("127.0.0.1", n + 1))
             for n in range(count)
         ]
-        node.apply(m.Apply(EndpointUpdateKind.INCREMENTAL, tuple(found), (), 1))
+        node.apply(m.ApplyEndpoints(EndpointUpdateKind.INCREMENTAL, tuple(found), (), 1))
         handled, handle = list[str](), node.balancer.handle
 
-        def noted(now: float, event: Event) -> list[Action]:
+        def noted(now_ms: float, event: Event) -> list[Action]:
             handled.append(type(event).__name__)
-            return handle(now, event)
+            return handle(now_ms, event)
 
         node.balancer.handle = noted  # type: ignore[method-assign]
         node.event(ClientLeft("r1"))
         node.event(LearnedStateRestored(node.balancer.learned(node.now()), 0.0))
-        assert node.ready is (count <= node_module.LARGE) and (node.laying is None) is node.ready
+        assert (
+            node.ready is (count <= node_module.LARGE_LIST_ENDPOINTS)
+            and (node.bulk_update is None) is node.ready
+        )
         await until(lambda: node.ready)
         assert len(node.balancer.order) == count
-        news = [] if count <= node_module.LARGE else ["ListUpdate", "Remembered", "ClientGone"]
+        news = [] if count <= node_module.LARGE_LIST_ENDPOINTS else ["ListUpdate", "Remembered", "ClientGone"]
         assert handled == (news or ["ClientGone", "Remembered"]), "what was kept goes before all that waited"
 
     run(test)
--- a/tests/net/test_client_gone.py
+++ b/tests/net/test_client_gone.py
@@ -13,12 +13,12 @@
 
 import pytest
 
-from balancer.core.discovery.endpoint_merger import Listed, Source
+from balancer.core.discovery.endpoint_merger import EndpointsListed, Source
 from balancer.net import backend_pool as upstream
 from balancer.net.config import load
-from balancer.net.endpoint_view import Fleet
-from balancer.net.http_server import Front
-from balancer.net.request_dispatcher import Node
+from balancer.net.endpoint_view import EndpointView
+from balancer.net.http_server import HttpServer
+from balancer.net.request_dispatcher import RequestDispatcher
 from tests.net.test_http_server import LOOPS, NewLoop
 from tests.net.test_http_server import run as run_on
 from tests.sockets import (
@@ -73,14 +73,16 @@
 
 
 @contextlib.asynccontextmanager
-async def fronting(tmp: Path, *members: dict[str, Any], **over: Any) -> AsyncIterator[Front]:
+async def fronting(tmp: Path, *members: dict[str, Any], **over: Any) -> AsyncIterator[HttpServer]:
     """A front with its node in this process."""
     path = tmp / "config.json"
     path.write_text(json.dumps(configuration(list(members), 1, **(PATIENT | over))))
     config = load({"PROXY_CONFIG": str(path)})
-    node = Node(config)
-    Fleet(node, [Source("platform")]).hand(Listed("platform", "here", config.known, saved=True))
-    front = Front(node, 50)
+    node = RequestDispatcher(config)
+    EndpointView(node, [Source("platform")]).handle(
+        EndpointsListed("platform", "here", config.configured_endpoints, is_cached=True)
+    )
+    front = HttpServer(node, 50)
     await front.listen(("127.0.0.1", 0))
     try:
         yield front
@@ -91,7 +93,7 @@
         await until(lambda: not front.connections)
 
 
-async def ask(front: Front, target: str, body: bytes = b"") -> Client:
+async def ask(front: HttpServer, target: str, body: bytes = b"") -> Client:
     """A client that has sent one request."""
     client = Client(*await asyncio.open_connection(*front.address))
     if target == "/read":
@@ -101,7 +103,7 @@
     return client
 
 
-async def go(front: Front, client: Client, how: str) -> None:
+async def go(front: HttpServer, client: Client, how: str) -> None:
     """It leaves, and the front has seen it."""
     before = len(front.connections)
     sock = client.writer.get_extra_info("socket")
@@ -122,10 +124,10 @@
         await asyncio.sleep(0.001)
 
 
-def clean(node: Node) -> bool:
+def clean(node: RequestDispatcher) -> bool:
     """Nothing is left behind by a request that is over."""
     balancer = node.balancer
-    return not (node.open or balancer.out or balancer.requests or balancer.held or node.pool.count)
+    return not (node.open or balancer.in_flight or balancer.requests or balancer.queued or node.pool.count)
 
 
 @LEAVES
@@ -206,17 +208,17 @@
         async with fronting(tmp_path, backend.member(), limits={"cancel": cancel}) as front:
             clients = [await ask(front, "/read") for _ in range(6)]
             balancer = front.node.balancer
-            await until(lambda: len(balancer.requests) == 6 and balancer.out == 4)
-            assert len(balancer.held) == 2
+            await until(lambda: len(balancer.requests) == 6 and balancer.in_flight == 4)
+            assert len(balancer.queued) == 2
             first, last = clients[-2:]
             await go(front, last, how)
-            assert len(balancer.held) == 1
+            assert len(balancer.queued) == 1
             told.set()
             assert (await first.answer()).code == 200
             for client in clients[:4]:
                 assert (await client.answer()).code == 200
             await settled()
-            assert backend.got.qsize() == 5 and not balancer.held and not front.node.open
+            assert backend.got.qsize() == 5 and not balancer.queued and not front.node.open
         backend.stop()
 
     run(test)
@@ -238,7 +240,7 @@
             front.node.wait(False)
             assert (await here.answer()).code == 200
             await settled()
-            assert backend.got.qsize() == 1 and not front.node.open and not front.node.balancer.out
+            assert backend.got.qsize() == 1 and not front.node.open and not front.node.balancer.in_flight
         backend.stop()
 
     run(test)
@@ -357,14 +359,17 @@
         async with fronting(tmp_path, backend.member(), **{"request-classes": classes}) as front:
             client = await ask(front, "/read")
             assert (await client.answer()).code == 200
-            monkeypatch.setattr(upstream, "REST", 30.0)
+            monkeypatch.setattr(upstream, "REUSE_DELAY_S", 30.0)
             method = "GET" if target == "/read" else "POST"
             known = front.node.balancer.backends["b0"]
             client.send(target, method=method)
-            await until(lambda: known.out)
+            await until(lambda: known.in_flight)
             assert (await client.answer()).code == 503
-            assert known.until == known.busy == known.fails == 0 and backend.got.qsize() == 1
-            monkeypatch.setattr(upstream, "REST", 0.01)
+            assert (
+                known.ejected_until_ms == known.paused_until_ms == known.consecutive_failures == 0
+                and backend.got.qsize() == 1
+            )
+            monkeypatch.setattr(upstream, "REUSE_DELAY_S", 0.01)
             assert (await client.ask(target, method=method)).code == 200
             assert backend.connections == 2  # the one that rested went with its attempt
             client.writer.transport.abort()
--- a/tests/net/test_cluster.py
+++ b/tests/net/test_cluster.py
@@ -17,105 +17,107 @@
 
 from balancer import interface as api
 from balancer.core import recovery as r
-from balancer.core.anomaly_detection.detector import Told
+from balancer.core.anomaly_detection.detector import TimelineEvent
 from balancer.core.cluster import failure_detector as p
 from balancer.core.discovery import endpoint_merger as ms
 from balancer.endpoints import EndpointList, EndpointRecord
 from balancer.net import cluster as net
-from balancer.net.admin_socket import Control
-from balancer.net.cluster import PeersPart
-from balancer.net.component import Running
-from balancer.net.endpoint_view import Fleet
-from balancer.operator_settings import Operators, PeersSettings, TimelineSettings
+from balancer.net.admin_socket import AdminSocket
+from balancer.net.cluster import ClusterComponent
+from balancer.net.component import RunningNode
+from balancer.net.endpoint_view import EndpointView
+from balancer.operator_settings import OperatorSettings, PeersSettings, TimelineSettings
 from balancer.operator_settings.peers import written
 from balancer.protocol import gossip
 
-KEY, OLDER = "0123456789abcdef" * 2, "fedcba98" * 8
-KEYS = gossip.keys_of(KEY)
-LIMIT_S = 40.0
+KEY, OLD_KEY = "0123456789abcdef" * 2, "fedcba98" * 8
+KEYS = gossip.parse_keys(KEY)
+TIMEOUT_S = 40.0
 
 
 @pytest.fixture(autouse=True)
-def _soon(monkeypatch: pytest.MonkeyPatch) -> None:
+def short_incarnation_wait(monkeypatch: pytest.MonkeyPatch) -> None:
     """The first one waits for an answer that nobody can give."""
-    monkeypatch.setattr(p, "ALONE_MS", 400.0)
+    monkeypatch.setattr(p, "NO_ANSWER_WAIT_MS", 400.0)
 
 
-class Still:
+class NodeStub:
     """As much of a node as peers see: also its discovery, and its servers."""
 
     def __init__(self, me: int) -> None:
         self.settings = api.Settings((), me, 3)
         self.balancer, self.backends, self.discovery = self, dict[str, Any](), self
-        self.asked = 0
+        self.fetch_count = 0
 
     def now(self) -> float:
         return time.time() * 1000
 
-    def apply(self, change: ms.Apply) -> None:
+    def apply(self, change: ms.ApplyEndpoints) -> None:
         """As the module's."""
 
     def fetch(self) -> None:
-        self.asked += 1
+        self.fetch_count += 1
 
 
-class One(PeersPart):
+class ClusterNode(ClusterComponent):
     """A part on a node of its own, which remembers what was told to the time line."""
 
     def __init__(self, name: str) -> None:
         self.events: list[tuple[str, str]] = []
-        self.still = Still(int(name[1:] or 0))
-        self.fleet = Fleet(self.still, [ms.Source("platform")])
-        running = Running(cast(Any, self.still), self.fleet, (), Control(), name=name)
+        self.node_stub = NodeStub(int(name[1:] or 0))
+        self.fleet = EndpointView(self.node_stub, [ms.Source("platform")])
+        running = RunningNode(cast(Any, self.node_stub), self.fleet, (), AdminSocket(), name=name)
         running.watch = cast(Any, self)
         super().__init__(running)
-        self.listed(0)
+        self.list_endpoints(0)
 
-    def tell(self, told: Told) -> None:
+    def add_event(self, told: TimelineEvent) -> None:
         """As the time line's."""
-        self.events.append((told.step.value, told.subject))
+        self.events.append((told.event_type.value, told.subject))
 
-    def on(self, *seeds: One | socket.socket, keys: str = KEY, **more: Any) -> None:
-        at = tuple(one.at if isinstance(one, One) else one.getsockname() for one in seeds)
+    def switch_on(self, *seeds: ClusterNode | socket.socket, keys: str = KEY, **more: Any) -> None:
+        at = tuple(one.address if isinstance(one, ClusterNode) else one.getsockname() for one in seeds)
         settings = PeersSettings(listen=("127.0.0.1", 0), seeds=at or None, keys=keys)
-        self.apply(Operators(peers=replace(self._wanted or settings, keys=keys, **more)))
+        self.apply(OperatorSettings(peers=replace(self._peers_settings or settings, keys=keys, **more)))
 
     @property
-    def at(self) -> tuple[str, int]:
+    def address(self) -> tuple[str, int]:
         assert self._socket is not None
         return cast(tuple[str, int], self._socket.getsockname())
 
-    def listed(
+    def list_endpoints(
         self, revision: int, *members: EndpointRecord, whole: bool = True, gone: tuple[str, ...] = ()
     ) -> None:
         """Its discovery says so, an agent of its own that has servers at other addresses."""
-        host = f"127.0.1.{self.still.settings.node_index}"
+        host = f"127.0.1.{self.node_stub.settings.node_index}"
         at = tuple(replace(one, address=(host, one.address[1])) for one in members)
-        self.fleet.hand(ms.Listed("platform", self.running.name, EndpointList(revision, whole, at, gone)))
+        self.fleet.handle(
+            ms.EndpointsListed("platform", self.running.name, EndpointList(revision, whole, at, gone))
+        )
 
     def phases(self) -> dict[str, str]:
-        return {name: one.endpoint.phase.value for name, one in self.fleet.membership.view.items()}
+        return {name: one.endpoint.phase.value for name, one in self.fleet.merger.view.items()}
 
-    def states(self) -> dict[str, str]:
+    def states_by_name(self) -> dict[str, str]:
         return {one["name"]: one["state"] for one in self.report()["peers"]}
 
-    def lives(self) -> set[tuple[str, int]]:
+    def incarnations(self) -> set[tuple[str, int]]:
         return {(one["name"], one["incarnation"]) for one in self.report()["peers"]}
 
-    def sees(self, *others: One) -> bool:
+    def sees_alive(self, *others: ClusterNode) -> bool:
         wanted = {one.running.name for one in others}
-        return {name for name, state in self.states().items() if state == "alive"} >= wanted
+        return {name for name, state in self.states_by_name().items() if state == "alive"} >= wanted
 
 
 @contextlib.asynccontextmanager
-async def some(count: int) -> AsyncIterator[list[One]]:
+async def cluster_of(count: int) -> AsyncIterator[list[ClusterNode]]:
     """That many, who know each other by the first."""
-    them = [One(f"n{number}") for number in range(count)]
+    them = [ClusterNode(f"n{number}") for number in range(count)]
     try:
         for one in them:
-            one.on(*them[:1] if one is not them[0] else ())
-        await until(lambda: all(one.sees(*(o for o in them if o is not one)) for one in them))
-        await until(lambda: all(one.report()["speaks"] for one in them))
+            one.switch_on(*them[:1] if one is not them[0] else ())
+        await wait_until(lambda: all(one.sees_alive(*(o for o in them if o is not one)) for one in them))
+        await wait_until(lambda: all(one.report()["speaks"] for one in them))
         yield them
     finally:
         for one in them:
@@ -123,7 +125,7 @@
 
 
 @contextlib.contextmanager
-def raw() -> Any:
+def udp_socket() -> Any:
     """A bare socket."""
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
         sock.bind(("127.0.0.1", 0))
@@ -131,30 +133,32 @@
         yield sock
 
 
-async def until(met: Callable[[], object]) -> None:
-    async with asyncio.timeout(LIMIT_S):
+async def wait_until(met: Callable[[], object]) -> None:
+    async with asyncio.timeout(TIMEOUT_S):
         while not met():
             await asyncio.sleep(0.01)
 
 
 def run(test: Callable[[], Any]) -> None:
-    asyncio.run(asyncio.wait_for(test(), 2 * LIMIT_S))
+    asyncio.run(asyncio.wait_for(test(), 2 * TIMEOUT_S))
 
 
-def told(kind: p.Kind, *words: tuple[str, int, int, str, int], seq: int = 0, target: str = "") -> p.Message:
+def message(
+    kind: p.MessageKind, *words: tuple[str, int, int, str, int], seq: int = 0, target: str = ""
+) -> p.Message:
     return p.Message(kind, seq, target, "", words)
 
 
 def test_they_find_each_other_and_one_that_is_switched_off_has_left() -> None:
     async def test() -> None:
-        async with some(3) as (one, other, third):
+        async with cluster_of(3) as (one, other, third):
             assert one.report()["self"] == "n0" and one.report()["incarnation"] >= 1
-            third.apply(Operators())
-            await until(lambda: one.states()["n2"] == other.states()["n2"] == "left")
+            third.apply(OperatorSettings())
+            await wait_until(lambda: one.states_by_name()["n2"] == other.states_by_name()["n2"] == "left")
             assert ("peer_failed", "n2") not in one.events + other.events
             assert third.running.control._answers == {} and third._socket is None
-            third.on(one)  # again, as a greater incarnation
-            await until(lambda: one.sees(other, third) and other.sees(one, third))
+            third.switch_on(one)  # again, as a greater incarnation
+            await wait_until(lambda: one.sees_alive(other, third) and other.sees_alive(one, third))
             assert ("peer_returned", "n2") in one.events
 
     run(test)
@@ -164,26 +168,32 @@
     """One that says by each of them, with the right words, that another has failed."""
 
     async def test() -> None:
-        async with some(3) as (one, other, _):
-            address = written(other.at)
-            lie = told(p.Kind.NEWS, ("n1", p.State.FAILED, 9, address, 1), ("n9", 0, 1, "127.0.0.1:9", 0))
+        async with cluster_of(3) as (one, other, _):
+            address = written(other.address)
+            lie = message(
+                p.MessageKind.GOSSIP,
+                ("n1", p.PeerState.FAILED, 9, address, 1),
+                ("n9", 0, 1, "127.0.0.1:9", 0),
+            )
             good = gossip.Writer("liar", KEYS).write(1, lie)
-            forged = gossip.Writer("liar", gossip.keys_of(OLDER)).write(1, lie)
+            forged = gossip.Writer("liar", gossip.parse_keys(OLD_KEY)).write(1, lie)
             bent = bytes((*good[:-20], good[-20] ^ 1, *good[-19:]))
             bad = {"key": forged, "code": bent, "short": good[:20], "long": good + b"x" * 256}
-            with raw() as sock:
+            with udp_socket() as sock:
                 for data in bad.values():
-                    sock.sendto(data, one.at)
+                    sock.sendto(data, one.address)
                 for end in range(len(good)):
-                    sock.sendto(good[:end], one.at)
-                await until(lambda: bad.keys() <= one.report()["refused"].keys())
-                await until(lambda: sum(one.report()["refused"].values()) == len(bad) + len(good))
-                assert set(one.states()) == {"n1", "n2"} and one.states()["n1"] == "alive"
+                    sock.sendto(good[:end], one.address)
+                await wait_until(lambda: bad.keys() <= one.report()["refused"].keys())
+                await wait_until(lambda: sum(one.report()["refused"].values()) == len(bad) + len(good))
+                assert set(one.states_by_name()) == {"n1", "n2"} and one.states_by_name()["n1"] == "alive"
                 # The right one counts, once.
-                hello = gossip.Writer("n9", KEYS).write(5, told(p.Kind.NEWS))
+                hello = gossip.Writer("n9", KEYS).write(5, message(p.MessageKind.GOSSIP))
                 for _ in range(3):
-                    sock.sendto(hello, one.at)
-                await until(lambda: one.report()["refused"].get("replay") == 2 and "n9" in one.states())
+                    sock.sendto(hello, one.address)
+                await wait_until(
+                    lambda: one.report()["refused"].get("replay") == 2 and "n9" in one.states_by_name()
+                )
 
     run(test)
 
@@ -192,10 +202,10 @@
     """Requests go on between two turns, whatever comes."""
 
     async def test() -> None:
-        async with some(1) as (one,):
-            with raw() as sock:
+        async with cluster_of(1) as (one,):
+            with udp_socket() as sock:
                 for _ in range(150):
-                    sock.sendto(b"x" * 60, one.at)
+                    sock.sendto(b"x" * 60, one.address)
             counts = [one.counts["received"]]
             while counts[-1] < 150:
                 await asyncio.sleep(0)
@@ -209,23 +219,28 @@
     """A loop that was held up for less than a stand must not accuse whoever answered meanwhile."""
 
     async def test() -> None:
-        async with some(1) as (one,):
-            with raw() as sock:
+        async with cluster_of(1) as (one,):
+            with udp_socket() as sock:
                 writer, reader, ping = gossip.Writer("slow", KEYS), gossip.Reader(KEYS), None
-                sock.sendto(writer.write(1, told(p.Kind.NEWS)), one.at)
+                sock.sendto(writer.write(1, message(p.MessageKind.GOSSIP)), one.address)
                 while ping is None:
                     await asyncio.sleep(0.001)
                     with contextlib.suppress(BlockingIOError):
                         found = reader.read(0.0, "", sock.recv(300))
-                        if isinstance(found, gossip.Read) and found.message.kind == p.Kind.PING:
+                        if (
+                            isinstance(found, gossip.AcceptedDatagram)
+                            and found.message.kind == p.MessageKind.PING
+                        ):
                             ping = found.message
-                sock.sendto(writer.write(1, told(p.Kind.ACK, seq=ping.seq, target="slow")), one.at)
-                time.sleep(p.PERIOD_MS / 1000 + 0.1)
-                one._due()  # as a loop may call it before it looks at its sockets
-                assert one.states() == {"slow": "alive"}
-                time.sleep(p.PERIOD_MS / 1000 + 0.1)
-                one._due()  # and now there was none
-                assert one.states() == {"slow": "suspect"}
+                sock.sendto(
+                    writer.write(1, message(p.MessageKind.ACK, seq=ping.sequence, target="slow")), one.address
+                )
+                time.sleep(p.PROBE_INTERVAL_MS / 1000 + 0.1)
+                one._on_timer()  # as a loop may call it before it looks at its sockets
+                assert one.states_by_name() == {"slow": "alive"}
+                time.sleep(p.PROBE_INTERVAL_MS / 1000 + 0.1)
+                one._on_timer()  # and now there was none
+                assert one.states_by_name() == {"slow": "suspect"}
 
     run(test)
 
@@ -234,14 +249,14 @@
     """Else whoever stood still would call those failed whose answers it did not read."""
 
     async def test() -> None:
-        async with some(3) as (one, *_):
+        async with cluster_of(3) as (one, *_):
             one.events.clear()
-            peers = one.peers
+            peers = one.detector
             assert peers is not None
             time.sleep(1.5)
-            one._due()
-            assert peers.doubt is not None and set(one.states().values()) == {"alive"}
-            await until(lambda: peers.doubt is None)
+            one._on_timer()
+            assert peers.heard_since_stall is not None and set(one.states_by_name().values()) == {"alive"}
+            await wait_until(lambda: peers.heard_since_stall is None)
             assert ("peer_failed", "n1") not in one.events and ("peer_failed", "n2") not in one.events
 
     run(test)
@@ -249,14 +264,14 @@
 
 def test_what_cannot_be_sent_is_counted_and_the_others_are_found(caplog: pytest.LogCaptureFixture) -> None:
     async def test() -> None:
-        async with some(2) as (one, other):
-            third = One("n3")
-            with raw() as gone:
+        async with cluster_of(2) as (one, other):
+            third = ClusterNode("n3")
+            with udp_socket() as gone:
                 closed = gone.getsockname()
-            seeds = (closed, ("255.255.255.255", 9), ("0.0.0.1", 9), other.at)
-            third.apply(Operators(peers=PeersSettings(listen=("127.0.0.1", 0), seeds=seeds, keys=KEY)))
+            seeds = (closed, ("255.255.255.255", 9), ("0.0.0.1", 9), other.address)
+            third.apply(OperatorSettings(peers=PeersSettings(listen=("127.0.0.1", 0), seeds=seeds, keys=KEY)))
             try:
-                await until(lambda: third.sees(one, other) and one.sees(third))
+                await wait_until(lambda: third.sees_alive(one, other) and one.sees_alive(third))
                 assert third.report()["datagrams"]["unsent"] > 0
             finally:
                 await third.close()
@@ -278,23 +293,23 @@
     ],
 )
 def test_a_name_is_never_looked_up(text: str, family: int, found: object) -> None:
-    assert net._target(text, family) == found
+    assert net.socket_address(text, family) == found
 
 
 def test_an_address_that_is_taken_is_named_and_had_later(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    monkeypatch.setattr(net, "AGAIN", 0.02)
+    monkeypatch.setattr(net, "LISTEN_RETRY_INTERVAL_S", 0.02)
 
     async def test() -> None:
-        one = One("n0")
-        with raw() as sock:
+        one = ClusterNode("n0")
+        with udp_socket() as sock:
             at = sock.getsockname()
-            one.apply(Operators(peers=PeersSettings(listen=at, keys=KEY)))
+            one.apply(OperatorSettings(peers=PeersSettings(listen=at, keys=KEY)))
             await asyncio.sleep(0.1)
             assert one.report()["trouble"] == f"{written(at)}: Address already in use"
-        await until(lambda: one.report()["speaks"] or one.peers is not None)
-        assert one.report()["trouble"] is None and one.at == at
+        await wait_until(lambda: one.report()["speaks"] or one.detector is not None)
+        assert one.report()["trouble"] is None and one.address == at
         await one.close()
 
     run(test)
@@ -305,100 +320,104 @@
     caplog.set_level(logging.DEBUG)
 
     async def test() -> None:
-        async with some(3) as them:
+        async with cluster_of(3) as them:
             for one in them:
                 one.events.clear()
-            for text in (f"{KEY}\n{OLDER}", f"{OLDER}\n{KEY}", OLDER):
+            for text in (f"{KEY}\n{OLD_KEY}", f"{OLD_KEY}\n{KEY}", OLD_KEY):
                 for one in them:
-                    one.on(keys=text)
+                    one.switch_on(keys=text)
                     much = one.counts["received"] + 10
                     while one.counts["received"] < much:
                         await asyncio.sleep(0.01)
                     assert not any(o.events for o in them), [o.events for o in them]
                     assert not any(o.report()["refused"] for o in them)
-            them[0].on(keys=KEY)  # a step left out: it is unheard, and that is seen
-            await until(lambda: them[1].report()["refused"].get("key"))
+            them[0].switch_on(keys=KEY)  # a step left out: it is unheard, and that is seen
+            await wait_until(lambda: them[1].report()["refused"].get("key"))
 
     run(test)
-    assert KEY not in caplog.text and OLDER not in caplog.text
+    assert KEY not in caplog.text and OLD_KEY not in caplog.text
 
 
 def test_at_another_address_it_is_who_it_was() -> None:
     async def test() -> None:
-        async with some(3) as (one, other, third):
-            before, life = one.at, one.report()["incarnation"]
-            with raw() as free:
+        async with cluster_of(3) as (one, other, third):
+            before, life = one.address, one.report()["incarnation"]
+            with udp_socket() as free:
                 wanted = free.getsockname()
-            one.on(listen=wanted)  # which has no seeds
-            await until(lambda: all(peer.states()["n0"] == "alive" for peer in (other, third)))
-            await until(lambda: one.sees(other, third) and one.at == wanted != before)
+            one.switch_on(listen=wanted)  # which has no seeds
+            await wait_until(lambda: all(peer.states_by_name()["n0"] == "alive" for peer in (other, third)))
+            await wait_until(lambda: one.sees_alive(other, third) and one.address == wanted != before)
             assert one.report()["incarnation"] > life
-            await until(lambda: ("peer_moved", "n0") in other.events and ("peer_moved", "n0") in third.events)
+            await wait_until(
+                lambda: ("peer_moved", "n0") in other.events and ("peer_moved", "n0") in third.events
+            )
 
     run(test)
 
 
 def test_a_node_without_a_name_is_told_so(tmp_path: Path) -> None:
     async def test() -> None:
-        one = One("")
+        one = ClusterNode("")
         with pytest.raises(ValueError, match="no name"):
-            one.on()
+            one.switch_on()
         assert one._socket is None
 
     run(test)
 
 
-class Meter:
+class RecoveryStub:
     """As much of `net/recovery` as peers see, around the decider itself."""
 
     def __init__(self) -> None:
-        self.recovery, self.began = r.Recovery(0.0), False
-        self.when_begun: list[Callable[[], None]] = []
-        self.kept: list[int] = []
+        self.recovery, self.has_begun = r.Recovery(0.0), False
+        self.on_begun: list[Callable[[], None]] = []
+        self.persisted_incarnations: list[int] = []
 
-    def tell(self, event: r.Event) -> None:
+    def handle(self, event: r.Event) -> None:
         for action in self.recovery.handle(1_000.0, event):
-            if isinstance(action, r.Raise):
-                self.kept.append(action.incarnation)
+            if isinstance(action, r.PersistIncarnation):
+                self.persisted_incarnations.append(action.incarnation)
 
-    def begin(self, kept: r.Kept | None) -> None:
-        self.began = True
-        self.tell(r.Started(kept, 2_000.0))
-        for told in self.when_begun:
+    def begin(self, kept: r.PersistedIncarnation | None) -> None:
+        self.has_begun = True
+        self.handle(r.ProcessStarted(kept, 2_000.0))
+        for told in self.on_begun:
             told()
 
     @property
-    def says(self) -> tuple[str, int]:
-        return self.recovery.memory.value, self.recovery.incarnation
+    def memory_and_incarnation(self) -> tuple[str, int]:
+        return self.recovery.persisted_state.value, self.recovery.incarnation
 
 
-async def told_of(one: One, state: int, incarnation: int) -> None:
+async def gossip_about(one: ClusterNode, state: int, incarnation: int) -> None:
     """Somebody with the right key says that of the node."""
-    with raw() as sock:
-        word = (one.running.name, state, incarnation, written(one.at), 1)
-        sock.sendto(gossip.Writer("liar", KEYS).write(incarnation, told(p.Kind.NEWS, word)), one.at)
+    with udp_socket() as sock:
+        word = (one.running.name, state, incarnation, written(one.address), 1)
+        sock.sendto(
+            gossip.Writer("liar", KEYS).write(incarnation, message(p.MessageKind.GOSSIP, word)), one.address
+        )
 
 
 def test_a_whole_memory_speaks_at_once_and_keeps_what_it_has_to_go_by() -> None:
     """One more than its own is a refutation, a greater number a later life that it forgot."""
 
     async def test() -> None:
-        async with some(1) as (other,):
-            one, meter = One("n1"), Meter()
+        async with cluster_of(1) as (other,):
+            one, meter = ClusterNode("n1"), RecoveryStub()
             one.running.recovery = cast(Any, meter)
             try:
-                one.on(other)
+                one.switch_on(other)
                 await asyncio.sleep(0.3)
-                assert one.peers is None and not one.report()["speaks"], "what was kept is not read yet"
-                meter.begin(r.Kept(7, 1_000.0))
-                assert one.report()["speaks"] and meter.says == ("kept", 8)
-                await until(lambda: other.sees(one))
-                await told_of(one, p.State.SUSPECT, 8)
-                await until(lambda: meter.says == ("kept", 9))
-                await told_of(one, p.State.FAILED, 20)
-                await until(lambda: meter.says == ("older", 21))
-                await until(lambda: ("n1", 21) in other.lives())
-                assert meter.kept == [8, 9, 21]
+                assert one.detector is None and not one.report()["speaks"], "what was kept is not read yet"
+                meter.begin(r.PersistedIncarnation(7, 1_000.0))
+                assert one.report()["speaks"] and meter.memory_and_incarnation == ("kept", 8)
+                await wait_until(lambda: other.sees_alive(one))
+                await gossip_about(one, p.PeerState.SUSPECT, 8)
+                await wait_until(lambda: meter.memory_and_incarnation == ("kept", 9))
+                await gossip_about(one, p.PeerState.FAILED, 20)
+                await wait_until(lambda: meter.memory_and_incarnation == ("older", 21))
+                await wait_until(lambda: ("n1", 21) in other.incarnations())
+                assert meter.persisted_incarnations == [8, 9, 21]
             finally:
                 await one.close()
 
@@ -408,27 +427,29 @@
 @pytest.mark.parametrize("held", [5, 0])
 def test_without_a_memory_it_goes_by_what_the_others_hold_and_says_that_it_forgot(held: int) -> None:
     async def test() -> None:
-        async with some(1) as (other,):
-            one, meter = One("n1"), Meter()
+        async with cluster_of(1) as (other,):
+            one, meter = ClusterNode("n1"), RecoveryStub()
             one.running.recovery = cast(Any, meter)
             meter.begin(None)
             if held:
-                assert other.peers is not None
-                fell = told(p.Kind.NEWS, ("n1", p.State.FAILED, held, "127.0.0.1:9", 1))
-                other._tell(p.Heard("n2", 1, "127.0.0.1:8", fell))
+                assert other.detector is not None
+                fell = message(p.MessageKind.GOSSIP, ("n1", p.PeerState.FAILED, held, "127.0.0.1:9", 1))
+                other._handle(p.DatagramReceived("n2", 1, "127.0.0.1:8", fell))
             try:
-                one.on(other)
+                one.switch_on(other)
                 assert not one.report()["speaks"]
-                await until(lambda: other.sees(one))
-                assert meter.says == (("lost", 6) if held else ("none", 1))
-                assert (meter.recovery.barred_until_ms > 1_000.0) is bool(held), "they know of no later life"
+                await wait_until(lambda: other.sees_alive(one))
+                assert meter.memory_and_incarnation == (("lost", 6) if held else ("none", 1))
+                assert (meter.recovery.roles_barred_until_ms > 1_000.0) is bool(held), (
+                    "they know of no later life"
+                )
             finally:
                 await one.close()
 
     run(test)
 
 
-def server(number: int, phase: api.Phase = api.Phase.UP) -> EndpointRecord:
+def endpoint_record(number: int, phase: api.Phase = api.Phase.UP) -> EndpointRecord:
     return EndpointRecord(api.Endpoint(f"s{number}", "z", 0, 1.0, phase, 0.0), ("127.0.0.1", 9_000 + number))
 
 
@@ -436,29 +457,33 @@
     """By all, the odd one too, and the end of it; who is cut off from discovery, and by whose word."""
 
     async def test() -> None:
-        async with some(3) as (*others, odd):
+        async with cluster_of(3) as (*others, odd):
             them = [*others, odd]
             for one in them:
-                one.listed(1, server(1))
-            odd.apply(Operators(peers=odd._wanted, timeline=TimelineSettings(memory_mb=9)))
-            await until(lambda: all(("disagreement_began", "settings operators") in o.events for o in them))
+                one.list_endpoints(1, endpoint_record(1))
+            odd.apply(OperatorSettings(peers=odd._peers_settings, timeline=TimelineSettings(memory_mb=9)))
+            await wait_until(
+                lambda: all(("disagreement_began", "settings operators") in o.events for o in them)
+            )
             told = others[0].report()
             assert [d["names"] for d in told["disagreements"]] == [["n2"]]
             by = {one["name"]: one["goes_by"] for one in told["peers"]}
             assert by["n2"]["operators"] != by["n1"]["operators"] == told["goes_by"]["operators"]
             assert all(one["sources"]["platform"]["revision"] == 1 for one in by.values()) and not told["cut"]
             assert by["n1"]["list"] == by["n2"]["list"] == told["goes_by"]["list"] is not None
-            odd.apply(Operators(peers=odd._wanted))
-            await until(lambda: all(("disagreement_ended", "settings operators") in o.events for o in them))
-            odd.fleet.hand(ms.Silenced("platform", "no answer"))
-            await until(lambda: ("cut_began", "discovery") in odd.events)
+            odd.apply(OperatorSettings(peers=odd._peers_settings))
+            await wait_until(
+                lambda: all(("disagreement_ended", "settings operators") in o.events for o in them)
+            )
+            odd.fleet.handle(ms.SourceLost("platform", "no answer"))
+            await wait_until(lambda: ("cut_began", "discovery") in odd.events)
             cut = odd.report()["cut"][0]
             assert "2 of 2 peers reach it" in cut["why"] and cut["of"] == "discovery"
-            await until(lambda: any(not o["goes_by"]["discovery"] for o in others[0].report()["peers"]))
-            assert odd.figures()["cuts"] == {"discovery": 1} and others[0].figures()["cuts"] == {}
-            odd.fleet.hand(ms.Heard("platform"))
-            await until(lambda: ("cut_ended", "discovery") in odd.events)
-            assert odd.figures()["events"]["cut_began"] == 1 and not odd.still.asked
+            await wait_until(lambda: any(not o["goes_by"]["discovery"] for o in others[0].report()["peers"]))
+            assert odd.metrics()["cuts"] == {"discovery": 1} and others[0].metrics()["cuts"] == {}
+            odd.fleet.handle(ms.SourceConfirmedCurrent("platform"))
+            await wait_until(lambda: ("cut_ended", "discovery") in odd.events)
+            assert odd.metrics()["events"]["cut_began"] == 1 and not odd.node_stub.fetch_count
 
     run(test)
 
@@ -468,34 +493,40 @@
     """The source is asked at once. Its own word ends that; so does switching `[peers]` off."""
 
     async def test() -> None:
-        async with some(3) as (*others, last):
+        async with cluster_of(3) as (*others, last):
             for one in (*others, last):
-                one.listed(1, server(1), server(2), server(3))
-            last.fleet.hand(ms.Silenced("platform", "no answer"))
+                one.list_endpoints(1, endpoint_record(1), endpoint_record(2), endpoint_record(3))
+            last.fleet.handle(ms.SourceLost("platform", "no answer"))
             for one in others:
-                one.listed(2, server(1, api.Phase.DRAINING), whole=False)
-            await until(lambda: last.phases() == {"s1": "draining", "s2": "up", "s3": "up"})
-            await until(lambda: last.still.asked)
-            assert [*last.fleet.membership.sources] == ["platform", "peers"]
+                one.list_endpoints(2, endpoint_record(1, api.Phase.DRAINING), whole=False)
+            await wait_until(lambda: last.phases() == {"s1": "draining", "s2": "up", "s3": "up"})
+            await wait_until(lambda: last.node_stub.fetch_count)
+            assert [*last.fleet.merger.sources] == ["platform", "peers"]
             taken = {"source": "platform", "server": "s1", "revision": 2, "gone": False}
-            assert last.report()["taken"] == [taken] and last.figures()["taken"] == {"drains": 1}
-            with raw() as free:
+            assert last.report()["taken"] == [taken] and last.metrics()["taken"] == {"drains": 1}
+            with udp_socket() as free:
                 wanted = free.getsockname()
-            last.on(listen=wanted)  # elsewhere: what was taken holds on
-            assert last.phases()["s1"] == "draining" and last.at == wanted and last.words is not None
-            assert last.words.decider.peers is last.peers is not None
-            last.listed(3, server(1), server(2), server(3))  # it is up again, or the others were wrong
-            await until(lambda: set(last.phases().values()) == {"up"})
+            last.switch_on(listen=wanted)  # elsewhere: what was taken holds on
+            assert (
+                last.phases()["s1"] == "draining"
+                and last.address == wanted
+                and last.cluster_gossip is not None
+            )
+            assert last.cluster_gossip.coordinator.failure_detector is last.detector is not None
+            last.list_endpoints(
+                3, endpoint_record(1), endpoint_record(2), endpoint_record(3)
+            )  # it is up again, or the others were wrong
+            await wait_until(lambda: set(last.phases().values()) == {"up"})
             assert not last.report()["taken"]
             for one in others:
-                one.listed(4, whole=False, gone=("s2",))
-            await until(lambda: last.phases() == {"s1": "up", "s3": "up"})
+                one.list_endpoints(4, whole=False, gone=("s2",))
+            await wait_until(lambda: last.phases() == {"s1": "up", "s3": "up"})
             if ends:  # what it keeps is not to bring back who went
                 await last.close()
                 assert set(last.phases()) == {"s1", "s3"}
                 return
-            last.apply(Operators())
+            last.apply(OperatorSettings())
             assert set(last.phases()) == {"s1", "s2", "s3"}
-            assert [*last.fleet.membership.sources] == ["platform"]
+            assert [*last.fleet.merger.sources] == ["platform"]
 
     run(test)
--- a/tests/net/test_components.py
+++ b/tests/net/test_components.py
@@ -10,17 +10,17 @@
 
 import pytest
 
-from balancer.net.admin_socket import Control
-from balancer.net.component import Observers, Running
-from balancer.net.components import KINDS, Kind, Parts
+from balancer.net.admin_socket import AdminSocket
+from balancer.net.component import Observers, RunningNode
+from balancer.net.components import COMPONENT_KINDS, ComponentKind, Components
 from balancer.operator_settings import (
     ControlSettings,
     MetricsSettings,
-    Operators,
+    OperatorSettings,
     TimelineSettings,
 )
 
-ON = Operators(control=ControlSettings())
+ON = OperatorSettings(control=ControlSettings())
 FAULTS = [ValueError("a bad file"), ZeroDivisionError("a fault of the program")]
 
 
@@ -31,7 +31,7 @@
         self.name, self.said = name, said
         self.fails: Exception | None = None
 
-    def apply(self, settings: Operators) -> None:
+    def apply(self, settings: OperatorSettings) -> None:
         """Note it, or fail."""
         if self.fails is not None:
             raise self.fails
@@ -51,16 +51,18 @@
         self.said: list[str] = []
         self.spies = {name: Spy(name, self.said) for name in "abc"}
         self.broken = broken
-        kinds = [Kind(n, lambda s: s.control is not None, partial(partial, self.make, n)) for n in "abc"]
+        kinds = [
+            ComponentKind(n, lambda s: s.control is not None, partial(partial, self.make, n)) for n in "abc"
+        ]
         node: Any = None
-        running = Running(node, cast(Any, self), (), Control())
-        self.parts = Parts(path, Operators(), running, kinds)
+        running = RunningNode(node, cast(Any, self), (), AdminSocket())
+        self.parts = Components(path, OperatorSettings(), running, kinds)
 
     def report(self) -> dict[str, Any]:
         """As the fleet's."""
         return {}
 
-    def make(self, name: str, running: Running) -> Spy:
+    def make(self, name: str, running: RunningNode) -> Spy:
         """The spy, or the failure."""
         if name == "b" and self.broken is not None:
             fault, self.broken = self.broken, None
@@ -76,9 +78,9 @@
 
 def test_a_part_is_made_by_the_first_settings_that_have_it_on_and_closed_in_turn() -> None:
     rig = Spies()
-    assert rig.parts.made == {} and rig.told() == []
+    assert rig.parts.running_components == {} and rig.told() == []
     rig.parts.apply(ON)
-    rig.parts.apply(Operators())
+    rig.parts.apply(OperatorSettings())
     assert rig.told() == ["a on", "b on", "c on", "a off", "b off", "c off"]
     asyncio.run(rig.parts.close())
     assert rig.told() == ["c closed", "b closed", "a closed"]
@@ -97,7 +99,7 @@
     said = f"a: {fault}; what was there before goes on" if plain else "a: the change failed"
     assert said in caplog.text and ("Traceback" in caplog.text) is not plain
     rig.spies["a"].fails = None
-    rig.parts.apply(Operators())
+    rig.parts.apply(OperatorSettings())
     assert rig.told() == ["a off", "b off", "c off"]
 
 
@@ -123,11 +125,11 @@
 
 def test_metrics_follow_the_time_line_and_end_with_it(caplog: pytest.LogCaptureFixture) -> None:
     """With a time line that is another one the metrics are its own; without one there are none."""
-    metrics = next(kind for kind in KINDS if kind.name == "metrics")
-    whole = Operators(timeline=TimelineSettings(), metrics=MetricsSettings(listen=("127.0.0.1", 0)))
+    metrics = next(kind for kind in COMPONENT_KINDS if kind.name == "metrics")
+    whole = OperatorSettings(timeline=TimelineSettings(), metrics=MetricsSettings(listen=("127.0.0.1", 0)))
 
     async def test() -> None:
-        running = Running(cast(Any, None), cast(Any, None), (), Control())
+        running = RunningNode(cast(Any, None), cast(Any, None), (), AdminSocket())
         part: Any = metrics.load()(running)
         part.apply(whole)
         assert part._target is None, "no time line is on"
--- a/tests/net/test_endpoint_view.py
+++ b/tests/net/test_endpoint_view.py
@@ -10,13 +10,13 @@
 import pytest
 
 from balancer.core.cluster import gossiped_removals as hearsay
-from balancer.core.discovery.endpoint_merger import Apply, Heard, Source
+from balancer.core.discovery.endpoint_merger import ApplyEndpoints, Source, SourceConfirmedCurrent
 from balancer.core.discovery.etcd_watcher import EtcdConfig
 from balancer.endpoints import EndpointRecord
-from balancer.net.discovery.etcd import EtcdSource
-from balancer.net.endpoint_view import Fleet
-from balancer.net.etcd_component import ETCD, EtcdPart
-from balancer.operator_settings import EtcdSettings, Membership, Operators
+from balancer.net.discovery.etcd import EtcdDiscovery
+from balancer.net.endpoint_view import EndpointView
+from balancer.net.etcd_component import ETCD, EtcdComponent
+from balancer.operator_settings import EtcdSettings, Membership, OperatorSettings
 from tests.net.test_etcd_discovery import (
     WAIT,
     Gateway,
@@ -38,20 +38,20 @@
         """The loop's clock."""
         return asyncio.get_running_loop().time() * 1000
 
-    def apply(self, change: Apply) -> None:
+    def apply(self, change: ApplyEndpoints) -> None:
         """Take a change, or fail."""
         if self.failing:
             self.failing = False
             raise ZeroDivisionError
-        for gone in change.removed:
+        for gone in change.removed_records:
             self.view.pop(gone.id)
-        for one in change.members:
+        for one in change.records:
             self.view[one.id] = one
 
 
-def on(etcd: EtcdSettings) -> Operators:
+def on(etcd: EtcdSettings) -> OperatorSettings:
     """An operators' file with this table."""
-    return Operators(membership=Membership(etcd=etcd))
+    return OperatorSettings(membership=Membership(etcd=etcd))
 
 
 def test_a_fault_of_the_program_does_not_end_a_source(caplog: pytest.LogCaptureFixture) -> None:
@@ -60,8 +60,8 @@
     async def test() -> None:
         gateway, sink = await Gateway().start(), Sink()
         gateway.keys = {b"/m/a": value()}
-        fleet = Fleet(sink, [Source(ETCD, pieces=True)])
-        source = EtcdSource(EtcdConfig((gateway.url,), "/m/"), fleet.hand)
+        fleet = EndpointView(sink, [Source(ETCD, has_partial_revisions=True)])
+        source = EtcdDiscovery(EtcdConfig((gateway.url,), "/m/"), fleet.handle)
         sink.failing = True
         source.start()
         async with asyncio.timeout(WAIT):
@@ -83,9 +83,11 @@
     async def test() -> None:
         gateway, sink = await Gateway().start(), Sink()
         gateway.keys = {b"/m/a": value()}
-        fleet = Fleet(sink, [Source("platform")])
+        fleet = EndpointView(sink, [Source("platform")])
         others = (Source("platform"),)
-        part = EtcdPart(fleet, others, lambda config, seen: EtcdSource(config, fleet.hand, seen=seen))
+        part = EtcdComponent(
+            fleet, others, lambda config, seen: EtcdDiscovery(config, fleet.handle, seen=seen)
+        )
         settings = EtcdSettings(endpoints=(gateway.url,), prefix="/m/")
         part.apply(on(settings))
         await until(lambda: list(sink.view) == ["a"])
@@ -103,8 +105,8 @@
     async def test() -> None:
         gateway, sink = await Gateway().start(), Sink()
         gateway.keys = {b"/m/a": value(), b"/m/b": value(2)}
-        fleet = Fleet(sink, [])
-        part = EtcdPart(fleet, (), lambda config, seen: EtcdSource(config, fleet.hand, seen=seen))
+        fleet = EndpointView(sink, [])
+        part = EtcdComponent(fleet, (), lambda config, seen: EtcdDiscovery(config, fleet.handle, seen=seen))
         settings = EtcdSettings(endpoints=(gateway.url,), prefix="/m/")
         part.apply(on(settings))
         await until(lambda: len(sink.view) == 2)
@@ -125,12 +127,14 @@
 def test_other_nodes_stay_behind_all_sources_where_etcd_comes_and_goes() -> None:
     async def test() -> None:
         first = Source("platform")
-        fleet = Fleet(Sink(), [first, hearsay.source()])
-        part = EtcdPart(fleet, (first,), lambda config, seen: EtcdSource(config, fleet.hand, seen=seen))
+        fleet = EndpointView(Sink(), [first, hearsay.gossip_source()])
+        part = EtcdComponent(
+            fleet, (first,), lambda config, seen: EtcdDiscovery(config, fleet.handle, seen=seen)
+        )
         part.apply(on(EtcdSettings(endpoints=("http://127.0.0.1:9",), prefix="/m/")))
-        assert [*fleet.membership.sources] == ["platform", ETCD, "peers"]
-        part.apply(Operators())
-        assert [*fleet.membership.sources] == ["platform", "peers"]
+        assert [*fleet.merger.sources] == ["platform", ETCD, "peers"]
+        part.apply(OperatorSettings())
+        assert [*fleet.merger.sources] == ["platform", "peers"]
 
     run(test)
 
@@ -138,13 +142,13 @@
 def test_a_listener_that_fails_costs_the_list_and_others_nothing(caplog: pytest.LogCaptureFixture) -> None:
     async def test() -> None:
         sink, heard = Sink(), list[object]()
-        fleet = Fleet(sink, [Source("platform")])
+        fleet = EndpointView(sink, [Source("platform")])
 
         def fails(event: object, actions: object) -> None:
             raise KeyError
 
         fleet.listeners += [fails, lambda event, actions: heard.append(event)]
-        fleet.hand(Heard("platform"))
-        assert heard == [Heard("platform")] and "a listener failed on Heard" in caplog.text
+        fleet.handle(SourceConfirmedCurrent("platform"))
+        assert heard == [SourceConfirmedCurrent("platform")] and "a listener failed on Heard" in caplog.text
 
     run(test)
