--- a/tests/net/test_etcd_discovery.py
+++ b/tests/net/test_etcd_discovery.py
@@ -18,15 +18,15 @@
 
 from balancer.core.discovery import etcd_watcher as ef
 from balancer.core.discovery.endpoint_merger import (
-    Heard,
-    Listed,
-    Refused,
-    Silenced,
+    EndpointsListed,
+    SourceConfirmedCurrent,
+    SourceLost,
+    SourceRejected,
 )
 from balancer.core.discovery.etcd_watcher import EtcdConfig
 from balancer.net.discovery import etcd
-from balancer.net.discovery.etcd import EtcdSource
-from balancer.protocol.etcd_entry import entry
+from balancer.net.discovery.etcd import EtcdDiscovery
+from balancer.protocol.etcd_entry import parse_entry
 
 WAIT = 20.0  # s until a test that waits for something that does not come fails
 Loop = Callable[[], asyncio.AbstractEventLoop]
@@ -169,7 +169,7 @@
         self.told: asyncio.Queue[object] = asyncio.Queue()
         self.all: list[object] = []
         config = EtcdConfig(urls, more.pop("prefix", "/m/"), **more)
-        self.source = EtcdSource(config, self._emit, rng=random.Random(0), **mine)
+        self.source = EtcdDiscovery(config, self._emit, rng=random.Random(0), **mine)
         self.source.start()
 
     def _emit(self, event: object) -> None:
@@ -184,7 +184,9 @@
 
     def first(self, number: int) -> None:
         """Ask this endpoint first."""
-        self.source.follow.order = sorted(self.source.follow.order, key=lambda i: i != number)
+        self.source.follow.endpoint_order = sorted(
+            self.source.follow.endpoint_order, key=lambda i: i != number
+        )
 
 
 async def until(true: Callable[[], bool]) -> None:
@@ -196,7 +198,7 @@
 @pytest.fixture(autouse=True)
 def _quick(monkeypatch: pytest.MonkeyPatch) -> Iterator[None]:
     """Check often, so that tests need not wait."""
-    monkeypatch.setattr(ef, "CHECK_MS", 30.0)
+    monkeypatch.setattr(ef, "CHECK_INTERVAL_MS", 30.0)
     yield
 
 
@@ -206,16 +208,16 @@
         gateway = await Gateway().start()
         gateway.keys = {b"/m/s-%04d" % i: value(i + 1) for i in range(1200)} | {b"/m/a/b": value()}
         rig = Rig(gateway)
-        listing = (await rig.next(Listed)).listing
+        listing = (await rig.next(EndpointsListed)).listing
         assert listing.complete and listing.revision == 10 and len(listing.members) == 1200
         assert [f.key for f in listing.faults] == ["a/b"]
         stream = await gateway.streams.get()
         assert stream.start == 10
         stream.events((b"/m/s-0007", None), (b"/m/s-0008", value(99)))
-        changes = (await rig.next(Listed)).listing
+        changes = (await rig.next(EndpointsListed)).listing
         assert changes.removed == ("s-0007",) and changes.members[0].address == ("10.0.0.1", 99)
         for _ in range(5):
-            await rig.next(Heard)
+            await rig.next(SourceConfirmedCurrent)
         assert gateway.connections == 2 and gateway.count("/v3/kv/range") >= 9
         rig.source.stop()
         gateway.stop()
@@ -226,19 +228,19 @@
 def test_a_deletion_that_the_watch_never_tells_is_found_by_a_count(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    monkeypatch.setattr(ef, "AUDIT_MS", 50.0)
+    monkeypatch.setattr(ef, "AUDIT_INTERVAL_MS", 50.0)
 
     async def test() -> None:
         gateway = await Gateway().start()
         gateway.keys = {b"/m/a": value(1), b"/m/b": value(2)}
         rig = Rig(gateway)
-        await rig.next(Listed)
+        await rig.next(EndpointsListed)
         stream = await gateway.streams.get()
         del gateway.keys[b"/m/a"]  # compacted away at its own revision: the watch says nothing of it
         gateway.revision += 1
         stream.events((b"/m/b", value(3)))
-        assert (await rig.next(Listed)).listing.removed == ()
-        listing = (await rig.next(Listed)).listing
+        assert (await rig.next(EndpointsListed)).listing.removed == ()
+        listing = (await rig.next(EndpointsListed)).listing
         assert listing.removed == ("a",) and not listing.complete and listing.revision == 12
         assert "1 keys are there and 2 were told of" in caplog.text
         rig.source.stop()
@@ -251,7 +253,7 @@
     async def test() -> None:
         gateway = await Gateway().start()
         rig = Rig(gateway)
-        await rig.next(Heard)
+        await rig.next(SourceConfirmedCurrent)
         rig.source.stop()
         rig.source.stop()
         told = len(rig.all)
@@ -259,11 +261,11 @@
         gateway.revision = 9
         rig.source.start()
         rig.source.start()
-        assert "behind 10" in (await rig.next(Silenced)).reason
+        assert "behind 10" in (await rig.next(SourceLost)).reason
         gateway.revision = 11
-        assert (await rig.next(Listed)).listing.revision == 11
+        assert (await rig.next(EndpointsListed)).listing.revision == 11
         rig.source.stop()
-        assert [type(e) for e in rig.all[told:]][:2] == [Silenced, Listed]
+        assert [type(e) for e in rig.all[told:]][:2] == [SourceLost, EndpointsListed]
         gateway.stop()
 
     run(test)
@@ -276,9 +278,13 @@
         # Each call crosses the close of what was an idle connection.
         gateway.script = lambda path, head, body: HANG_UP if head["nth"] != "0" else None
         rig = Rig(gateway)
-        await rig.next(Heard)
-        await rig.next(Heard)
-        assert [type(event) for event in rig.all] == [Listed, Heard, Heard] and gateway.connections >= 6
+        await rig.next(SourceConfirmedCurrent)
+        await rig.next(SourceConfirmedCurrent)
+        assert [type(event) for event in rig.all] == [
+            EndpointsListed,
+            SourceConfirmedCurrent,
+            SourceConfirmedCurrent,
+        ] and gateway.connections >= 6
         rig.source.stop()
         gateway.stop()
 
@@ -289,13 +295,13 @@
     async def test() -> None:
         gateway = await Gateway().start()
         rig = Rig(gateway)
-        await rig.next(Listed)
+        await rig.next(EndpointsListed)
         stopped = b'{"error":{"message":"etcdserver: server stopped"}}'
         for cut in (b"", b'{"result":{"header":{"clus', stopped):
             stream = await gateway.streams.get()
             stream.events((b"/m/a", value()))
-            await rig.next(Listed)
-            await rig.next(Heard)
+            await rig.next(EndpointsListed)
+            await rig.next(SourceConfirmedCurrent)
             if cut:
                 stream.raw(cut)
             stream.writer.close()
@@ -315,7 +321,7 @@
         rig = Rig(slow, good)
         rig.first(0)
         begun = asyncio.get_running_loop().time()
-        assert (await rig.next(Listed)).listing.members[0].id == "a"
+        assert (await rig.next(EndpointsListed)).listing.members[0].id == "a"
         assert asyncio.get_running_loop().time() - begun < 5
         assert "is left: no answer in 3000 ms while listing" in caplog.text and slow.url in caplog.text
         await until(lambda: not slow.writers)
@@ -335,11 +341,11 @@
         rig = Rig(gone.url, silent, good)
         rig.first(1)
         begun = asyncio.get_running_loop().time()
-        await rig.next(Listed)
+        await rig.next(EndpointsListed)
         assert asyncio.get_running_loop().time() - begun < 5
         rig.source.stop()
         rig = Rig(silent)
-        assert "no connection: timed out" in (await rig.next(Silenced)).reason
+        assert "no connection: timed out" in (await rig.next(SourceLost)).reason
         rig.source.stop()
         mute.close()
         good.stop()
@@ -356,7 +362,7 @@
         )
         rig = Rig(gateway.url.replace("127.0.0.1", "localhost"))
         for _ in range(3):
-            await rig.next(Heard)
+            await rig.next(SourceConfirmedCurrent)
         assert gateway.asked[0][1]["host"].startswith("localhost:") and gateway.connections >= 5
         rig.source.stop()
         gateway.stop()
@@ -380,12 +386,12 @@
         gateway.script = script
         begun = asyncio.get_running_loop().time()
         rig = Rig(gateway, bears=1_000, me=1, nodes=100)
-        await rig.next(Listed)
+        await rig.next(EndpointsListed)
         assert len(asked) == 2 and asked[0] - begun >= 0.07 and asked[1] - asked[0] >= 1.14
         rig.source.stop()
         # The first of the nodes, and one that is alone, ask at once.
-        assert Rig(gateway, bears=1, me=0, nodes=100).source.follow.phase is ef.Phase.ASKING
-        assert Rig(gateway, bears=1, me=7, nodes=1).source.follow.phase is ef.Phase.ASKING
+        assert Rig(gateway, bears=1, me=0, nodes=100).source.follow.phase is ef.WatcherPhase.CHECKING
+        assert Rig(gateway, bears=1, me=7, nodes=1).source.follow.phase is ef.WatcherPhase.CHECKING
         gateway.stop()
 
     run(test)
@@ -395,11 +401,11 @@
     async def test() -> None:
         gateway = await Gateway().start()
         rig = Rig(gateway)
-        await rig.next(Listed)
+        await rig.next(EndpointsListed)
         for spoil in (b"{what?}\n", b'{"result":{}}\n', b" " * (9 << 20)):
             (await gateway.streams.get()).raw(spoil)
             gateway.revision += 1
-            listing = (await rig.next(Listed)).listing
+            listing = (await rig.next(EndpointsListed)).listing
             assert listing.complete and listing.revision == gateway.revision
         rig.source.stop()
         gateway.stop()
@@ -411,11 +417,11 @@
     async def test() -> None:
         gateway = await Gateway().start()
         rig = Rig(gateway)
-        await rig.next(Listed)
+        await rig.next(EndpointsListed)
         stream = await gateway.streams.get()
         stream.line(canceled=True, compact_revision="11")
         gateway.revision = 15
-        assert (await rig.next(Listed)).listing.revision == 15
+        assert (await rig.next(EndpointsListed)).listing.revision == 15
         assert (await gateway.streams.get()).start == 15
         await until(lambda: stream.writer not in gateway.writers)
         rig.source.stop()
@@ -448,15 +454,15 @@
         gateway = await Gateway().start()
         gateway.script = locked = Locked()
         rig = Rig(gateway, user="reader", password="secret-1")
-        await rig.next(Heard)
+        await rig.next(SourceConfirmedCurrent)
         assert locked.logins == 1
         locked.valid = "another"
         await until(lambda: locked.logins == 2)
         rig.all.clear()
-        await rig.next(Heard)
-        await rig.next(Heard)
+        await rig.next(SourceConfirmedCurrent)
+        await rig.next(SourceConfirmedCurrent)
         assert locked.logins == 2 and gateway.count("/v3/watch") == 1
-        assert Silenced not in map(type, rig.all)
+        assert SourceLost not in map(type, rig.all)
         rig.source.stop()
         gateway.stop()
 
@@ -472,11 +478,11 @@
             refused(9, "authentication is not enabled") if path == "/v3/auth/authenticate" else None
         )
         rig = Rig(gateway, user="reader", password="secret-1")
-        await rig.next(Heard)
+        await rig.next(SourceConfirmedCurrent)
         assert gateway.count("/v3/auth/authenticate") == 1
         gateway.script = locked = Locked()
         await until(lambda: locked.logins == 1)
-        await rig.next(Heard)
+        await rig.next(SourceConfirmedCurrent)
         rig.source.stop()
         gateway.stop()
 
@@ -488,12 +494,12 @@
         gateway = await Gateway().start()
         gateway.script = Locked("another")
         rig = Rig(gateway, user="reader", password="secret-1")
-        told = await rig.next(Refused)
+        told = await rig.next(SourceRejected)
         assert "authentication failed" in told.reason
         assert "secret-1" not in repr(rig.source.config) + repr(rig.source.follow) + repr(rig.all)
         await asyncio.sleep(1)
         assert gateway.count("/v3/auth/authenticate") < 8  # with back-off, from 0.2 s on
-        assert len([e for e in rig.all if isinstance(e, Refused)]) == 1
+        assert len([e for e in rig.all if isinstance(e, SourceRejected)]) == 1
         rig.source.stop()
         gateway.stop()
 
@@ -507,7 +513,7 @@
         gateway = await Gateway().start()
         gateway.script = Locked()
         rig = Rig(gateway)
-        assert "user name is empty" in (await rig.next(Refused)).reason
+        assert "user name is empty" in (await rig.next(SourceRejected)).reason
         rig.source.stop()
         gateway.stop()
 
@@ -520,7 +526,7 @@
     def counted(*args: Any) -> Any:
         nonlocal read
         read += 1
-        return entry(*args)
+        return parse_entry(*args)
 
     async def turns() -> None:
         nonlocal read
@@ -533,19 +539,19 @@
         gateway.keys = {b"/m/s-%05d" % i: value(i % 60_000 + 1) for i in range(10_000)}
         ticker = asyncio.ensure_future(turns())
         rig = Rig(gateway)
-        assert len((await rig.next(Listed)).listing.members) == 10_000
-        assert most[0] <= etcd.ROWS
+        assert len((await rig.next(EndpointsListed)).listing.members) == 10_000
+        assert most[0] <= etcd.ROWS_PER_STEP
         (await gateway.streams.get()).events(*((key, None) for key in gateway.keys))
         gone: set[str] = set()
         while len(gone) < 10_000:
-            gone |= set((await rig.next(Listed)).listing.removed)
+            gone |= set((await rig.next(EndpointsListed)).listing.removed)
         assert most[0] < 10_000
         ticker.cancel()
         rig.source.stop()
         gateway.stop()
 
     monkeypatch.setattr("balancer.net.discovery.etcd.entry", counted)
-    monkeypatch.setattr(ef, "CHECK_MS", 1000.0)
+    monkeypatch.setattr(ef, "CHECK_INTERVAL_MS", 1000.0)
     run(test)
 
 
@@ -554,8 +560,8 @@
     rubbish.write_text("rubbish")
     told: list[object] = []
 
-    def make(url: str = "https://h:1", **more: Any) -> EtcdSource:
-        return EtcdSource(EtcdConfig((url,), "/m/", **more), told.append)
+    def make(url: str = "https://h:1", **more: Any) -> EtcdDiscovery:
+        return EtcdDiscovery(EtcdConfig((url,), "/m/", **more), told.append)
 
     make()
     for ca in (str(rubbish), str(tmp_path / "none.pem")):
@@ -570,9 +576,9 @@
     with pytest.raises(ValueError) as caught:
         make("http://reader:secret-1@h:1")
     assert "secret-1" not in str(caught.value)
-    assert ef.endpoint("https://[::1]:2379/") == ("::1", 2379, True)
+    assert ef.parse_endpoint_url("https://[::1]:2379/") == ("::1", 2379, True)
     with pytest.raises(ValueError, match="no endpoint"):
-        EtcdSource(EtcdConfig((), "/m/"), told.append)
+        EtcdDiscovery(EtcdConfig((), "/m/"), told.append)
 
 
 def test_a_name_that_no_look_up_takes_is_said(caplog: pytest.LogCaptureFixture) -> None:
@@ -580,7 +586,7 @@
 
     async def test() -> None:
         rig = Rig("http://a..b:1", "http://" + "x" * 64 + ":1")
-        reason = (await rig.next(Silenced)).reason
+        reason = (await rig.next(SourceLost)).reason
         assert reason.count("no connection") == 2
         rig.source.stop()
 
@@ -602,7 +608,7 @@
         rig = Rig(gateway, user="u", password="p")
         async with asyncio.timeout(WAIT):
             stream = await gateway.streams.get()
-        await rig.next(Heard)
+        await rig.next(SourceConfirmedCurrent)
         held, count = True, gateway.count("/v3/kv/range")
         await until(lambda: gateway.count("/v3/kv/range") > count)
         stream.line(canceled=True, cancel_reason="etcdserver: invalid auth token")
--- a/tests/net/test_graceful_shutdown.py
+++ b/tests/net/test_graceful_shutdown.py
@@ -13,14 +13,14 @@
 
 import pytest
 
-from balancer.core.shutdown_deadlines import Ends
+from balancer.core.shutdown_deadlines import ShutdownDeadlines
 from balancer.net import http_server as front_module
 from balancer.net.http_server import (
-    GULP,
-    STEP,
-    SWEEP,
+    CLOSE_STEP_RATIO,
+    MAX_READ_TURN_S,
+    SWEEP_INTERVAL_S,
     ClientConnection,
-    Front,
+    HttpServer,
 )
 from tests.net.test_http_server import (
     LOOPS,
@@ -47,11 +47,11 @@
 
 
 @pytest.fixture
-def deaf() -> Iterator[Callable[[Front], Deaf]]:
+def deaf() -> Iterator[Callable[[HttpServer], Deaf]]:
     """Makes clients that are gone after the test."""
     made: list[Deaf] = []
 
-    def make(front: Front) -> Deaf:
+    def make(front: HttpServer) -> Deaf:
         made.append(Deaf(front))
         return made[-1]
 
@@ -65,17 +65,17 @@
     return b"GET /read HTTP/1.1\r\nRequest-Id: e%d\r\n\r\n" % next(IDS)
 
 
-def told(front: Front, last: float = HOUR) -> None:
+def told(front: HttpServer, last: float = HOUR) -> None:
     """The node was told to end, and all has to be answered in so many milliseconds."""
     front.node.stopping = True
-    front.ends = Ends(front.node.now(), front.node.now() + last)
+    front.ends = ShutdownDeadlines(front.node.now(), front.node.now() + last)
 
 
 async def never(backend: Backend, message: Message, writer: asyncio.StreamWriter) -> None:
     """Take the request and say nothing."""
 
 
-def connected(front: Front, data: bytes = b"") -> socket.socket:
+def connected(front: HttpServer, data: bytes = b"") -> socket.socket:
     """A client's connection, up and with these bytes in the kernel before the loop turns."""
     sock = socket.create_connection(front.address)
     if data:
@@ -198,7 +198,7 @@
             def hold() -> None:
                 loop.remove_reader(here)
                 sock.sendall(read())
-                time.sleep(2 * STEP)
+                time.sleep(2 * CLOSE_STEP_RATIO)
 
             loop.add_reader(here, hold)
             there.send(b"x")
@@ -264,7 +264,7 @@
 
 @LOOPS
 def test_the_end_waits_for_answers_that_the_kernel_has_not_taken(
-    tmp_path: Path, deaf: Callable[[Front], Deaf], new_loop: NewLoop
+    tmp_path: Path, deaf: Callable[[HttpServer], Deaf], new_loop: NewLoop
 ) -> None:
     async def test() -> None:
         async with fronting(tmp_path, Backend("b0", large)) as front:
@@ -307,10 +307,10 @@
     async def test() -> None:
         async with fronting(tmp_path) as front:
             node = front.node
-            node._pause.turned_ms -= 2_000.0
+            node._pause.last_turn_ms -= 2_000.0
             found = node.stop()
-            assert node.stopping and node._pause.age_ms >= 2_000.0
-            assert found.last_ms <= node.now() + 3_500.0 - node._pause.age_ms
+            assert node.stopping and node._pause.input_age_ms >= 2_000.0
+            assert found.respond_until_ms <= node.now() + 3_500.0 - node._pause.input_age_ms
 
     run(test)
 
@@ -321,7 +321,7 @@
     tmp_path: Path, new_loop: NewLoop, cut: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The look for connections whose time is up is overdue then, and comes before the sockets."""
-    monkeypatch.setattr(front_module, "SLOW", 0.1)
+    monkeypatch.setattr(front_module, "SLOW_REQUEST_TIMEOUT_S", 0.1)
 
     async def test() -> None:
         async with fronting(tmp_path, Backend("b0")) as front:
@@ -329,7 +329,7 @@
             sock = connected(front, data[:cut])
             await until(lambda: front.fresh if cut == 0 else any(c.mid for c in front.connections))
             sock.sendall(data[cut:])
-            time.sleep(3 * SWEEP)
+            time.sleep(3 * SWEEP_INTERVAL_S)
             front.sweeper.cancel()
             front._sweep()
             loop = asyncio.get_running_loop()
@@ -367,7 +367,7 @@
     gulps, read_on = list[float](), ClientConnection._read_on
 
     def counted(self: ClientConnection) -> None:
-        gulps.append(GULP)
+        gulps.append(MAX_READ_TURN_S)
         read_on(self)
 
     monkeypatch.setattr(ClientConnection, "_read_on", counted)
@@ -411,7 +411,7 @@
 
             flooding, began = asyncio.create_task(flood()), loop.time()
             await until(lambda: connection.left > 4 << 20)
-            most = (loop.time() - began) / GULP + 2
+            most = (loop.time() - began) / MAX_READ_TURN_S + 2
             assert connection.left <= most * (1 << 18) + 65536
             go.set()
             got, end = b"", b"b0 e%d" % (next(IDS) - 1)
@@ -427,17 +427,17 @@
 
 @LOOPS
 def test_the_leaving_of_a_client_that_does_not_read_is_seen_while_its_request_waits(
-    tmp_path: Path, deaf: Callable[[Front], Deaf], new_loop: NewLoop
+    tmp_path: Path, deaf: Callable[[HttpServer], Deaf], new_loop: NewLoop
 ) -> None:
     """Two requests in a packet, the first one's answer blocked: its connection is not read meanwhile."""
 
     async def test() -> None:
         async with fronting(tmp_path, Backend("b0", never), settings=PATIENT) as front:
             client = deaf(front)
-            while not front.unread.total:
+            while not front.unread.total_bytes:
                 client.send(b"GET /up HTTP/1.1\r\n\r\n" * 70)
                 await asyncio.sleep(0.001)
-                if front.unread.total:
+                if front.unread.total_bytes:
                     await asyncio.sleep(0.3)  # the client's kernel may take it still
             (connection,) = front.connections
             assert connection.blocked
@@ -484,7 +484,7 @@
                 give()
             await until(lambda: not front.node.open and not front.connections)
             tables = (front.idle, front.fresh, front.waiting, front.going, front.listener.coming)
-            assert not any(tables) and not len(front.unread) and not front.unread.total
+            assert not any(tables) and not len(front.unread) and not front.unread.total_bytes
             for sock in socks:
                 sock.close()
         assert not faults and not [r for r in caplog.records if r.exc_info]
--- a/tests/net/test_http_server.py
+++ b/tests/net/test_http_server.py
@@ -20,17 +20,17 @@
 import uvloop
 
 from balancer.core import connection_admission as admission
-from balancer.core.connection_admission import OVER
-from balancer.core.discovery.endpoint_merger import Listed, Source
+from balancer.core.connection_admission import MAX_OVERLOAD_CONNECTIONS
+from balancer.core.discovery.endpoint_merger import EndpointsListed, Source
 from balancer.net.config import load
-from balancer.net.endpoint_view import Fleet
+from balancer.net.endpoint_view import EndpointView
 from balancer.net.http_server import (
-    HIGH,
-    LINGER,
+    LINGERING_CLOSE_S,
+    WRITE_HIGH_WATER_BYTES,
     ClientConnection,
-    Front,
+    HttpServer,
 )
-from balancer.net.request_dispatcher import Node
+from balancer.net.request_dispatcher import RequestDispatcher
 from tests.sockets import (
     WAIT,
     Backend,
@@ -71,18 +71,20 @@
     *backends: Backend,
     limit: int = 50,
     budget: int = 1 << 20,
-    over: int = OVER,
+    over: int = MAX_OVERLOAD_CONNECTIONS,
     settings: Mapping[str, Any] = MappingProxyType({}),
-) -> AsyncIterator[Front]:
+) -> AsyncIterator[HttpServer]:
     """A front with its node in this process; `settings` replace others of that name."""
     for backend in backends:
         await backend.start()
     path = tmp / "config.json"
     path.write_text(json.dumps(configuration([b.member() for b in backends], 1, **settings)))
     config = load({"PROXY_CONFIG": str(path)})
-    node = Node(config)
-    Fleet(node, [Source("platform")]).hand(Listed("platform", "here", config.known, saved=True))
-    front = Front(node, limit, budget, over)
+    node = RequestDispatcher(config)
+    EndpointView(node, [Source("platform")]).handle(
+        EndpointsListed("platform", "here", config.configured_endpoints, is_cached=True)
+    )
+    front = HttpServer(node, limit, budget, over)
     await front.listen(("127.0.0.1", 0))
     try:
         yield front
@@ -98,7 +100,7 @@
 class Deaf:
     """A client with small buffers that reads nothing until it is told to."""
 
-    def __init__(self, front: Front) -> None:
+    def __init__(self, front: HttpServer) -> None:
         self.sock = socket.socket()
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         self.sock.connect(front.address)
@@ -127,11 +129,11 @@
 
 
 @pytest.fixture
-def deaf() -> Iterator[Callable[[Front], Deaf]]:
+def deaf() -> Iterator[Callable[[HttpServer], Deaf]]:
     """Makes clients that are gone after the test."""
     made: list[Deaf] = []
 
-    def make(front: Front) -> Deaf:
+    def make(front: HttpServer) -> Deaf:
         made.append(Deaf(front))
         return made[-1]
 
@@ -150,7 +152,7 @@
     return b"GET /read HTTP/1.1\r\nRequest-Id: f%d\r\n\r\n" % next(IDS)
 
 
-async def stuff(client: Deaf, front: Front) -> None:
+async def stuff(client: Deaf, front: HttpServer) -> None:
     """Ask for more than the kernels hold, so that some of it is left over at the node."""
     before = len(front.unread) + front.ended
     for asked in itertools.count(1):
@@ -160,7 +162,7 @@
             break
 
 
-def _answered(front: Front, asked: int) -> bool:
+def _answered(front: HttpServer, asked: int) -> bool:
     return any(c.asked == asked and not c.request for c in front.connections)
 
 
@@ -169,7 +171,7 @@
 
 @LOOPS
 def test_a_client_that_asks_on_and_never_reads_is_read_no_more(
-    tmp_path: Path, deaf: Callable[[Front], Deaf], new_loop: NewLoop, monkeypatch: pytest.MonkeyPatch
+    tmp_path: Path, deaf: Callable[[HttpServer], Deaf], new_loop: NewLoop, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     resumed, resume = list[int](), ClientConnection.resume_writing
 
@@ -183,7 +185,7 @@
         async with fronting(tmp_path) as front:
             client, packet = deaf(front), 70
             while True:
-                while not front.unread.total:
+                while not front.unread.total_bytes:
                     client.send(UP * packet)
                     await asyncio.sleep(0.001)
                 (connection,) = front.connections
@@ -199,7 +201,7 @@
 
 
 def test_requests_by_thousands_in_one_packet_are_left_at_the_mark(
-    tmp_path: Path, deaf: Callable[[Front], Deaf]
+    tmp_path: Path, deaf: Callable[[HttpServer], Deaf]
 ) -> None:
     """Guards memory: a read of the loop brings 256 KiB at most, and their answers are several times that."""
 
@@ -210,14 +212,14 @@
             (connection,) = front.connections
             connection.data_received(UP * 10_000)
             assert connection.closing
-            assert HIGH < front.unread.total < HIGH + 65536 + 1024
+            assert WRITE_HIGH_WATER_BYTES < front.unread.total_bytes < WRITE_HIGH_WATER_BYTES + 65536 + 1024
 
     run(test)
 
 
 @LOOPS
 def test_a_client_that_reads_again_gets_all_and_is_kept(
-    tmp_path: Path, deaf: Callable[[Front], Deaf], new_loop: NewLoop
+    tmp_path: Path, deaf: Callable[[HttpServer], Deaf], new_loop: NewLoop
 ) -> None:
     async def test() -> None:
         async with fronting(tmp_path, Backend("b0", large)) as front:
@@ -228,7 +230,7 @@
             loop, got = asyncio.get_running_loop(), 0
             while got < connection.asked * 65536 or connection.blocked:
                 got += len(await loop.sock_recv(client.sock, 1 << 16))
-            assert front.unread.total == 0 and not connection.closing
+            assert front.unread.total_bytes == 0 and not connection.closing
             await until(lambda: connection in front.idle)
             client.send(UP)
             seen = b""
@@ -239,9 +241,9 @@
 
 
 def test_a_stalled_answer_is_aborted_when_its_deadline_is_over(
-    tmp_path: Path, deaf: Callable[[Front], Deaf], monkeypatch: pytest.MonkeyPatch
+    tmp_path: Path, deaf: Callable[[HttpServer], Deaf], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(admission, "STALL_MS", 300.0)
+    monkeypatch.setattr(admission, "READ_STALL_TIMEOUT_MS", 300.0)
 
     async def test() -> None:
         async with fronting(tmp_path, Backend("b0", large)) as front:
@@ -251,25 +253,25 @@
             due = connection.until
             await until(lambda: not front.connections)
             assert front.node.now() >= due  # 4 s after its request came
-            assert front.unread.total == 0
+            assert front.unread.total_bytes == 0
 
     run(test)
 
 
 def test_the_budget_ends_the_largest_and_refuses_meanwhile(
-    tmp_path: Path, deaf: Callable[[Front], Deaf], monkeypatch: pytest.MonkeyPatch
+    tmp_path: Path, deaf: Callable[[HttpServer], Deaf], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
         async with fronting(tmp_path, Backend("b0", large), budget=20_000) as front:
             usual = Client(*await asyncio.open_connection(*front.address))
-            monkeypatch.setattr(admission, "GRACE_MS", 1e9)
+            monkeypatch.setattr(admission, "READ_PROGRESS_GRACE_MS", 1e9)
             await stuff(deaf(front), front)
-            assert front.unread.full
+            assert front.unread.is_over_budget
             assert (await usual.ask("/read")).code == 503
             assert (await usual.ask("/up")).code == 200
-            monkeypatch.setattr(admission, "GRACE_MS", 200.0)
+            monkeypatch.setattr(admission, "READ_PROGRESS_GRACE_MS", 200.0)
             (greedy,) = front.unread
-            await until(lambda: not front.unread.total)
+            await until(lambda: not front.unread.total_bytes)
             assert front.node.now() < greedy.until
             await until(lambda: len(front.connections) == 1)
             assert (await usual.ask("/read")).code == 200
@@ -310,10 +312,10 @@
 
 @pytest.mark.parametrize("client_closes", [False, True])
 def test_a_close_over_unread_bytes_frees_the_descriptor_in_the_end(
-    tmp_path: Path, deaf: Callable[[Front], Deaf], monkeypatch: pytest.MonkeyPatch, client_closes: bool
+    tmp_path: Path, deaf: Callable[[HttpServer], Deaf], monkeypatch: pytest.MonkeyPatch, client_closes: bool
 ) -> None:
     """Guards against descriptors that nobody counts: a flush that never comes held them for good."""
-    monkeypatch.setattr(admission, "STALL_MS", 300.0)
+    monkeypatch.setattr(admission, "READ_STALL_TIMEOUT_MS", 300.0)
 
     async def test() -> None:
         async with fronting(tmp_path, Backend("b0", large)) as front:
@@ -321,7 +323,7 @@
             await stuff(client, front)
             (connection,) = front.connections
             held, connection.until = settled_descriptors(), 0.0
-            front.unread.forget(connection)
+            front.unread.discard(connection)
             front.held(connection)  # its deadline is over
             if client_closes:
                 client.sock.shutdown(socket.SHUT_WR)
@@ -336,7 +338,7 @@
 
 
 def test_a_close_over_bytes_that_are_read_late_loses_none(
-    tmp_path: Path, deaf: Callable[[Front], Deaf]
+    tmp_path: Path, deaf: Callable[[HttpServer], Deaf]
 ) -> None:
     async def test() -> None:
         async with fronting(tmp_path, Backend("b0", large)) as front:
@@ -344,7 +346,7 @@
             await stuff(client, front)
             (connection,) = front.connections
             connection.close()
-            await asyncio.sleep(2 * LINGER)
+            await asyncio.sleep(2 * LINGERING_CLOSE_S)
             got = await client.all()
             assert len(got) > connection.asked * 65536 and got.endswith(b"x" * 65536)
 
--- a/tests/net/test_long_bodies.py
+++ b/tests/net/test_long_bodies.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from balancer.core.connection_admission import MOST_BODY, USUAL_BODY
-from balancer.net.http_server import Front
+from balancer.core.connection_admission import MAX_FORWARDED_BODY_BYTES, UNBUDGETED_BODY_BYTES
+from balancer.net.http_server import HttpServer
 from tests.net.test_client_gone import run, until
 from tests.net.test_http_server import fronting
 from tests.sockets import (
@@ -22,7 +22,7 @@
 
 LONG = 97_290
 BODY = bytes(n * 7 % 251 for n in range(LONG))
-MOST = bytes(n * 11 % 253 for n in range(MOST_BODY))
+MOST = bytes(n * 11 % 253 for n in range(MAX_FORWARDED_BODY_BYTES))
 
 
 def chunked(body: bytes, size: int) -> bytes:
@@ -40,7 +40,9 @@
     return Backend("b0", respond)
 
 
-@pytest.mark.parametrize("body", [BODY[: USUAL_BODY + 1], BODY, MOST], ids=["65537", "97290", "most"])
+@pytest.mark.parametrize(
+    "body", [BODY[: UNBUDGETED_BODY_BYTES + 1], BODY, MOST], ids=["65537", "97290", "most"]
+)
 @pytest.mark.parametrize("pieces", [False, True])
 @pytest.mark.parametrize("asked", ["length", "chunks"])
 @pytest.mark.parametrize("told", ["length", "chunks"])
@@ -66,12 +68,14 @@
                 cut = len(data) - 1000 if pieces else 0
                 client.writer.write(data[:cut])
                 if pieces:
-                    await until(lambda: front.node.long.total or len(body) <= USUAL_BODY + 1000)
+                    await until(
+                        lambda: front.node.long.reserved_bytes or len(body) <= UNBUDGETED_BODY_BYTES + 1000
+                    )
                 client.writer.write(data[cut:])
                 got = await client.answer()
                 assert got.code == 200 and got.body == body
             await until(lambda: not front.node.open)
-            assert front.node.long.total == 0
+            assert front.node.long.reserved_bytes == 0
             assert not any(connection.body for connection in front.connections)
             assert not any(idle.body for idle in front.node.pool.hosts["b0"].idle)
             client.writer.transport.abort()
@@ -79,11 +83,11 @@
     run(test)
 
 
-async def half(front: Front, number: int) -> Client:
+async def half(front: HttpServer, number: int) -> Client:
     """A client whose request is the longest there may be, and lacks its last byte."""
     client = Client(*await asyncio.open_connection(*front.address))
     head = b"POST /once HTTP/1.1\r\nRequest-Id: long-%d\r\nContent-Length: %d\r\n\r\n"
-    client.writer.write(head % (number, MOST_BODY) + MOST[:-1])
+    client.writer.write(head % (number, MAX_FORWARDED_BODY_BYTES) + MOST[:-1])
     return client
 
 
@@ -94,22 +98,22 @@
     async def test() -> None:
         backend = Backend("b0")
         async with fronting(tmp_path, backend, settings=PATIENT) as front:
-            each = MOST_BODY - 1 - USUAL_BODY
-            front.node.long.budget = 2 * each
+            each = MAX_FORWARDED_BODY_BYTES - 1 - UNBUDGETED_BODY_BYTES
+            front.node.long.budget_bytes = 2 * each
             first, second = await half(front, 1), await half(front, 2)
-            await until(lambda: front.node.long.total == 2 * each)
+            await until(lambda: front.node.long.reserved_bytes == 2 * each)
             third = await half(front, 3)
             assert (await third.answer()).code == 503  # nothing of it ran
             usual = Client(*await asyncio.open_connection(*front.address))
             assert (await usual.ask("/once", method="POST")).code == 200
-            assert front.node.long.total == 2 * each
+            assert front.node.long.reserved_bytes == 2 * each
             for client in (first, second):
                 if leaves:
                     client.writer.transport.abort()
                 else:
                     client.writer.write(MOST[-1:])
                     assert (await client.answer()).code in (200, 503)
-            await until(lambda: not front.node.open and front.node.long.total == 0)
+            await until(lambda: not front.node.open and front.node.long.reserved_bytes == 0)
             for client in (first, second, third, usual):
                 client.writer.transport.abort()
 
@@ -128,16 +132,21 @@
 
     async def test() -> None:
         async with fronting(tmp_path, Backend("b0", respond), settings=PATIENT) as front:
-            front.node.long.budget = MOST_BODY - USUAL_BODY  # room for one
+            front.node.long.budget_bytes = MAX_FORWARDED_BODY_BYTES - UNBUDGETED_BODY_BYTES  # room for one
             first = Client(*await asyncio.open_connection(*front.address))
             asked = asyncio.ensure_future(first.ask("/once", method="POST"))
-            await until(lambda: front.node.long.total == MOST_BODY - USUAL_BODY)
+            await until(
+                lambda: front.node.long.reserved_bytes == MAX_FORWARDED_BODY_BYTES - UNBUDGETED_BODY_BYTES
+            )
             other = Client(*await asyncio.open_connection(*front.address))
             assert (await other.ask("/read/usual")).body == b"usual"
             assert (await other.ask("/once", method="POST")).code == 502  # it may have run
-            assert not asked.done() and front.node.long.total == MOST_BODY - USUAL_BODY
+            assert (
+                not asked.done()
+                and front.node.long.reserved_bytes == MAX_FORWARDED_BODY_BYTES - UNBUDGETED_BODY_BYTES
+            )
             first.writer.transport.abort()
-            await until(lambda: not front.node.open and front.node.long.total == 0)
+            await until(lambda: not front.node.open and front.node.long.reserved_bytes == 0)
             await asyncio.gather(asked, return_exceptions=True)
             other.writer.transport.abort()
 
@@ -150,7 +159,7 @@
             client = Client(*await asyncio.open_connection(*front.address))
             assert (await client.ask("/once", method="POST")).code == 502
             await until(lambda: not front.node.open)
-            assert front.node.long.total == 0
+            assert front.node.long.reserved_bytes == 0
             client.writer.transport.abort()
 
     run(test)
--- a/tests/net/test_other_deployments.py
+++ b/tests/net/test_other_deployments.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from balancer.net.http_server import MAX_HEAD
+from balancer.net.http_server import MAX_HEAD_BYTES
 from tests.net.test_client_gone import fronting, run, until
 from tests.sockets import LIMITS, Backend, Client
 
@@ -118,7 +118,9 @@
             assert (await client.answer()).body == b"up\n"
             client.writer.write(b"GET /" + b"x" * 65536)  # a line without an end is bounded, too
             assert (await client.answer()).code == 431
-            assert len(connection.line) <= MAX_HEAD + 256 * 1024  # one read more than what a head may be
+            assert (
+                len(connection.line) <= MAX_HEAD_BYTES + 256 * 1024
+            )  # one read more than what a head may be
             client.writer.transport.abort()
 
     run(test)
@@ -183,7 +185,7 @@
             "load-info": {"how": how, "names": ["active"]},
         }
         async with fronting(tmp_path, backend.member(), **over) as front:
-            assert not front.node.balancer.looks
+            assert not front.node.balancer.probing_enabled
             client = Client(*await asyncio.open_connection(*front.address))
             assert (await client.ask("/read")).code == 200
             assert backend.got.qsize() == 1
--- a/tests/net/test_platform_discovery.py
+++ b/tests/net/test_platform_discovery.py
@@ -11,17 +11,19 @@
 
 from balancer.core.discovery import platform_watcher as platform_follow
 from balancer.core.discovery.endpoint_merger import (
+    EndpointsListed,
     Event,
-    Heard,
-    Listed,
-    Spoiled,
+    SourceConfirmedCurrent,
+    UpdateUnreadable,
 )
 from balancer.endpoints import EndpointListParser
 from balancer.net.discovery.platform import PlatformSource
 from tests.net.test_etcd_discovery import WAIT, run, until
 from tests.sockets import FakeDiscovery
 
-LONG = platform_follow.MOST_MS / platform_follow.WAIT_PART  # ms to obey a drain: room for the longest wait
+LONG_DRAIN_GRACE_MS = (
+    platform_follow.MAX_RETRY_WAIT_MS / platform_follow.RETRY_WAIT_PER_DRAIN_GRACE
+)  # ms to obey a drain: room for the longest wait
 
 
 def test_a_fault_of_the_program_while_a_line_is_read_costs_that_watch(
@@ -44,7 +46,13 @@
         await discovery.start()
         address = ("127.0.0.1", discovery.port)
         source = PlatformSource(
-            address, False, LONG, lambda: time.monotonic() * 1000, told.append, lambda: 1, lambda: None
+            address,
+            False,
+            LONG_DRAIN_GRACE_MS,
+            lambda: time.monotonic() * 1000,
+            told.append,
+            lambda: 1,
+            lambda: None,
         )
         source.watch(True)
         async with asyncio.timeout(WAIT):
@@ -54,8 +62,8 @@
             discovery.send(line % 2 + line % 3)
             await discovery.asked.get()
         discovery.news(4, good)
-        await until(lambda: any(isinstance(event, Listed) for event in told))
-        assert any(isinstance(event, Spoiled) for event in told)
+        await until(lambda: any(isinstance(event, EndpointsListed) for event in told))
+        assert any(isinstance(event, UpdateUnreadable) for event in told)
         source.watch(False)
 
     with caplog.at_level(logging.ERROR):
@@ -63,12 +71,12 @@
     assert "ZeroDivisionError" in caplog.text
 
 
-class Answers:
+class FixedAnswerDiscovery:
     """A discovery that gives every call the same answer and ends it."""
 
     def __init__(self, status: bytes, body: bytes) -> None:
         self.text = b"HTTP/1.1 %b\r\nContent-Length: %d\r\n\r\n%b" % (status, len(body), body)
-        self.asked = 0
+        self.call_count = 0
         self.port = 0
 
     async def start(self) -> None:
@@ -77,7 +85,7 @@
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
-        self.asked += 1
+        self.call_count += 1
         writer.write(self.text)
         writer.close()
 
@@ -94,16 +102,24 @@
 
     async def test() -> None:
         told: list[Event] = []
-        discovery = Answers(status, body)
+        discovery = FixedAnswerDiscovery(status, body)
         await discovery.start()
         address = ("127.0.0.1", discovery.port)
         source = PlatformSource(
-            address, False, LONG, lambda: time.monotonic() * 1000, told.append, lambda: None, lambda: None
+            address,
+            False,
+            LONG_DRAIN_GRACE_MS,
+            lambda: time.monotonic() * 1000,
+            told.append,
+            lambda: None,
+            lambda: None,
         )
         source.watch(True)
-        await until(lambda: discovery.asked == 3)
-        assert source.follow.backoff.next_ms >= 4 * platform_follow.FIRST_MS
+        await until(lambda: discovery.call_count == 3)
+        assert source.watcher.backoff.next_ms >= 4 * platform_follow.INITIAL_RETRY_WAIT_MS
         source.watch(False)
-        assert status.startswith(b"200") or not any(isinstance(event, Heard) for event in told)
+        assert status.startswith(b"200") or not any(
+            isinstance(event, SourceConfirmedCurrent) for event in told
+        )
 
     run(test)
--- a/tests/net/test_platform_recovery.py
+++ b/tests/net/test_platform_recovery.py
@@ -17,15 +17,15 @@
 import pytest
 
 from balancer.core.discovery import endpoint_merger as membership
-from balancer.core.discovery.endpoint_merger import Silenced, Source
+from balancer.core.discovery.endpoint_merger import Source, SourceLost
 from balancer.endpoints import parse_endpoint_list
 from balancer.interface import Phase
 from balancer.net import request_dispatcher as real
 from balancer.net.config import load
 from balancer.net.discovery import platform
 from balancer.net.discovery.platform import PlatformSource
-from balancer.net.endpoint_view import Fleet
-from balancer.net.http_server import Front
+from balancer.net.endpoint_view import EndpointView
+from balancer.net.http_server import HttpServer
 from tests.net.test_etcd_discovery import (
     LOOPS,
     WAIT,
@@ -104,7 +104,7 @@
     """A source and its merge; the view is what a node would hold."""
 
     def __init__(self, agent: Agent, grace_ms: float) -> None:
-        self.fleet = Fleet(self, [Source(platform.NAME)])
+        self.fleet = EndpointView(self, [Source(platform.SOURCE_NAME)])
         self.told: list[membership.Event] = []
         self.fleet.listeners.append(lambda event, _: self.told.append(event))
         self.source = PlatformSource(
@@ -112,23 +112,23 @@
             False,
             grace_ms,
             self.now,
-            self.fleet.hand,
-            lambda: self.fleet.resume(platform.NAME),
+            self.fleet.handle,
+            lambda: self.fleet.watch_revision(platform.SOURCE_NAME),
             lambda: None,
         )
 
     def now(self) -> float:
         return time.monotonic() * 1000
 
-    def apply(self, change: membership.Apply) -> None:
+    def apply(self, change: membership.ApplyEndpoints) -> None:
         """The view has it."""
 
     def drains(self, name: str = "b0") -> bool:
-        member = self.fleet.membership.view.get(name)
+        member = self.fleet.merger.view.get(name)
         return member is not None and member.endpoint.phase is not Phase.UP
 
     def silenced(self) -> int:
-        return sum(isinstance(event, Silenced) for event in self.told)
+        return sum(isinstance(event, SourceLost) for event in self.told)
 
 
 async def up(grace_ms: float) -> tuple[Agent, Node, asyncio.StreamWriter]:
@@ -138,7 +138,7 @@
     node = Node(agent, grace_ms)
     node.source.watch(True)
     watch = await agent.watched()
-    await until(lambda: "b0" in node.fleet.membership.view)
+    await until(lambda: "b0" in node.fleet.merger.view)
     return agent, node, watch
 
 
@@ -244,7 +244,7 @@
 
         task = asyncio.create_task(dribble())
         agent.mute = False
-        await until(lambda: "b0" in node.fleet.membership.view)
+        await until(lambda: "b0" in node.fleet.merger.view)
         task.cancel()
         node.source.watch(False)
 
@@ -256,12 +256,12 @@
 
     async def test() -> None:
         agent, node, _watch = await up(2000.0)
-        backoff = node.source.follow.backoff
+        backoff = node.source.watcher.backoff
         agent.body = b"\n"
         for _ in range(6):
             agent.reset()
             await agent.watched()
-            await until(lambda: backoff.next_ms == backoff.first_ms)
+            await until(lambda: backoff.next_ms == backoff.initial_ms)
         node.source.watch(False)
 
     run(test)
@@ -277,14 +277,14 @@
         agent.bare = True
         agent.reset()
         watches = [await agent.watched() for _ in range(3)]
-        await until(lambda: len(node.source.fetching) == 2)
-        doubts = sorted(node.source.fetching, key=lambda call: call.life.line_ms)
-        calls = [*doubts, node.source.following]
+        await until(lambda: len(node.source.additional_calls) == 2)
+        doubts = sorted(node.source.additional_calls, key=lambda call: call.deadline.last_message_ms)
+        calls = [*doubts, node.source.active_call]
         speaks, one = watches[which], calls[which]
         assert one is not None
         if says == "its end":
             speaks.transport.abort()
-            await until(lambda: one not in (*node.source.fetching, node.source.following))
+            await until(lambda: one not in (*node.source.additional_calls, node.source.active_call))
             agent.bare, agent.list = False, DRAIN
             await until(node.drains)
         elif says == "garbage":
@@ -295,17 +295,17 @@
             line = listed(2, b0="terminating") + b"\n"
             if says == "half a change":
                 speaks.write(chunk(line[:20]))
-                await until(lambda: one.parser.under_way)
+                await until(lambda: one.response_parser.under_way)
                 line = line[20:]
             speaks.write(chunk(b"\n" if says == "a beat" else line))
-            await until(lambda: not node.source.fetching)
-            assert node.source.following is one
-            assert node.source.retry is None or node.source.retry.cancelled() or which == 2
+            await until(lambda: not node.source.additional_calls)
+            assert node.source.active_call is one
+            assert node.source.retry_timer is None or node.source.retry_timer.cancelled() or which == 2
             speaks.write(chunk(listed(3, b0="terminating") + b"\n"))
-            await until(lambda: node.fleet.resume(platform.NAME) == 3)
-            assert node.drains() and node.source.following is one
-        await until(lambda: not node.source.fetching)
-        assert len(node.source.tasks) <= 2
+            await until(lambda: node.fleet.watch_revision(platform.SOURCE_NAME) == 3)
+            assert node.drains() and node.source.active_call is one
+        await until(lambda: not node.source.additional_calls)
+        assert len(node.source.connect_tasks) <= 2
         node.source.watch(False)
 
     run(test)
@@ -318,8 +318,8 @@
         for _ in range(4):
             agent.reset()
             await agent.watched()
-        backoff = node.source.follow.backoff
-        assert backoff.next_ms == node.source.follow.pace.wait_ms
+        backoff = node.source.watcher.backoff
+        assert backoff.next_ms == node.source.watcher.timeouts.max_retry_wait_ms
         node.source.watch(False)
 
     run(test)
@@ -331,7 +331,7 @@
         text = listed(2, indent=2, b0="terminating") + b"\n"
         watch.write(chunk(text[:40]) + chunk(text[40:]))
         await until(node.drains)
-        assert not any(isinstance(event, membership.Spoiled) for event in node.told)
+        assert not any(isinstance(event, membership.UpdateUnreadable) for event in node.told)
         node.source.watch(False)
 
     run(test)
@@ -345,16 +345,16 @@
 async def moves(node: Node, *to: Agent) -> None:
     """SIGHUP after SIGHUP, with no turn of the loop between; the last one's list is known in time."""
     for agent in to:
-        node.source.move(agent.address)
+        node.source.set_address(agent.address)
     at = node.now()
     await until(node.drains)
     assert node.now() - at <= 1000 * MOVED
-    assert identity_of(node) == platform.identity(to[-1].address)
+    assert identity_of(node) == platform.source_identity(to[-1].address)
     await to[-1].watched()
 
 
 def identity_of(node: Node) -> str | None:
-    return node.fleet.membership.sources[platform.NAME].identity
+    return node.fleet.merger.sources[platform.SOURCE_NAME].identity
 
 
 async def other(revision: int = 2) -> Agent:
@@ -374,20 +374,20 @@
     async def test() -> None:
         agent, node, watch = await up(500.0)
         watch.write(chunk(listed(50, b1="in_service") + b"\n"))
-        await until(lambda: node.fleet.resume(platform.NAME) == 50)
+        await until(lambda: node.fleet.watch_revision(platform.SOURCE_NAME) == 50)
         new, between = await other(), await other(70)
         between.mute = True
         if state == "in mid-line":
             watch.write(chunk(b'{"revision": 51, "complete": true, "mem'))
-            call = node.source.following
-            await until(lambda: call is not None and call.parser.under_way)
+            call = node.source.active_call
+            await until(lambda: call is not None and call.response_parser.under_way)
         elif state == "waiting":
             agent.reset()
-            await until(lambda: node.source.follow.waiting)
+            await until(lambda: node.source.watcher.is_waiting)
         elif state == "calling":
             agent.reset()
-            await until(lambda: node.source.follow.waiting)
-            await until(lambda: node.source.follow.following)  # not connected yet
+            await until(lambda: node.source.watcher.is_waiting)
+            await until(lambda: node.source.watcher.has_active_call)  # not connected yet
         elif state == "mute":
             agent.mute = True
             agent.reset()
@@ -396,7 +396,7 @@
             agent.refuse()
             await until(lambda: node.silenced() >= 3)
         if ways == "there and back":
-            node.source.move(between.address)
+            node.source.set_address(between.address)
             async with asyncio.timeout(WAIT):
                 await between.asked.get()  # it has been asked, and never answers
             if state == "refused":
@@ -407,7 +407,7 @@
             await moves(node, agent)
         else:
             await moves(node, *([between, new] if ways == "two at once" else [new]))
-        assert len(node.source.tasks) <= 2
+        assert len(node.source.connect_tasks) <= 2
         node.source.watch(False)
 
     run(test, loop)
@@ -422,7 +422,7 @@
         if shape == "dead":
             new.refuse()
         new.mute, new.bare = True, shape == "head"
-        node.source.move(new.address)
+        node.source.set_address(new.address)
         if shape == "head":  # some calls have begun their answers, and ended none
             await until(lambda: new.asked.qsize() == 6)
         elif shape == "dead":
@@ -465,9 +465,9 @@
             one.setblocking(False)
             one.connect_ex(full.getsockname())
         _agent, node, _watch = await up(500.0)
-        node.source.move(full.getsockname())
+        node.source.set_address(full.getsockname())
         await until(lambda: node.silenced() >= 6)
-        assert len(node.source.tasks) <= 2
+        assert len(node.source.connect_tasks) <= 2
         node.source.watch(False)
         for one in [full, *fill]:
             one.close()
@@ -498,22 +498,26 @@
         path.write_text(json.dumps(configuration([backends[0].member()], agent.address[1])))
         config = load({"PROXY_CONFIG": str(path)})
         config = replace(config, settings=replace(config.settings, drain_grace_ms=500.0))
-        node = real.Node(config)
-        fleet = Fleet(node, [Source(platform.NAME)])
-        identity = platform.identity(agent.address)
-        fleet.hand(membership.Listed(platform.NAME, identity, config.known, saved=True))
+        node = real.RequestDispatcher(config)
+        fleet = EndpointView(node, [Source(platform.SOURCE_NAME)])
+        identity = platform.source_identity(agent.address)
+        fleet.handle(
+            membership.EndpointsListed(
+                platform.SOURCE_NAME, identity, config.configured_endpoints, is_cached=True
+            )
+        )
         source = PlatformSource(
             agent.address,
             False,
             config.settings.drain_grace_ms,
             node.now,
-            fleet.hand,
-            lambda: fleet.resume(platform.NAME),
+            fleet.handle,
+            lambda: fleet.watch_revision(platform.SOURCE_NAME),
             node.list_failed,
         )
         source.watch(True)
         watch = await agent.watched()
-        front = Front(node, 9)
+        front = HttpServer(node, 9)
         await front.listen(("127.0.0.1", 0))
         client = Client(*await asyncio.open_connection(*front.address))
         assert (await client.ask("/up")).code == 200
@@ -529,7 +533,7 @@
                 raw.send(data)
         time.sleep(stood)
         assert (await client.answer()).code == 200
-        await until(lambda: fleet.resume(platform.NAME) == 42)
+        await until(lambda: fleet.watch_revision(platform.SOURCE_NAME) == 42)
         assert backends[0].got.qsize() + backends[1].got.qsize() == 1
         before = backends[0].got.qsize()
         assert not (stood and before)  # it drains for longer than a request may still be sent there
@@ -559,24 +563,24 @@
         path.write_text(json.dumps(configuration([], agent.address[1])))
         config = load({"PROXY_CONFIG": str(path)})
         settings = replace(config.settings, must_poll=True, poll_within_ms=320.0)
-        node = real.Node(replace(config, settings=settings))
-        fleet = Fleet(node, [Source(platform.NAME)])
-        identity = platform.identity(agent.address)
+        node = real.RequestDispatcher(replace(config, settings=settings))
+        fleet = EndpointView(node, [Source(platform.SOURCE_NAME)])
+        identity = platform.source_identity(agent.address)
         known = parse_endpoint_list(json.loads(agent.list))
         node.discovery = source = PlatformSource(
             agent.address,
             True,
             settings.drain_grace_ms,
             node.now,
-            fleet.hand,
-            lambda: fleet.resume(platform.NAME),
+            fleet.handle,
+            lambda: fleet.watch_revision(platform.SOURCE_NAME),
             node.list_failed,
         )
-        fleet.hand(membership.Listed(platform.NAME, identity, known, saved=True))
+        fleet.handle(membership.EndpointsListed(platform.SOURCE_NAME, identity, known, is_cached=True))
         await agent.watched()
-        await until(lambda: not fleet.membership.sources[platform.NAME].remembered)
+        await until(lambda: not fleet.merger.sources[platform.SOURCE_NAME].has_cached_records)
         agent.refuse()
-        await until(lambda: node.balancer.asks_failed >= 3)
+        await until(lambda: node.balancer.failed_polls >= 3)
         agent.body = {
             "a beat": b"\n",
             "an old change": listed(1, b0="in_service") + b"\n",
@@ -584,8 +588,8 @@
         }[says]
         await agent.start()
         await agent.watched()
-        await until(lambda: source.follow.failed == 0)
-        assert node.balancer.asks_failed == 0
+        await until(lambda: source.watcher.consecutive_failures == 0)
+        assert node.balancer.failed_polls == 0
         source.watch(False)
 
     run(test)
--- a/tests/net/test_request_dispatcher.py
+++ b/tests/net/test_request_dispatcher.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from balancer.core.discovery.endpoint_merger import Listed, Source
+from balancer.core.discovery.endpoint_merger import EndpointsListed, Source
 from balancer.endpoints import (
     EndpointList,
     EndpointListError,
@@ -32,15 +32,15 @@
 )
 from balancer.interface import RequestClass as Class
 from balancer.net.backend_pool import (
-    REST,
-    Answer,
-    Pool,
-    parse_report,
+    REUSE_DELAY_S,
+    BackendPool,
+    BackendResponse,
+    parse_load_report,
 )
 from balancer.net.config import load
-from balancer.net.endpoint_view import Fleet
-from balancer.net.http_server import Front
-from balancer.net.request_dispatcher import Node, Open
+from balancer.net.endpoint_view import EndpointView
+from balancer.net.http_server import HttpServer
+from balancer.net.request_dispatcher import PendingRequest, RequestDispatcher
 from tests.sockets import (
     HOUR,
     PATIENT,
@@ -101,11 +101,11 @@
                 assert (got.code, got.body) == (200, f"b0 {sent.headers['request-id']}".encode())
                 assert sent.start == "GET /read/x?obj=7f HTTP/1.1"
                 assert 0 < int(sent.headers["request-timeout"].removesuffix("u")) <= 2_000_000
-                await asyncio.sleep(2 * REST)
+                await asyncio.sleep(2 * REUSE_DELAY_S)
             body = b"x" * 65536
             assert (await client.ask("/once", method="POST", body=body)).code == 200
             assert (await backend.got.get()).body == body
-            await asyncio.sleep(2 * REST)
+            await asyncio.sleep(2 * REUSE_DELAY_S)
             assert (await client.pay()).code == 200
             assert (await backend.got.get()).headers["idempotency-key"] == "k1"
             assert backend.connections == 1  # each new one costs
@@ -165,7 +165,7 @@
         for sock in fill:
             sock.setblocking(False)
             sock.connect_ex(mute.getsockname())
-        pool = Pool(Settings(classes=(READ,), connect_timeout_ms=100.0), 10)
+        pool = BackendPool(Settings(classes=(READ,), connect_timeout_ms=100.0), 10)
         pool.update(_list("b0", mute.getsockname()[1]))
         assert (await _attempt(pool, b"GET / HTTP/1.1\r\n\r\n")).status is AttemptStatus.CONNECT_FAILED
         assert pool.count == 0
@@ -175,9 +175,11 @@
     run(test)
 
 
-def know(node: Node, known: EndpointList) -> None:
+def know(node: RequestDispatcher, known: EndpointList) -> None:
     """Have the node know these backends."""
-    Fleet(node, [Source("platform")]).hand(Listed("platform", "here", known, saved=True))
+    EndpointView(node, [Source("platform")]).handle(
+        EndpointsListed("platform", "here", known, is_cached=True)
+    )
 
 
 READ = Class("read", Idempotency.IDEMPOTENT, latency_objective_ms=400.0, deadline_ms=1000.0)
@@ -188,8 +190,10 @@
     return parse_endpoint_list({"revision": 1, "complete": True, "members": [row]}).records
 
 
-async def _attempt(pool: Pool, data: bytes, meanwhile: Callable[[], Any] = lambda: None) -> Answer:
-    ends: asyncio.Queue[Answer] = asyncio.Queue()
+async def _attempt(
+    pool: BackendPool, data: bytes, meanwhile: Callable[[], Any] = lambda: None
+) -> BackendResponse:
+    ends: asyncio.Queue[BackendResponse] = asyncio.Queue()
     pool.start("b0", data, ends.put_nowait)
     meanwhile()
     return await ends.get()
@@ -205,7 +209,7 @@
             met.set()
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
-        pool = Pool(Settings(classes=(READ,), connection_idle_ms=1000.0, connect_timeout_ms=HOUR), 10)
+        pool = BackendPool(Settings(classes=(READ,), connection_idle_ms=1000.0, connect_timeout_ms=HOUR), 10)
         pool.update(_list("b0", server.sockets[0].getsockname()[1]))
         assert (await _attempt(pool, b"x" * 64_000_000)).status is AttemptStatus.CONNECT_FAILED
         await met.wait()
@@ -219,7 +223,7 @@
     async def test() -> None:
         backend = Backend("b0")
         await backend.start()
-        pool = Pool(Settings(classes=(READ,), connection_idle_ms=1000.0, connect_timeout_ms=HOUR), 10)
+        pool = BackendPool(Settings(classes=(READ,), connection_idle_ms=1000.0, connect_timeout_ms=HOUR), 10)
         for change in ({"phase": "terminating"}, None, {"host_port": "127.0.0.1:9"}):
             pool.update(_list("b0", backend.port))
             late = _list("b0", backend.port, **change) if change else ()
@@ -238,7 +242,7 @@
 
     async def test() -> None:
         listener = socket.create_server(("127.0.0.1", 0))
-        pool = Pool(Settings(classes=(READ,), connection_idle_ms=1000.0, connect_timeout_ms=HOUR), 10)
+        pool = BackendPool(Settings(classes=(READ,), connection_idle_ms=1000.0, connect_timeout_ms=HOUR), 10)
         pool.update(_list("b0", listener.getsockname()[1]))
         attempt = pool.start("b0", b"hello", lambda answer: None)
         loop = asyncio.get_running_loop()
@@ -260,7 +264,7 @@
 
     async def test() -> None:
         backends = [Backend("b0"), Backend("b1", never)]
-        pool = Pool(Settings(classes=(READ,), connection_idle_ms=60_000.0, connect_timeout_ms=HOUR), 1)
+        pool = BackendPool(Settings(classes=(READ,), connection_idle_ms=60_000.0, connect_timeout_ms=HOUR), 1)
         members = ()
         for backend in backends:
             await backend.start()
@@ -286,7 +290,7 @@
     async def test() -> None:
         backend = Backend("b0", says(answer(b"x")))
         await backend.start()
-        pool = Pool(Settings(classes=(READ,), connection_idle_ms=60_000.0, connect_timeout_ms=HOUR), 1)
+        pool = BackendPool(Settings(classes=(READ,), connection_idle_ms=60_000.0, connect_timeout_ms=HOUR), 1)
         pool.update(_list("b0", backend.port))
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
         resource.setrlimit(resource.RLIMIT_NOFILE, (0, hard))
@@ -446,11 +450,11 @@
 
 
 def test_load_reports() -> None:
-    report = parse_report("TEXT inflight=7, queue=2, util=0.61, other=3")
+    report = parse_load_report("TEXT inflight=7, queue=2, util=0.61, other=3")
     assert (report.in_flight, report.queued, report.cpu_load) == (7.0, 2.0, 0.61)
     for bad in ("", "JSON {}", "TEXT inflight", "TEXT inflight=x", "TEXT inflight=nan", "TEXT queue=-1"):
         with pytest.raises(ValueError):
-            parse_report(bad)
+            parse_load_report(bad)
 
 
 def test_a_broken_report_costs_one_log_line(tmp_path: Path) -> None:
@@ -833,9 +837,11 @@
         listener = socket.create_server(("127.0.0.1", 0))
         listener.setblocking(False)
         loop = asyncio.get_running_loop()
-        pool = Pool(Settings(classes=(READ,), connection_idle_ms=60_000.0, connect_timeout_ms=HOUR), 10)
+        pool = BackendPool(
+            Settings(classes=(READ,), connection_idle_ms=60_000.0, connect_timeout_ms=HOUR), 10
+        )
         pool.update(_list("b0", listener.getsockname()[1]))
-        ends: list[Answer] = []
+        ends: list[BackendResponse] = []
         pool.start("b0", b"one", ends.append)
         peer, _ = await loop.sock_accept(listener)
         await loop.sock_recv(peer, 10)
@@ -875,12 +881,12 @@
     async def test() -> None:
         path = tmp_path / "config.json"
         path.write_text(json.dumps(configuration([], 9)))
-        node = Node(load({"PROXY_CONFIG": str(path)}))
+        node = RequestDispatcher(load({"PROXY_CONFIG": str(path)}))
         node.pool.update(_list("b0", 9))
         told: list[float] = []
         monkeypatch.setattr(node.pool, "start", lambda name, data, done, begin_by: told.append(begin_by))
         nobody: Any = None
-        node.open["r"] = Open(nobody, node.now() + 4000.0, lambda wait: b"")
+        node.open["r"] = PendingRequest(nobody, node.now() + 4000.0, lambda wait: b"")
         before = time.monotonic()
         for begin_by in (math.inf, node.now() + 500.0):
             node._act(SendAttempt("r", "b0", 0.0, start_before_ms=begin_by))
@@ -898,20 +904,20 @@
         path = tmp_path / "config.json"
         path.write_text(json.dumps(configuration([backend.member()], 1)))
         config = load({"PROXY_CONFIG": str(path)})
-        node = Node(config)
-        know(node, config.known)
-        front = Front(node, 9)
+        node = RequestDispatcher(config)
+        know(node, config.configured_endpoints)
+        front = HttpServer(node, 9)
         await front.listen(("127.0.0.1", 0))
-        decide = node.balancer.on[RequestArrived]
+        decide = node.balancer.handlers[RequestArrived]
 
         def broken(event: Any) -> None:
             decide(event)
             raise RuntimeError("half-way")
 
-        node.balancer.on[RequestArrived] = broken
+        node.balancer.handlers[RequestArrived] = broken
         client = Client(*await asyncio.open_connection(*front.address))
         assert (await client.ask("/once", method="POST")).code == 502
-        assert node.balancer.out == 0 and not node.balancer.requests and not node.open
+        assert node.balancer.in_flight == 0 and not node.balancer.requests and not node.open
         client.writer.transport.abort()
         front.stop()
         backend.stop()
@@ -978,9 +984,9 @@
         path = tmp_path / "config.json"
         path.write_text(json.dumps(configuration([backend.member()], 1)))
         config = load({"PROXY_CONFIG": str(path)})
-        node = Node(config)
-        know(node, config.known)
-        front = Front(node, 2)
+        node = RequestDispatcher(config)
+        know(node, config.configured_endpoints)
+        front = HttpServer(node, 2)
         await front.listen(("127.0.0.1", 0))
         busy, idle = [Client(*await asyncio.open_connection(*front.address)) for _ in range(2)]
         busy.send("/read")
@@ -1006,9 +1012,9 @@
         path = tmp_path / "config.json"
         path.write_text(json.dumps(configuration([backend.member()], 1)))
         config = load({"PROXY_CONFIG": str(path)})
-        node = Node(config)
-        know(node, config.known)
-        front = Front(node, 2)
+        node = RequestDispatcher(config)
+        know(node, config.configured_endpoints)
+        front = HttpServer(node, 2)
         await front.listen(("127.0.0.1", 0))
         clients = [Client(*await asyncio.open_connection(*front.address)) for _ in range(2)]
         for client in clients:
@@ -1037,9 +1043,9 @@
         path = tmp_path / "config.json"
         path.write_text(json.dumps(configuration([backend.member()], 1)))
         config = load({"PROXY_CONFIG": str(path)})
-        node = Node(config)
-        know(node, config.known)
-        front = Front(node, 1)
+        node = RequestDispatcher(config)
+        know(node, config.configured_endpoints)
+        front = HttpServer(node, 1)
         await front.listen(("127.0.0.1", 0))
         first = Client(*await asyncio.open_connection(*front.address))
         assert (await first.ask("/up")).code == 200
--- a/tests/net/test_slow_connections.py
+++ b/tests/net/test_slow_connections.py
@@ -42,14 +42,17 @@
         async with fronting(tmp_path, backend.member(), limits=limits, **classes) as front:
             front.node.observer = seen
             known = front.node.balancer.backends["b0"]
-            known.vouched = True  # by discovery, not by memory alone
-            front.node.balancer.failing = 0.3  # as where many connections are late: one is no sign
+            known.is_confirmed = True  # by discovery, not by memory alone
+            front.node.balancer.failure_rate = 0.3  # as where many connections are late: one is no sign
             client = Client(*await asyncio.open_connection(*front.address))
             got = await client.ask("/read", "Request-Timeout: 1200m")
             assert got.code == 503  # nothing ran
             (end,) = seen.outcomes
             assert end.status is status and gate.tried == 1
-            assert known.fails == (status is api.AttemptStatus.CONNECT_FAILED) and known.until == 0.0
+            assert (
+                known.consecutive_failures == (status is api.AttemptStatus.CONNECT_FAILED)
+                and known.ejected_until_ms == 0.0
+            )
             assert backend.got.empty()
             client.writer.transport.abort()
         backend.stop()
--- a/tests/observability/test_metrics.py
+++ b/tests/observability/test_metrics.py
@@ -7,22 +7,24 @@
 
 from balancer import interface as api
 from balancer.core.recovery import (
-    End,
-    Ended,
-    Kept,
+    EndpointViewChanged,
+    PersistedIncarnation,
+    ProcessStarted,
     Recovery,
-    Started,
-    ViewChanged,
+    RequestFinished,
+    RequestOutcome,
 )
 from balancer.interface import AttemptStatus, DecisionReason
 from balancer.observability.metrics import SERVERS, Metrics
-from balancer.timeline.monitor import Watch
+from balancer.timeline.monitor import TimelineMonitor
 from tests.helpers import BASE
 
 NOW = 1_000_000.0
 
 
-def play(watch: Watch, servers: list[str], each: int = 4, start: float = NOW, took: float = 20.0) -> None:
+def play(
+    watch: TimelineMonitor, servers: list[str], each: int = 4, start: float = NOW, took: float = 20.0
+) -> None:
     for server in servers:
         for n in range(each):
             name = f"{server}.{start:.0f}.{n}"
@@ -47,16 +49,18 @@
 
 def test_how_far_the_node_is_back_is_among_them() -> None:
     meter = Recovery(NOW)
-    meter.handle(NOW, Started(Kept(4, NOW - 5_000), NOW, parts={"imports": 20.0}))
-    meter.handle(NOW + 100, ViewChanged(2, 0))
-    meter.handle(NOW + 500, Ended("read", End.SERVED))
-    got = read(Metrics(Watch(BASE, 8.0), meter))
+    meter.handle(
+        NOW, ProcessStarted(PersistedIncarnation(4, NOW - 5_000), NOW, startup_phases_ms={"imports": 20.0})
+    )
+    meter.handle(NOW + 100, EndpointViewChanged(2, 0))
+    meter.handle(NOW + 500, RequestFinished("read", RequestOutcome.SERVED))
+    got = read(Metrics(TimelineMonitor(BASE, 8.0), meter))
     states = {s.labels["dillport_recovery_state"]: s.value for s in got["dillport_recovery_state"].samples}
     assert states == {"blank": 0, "provisional": 1, "confirmed": 0, "full": 0}
     assert value(got["dillport_recovery_incarnation"], "") == 5
     assert value(got["dillport_recovery_phase_seconds"], "", phase="imports") == 0.02
     assert value(got["dillport_recovery_phase_seconds"], "", phase="first answer: read") == 0.5
-    assert "dillport_recovery_state" not in read(Metrics(Watch(BASE, 8.0)))
+    assert "dillport_recovery_state" not in read(Metrics(TimelineMonitor(BASE, 8.0)))
 
 
 def test_who_is_there_is_among_them() -> None:
@@ -68,13 +72,13 @@
         "cuts": {"discovery": 1.0},
         "disagreements": {},
     }
-    got = read(Metrics(Watch(BASE, 8.0), peers=lambda: figures))
+    got = read(Metrics(TimelineMonitor(BASE, 8.0), peers=lambda: figures))
     assert value(got["dillport_peers"], "", state="failed") == 1
     assert value(got["dillport_peer_events"], "_total", event="failed") == 3
     assert value(got["dillport_peer_cuts"], "", of="discovery") == 1 and "dillport_peer_taken" not in got
     assert value(got["dillport_peer_datagrams"], "_total", way="sent") == 7
     assert value(got["dillport_peer_refused"], "_total", why="code") == 5
-    assert "dillport_peers" not in read(Metrics(Watch(BASE, 8.0)))
+    assert "dillport_peers" not in read(Metrics(TimelineMonitor(BASE, 8.0)))
 
 
 def value(family: Metric, suffix: str, **labels: str) -> float:
@@ -83,7 +87,7 @@
 
 
 def test_what_is_scraped_is_what_happened() -> None:
-    watch = Watch(BASE, 8.0)
+    watch = TimelineMonitor(BASE, 8.0)
     play(watch, ["a", "b"])
     refused = api.RejectRequest("no", 0.0, DecisionReason.SHED_BY_SUCCESS_RATE)
     watch.on_decision(NOW + 9_000, api.RequestArrived("no", "read", NOW + 10_000), [refused])
@@ -104,7 +108,7 @@
 
 
 def test_labels_are_bounded_the_rest_is_summed_and_counters_never_fall() -> None:
-    watch = Watch(BASE, 8.0)
+    watch = TimelineMonitor(BASE, 8.0)
     metrics = Metrics(watch)
     last: dict[str, float] = {}
     for turn in range(4):
@@ -118,7 +122,7 @@
 
 
 def test_a_late_request_is_an_exemplar_and_odd_names_do_no_harm() -> None:
-    watch = Watch(BASE, 8.0)
+    watch = TimelineMonitor(BASE, 8.0)
     play(watch, ['evil"\n\\{x="\x1b[31m'], took=1_500.0)
     got = read(Metrics(watch))
     (server,) = {s.labels["server"] for s in got["dillport_server_attempts"].samples}
--- a/tests/operator_settings/test_operators.py
+++ b/tests/operator_settings/test_operators.py
@@ -23,8 +23,8 @@
     ControlSettings,
     EtcdSettings,
     MetricsSettings,
-    Operators,
-    OperatorsError,
+    OperatorSettings,
+    OperatorSettingsError,
     PeersSettings,
     TimelineSettings,
     changes,
@@ -53,7 +53,7 @@
 
 def test_the_example_switches_nothing_on_and_explains_every_key(tmp_path: Path) -> None:
     path = ROOT / "deploy" / "operators.toml"
-    assert load(path) == Operators()
+    assert load(path) == OperatorSettings()
     lines = path.read_text(encoding="utf-8").splitlines()
     keys = [line.removeprefix("# ") for line in lines if re.match(r"# (\[|\w+ = )", line)]
     told: Any = tomllib.loads("\n".join(keys))
@@ -94,7 +94,7 @@
 
 def faults(raw: dict[str, object], folder: Path) -> dict[str, str]:
     """What is said of each path."""
-    with pytest.raises(OperatorsError) as caught:
+    with pytest.raises(OperatorSettingsError) as caught:
         parse(raw, folder)
     found = [(fault.path, str(fault)) for fault in caught.value.faults]
     assert len(dict(found)) == len(found), f"one place is named twice: {found}"
@@ -104,7 +104,7 @@
 
 
 def test_an_empty_file_switches_nothing_on(folder: Path) -> None:
-    assert parse({}, folder) == Operators() and Operators().on() == []
+    assert parse({}, folder) == OperatorSettings() and OperatorSettings().enabled_tables() == []
 
 
 def test_a_table_that_is_there_is_on(folder: Path) -> None:
@@ -141,8 +141,8 @@
         "remove",
         50,
     )
-    assert etcd_config(got).bears == 50 and "50 whole lists a second" in got.says()
-    assert SECRET not in repr(whole) + str(whole) + "".join(whole.on())
+    assert etcd_config(got).bears == 50 and "50 whole lists a second" in got.summary()
+    assert SECRET not in repr(whole) + str(whole) + "".join(whole.enabled_tables())
 
 
 def test_control(tmp_path: Path) -> None:
@@ -286,9 +286,11 @@
 
 def test_metrics_need_the_time_line_and_say_who_may_read_them(tmp_path: Path) -> None:
     assert list(faults({"metrics": {}}, tmp_path)) == ["metrics"]
-    on = parse({"timeline": {}, "metrics": {"listen": "[::]:9"}}, tmp_path).on()
+    on = parse({"timeline": {}, "metrics": {"listen": "[::]:9"}}, tmp_path).enabled_tables()
     assert any("http://[::]:9/metrics; ANYBODY" in line for line in on)
-    assert not any("ANYBODY" in line for line in parse({"timeline": {}, "metrics": {}}, tmp_path).on())
+    assert not any(
+        "ANYBODY" in line for line in parse({"timeline": {}, "metrics": {}}, tmp_path).enabled_tables()
+    )
 
 
 def test_a_time_line_without_its_package_is_named(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -354,17 +356,17 @@
 def test_anything_is_settings_or_named_faults(folder: Path, raw: dict[str, object]) -> None:
     try:
         got: object = parse(raw, folder)
-    except OperatorsError as err:
+    except OperatorSettingsError as err:
         assert len(str(err).splitlines()) == len(err.faults) > 0
         assert all(fault.path and fault.found and fault.allowed for fault in err.faults)
         got = err
     unknown = raw.keys() - {"membership", "control"}
-    named = {fault.path for fault in got.faults} if isinstance(got, OperatorsError) else set()
+    named = {fault.path for fault in got.faults} if isinstance(got, OperatorSettingsError) else set()
     assert all(any(path in (name, repr(name)) for path in named) for name in unknown)
 
 
 def test_faults_are_bounded(tmp_path: Path) -> None:
-    with pytest.raises(OperatorsError) as caught:
+    with pytest.raises(OperatorSettingsError) as caught:
         parse({f"key{n}": 1 for n in range(5000)}, tmp_path)
     lines = str(caught.value).splitlines()
     assert len(lines) == 101 and lines[-1] == "and 4900 more"
@@ -385,19 +387,19 @@
 def test_a_spoiled_file_is_one_plain_fault(tmp_path: Path, content: bytes, named: str) -> None:
     path = tmp_path / "s.toml"
     path.write_bytes(content)
-    with pytest.raises(OperatorsError) as caught:
+    with pytest.raises(OperatorSettingsError) as caught:
         load(path)
     assert named in str(caught.value) and len(str(caught.value).splitlines()) == 1
 
 
 def test_a_file_that_is_not_there_is_named(tmp_path: Path) -> None:
-    with pytest.raises(OperatorsError, match=r"s\.toml': No such file"):
+    with pytest.raises(OperatorSettingsError, match=r"s\.toml': No such file"):
         load(tmp_path / "s.toml")
 
 
 def test_a_pipe_holds_nobody_up(tmp_path: Path) -> None:
     os.mkfifo(tmp_path / "s.toml")
-    with pytest.raises(OperatorsError, match="no plain file"):
+    with pytest.raises(OperatorSettingsError, match="no plain file"):
         load(tmp_path / "s.toml")
 
 
@@ -416,8 +418,10 @@
     assert lines[1:] == ["membership.etcd.epoch is 2, was 0", "membership.etcd.password changed"]
     assert lines[0].startswith("membership.etcd.password_file is ")
     assert changes(old, old) == []
-    assert changes(old, Operators()) == ["membership.etcd is off"]
-    assert changes(Operators(), old)[0].startswith("membership.etcd is on: etcd at http://127.0.0.1:2379")
+    assert changes(old, OperatorSettings()) == ["membership.etcd is off"]
+    assert changes(OperatorSettings(), old)[0].startswith(
+        "membership.etcd is on: etcd at http://127.0.0.1:2379"
+    )
 
 
 def test_a_certificate_renewed_in_its_place_is_a_change(folder: Path, tmp_path: Path) -> None:
@@ -457,13 +461,13 @@
     assert got.seeds == (("10.0.0.1", 7001), ("10.0.0.2", 7001))
     lines = changes(other, one)
     assert "peers.keys changed" in lines
-    said = "\n".join([*one.on(), *lines, repr(one)])
+    said = "\n".join([*one.enabled_tables(), *lines, repr(one)])
     assert KEY not in said and OLDER not in said and "10.0.0.2:7001" in said
 
 
 @pytest.mark.parametrize(("mode", "open_"), [(0o600, False), (0o640, False), (0o644, True), (0o660, True)])
 def test_a_key_file_that_others_may_use_is_told(tmp_path: Path, mode: int, open_: bool) -> None:
-    said = parse(peers(tmp_path, mode=mode), tmp_path).on()[0]
+    said = parse(peers(tmp_path, mode=mode), tmp_path).enabled_tables()[0]
     assert ("WARNING" in said) is open_ and (f"{mode:04o}" in said) is open_
 
 
--- a/tests/policy/reference_selection.py
+++ b/tests/policy/reference_selection.py
@@ -13,7 +13,7 @@
 from enum import Enum
 
 from balancer import interface as api
-from balancer.policy.balancer import CHOOSY
+from balancer.policy.balancer import HIGH_REJECTION_RATE
 from balancer.policy.records import Backend
 
 
@@ -27,8 +27,8 @@
 
 def order(known: Iterable[Backend]) -> list[Backend]:
     """A node's own order: those that are up, near ones first, then by rank."""
-    up = [b for b in known if b.entry.phase is api.Phase.UP]
-    return sorted(up, key=lambda b: (not b.near, b.rank, b.entry.id))
+    up = [b for b in known if b.endpoint.phase is api.Phase.UP]
+    return sorted(up, key=lambda b: (not b.is_local, b.rank, b.endpoint.id))
 
 
 def window(known: Iterable[Backend], width: int, out: int) -> list[Backend]:
@@ -39,15 +39,15 @@
 
 def warmth(b: Backend, now: float, cold_share: float, ramp_time: float) -> float:
     """The part of its capacity that a backend surely has."""
-    age = now - b.entry.started_at_ms
-    if b.entry.started_at_ms == 0 or ramp_time == 0 or age >= ramp_time:
+    age = now - b.endpoint.started_at_ms
+    if b.endpoint.started_at_ms == 0 or ramp_time == 0 or age >= ramp_time:
         return 1.0
     return cold_share + (1 - cold_share) * max(age, 0.0) / ramp_time
 
 
 def place(b: Backend, now: float, cfg: api.Settings) -> Place:
     """Ejected or busy; else cold; else ready."""
-    if b.until > now or b.busy > now:
+    if b.ejected_until_ms > now or b.paused_until_ms > now:
         return Place.AWAY
     return (
         Place.COLD
@@ -70,7 +70,7 @@
         where = place(b, now, cfg)
         if where is Place.AWAY or (where is Place.COLD and b not in admitted):
             continue
-        if b.out <= crowd and not (dense and b.full > CHOOSY):
+        if b.in_flight <= crowd and not (dense and b.rejection_rate > HIGH_REJECTION_RATE):
             out.append(b)
     return out
 
@@ -82,12 +82,14 @@
 
 def chances(pool: Sequence[Backend], m: int) -> dict[str, float]:
     """JUT(m) among those eligible: who may be taken, and how likely."""
-    pool = [b for b in pool if b.out <= sum(x.out for x in pool) / len(pool) + 1e-9]
-    low = min((b.estimate for b in pool), default=0)
+    pool = [b for b in pool if b.in_flight <= sum(x.in_flight for x in pool) / len(pool) + 1e-9]
+    low = min((b.queue_estimate for b in pool), default=0)
     if low < m:
-        parts = {b.entry.id: float(b.estimate == low) for b in pool}
+        parts = {b.endpoint.id: float(b.queue_estimate == low) for b in pool}
     else:
-        parts = {b.entry.id: (bounded(b.entry.weight) / b.slow) ** 2 / (1 + b.out) for b in pool}
+        parts = {
+            b.endpoint.id: (bounded(b.endpoint.weight) / b.slowness) ** 2 / (1 + b.in_flight) for b in pool
+        }
     return {name: part / sum(parts.values()) for name, part in parts.items() if part > 0}
 
 
@@ -106,8 +108,12 @@
 
 def sums(known: Iterable[Backend], largest: dict[str, float]) -> Sums:
     """Requests held, as the weights tell them; `largest` is the largest weight seen of each kind."""
-    having_room = [b for b in known if b.entry.phase is api.Phase.UP and b.full <= CHOOSY]
-    held = [largest[b.entry.kind] / bounded(b.entry.weight) - 1 for b in having_room if b.entry.weight]
+    having_room = [
+        b for b in known if b.endpoint.phase is api.Phase.UP and b.rejection_rate <= HIGH_REJECTION_RATE
+    ]
+    held = [
+        largest[b.endpoint.kind] / bounded(b.endpoint.weight) - 1 for b in having_room if b.endpoint.weight
+    ]
     return Sums(len(having_room), math.fsum(held))
 
 
--- a/tests/policy/test_any_settings.py
+++ b/tests/policy/test_any_settings.py
@@ -149,9 +149,12 @@
                 assert 0.0 <= act.retry_after_ms <= self.cfg.max_retry_after_ms
             elif isinstance(act, api.NoteBackendDecision):
                 assert math.isfinite(act.duration_ms)
-        assert 0.0 < self.b.least < math.inf and 0.0 < self.b.limit < math.inf
-        assert all(math.isfinite(c.usual) and c.usual > 0 for c in self.b.classes.values())
-        assert self.b.out == len(self.live)
+        assert 0.0 < self.b.min_concurrency_limit < math.inf and 0.0 < self.b.concurrency_limit < math.inf
+        assert all(
+            math.isfinite(c.expected_latency_ms) and c.expected_latency_ms > 0
+            for c in self.b.classes.values()
+        )
+        assert self.b.in_flight == len(self.live)
 
     def _sent(self, act: api.SendAttempt) -> None:
         assert act.request not in self.left | self.streams
@@ -283,9 +286,11 @@
     day.on_to(day.now + 40_000.0)
     assert all(r.ended for r in day.check.seen.values()), "unanswered at the end of all"
     b = day.b
-    assert not (b.requests or b.held or b.out) and not any(one.out for one in b.backends.values())
+    assert not (b.requests or b.queued or b.in_flight) and not any(
+        one.in_flight for one in b.backends.values()
+    )
     day.tell(api.EndpointsUpdated(api.EndpointUpdateKind.SNAPSHOT, []))
-    assert not (b.backends or b.index.order or b.index.cold or b.index.groups or any(b.index.shelves))
+    assert not (b.backends or b.index.order or b.index.warming_up or b.index.groups or any(b.index.shelves))
     asked = [call for call, _ in b.timers.values()]
     assert not [call for call in asked if call.__name__ != "_ask"]
 
@@ -373,4 +378,4 @@
         assert due.at_ms <= 2060.0
         acts = b.handle(due.at_ms, api.TimerFired(due.token))
     assert asked == 3 and isinstance(answers(acts)[0], api.RejectRequest)
-    assert not any(one.until for one in b.backends.values())
+    assert not any(one.ejected_until_ms for one in b.backends.values())
--- a/tests/policy/test_backend_index.py
+++ b/tests/policy/test_backend_index.py
@@ -17,10 +17,10 @@
 from hypothesis import strategies as st
 
 from balancer import interface as api
-from balancer.policy.backend_index import TURN, Index
-from balancer.policy.balancer import CHOOSY, COLD_PART, Balancer
+from balancer.policy.backend_index import MAX_READMITTED_PER_CALL, BackendIndex
+from balancer.policy.balancer import HIGH_REJECTION_RATE, SLOW_START_LOAD_FRACTION, Balancer
 from balancer.policy.records import (
-    WHOLE,
+    INVERSE_WEIGHT_UNIT,
     Backend,
     Level,
     Request,
@@ -65,41 +65,55 @@
         self.choices = self.wary = 0
 
     def _choose(self, req: Request, crowd: float, m: int) -> Backend | None:
-        members = reference.window(self.backends.values(), self.width, self.out)
+        members = reference.window(self.backends.values(), self.subset_size, self.in_flight)
         self.admitted = []
-        while self.index.away and self.index.away[0][0] <= self.now:  # some at a time, where many are back
-            self.index.settle(self.now)
+        while (
+            self.index.review_heap and self.index.review_heap[0][0] <= self.now_ms
+        ):  # some at a time, where many are back
+            self.index.readmit_due(self.now_ms)
         got = super()._choose(req, crowd, m)
-        pool = reference.eligible(members, self.now, self.cfg, crowd, req.dense, self.admitted)
+        pool = reference.eligible(
+            members, self.now_ms, self.settings, crowd, req.is_high_priority, self.admitted
+        )
         fair = reference.chances(pool, m) if pool else {}
-        assert got.entry.id in fair if got else not pool
+        assert got.endpoint.id in fair if got else not pool
         self.choices += 1
-        self.wary += req.dense and any(b.full > CHOOSY for b in members)
+        self.wary += req.is_high_priority and any(b.rejection_rate > HIGH_REJECTION_RATE for b in members)
         return got
 
     def _admitted(self, req: Request, crowd: float) -> list[Backend]:
         self.admitted = super()._admitted(req, crowd)
         assert len(set(self.admitted)) == len(self.admitted)
         for b in self.admitted:
-            assert reference.place(b, self.now, self.cfg) is Place.COLD, (b.until, b.busy, b.due, self.now)
+            assert reference.place(b, self.now_ms, self.settings) is Place.COLD, (
+                b.ejected_until_ms,
+                b.paused_until_ms,
+                b.review_at_ms,
+                self.now_ms,
+            )
         return self.admitted
 
 
-def shelved(index: Index) -> dict[Backend, tuple[bool, int, Level]]:
+def shelved(index: BackendIndex) -> dict[Backend, tuple[bool, int, Level]]:
     """All on the shelves, with where they are; each level is checked to hold together."""
     out: dict[Backend, tuple[bool, int, Level]] = {}
     for apart, shelf in enumerate(index.shelves):
         for own, level in shelf.items():
-            rows = [(b, estimate) for estimate, row in level.rows.items() for b in row]
-            racks = [(b, grade) for grade, rack in level.racks.items() for b in rack]
+            rows = [(b, estimate) for estimate, row in level.by_estimate.items() for b in row]
+            racks = [(b, grade) for grade, rack in level.by_weight_grade.items() for b in rack]
             assert level.size == len(rows) == len(racks) > 0
             assert {b for b, _ in rows} == {b for b, _ in racks}
-            assert all(level.rows.values()) and all(level.racks.values())
-            assert all(b.estimate == estimate == b.row for b, estimate in rows)
-            assert level.lowest() == min(level.rows) and len(level.heap) >= len(level.rows)
+            assert all(level.by_estimate.values()) and all(level.by_weight_grade.values())
+            assert all(b.queue_estimate == estimate == b.indexed_estimate for b, estimate in rows)
+            assert level.lowest_estimate() == min(level.by_estimate) and len(level.estimate_heap) >= len(
+                level.by_estimate
+            )
             for b, grade in racks:
-                share = (reference.bounded(b.entry.weight) / b.slow) ** 2
-                assert 2.0**grade / 2 <= share < 2.0**grade and level.racks[grade][b.in_rack] is b
+                share = (reference.bounded(b.endpoint.weight) / b.slowness) ** 2
+                assert (
+                    2.0**grade / 2 <= share < 2.0**grade
+                    and level.by_weight_grade[grade][b.weight_position] is b
+                )
                 assert b not in out
                 out[b] = (bool(apart), own, level)
     return out
@@ -109,27 +123,32 @@
     """All that the index keeps is what the plain look says; nobody is lost, and what is stale is bounded."""
     index, order = b.index, reference.order(b.backends.values())
     assert [item[3] for item in index.order] == order
-    assert index.home == sum(x.near for x in order)
-    members = order[: index.size]
-    assert {x for x in b.backends.values() if x.inside} == set(members)
-    ready, late = shelved(index), {x for due, _, x in index.away if x.due == due <= b.now}
-    waiting = {x for due, _, x in index.away if x.due == due}
-    assert len(set(index.cold)) == len(index.cold) and set(index.cold) <= set(members)
-    assert index.waiting == len(waiting) and len(index.away) <= 2 * len(waiting) + TURN
+    assert index.local_count == sum(x.is_local for x in order)
+    members = order[: index.window_size]
+    assert {x for x in b.backends.values() if x.is_in_window} == set(members)
+    ready, late = shelved(index), {x for due, _, x in index.review_heap if x.review_at_ms == due <= b.now_ms}
+    waiting = {x for due, _, x in index.review_heap if x.review_at_ms == due}
+    assert len(set(index.warming_up)) == len(index.warming_up) and set(index.warming_up) <= set(members)
+    assert (
+        index.scheduled_reviews == len(waiting)
+        and len(index.review_heap) <= 2 * len(waiting) + MAX_READMITTED_PER_CALL
+    )
     for x in members:
-        where = reference.place(x, b.now, b.cfg)
+        where = reference.place(x, b.now_ms, b.settings)
         if x in late:
             assert x not in ready  # its time has come, it is taken back with the next choice
             continue
         assert (x in ready) == (where is Place.READY)
-        assert (x in index.cold) == (where is Place.COLD) and (x in waiting) == (where is not Place.READY)
+        assert (x in index.warming_up) == (where is Place.COLD) and (x in waiting) == (
+            where is not Place.READY
+        )
         if where is Place.READY:
-            assert ready[x][:2] == (x.full > index.choosy, x.out)
+            assert ready[x][:2] == (x.rejection_rate > index.high_rejection_rate, x.in_flight)
     assert set(ready) <= set(members)
-    for kind in index.kinds:
+    for kind in index.deduplication_scopes:
         groups: dict[object, set[Backend]] = defaultdict(set)
         for x in order:
-            groups[x.entry.zone if kind is api.DeduplicationScope.ZONE else x.entry.cell].add(x)
+            groups[x.endpoint.zone if kind is api.DeduplicationScope.ZONE else x.endpoint.cell].add(x)
         assert {part: set(g.items) for (k, part), g in index.groups.items() if k is kind} == groups
 
 
@@ -174,18 +193,21 @@
         """The index, the counts, the sums."""
         b = self.node
         check(b)
-        assert {n: (x.out, x.estimate) for n, x in b.backends.items()} == {
+        assert {n: (x.in_flight, x.queue_estimate) for n, x in b.backends.items()} == {
             n: (x.out, x.estimate) for n, x in self.counts.known.items()
         }
-        assert b.out == sum(x.out for x in self.counts.known.values()) == len(self.out)
-        assert not b.cfg.has_live_weights or self.same_sums()
+        assert b.in_flight == sum(x.out for x in self.counts.known.values()) == len(self.out)
+        assert not b.settings.has_live_weights or self.same_sums()
 
     def same_sums(self) -> bool:
         """The running sums of live weights are what summing all up comes to."""
         want = reference.sums(self.node.backends.values(), self.largest)
-        rooms = self.node.rooms.values()
-        held = sum(room.size * room.inverses / WHOLE - room.weighted for room in rooms)
-        count = sum(room.count for room in rooms)
+        rooms = self.node.capacity_by_kind.values()
+        held = sum(
+            room.idle_weight * room.inverse_weight_sum / INVERSE_WEIGHT_UNIT - room.weighted_count
+            for room in rooms
+        )
+        count = sum(room.backend_count for room in rooms)
         return count == want.count and math.isclose(held, want.held, rel_tol=1e-9, abs_tol=1e-6)
 
     def entry(self, name: str) -> api.Endpoint:
@@ -300,7 +322,7 @@
         DEEDS[deed](world, count)
     while world.out:
         world.end(len(world.out))
-    assert not world.node.out
+    assert not world.node.in_flight
 
 
 def test_long_runs_meet_every_kind_of_choice() -> None:
@@ -312,7 +334,7 @@
             deed = world.rng.choice(sorted(DEEDS))
             DEEDS[deed](world, world.rng.randint(1, 9))
             cold += bool(world.node.admitted)
-            wide += world.node.index.size > world.node.width
+            wide += world.node.index.window_size > world.node.subset_size
         choices += world.node.choices
         wary += world.node.wary
     assert choices > 500 and cold > 20 and wide > 20 and wary > 20, (choices, cold, wide, wary)
@@ -331,7 +353,7 @@
     for _ in range(n):
         req = Request("r", b.classes[cls], None, 1e9, 1e9, False)
         found = b._choose(req, crowd, m)
-        got[found.entry.id if found else "nobody"] += 1
+        got[found.endpoint.id if found else "nobody"] += 1
     return got
 
 
@@ -344,7 +366,7 @@
 def test_ties_below_m_are_uniform_over_levels_of_own_count(levels: int) -> None:
     b = prepared(16)
     for i, x in enumerate(b.backends.values()):
-        x.estimate, x.out = (1, i % levels) if i < 12 else (2, levels // 2)
+        x.queue_estimate, x.in_flight = (1, i % levels) if i < 12 else (2, levels // 2)
         b._place(x)
     fair = reference.chances(list(b.backends.values()), 4)
     assert len(fair) == (12 if levels == 1 else 8) and len(set(fair.values())) == 1
@@ -355,8 +377,8 @@
 def test_at_the_cap_the_draw_follows_the_stated_weights(out: tuple[int, ...]) -> None:
     b = prepared(8)
     for i, x in enumerate(b.backends.values()):
-        x.entry = replace(x.entry, weight=(1.0, 0.3, 2.0, 0.75)[i % 4])
-        x.slow, x.estimate, x.out = 1.0 + 0.2 * i, 5 + i, out[i]
+        x.endpoint = replace(x.endpoint, weight=(1.0, 0.3, 2.0, 0.75)[i % 4])
+        x.slowness, x.queue_estimate, x.in_flight = 1.0 + 0.2 * i, 5 + i, out[i]
         b._place(x)
     fair = reference.chances(list(b.backends.values()), 3)
     chi_square(drawn(b, 3, 20_000), fair, 20_000)
@@ -369,15 +391,15 @@
     born = [now - BASE.slow_start_duration_ms * part for part in (0.0, 0.1, 0.5, 0.9)]
     fleet = [entry(f"b{i}", started_at_ms=born[i] if i < 4 else 0.0) for i in range(20)]
     b.handle(now, api.EndpointsUpdated(api.EndpointUpdateKind.SNAPSHOT, fleet))
-    assert len(b.index.cold) == 4
+    assert len(b.index.warming_up) == 4
     n, got = 20_000, Counter[str]()
     for _ in range(n):
         req = Request("r", b.classes["read"], None, 1e9, 1e9, False)
-        got.update(x.entry.id for x in b._admitted(req, math.inf))
+        got.update(x.endpoint.id for x in b._admitted(req, math.inf))
     for i in range(4):
         warm = reference.warmth(
             b.backends[f"b{i}"], now, BASE.slow_start_initial_fraction, BASE.slow_start_duration_ms
         )
-        chance = reference.admission(20, 20, 20.0, warm, COLD_PART * multiple)
+        chance = reference.admission(20, 20, 20.0, warm, SLOW_START_LOAD_FRACTION * multiple)
         spread = 3.3 * math.sqrt(n * chance * (1 - chance))
         assert abs(got[f"b{i}"] - n * chance) <= spread, (i, chance, got)
--- a/tests/policy/test_bulk_update.py
+++ b/tests/policy/test_bulk_update.py
@@ -51,21 +51,21 @@
     index = balancer.index
     names = {name: tuple(getattr(b, field) for field in FIELDS) for name, b in balancer.backends.items()}
     shelves = [
-        (number, out, estimate, [b.entry.id for b in row])
+        (number, out, estimate, [b.endpoint.id for b in row])
         for number, shelf in enumerate(index.shelves)
         for out, level in shelf.items()
-        for estimate, row in level.rows.items()
+        for estimate, row in level.by_estimate.items()
     ]
-    groups = {key: [b.entry.id for b in bag.items] for key, bag in index.groups.items()}
+    groups = {key: [b.endpoint.id for b in bag.items] for key, bag in index.groups.items()}
     own = ("width", "spill", "fleet", "listed", "least", "ease", "limit", "token", "now", "bad")
     return {
         "backends": names,
         "order": balancer.order,
         "shelves": shelves,
         "groups": groups,
-        "cold": [b.entry.id for b in index.cold],
-        "window": (index.size, index.home, index.waiting),
-        "rooms": repr(balancer.rooms),
+        "cold": [b.endpoint.id for b in index.warming_up],
+        "window": (index.window_size, index.local_count, index.scheduled_reviews),
+        "rooms": repr(balancer.capacity_by_kind),
         "random": balancer.rng.getstate(),
         "own": {name: getattr(balancer, name) for name in own},
     }
@@ -104,18 +104,20 @@
     seen[0] += one.handle(now, api.EndpointsUpdated(kind, entries, 2))
     if kind is not api.EndpointUpdateKind.INCREMENTAL:
         seen[1] += two.handle(now, api.EndpointsUpdated(kind, [], 2))
-    before, laying.SLICE = laying.SLICE, step
+    before, laying.BACKENDS_PER_STEP = laying.BACKENDS_PER_STEP, step
     try:
-        two.now, steps = now, laying.lay(two, entries)
+        two.now_ms, steps = now, laying.apply_first_list(two, entries)
         while True:
             try:
                 next(steps)
             except StopIteration as end:
                 seen[1] += end.value
                 break
-            assert not two.index.size or len(two.order) == len(one.order), "nobody is fed before all are in"
+            assert not two.index.window_size or len(two.order) == len(one.order), (
+                "nobody is fed before all are in"
+            )
     finally:
-        laying.SLICE = before
+        laying.BACKENDS_PER_STEP = before
     seen[1] += two.handle(now, api.EndpointsUpdated(api.EndpointUpdateKind.INCREMENTAL, [], 2))
     assert seen[0] == seen[1]
     assert state(one) == state(two)
--- a/tests/policy/test_learned_state.py
+++ b/tests/policy/test_learned_state.py
@@ -11,9 +11,9 @@
 
 from balancer import interface as api
 from balancer.policy.balancer import (
-    HALVES,
-    LIMIT_LEAST,
-    STALE,
+    CACHED_AGE_SCALE_MS,
+    LEARNED_STATE_HALF_LIVES_MS,
+    MIN_LIMIT_PER_BACKEND,
     Balancer,
 )
 from tests.helpers import (
@@ -52,7 +52,7 @@
 
 def fails(node: Balancer, backend: str, status: api.AttemptStatus, now: float = 1_010.0) -> list[api.Action]:
     """Requests go out until one meets this server, and fails there; the others never end."""
-    node.limit = 1e9
+    node.concurrency_limit = 1e9
     for number in range(200):
         if ask(node, f"f{number}", now=now) == backend:
             return end(node, f"f{number}", backend, status, now)
@@ -62,10 +62,10 @@
 @pytest.mark.parametrize("cls", ["pay", "once"])
 def test_bookings_go_to_those_that_a_source_vouches_for_or_that_have_answered(cls: str) -> None:
     node = remembers("b2")
-    node.limit = 1e9
+    node.concurrency_limit = 1e9
     assert {ask(node, f"r{n}", cls) for n in range(20)} == {"b2"}
     node = remembers()
-    node.limit = 1e9
+    node.concurrency_limit = 1e9
     where = ask(node, "s", now=1_001.0)
     assert end(node, "s", where, api.AttemptStatus.OK) is not None
     assert {ask(node, f"r{n}", cls) for n in range(20)} == {where}
@@ -73,7 +73,7 @@
 
 def test_a_booking_is_not_refused_where_nobody_has_answered() -> None:
     node = remembers()
-    node.limit = 1e9
+    node.concurrency_limit = 1e9
     acts = [a for n in range(6) for a in node.handle(1_000.0, api.RequestArrived(f"r{n}", "once", 2_000.0))]
     assert {a.backend for a in sends(acts)} == set(NAMES)
     assert api.DecisionReason.PANIC not in {a.reason for a in sends(acts)}
@@ -82,7 +82,7 @@
 def test_one_safe_request_at_a_time_tries_one_of_memory_alone() -> None:
     """With others to go to none gets a second before it has answered; `literal` would fill all up to m."""
     node = remembers("b0", "b1")
-    node.limit = 1e9
+    node.concurrency_limit = 1e9
     count = Counter(ask(node, f"r{n}") for n in range(30))
     assert all(count[name] == 1 for name in NAMES[2:]) and count["b0"] > 5
 
@@ -108,7 +108,7 @@
 def test_an_answer_of_any_kind_drops_nobody_and_vouches_for_nobody(status: api.AttemptStatus) -> None:
     node = remembers()
     fails(node, "b3", status)
-    assert "b3" in node.order and not node.backends["b3"].vouched
+    assert "b3" in node.order and not node.backends["b3"].is_confirmed
 
 
 def test_one_that_has_answered_is_not_dropped() -> None:
@@ -129,7 +129,7 @@
 
 def test_a_list_that_vouches_brings_back_the_usual_service_at_once() -> None:
     node = remembers()
-    node.limit = 1e9
+    node.concurrency_limit = 1e9
     node.handle(1_001.0, api.EndpointsUpdated(api.EndpointUpdateKind.INCREMENTAL, [entry(n) for n in NAMES]))
     assert not node.index.shelves[2] and len({ask(node, f"r{n}", "once") for n in range(30)}) == 6
     fails(node, "b3", api.AttemptStatus.RESET)
@@ -147,7 +147,7 @@
             hits += int(ask(node, "r")[1:]) % 2
         return hits / 300
 
-    fresh, stale, ancient = share(1.0), share(STALE), share(100 * STALE)
+    fresh, stale, ancient = share(1.0), share(CACHED_AGE_SCALE_MS), share(100 * CACHED_AGE_SCALE_MS)
     assert fresh > 0.43 and 0.30 < stale < 0.46 and 0.17 < ancient < 0.33 and ancient < stale < fresh + 0.02
 
 
@@ -164,21 +164,21 @@
 
 def test_each_kept_figure_halves_in_its_time() -> None:
     reads: list[Callable[[Balancer], float]] = [
-        lambda n: n.limit,
-        lambda n: n.backends["b1"].slow,
-        lambda n: n.classes["read"].usual,
+        lambda n: n.concurrency_limit,
+        lambda n: n.backends["b1"].slowness,
+        lambda n: n.classes["read"].expected_latency_ms,
     ]
-    figures = (LIMIT_LEAST, 64.0), (1.0, 3.0), (SAFE.latency_objective_ms / 4, 50.0)
-    for half, read, (fresh, kept) in zip(HALVES, reads, figures, strict=True):
+    figures = (MIN_LIMIT_PER_BACKEND, 64.0), (1.0, 3.0), (SAFE.latency_objective_ms / 4, 50.0)
+    for half, read, (fresh, kept) in zip(LEARNED_STATE_HALF_LIVES_MS, reads, figures, strict=True):
         assert read(recalls(0.0)) == pytest.approx(kept)
         assert read(recalls(half)) == pytest.approx((fresh + kept) / 2)
         assert read(recalls(50 * half)) == pytest.approx(fresh, rel=1e-6)
 
 
 def test_an_ejection_ends_when_it_would_have() -> None:
-    assert recalls(10_000.0).backends["b2"].until == 1_000.0 + min(20_000.0, 400.0 * 32)
-    assert recalls(29_000.0).backends["b2"].until == 2_000.0
-    assert recalls(31_000.0).backends["b2"].until <= 1_000.0
+    assert recalls(10_000.0).backends["b2"].ejected_until_ms == 1_000.0 + min(20_000.0, 400.0 * 32)
+    assert recalls(29_000.0).backends["b2"].ejected_until_ms == 2_000.0
+    assert recalls(31_000.0).backends["b2"].ejected_until_ms <= 1_000.0
     assert "b2" not in {ask(recalls(29_000.0), f"r{n}") for n in range(30)}
 
 
@@ -188,9 +188,12 @@
     for age in (0.0, odd):
         node = recalls(age, told)
         b, cls = node.backends, node.classes["read"]
-        assert LIMIT_LEAST <= node.limit <= CFG.max_open_requests and 0.01 <= b["b1"].slow <= 100.0
-        assert b["b2"].until <= 1_000.0 + 400.0 * 32
-        assert 0.0 < cls.usual <= 200.0 and 0.0 <= cls.dev <= 200.0
+        assert (
+            MIN_LIMIT_PER_BACKEND <= node.concurrency_limit <= CFG.max_open_requests
+            and 0.01 <= b["b1"].slowness <= 100.0
+        )
+        assert b["b2"].ejected_until_ms <= 1_000.0 + 400.0 * 32
+        assert 0.0 < cls.expected_latency_ms <= 200.0 and 0.0 <= cls.mean_deviation_ms <= 200.0
         assert ask(node, "r"), "a class that takes too long by memory alone would never be asked for again"
 
 
--- a/tests/policy/test_overload.py
+++ b/tests/policy/test_overload.py
@@ -9,7 +9,7 @@
 from balancer import interface as api
 from balancer.interface import Idempotency
 from balancer.policy import balancer as policy
-from balancer.policy.balancer import SPARE, Balancer
+from balancer.policy.balancer import OVERLOAD_REQUESTS_PER_CORE, Balancer
 from balancer.testbed.service_profile import RequestClass
 from balancer.testbed.simulation.report import Report
 from balancer.testbed.simulation.scenario import (
@@ -64,7 +64,7 @@
 def test_a_burst_does_not_jam_a_fleet_for_long(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against a fleet that stays slow once the burst is over; it fails where nobody is spared."""
     spared = burst(1)
-    monkeypatch.setattr(policy, "SPARE", (1e8, 1e9))
+    monkeypatch.setattr(policy, "OVERLOAD_REQUESTS_PER_CORE", (1e8, 1e9))
     crowded = burst(1)
     assert spared.ok and crowded.ok
     assert crowded.chokes == 20 and crowded.service < 0.4
@@ -98,13 +98,15 @@
 
 
 def test_a_server_is_spared_in_proportion_to_what_its_cores_hold() -> None:
-    assert told(SPARE[0]) == 1.0
-    assert told((SPARE[0] + SPARE[1]) / 2) == pytest.approx(0.5, abs=0.08)
-    assert told(SPARE[1] + 0.1) == 0.0
+    assert told(OVERLOAD_REQUESTS_PER_CORE[0]) == 1.0
+    assert told((OVERLOAD_REQUESTS_PER_CORE[0] + OVERLOAD_REQUESTS_PER_CORE[1]) / 2) == pytest.approx(
+        0.5, abs=0.08
+    )
+    assert told(OVERLOAD_REQUESTS_PER_CORE[1] + 0.1) == 0.0
 
 
 def test_what_is_worth_most_is_sent_on_to_a_crowded_server() -> None:
-    assert told(SPARE[1] + 1.0, "dear", count=3) == 1.0
+    assert told(OVERLOAD_REQUESTS_PER_CORE[1] + 1.0, "dear", count=3) == 1.0
 
 
 def test_a_repeat_that_is_bound_to_its_zone_spares_a_crowd_too() -> None:
@@ -125,8 +127,8 @@
 def test_old_news_spare_nobody() -> None:
     """Guards against refusing for as long as discovery is silent, as it did in a burst."""
     longest = max(c.latency_objective_ms for c in LIVE.classes)
-    assert told(SPARE[1] + 1.0, late_ms=longest - 10.0) == 0.0
-    assert told(SPARE[1] + 1.0, late_ms=longest + 10.0) == 1.0
+    assert told(OVERLOAD_REQUESTS_PER_CORE[1] + 1.0, late_ms=longest - 10.0) == 0.0
+    assert told(OVERLOAD_REQUESTS_PER_CORE[1] + 1.0, late_ms=longest + 10.0) == 1.0
 
 
 def test_another_size_is_no_crowd() -> None:
--- a/tests/policy/test_reasons.py
+++ b/tests/policy/test_reasons.py
@@ -41,7 +41,7 @@
     now: float = 1010.0,
     took: float = 10.0,
 ) -> list[api.Action]:
-    backend = b.requests[name].attempts[0].backend.entry.id
+    backend = b.requests[name].attempts[0].backend.endpoint.id
     return b.handle(now, api.AttemptFinished(name, 0, backend, status, took, status is AttemptStatus.OK))
 
 
@@ -65,8 +65,8 @@
 def test_drawn_where_all_have_reached_m() -> None:
     b = node(BASE, "ab")
     for one in b.backends.values():
-        one.estimate = 50
-        b.index.count(one)
+        one.queue_estimate = 50
+        b.index.update_counts(one)
     assert sends(arrive(b))[0].reason is DecisionReason.DRAWN_AT_CAP
 
 
@@ -96,7 +96,7 @@
     b = Balancer(cfg, 1)
     told = [entry(f"a{n}") for n in range(3)] + [entry(f"z{n}", zone="b") for n in range(3)]
     b.handle(1000.0, api.EndpointsUpdated(api.EndpointUpdateKind.CACHED, told))
-    b.spill = 1.0
+    b.spillover = 1.0
     got = [send for n in range(30) for send in sends(arrive(b, f"r{n}"))]
     assert {send.backend[0] for send in got} == {"a", "z"}  # a draw of six takes in the own zone
     assert all((send.reason is DecisionReason.OTHER_ZONE) == (send.backend[0] == "z") for send in got)
@@ -114,7 +114,7 @@
 
 def test_held_and_released() -> None:
     b = node(BASE, "abc")
-    b.limit = 1.0
+    b.concurrency_limit = 1.0
     arrive(b)
     assert not sends(arrive(b, "s"))
     (send,) = sends(end(b, AttemptStatus.OK))
@@ -132,13 +132,13 @@
     b = node(BASE, "abc")
     assert why(arrive(b, left=1.0)) is DecisionReason.OBJECTIVE_UNREACHABLE
     assert why(arrive(Balancer(BASE, 1))) is DecisionReason.NO_ELIGIBLE_BACKEND
-    b.trust, b.rng.random = 0.0, lambda: 0.99  # type: ignore[method-assign]
+    b.success_rate, b.rng.random = 0.0, lambda: 0.99  # type: ignore[method-assign]
     assert why(arrive(b, "s")) is DecisionReason.SHED_BY_SUCCESS_RATE
 
 
 def test_a_held_one_whose_time_is_up_found_no_room() -> None:
     b = node(BASE, "abc")
-    b.limit = 1.0
+    b.concurrency_limit = 1.0
     arrive(b)
     (timer,) = [a for a in arrive(b, "s") if isinstance(a, api.SetTimer)]
     assert why(b.handle(timer.at_ms, api.TimerFired(timer.token))) is DecisionReason.QUEUE_TIMEOUT
@@ -146,9 +146,9 @@
 
 def test_what_ends_repeats_is_named() -> None:
     b = node(BASE, "abc")
-    b.bank = 0.0
+    b.retry_tokens = 0.0
     arrive(b)
-    b.bank = 0.0
+    b.retry_tokens = 0.0
     assert why(end(b, AttemptStatus.ERROR)) is DecisionReason.RETRY_BUDGET_EXHAUSTED
     b = node(replace(BASE, max_attempts=1), "abc")
     arrive(b)
@@ -171,7 +171,7 @@
 def test_where_the_node_looks_first() -> None:
     b = node(LOOKING, "abc")
     arrive(b)
-    for name in list(b.requests["r"].pending):
+    for name in list(b.requests["r"].pending_probes):
         got = b.handle(1002.0, api.ProbeFinished(name, AttemptStatus.OK, 2.0, IDLE))
         if sends(got):
             break
@@ -206,7 +206,7 @@
     got = b.handle(1011.0, api.AttemptFinished("s", 0, "a", AttemptStatus.OK, 11.0, True, IDLE))
     assert len(noted(got, BackendDecision.REPORTED_IDLE)) == 1
     arrive(b, "t", now=1012.0)
-    b.backends["a"].estimate = 1
+    b.backends["a"].queue_estimate = 1
     got = b.handle(1013.0, api.AttemptFinished("t", 0, "a", AttemptStatus.OK, 1.0, True, api.LoadReport(3.0)))
     assert not noted(got, BackendDecision.REPORTED_IDLE)
 
@@ -235,7 +235,7 @@
             elif isinstance(note, api.NoteBackendDecision) and note.decision is BackendDecision.LEFT_SUBSET:
                 subset.discard(note.backend)
         if isinstance(event, api.EndpointsUpdated):
-            assert subset == set(run.node.order[: run.node.width])
+            assert subset == set(run.node.order[: run.node.subset_size])
 
     run.feed = followed  # type: ignore[method-assign]
     run.play(600)
--- a/tests/policy/test_replay.py
+++ b/tests/policy/test_replay.py
@@ -192,10 +192,10 @@
 
 @pytest.mark.parametrize("name", FLEETS)
 def test_the_actions_are_those_from_before_reasons(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(policy, "SPARE", (1e9, 2e9))
-    monkeypatch.setattr(policy, "LIMIT_PART", 1.0)
-    monkeypatch.setattr(policy, "LATE_CHANCE", policy.CHANCE)
-    monkeypatch.setattr(policy, "REFUSED", math.inf)  # as if none only came up late
+    monkeypatch.setattr(policy, "OVERLOAD_REQUESTS_PER_CORE", (1e9, 2e9))
+    monkeypatch.setattr(policy, "MIN_BACKENDS_PER_NODE", 1.0)
+    monkeypatch.setattr(policy, "CONNECT_EJECTION_SIGNIFICANCE", policy.EJECTION_SIGNIFICANCE)
+    monkeypatch.setattr(policy, "REFUSED_CONNECT_FRACTION", math.inf)  # as if none only came up late
     assert [Run(FLEETS[name], seed).play(1_500) for seed in (1, 2)] == DIGESTS[name]
 
 
@@ -209,10 +209,10 @@
 
 @pytest.mark.parametrize("name", FLEETS)
 def test_the_actions_among_servers_that_do_not_move(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(policy, "SPARE", (1e9, 2e9))
-    monkeypatch.setattr(policy, "LIMIT_PART", 1.0)
-    monkeypatch.setattr(policy, "LATE_CHANCE", policy.CHANCE)
-    monkeypatch.setattr(policy, "REFUSED", math.inf)
+    monkeypatch.setattr(policy, "OVERLOAD_REQUESTS_PER_CORE", (1e9, 2e9))
+    monkeypatch.setattr(policy, "MIN_BACKENDS_PER_NODE", 1.0)
+    monkeypatch.setattr(policy, "CONNECT_EJECTION_SIGNIFICANCE", policy.EJECTION_SIGNIFICANCE)
+    monkeypatch.setattr(policy, "REFUSED_CONNECT_FRACTION", math.inf)
     assert [SteadyRun(FLEETS[name], seed).play(1_500) for seed in (1, 2)] == STEADY[name]
 
 
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -296,7 +296,7 @@
 
 
 def test_the_cold_budget_check_catches_a_lost_slow_start(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(policy, "COLD_PART", 50.0)
+    monkeypatch.setattr(policy, "SLOW_START_LOAD_FRACTION", 50.0)
     assert over_cold_budget(12, 100, 0.14)
 
 
@@ -335,7 +335,7 @@
             live.remove(ended)
             acts += [(ended[1], a) for a in ended[1].handle(now, ended[2])]
         for b, s in [(b, a) for b, a in acts if isinstance(a, api.SendAttempt)]:
-            there = b.backends[s.backend].entry
+            there = b.backends[s.backend].endpoint
             budget.send(now, there)
             number = len(b.requests[s.request].attempts) - 1
             full = rng.random() < 0.15
--- a/tests/policy/test_scale.py
+++ b/tests/policy/test_scale.py
@@ -19,8 +19,8 @@
 import pytest
 
 from balancer import interface as api
-from balancer.policy.backend_index import TURN
-from balancer.policy.balancer import RELEASE, Balancer
+from balancer.policy.backend_index import MAX_READMITTED_PER_CALL
+from balancer.policy.balancer import MAX_DEQUEUED_PER_EVENT, Balancer
 from balancer.policy.records import Attempt, Backend, Request
 from tests.helpers import (
     BASE,
@@ -51,7 +51,7 @@
         50_000.0,
         api.EndpointsUpdated(api.EndpointUpdateKind.SNAPSHOT, [entry(n, **over) for n in names(count)]),
     )
-    b.limit = b.least = 1e9
+    b.concurrency_limit = b.min_concurrency_limit = 1e9
     return b
 
 
@@ -139,7 +139,7 @@
         ask = Asker(fleet(replace(ALONE, classes=(KEYED,), max_attempts=2), size))
         total = 0
         for i in range(30):
-            ask.b.bank, ask.b.trust, ask.b.failing = 3.0, 1.0, 0.5
+            ask.b.retry_tokens, ask.b.success_rate, ask.b.failure_rate = 3.0, 1.0, 0.5
             ask.arrive("pay")
             bound = ask.b._bound(Request("r", ask.b.classes["pay"], None, 0.0, 0.0, False, [attempt(ask.b)]))
             assert bound is ask.b.index.groups[api.DeduplicationScope.ZONE, "a"].items and len(bound) == size
@@ -158,7 +158,7 @@
 def attempt(b: Balancer) -> Attempt:
     """One that may have run."""
     backend = next(iter(b.backends.values()))
-    return Attempt(backend, backend.entry, b.now, True, api.AttemptStatus.RESET)
+    return Attempt(backend, backend.endpoint, b.now_ms, True, api.AttemptStatus.RESET)
 
 
 def test_a_change_and_a_weight_cost_the_same_at_ten_and_at_ten_thousand() -> None:
@@ -197,18 +197,18 @@
     )
     assert whole <= single
     check(batch)
-    assert {n: (x.entry, x.out) for n, x in one.backends.items()} == {
-        n: (x.entry, x.out) for n, x in batch.backends.items()
+    assert {n: (x.endpoint, x.in_flight) for n, x in one.backends.items()} == {
+        n: (x.endpoint, x.in_flight) for n, x in batch.backends.items()
     }
 
 
 def test_weights_of_all_in_one_batch_leave_what_is_held_alone() -> None:
     b = fleet(LIVE, MANY)
-    b.limit = b.least = 0.0
+    b.concurrency_limit = b.min_concurrency_limit = 0.0
     ask = Asker(b)
     for _ in range(500):
         ask.arrive()
-    assert len(b.held) == 500 and not ask.out
+    assert len(b.queued) == 500 and not ask.out
     told = [entry(n, weight=0.25 + i % 4) for i, n in enumerate(names(MANY))]
     cost = lines(lambda: b.handle(50_001.0, api.EndpointsUpdated(api.EndpointUpdateKind.INCREMENTAL, told)))
     small = fleet(LIVE, 10)
@@ -216,7 +216,7 @@
         lambda: small.handle(50_001.0, api.EndpointsUpdated(api.EndpointUpdateKind.INCREMENTAL, told[:10]))
     )
     assert cost / MANY < 1.5 * few / 10
-    assert len(b.held) == 500 and sum(r.count for r in b.rooms.values()) == MANY
+    assert len(b.queued) == 500 and sum(r.backend_count for r in b.capacity_by_kind.values()) == MANY
     check(b)
 
 
@@ -225,22 +225,22 @@
 
 def ejected(x: Backend, now: float) -> None:
     """Left alone for a second."""
-    x.until = now + 1000.0
+    x.ejected_until_ms = now + 1000.0
 
 
 def cold(x: Backend, now: float) -> None:
     """Started this moment: it is warm in ten seconds."""
-    x.entry = replace(x.entry, started_at_ms=now)
+    x.endpoint = replace(x.endpoint, started_at_ms=now)
 
 
 def crowded(x: Backend, now: float) -> None:
     """Nine of this node's requests are out there."""
-    x.out = x.estimate = 9
+    x.in_flight = x.queue_estimate = 9
 
 
 def capped(x: Backend, now: float) -> None:
     """Sent as many as m since it last showed idle."""
-    x.estimate = 10**6
+    x.queue_estimate = 10**6
 
 
 @pytest.mark.parametrize("spoil", [ejected, cold, crowded, capped])
@@ -260,7 +260,7 @@
         assert {ask.arrive() for _ in range(10)} == left
         while ask.out:
             ask.end(report=IDLE)
-    assert not b.held and b.logged < 0  # no panic
+    assert not b.queued and b.logged_at_ms < 0  # no panic
 
 
 @pytest.mark.parametrize("spoil", [ejected, cold])
@@ -271,14 +271,14 @@
         if name not in left:
             spoil(x, 50_000.0)
             b._place(x)
-    b.index.news.clear()  # as after the event that spoilt them
+    b.index.decisions.clear()  # as after the event that spoilt them
     ask = Asker(b, 70_000.0)
     usual = mean(Asker(fleet(ALONE, MANY)))
     worst, turns = 0, 0
-    while b.index.away:
+    while b.index.review_heap:
         worst, turns = max(worst, lines(ask.turn)), turns + 1
-    assert turns == -(-(MANY - 10) // TURN)
-    assert worst < usual + 60 * TURN
+    assert turns == -(-(MANY - 10) // MAX_READMITTED_PER_CALL)
+    assert worst < usual + 60 * MAX_READMITTED_PER_CALL
     check(b)
     while ask.out:
         ask.end()
@@ -292,15 +292,15 @@
         cold(x, 50_000.0)
         b._place(x)
     ask = Asker(b, 51_000.5)
-    assert lines(ask.turn) < 16 * TURN * 60
-    assert len(b.index.cold) == 16 * TURN
+    assert lines(ask.turn) < 16 * MAX_READMITTED_PER_CALL * 60
+    assert len(b.index.warming_up) == 16 * MAX_READMITTED_PER_CALL
     check(b)
 
 
 def test_one_left_gets_all_and_none_left_refuses_all() -> None:
     b = fleet(ALONE, MANY)
     b.handle(50_001.0, api.EndpointsUpdated(api.EndpointUpdateKind.SNAPSHOT, [entry(names(MANY)[77])]))
-    b.limit = b.least = 1e9
+    b.concurrency_limit = b.min_concurrency_limit = 1e9
     ask = Asker(b)
     assert {ask.arrive() for _ in range(50)} == {names(MANY)[77]}
     assert len(b.backends) == 1
@@ -308,7 +308,7 @@
     assert [ask.arrive() for _ in range(50)] == [None] * 50
     while ask.out:
         ask.end()
-    assert not (b.backends or b.index.order or b.index.size or b.requests or b.index.home)
+    assert not (b.backends or b.index.order or b.index.window_size or b.requests or b.index.local_count)
     b.handle(50_003.0, api.EndpointsUpdated(api.EndpointUpdateKind.INCREMENTAL, [entry("new")]))
     assert ask.arrive() == "new"
 
@@ -328,9 +328,9 @@
             ejected(x, 50_000.0)
             b._place(x)
     ask = Asker(b)
-    b.limit = b.least = 1e9
-    b.spill = 1.0
-    assert {ask.arrive() for _ in range(100)} <= set(left) and b.logged < 0
+    b.concurrency_limit = b.min_concurrency_limit = 1e9
+    b.spillover = 1.0
+    assert {ask.arrive() for _ in range(100)} <= set(left) and b.logged_at_ms < 0
 
 
 # --- lists
@@ -347,12 +347,12 @@
         50_001.0, api.EndpointsUpdated(api.EndpointUpdateKind.SNAPSHOT, [entry(n) for n in names(MANY, "t")])
     )
     check(b)
-    assert len(b.backends) == MANY + len(old) and b.out == 300
+    assert len(b.backends) == MANY + len(old) and b.in_flight == 300
     assert all((name or "").startswith("t") for name in [ask.arrive() for _ in range(200)])
     while ask.out:
         ask.end()
     check(b)
-    assert len(b.backends) == MANY and b.out == 0 and not b.requests
+    assert len(b.backends) == MANY and b.in_flight == 0 and not b.requests
 
 
 def test_an_id_that_comes_back_has_the_request_that_was_out_all_along() -> None:
@@ -367,13 +367,13 @@
         )
     for _ in range(4):
         ask.arrive()
-    assert b.backends[one].out == 2 and not b.backends[one].inside
+    assert b.backends[one].in_flight == 2 and not b.backends[one].is_in_window
     b.handle(50_002.0, api.EndpointsUpdated(api.EndpointUpdateKind.INCREMENTAL, [entry(one)]))
-    assert b.backends[one].out == b.backends[one].estimate == 2  # the others have four
+    assert b.backends[one].in_flight == b.backends[one].queue_estimate == 2  # the others have four
     assert [ask.arrive(), ask.arrive()] == [one, one]
     while ask.out:
         ask.end(report=IDLE)
-    assert all(x.out == x.estimate == 0 for x in b.backends.values())
+    assert all(x.in_flight == x.queue_estimate == 0 for x in b.backends.values())
     check(b)
 
 
@@ -384,7 +384,7 @@
     for estimate in (0, 10**6):
         b = fleet(ALONE, MANY)
         for x in b.backends.values():
-            x.estimate = estimate
+            x.queue_estimate = estimate
             b._place(x)
         ask = Asker(b)
         usual = mean(Asker(fleet(ALONE, 10)))
@@ -399,13 +399,13 @@
     nodes = [Asker(fleet(replace(cfg, node_index=me), 200, seed=me)) for me in range(1000)]
     for ask in nodes:
         for x in ask.b.backends.values():
-            x.estimate = 5
+            x.queue_estimate = 5
             ask.b._place(x)
     one = names(200)[42]
     for ask in nodes:
         ask.b._report(ask.b.backends[one], IDLE, False)
         ask.b._place(ask.b.backends[one])
-    feeders = [ask for ask in nodes if ask.b.backends[one].inside]
+    feeders = [ask for ask in nodes if ask.b.backends[one].is_in_window]
     assert 5 <= len(feeders) <= 30
     first = [ask.arrive() for ask in nodes]
     for ask in nodes:
@@ -425,11 +425,11 @@
     while len(ask.out) < 50_000:
         ask.arrive()
     assert mean(ask) < 1.5 * early
-    counts = [x.out for x in b.backends.values()]
-    assert min(counts) >= 49 and max(counts) <= 52 and b.out == sum(counts) == 50_000
+    counts = [x.in_flight for x in b.backends.values()]
+    assert min(counts) >= 49 and max(counts) <= 52 and b.in_flight == sum(counts) == 50_000
     while ask.out:
         ask.end(-1)
-    assert not b.requests and not b.out
+    assert not b.requests and not b.in_flight
     check(b)
 
 
@@ -438,22 +438,22 @@
     ask = Asker(b)
     for _ in range(3):
         ask.arrive()
-    b.limit = b.least = 3.0
+    b.concurrency_limit = b.min_concurrency_limit = 3.0
     due = []
     for _ in range(50_000):
         ask.arrive()
         due += [a for a in ask.acts if isinstance(a, api.SetTimer)]
-    assert len(b.held) == len(due) == 50_000
+    assert len(b.queued) == len(due) == 50_000
     usual = lines(ask.arrive)
     b.handle(
         50_000.0, api.EndpointsUpdated(api.EndpointUpdateKind.SNAPSHOT, [])
     )  # nobody left: none of them can be served
-    assert lines(ask.end) < RELEASE * 2 * usual + 1000
+    assert lines(ask.end) < MAX_DEQUEUED_PER_EVENT * 2 * usual + 1000
     refused = len(answers(ask.acts))
-    assert refused == RELEASE
+    assert refused == MAX_DEQUEUED_PER_EVENT
     for timer in due:
         refused += len(answers(b.handle(timer.at_ms, api.TimerFired(timer.token))))
-    assert refused == 50_001 and not b.held and len(b.timers) == 1  # of the one that came last
+    assert refused == 50_001 and not b.queued and len(b.timers) == 1  # of the one that came last
     while ask.out:
         ask.end()
     assert not b.requests
@@ -461,7 +461,7 @@
 
 def test_no_table_grows_with_arrivals() -> None:
     b = fleet(replace(ALONE, classes=(SAFE, replace(SAFE, name="dear", priority_weight=80.0))), 50)
-    b.limit = b.least = 60.0
+    b.concurrency_limit = b.min_concurrency_limit = 60.0
     ask, rng = Asker(b), random.Random(5)
     most: Counter[str] = Counter()
     timers: list[api.SetTimer] = []
@@ -477,21 +477,25 @@
             )[0]
             ask.end(rng.randrange(len(ask.out)), status, rng.choice((IDLE, BUSY, None)))
         if i % 2000 == 0:
-            heaps = [len(level.heap) for shelf in b.index.shelves for level in shelf.values()]
+            heaps = [len(level.estimate_heap) for shelf in b.index.shelves for level in shelf.values()]
             now = {
                 "requests": len(b.requests),
-                "held": len(b.held),
+                "held": len(b.queued),
                 "timers": len(b.timers),
                 "heap": max(heaps, default=0),
-                "away": len(b.index.away),
+                "away": len(b.index.review_heap),
                 "backends": len(b.backends),
                 "levels": sum(map(len, b.index.shelves)),
             }
             most |= Counter(now)
             check(b)
-    assert most["backends"] == 50 and most["away"] <= 2 * 50 + TURN and most["heap"] <= 2 * 50 + 17
+    assert (
+        most["backends"] == 50
+        and most["away"] <= 2 * 50 + MAX_READMITTED_PER_CALL
+        and most["heap"] <= 2 * 50 + 17
+    )
     assert most["requests"] < 1000 and most["held"] < 1000 and most["timers"] < 1000 and most["levels"] < 30
-    assert b.index.away or most["away"]
+    assert b.index.review_heap or most["away"]
 
 
 # --- zones and time
@@ -503,15 +507,15 @@
     b = Balancer(cfg, 1)
     all_ = [entry(n, zone=f"z{i % zones}") for i, n in enumerate(names(MANY))]
     b.handle(50_000.0, api.EndpointsUpdated(api.EndpointUpdateKind.SNAPSHOT, all_))
-    assert b.index.home == MANY // zones
+    assert b.index.local_count == MANY // zones
     check(b)
-    b.spill, b.limit, b.least = 0.0, 1e9, 1e9
+    b.spillover, b.concurrency_limit, b.min_concurrency_limit = 0.0, 1e9, 1e9
     ask = Asker(b)
-    assert b.index.size == 500  # so a zone of 50 is in it as a whole
-    sent = Counter(b.backends[ask.arrive() or ""].entry.zone for _ in range(500))
-    assert sent["z0"] == min(500, b.index.home)
-    b.spill = 1.0
-    far = [b.backends[ask.arrive() or ""].entry.zone for _ in range(200)]
+    assert b.index.window_size == 500  # so a zone of 50 is in it as a whole
+    sent = Counter(b.backends[ask.arrive() or ""].endpoint.zone for _ in range(500))
+    assert sent["z0"] == min(500, b.index.local_count)
+    b.spillover = 1.0
+    far = [b.backends[ask.arrive() or ""].endpoint.zone for _ in range(200)]
     assert far.count("z0") == (0 if zones > 1 else 200)
     assert len(set(far)) > zones / 3 - 1
 
@@ -523,9 +527,9 @@
     b.handle(
         50_000.0, api.EndpointsUpdated(api.EndpointUpdateKind.SNAPSHOT, [entry("home", zone="z0"), *rest])
     )
-    b.spill, b.limit, b.least = 0.0, 1e9, 1e9
+    b.spillover, b.concurrency_limit, b.min_concurrency_limit = 0.0, 1e9, 1e9
     ask = Asker(b)
-    assert b.index.home == 1 and b.index.order[0][2] == "home" and b.index.size == 50
+    assert b.index.local_count == 1 and b.index.order[0][2] == "home" and b.index.window_size == 50
     for phase, home in (
         (api.Phase.REMOVED, 0),
         (api.Phase.UP, 1),
@@ -536,7 +540,7 @@
             50_001.0,
             api.EndpointsUpdated(api.EndpointUpdateKind.INCREMENTAL, [entry("home", zone="z0", phase=phase)]),
         )
-        assert b.index.home == home
+        assert b.index.local_count == home
         check(b)
         got = {ask.arrive() for _ in range(50)}
         assert None not in got and ("home" in got) == bool(home) and len(got) == 50
@@ -547,12 +551,12 @@
         50_002.0, api.EndpointsUpdated(api.EndpointUpdateKind.INCREMENTAL, moved)
     )  # one fills another, one is no more
     check(b)
-    assert b.index.home == 1 + sum(e.zone == "z0" for e in moved) > 200
+    assert b.index.local_count == 1 + sum(e.zone == "z0" for e in moved) > 200
 
 
 def test_a_clock_that_stood_still_and_every_timer_at_once() -> None:
     b = fleet(replace(ALONE, max_attempts=3), 300)
-    b.limit = b.least = 80.0
+    b.concurrency_limit = b.min_concurrency_limit = 80.0
     ask, rng = Asker(b), random.Random(6)
     timers: list[int] = []
     ended: Counter[str] = Counter()
@@ -583,14 +587,14 @@
             ask.out += sends(ask.acts)
             told()
     check(b)
-    assert timers and b.held
+    assert timers and b.queued
     ask.now += 60_000.0
     for token in timers:
         ask.acts = b.handle(ask.now, api.TimerFired(token))
         assert not sends(ask.acts)
         told()
     check(b)
-    assert not b.held and not b.timers
+    assert not b.queued and not b.timers
     for one in ask.out:
         tried = len(b.requests[one.request].attempts) - 1
         b.handle(
@@ -611,7 +615,7 @@
             50_000.0,
             api.AttemptFinished(sent.request, 0, sent.backend, api.AttemptStatus.OK, 0.0, True, IDLE),
         )
-    assert b.classes["read"].usual > 1e-6
+    assert b.classes["read"].expected_latency_ms > 1e-6
     ask = Asker(b)
     while len(ask.out) < 8:
         ask.arrive()
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -13,7 +13,7 @@
 
 from balancer import interface as api
 from balancer.policy.balancer import Balancer
-from balancer.policy.records import WHOLE
+from balancer.policy.records import INVERSE_WEIGHT_UNIT
 from tests.helpers import (
     BASE,
     KEYED,
@@ -48,36 +48,36 @@
         api.AttemptStatus.CONNECT_FAILED,
     )
     for i, status in enumerate(kept):
-        b.trust = 1.0
+        b.success_rate = 1.0
         _arrive(b, f"r{i}")
-        before = b.backends["x"].estimate
+        before = b.backends["x"].queue_estimate
         b.handle(1001.0, _done(f"r{i}", "x", status))
-        assert b.backends["x"].estimate >= before > 0
-    b.trust = 1.0
+        assert b.backends["x"].queue_estimate >= before > 0
+    b.success_rate = 1.0
     _arrive(b, "last", 9000.0)
     b.handle(9002.0, _done("last", "x", report=api.LoadReport(3.0, 1.0)))
-    assert b.backends["x"].estimate > 0
+    assert b.backends["x"].queue_estimate > 0
     _arrive(b, "idle", 9002.0)
     b.handle(9003.0, _done("idle", "x", report=api.LoadReport(0.0, 0.0)))
-    assert b.backends["x"].estimate == b.backends["x"].out
+    assert b.backends["x"].queue_estimate == b.backends["x"].in_flight
 
 
 def test_an_empty_queue_counts_only_where_in_flight_is_not_reported() -> None:
     b = node(BASE, ["x"])
     _arrive(b, "a")
     b.handle(1001.0, _done("a", "x", report=api.LoadReport(4.0, 0.0)))
-    assert b.backends["x"].estimate == 1
+    assert b.backends["x"].queue_estimate == 1
     _arrive(b, "b")
     b.handle(1002.0, _done("b", "x", report=api.LoadReport(None, 0.0)))
-    assert b.backends["x"].estimate == b.backends["x"].out
+    assert b.backends["x"].queue_estimate == b.backends["x"].in_flight
 
 
 def test_pick_takes_the_lowest_below_m_and_spreads_ties() -> None:
     b = node(BASE, NAMES)
     pool = [b.backends[n] for n in NAMES]
     for x in pool[2:]:
-        x.estimate = 1
-    got = Counter(b._pick(pool, 2).entry.id for _ in range(400))
+        x.queue_estimate = 1
+    got = Counter(b._pick(pool, 2).endpoint.id for _ in range(400))
     assert set(got) == {"b0", "b1"} and min(got.values()) > 100
 
 
@@ -85,8 +85,8 @@
     b = node(BASE, NAMES)
     pool = [b.backends[n] for n in NAMES]
     for i, x in enumerate(pool):
-        x.estimate = 2 + i
-    got = Counter(b._pick(pool, 2).entry.id for _ in range(800))
+        x.queue_estimate = 2 + i
+    got = Counter(b._pick(pool, 2).endpoint.id for _ in range(800))
     assert set(got) == set(NAMES) and min(got.values()) > 50
 
 
@@ -94,7 +94,7 @@
     """Guards against a request that fails because a random draw has nothing to draw from."""
     b = node(BASE, NAMES, weight=0.0)
     for x in b.backends.values():
-        x.estimate = 99
+        x.queue_estimate = 99
     assert sends(_arrive(b, "r"))
 
 
@@ -119,7 +119,7 @@
     timer = next(a for a in acts if isinstance(a, api.SetTimer))
     b.handle(1001.0, api.ProbeFinished(probes[0], api.AttemptStatus.OK, 1.0, api.LoadReport(1.0, 0.0)))
     b.handle(timer.at_ms, api.TimerFired(timer.token))
-    assert all(b.backends[p].until > timer.at_ms for p in probes[1:])
+    assert all(b.backends[p].ejected_until_ms > timer.at_ms for p in probes[1:])
 
 
 def test_first_try_time_is_learned_by_majority() -> None:
@@ -173,7 +173,7 @@
     fed: Counter[str] = Counter()
     for me in range(40):
         b = node(replace(BASE, node_index=me, node_count=40), names)
-        fed.update(b.order[: b.width])
+        fed.update(b.order[: b.subset_size])
     assert set(fed) == set(names) and max(fed.values()) <= 2 * min(fed.values())
     assert max(fed.values()) < 40 / 3
 
@@ -198,14 +198,14 @@
     """Guards against a hot node that crowds the few backends an even share would give it."""
     names = [f"b{i:02d}" for i in range(60)]
     b = node(replace(BASE, node_count=300), names)
-    b.limit = 30.0
+    b.concurrency_limit = 30.0
     got = [s.backend for i in range(24) for s in sends(_arrive(b, f"r{i}"))]
     assert len(got) == 24 and max(Counter(got).values()) <= 3
     quiet = node(replace(BASE, node_count=300), names)
     for i in range(24):
         for s in sends(_arrive(quiet, f"r{i}")):
             quiet.handle(1000.0, _done(f"r{i}", s.backend))
-    assert len([x for x in quiet.backends.values() if x.estimate]) <= 3
+    assert len([x for x in quiet.backends.values() if x.queue_estimate]) <= 3
 
 
 def _fed(b: Balancer, count: int, now: float, bad: str = "") -> Counter[str]:
@@ -213,7 +213,7 @@
     got: Counter[str] = Counter()
     for i in range(count):
         for s in sends(_arrive(b, f"{now}-{i}", now + 100.0 * i)):
-            zone = b.backends[s.backend].entry.zone
+            zone = b.backends[s.backend].endpoint.zone
             got[zone] += 1
             status = api.AttemptStatus.TIMEOUT if zone == bad else api.AttemptStatus.OK
             b.handle(now + 100.0 * i, api.AttemptFinished(s.request, 0, s.backend, status, 50.0, zone != bad))
@@ -275,7 +275,7 @@
     fleet = [entry(f"b{i}", zone="ab"[i % 2]) for i in range(12)]
     b.handle(1000.0, api.EndpointsUpdated(api.EndpointUpdateKind.CACHED, fleet))
     for i in range(300):
-        b.spill, start, n = 0.5, 1000.0 + 2000.0 * i, 0
+        b.spillover, start, n = 0.5, 1000.0 + 2000.0 * i, 0
         acts = b.handle(start, api.RequestArrived(f"r{i}", "pay", start + 1000.0))
         sent, now = sent + bool(sends(acts)), start
         while out := sends(acts):
@@ -297,7 +297,7 @@
     calm, _, _ = _lossy(0.5, 1000)
     assert sends(calm.handle(900_000.0, api.RequestArrived("x", "pay", 901_000.0)))[0].timeout_ms == 0.0
     worthless, _, _ = _lossy(0.0, 3)
-    worthless.trust = 1.0
+    worthless.success_rate = 1.0
     assert sends(worthless.handle(900_000.0, api.RequestArrived("x", "pay", 901_000.0)))[0].timeout_ms > 390
 
 
@@ -366,7 +366,7 @@
     def after(status: api.AttemptStatus) -> int:
         b, sent = node(replace(BASE, node_count=50, max_attempts=1), ["x", "y", "z"]), 0
         for x in b.backends.values():
-            x.fails = 20  # so often in a row that the next failure ejects
+            x.consecutive_failures = 20  # so often in a row that the next failure ejects
         for i in range(12):
             got = sends(_arrive(b, f"r{i}", 1000.0 + i))
             sent += len(got)
@@ -389,13 +389,13 @@
     What is late all the time is ejected in the end, and then no panic brings it back.
     """
     b, rounds = node(replace(BASE, node_count=50, max_attempts=1, connect_timeout_ms=100.0), ["x"]), 0
-    x, b.failing = b.backends["x"], failing
-    while x.until <= 1000.0:
+    x, b.failure_rate = b.backends["x"], failing
+    while x.ejected_until_ms <= 1000.0:
         (sent,) = sends(_arrive(b, f"r{rounds}"))
         status, rounds = api.AttemptStatus.CONNECT_FAILED, rounds + 1
         b.handle(1000.0, api.AttemptFinished(sent.request, 0, "x", status, part * 100.0, False))
         assert rounds <= most
-    assert rounds == most and x.busy >= x.until
+    assert rounds == most and x.paused_until_ms >= x.ejected_until_ms
     assert not sends(_arrive(b, "last"))
 
 
@@ -411,7 +411,7 @@
                     (api.AttemptStatus.CONNECT_FAILED, part * 100.0) if late else (api.AttemptStatus.OK, 20.0)
                 )
                 b.handle(now, api.AttemptFinished(s.request, 0, s.backend, *end, not late))
-                count += b.backends[s.backend].until > now
+                count += b.backends[s.backend].ejected_until_ms > now
         return count
 
     assert 5 * ejected(1.0) < ejected(0.1)
@@ -420,11 +420,11 @@
 def test_limit_does_not_float_up_while_it_does_not_bind() -> None:
     """Guards against quiet nodes that let their limit grow and flood the fleet when a burst comes."""
     b = node(replace(BASE, node_count=4), NAMES)
-    first = max(b.limit, b.least)
+    first = max(b.concurrency_limit, b.min_concurrency_limit)
     for i in range(300):
         got = sends(_arrive(b, f"r{i}"))
         b.handle(1001.0, _done(f"r{i}", got[0].backend))
-    assert b.limit <= first * 1.01
+    assert b.concurrency_limit <= first * 1.01
 
 
 def test_the_way_to_a_backend_does_not_hold_the_limit_down() -> None:
@@ -434,18 +434,18 @@
     """
     cls = replace(SAFE, latency_objective_ms=100.0)
     b, live = node(replace(BASE, classes=(cls,)), NAMES), list[str]()
-    first = max(b.limit, b.least)
+    first = max(b.concurrency_limit, b.min_concurrency_limit)
     for i in range(600):
         now = 1000.0 + i
         live += [s.request + " " + s.backend for s in sends(_arrive(b, f"r{i}", now))]
-        while b.out + 1 > b.limit:  # it binds all the time
+        while b.in_flight + 1 > b.concurrency_limit:  # it binds all the time
             name, backend = live.pop(0).split()
             took = 20.0 if i % 4 else 24.0  # the way takes 20 of 100
             acts = b.handle(now, api.AttemptFinished(name, 0, backend, api.AttemptStatus.OK, took, True))
             live += [s.request + " " + s.backend for s in sends(acts)]
-            if b.limit > 2 * first:
+            if b.concurrency_limit > 2 * first:
                 return
-    raise AssertionError(f"limit {b.limit} after 600 answers that no load delayed")
+    raise AssertionError(f"limit {b.concurrency_limit} after 600 answers that no load delayed")
 
 
 def _closed_loop(
@@ -490,22 +490,22 @@
         _closed_loop(b, 3000.0, 5000.0, "read", 50.0)
     got = [_closed_loop(b, 9000.0, 5000.0, "read", 50.0) for b in (alone, among)]
     assert got[0] == got[1]
-    assert among.limit > 50
+    assert among.concurrency_limit > 50
 
 
 def test_a_class_that_was_slow_and_fell_silent_lets_the_limit_recover() -> None:
     """Guards against a bad hour of one class that holds down all others while nobody asks for it."""
     b = node(replace(BASE, classes=(SAFE, KEYED)), NAMES[:4])
     _closed_loop(b, 1000.0, 10_000.0, "pay", 390.0)
-    low = b.limit
-    assert b.classes["pay"].strain > 0
+    low = b.concurrency_limit
+    assert b.classes["pay"].mean_log_latency_ratio > 0
     _closed_loop(b, 12_000.0, 20_000.0, "read", 50.0)
-    assert b.limit > 2 * low
+    assert b.concurrency_limit > 2 * low
     # Back after its silence it starts where the others stand, not with what was true an hour ago.
-    high, late = b.limit, b.classes["pay"].strain
+    high, late = b.concurrency_limit, b.classes["pay"].mean_log_latency_ratio
     _arrive(b, "back", 3_600_000.0, "pay")
-    b.handle(3_600_050.0, _done("back", b.requests["back"].attempts[0].backend.entry.id))
-    assert b.classes["pay"].strain < late and b.limit >= high
+    b.handle(3_600_050.0, _done("back", b.requests["back"].attempts[0].backend.endpoint.id))
+    assert b.classes["pay"].mean_log_latency_ratio < late and b.concurrency_limit >= high
 
 
 def test_names_and_zones_do_not_matter() -> None:
@@ -567,11 +567,11 @@
 def test_held_requests_end_in_time_also_after_a_first_attempt() -> None:
     """Guards against losing a request that is held again after a refused attempt."""
     b = node(replace(BASE, max_attempts=3), ["x"])
-    b.limit = 1.0
+    b.concurrency_limit = 1.0
     first = sends(_arrive(b, "a"))[0]
     acts = _arrive(b, "b")
     assert first and not sends(acts)
-    b.out = 5  # other requests keep the node at its limit
+    b.in_flight = 5  # other requests keep the node at its limit
     again = b.handle(1001.0, api.AttemptFinished("a", 0, "x", api.AttemptStatus.REJECTED, 1.0, False))
     timers = [a for a in [*acts, *again] if isinstance(a, api.SetTimer)]
     ended = [x.request for t in timers for x in answers(b.handle(t.at_ms, api.TimerFired(t.token)))]
@@ -590,7 +590,7 @@
                 status = api.AttemptStatus.RESET if spoilt else api.AttemptStatus.OK
                 b.handle(now, api.AttemptFinished(s.request, 0, s.backend, status, 50.0, not spoilt))
                 to_bad += s.backend == bad
-            left_out += not bad and sum(x.until > now for x in b.backends.values())
+            left_out += not bad and sum(x.ejected_until_ms > now for x in b.backends.values())
         assert left_out < 2000 * len(NAMES) / 50
         assert to_bad < 1000 / len(NAMES) / 3
 
@@ -621,7 +621,7 @@
                 spoilt = x is b and i % 8 == 0
                 status = api.AttemptStatus.RESET if spoilt else api.AttemptStatus.OK
                 x.handle(now, api.AttemptFinished(s.request, 0, s.backend, status, 50.0, not spoilt))
-    assert b.classes["read"].strain <= quiet.classes["read"].strain + 0.1
+    assert b.classes["read"].mean_log_latency_ratio <= quiet.classes["read"].mean_log_latency_ratio + 0.1
 
 
 def test_log_lines_named_on_the_on_call_page_are_emitted_rarely() -> None:
@@ -665,12 +665,14 @@
         now = 1000.0 + i
         for s in sends(_arrive(b, f"r{i}", now)):
             b.handle(now, api.AttemptFinished(f"r{i}", 0, s.backend, api.AttemptStatus.OK, 200.0, True))
-    assert b.limit >= 20.0
+    assert b.concurrency_limit >= 20.0
 
 
 def test_many_nodes_before_few_backends_have_lower_limits() -> None:
     """Guards against a crowd of which each node holds no more than its least: 200 times 4 for 80 servers."""
-    few, even, many = (node(replace(BASE, node_count=size), NAMES).least for size in (2, len(NAMES), 200))
+    few, even, many = (
+        node(replace(BASE, node_count=size), NAMES).min_concurrency_limit for size in (2, len(NAMES), 200)
+    )
     assert few > even > many
     assert many == 0.6 * even
 
@@ -680,25 +682,25 @@
 
     def least(held: float, live: bool = True) -> list[float]:
         b, out = node(replace(BASE, has_weights=True, has_live_weights=live), NAMES), list[float]()
-        b.out = 99  # all comes to be held: the limit binds
+        b.in_flight = 99  # all comes to be held: the limit binds
         for i in range(60):
             _arrive(b, f"r{i}", 2000.0 + 100.0 * i)
             weight = 1.0 if i < 30 else 1 / (1 + held)
             entries = [entry(name, weight=weight) for name in NAMES]
             b.handle(2000.0 + 100.0 * i, api.EndpointsUpdated(api.EndpointUpdateKind.INCREMENTAL, entries))
-            out.append(b.least)
+            out.append(b.min_concurrency_limit)
         return out
 
     def with_idle(full: float) -> float:
         b = node(replace(BASE, has_weights=True, has_live_weights=True), NAMES)
-        b.out = 99
+        b.in_flight = 99
         for i in range(30):
             _arrive(b, f"r{i}", 2000.0 + 100.0 * i)
             for x in NAMES[:6]:
-                b.backends[x].full = full
+                b.backends[x].rejection_rate = full
             entries = [entry(x, weight=1.0 if x in NAMES[:6] else 0.3) for x in NAMES]
             b.handle(2000.0 + 100.0 * i, api.EndpointsUpdated(api.EndpointUpdateKind.INCREMENTAL, entries))
-        return b.ease
+        return b.limit_relaxation
 
     # Those that turn away and stand idle are no room for what crowds the rest.
     assert with_idle(0.0) > 1.2 and with_idle(0.5) == 1.0
@@ -711,12 +713,12 @@
 def test_what_is_held_and_expired_is_forgotten() -> None:
     """Guards against a list of held requests that grows for as long as an overload lasts."""
     b = node(BASE, NAMES)
-    b.out = 99
+    b.in_flight = 99
     for i in range(50):
         acts = _arrive(b, f"r{i}", 1000.0 + 1000.0 * i)
         for t in [a for a in acts if isinstance(a, api.SetTimer)]:
             assert answers(b.handle(t.at_ms, api.TimerFired(t.token)))
-    assert not b.held and not b.requests
+    assert not b.queued and not b.requests
 
 
 def test_backends_that_left_are_forgotten() -> None:
@@ -735,7 +737,7 @@
 def test_what_is_held_is_refused_while_its_client_can_still_ask_elsewhere() -> None:
     """Guards against a pile of held requests that nothing serves any more and that clients wait for."""
     b = node(BASE, NAMES)
-    b.out = 99
+    b.in_flight = 99
     acts = _arrive(b, "r")
     timer = next(a for a in acts if isinstance(a, api.SetTimer))
     assert timer.at_ms <= 1000.0 + SAFE.latency_objective_ms / 2
@@ -765,7 +767,7 @@
     for odd in (1e-17, 5e-324, 1e300, 0.0):
         b.handle(1001.0, api.EndpointsUpdated(api.EndpointUpdateKind.INCREMENTAL, [entry("b3", weight=odd)]))
         for x in b.backends.values():
-            x.estimate = 99
+            x.queue_estimate = 99
             b._place(x)
         assert sends(_arrive(b, f"r{odd}", 1001.0))
     b.handle(
@@ -774,14 +776,19 @@
             api.EndpointUpdateKind.INCREMENTAL, [entry(n, weight=0.5, kind="new") for n in NAMES]
         ),
     )
-    assert b.rooms[""].count == b.rooms[""].inverses == b.rooms[""].weighted == 0
-    assert b.rooms["new"].inverses == 2 * WHOLE * len(NAMES)
+    assert (
+        b.capacity_by_kind[""].backend_count
+        == b.capacity_by_kind[""].inverse_weight_sum
+        == b.capacity_by_kind[""].weighted_count
+        == 0
+    )
+    assert b.capacity_by_kind["new"].inverse_weight_sum == 2 * INVERSE_WEIGHT_UNIT * len(NAMES)
 
 
 def test_an_idle_backend_that_restarts_is_cold_at_once() -> None:
     """Guards against its whole share sent to a backend whose counts did not tell of the restart."""
     b = node(replace(BASE, overload_multiple=0.0), NAMES)
-    b.limit = 99.0
+    b.concurrency_limit = 99.0
     b.handle(
         20_000.0,
         api.EndpointsUpdated(api.EndpointUpdateKind.INCREMENTAL, [entry("b3", started_at_ms=20_000.0)]),
--- a/tests/store/test_engine.py
+++ b/tests/store/test_engine.py
@@ -18,36 +18,36 @@
 from balancer.store import engine as engine_module
 from balancer.store import sqlite_file as piece_module
 from balancer.store.engine import (
-    JUMP,
+    UNREADABLE_SEGMENT_POSITION_GAP,
     Change,
     Delete,
     Engine,
     Put,
 )
-from balancer.store.files import Real, StoreFault, Trouble
-from balancer.store.sqlite_file import Piece, Seal
+from balancer.store.files import FaultKind, LocalFileSystem, StoreFileError
+from balancer.store.sqlite_file import Seal, SealedFile
 from balancer.testbed.simulated_disk import (
-    Broken,
-    Disk,
+    InjectedError,
     PowerCut,
-    SimFiles,
+    SimulatedDisk,
+    SimulatedFileSystem,
 )
 
 SEEDS = int(os.environ.get("BALANCER_CRASHES", "50"))  # 1,000 for the long run
-State = dict[tuple[str, str], bytes]
+StoredValues = dict[tuple[str, str], bytes]
 
 
-class Machine:
+class Node:
     """One directory on one disk, what it was told, and what it said was durable."""
 
-    def __init__(self, disk: Disk | None = None) -> None:
-        self.disk = disk or Disk()
-        self.files = SimFiles(self.disk)
-        self.engine = Engine(self.files, "/d", lambda: 1_000, segment=30_000)
-        self.states: list[State] = [{}]  # after each commit asked for
-        self.durable = 0  # the last of them that was acknowledged
+    def __init__(self, disk: SimulatedDisk | None = None) -> None:
+        self.disk = disk or SimulatedDisk()
+        self.file_system = SimulatedFileSystem(self.disk)
+        self.engine = Engine(self.file_system, "/d", lambda: 1_000, segment_size_bytes=30_000)
+        self.states: list[StoredValues] = [{}]  # after each commit asked for
+        self.durable_state_index = 0  # the last of them that was acknowledged
         self.records: list[bytes] = []
-        self.kept = 0  # records acknowledged
+        self.acknowledged_record_count = 0  # records acknowledged
 
     def commit(self, *changes: Change) -> None:
         state = dict(self.states[-1])
@@ -57,89 +57,92 @@
                 state[change.table, change.key] = change.value
         self.states.append(state)
         self.engine.commit(changes)
-        self.durable = len(self.states) - 1
+        self.durable_state_index = len(self.states) - 1
 
     def append(self, *values: bytes) -> None:
-        self.records = [*self.records[: self.kept], *values]
+        self.records = [*self.records[: self.acknowledged_record_count], *values]
         self.engine.append("log", values)
-        self.kept = len(self.records)
+        self.acknowledged_record_count = len(self.records)
 
     def close(self) -> None:
         self.engine.close()
-        self.files.close()
+        self.file_system.close()
 
 
-def state(engine: Engine) -> State:
+def stored_values(engine: Engine) -> StoredValues:
     return {(table, key): row.value for table, rows in engine.tables.items() for key, row in rows.items()}
 
 
-def work(m: Machine, rounds: int = 3) -> None:
+def run_workload(node: Node, rounds: int = 3) -> None:
     """A small life: the start, changes over changes, journals over two segments, a generation, the end."""
-    m.engine.open()
-    for n in range(rounds):
-        m.commit(*(Put("view", f"s{k}", b"%d-%d" % (n, k) * 20) for k in range(5)))
-        m.append(b"a%d" % n, b"b" * 3000)
-        m.commit(Put("ends", f"s{n}", b"gone"), Delete("view", f"s{n}"))
-        if n == 1:
-            m.engine.begin_generation()
-    m.engine.close()
-
-
-def after(disk: Disk) -> tuple[State, list[bytes], Engine, SimFiles]:
-    files = SimFiles(disk)
-    engine = Engine(files, "/d", lambda: 2_000, segment=30_000)
+    node.engine.open()
+    for round_number in range(rounds):
+        node.commit(*(Put("view", f"s{index}", b"%d-%d" % (round_number, index) * 20) for index in range(5)))
+        node.append(b"a%d" % round_number, b"b" * 3000)
+        node.commit(Put("ends", f"s{round_number}", b"gone"), Delete("view", f"s{round_number}"))
+        if round_number == 1:
+            node.engine.begin_generation()
+    node.engine.close()
+
+
+def reopen_checked(disk: SimulatedDisk) -> tuple[StoredValues, list[bytes], Engine, SimulatedFileSystem]:
+    files = SimulatedFileSystem(disk)
+    engine = Engine(files, "/d", lambda: 2_000, segment_size_bytes=30_000)
     found = engine.open()
-    assert not found.older and not found.faults, found
-    records = engine.read("log", 1, 1000)
+    assert not found.is_outdated and not found.faults, found
+    records = engine.read_journal("log", 1, 1000)
     assert [r.position for r in records] == list(range(1, len(records) + 1))
-    names = disk.names.keys()
+    names = disk.files.keys()
     left = [n for n in names if "/new.db" in n or (n[-4:] == "-wal" and n[:-4] not in names)]
     assert not left, "what was half made is swept"
     values = [r.value for r in records]
     assert None not in values
-    return state(engine), [v for v in values if v is not None], engine, files
+    return stored_values(engine), [v for v in values if v is not None], engine, files
 
 
-def held_to(m: Machine, seed: int) -> None:
+def check_after_power_cut(node: Node, seed: int) -> None:
     """The power is cut: what comes up is whole, and no older than what was acknowledged."""
-    m.engine.close()
-    m.files.close()
-    m.disk.crash(random.Random(seed))
-    came, records, engine, files = after(m.disk)
-    assert came in m.states[m.durable :], (seed, m.durable, came)
-    assert m.records[: m.kept] == records[: m.kept] and records == m.records[: len(records)]
+    node.engine.close()
+    node.file_system.close()
+    node.disk.crash(random.Random(seed))
+    values, records, engine, files = reopen_checked(node.disk)
+    assert values in node.states[node.durable_state_index :], (seed, node.durable_state_index, values)
+    assert (
+        node.records[: node.acknowledged_record_count] == records[: node.acknowledged_record_count]
+        and records == node.records[: len(records)]
+    )
     engine.commit([Put("view", "more", b"x")])
     engine.close()
     files.close()
 
 
-def calls() -> int:
-    m = Machine()
-    work(m)
-    m.close()
-    return m.disk.calls
+def workload_call_count() -> int:
+    node = Node()
+    run_workload(node)
+    node.close()
+    return node.disk.call_count
 
 
-def cut_at(number: int, seed: int) -> Machine:
-    m = Machine()
+def run_until_power_cut(number: int, seed: int) -> Node:
+    node = Node()
 
     def plan(call: int, name: str) -> None:
         if call == number:
             raise PowerCut
 
-    m.disk.plan = plan
+    node.disk.fault_plan = plan
     with pytest.raises(PowerCut):
-        work(m)
-    return m
+        run_workload(node)
+    return node
 
 
 def test_a_power_cut_at_each_named_point_leaves_a_whole_state() -> None:
-    total = calls()
+    total = workload_call_count()
     names = set()
     for number in range(1, total + 1):
-        m = cut_at(number, number)
-        names.add(m.disk.points[-1])
-        held_to(m, number)
+        node = run_until_power_cut(number, number)
+        names.add(node.disk.call_names[-1])
+        check_after_power_cut(node, number)
     assert len(names) == total >= 100, total
     kinds = {name.split()[0] for name in names}
     assert kinds == {"create", "write", "sync", "cut", "remove", "rename", "settle"}
@@ -148,35 +151,37 @@
 def test_power_cuts_at_random_points_one_after_another() -> None:
     """Up to five lives on one disk, each cut off, each starting with what the one before left."""
     for seed in range(SEEDS):
-        rng, disk = random.Random(seed), Disk()
-        states, durable = [State()], 0
+        rng, disk = random.Random(seed), SimulatedDisk()
+        states, durable = [StoredValues()], 0
         for _ in range(rng.randint(1, 5)):
-            m = Machine(disk)
-            m.states = []
-            limit = disk.calls + rng.randint(1, 150)
+            node = Node(disk)
+            node.states = []
+            limit = disk.call_count + rng.randint(1, 150)
 
             def plan(call: int, name: str, limit: int = limit) -> None:
                 if call >= limit:
                     raise PowerCut
 
-            disk.plan = plan
+            disk.fault_plan = plan
             try:
-                m.engine.open()
-                m.states = [state(m.engine)]
-                assert m.states[0] in states[durable:], seed
+                node.engine.open()
+                node.states = [stored_values(node.engine)]
+                assert node.states[0] in states[durable:], seed
                 for n in range(4):
-                    m.commit(*(Put("view", f"s{rng.randrange(6)}", rng.randbytes(50)) for _ in range(3)))
+                    node.commit(*(Put("view", f"s{rng.randrange(6)}", rng.randbytes(50)) for _ in range(3)))
                     if n == 2:
-                        m.engine.begin_generation()
+                        node.engine.begin_generation()
             except PowerCut:
                 pass
-            if m.states and m.states[0] in states[durable:]:
-                states, durable = (m.states, m.durable) if len(m.states) > 1 else (states, durable)
-            m.engine.close()
-            m.files.close()
+            if node.states and node.states[0] in states[durable:]:
+                states, durable = (
+                    (node.states, node.durable_state_index) if len(node.states) > 1 else (states, durable)
+                )
+            node.engine.close()
+            node.file_system.close()
             disk.crash(rng)
-        came, _, engine, files = after(disk)
-        assert came in states[durable:], seed
+        values, _, engine, files = reopen_checked(disk)
+        assert values in states[durable:], seed
         engine.close()
         files.close()
 
@@ -184,162 +189,172 @@
 @pytest.mark.parametrize("number", [errno.EIO, errno.ENOSPC])
 def test_any_call_that_fails_once_loses_nothing_that_was_acknowledged(number: int) -> None:
     """SQLite's own method: every n is tried. Then the power is cut, too."""
-    for failing in range(1, calls() + 1):
-        m = Machine()
+    for failing in range(1, workload_call_count() + 1):
+        node = Node()
 
         def plan(call: int, name: str, failing: int = failing) -> None:
             if call == failing:
-                raise Broken(number)
+                raise InjectedError(number)
 
-        m.disk.plan = plan
+        node.disk.fault_plan = plan
         for _ in range(3):  # a fault is told, and the next try goes on from what is durable
             try:
-                if m.engine._held is None:
-                    m.engine.open()
-                m.commit(Put("view", "a", b"1"), Put("view", "b", b"2"))
-                m.append(b"r" * 100)
-                m.commit(Delete("view", "a"), Put("ends", "a", b"3"))
-                m.append(b"s")
-                m.engine.begin_generation()
-            except StoreFault as fault:
-                assert fault.trouble in (Trouble.FAILED, Trouble.FULL), fault
-                m.records = m.records[: m.kept]
-                m.states = m.states[: m.durable + 1] + m.states[m.durable + 1 :]
-        assert state(m.engine) == m.states[m.durable]
-        held_to(m, failing)
-
-
-def again(what: Callable[[], object]) -> None:
+                if node.engine._lock is None:
+                    node.engine.open()
+                node.commit(Put("view", "a", b"1"), Put("view", "b", b"2"))
+                node.append(b"r" * 100)
+                node.commit(Delete("view", "a"), Put("ends", "a", b"3"))
+                node.append(b"s")
+                node.engine.begin_generation()
+            except StoreFileError as fault:
+                assert fault.kind in (FaultKind.IO_ERROR, FaultKind.DISK_FULL), fault
+                node.records = node.records[: node.acknowledged_record_count]
+                node.states = (
+                    node.states[: node.durable_state_index + 1] + node.states[node.durable_state_index + 1 :]
+                )
+        assert stored_values(node.engine) == node.states[node.durable_state_index]
+        check_after_power_cut(node, failing)
+
+
+def retry_once(operation: Callable[[], object]) -> None:
     """As the store's thread does: what failed is tried once more, whole."""
     try:
-        what()
-    except StoreFault:
-        what()
+        operation()
+    except StoreFileError:
+        operation()
 
 
 def test_a_call_that_fails_and_then_a_power_cut() -> None:
     """Random pairs of calls: what the failed one left behind meets the cut."""
-    total = calls()
+    total = workload_call_count()
     for seed in range(4 * SEEDS):
-        rng, m = random.Random(seed), Machine()
+        rng, node = random.Random(seed), Node()
         failing = rng.randrange(1, total)
         cut = failing + rng.randrange(1, 120)
 
         def plan(call: int, name: str, failing: int = failing, cut: int = cut) -> None:
             if call == failing:
-                raise Broken
+                raise InjectedError
             if call >= cut:
                 raise PowerCut
 
-        m.disk.plan = plan
+        node.disk.fault_plan = plan
         try:
-            again(m.engine.open)
+            retry_once(node.engine.open)
             for n in range(6):
-                again(partial(m.append, b"r%d" % n))
-                again(partial(m.commit, Put("view", f"s{n}", b"x" * 100)))
+                retry_once(partial(node.append, b"r%d" % n))
+                retry_once(partial(node.commit, Put("view", f"s{n}", b"x" * 100)))
         except PowerCut:
             pass
-        held_to(m, seed)
+        check_after_power_cut(node, seed)
 
 
 def test_after_a_sync_that_failed_nothing_goes_to_that_file_any_more() -> None:
     """The kernel may say that the next sync is good although what the first one failed on is gone."""
-    m = Machine()
-    m.engine.open()
-    m.commit(Put("view", "a", b"1"))
-    m.append(b"one")
+    node = Node()
+    node.engine.open()
+    node.commit(Put("view", "a", b"1"))
+    node.append(b"one")
     fails = {"sync tables-00000001.db-wal", "sync journal-log-000000000001.db-wal"}
 
     def plan(call: int, name: str) -> None:
         if (found := name.rpartition(" ")[0]) in fails:
             fails.remove(found)
-            content = m.disk.names["/d/" + found.partition(" ")[2]]
-            content.unsynced.clear()  # marked as clean, and never written
-            raise Broken
-
-    m.disk.plan = plan
-    with pytest.raises(StoreFault, match="failed"):
-        m.commit(Put("view", "a", b"2"))
-    assert state(m.engine) == {("view", "a"): b"1"}
-    with pytest.raises(StoreFault, match="failed"):
-        m.append(b"never")
-    m.commit(Put("view", "b", b"3"))
-    m.records = [b"one"]
-    m.append(b"two")
-    assert m.engine.generation == 2 and not fails
-    assert [r.value for r in m.engine.read("log", 1, 9)] == [b"one", b"two"]
-    m.engine.close()
-    m.disk.crash(random.Random(1))
-    came, records, engine, files = after(m.disk)
-    assert came == {("view", "a"): b"1", ("view", "b"): b"3"} and records == [b"one", b"two"]
+            content = node.disk.files["/d/" + found.partition(" ")[2]]
+            content.unsynced_writes.clear()  # marked as clean, and never written
+            raise InjectedError
+
+    node.disk.fault_plan = plan
+    with pytest.raises(StoreFileError, match="failed"):
+        node.commit(Put("view", "a", b"2"))
+    assert stored_values(node.engine) == {("view", "a"): b"1"}
+    with pytest.raises(StoreFileError, match="failed"):
+        node.append(b"never")
+    node.commit(Put("view", "b", b"3"))
+    node.records = [b"one"]
+    node.append(b"two")
+    assert node.engine.generation == 2 and not fails
+    assert [r.value for r in node.engine.read_journal("log", 1, 9)] == [b"one", b"two"]
+    node.engine.close()
+    node.disk.crash(random.Random(1))
+    values, records, engine, files = reopen_checked(node.disk)
+    assert values == {("view", "a"): b"1", ("view", "b"): b"3"} and records == [b"one", b"two"]
     engine.close()
     files.close()
-    m.files.close()
+    node.file_system.close()
 
 
-def settled() -> tuple[Disk, list[State]]:
+def two_generations() -> tuple[SimulatedDisk, list[StoredValues]]:
     """A disk with two generations of two contents and a journal, and the contents, newest first."""
-    m = Machine()
-    m.engine.open()
-    m.commit(Put("view", "a", b"old" * 40))
-    m.append(b"r1", b"r2", b"r3")
-    m.engine.begin_generation()
-    first = state(m.engine)
-    m.commit(Put("view", "a", b"new" * 40), Put("view", "b", b"more" * 40))
-    second = state(m.engine)
-    m.close()
-    disk = m.disk.copy()
-    for name in [n for n in disk.names if n.endswith("-wal")]:  # all that is durable in the main file
-        db = Piece(SimFiles(disk), name.removesuffix("-wal"))
-        db.finish()
+    node = Node()
+    node.engine.open()
+    node.commit(Put("view", "a", b"old" * 40))
+    node.append(b"r1", b"r2", b"r3")
+    node.engine.begin_generation()
+    first = stored_values(node.engine)
+    node.commit(Put("view", "a", b"new" * 40), Put("view", "b", b"more" * 40))
+    second = stored_values(node.engine)
+    node.close()
+    disk = node.disk.copy()
+    for name in [n for n in disk.files if n.endswith("-wal")]:  # all that is durable in the main file
+        db = SealedFile(SimulatedFileSystem(disk), name.removesuffix("-wal"))
+        db.checkpoint_and_close()
     return disk.copy(), [second, first]
 
 
 @pytest.fixture(scope="module")
-def small() -> tuple[Disk, list[State]]:
-    return settled()
+def small() -> tuple[SimulatedDisk, list[StoredValues]]:
+    return two_generations()
 
 
-def opened(disk: Disk) -> tuple[Engine, engine_module.Opened]:
-    engine = Engine(SimFiles(disk), "/d", lambda: 3_000)
+def open_engine(disk: SimulatedDisk) -> tuple[Engine, engine_module.OpenResult]:
+    engine = Engine(SimulatedFileSystem(disk), "/d", lambda: 3_000)
     return engine, engine.open()
 
 
-@pytest.mark.parametrize("fault", [PowerCut, Broken, partial(Broken, errno.ENOSPC)])
+@pytest.mark.parametrize("fault", [PowerCut, InjectedError, partial(InjectedError, errno.ENOSPC)])
 def test_a_start_hands_over_without_a_sync_and_its_first_write_may_fail_anywhere(
-    small: tuple[Disk, list[State]], fault: Callable[[], BaseException]
+    small: tuple[SimulatedDisk, list[StoredValues]], fault: Callable[[], BaseException]
 ) -> None:
     """Each call between the hand-over and the new generation, which is durable or not there at all."""
-    kept = small[1][0]
-    after_it = kept | {("self", "node"): b"2"}
+    restored = small[1][0]
+    after_it = restored | {("self", "node"): b"2"}
     for failing in count(1):
-        m = Machine(small[0].copy())
-        assert m.engine.open().generation == 3 and state(m.engine) == kept
-        assert {name.split()[0] for name in m.disk.points} == {"create"}, "empty logs, by SQLite's reading"
-        failing += m.disk.calls
-
-        def plan(call: int, name: str, m: Machine = m, failing: int = failing) -> None:
+        node = Node(small[0].copy())
+        assert node.engine.open().next_generation == 3 and stored_values(node.engine) == restored
+        assert {name.split()[0] for name in node.disk.call_names} == {"create"}, (
+            "empty logs, by SQLite's reading"
+        )
+        failing += node.disk.call_count
+
+        def plan(call: int, name: str, m: Node = node, failing: int = failing) -> None:
             if call >= failing if fault is PowerCut else call == failing:
                 raise fault()
 
-        m.disk.plan = plan
+        node.disk.fault_plan = plan
         try:
-            m.engine.commit([Put("self", "node", b"2")])
+            node.engine.commit([Put("self", "node", b"2")])
             acknowledged = True
-        except (PowerCut, StoreFault) as err:
+        except (PowerCut, StoreFileError) as err:
             acknowledged = False
-            assert state(m.engine) == kept and "/d/tables-00000002.db" in m.disk.names, m.disk.points
-            if isinstance(err, StoreFault):
-                assert err.trouble in (Trouble.FAILED, Trouble.FULL)
-                m.engine.commit([Put("self", "node", b"2")])
+            assert stored_values(node.engine) == restored and "/d/tables-00000002.db" in node.disk.files, (
+                node.disk.call_names
+            )
+            if isinstance(err, StoreFileError):
+                assert err.kind in (FaultKind.IO_ERROR, FaultKind.DISK_FULL)
+                node.engine.commit([Put("self", "node", b"2")])
                 acknowledged = True
-        begun, done = [name.split()[0] for name in m.disk.points], m.disk.calls < failing
-        m.close()
-        m.disk.crash(random.Random(failing))
-        engine, found = opened(m.disk)
-        came = state(engine)
-        assert came in ([after_it] if acknowledged else [kept, after_it]), m.disk.points
-        assert not found.faults and not found.older and found.found == (2 if came == kept else 3)
+        begun, done = [name.split()[0] for name in node.disk.call_names], node.disk.call_count < failing
+        node.close()
+        node.disk.crash(random.Random(failing))
+        engine, found = open_engine(node.disk)
+        values = stored_values(engine)
+        assert values in ([after_it] if acknowledged else [restored, after_it]), node.disk.call_names
+        assert (
+            not found.faults
+            and not found.is_outdated
+            and found.restored_generation == (2 if values == restored else 3)
+        )
         engine.close()
         if done:
             break
@@ -348,69 +363,80 @@
 
 def test_a_new_generation_that_was_not_told_is_written_no_further(monkeypatch: pytest.MonkeyPatch) -> None:
     """Its rows are not among those that are known, so no seal over what comes next would be its own."""
-    m = Machine()
-    m.engine.open()
-    with monkeypatch.context() as broken, pytest.raises(StoreFault):
-        broken.setattr(m.files, "inode", lambda path: os.stat("/none/there").st_ino)
-        m.commit(Put("view", "a", b"1"))
-    m.states, m.durable = [{}, {}], 1
-    m.commit(Put("ends", "b", b"2"))
-    held_to(m, 1)
-
-
-def spoiled(small: tuple[Disk, list[State]], change: str, at: int) -> None:
+    node = Node()
+    node.engine.open()
+    with monkeypatch.context() as broken, pytest.raises(StoreFileError):
+        broken.setattr(node.file_system, "inode", lambda path: os.stat("/none/there").st_ino)
+        node.commit(Put("view", "a", b"1"))
+    node.states, node.durable_state_index = [{}, {}], 1
+    node.commit(Put("ends", "b", b"2"))
+    check_after_power_cut(node, 1)
+
+
+def check_damaged_generation(
+    small: tuple[SimulatedDisk, list[StoredValues]], change: str, offset: int
+) -> None:
     """Whatever is believed is one of the generations, whole; the older one only with a word about it."""
     disk, states = small[0].copy(), small[1]
-    content = disk.names["/d/tables-00000002.db"]
+    content = disk.files["/d/tables-00000002.db"]
     if change == "cut":
-        del content.now[at:]
+        del content.current[offset:]
     else:
-        content.now[at // 8] ^= 1 << at % 8
-    engine, found = opened(disk)
+        content.current[offset // 8] ^= 1 << offset % 8
+    engine, found = open_engine(disk)
     try:
-        assert state(engine) in states and found.wrote_ms == 1_000, (change, at)
-        if state(engine) != states[0]:
-            assert found.older and [f.where for f in found.faults] == ["/d/tables-00000002.db"], (change, at)
-            assert found.found == 1 and found.generation == 3
+        assert stored_values(engine) in states and found.committed_at_ms == 1_000, (change, offset)
+        if stored_values(engine) != states[0]:
+            assert found.is_outdated and [f.path for f in found.faults] == ["/d/tables-00000002.db"], (
+                change,
+                offset,
+            )
+            assert found.restored_generation == 1 and found.next_generation == 3
         engine.commit([Put("view", "c", b"on")])
     finally:
         engine.close()
 
 
-def test_the_file_cut_at_every_byte(small: tuple[Disk, list[State]]) -> None:
-    size = len(small[0].names["/d/tables-00000002.db"].now)
-    whole = os.environ.get("BALANCER_CRASHES")
+def test_the_file_cut_at_every_byte(small: tuple[SimulatedDisk, list[StoredValues]]) -> None:
+    size = len(small[0].files["/d/tables-00000002.db"].current)
+    is_exhaustive = os.environ.get("BALANCER_CRASHES")
     # Each byte of the pages' heads and ends; each 256th of the blank space between, unless asked for.
-    for at in range(size):
-        if whole or at % 4096 < 64 or at % 4096 > 3800 or at % 256 == 0:
-            spoiled(small, "cut", at)
+    for offset in range(size):
+        if is_exhaustive or offset % 4096 < 64 or offset % 4096 > 3800 or offset % 256 == 0:
+            check_damaged_generation(small, "cut", offset)
 
 
-def test_a_bit_flipped_in_every_region(small: tuple[Disk, list[State]]) -> None:
-    size = len(small[0].names["/d/tables-00000002.db"].now)
+def test_a_bit_flipped_in_every_region(small: tuple[SimulatedDisk, list[StoredValues]]) -> None:
+    size = len(small[0].files["/d/tables-00000002.db"].current)
     rng = random.Random(5)
-    for at in range(0, size, 1 if os.environ.get("BALANCER_CRASHES") else 16):
-        spoiled(small, "flip", 8 * at + rng.randrange(8))
-    files = SimFiles(small[0].copy())
-    seal = Piece(files, "/d/tables-00000002.db").read_seal()
+    for offset in range(0, size, 1 if os.environ.get("BALANCER_CRASHES") else 16):
+        check_damaged_generation(small, "flip", 8 * offset + rng.randrange(8))
+    files = SimulatedFileSystem(small[0].copy())
+    seal = SealedFile(files, "/d/tables-00000002.db").read_seal()
     packed = msgspec.msgpack.encode(seal)
-    first = small[0].names["/d/tables-00000002.db"].now.rindex(packed)
+    first = small[0].files["/d/tables-00000002.db"].current.rindex(packed)
     for bit in range(8 * first, 8 * (first + len(packed))):
-        spoiled(small, "flip", bit)
+        check_damaged_generation(small, "flip", bit)
 
 
-def test_a_bit_flipped_in_a_journal_costs_one_record_and_is_said(small: tuple[Disk, list[State]]) -> None:
+def test_a_bit_flipped_in_a_journal_costs_one_record_and_is_said(
+    small: tuple[SimulatedDisk, list[StoredValues]],
+) -> None:
     disk = small[0].copy()
-    content = disk.names["/d/journal-log-000000000001.db"]
-    content.now[content.now.rindex(b"r2")] ^= 1
-    engine, found = opened(disk)
-    assert [(r.position, r.value) for r in engine.read("log", 1, 9)] == [(1, b"r1"), (2, None), (3, b"r3")]
+    content = disk.files["/d/journal-log-000000000001.db"]
+    content.current[content.current.rindex(b"r2")] ^= 1
+    engine, found = open_engine(disk)
+    assert [(r.position, r.value) for r in engine.read_journal("log", 1, 9)] == [
+        (1, b"r1"),
+        (2, None),
+        (3, b"r3"),
+    ]
     assert engine.append("log", [b"r4"]) == 4 and not found.faults
     engine.close()
 
 
 def test_a_record_that_is_not_there_is_a_gap(tmp_path: Path) -> None:
-    engine = Engine(Real(), str(tmp_path), lambda: 1)
+    engine = Engine(LocalFileSystem(), str(tmp_path), lambda: 1)
     engine.open()
     engine.append("log", [b"r1", b"r2", b"r3"])
     engine.close()
@@ -418,53 +444,67 @@
     db.execute("delete from records where position=2")
     db.close()
     engine.open()
-    assert [(r.position, r.value) for r in engine.read("log", 1, 9)] == [(1, b"r1"), (2, None), (3, b"r3")]
+    assert [(r.position, r.value) for r in engine.read_journal("log", 1, 9)] == [
+        (1, b"r1"),
+        (2, None),
+        (3, b"r3"),
+    ]
     engine.close()
 
 
 def test_a_journal_that_cannot_be_read_is_one_gap_and_no_position_comes_twice(
-    small: tuple[Disk, list[State]],
+    small: tuple[SimulatedDisk, list[StoredValues]],
 ) -> None:
     disk = small[0].copy()
-    del disk.names["/d/journal-log-000000000001.db"].now[5000:]
-    engine, found = opened(disk)
-    assert [f.trouble for f in found.faults] == [Trouble.SPOILED]
-    assert engine.append("log", [b"on"]) == 1 + JUMP
-    assert [(r.position, r.value) for r in engine.read("log", 1, 9)] == [(1, None), (1 + JUMP, b"on")]
+    del disk.files["/d/journal-log-000000000001.db"].current[5000:]
+    engine, found = open_engine(disk)
+    assert [f.kind for f in found.faults] == [FaultKind.CORRUPT]
+    assert engine.append("log", [b"on"]) == 1 + UNREADABLE_SEGMENT_POSITION_GAP
+    assert [(r.position, r.value) for r in engine.read_journal("log", 1, 9)] == [
+        (1, None),
+        (1 + UNREADABLE_SEGMENT_POSITION_GAP, b"on"),
+    ]
     engine.close()
 
 
 def test_two_spoiled_generations_are_no_memory_and_the_number_still_rises(
-    small: tuple[Disk, list[State]],
+    small: tuple[SimulatedDisk, list[StoredValues]],
 ) -> None:
     disk = small[0].copy()
     for number in (1, 2):
-        disk.names[f"/d/tables-0000000{number}.db"].now[:100] = bytes(100)
-    engine, found = opened(disk)
-    assert state(engine) == {} and found.older and found.generation == 3 and len(found.faults) == 2
-    assert "/d/tables-00000002.db" in disk.names, "what cannot be believed stays to be looked at"
+        disk.files[f"/d/tables-0000000{number}.db"].current[:100] = bytes(100)
+    engine, found = open_engine(disk)
+    assert (
+        stored_values(engine) == {}
+        and found.is_outdated
+        and found.next_generation == 3
+        and len(found.faults) == 2
+    )
+    assert "/d/tables-00000002.db" in disk.files, "what cannot be believed stays to be looked at"
     engine.close()
 
 
 @pytest.mark.parametrize("version", [0, 99])
 def test_a_version_that_is_not_known_is_named_and_left(version: int, tmp_path: Path) -> None:
     path = str(tmp_path)
-    engine = Engine(Real(), path, lambda: 1)
+    engine = Engine(LocalFileSystem(), path, lambda: 1)
     engine.open()
     engine.commit([Put("view", "a", b"1")])
     engine.close()
     db = apsw.Connection(str(tmp_path / "tables-00000001.db"))
     db.execute(f"pragma user_version={version}")
     db.close()
-    engine = Engine(Real(), path, lambda: 1)
+    engine = Engine(LocalFileSystem(), path, lambda: 1)
     found = engine.open()
-    assert [(f.trouble, f"version {version}," in f.what) for f in found.faults] == [(Trouble.FORMAT, True)]
-    assert found.older and state(engine) == {} and (tmp_path / "tables-00000001.db").exists()
+    assert [(f.kind, f"version {version}," in f.detail) for f in found.faults] == [
+        (FaultKind.UNSUPPORTED_FORMAT, True)
+    ]
+    assert found.is_outdated and stored_values(engine) == {} and (tmp_path / "tables-00000001.db").exists()
     engine.close()
 
 
 def test_an_older_version_goes_up_step_by_step(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    engine = Engine(Real(), str(tmp_path), lambda: 1)
+    engine = Engine(LocalFileSystem(), str(tmp_path), lambda: 1)
     engine.open()
     engine.commit([Put("view", "a", b"1")])
     engine.close()
@@ -475,30 +515,30 @@
         lambda t: {"seen": {k: v + b"3" for k, v in t["seen"].items()}},
     ]
     for _ in range(2):  # the second start finds the new format
-        engine = Engine(Real(), str(tmp_path), lambda: 1, ups)
+        engine = Engine(LocalFileSystem(), str(tmp_path), lambda: 1, ups)
         found = engine.open()
-        assert state(engine) == {("seen", "a"): b"123"} and not found.faults
+        assert stored_values(engine) == {("seen", "a"): b"123"} and not found.faults
         engine.begin_generation()
         engine.close()
 
 
 def test_one_owner_and_a_dead_one_holds_nothing(tmp_path: Path) -> None:
-    one, other = (Engine(Real(), str(tmp_path), lambda: 1) for _ in range(2))
+    one, other = (Engine(LocalFileSystem(), str(tmp_path), lambda: 1) for _ in range(2))
     one.open()
-    with pytest.raises(StoreFault) as caught:
+    with pytest.raises(StoreFileError) as caught:
         other.open()
-    assert caught.value.trouble is Trouble.OWNED
+    assert caught.value.kind is FaultKind.LOCKED
     one.commit([Put("view", "a", b"1")])
     child = os.fork()
     if child == 0:  # owns another directory, and dies by a signal
         (tmp_path / "two").mkdir()
-        dies = Engine(Real(), str(tmp_path / "two"), lambda: 1)
+        dies = Engine(LocalFileSystem(), str(tmp_path / "two"), lambda: 1)
         dies.open()
         dies.commit([Put("view", "a", b"1")])
         os.kill(os.getpid(), 9)
     assert os.waitpid(child, 0)[1] == 9
-    dead = Engine(Real(), str(tmp_path / "two"), lambda: 1)
-    assert dead.open().found == 1
+    dead = Engine(LocalFileSystem(), str(tmp_path / "two"), lambda: 1)
+    assert dead.open().restored_generation == 1
     for engine in (one, dead):
         engine.close()
 
@@ -512,9 +552,9 @@
         lock(fd, how)
 
     monkeypatch.setattr(fcntl, "flock", replaced)
-    with pytest.raises(StoreFault) as caught:
-        Engine(Real(), str(tmp_path), lambda: 1).open()
-    assert caught.value.trouble is Trouble.OWNED
+    with pytest.raises(StoreFileError) as caught:
+        Engine(LocalFileSystem(), str(tmp_path), lambda: 1).open()
+    assert caught.value.kind is FaultKind.LOCKED
 
 
 def test_folders_links_and_others_files_are_named(tmp_path: Path) -> None:
@@ -528,43 +568,47 @@
     other.execute("create table x(y)")
     other.close()
     (home / "notes.txt").write_text("another's")
-    engine = Engine(Real(), str(home), lambda: 1)
+    engine = Engine(LocalFileSystem(), str(home), lambda: 1)
     found = engine.open()
-    troubles = [Trouble.FOREIGN, Trouble.SPOILED, Trouble.FOREIGN, Trouble.FOREIGN]
-    assert [f.trouble for f in found.faults] == troubles and (home / "tables-00000001.db").is_dir()
-    assert [f.where[-4:] for f in found.faults if "a folder or a link" in f.what] == ["2.db", "1.db"]
-    assert found.generation == 5 and (home / "notes.txt").read_text() == "another's" and not outside.exists()
+    troubles = [FaultKind.FOREIGN, FaultKind.CORRUPT, FaultKind.FOREIGN, FaultKind.FOREIGN]
+    assert [f.kind for f in found.faults] == troubles and (home / "tables-00000001.db").is_dir()
+    assert [f.path[-4:] for f in found.faults if "a folder or a link" in f.detail] == ["2.db", "1.db"]
+    assert (
+        found.next_generation == 5
+        and (home / "notes.txt").read_text() == "another's"
+        and not outside.exists()
+    )
     engine.close()
     (home / "owner").unlink()
     (home / "owner").symlink_to(outside)
-    with pytest.raises(StoreFault) as caught:
+    with pytest.raises(StoreFileError) as caught:
         engine.open()
-    assert caught.value.trouble is Trouble.FOREIGN and not outside.exists()
+    assert caught.value.kind is FaultKind.FOREIGN and not outside.exists()
     for path in (tmp_path / "none", outside.parent / "home" / "notes.txt"):
-        with pytest.raises(StoreFault):
-            Engine(Real(), str(path), lambda: 1).open()
+        with pytest.raises(StoreFileError):
+            Engine(LocalFileSystem(), str(path), lambda: 1).open()
 
 
 def test_a_directory_that_was_taken_away_is_found(tmp_path: Path) -> None:
     home = tmp_path / "home"
     home.mkdir()
-    engine = Engine(Real(), str(home), lambda: 1)
+    engine = Engine(LocalFileSystem(), str(home), lambda: 1)
     engine.open()
     engine.commit([Put("view", "a", b"1")])
     home.rename(tmp_path / "away")
-    with pytest.raises(StoreFault) as caught:
+    with pytest.raises(StoreFileError) as caught:
         engine.commit([Put("view", "b", b"1")])
-    assert caught.value.trouble is Trouble.GONE
+    assert caught.value.kind is FaultKind.MISSING
     (tmp_path / "away").rename(home)
     engine.commit([Put("view", "b", b"1")])
-    assert state(engine) == {("view", "a"): b"1", ("view", "b"): b"1"}
+    assert stored_values(engine) == {("view", "a"): b"1", ("view", "b"): b"1"}
     engine.close()
 
 
 @pytest.fixture
 def long(tmp_path: Path) -> Iterator[Engine]:
     clock = iter(range(1_000, 100_000_000, 1_000))
-    engine = Engine(Real(), str(tmp_path), lambda: next(clock), segment=20_000)
+    engine = Engine(LocalFileSystem(), str(tmp_path), lambda: next(clock), segment_size_bytes=20_000)
     engine.open()
     yield engine
     engine.close()
@@ -574,22 +618,29 @@
     for n in range(60):
         long.append("log", [b"x" * 2000, b"%d" % n])
     segments = len([n for n in os.listdir(long.directory) if n.startswith("journal-") and n.endswith(".db")])
-    assert segments > 5 and long.journals()["log"] == (1, 121)
-    at = long.read("log", 61, 1)[0].at_ms
-    assert long.cut("log", before_ms=at) > 0
-    first = long.journals()["log"][0]
-    assert 1 < first <= 61 and long.read("log", 1, 1)[0].position == first
-    assert long.cut("log", most_bytes=1) > 0 and long.journals()["log"][1] == 121
-    assert len(long.read("log", 1, 1000)) < 30 and long.cut("log", before_ms=1 << 60, most_bytes=0) == 0
+    assert segments > 5 and long.journal_ranges()["log"] == (1, 121)
+    at = long.read_journal("log", 61, 1)[0].written_at_ms
+    assert long.trim_journal("log", before_ms=at) > 0
+    first = long.journal_ranges()["log"][0]
+    assert 1 < first <= 61 and long.read_journal("log", 1, 1)[0].position == first
+    assert long.trim_journal("log", max_bytes=1) > 0 and long.journal_ranges()["log"][1] == 121
+    assert (
+        len(long.read_journal("log", 1, 1000)) < 30
+        and long.trim_journal("log", before_ms=1 << 60, max_bytes=0) == 0
+    )
     assert long.append("log", [b"on"]) == 121
 
 
 def test_the_seal_tells_a_row_that_is_missing(tmp_path: Path) -> None:
     """Each row left is good by its checksum: only the sum over all says that one is gone."""
-    files, path, good = Real(), str(tmp_path / "new.db"), piece_module.checksum("view", "a", 1, b"1")
-    made = Piece(files, path, make=True)
+    files, path, good = (
+        LocalFileSystem(),
+        str(tmp_path / "new.db"),
+        piece_module.record_checksum("view", "a", 1, b"1"),
+    )
+    made = SealedFile(files, path, create=True)
     made.commit(Seal(), [])
-    made._db.execute("insert into rows values ('view', 'a', 1, x'31', ?)", (good,))
-    with pytest.raises(StoreFault, match="1 rows"):
+    made._connection.execute("insert into rows values ('view', 'a', 1, x'31', ?)", (good,))
+    with pytest.raises(StoreFileError, match="1 rows"):
         made.read_rows()
     made.abandon()
--- a/tests/system/shutdown_races.py
+++ b/tests/system/shutdown_races.py
@@ -30,12 +30,12 @@
 import uvloop
 
 from balancer import interface as api
-from balancer.core.discovery.endpoint_merger import Apply
+from balancer.core.discovery.endpoint_merger import ApplyEndpoints
 from balancer.endpoints import EndpointList, EndpointRecord
-from balancer.net.backend_pool import Attempt, Connection
+from balancer.net.backend_pool import BackendConnection, Exchange
 from balancer.net.config import Config
-from balancer.net.http_server import ClientConnection, Front
-from balancer.net.request_dispatcher import Node, Watcher
+from balancer.net.http_server import ClientConnection, HttpServer
+from balancer.net.request_dispatcher import DiscoveryControl, RequestDispatcher
 
 AIM, DEADLINE, GRACE = 500.0, 900.0, 200.0
 WAIT = 310.0  # over the grace, and what a request whose client left may still be sent on in
@@ -191,7 +191,7 @@
 LOOPS: dict[str, Callable[[], asyncio.AbstractEventLoop]] = {"asyncio": AsyncioLoop, "uvloop": UvLoop}
 
 
-class ClockedNode(Node):
+class ClockedNode(RequestDispatcher):
     """A node on such a clock; `came` are the requests that it took."""
 
     def __init__(self, config: Config, clock: Clock) -> None:
@@ -212,13 +212,15 @@
         """Milliseconds."""
         return self.clock.ms
 
-    def arrival(self, event: api.RequestArrived, client: Any, render: Callable[[float], bytes]) -> None:
+    def request_arrived(
+        self, event: api.RequestArrived, client: Any, render: Callable[[float], bytes]
+    ) -> None:
         """A request was taken."""
         self.came.add(event.request)
-        super().arrival(event, client, render)
+        super().request_arrived(event, client, render)
 
 
-class Nobody(Watcher):
+class Nobody(DiscoveryControl):
     """A source that is never asked."""
 
     def watch(self, on: bool) -> None:
@@ -294,7 +296,7 @@
     def arrive(self, there: Callable[[socket.socket], bool]) -> None:
         """Wait until what was done is there at the node's end; the kernel mostly does it at once."""
         until, end = time.monotonic() + 5, self.node_end
-        while end in end.front.connections and not end.closing and end.transport is not None:
+        while end in end.server.connections and not end.closing and end.transport is not None:
             if there(end.transport.get_extra_info("socket")):
                 return
             assert time.monotonic() < until, "the kernel holds it back"
@@ -429,7 +431,7 @@
         config = Config("n", place, place, order.seed, settings, known, 100, 100, 64.0)
         self.node = ClockedNode(config, self.clock)
         self.node.discovery, self.node.observer = Nobody(), self
-        self.front = Front(self.node, 50)
+        self.front = HttpServer(self.node, 50)
         self.front.sweeper.cancel()
         self.front.loop = self.clock  # type: ignore[assignment]
         self.front.sweeper = self.clock.call_later(0.2, self.front._sweep)  # type: ignore[assignment]
@@ -467,16 +469,16 @@
     @contextlib.contextmanager
     def noting(self) -> Iterator[None]:
         """Note when the node writes what: a busy kernel may bring it to a server some turns later."""
-        write = Connection.write
+        write = BackendConnection.write
 
-        def noted(connection: Connection, attempt: Attempt) -> None:
+        def noted(connection: BackendConnection, attempt: Exchange) -> None:
             data = attempt.data if isinstance(attempt.data, bytes) else attempt.data()
             found = re.search(rb"Request-Id: (\S+)", data)
             assert found is not None
             self.wrote.setdefault(found[1].decode(), []).append(self.clock.ms)
             write(connection, attempt)
 
-        with patch.object(Connection, "write", noted):
+        with patch.object(BackendConnection, "write", noted):
             yield
 
     def _next(self) -> asyncio.Future[None] | None:
@@ -491,7 +493,7 @@
         member = (server.member(phase),)
         gone = phase is api.Phase.REMOVED
         self.node.apply(
-            Apply(
+            ApplyEndpoints(
                 api.EndpointUpdateKind.INCREMENTAL,
                 () if gone else member,
                 member if gone else (),
@@ -668,7 +670,7 @@
         """All steps, then the end of all."""
         await self.front.listen(("127.0.0.1", 0))
         members = tuple(server.member() for server in self.servers)
-        self.node.apply(Apply(api.EndpointUpdateKind.SNAPSHOT, members, (), 1))
+        self.node.apply(ApplyEndpoints(api.EndpointUpdateKind.SNAPSHOT, members, (), 1))
         for number, name in enumerate(self.order.classes):
             cls = next(c for c in CLASSES if c.name == name)
             sock = socket.create_connection(self.front.address)
@@ -707,9 +709,9 @@
             self._answers(asker)
         self._left("open requests", self.node.open)
         self._left("requests in the module", list(self.node.balancer.requests))
-        self._left("out", self.node.balancer.out)
+        self._left("out", self.node.balancer.in_flight)
         backends = self.node.balancer.backends.items()
-        self._left("out by server", {name: b.out for name, b in backends if b.out})
+        self._left("out by server", {name: b.in_flight for name, b in backends if b.in_flight})
         pool = self.node.pool
         self._left("connections in use", pool.count - sum(len(host.idle) for host in pool.hosts.values()))
         self._left("events held", [*self.node._held, *self.node._events])
