--- a/tests/system/test_etcd_conformance.py
+++ b/tests/system/test_etcd_conformance.py
@@ -19,21 +19,21 @@
 
 from balancer.core.discovery import etcd_watcher as ef
 from balancer.core.discovery.endpoint_merger import (
-    Heard,
-    Listed,
-    Refused,
-    Silenced,
+    EndpointsListed,
+    SourceConfirmedCurrent,
+    SourceLost,
+    SourceRejected,
 )
-from balancer.core.discovery.etcd_watcher import EtcdConfig, Phase
+from balancer.core.discovery.etcd_watcher import EtcdConfig, WatcherPhase
 from balancer.endpoints import EndpointRecord
 from balancer.interface import Phase as MemberPhase
-from balancer.net.discovery.etcd import EtcdSource
+from balancer.net.discovery.etcd import EtcdDiscovery
 from balancer.testbed.certificates import make
 from balancer.testbed.etcd.shared import Garbage
 from balancer.testbed.etcd.standin import StandIn
 from tests.testbed.conftest import run
 
-CHECK_MS = ef.CHECK_MS
+CHECK_MS = ef.CHECK_INTERVAL_MS
 PREFIX = "/dillport/members/"
 WAIT = 25.0  # s until a test that waits for something that does not come fails
 LEFT = 5.0  # s within which an endpoint is left that cannot show it is current
@@ -42,7 +42,7 @@
 @pytest.fixture(autouse=True)
 def _quick(monkeypatch: pytest.MonkeyPatch) -> None:
     """Check often, so that tests need not wait; those of who is left in time set it back."""
-    monkeypatch.setattr(ef, "CHECK_MS", 100.0)
+    monkeypatch.setattr(ef, "CHECK_INTERVAL_MS", 100.0)
 
 
 def value(port: int = 80, **more: Any) -> bytes:
@@ -61,7 +61,7 @@
         self.view: dict[str, EndpointRecord] = {}
         self.changed = asyncio.Event()
         config = EtcdConfig(tuple(endpoints), more.pop("prefix", PREFIX), **more)
-        self.source = EtcdSource(config, self._take, rng=random.Random(1))
+        self.source = EtcdDiscovery(config, self._take, rng=random.Random(1))
 
     async def __aenter__(self) -> Self:
         self.source.start()
@@ -72,24 +72,24 @@
 
     def _take(self, event: Any) -> None:
         self.told.append(event)
-        if isinstance(event, Listed):
-            before = [e.listing.revision for e in self.listed[:-1] if e.identity == event.identity]
-            assert event.listing.revision >= max(before, default=0), "an order went back"
-            if event.listing.is_complete:
+        if isinstance(event, EndpointsListed):
+            before = [e.endpoint_list.revision for e in self.listed[:-1] if e.identity == event.identity]
+            assert event.endpoint_list.revision >= max(before, default=0), "an order went back"
+            if event.endpoint_list.is_complete:
                 self.view.clear()
-            for name in event.listing.removed_ids:
+            for name in event.endpoint_list.removed_ids:
                 self.view.pop(name, None)
-            self.view |= {m.id: m for m in event.listing.records}
+            self.view |= {m.id: m for m in event.endpoint_list.records}
         self.changed.set()
 
     @property
-    def listed(self) -> list[Listed]:
-        return [event for event in self.told if isinstance(event, Listed)]
+    def listed(self) -> list[EndpointsListed]:
+        return [event for event in self.told if isinstance(event, EndpointsListed)]
 
     @property
     def wholes(self) -> int:
         """How many whole lists came."""
-        return sum(event.listing.is_complete for event in self.listed)
+        return sum(event.endpoint_list.is_complete for event in self.listed)
 
     def last(self, *kinds: type) -> bool:
         """Whether the last of what was told is one of these."""
@@ -112,7 +112,7 @@
 
     async def settled(self) -> None:
         """Wait until the watch is on and was checked."""
-        await self.until(lambda: self.source.follow.settled)
+        await self.until(lambda: self.source.follow.is_endpoint_proven)
 
 
 class Relay:
@@ -186,8 +186,8 @@
                 await asyncio.gather(*tasks)
                 await follower.until(lambda: follower.view.keys() >= left)
                 end = await cluster.put(key("end"), value())
-                await follower.until(lambda: follower.listed[-1].listing.revision == end)
-                first, *rest = [event.listing for event in follower.listed]
+                await follower.until(lambda: follower.listed[-1].endpoint_list.revision == end)
+                first, *rest = [event.endpoint_list for event in follower.listed]
                 told = {m.id for listing in rest for m in listing.records}
                 gone = {name for listing in rest for name in listing.removed_ids}
                 assert first.is_complete and not any(listing.is_complete for listing in rest)
@@ -223,7 +223,7 @@
                 assert len(follower.view) == 6  # the view stays
                 relay.up = True
                 await follower.names("s-3", "s-4", "s-5")
-                assert follower.wholes == 2 and follower.listed[-1].listing.is_complete
+                assert follower.wholes == 2 and follower.listed[-1].endpoint_list.is_complete
                 await cluster.put(key("s-6"), value())
                 await follower.names("s-3", "s-4", "s-5", "s-6")
             relay.stop()
@@ -263,12 +263,14 @@
             await cluster.put(key(""), value())
             async with Follower(cluster.endpoints) as follower:
                 await follower.names("good")
-                faults = {fault.key for fault in follower.listed[0].listing.invalid_entries}
+                faults = {fault.key for fault in follower.listed[0].endpoint_list.invalid_entries}
                 assert faults == {"text", "port", "a/b", "/", *(f"huge-{i}" for i in range(9))}
                 await cluster.put(key("good"), b'{"phase":"terminating"}')
                 await cluster.put(key("port"), value())
                 await follower.names("good", "port")
-                faulty = [fault for event in follower.listed[1:] for fault in event.listing.invalid_entries]
+                faulty = [
+                    fault for event in follower.listed[1:] for fault in event.endpoint_list.invalid_entries
+                ]
                 assert [fault.key for fault in faulty if fault.is_draining] == ["good"]
 
     run(test)
@@ -283,10 +285,10 @@
                 await follower.settled()
                 for end in (cluster.terminate, cluster.kill):
                     await end(0)
-                    await follower.until(lambda: follower.last(Silenced))
+                    await follower.until(lambda: follower.last(SourceLost))
                     assert follower.view.keys() == {"a"}
                     await cluster.restart(0)
-                    await follower.until(lambda: follower.last(Heard))
+                    await follower.until(lambda: follower.last(SourceConfirmedCurrent))
                     await cluster.put(key("b"), value())
                     await follower.names("a", "b")
                     await cluster.delete(key("b"))
@@ -303,13 +305,13 @@
         await cluster.put(key("a"), value())
         async with Follower(cluster.endpoints) as follower:
             await follower.settled()
-            used = follower.source.follow.endpoint
+            used = follower.source.follow.endpoint_index
             cluster.freeze(used)
             await asyncio.sleep(0.2)  # a signal takes effect some time after it was sent
             await cluster.put(key("b"), value())
             assert await follower.until(lambda: "b" in follower.view) < LEFT
-            assert follower.source.follow.endpoint != used and follower.wholes == 1
-            assert not any(isinstance(event, Silenced) for event in follower.told)
+            assert follower.source.follow.endpoint_index != used and follower.wholes == 1
+            assert not any(isinstance(event, SourceLost) for event in follower.told)
             cluster.thaw(used)
 
 
@@ -321,11 +323,11 @@
         async with Follower(cluster.endpoints) as follower:
             await follower.settled()
             cluster.freeze(0)
-            assert await follower.until(lambda: follower.last(Silenced)) < LEFT
+            assert await follower.until(lambda: follower.last(SourceLost)) < LEFT
             assert follower.view.keys() == {"a"}
             cluster.thaw(0)
-            await follower.until(lambda: follower.last(Heard))
-            assert sum(isinstance(event, Silenced) for event in follower.told) == 1
+            await follower.until(lambda: follower.last(SourceConfirmedCurrent))
+            assert sum(isinstance(event, SourceLost) for event in follower.told) == 1
 
 
 # As `frozen`; a member cut off from the others lets watches in and says nothing: seen, 3.4.23.
@@ -335,12 +337,12 @@
         await cluster.put(key("a"), value())
         async with Follower(cluster.endpoints) as follower:
             await follower.settled()
-            others = [index for index in range(3) if index != follower.source.follow.endpoint]
+            others = [index for index in range(3) if index != follower.source.follow.endpoint_index]
             for index in others:
                 await cluster.kill(index)
-            took = await follower.until(lambda: follower.source.follow.phase is not Phase.WATCHING)
+            took = await follower.until(lambda: follower.source.follow.phase is not WatcherPhase.WATCHING)
             assert took < LEFT
-            await follower.until(lambda: follower.last(Silenced))
+            await follower.until(lambda: follower.last(SourceLost))
             assert follower.view.keys() == {"a"}
             await asyncio.gather(*(cluster.restart(index) for index in others))
             await cluster.put(key("b"), value())
@@ -349,7 +351,7 @@
 
 
 def test_who_cannot_show_that_it_is_current_is_left(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(ef, "CHECK_MS", CHECK_MS)
+    monkeypatch.setattr(ef, "CHECK_INTERVAL_MS", CHECK_MS)
 
     async def test() -> None:
         async with asyncio.TaskGroup() as together:
@@ -379,7 +381,7 @@
 
 # Authentication guide 3.4, simple tokens end after auth-token-ttl and with the member that gave them.
 def test_auth_tokens_run_out_and_are_lost(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(ef, "CHECK_MS", 2500.0)  # longer than a token lives
+    monkeypatch.setattr(ef, "CHECK_INTERVAL_MS", 2500.0)  # longer than a token lives
 
     async def test() -> None:
         async with StandIn(token_ttl_s=1) as cluster:
@@ -413,7 +415,7 @@
         async with StandIn() as cluster:
             await cluster.enable_auth("reader", "pass-1", PREFIX)
             async with Follower(cluster.endpoints, **settings) as follower:
-                await follower.until(lambda: follower.last(Refused))
+                await follower.until(lambda: follower.last(SourceRejected))
                 assert reason in follower.told[-1].reason and "pass-" not in follower.told[-1].reason
 
     run(test)
@@ -431,10 +433,10 @@
                 await follower.names("a")
                 await cluster.delete(key("a"))
                 await follower.names()
-                await follower.until(lambda: follower.last(Heard))
+                await follower.until(lambda: follower.last(SourceConfirmedCurrent))
             for less in (shown, {"ca": str(made.ca)}):  # trusts nobody, shows nothing
                 async with Follower(cluster.endpoints, **less) as follower:
-                    await follower.until(lambda: follower.last(Silenced))
+                    await follower.until(lambda: follower.last(SourceLost))
                     assert "certificate" in follower.told[-1].reason.lower() or less != shown
 
     run(test)
@@ -471,7 +473,7 @@
                 await cluster.put(key("end"), value())
                 await follower.until(lambda: "end" in follower.view)
                 assert "s-3" not in follower.view and follower.view["s-9"].address[1] == 60
-                assert [event.listing.revision for event in follower.listed] == [61, 62, 63]
+                assert [event.endpoint_list.revision for event in follower.listed] == [61, 62, 63]
 
     run(test)
 
@@ -483,26 +485,26 @@
                 await cluster.put(key(f"s-{i % 10}"), value())
             async with Follower(cluster.endpoints) as follower:
                 await follower.settled()
-                used = follower.source.follow.endpoint
+                used = follower.source.follow.endpoint_index
                 await cluster.txn({}, [key(f"s-{i}") for i in range(5)])
                 await follower.names(*(f"s-{i}" for i in range(5, 10)))
                 cluster.lag(1 - used, 50)
                 cluster.drop(used)
                 await follower.settled()
-                assert follower.source.follow.endpoint == used and follower.wholes == 1
+                assert follower.source.follow.endpoint_index == used and follower.wholes == 1
                 cluster.lag(used, 50)
                 cluster.drop(used)
-                await follower.until(lambda: follower.last(Silenced))
+                await follower.until(lambda: follower.last(SourceLost))
                 assert "is behind" in follower.told[-1].reason
                 cluster.lag(used, 0)
-                await follower.until(lambda: follower.last(Heard))
+                await follower.until(lambda: follower.last(SourceConfirmedCurrent))
                 assert len(follower.view) == 5
 
     run(test)
 
 
 def test_a_restored_backup_and_a_new_cluster(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(ef, "BACK_MS", 300.0)
+    monkeypatch.setattr(ef, "MIN_REGRESSION_MS", 300.0)
 
     async def test() -> None:
         async with StandIn() as cluster:
@@ -512,14 +514,16 @@
             async with Follower(cluster.endpoints) as follower:
                 await follower.settled()
                 cluster.restore(backup)
-                await follower.until(lambda: follower.last(Refused))
+                await follower.until(lambda: follower.last(SourceRejected))
                 assert "epoch" in follower.told[-1].reason and follower.view.keys() == {"a", "b"}
                 async with Follower(cluster.endpoints, epoch=1) as raised:
                     await raised.names("a")
                     assert raised.listed[0].identity.endswith("/1")
                 cluster.rename(0, 77)
                 await follower.names("a")
-                assert follower.listed[-1].identity == "77/0" and follower.listed[-1].listing.is_complete
+                assert (
+                    follower.listed[-1].identity == "77/0" and follower.listed[-1].endpoint_list.is_complete
+                )
 
     run(test)
 
--- a/tests/system/test_peers.py
+++ b/tests/system/test_peers.py
@@ -17,7 +17,7 @@
 import pytest
 
 from balancer.net import admin_socket as control
-from balancer.protocol.gossip import FORGED, keys_of
+from balancer.protocol.gossip import MAX_FORGED_PER_S, parse_keys
 from balancer.testbed import scenario as sc
 from balancer.testbed.cluster import (
     KEY,
@@ -67,7 +67,7 @@
         try:
             async with asyncio.timeout(LIMIT_S):
                 while True:
-                    with contextlib.suppress(control.ControlError):
+                    with contextlib.suppress(control.AdminSocketError):
                         if await met():
                             return
                     await asyncio.sleep(0.05)
@@ -351,7 +351,7 @@
 
         # Whoever knows an id of a key, as it is on the wire, costs a code each.
         node = world.nodes[0]
-        head = b"\x01\x01" + keys_of(NEXT)[0].id + bytes(12)
+        head = b"\x01\x01" + parse_keys(NEXT)[0].id + bytes(12)
         process = await asyncio.create_subprocess_exec(
             sys.executable, "-c", FLOOD, node.host, "7420", head.hex()
         )
@@ -360,7 +360,7 @@
 
             async def flooded() -> bool:
                 told = await refused(node)
-                return told.get("code", 0) >= FORGED and told.get("stranger", 0) > FORGED
+                return told.get("code", 0) >= MAX_FORGED_PER_S and told.get("stranger", 0) > MAX_FORGED_PER_S
 
             await fleet.until("forged ones beyond the bound", flooded)
             await fleet.see(world.nodes, world.nodes)
--- a/tests/system/test_restart.py
+++ b/tests/system/test_restart.py
@@ -64,7 +64,7 @@
                         told = await self.asked(node)
                         if holds(told):
                             return told
-                    except control.ControlError:
+                    except control.AdminSocketError:
                         pass  # its socket is not there yet
                     await asyncio.sleep(0.05)
         except TimeoutError:
--- a/tests/system/test_staggered_start.py
+++ b/tests/system/test_staggered_start.py
@@ -7,13 +7,13 @@
 
 import pytest
 
-from balancer.core.staggering import Turns
+from balancer.core.staggering import StaggeredSchedule
 from balancer.testbed.dual_source_cluster import PREFIX, FleetWorld
 from balancer.testbed.event_log import NodeStarted, now_ms
 from tests.testbed.cluster_fixtures import of, until
 
 NODES, BEARS = 12, 3
-TURNS = [Turns(me, NODES, BEARS).first_ms() for me in range(NODES)]  # over 5 s
+TURNS = [StaggeredSchedule(me, NODES, BEARS).first_delay_ms() for me in range(NODES)]  # over 5 s
 CLOSE_MS = min(b - a for a, b in zip(sorted(TURNS), sorted(TURNS)[3:], strict=False))  # of any four
 EARLY_MS = 2.0  # by which a timer may fire before its time
 LIMIT_S = 90.0
--- a/tests/system/test_timeline.py
+++ b/tests/system/test_timeline.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from balancer.net.admin_socket import ControlError, ask
+from balancer.net.admin_socket import AdminSocketError, ask
 from tests.sockets import (
     ROOT,
     WAIT,
@@ -112,7 +112,7 @@
 async def told(path: Path, holds: Callable[[dict[str, Any]], object], **more: Any) -> dict[str, Any]:
     """What the time line says, once that holds; nothing is known of a server before its first point."""
     while True:
-        with contextlib.suppress(ControlError):
+        with contextlib.suppress(AdminSocketError):
             if holds(found := await asked(path, "timeline", **more)):
                 return found
         await asyncio.sleep(0.1)
--- a/tests/test_benchmarks.py
+++ b/tests/test_benchmarks.py
@@ -82,10 +82,10 @@
 
 
 def test_a_constant_is_set_for_one_play_alone() -> None:
-    was = policy.SPARE
+    was = policy.OVERLOAD_REQUESTS_PER_CORE
     with other("SPARE", (1e8, 1e9)):
-        assert policy.SPARE == (1e8, 1e9)
-    assert was == policy.SPARE
+        assert policy.OVERLOAD_REQUESTS_PER_CORE == (1e8, 1e9)
+    assert was == policy.OVERLOAD_REQUESTS_PER_CORE
     for question in QUESTIONS.values():
         assert hasattr(policy, question.name) and set(question.days) <= set(DAYS)
 
@@ -100,7 +100,7 @@
     subject = Subject(20, 1, 8)
     subject.requests()
     assert len(subject.spent) == 1 and len(subject.live) == 8
-    subject.node.trust = -1.0
+    subject.node.success_rate = -1.0
     subject.node.rng.random = lambda: 0.99  # type: ignore[method-assign]
     with pytest.raises((RuntimeError, IndexError)):
         subject.requests()
--- a/tests/testbed/test_disk_faults.py
+++ b/tests/testbed/test_disk_faults.py
@@ -33,22 +33,25 @@
 def test_the_newest_file_is_torn_flipped_or_blocked_as_the_seed_says(place: Path) -> None:
     new = place / "deep/new"
     for seed in (1, 2):
-        disk.flipped(place, random.Random(seed))
+        disk.flip_bits_in_newest_file(place, random.Random(seed))
         wrong = sum((a ^ b).bit_count() for a, b in zip(new.read_bytes(), DATA, strict=True))
         assert wrong == 8
         new.write_bytes(DATA)
     lengths = set()
     for seed in range(20):
         new.write_bytes(DATA)
-        disk.torn(place, random.Random(seed))
+        disk.truncate_newest_file(place, random.Random(seed))
         assert DATA.startswith(new.read_bytes())
         lengths.add(len(new.read_bytes()))
     assert len(lengths) > 10 and max(lengths) < len(DATA)
     new.write_bytes(DATA)
-    disk.blocked(place)
+    disk.replace_newest_file_by_directory(place)
     assert new.is_dir() and contents(place) == {"old": DATA, "empty": b""}
-    disk.wiped(place)
-    for act in (disk.torn, disk.flipped):  # nothing is there: nothing happens
+    disk.empty_directory(place)
+    for act in (
+        disk.truncate_newest_file,
+        disk.flip_bits_in_newest_file,
+    ):  # nothing is there: nothing happens
         act(place, random.Random(1))
     assert place.is_dir() and not list(place.iterdir())
 
@@ -60,19 +63,19 @@
         (other / "mine").write_text(other.name)
     before = contents(place)
     with pytest.raises(FileNotFoundError, match=r"no copy of n0\.state was taken"):
-        disk.restored(place)
-    disk.copied(place)
-    disk.swapped([place, *others])
+        disk.restore_copy(place)
+    disk.save_copy(place)
+    disk.swap_directories([place, *others])
     assert [sorted(contents(one)) for one in (place, *others)] == [["mine"], sorted(before), ["mine"]]
     assert contents(place)["mine"] == b"n2.state" and contents(others[1])["mine"] == b"n1.state"
-    disk.restored(place)
+    disk.restore_copy(place)
     assert contents(place) == before
-    disk.away(place, True)
-    disk.away(place, True)
+    disk.set_directory_hidden(place, True)
+    disk.set_directory_hidden(place, True)
     with pytest.raises(NotADirectoryError):
         (place / "old").read_bytes()
-    disk.away(place, False)
-    disk.away(place, False)
+    disk.set_directory_hidden(place, False)
+    disk.set_directory_hidden(place, False)
     assert contents(place) == before
 
 
@@ -93,7 +96,7 @@
     said = []
     try:
         for size in (None, 10, 0, None):
-            disk.full(process.pid, size)
+            disk.limit_file_size(process.pid, size)
             print(tmp_path / "f", file=process.stdin, flush=True)
             said.append(process.stdout.readline().strip())
     finally:
--- a/tests/testbed/test_jut_model.py
+++ b/tests/testbed/test_jut_model.py
@@ -58,7 +58,7 @@
 def test_the_switch_is_the_paper_to_the_letter() -> None:
     """Ties below m and all at m are uniform; an idle sign zeroes the estimate whatever is out."""
     names = [f"s{n}" for n in range(4)]
-    node = Balancer(Run(4, 0.8, 0.1, 2, 1, 1).settings(), 1, literal=2)
+    node = Balancer(Run(4, 0.8, 0.1, 2, 1, 1).settings(), 1, literal_cap=2)
     entries = [api.Endpoint(name, "", 0, 1.0, api.Phase.UP, 0.0) for name in names]
     node.handle(0.0, api.EndpointsUpdated(api.EndpointUpdateKind.SNAPSHOT, entries))
 
@@ -80,7 +80,7 @@
         ended(number, name)
     assert all(430 < count < 570 for count in counts.values())  # within 3.6 deviations
     node.handle(2.0, api.ProbeFinished("s2", api.AttemptStatus.OK, 0.0, api.LoadReport(in_flight=0.0)))
-    assert [sent(9_000), sent(9_001)] == ["s2", "s2"] and node.backends["s2"].estimate == 2
+    assert [sent(9_000), sent(9_001)] == ["s2", "s2"] and node.backends["s2"].queue_estimate == 2
 
 
 def test_hyperexponential_work_has_the_moments_it_is_asked_for() -> None:
--- a/tests/testbed/test_scenario_runner.py
+++ b/tests/testbed/test_scenario_runner.py
@@ -61,7 +61,7 @@
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     monkeypatch.setattr("sys.stderr", terminal := Terminal())
-    with lab._onlooker(8.0) as (say, look):
+    with lab._progress_printer(8.0) as (say, look):
         assert look is not None
         look(2.0)
         say("a fault")
--- a/tests/testbed/test_simulation.py
+++ b/tests/testbed/test_simulation.py
@@ -169,7 +169,7 @@
         assert isinstance(node.policy, Balancer)
         entries = [api.Endpoint(f"s{n}", "a", n // 6, 1.0, api.Phase.UP, 0.0) for n in range(servers)]
         node.policy.handle(0.0, api.EndpointsUpdated(api.EndpointUpdateKind.SNAPSHOT, entries))
-        fed.update(node.policy.order[: node.policy.width])
+        fed.update(node.policy.order[: node.policy.subset_size])
     mean = fed.total() / servers
     assert len(fed) == servers and min(fed.values()) >= 0.7 * mean and max(fed.values()) <= 1.4 * mean
 
--- a/tests/timeline/test_recorder.py
+++ b/tests/timeline/test_recorder.py
@@ -26,7 +26,7 @@
 from balancer.timeline import (
     schema as keys,
 )
-from balancer.timeline.monitor import Watch
+from balancer.timeline.monitor import TimelineMonitor
 from balancer.timeline.recorder import OTHERS, PAST, Recorder
 from balancer.timeline.request_traces import MOST
 from balancer.timeline.time_series import Bucket
@@ -42,7 +42,7 @@
     return out
 
 
-def rest(one: Recorder | Watch, now_ms: float) -> None:
+def rest(one: Recorder | TimelineMonitor, now_ms: float) -> None:
     """A second is over."""
     one.begin(now_ms)
     while one.step():
@@ -208,7 +208,7 @@
 
 
 def test_what_was_decided_about_one_request_in_order() -> None:
-    w = Watch(BASE, 4.0)
+    w = TimelineMonitor(BASE, 4.0)
     r = w.recorder
     send = api.SendAttempt("q", "a", 400.0, DecisionReason.DRAWN_AT_CAP, DecisionReason.FIRST_ATTEMPT, 5, 2)
     r.on_decision(NOW, api.RequestArrived("q", "read", NOW + 1_000), [send])
@@ -266,7 +266,7 @@
 
 
 def test_views_have_a_bound_and_refuse_plainly() -> None:
-    w = Watch(BASE, 16.0)
+    w = TimelineMonitor(BASE, 16.0)
     for second in range(1, 1_500):
         now = NOW + second * 1_000
         for n in range(6):
