--- a/tests/core/cluster/test_gossiped_removals.py
+++ b/tests/core/cluster/test_gossiped_removals.py
@@ -120,7 +120,12 @@
 
 
 def test_all_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    for name, bound in (("CLAIMS", 6), ("WITNESSES", 4), ("LIES", 4), ("RECENT", 4)):
+    for name, bound in (
+        ("MAX_CLAIMS", 6),
+        ("MAX_REPORTERS_PER_CLAIM", 4),
+        ("MAX_REFUTED_CLAIMS", 4),
+        ("MAX_RECENT_REMOVALS", 4),
+    ):
         monkeypatch.setattr(hearsay, name, bound)
     its = node()
     told(its, 0, "bcdefghijk", "server-1")
--- a/tests/core/cluster/test_node_state.py
+++ b/tests/core/cluster/test_node_state.py
@@ -106,7 +106,7 @@
 
 
 def test_words_are_bounded_and_every_datagram_fits(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(views, "PEERS_MAX", 100)
+    monkeypatch.setattr(views, "MAX_PEERS", 100)
     its = node(*(goes(f"x{number}", zone="z" * (number % 50)) for number in range(200)))
     assert len(its.states) == 101
     sent = [action for action in on_for(its, 2_000) if isinstance(action, views.SendStates)]
@@ -121,9 +121,9 @@
 @pytest.mark.parametrize(
     ("what", "of", "other"),
     [
-        ("settings", "platform", {"files": (9, 2)}),
-        ("settings", "operators", {"files": (1, 9)}),
-        ("version", "", {"version": "0.35.0"}),
+        ("settings", "platform", {"settings_digests": (9, 2)}),
+        ("settings", "operators", {"settings_digests": (1, 9)}),
+        ("version", "", {"program_version": "0.35.0"}),
         ("list", "", {"digest": 9}),
         ("order", "platform", {"sources": (("platform", 9, 1, 2), ("etcd", 6, 1, 2))}),
     ],
--- a/tests/core/cluster/test_quota_allocation.py
+++ b/tests/core/cluster/test_quota_allocation.py
@@ -103,12 +103,12 @@
     fleet.meet([4, 5])
     assert fleet.nodes[5].has_quota and fleet.sum == 1
     fleet.wait(10 * DIVISOR_DECREASE_DELAY_MS)
-    assert {node.count for node in fleet.nodes} == {6}  # whoever is silent is counted
+    assert {node.divisor for node in fleet.nodes} == {6}  # whoever is silent is counted
     fleet.leave(5, [0, 1, 2, 3, 4])
     fleet.wait(DIVISOR_DECREASE_DELAY_MS - 1)
-    assert {node.count for node in fleet.nodes[:5]} == {6}
+    assert {node.divisor for node in fleet.nodes[:5]} == {6}
     fleet.wait(1)
-    assert {node.count for node in fleet.nodes[:5]} == {5} and fleet.sum == 1
+    assert {node.divisor for node in fleet.nodes[:5]} == {5} and fleet.sum == 1
 
 
 def test_all_that_start_anew_are_sure_once_they_heard_each_other_late_enough() -> None:
