--- a/tests/protocol/test_gossip_sections.py
+++ b/tests/protocol/test_gossip_sections.py
@@ -1,9 +1,11 @@
-"""Sections behind the words: what is written is read, nothing raises, older nodes pass over them."""
+"""Gossip sections: decoded as encoded, no decoder raises, and older nodes skip them."""
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from random import Random
 
+import pytest
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -15,84 +17,116 @@
     SendDatagram,
     TimerFired,
 )
-from balancer.protocol import gossip
-from balancer.protocol import gossip_sections as goes_by
+from balancer.protocol import gossip, gossip_sections
+from balancer.protocol.gossip_sections import NodeState, SourcePosition
 
 KEY = gossip.Key(b"k" * 32)
-LONG, NUMBER, TEXT = st.integers(0, 2**32 - 1), st.integers(0, 2**64 - 1), st.text(max_size=12)
-GOES: st.SearchStrategy[goes_by.NodeState] = st.tuples(
+UINT32, NUMBER, TEXT = st.integers(0, 2**32 - 1), st.integers(0, 2**64 - 1), st.text(max_size=12)
+SOURCE_POSITIONS = st.lists(
+    st.builds(SourcePosition, st.sampled_from(["platform", "etcd", "x", ""]), UINT32, NUMBER, NUMBER),
+    max_size=4,
+).map(tuple)
+NODE_STATES = st.builds(
+    NodeState,
     st.text(min_size=1, max_size=12),
     *[NUMBER] * 7,
-    LONG,
-    st.tuples(LONG, LONG),
+    UINT32,
+    st.tuples(UINT32, UINT32),
     TEXT,
     TEXT,
-    st.lists(st.tuples(st.sampled_from(["platform", "etcd", "x", ""]), LONG, NUMBER, NUMBER), max_size=4).map(
-        tuple
-    ),
+    SOURCE_POSITIONS,
 )
+DIGESTS = st.lists(st.tuples(st.integers(0, 65_535), st.integers(0, 2**48 - 1)), max_size=20)
 
 
-@given(GOES, st.binary(max_size=9))
-def test_a_word_is_read_as_written_also_with_more_behind_it(word: goes_by.NodeState, behind: bytes) -> None:
-    data = goes_by.encode_node_state(word)
-    assert goes_by.decode_node_state(data) == goes_by.decode_node_state(data + behind) == word
+@given(NODE_STATES, st.binary(max_size=9))
+def test_node_state_is_decoded_as_encoded_also_with_unknown_fields_behind(
+    state: NodeState, behind: bytes
+) -> None:
+    data = gossip_sections.encode_node_state(state)
+    assert gossip_sections.decode_node_state(data) == state
+    assert gossip_sections.decode_node_state(data + behind) == state
     for length in range(len(data)):
-        assert goes_by.decode_node_state(data[:length]) is None
+        assert gossip_sections.decode_node_state(data[:length]) is None
 
 
-@given(st.lists(st.tuples(st.integers(0, 65_535), st.integers(0, 2**48 - 1)), max_size=20), NUMBER, TEXT)
-def test_digests_leaves_and_removals_are_read_as_written(
-    digests: list[tuple[int, int]], key: int, name: str
-) -> None:
-    assert goes_by.decode_tree_digests(goes_by.encode_tree_digests(digests)) == digests
-    entries = [(key ^ place, digest) for place, digest in digests]
-    assert goes_by.decode_leaf_entries(goes_by.encode_leaf_entries(7, entries)) == (7, entries)
-    out = [(f"{name}{place}", key, place % 2) for place, _ in digests]
-    assert goes_by.decode_removals(goes_by.encode_removals(name, 9, out)) == (name, 9, out)
-    known = tuple((place, digest % 2**32, place % 2 == 0) for place, digest in digests)
-    counted = 1, 2, 3, True, False, known
-    assert goes_by.decode_quota_report(goes_by.encode_quota_report(*counted)) == counted
+@given(DIGESTS)
+def test_tree_digests_are_decoded_as_encoded(digests: list[tuple[int, int]]) -> None:
+    data = gossip_sections.encode_tree_digests(digests)
+    assert gossip_sections.decode_tree_digests(data) == digests
+
+
+@given(DIGESTS, NUMBER)
+def test_leaf_entries_are_decoded_as_encoded(digests: list[tuple[int, int]], key: int) -> None:
+    entries = [(key ^ tree_index, digest) for tree_index, digest in digests]
+    data = gossip_sections.encode_leaf_entries(7, entries)
+    assert gossip_sections.decode_leaf_entries(data) == (7, entries)
+
+
+@given(DIGESTS, NUMBER, TEXT)
+def test_removals_are_decoded_as_encoded(digests: list[tuple[int, int]], revision: int, name: str) -> None:
+    removals = [(f"{name}{number}", revision, number % 2) for number, _ in digests]
+    data = gossip_sections.encode_removals(name, 9, removals)
+    assert gossip_sections.decode_removals(data) == (name, 9, removals)
+
+
+@given(DIGESTS)
+def test_quota_report_is_decoded_as_encoded(digests: list[tuple[int, int]]) -> None:
+    newcomers = tuple((index, digest % 2**32, index % 2 == 0) for index, digest in digests)
+    data = gossip_sections.encode_quota_report(1, 2, 3, True, False, newcomers)
+    assert gossip_sections.decode_quota_report(data) == (1, 2, 3, True, False, newcomers)
+
+
+@pytest.mark.parametrize(
+    "decode",
+    [
+        gossip_sections.decode_node_state,
+        gossip_sections.decode_quota_report,
+        gossip_sections.decode_tree_digests,
+        gossip_sections.decode_leaf_entries,
+        gossip_sections.decode_removals,
+        gossip_sections.decode_removals_query,
+    ],
+)
+@given(data=st.binary(max_size=220))
+def test_decoder_of_any_bytes_does_not_raise(decode: Callable[[bytes], object], data: bytes) -> None:
+    decode(data)
 
 
 @given(st.binary(max_size=220))
-def test_whatever_comes_never_raises(data: bytes) -> None:
-    for read in (
-        goes_by.decode_node_state,
-        goes_by.decode_tree_digests,
-        goes_by.decode_leaf_entries,
-        goes_by.decode_removals,
-    ):
-        read(data)
-    goes_by.decode_quota_report(data)
-    signed = gossip.Writer("a", [KEY]).write(1, gossip.Message(1, 1, "", "", ()))[: -gossip.MAC_BYTES] + data
-    assert isinstance(gossip.Reader([KEY]).read(0, "x", signed + KEY.mac(signed)), gossip.AcceptedDatagram)
+def test_datagram_with_any_bytes_behind_its_records_is_accepted(behind: bytes) -> None:
+    datagram = gossip.Writer("a", [KEY]).write(1, gossip.Message(1, 1, "", "", ()))
+    signed = datagram[: -gossip.MAC_BYTES] + behind
+    accepted = gossip.Reader([KEY]).read(0, "x", signed + KEY.mac(signed))
+    assert isinstance(accepted, gossip.AcceptedDatagram)
 
 
 @given(st.lists(st.tuples(st.integers(0, 255), st.binary(max_size=40)), max_size=4), st.binary(max_size=1))
-def test_sections_are_read_behind_the_words_and_a_cut_one_ends_them(
-    sections: list[tuple[int, bytes]], cut: bytes
+def test_sections_follow_the_records_and_a_truncated_one_ends_them(
+    sections: list[tuple[int, bytes]], truncated: bytes
 ) -> None:
-    told = gossip.Message(2, 7, "b", "", (("c", 1, 5, "10.0.0.3:7946", 9),))
-    data = gossip.Writer("a", [KEY]).write(1, told, sections)[: -gossip.MAC_BYTES] + cut
-    read = gossip.Reader([KEY]).read(0, "x", data + KEY.mac(data))
-    assert read == gossip.AcceptedDatagram("a", 1, told, True, tuple(sections))
+    message = gossip.Message(2, 7, "b", "", (("c", 1, 5, "10.0.0.3:7946", 9),))
+    datagram = gossip.Writer("a", [KEY]).write(1, message, sections)
+    signed = datagram[: -gossip.MAC_BYTES] + truncated
+    accepted = gossip.Reader([KEY]).read(0, "x", signed + KEY.mac(signed))
+    assert accepted == gossip.AcceptedDatagram("a", 1, message, True, tuple(sections))
 
 
-def test_an_older_node_takes_a_datagram_of_sections_for_a_sign_of_life() -> None:
-    """Its decider knows neither the kind nor the sections, and answers nothing."""
+def test_older_node_counts_a_datagram_of_sections_as_a_sign_of_life() -> None:
+    """Its failure detector knows neither the kind nor the sections, and answers nothing."""
     old = FailureDetector(
         "b", "10.0.0.2:1", (), 0, Random(1), gossip.record_size_bytes, gossip.record_space_bytes
     )
-    word = ("a", 1, 1, 0, 3, 0, 0, 2, 7, (1, 2), "0.1", "z", ())
-    told = gossip.Message(goes_by.MESSAGE_KIND, 0, "", "", ())
-    data = gossip.Writer("a", [KEY]).write(1, told, [(goes_by.NODE_STATE, goes_by.encode_node_state(word))])
-    read = gossip.Reader([KEY]).read(0, "10.0.0.1:1", data)
-    assert isinstance(read, gossip.AcceptedDatagram)
-    actions = old.handle(
-        0, DatagramReceived(read.sender, read.incarnation, "10.0.0.1:1", Message(*read.message))
-    )
-    assert old.state_of("a") is PeerState.ALIVE and not any(
-        isinstance(action, SendDatagram) for action in actions
+    state = NodeState("a", 1, 1, 0, 3, 0, 0, 2, 7, (1, 2), "0.1", "z", ())
+    section = gossip_sections.NODE_STATE, gossip_sections.encode_node_state(state)
+    message = gossip.Message(gossip_sections.MESSAGE_KIND, 0, "", "", ())
+    datagram = gossip.Writer("a", [KEY]).write(1, message, [section])
+    accepted = gossip.Reader([KEY]).read(0, "10.0.0.1:1", datagram)
+    assert isinstance(accepted, gossip.AcceptedDatagram)
+    received = DatagramReceived(
+        accepted.sender, accepted.incarnation, "10.0.0.1:1", Message(*accepted.message)
     )
+    actions = old.handle(0, received)
+    assert old.state_of("a") is PeerState.ALIVE
+    assert not any(isinstance(action, SendDatagram) for action in actions)
     old.handle(1, TimerFired())
