--- a/balancer/core/cluster/anti_entropy.py
+++ b/balancer/core/cluster/anti_entropy.py
@@ -1,154 +1,189 @@
-"""Which entries of two lists differ, found by digests of parts of them: no list is sent.
+"""Finds the entries in which two endpoint lists differ, by a hash tree; the lists themselves are not sent.
 
-Entries lie by a hash of their names in LEAVES leaves of a binary tree; a place holds the exclusive or of the
-entries below it, so a change costs one step a level, and equal sets have equal digests in whatever order they
-came. Of a place that differs the other side gets the digests DOWN levels below, of a leaf its entries. Both
-sides hold no state of a search: what is lost on the way, or beyond the bound, is found by the next one.
+Entries are placed in the LEAF_COUNT leaves of a binary tree by a hash of their names (a Merkle tree, as in
+Amazon Dynamo). A node of the tree holds the exclusive or of the digests of the entries below it, so a change
+costs one step per level, and equal sets have equal digests whatever the order of their changes. Where a tree
+node differs, the answer carries the digests LEVELS_PER_ANSWER levels below it, or the entries of the leaf.
+Neither side keeps state of a search: what is lost on the way or exceeds a bound is found by the next one.
 """
 
 from __future__ import annotations
 
-from collections.abc import Iterable, Sequence
+from collections.abc import Iterable
 from dataclasses import dataclass
 from hashlib import blake2b
+from typing import NamedTuple
 
 from balancer.endpoints import EndpointRecord
 
-TREE_DEPTH = 12
-LEAF_COUNT = 1 << TREE_DEPTH  # 10,000 entries: two or three a leaf
-LEVELS_PER_ANSWER = 3  # levels an answer goes down: benchmarks/node_state_gossip.py weighs 1 to 4
-DIGEST_MASK = (1 << 48) - 1
-MAX_DIGESTS_PER_DATAGRAM, MAX_ENTRIES_PER_DATAGRAM = (
-    23,
-    13,
-)  # of a datagram: what fits 256 bytes beside names of 16
-MAX_ANSWER_DATAGRAMS = 16  # datagrams for one that came, at the most
-MAX_DIFFERING_NAMES = 64  # differing names that are told at once
+TREE_DEPTH = 12  # levels below the root
+LEAF_COUNT = 1 << TREE_DEPTH  # two or three of 10,000 entries to a leaf
+LEVELS_PER_ANSWER = 3  # benchmarks/node_state_gossip.py compares 1 to 4
+KEY_BITS = 64
+DIGEST_MASK = (1 << 48) - 1  # of the digests that are sent
+LIST_DIGEST_MASK = (1 << 32) - 1  # of the root's digest, as nodes advertise it
+# What fits a datagram of 256 bytes beside node names of 16 bytes.
+MAX_DIGESTS_PER_DATAGRAM = 23
+MAX_ENTRIES_PER_DATAGRAM = 13
+MAX_ANSWER_DATAGRAMS = 16  # to one datagram
+MAX_DIFFERING_NAMES = 64  # reported at once
+
+
+class TreeDigest(NamedTuple):
+    """The digest of a tree node. The root has the index 1, the children of node n are 2n and 2n + 1."""
+
+    tree_index: int
+    digest: int
+
+
+class LeafEntry(NamedTuple):
+    """The hash of an entry's name and the digest of its content."""
+
+    key: int
+    digest: int
 
 
 @dataclass(slots=True, frozen=True)
 class TreeDigests:
-    """A datagram: places and their digests."""
+    """A datagram: digests of tree nodes."""
 
-    digests: tuple[tuple[int, int], ...]
+    digests: tuple[TreeDigest, ...]
 
 
 @dataclass(slots=True, frozen=True)
 class LeafEntries:
-    """A datagram: all entries of a leaf (key, digest); one of over ENTRIES is told in part."""
+    """A datagram: the entries of a leaf, the first MAX_ENTRIES_PER_DATAGRAM if there are more."""
 
     tree_index: int
-    entries: tuple[tuple[int, int], ...]
+    entries: tuple[LeafEntry, ...]
+
+
+Message = TreeDigests | LeafEntries
 
 
 @dataclass(slots=True, frozen=True)
 class Difference:
-    """Names that differ, or that the other side does not have; and how many only the other side has."""
+    """Own entries that differ or that the other side lacks, and the number that this side lacks."""
 
     names: tuple[str, ...]
     missing_count: int
 
 
+class Reply(NamedTuple):
+    """What follows from a message: at most MAX_ANSWER_DATAGRAMS answers, and what was found."""
+
+    answers: list[Message]
+    difference: Difference | None
+
+
 def entry_key(name: str) -> int:
-    """Where a name lies: 64 bits."""
+    """The hash that places an entry, KEY_BITS wide."""
     return int.from_bytes(blake2b(name.encode(), digest_size=8).digest())
 
 
-def entry_digest(member: EndpointRecord) -> int:
-    """What is compared of an entry: all but its age and its address, which may be each node's own."""
-    entry = member.endpoint
-    said = (
-        entry.id,
-        entry.zone,
-        entry.cell,
-        entry.kind,
-        entry.phase.value,
-        entry.weight,
-        entry.started_at_ms,
+def entry_digest(record: EndpointRecord) -> int:
+    """The digest of an entry's content, but for its age and its address, which may be each node's own."""
+    endpoint = record.endpoint
+    content = (
+        endpoint.id,
+        endpoint.zone,
+        endpoint.cell,
+        endpoint.kind,
+        endpoint.phase.value,
+        endpoint.weight,
+        endpoint.started_at_ms,
     )
-    return int.from_bytes(blake2b(repr(said).encode(), digest_size=8).digest())
+    return int.from_bytes(blake2b(repr(content).encode(), digest_size=8).digest())
 
 
 class DigestTree:
-    """The digests of one view. Changed by what `membership.Apply` says."""
+    """The hash tree of one node's view, updated by what `endpoint_merger` applies to that view."""
 
-    def __init__(self, down: int = LEVELS_PER_ANSWER) -> None:
-        self._levels_per_answer = down
-        self._tree = [0] * (2 * LEAF_COUNT)  # place 1 is the root, 2p and 2p + 1 are below p
-        self._leaves: dict[int, dict[str, tuple[int, int]]] = {}  # place -> name -> key, digest
+    def __init__(self, levels_per_answer: int = LEVELS_PER_ANSWER) -> None:
+        self._levels_per_answer = levels_per_answer
+        self._tree = [0] * (2 * LEAF_COUNT)  # digests by tree index; index 0 is unused
+        self._leaves: dict[int, dict[str, tuple[int, int]]] = {}  # tree index -> name -> key, digest
 
     def __len__(self) -> int:
         return sum(map(len, self._leaves.values()))
 
     @property
     def digest(self) -> int:
-        """Of the whole list, 32 bits, as it goes into a word (`views.Goes`); 0: it is empty."""
-        return self._tree[1] & 0xFFFFFFFF
+        """The digest of the whole list in 32 bits (`AdvertisedState.endpoints_digest`); 0: it is empty."""
+        return self._tree[1] & LIST_DIGEST_MASK
 
-    def apply(self, members: Iterable[EndpointRecord], removed: Iterable[EndpointRecord]) -> None:
-        """What changed in the view."""
-        for member in members:
-            self._set_entry(member.id, entry_digest(member))
-        for member in removed:
-            self._set_entry(member.id, None)
+    def apply(self, records: Iterable[EndpointRecord], removed: Iterable[EndpointRecord]) -> None:
+        """Add or replace `records`, and drop `removed`."""
+        for record in records:
+            self._set_entry(record.id, entry_digest(record))
+        for record in removed:
+            self._set_entry(record.id, None)
 
     def _set_entry(self, name: str, digest: int | None) -> None:
         key = entry_key(name)
-        place = LEAF_COUNT + (key >> 64 - TREE_DEPTH)
-        leaf = self._leaves.setdefault(place, {})
-        _, before = leaf.pop(name, (0, 0))
+        tree_index = LEAF_COUNT + (key >> KEY_BITS - TREE_DEPTH)
+        leaf = self._leaves.setdefault(tree_index, {})
+        _, previous = leaf.pop(name, (0, 0))
         if digest is not None:
             leaf[name] = (key, digest)
         elif not leaf:
-            del self._leaves[place]
-        change = before ^ (digest or 0)
-        while place and change:
-            self._tree[place] ^= change
-            place >>= 1
+            del self._leaves[tree_index]
+        change = previous ^ (digest or 0)
+        while tree_index and change:
+            self._tree[tree_index] ^= change
+            tree_index >>= 1
 
     def start_search(self) -> TreeDigests:
-        """What begins a search: the first digests below the root."""
+        """The first message of a search: the digests below the root."""
         return TreeDigests(tuple(self._descendant_digests(1)))
 
-    def _descendant_digests(self, place: int) -> list[tuple[int, int]]:
-        down = min(self._levels_per_answer, TREE_DEPTH - place.bit_length() + 1)
-        return [(p, self._tree[p] & DIGEST_MASK) for p in range(place << down, (place + 1) << down)]
-
-    def receive(
-        self, told: TreeDigests | LeafEntries
-    ) -> tuple[list[TreeDigests | LeafEntries], Difference | None]:
-        """What to answer, at most ANSWERS datagrams, and what was found."""
-        if isinstance(told, LeafEntries):
-            return [], self._compare_leaf(told)
-        out: list[TreeDigests | LeafEntries] = []
-        digests: list[tuple[int, int]] = []
-        for place, digest in told.digests[:MAX_DIGESTS_PER_DATAGRAM]:
-            if not 0 < place < 2 * LEAF_COUNT or self._tree[place] & DIGEST_MASK == digest:
+    def receive(self, message: Message) -> Reply:
+        """Compare a peer's message with this tree."""
+        match message:
+            case LeafEntries():
+                return Reply([], self._compare_leaf(message))
+            case TreeDigests():
+                return Reply(self._answer_digests(message), None)
+
+    def _answer_digests(self, message: TreeDigests) -> list[Message]:
+        """Leaves first, then the digests below the other nodes that differ."""
+        answers: list[Message] = []
+        digests: list[TreeDigest] = []
+        for tree_index, digest in message.digests[:MAX_DIGESTS_PER_DATAGRAM]:
+            if not 0 < tree_index < 2 * LEAF_COUNT or self._tree[tree_index] & DIGEST_MASK == digest:
                 continue
-            if place < LEAF_COUNT:
-                digests += self._descendant_digests(place)
+            if tree_index < LEAF_COUNT:
+                digests += self._descendant_digests(tree_index)
             else:
-                mine = (self._leaves.get(place) or {}).values()
-                out.append(
-                    LeafEntries(
-                        place,
-                        tuple((key, value & DIGEST_MASK) for key, value in mine)[:MAX_ENTRIES_PER_DATAGRAM],
-                    )
-                )
-        out += [
-            TreeDigests(tuple(digests[at : at + MAX_DIGESTS_PER_DATAGRAM]))
-            for at in range(0, len(digests), MAX_DIGESTS_PER_DATAGRAM)
+                answers.append(self._leaf_entries(tree_index))
+        for start in range(0, len(digests), MAX_DIGESTS_PER_DATAGRAM):
+            answers.append(TreeDigests(tuple(digests[start : start + MAX_DIGESTS_PER_DATAGRAM])))
+        return answers[:MAX_ANSWER_DATAGRAMS]
+
+    def _descendant_digests(self, tree_index: int) -> list[TreeDigest]:
+        """Digests `levels_per_answer` below a tree node, or those of the leaves if these are nearer."""
+        levels = min(self._levels_per_answer, TREE_DEPTH - tree_index.bit_length() + 1)
+        descendants = range(tree_index << levels, (tree_index + 1) << levels)
+        return [TreeDigest(index, self._tree[index] & DIGEST_MASK) for index in descendants]
+
+    def _leaf_entries(self, tree_index: int) -> LeafEntries:
+        entries = [
+            LeafEntry(key, digest & DIGEST_MASK)
+            for key, digest in (self._leaves.get(tree_index) or {}).values()
         ]
-        return out[:MAX_ANSWER_DATAGRAMS], None
+        return LeafEntries(tree_index, tuple(entries[:MAX_ENTRIES_PER_DATAGRAM]))
 
-    def _compare_leaf(self, told: LeafEntries) -> Difference | None:
-        theirs: Sequence[tuple[int, int]] = told.entries[:MAX_ENTRIES_PER_DATAGRAM]
-        held, mine = dict(theirs), self._leaves.get(told.tree_index) or {}
-        part = len(theirs) == MAX_ENTRIES_PER_DATAGRAM  # what is not named there may be there all the same
+    def _compare_leaf(self, message: LeafEntries) -> Difference | None:
+        theirs = dict(message.entries[:MAX_ENTRIES_PER_DATAGRAM])
+        own = self._leaves.get(message.tree_index) or {}
+        # A full message may omit entries that the other side has.
+        may_be_truncated = len(message.entries) >= MAX_ENTRIES_PER_DATAGRAM
         names = [
             name
-            for name, (key, digest) in mine.items()
-            if (not part or key in held) and held.get(key) != digest & DIGEST_MASK
+            for name, (key, digest) in own.items()
+            if (not may_be_truncated or key in theirs) and theirs.get(key) != digest & DIGEST_MASK
         ]
-        missing = len(held.keys() - {key for key, _ in mine.values()})
-        return Difference(tuple(names[:MAX_DIFFERING_NAMES]), missing) if names or missing else None
+        missing_count = len(theirs.keys() - {key for key, _ in own.values()})
+        if not names and not missing_count:
+            return None
+        return Difference(tuple(names[:MAX_DIFFERING_NAMES]), missing_count)
--- a/balancer/core/cluster/gossip_coordinator.py
+++ b/balancer/core/cluster/gossip_coordinator.py
@@ -1,56 +1,93 @@
-"""What a node does with its peers' words beside `core/cluster/failure_detector`: views, cuts, hearsay,
-shares, halves as one.
-
-Whoever has the sockets hands in each right datagram's sections (`Came`), the state of the node each ROUND_MS
-(`Round`), and what the merge applied (`on_source_applied`); sections go out as bytes by the codec that it
-was given
-(`protocol/gossip_sections`). A datagram counts only where its sender is there, at that address. Answers
-are bounded
-by ANSWERS a round.
+"""Runs the state machines that are fed by gossip beside `failure_detector`, as one.
+
+These are `node_state`, `partition_detector`, `gossiped_removals`, `quota_allocation` and `anti_entropy`. The
+owner of the sockets hands in the sections of each valid datagram (`SectionsReceived`), the status of the node
+in each gossip interval (`GossipIntervalElapsed`), and what the endpoint merger applied (`on_source_applied`).
+Sections are encoded by the codec given, `protocol/gossip_sections`. A datagram counts only if its sender is
+present, at the address that it came from. Answers are limited to MAX_ANSWERS_PER_ROUND in each interval.
 """
 
 from __future__ import annotations
 
-from collections.abc import Collection, Mapping, Sequence
+from collections.abc import Collection, Iterable, Mapping, Sequence
 from dataclasses import dataclass, field
+from enum import StrEnum
 from random import Random
-from types import ModuleType
+from typing import Any, NamedTuple, Protocol
 
 from balancer.core.cluster import (
-    gossiped_removals as hearsay,
-)
-from balancer.core.cluster import (
-    node_state as views,
-)
-from balancer.core.cluster import (
-    partition_detector as cuts,
-)
-from balancer.core.cluster import (
-    quota_allocation as shares,
-)
-from balancer.core.cluster.anti_entropy import (
-    Difference,
-    DigestTree,
-    LeafEntries,
-    TreeDigests,
+    anti_entropy,
+    gossiped_removals,
+    node_state,
+    partition_detector,
+    quota_allocation,
 )
 from balancer.core.cluster.failure_detector import FailureDetector, PeerState
-from balancer.core.discovery.endpoint_merger import ApplyEndpoints, EndpointsListed, Source
-from balancer.core.discovery.endpoint_merger import SourceState as Known
+from balancer.core.discovery.endpoint_merger import ApplyEndpoints, EndpointsListed, Source, SourceState
 from balancer.core.staggering import StaggeredSchedule
 from balancer.endpoints import EndpointRecord
 from balancer.interface import Phase
 
-Sections = Sequence[tuple[int, bytes]]
-
-MAX_ANSWERS_PER_ROUND = 64  # datagrams a round
-DIFFERENCE_SEARCH_INTERVAL_MS = 2_000.0  # between two searches for entries that differ
+MAX_ANSWERS_PER_ROUND = 64  # datagrams in a gossip interval
+DIFFERENCE_SEARCH_INTERVAL_MS = (
+    2_000.0  # between searches for differing entries, and between log lines of them
+)
 MAX_LOGGED_NAMES = 8
+MAX_LOGGED_NAME_LENGTH = 60
+SECTION_HEADER_BYTES = 2  # kind and length
+
+
+class Section(NamedTuple):
+    """A section of a datagram: its kind in the codec, and its bytes."""
+
+    kind: int
+    data: bytes
+
+
+Sections = Sequence[tuple[int, bytes]]  # fields of `Section`
+
+
+class SectionCodec(Protocol):
+    """The functions of `protocol/gossip_sections`, which this package may not import.
+
+    A decoder returns None for data that is malformed.
+    """
+
+    NODE_STATE: int
+    QUOTA_REPORT: int
+    TREE_DIGESTS: int
+    LEAF_ENTRIES: int
+    REMOVALS: int
+    REMOVALS_QUERY: int
+
+    def encode_node_state(self, state: node_state.AdvertisedState, /) -> bytes: ...
+    def decode_node_state(self, data: bytes, /) -> tuple[Any, ...] | None: ...
+    def encode_quota_report(
+        self,
+        node_index: int,
+        incarnation: int,
+        acknowledged_incarnation: int,
+        is_certain: bool,
+        wants_reply: bool,
+        newcomers: Iterable[tuple[int, int, bool]],
+        /,
+    ) -> bytes: ...
+    def decode_quota_report(self, data: bytes, /) -> tuple[Any, ...] | None: ...
+    def encode_tree_digests(self, digests: Iterable[tuple[int, int]], /) -> bytes: ...
+    def decode_tree_digests(self, data: bytes, /) -> Sequence[tuple[int, int]]: ...
+    def encode_leaf_entries(self, tree_index: int, entries: Iterable[tuple[int, int]], /) -> bytes: ...
+    def decode_leaf_entries(self, data: bytes, /) -> tuple[int, Sequence[tuple[int, int]]] | None: ...
+    def encode_removals(
+        self, source: str, identity_hash: int, removals: Sequence[tuple[str, int, int]], /
+    ) -> bytes: ...
+    def decode_removals(self, data: bytes, /) -> tuple[str, int, Sequence[tuple[str, int, int]]] | None: ...
+    def encode_removals_query(self, source: str, identity_hash: int, since_revision: int, /) -> bytes: ...
+    def decode_removals_query(self, data: bytes, /) -> tuple[str, int, int] | None: ...
 
 
 @dataclass(slots=True, frozen=True)
 class SectionsReceived:
-    """The sections of a right, fresh datagram, kind and bytes."""
+    """The sections of a valid datagram of the sender's current incarnation."""
 
     sender: str
     source_address: str
@@ -59,9 +96,10 @@
 
 @dataclass(slots=True, frozen=True)
 class GossipIntervalElapsed:
-    """How the node stands: `state` of its recovery as a number, digests of both settings files, the merge.
+    """The status of this node.
 
-    `servers`: by zone, how many are up, and how many of these are silent to this node.
+    `recovery_state` is an index into `recovery.RecoveryState`. `settings_digests` are those of the platform's
+    settings and of the operators' file. `sources` and `endpoints` are the merger's.
     """
 
     recovery_state: int
@@ -70,25 +108,36 @@
     zone: str
     sources: Sequence[Source]
     endpoints: Mapping[str, EndpointRecord]
-    backends_by_zone: Mapping[str, tuple[int, int]] = field(default_factory=dict)
+    backends_by_zone: Mapping[str, partition_detector.BackendCounts] = field(default_factory=dict)
 
 
-Event = SectionsReceived | GossipIntervalElapsed | shares.LoopStalled | shares.ShutdownStarted
+Event = (
+    SectionsReceived | GossipIntervalElapsed | quota_allocation.LoopStalled | quota_allocation.ShutdownStarted
+)
 
 
 @dataclass(slots=True, frozen=True)
 class SendGossip:
-    """One datagram of kind `goes_by.KIND`, under the incarnation that `peers` has."""
+    """Send one datagram without records, under the incarnation of the failure detector."""
 
     address: str
-    sections: tuple[tuple[int, bytes], ...]
+    sections: tuple[tuple[int, bytes], ...]  # fields of `Section`
+
+
+class TimelineEventName(StrEnum):
+    """Names of the events that are recorded on the time line."""
+
+    PARTITION_BEGAN = "cut_began"
+    PARTITION_HEALED = "cut_ended"
+    DIVERGENCE_BEGAN = "disagreement_began"
+    DIVERGENCE_ENDED = "disagreement_ended"
 
 
 @dataclass(slots=True, frozen=True)
 class RecordEvent:
-    """For the time line: cut_began, cut_ended, disagreement_began or disagreement_ended."""
+    """Record an event on the time line."""
 
-    name: str
+    name: TimelineEventName
     subject: str
     node_names: tuple[str, ...]
     reason: str
@@ -96,6 +145,8 @@
 
 @dataclass(slots=True, frozen=True)
 class WriteLog:
+    """Write a log line."""
+
     message: str
 
 
@@ -104,329 +155,368 @@
     | RecordEvent
     | WriteLog
     | EndpointsListed
-    | hearsay.FetchSnapshot
-    | hearsay.ResetGossipSource
-    | shares.PersistQuota
-    | shares.SetQuota
+    | gossiped_removals.FetchSnapshot
+    | gossiped_removals.ResetGossipSource
+    | quota_allocation.PersistQuota
+    | quota_allocation.SetQuota
 )
 
 
 class GossipCoordinator:
-    """`number`, `group`: the settings' `me` and `group_size`; `room`: bytes for sections in a datagram;
-    `alike`: see `views.order_in`.
+    """Passes events to the state machines and their actions out, in the order in which to perform them.
 
-    What it returns is to be done in its order.
+    `node_index` and `node_count` are the settings'. `capacity_bytes` is the space for sections in a datagram.
+    `sources_with_local_agents` is explained at `node_state.source_identity_hash`.
     """
 
     def __init__(
         self,
-        peers: FailureDetector,
-        number: int,
-        group: int,
-        kept: shares.PersistedQuota | None,
-        turns: StaggeredSchedule,
+        failure_detector: FailureDetector,
+        node_index: int,
+        node_count: int,
+        persisted_quota: quota_allocation.PersistedQuota | None,
+        time_slots: StaggeredSchedule,
         random: Random,
-        codec: ModuleType,
-        room: int,
-        alike: Collection[str] = (),
+        codec: SectionCodec,
+        capacity_bytes: int,
+        sources_with_local_agents: Collection[str] = (),
     ) -> None:
-        self.failure_detector, self.node_index, self.node_count, self.sources_with_local_agents = (
-            peers,
-            number,
-            group,
-            alike,
-        )
-        self.node_states = views.NodeStateTable(
-            peers.name, random, lambda word: 2 + len(codec.encode_node_state(word)), room
+        self.failure_detector = failure_detector
+        self.node_index, self.node_count = node_index, node_count
+        self.sources_with_local_agents = sources_with_local_agents
+        self.node_states = node_state.NodeStateTable(
+            failure_detector.name,
+            random,
+            lambda state: SECTION_HEADER_BYTES + len(codec.encode_node_state(state)),
+            capacity_bytes,
         )
-        self.partition_detector, self.digest_tree = cuts.PartitionDetector(), DigestTree()
-        self.gossiped_removals = hearsay.GossipedRemovals(turns, random, self._fitting_count)
-        self.quota: shares.QuotaAllocator | None = None  # until this life has its incarnation
-        self._persisted_quota, self._random, self._codec, self._capacity_bytes = kept, random, codec, room
+        self.partition_detector = partition_detector.PartitionDetector()
+        self.digest_tree = anti_entropy.DigestTree()
+        self.gossiped_removals = gossiped_removals.GossipedRemovals(time_slots, random, self._fitting_count)
+        self.quota: quota_allocation.QuotaAllocator | None = None  # until the incarnation is known
+        self._persisted_quota = persisted_quota
+        self._random, self._codec, self._capacity_bytes = random, codec, capacity_bytes
         self._last_search_ms = self._last_difference_ms = float("-inf")
         self._answer_count = 0
         self._actions: list[Action] = []
 
     def on_source_applied(self, now_ms: float, source: Source, applied: ApplyEndpoints) -> None:
-        """What the merge applied by a source's word. That of peers is not told on, nor is what they had said
-        before of a server that this source says something else of: an echo would pass for one more witness.
+        """Note what the merger applied because of a source, so that removals can be reported to peers.
+
+        Removals by the gossip source are not reported, nor is what peers said of an endpoint before this
+        source listed it anew: an echo would count as one more reporter.
         """
         self.digest_tree.apply(applied.records, applied.removed_records)
-        if source.name == views.GOSSIP_SOURCE_NAME or source.revision is None:
+        if source.name == node_state.GOSSIP_SOURCE_NAME or source.revision is None:
             return
         own = source.records
-        out = [
-            hearsay.ReportedRemoval(one.id, source.revision, True)
-            for one in applied.removed_records
-            if one.id not in own
+        removals = [
+            gossiped_removals.ReportedRemoval(record.id, source.revision, is_gone=True)
+            for record in applied.removed_records
+            if record.id not in own
         ]
-        out += [
-            hearsay.ReportedRemoval(one.id, source.revision, False)
-            for one in applied.records
-            if one.id in own and own[one.id].endpoint.phase is Phase.DRAINING
+        removals += [
+            gossiped_removals.ReportedRemoval(record.id, source.revision, is_gone=False)
+            for record in applied.records
+            if record.id in own and own[record.id].endpoint.phase is Phase.DRAINING
         ]
-        self.gossiped_removals.handle(now_ms, self._source_advanced(source, tuple(out)))
+        self.gossiped_removals.handle(now_ms, self._source_advanced(source, tuple(removals)))
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
-        """What follows from an event."""
+        """Apply an event; returns what to do, in this order."""
         self._actions = []
         match event:
             case SectionsReceived():
-                peer = self.failure_detector.peers.get(event.sender)
-                if (
-                    peer
-                    and peer.record.state <= PeerState.SUSPECT
-                    and peer.record.address == event.source_address
-                ):
+                if self._is_sender_present(event):
                     for kind, data in event.sections:
                         self._receive_section(now_ms, event, kind, data)
             case GossipIntervalElapsed():
                 self._answer_count = 0
                 self._run_round(now_ms, event)
-            case _:
+            case quota_allocation.LoopStalled() | quota_allocation.ShutdownStarted():
                 self._update_quota(now_ms, event)
         return self._actions
 
-    # --- what comes
+    def _is_sender_present(self, event: SectionsReceived) -> bool:
+        peer = self.failure_detector.peers.get(event.sender)
+        if peer is None:
+            return False
+        return peer.record.state <= PeerState.SUSPECT and peer.record.address == event.source_address
+
+    # --- received sections
 
     def _receive_section(self, now_ms: float, event: SectionsReceived, kind: int, data: bytes) -> None:
-        codec, to = self._codec, event.source_address
-        if kind == codec.NODE_STATE and (word := codec.decode_node_state(data)):
-            self.node_states.handle(now_ms, views.StatesReceived([views.AdvertisedState(*word)]))
-        elif kind == codec.QUOTA_REPORT and (counted := codec.decode_quota_report(data)):
-            told = shares.QuotaReport(*counted)
-            self._update_quota(now_ms, told)
-            if told.wants_reply and self.quota:
-                self._send_answer(
-                    to,
-                    codec.QUOTA_REPORT,
-                    self._encode_quota_report(self.quota, told.node_index, answer=True),
-                )
+        """Sections of an unknown kind, and malformed ones, are ignored."""
+        codec = self._codec
+        if kind == codec.NODE_STATE:
+            if state := codec.decode_node_state(data):
+                received = node_state.StatesReceived([node_state.AdvertisedState(*state)])
+                self.node_states.handle(now_ms, received)
+        elif kind == codec.QUOTA_REPORT:
+            if report := codec.decode_quota_report(data):
+                self._receive_quota_report(now_ms, event, quota_allocation.QuotaReport(*report))
         elif kind == codec.TREE_DIGESTS:
-            self._compare_digests(now_ms, event, TreeDigests(tuple(codec.decode_tree_digests(data))))
-        elif kind == codec.LEAF_ENTRIES and (leaf := codec.decode_leaf_entries(data)):
-            self._compare_digests(now_ms, event, LeafEntries(leaf[0], tuple(leaf[1])))
-        elif kind == codec.REMOVALS and (out := codec.decode_removals(data)):
-            said = [
-                hearsay.ReportedRemoval(server, revision, bool(gone)) for server, revision, gone in out[2]
-            ]
-            self.gossiped_removals.handle(
-                now_ms, hearsay.RemovalsReceived(event.sender, out[0], out[1], said)
-            )
-        elif kind == codec.REMOVALS_QUERY and (since := codec.decode_removals_query(data)):
-            self._apply_removal_actions(
-                self.gossiped_removals.handle(now_ms, hearsay.RemovalsQueried(to, *since))
-            )
-
-    def _send_answer(self, to: str, kind: int, data: bytes) -> None:
-        self._answer_count += 1
-        if self._answer_count <= MAX_ANSWERS_PER_ROUND:
-            self._actions.append(SendGossip(to, ((kind, data),)))
-
-    def _compare_digests(
-        self, now_ms: float, event: SectionsReceived, told: TreeDigests | LeafEntries
+            digests = (anti_entropy.TreeDigest(*digest) for digest in codec.decode_tree_digests(data))
+            self._compare_digests(now_ms, event, anti_entropy.TreeDigests(tuple(digests)))
+        elif kind == codec.LEAF_ENTRIES:
+            if leaf := codec.decode_leaf_entries(data):
+                entries = tuple(anti_entropy.LeafEntry(*entry) for entry in leaf[1])
+                self._compare_digests(now_ms, event, anti_entropy.LeafEntries(leaf[0], entries))
+        elif kind == codec.REMOVALS:
+            self._receive_removals(now_ms, event, data)
+        elif kind == codec.REMOVALS_QUERY and (query := codec.decode_removals_query(data)):
+            queried = gossiped_removals.RemovalsQueried(event.source_address, *query)
+            self._apply_removal_actions(self.gossiped_removals.handle(now_ms, queried))
+
+    def _receive_quota_report(
+        self, now_ms: float, event: SectionsReceived, report: quota_allocation.QuotaReport
     ) -> None:
-        answers, found = self.digest_tree.receive(told)
-        for answer in answers:
-            if isinstance(answer, LeafEntries):
-                self._send_answer(
-                    event.source_address,
-                    self._codec.LEAF_ENTRIES,
-                    self._codec.encode_leaf_entries(answer.tree_index, answer.entries),
-                )
-            else:
-                self._send_answer(
-                    event.source_address,
-                    self._codec.TREE_DIGESTS,
-                    self._codec.encode_tree_digests(answer.digests),
-                )
-        if (
-            isinstance(found, Difference)
-            and now_ms - self._last_difference_ms >= DIFFERENCE_SEARCH_INTERVAL_MS
-        ):
-            self._last_difference_ms = now_ms
-            names = ", ".join(f"{name:.60}" for name in found.names[:MAX_LOGGED_NAMES]) or "none"
-            self._actions.append(
-                WriteLog(f"not as {event.sender} has them: {names}; {found.missing_count} not here")
-            )
-
-    def _update_quota(self, now_ms: float, event: shares.Event) -> None:
-        if self.quota:
-            self._actions += self.quota.handle(now_ms, event)
+        self._update_quota(now_ms, report)
+        if report.wants_reply and self.quota:
+            # The answer asks for none: two nodes that both ask would answer each other for ever.
+            data = self._encode_quota_report(self.quota.report_for(report.node_index), wants_reply=False)
+            self._send_answer(event.source_address, self._codec.QUOTA_REPORT, data)
+
+    def _receive_removals(self, now_ms: float, event: SectionsReceived, data: bytes) -> None:
+        if (decoded := self._codec.decode_removals(data)) is None:
+            return
+        source, identity_hash, entries = decoded
+        removals = [
+            gossiped_removals.ReportedRemoval(endpoint_id, revision, bool(is_gone))
+            for endpoint_id, revision, is_gone in entries
+        ]
+        received = gossiped_removals.RemovalsReceived(event.sender, source, identity_hash, removals)
+        self.gossiped_removals.handle(now_ms, received)
 
-    def _apply_removal_actions(self, actions: Sequence[hearsay.Action]) -> None:
+    def _compare_digests(self, now_ms: float, event: SectionsReceived, message: anti_entropy.Message) -> None:
         codec = self._codec
-        for action in actions:
-            match action:
-                case hearsay.QueryRemovals():
-                    since = codec.encode_removals_query(
-                        action.source, action.identity_hash, action.since_revision
-                    )
-                    self._actions.append(SendGossip(action.address, ((codec.REMOVALS_QUERY, since),)))
-                case hearsay.SendRemovals():
-                    self._send_answer(
-                        action.address,
-                        codec.REMOVALS,
-                        self._encode_removals(action.source, action.identity_hash, action.removals),
-                    )
-                case hearsay.WriteLog():
-                    self._actions.append(WriteLog(action.message))
-                case _:
-                    self._actions.append(action)
-
-    def _encode_removals(self, source: str, order: int, out: Sequence[hearsay.ReportedRemoval]) -> bytes:
-        data = self._codec.encode_removals(
-            source, order, [(one.endpoint_id, one.revision, one.is_gone) for one in out]
-        )
-        assert isinstance(data, bytes)
-        return data
-
-    def _fitting_count(self, source: str, out: Sequence[hearsay.ReportedRemoval]) -> int:
-        count = 0
-        while (
-            count < len(out)
-            and 2 + len(self._encode_removals(source, 0, out[: count + 1])) <= self._capacity_bytes
-        ):
-            count += 1
-        return count
+        answers, difference = self.digest_tree.receive(message)
+        for answer in answers:
+            match answer:
+                case anti_entropy.LeafEntries():
+                    data = codec.encode_leaf_entries(answer.tree_index, answer.entries)
+                    self._send_answer(event.source_address, codec.LEAF_ENTRIES, data)
+                case anti_entropy.TreeDigests():
+                    data = codec.encode_tree_digests(answer.digests)
+                    self._send_answer(event.source_address, codec.TREE_DIGESTS, data)
+        if difference and now_ms - self._last_difference_ms >= DIFFERENCE_SEARCH_INTERVAL_MS:
+            self._last_difference_ms = now_ms
+            shown = (f"{name:.{MAX_LOGGED_NAME_LENGTH}}" for name in difference.names[:MAX_LOGGED_NAMES])
+            names = ", ".join(shown) or "none"
+            missing = f"{difference.missing_count} not here"
+            self._actions.append(WriteLog(f"not as {event.sender} has them: {names}; {missing}"))
 
-    def _encode_quota_report(self, its: shares.QuotaAllocator, to: int, answer: bool) -> bytes:
-        """An answer asks nothing: two that ask would answer each other for ever."""
-        word = its.report_for(to)
-        told = (
-            word.node_index,
-            word.incarnation,
-            word.acknowledged_incarnation,
-            word.is_certain,
-            word.wants_reply and not answer,
-            word.newcomers,
-        )
-        data = self._codec.encode_quota_report(*told)
-        assert isinstance(data, bytes)
-        return data
+    def _send_answer(self, address: str, kind: int, data: bytes) -> None:
+        self._answer_count += 1
+        if self._answer_count <= MAX_ANSWERS_PER_ROUND:
+            self._actions.append(SendGossip(address, (Section(kind, data),)))
 
-    # --- each round
+    # --- each gossip interval
 
     def _run_round(self, now_ms: float, event: GossipIntervalElapsed) -> None:
-        peers = self.failure_detector
-        if self.quota is None and not peers.is_asking_for_incarnation:
-            self.quota = shares.QuotaAllocator(
-                self.node_index, peers.incarnation, self.node_count, self._persisted_quota, now_ms
+        detector = self.failure_detector
+        if self.quota is None and not detector.is_asking_for_incarnation:
+            self.quota = quota_allocation.QuotaAllocator(
+                self.node_index, detector.incarnation, self.node_count, self._persisted_quota, now_ms
             )
-        here = {
-            name: p.record.address for name, p in peers.peers.items() if p.record.state <= PeerState.SUSPECT
+        addresses = {
+            name: peer.record.address
+            for name, peer in detector.peers.items()
+            if peer.record.state <= PeerState.SUSPECT
         }
-        words = [self.node_states.states[name] for name in here if name in self.node_states.states]
-        own = [source for source in event.sources if source.name != views.GOSSIP_SOURCE_NAME]
-        heard, lost = cuts.classify_peers(peers, now_ms)
-        discovery = any(source.state is Known.IN_SYNC for source in own)
-        saw = cuts.Evidence(
-            heard, lost, discovery, event.backends_by_zone, words, peers.heard_since_stall is not None
-        )
-        for cut in self.partition_detector.handle(now_ms, saw):
-            of = f"{cut.scope.value} {cut.zone}".strip()
-            if isinstance(cut, cuts.PartitionBegan):
-                self._actions.append(RecordEvent("cut_began", of, (), f"{cut.verdict.value}; {cut.reason}"))
-            else:
-                self._actions.append(
-                    RecordEvent("cut_ended", of, (), f"after {cut.duration_ms / 1000:.1f} s")
-                )
-        self._advertise(now_ms, event, here, discovery)
-        for source in own:
+        states = [self.node_states.states[name] for name in addresses if name in self.node_states.states]
+        own_sources = [source for source in event.sources if source.name != node_state.GOSSIP_SOURCE_NAME]
+        has_discovery = any(source.state is SourceState.IN_SYNC for source in own_sources)
+        self._detect_partitions(now_ms, event, states, has_discovery)
+        self._advertise(now_ms, event, addresses, has_discovery)
+        for source in own_sources:
             self.gossiped_removals.handle(now_ms, self._source_advanced(source))
-        self._apply_removal_actions(
-            self.gossiped_removals.handle(now_ms, hearsay.GossipIntervalElapsed(words, here, event.endpoints))
-        )
-        self._search_difference(now_ms, here, words)
-        for name, peer in peers.peers.items():
-            if peer.record.state == PeerState.LEFT and (gone := self.node_states.states.get(name)):
-                self._update_quota(now_ms, shares.NodeLeft(gone.node_index, peer.record.incarnation))
-        self._update_quota(now_ms, shares.TimeAdvanced())
-        if self.quota:
-            at = {word.node_index: here[word.name] for word in words}
-            for number in self.quota.next_queried(list(at), views.GOSSIP_INTERVAL_MS):
-                counted = self._encode_quota_report(self.quota, number, answer=False)
-                self._actions.append(SendGossip(at[number], ((self._codec.QUOTA_REPORT, counted),)))
+        elapsed = gossiped_removals.GossipIntervalElapsed(states, addresses, event.endpoints)
+        self._apply_removal_actions(self.gossiped_removals.handle(now_ms, elapsed))
+        self._search_difference(now_ms, addresses, states)
+        self._allocate_quota(now_ms, addresses, states)
 
-    def _source_advanced(
-        self, source: Source, out: tuple[hearsay.ReportedRemoval, ...] = ()
-    ) -> hearsay.SourceAdvanced:
-        order, revision = views.source_identity_hash(source, self.sources_with_local_agents), source.revision
-        in_sync = source.state is Known.IN_SYNC
-        return hearsay.SourceAdvanced(source.name, order, -1 if revision is None else revision, in_sync, out)
+    def _detect_partitions(
+        self,
+        now_ms: float,
+        event: GossipIntervalElapsed,
+        states: Sequence[node_state.AdvertisedState],
+        has_discovery: bool,
+    ) -> None:
+        evidence = partition_detector.Evidence(
+            *partition_detector.classify_peers(self.failure_detector, now_ms),
+            is_discovery_in_sync=has_discovery,
+            backends_by_zone=event.backends_by_zone,
+            peer_states=states,
+            is_in_doubt=self.failure_detector.heard_since_stall is not None,
+        )
+        for change in self.partition_detector.handle(now_ms, evidence):
+            subject = f"{change.scope.value} {change.zone}".strip()
+            match change:
+                case partition_detector.PartitionBegan():
+                    name, reason = (
+                        TimelineEventName.PARTITION_BEGAN,
+                        f"{change.verdict.value}; {change.reason}",
+                    )
+                case partition_detector.PartitionHealed():
+                    name, reason = TimelineEventName.PARTITION_HEALED, _duration(change.duration_ms)
+            self._actions.append(RecordEvent(name, subject, (), reason))
 
     def _advertise(
-        self, now_ms: float, event: GossipIntervalElapsed, here: Mapping[str, str], discovery: bool
+        self, now_ms: float, event: GossipIntervalElapsed, addresses: Mapping[str, str], has_discovery: bool
     ) -> None:
+        """Advertise the own state, unless this node has no incarnation yet or has yielded its name."""
         if self.quota is None or self.failure_detector.has_yielded_name:
             return
-        zone = next(
-            (
-                zone
-                for of, zone in self.partition_detector.partitions
-                if of is cuts.PartitionScope.BACKEND_ZONE
-            ),
-            "",
-        )
-        digest = self.digest_tree.digest if views.is_comparable(event.sources) else 0
-        flags, zone_cut = 0 if discovery else views.FLAG_NO_DISCOVERY, cuts.zone_id(zone) if zone else 0
-        sources = views.advertised_sources(event.sources, self.sources_with_local_agents)
-        mine = views.AdvertisedState(
-            self.failure_detector.name,
-            self.failure_detector.incarnation,
-            0,
-            self.node_index,
-            event.recovery_state,
-            flags,
-            zone_cut,
-            self.quota.divisor,
-            digest,
-            event.settings_digests,
-            event.program_version,
-            event.zone,
-            sources,
-        )
-        self.node_states.handle(now_ms, views.OwnStateChanged(mine))
-        for action in self.node_states.handle(now_ms, views.GossipIntervalElapsed(here)):
+        state = self._own_state(event, self.quota.divisor, has_discovery)
+        self.node_states.handle(now_ms, node_state.OwnStateChanged(state))
+        for action in self.node_states.handle(now_ms, node_state.GossipIntervalElapsed(addresses)):
             match action:
-                case views.SendStates():
+                case node_state.SendStates():
                     sections = (
-                        (self._codec.NODE_STATE, self._codec.encode_node_state(word))
-                        for word in action.states
+                        Section(self._codec.NODE_STATE, self._codec.encode_node_state(sent))
+                        for sent in action.states
                     )
                     self._actions.append(SendGossip(action.address, tuple(sections)))
-                case views.DivergenceBegan():
-                    of, why = (
-                        f"{action.kind} {action.subject}".strip(),
-                        f"{action.reason}; {action.node_count} of them",
-                    )
-                    self._actions.append(RecordEvent("disagreement_began", of, action.node_names, why))
-                case views.DivergenceEnded():
-                    of, why = (
-                        f"{action.kind} {action.subject}".strip(),
-                        f"after {action.duration_ms / 1000:.1f} s",
+                case node_state.DivergenceBegan():
+                    reason = f"{action.reason}; {action.node_count} of them"
+                    self._record_divergence(
+                        TimelineEventName.DIVERGENCE_BEGAN, action, action.node_names, reason
                     )
-                    self._actions.append(RecordEvent("disagreement_ended", of, (), why))
+                case node_state.DivergenceEnded():
+                    reason = _duration(action.duration_ms)
+                    self._record_divergence(TimelineEventName.DIVERGENCE_ENDED, action, (), reason)
+
+    def _own_state(
+        self, event: GossipIntervalElapsed, quota_divisor: int, has_discovery: bool
+    ) -> node_state.AdvertisedState:
+        scope = partition_detector.PartitionScope.BACKEND_ZONE
+        zone = next((key.zone for key in self.partition_detector.partitions if key.scope is scope), "")
+        return node_state.AdvertisedState(
+            name=self.failure_detector.name,
+            incarnation=self.failure_detector.incarnation,
+            sequence_number=0,  # set by the table
+            node_index=self.node_index,
+            recovery_state=event.recovery_state,
+            flags=0 if has_discovery else node_state.FLAG_NO_DISCOVERY,
+            partitioned_zone_id=partition_detector.zone_id(zone) if zone else 0,
+            quota_divisor=quota_divisor,
+            endpoints_digest=self.digest_tree.digest if node_state.is_comparable(event.sources) else 0,
+            settings_digests=event.settings_digests,
+            program_version=event.program_version,
+            zone=event.zone,
+            sources=node_state.advertised_sources(event.sources, self.sources_with_local_agents),
+        )
+
+    def _record_divergence(
+        self,
+        name: TimelineEventName,
+        change: node_state.DivergenceBegan | node_state.DivergenceEnded,
+        node_names: tuple[str, ...],
+        reason: str,
+    ) -> None:
+        subject = f"{change.kind} {change.subject}".strip()
+        self._actions.append(RecordEvent(name, subject, node_names, reason))
 
     def _search_difference(
-        self, now_ms: float, here: Mapping[str, str], words: Sequence[views.AdvertisedState]
+        self, now_ms: float, addresses: Mapping[str, str], states: Sequence[node_state.AdvertisedState]
     ) -> None:
-        """While lists differ at the same revisions: one of another digest is asked where."""
-        mine = self.node_states.states.get(self.failure_detector.name)
-        if (
-            ("list", "") not in self.node_states.divergence_hysteresis.active_since_ms
-            or now_ms - self._last_search_ms < DIFFERENCE_SEARCH_INTERVAL_MS
-            or not mine
-        ):
+        """While lists differ at the same revisions, search for the entries with a node of another digest."""
+        own = self.node_states.states.get(self.failure_detector.name)
+        key = node_state.DivergenceKey(node_state.DivergenceKind.ENDPOINT_LIST)
+        is_diverging = key in self.node_states.divergence_hysteresis.active_since_ms
+        if not is_diverging or now_ms - self._last_search_ms < DIFFERENCE_SEARCH_INTERVAL_MS or not own:
             return
         others = [
-            word.name
-            for word in words
-            if word.endpoints_digest and word.endpoints_digest != mine.endpoints_digest
+            state.name
+            for state in states
+            if state.endpoints_digest and state.endpoints_digest != own.endpoints_digest
         ]
         if others:
             self._last_search_ms = now_ms
             data = self._codec.encode_tree_digests(self.digest_tree.start_search().digests)
-            self._actions.append(
-                SendGossip(here[self._random.choice(others)], ((self._codec.TREE_DIGESTS, data),))
-            )
+            address = addresses[self._random.choice(others)]
+            self._actions.append(SendGossip(address, (Section(self._codec.TREE_DIGESTS, data),)))
+
+    # --- quota
+
+    def _allocate_quota(
+        self, now_ms: float, addresses: Mapping[str, str], states: Sequence[node_state.AdvertisedState]
+    ) -> None:
+        for name, peer in self.failure_detector.peers.items():
+            if peer.record.state == PeerState.LEFT and (state := self.node_states.states.get(name)):
+                left = quota_allocation.NodeLeft(state.node_index, peer.record.incarnation)
+                self._update_quota(now_ms, left)
+        self._update_quota(now_ms, quota_allocation.TimeAdvanced())
+        if self.quota is None:
+            return
+        address_by_index = {state.node_index: addresses[state.name] for state in states}
+        for index in self.quota.next_queried(list(address_by_index), node_state.GOSSIP_INTERVAL_MS):
+            report = self.quota.report_for(index)
+            section = Section(self._codec.QUOTA_REPORT, self._encode_quota_report(report, report.wants_reply))
+            self._actions.append(SendGossip(address_by_index[index], (section,)))
+
+    def _update_quota(self, now_ms: float, event: quota_allocation.Event) -> None:
+        if self.quota:
+            self._actions += self.quota.handle(now_ms, event)
+
+    def _encode_quota_report(self, report: quota_allocation.QuotaReport, wants_reply: bool) -> bytes:
+        return self._codec.encode_quota_report(
+            report.node_index,
+            report.incarnation,
+            report.acknowledged_incarnation,
+            report.is_certain,
+            wants_reply,
+            report.newcomers,
+        )
+
+    # --- removals
+
+    def _source_advanced(
+        self, source: Source, removals: tuple[gossiped_removals.ReportedRemoval, ...] = ()
+    ) -> gossiped_removals.SourceAdvanced:
+        return gossiped_removals.SourceAdvanced(
+            source.name,
+            node_state.source_identity_hash(source, self.sources_with_local_agents),
+            -1 if source.revision is None else source.revision,
+            source.state is SourceState.IN_SYNC,
+            removals,
+        )
+
+    def _apply_removal_actions(self, actions: Sequence[gossiped_removals.Action]) -> None:
+        codec = self._codec
+        for action in actions:
+            match action:
+                case gossiped_removals.QueryRemovals():
+                    data = codec.encode_removals_query(
+                        action.source, action.identity_hash, action.since_revision
+                    )
+                    section = Section(codec.REMOVALS_QUERY, data)
+                    self._actions.append(SendGossip(action.address, (section,)))
+                case gossiped_removals.SendRemovals():
+                    data = self._encode_removals(action.source, action.identity_hash, action.removals)
+                    self._send_answer(action.address, codec.REMOVALS, data)
+                case gossiped_removals.WriteLog():
+                    self._actions.append(WriteLog(action.message))
+                case _:
+                    self._actions.append(action)
+
+    def _encode_removals(
+        self, source: str, identity_hash: int, removals: Sequence[gossiped_removals.ReportedRemoval]
+    ) -> bytes:
+        fields = [(removal.endpoint_id, removal.revision, removal.is_gone) for removal in removals]
+        return self._codec.encode_removals(source, identity_hash, fields)
+
+    def _fitting_count(self, source: str, removals: Sequence[gossiped_removals.ReportedRemoval]) -> int:
+        """How many of the removals, from the first on, fit one datagram."""
+        count = 0
+        while count < len(removals):
+            data = self._encode_removals(source, 0, removals[: count + 1])
+            if SECTION_HEADER_BYTES + len(data) > self._capacity_bytes:
+                break
+            count += 1
+        return count
+
+
+def _duration(duration_ms: float) -> str:
+    return f"after {duration_ms / 1000:.1f} s"
--- a/balancer/core/cluster/node_state.py
+++ b/balancer/core/cluster/node_state.py
@@ -1,20 +1,14 @@
-"""What the nodes go by, and what they disagree on.
+"""Exchanges what each node advertises of itself, and detects where the nodes' configurations diverge.
 
-Each node tells in some 65 bytes what it goes by (`Goes`); what is held of a node is the greatest of its words
-by (incarnation, edition), so that order, doubling and lateness do not matter. A round sends what
-changed, least told first, and then all in turn, to FAN peers: a constant number of datagrams.
+A node advertises its state in about 65 bytes (`AdvertisedState`). Of each node the greatest state by
+(incarnation, sequence number) is held, so the order, duplication and delay of datagrams do not matter. In
+each gossip interval a node sends what has changed, the least transmitted first, and then all states in turn,
+to GOSSIP_FANOUT peers: a constant number of datagrams.
 
-From the words of the nodes that are there follow the *disagreements*, each with the names it holds of:
-
-    behind    a revision below one that was seen LATE_MS ago; each judges itself, and tells all
-    order     another identity of a source: another cluster, or an older epoch
-    list      another digest of the list at the same revisions of all sources: a fault of the program
-    settings  another digest of the platform's settings, or of the operators' file
-    version   another program: an upgrade under way
-
-The odd ones are those that differ from what most go by; where two are as many, both are named. A revision
-counts as seen when two nodes told it, where there are three: one that lies makes nobody else look late. What
-disagrees begins and ends by `core/hysteresis`, one event each.
+From the states of the present nodes follow the divergences, each with the nodes concerned (`DivergenceKind`).
+The nodes concerned are those that differ from the most frequent value; if two values are equally frequent,
+all nodes. A revision counts as published once two nodes advertise it, if there are three: a single node that
+advertises a false one makes no other look behind. `hysteresis` delays the begin and end of each divergence.
 """
 
 from __future__ import annotations
@@ -23,6 +17,7 @@
 from collections import Counter, deque
 from collections.abc import Callable, Collection, Iterable, Mapping, Sequence
 from dataclasses import dataclass
+from enum import StrEnum
 from itertools import islice
 from random import Random
 from typing import NamedTuple
@@ -32,34 +27,60 @@
 from balancer.core.hysteresis import Hysteresis
 
 GOSSIP_INTERVAL_MS = 200.0
-GOSSIP_FANOUT = 2  # peers a round
-MAX_TRANSMISSIONS = 6  # times that a changed word is told by each node before it only goes in turn
-TYPICAL_STATES_PER_DATAGRAM = 3  # that fit a datagram, about
-DIVERGENCE_BEGIN_MS, DIVERGENCE_END_MS = 1_000.0, 2_000.0  # before a disagreement begins, or ends
-MAX_REVISION_LAG_MS = 2_000.0  # the rule on drains: whoever is behind by less is in time
-PROPAGATION_SENSITIVE_KINDS = (
-    "settings",
-    "version",
-    "order",
-)  # old words look like these, where all change at once
-MAX_REVISION_SAMPLES = 64  # of revisions seen, a source
-MAX_EVENT_NAMES = 8  # names of an event
+GOSSIP_FANOUT = 2  # peers that are sent to in each interval
+MAX_TRANSMISSIONS = 6  # of a changed state by each node; after these it is sent in turn only
+TYPICAL_STATES_PER_DATAGRAM = 3
+MAX_NAMES_PER_DATAGRAM = 16  # examined for one datagram; more states never fit
+DIVERGENCE_BEGIN_MS = 1_000.0
+DIVERGENCE_END_MS = 2_000.0
+MAX_REVISION_LAG_MS = 2_000.0  # a node that is behind by less still applies a drain in time
+MAX_REVISION_SAMPLES = 64  # published revisions remembered for each source
+MAX_SAMPLED_SOURCES = 8  # (source, identity) pairs that revisions are remembered for
+MAX_EVENT_NAMES = 8
+ABSENT_STATES_KEPT = 64  # beyond twice the present ones: a node that returns is soon known again
 GOSSIP_SOURCE_NAME = (
-    "peers"  # the source of the merge that stands for them (`core/cluster/gossiped_removals`)
+    "peers"  # the endpoint merger's source for removals that peers report (`gossiped_removals`)
+)
+
+# Bits of `AdvertisedState.flags`.
+FLAG_NO_DISCOVERY = 1  # no source of this node is in sync
+FLAG_BEHIND = 2  # this node has found itself behind the published revision
+
+
+class DivergenceKind(StrEnum):
+    """In what respect nodes diverge."""
+
+    BEHIND = "behind"  # a revision below one published MAX_REVISION_LAG_MS ago; each node judges itself
+    SOURCE_IDENTITY = "order"  # another identity of a source: another cluster, or an older epoch of it
+    ENDPOINT_LIST = "list"  # another list at the same revisions of all sources: a bug in this program
+    SETTINGS = "settings"  # another digest of the platform's settings, or of the operators' file
+    VERSION = "version"  # another version of this program: an upgrade is under way
+
+
+# After a change on all nodes, states that are still on their way look like a divergence of these kinds.
+PROPAGATION_SENSITIVE_KINDS = (
+    DivergenceKind.SETTINGS,
+    DivergenceKind.VERSION,
+    DivergenceKind.SOURCE_IDENTITY,
 )
-FLAG_NO_DISCOVERY, FLAG_BEHIND = (
-    1,
-    2,
-)  # flags: no source of this node is in sync; it is late itself, and knows
+SETTINGS_FILES = ("platform", "operators")  # in the order of `AdvertisedState.settings_digests`
+
+
+class SourcePosition(NamedTuple):
+    """How far a node has followed a source; `state` is an index into `endpoint_merger.SourceState`."""
+
+    source: str
+    identity_hash: int
+    revision: int
+    state: int
 
 
 class AdvertisedState(NamedTuple):
-    """What a node goes by, in the order of the codec (`protocol/gossip_sections`); `edition` rises with
-    each change.
+    """What a node advertises of itself, in the field order of `protocol/gossip_sections`.
 
-    `state`: the place of the state in `recovery.State`. `digest` 0: not to be compared, as where part of the
-    list is still under way, remembered or told by peers. `files`: of the platform's settings and the
-    operators' file. `sources`: name, order (a hash of the identity), revision, state.
+    `sequence_number` rises with each change within an incarnation. `recovery_state` is an index into
+    `recovery.RecoveryState`. `partitioned_zone_id` is `partition_detector.zone_id` of a zone that the node
+    cannot reach, or 0. `endpoints_digest` is 0 where the list is not comparable (`is_comparable`).
     """
 
     name: str
@@ -74,36 +95,43 @@
     settings_digests: tuple[int, int]
     program_version: str
     zone: str
-    sources: tuple[tuple[str, int, int, int], ...]
+    sources: tuple[tuple[str, int, int, int], ...]  # fields of `SourcePosition`
 
 
 def identity_hash(identity: str | None) -> int:
-    """An identity in 32 bits; 0: there is none yet."""
+    """A source's identity in 32 bits; 0: there is none yet."""
     return zlib.crc32(identity.encode()) or 1 if identity is not None else 0
 
 
-def source_identity_hash(source: Source, alike: Collection[str] = ()) -> int:
-    """The order that a source's revisions are of. `alike`: the names of those that each node hears at an
-    address of its own, an agent on its machine, though the revisions are of one list.
+def source_identity_hash(source: Source, sources_with_local_agents: Collection[str] = ()) -> int:
+    """The hash of the identity within which a source's revisions are ordered.
+
+    Sources with local agents are those that each node hears through an agent at an address of its own. Their
+    revisions belong to one list, though the identities differ, so the name stands for the identity.
     """
-    known = source.identity is not None and source.name in alike
-    return identity_hash(source.name if known else source.identity)
+    has_local_agent = source.identity is not None and source.name in sources_with_local_agents
+    return identity_hash(source.name if has_local_agent else source.identity)
 
 
 def advertised_sources(
-    sources: Iterable[Source], alike: Collection[str] = ()
-) -> tuple[tuple[str, int, int, int], ...]:
-    """What a word says of a node's own sources."""
+    sources: Iterable[Source], sources_with_local_agents: Collection[str] = ()
+) -> tuple[SourcePosition, ...]:
+    """The positions of a node's own sources; what peers reported is not among them."""
     states = tuple(SourceState)
     return tuple(
-        (source.name, source_identity_hash(source, alike), source.revision or 0, states.index(source.state))
+        SourcePosition(
+            source.name,
+            source_identity_hash(source, sources_with_local_agents),
+            source.revision or 0,
+            states.index(source.state),
+        )
         for source in sources
         if source.name != GOSSIP_SOURCE_NAME
     )
 
 
 def is_comparable(sources: Iterable[Source]) -> bool:
-    """Whether the view is all by the sources' word, so that its digest is to be told."""
+    """Whether the view consists of complete lists of the own sources, so that its digest may be compared."""
     return not any(
         source.pending_records
         or source.has_cached_records
@@ -114,28 +142,31 @@
     )
 
 
-def latest(held: AdvertisedState | None, told: AdvertisedState) -> AdvertisedState:
-    """The merge: a maximum of a total order, so associative, commutative and idempotent."""
-    return told if held is None or told[1:] > held[1:] else held
+def latest(held: AdvertisedState | None, received: AdvertisedState) -> AdvertisedState:
+    """Merge two states of a node.
+
+    The maximum of a total order: associative, commutative and idempotent.
+    """
+    return received if held is None or received[1:] > held[1:] else held
 
 
 @dataclass(slots=True, frozen=True)
 class OwnStateChanged:
-    """What this node goes by; `edition` is set here."""
+    """The state that this node advertises; its sequence number is set here."""
 
     state: AdvertisedState
 
 
 @dataclass(slots=True, frozen=True)
 class StatesReceived:
-    """Words of a datagram, of whomever."""
+    """The states of a datagram, of any nodes."""
 
     states: Sequence[AdvertisedState]
 
 
 @dataclass(slots=True, frozen=True)
 class GossipIntervalElapsed:
-    """ROUND_MS have passed. `here`: the peers that are alive or suspect, and where."""
+    """GOSSIP_INTERVAL_MS have passed. `peer_addresses` are those of the peers that are alive or suspect."""
 
     peer_addresses: Mapping[str, str]
 
@@ -145,13 +176,15 @@
 
 @dataclass(slots=True, frozen=True)
 class SendStates:
+    """Send states to a peer in one datagram."""
+
     address: str
     states: tuple[AdvertisedState, ...]
 
 
 @dataclass(slots=True, frozen=True)
 class DivergenceBegan:
-    """`names`: the first SHOWN of `count` odd ones."""
+    """`node_names` are the first MAX_EVENT_NAMES of the `node_count` nodes concerned."""
 
     kind: str
     subject: str
@@ -162,6 +195,8 @@
 
 @dataclass(slots=True, frozen=True)
 class DivergenceEnded:
+    """A divergence has not been seen for DIVERGENCE_END_MS."""
+
     kind: str
     subject: str
     duration_ms: float
@@ -170,245 +205,302 @@
 Action = SendStates | DivergenceBegan | DivergenceEnded
 
 
+class DivergenceKey(NamedTuple):
+    """Identifies a divergence; `subject` is the source or the settings file, empty for other kinds."""
+
+    kind: str
+    subject: str = ""
+
+
 @dataclass(slots=True, frozen=True)
 class Divergence:
-    """Who differs from most, and how."""
+    """The nodes concerned, and in what they differ."""
 
     node_names: frozenset[str]
     reason: str
 
 
-def minority(said: Iterable[tuple[str, object]]) -> frozenset[str]:
-    """Who says something else than most do; all, where two are as many."""
-    pairs = list(said)
-    counts = Counter(what for _, what in pairs).most_common(2)
+NO_DIVERGENCE = Divergence(frozenset(), "")
+
+
+class RevisionSample(NamedTuple):
+    """When a revision was first seen published."""
+
+    seen_ms: float
+    revision: int
+
+
+def minority(values: Iterable[tuple[str, object]]) -> frozenset[str]:
+    """The names whose value is not the most frequent one; all names if two values are equally frequent."""
+    pairs = list(values)
+    counts = Counter(value for _, value in pairs).most_common(2)
     if len(counts) < 2:
         return frozenset()
-    tied = counts[0][1] == counts[1][1]
-    return frozenset(name for name, what in pairs if tied or what != counts[0][0])
+    is_tie = counts[0][1] == counts[1][1]
+    return frozenset(name for name, value in pairs if is_tie or value != counts[0][0])
 
 
 class NodeStateTable:
-    """`cost`: bytes of a word's section, `room`: bytes for sections in a datagram; both from the codec."""
+    """The states of all nodes as this node knows them, and their divergences.
+
+    `encoded_bytes` gives the size of a state's section, and `capacity_bytes` the space for sections in a
+    datagram; both come from the codec. `divergences` are those of the last interval, whether or not they have
+    lasted long enough to begin; those that have begun are in `divergence_hysteresis.active_since_ms`.
+    """
 
-    def __init__(self, name: str, random: Random, cost: Callable[[AdvertisedState], int], room: int) -> None:
+    def __init__(
+        self,
+        name: str,
+        random: Random,
+        encoded_bytes: Callable[[AdvertisedState], int],
+        capacity_bytes: int,
+    ) -> None:
         self.name = name
-        self.states: dict[str, AdvertisedState] = {}  # this node's own too
+        self.states: dict[str, AdvertisedState] = {}  # this node's own state too
         self.peer_addresses: Mapping[str, str] = {}
-        self.divergences: dict[tuple[str, str], Divergence] = {}  # as of the last round, also those not begun
-        self.divergence_hysteresis: Hysteresis[tuple[str, str]] = Hysteresis(
+        self.divergences: dict[DivergenceKey, Divergence] = {}
+        self.divergence_hysteresis: Hysteresis[DivergenceKey] = Hysteresis(
             DIVERGENCE_BEGIN_MS, DIVERGENCE_END_MS
         )
-        self._random, self._encoded_bytes, self._capacity_bytes = random, cost, room
+        self._random, self._encoded_bytes, self._capacity_bytes = random, encoded_bytes, capacity_bytes
         self._pending_broadcasts = PendingBroadcasts()
-        self._revision_samples: dict[
-            tuple[str, int], deque[tuple[float, int]]
-        ] = {}  # source, order -> seen since
-        self._divergent_since_ms: dict[tuple[str, str], float] = {}  # disagreements, begun or not, since
+        self._revision_samples: dict[tuple[str, int], deque[RevisionSample]] = {}  # by source, identity hash
+        self._divergent_since_ms: dict[DivergenceKey, float] = {}
         self._is_behind = False
         self._round_robin_position = 0
 
     def __repr__(self) -> str:
-        return f"<Views {self.name}: {len(self.states)} words, {sorted(self.divergence_hysteresis.active_since_ms)}>"
+        active = sorted(map(tuple, self.divergence_hysteresis.active_since_ms))
+        return f"<NodeStateTable {self.name}: {len(self.states)} states, diverging in {active}>"
 
     @property
-    def own_divergences(self) -> list[tuple[str, str]]:
-        """In what this node itself is the odd one."""
+    def own_divergences(self) -> list[DivergenceKey]:
+        """The divergences that have begun and concern this node."""
         return sorted(
             key
             for key in self.divergence_hysteresis.active_since_ms
-            if self.name in self._divergence(key).node_names
+            if self.name in self.divergences.get(key, NO_DIVERGENCE).node_names
         )
 
-    def _divergence(self, key: tuple[str, str]) -> Divergence:
-        return self.divergences.get(key, Divergence(frozenset(), ""))
+    @property
+    def propagation_ms(self) -> float:
+        """About how long it takes until all states are known everywhere after all have changed at once."""
+        states_per_interval = GOSSIP_FANOUT * TYPICAL_STATES_PER_DATAGRAM
+        return GOSSIP_INTERVAL_MS * MAX_TRANSMISSIONS * len(self.peer_addresses) / states_per_interval
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
-        """What follows from an event."""
+        """Apply an event; returns divergences that ended or began, and what to send."""
         match event:
             case OwnStateChanged():
                 self._set_own_state(event.state)
             case StatesReceived():
-                for word in event.states:
-                    self._receive(word)
+                for state in event.states:
+                    self._receive(state)
             case GossipIntervalElapsed():
                 self.peer_addresses = event.peer_addresses
                 self._forget_absent()
                 return [*self._update_divergences(now_ms), *self._gossip()]
         return []
 
-    def _set_own_state(self, goes: AdvertisedState) -> None:
-        goes = goes._replace(flags=goes.flags | FLAG_BEHIND if self._is_behind else goes.flags & ~FLAG_BEHIND)
+    def _set_own_state(self, state: AdvertisedState) -> None:
+        flags = state.flags | FLAG_BEHIND if self._is_behind else state.flags & ~FLAG_BEHIND
         held = self.states.get(self.name)
-        edition = held.sequence_number if held else 0
-        if held is None or goes._replace(sequence_number=edition) != held:
-            self.states[self.name] = goes._replace(sequence_number=edition + 1)
+        sequence_number = held.sequence_number if held else 0
+        state = state._replace(flags=flags, sequence_number=sequence_number)
+        if state != held:
+            self.states[self.name] = state._replace(sequence_number=sequence_number + 1)
             self._pending_broadcasts.add(self.name)
 
-    def _receive(self, word: AdvertisedState) -> None:
-        held = self.states.get(word.name)
-        if (
-            not word.name
-            or not 0 < word.incarnation < MAX_INCARNATION
-            or word.sequence_number >= MAX_INCARNATION
-        ):
+    def _receive(self, state: AdvertisedState) -> None:
+        held = self.states.get(state.name)
+        is_plausible = 0 < state.incarnation < MAX_INCARNATION and state.sequence_number < MAX_INCARNATION
+        if not state.name or not is_plausible:
             return
-        if word.name == self.name:
-            # Somebody holds a greater word than this node ever told: an older self, or a lie.
-            if held and word[1:3] >= held[1:3] and word != held and word.incarnation == held.incarnation:
-                self.states[self.name] = held._replace(sequence_number=word.sequence_number + 1)
-                self._pending_broadcasts.add(self.name)
+        if state.name == self.name:
+            self._outnumber(held, state)
             return
         if held is None and len(self.states) > MAX_PEERS:
             return
-        if word != held and latest(held, word) == word:
-            self.states[word.name] = word
-            self._pending_broadcasts.add(word.name)
+        if state != held and latest(held, state) == state:
+            self.states[state.name] = state
+            self._pending_broadcasts.add(state.name)
+
+    def _outnumber(self, held: AdvertisedState | None, state: AdvertisedState) -> None:
+        """Advertise the own state above a greater one that a peer holds: an older or a false one."""
+        if held is None or state == held or state.incarnation != held.incarnation:
+            return
+        if state.sequence_number >= held.sequence_number:
+            self.states[self.name] = held._replace(sequence_number=state.sequence_number + 1)
+            self._pending_broadcasts.add(self.name)
 
     def _forget_absent(self) -> None:
-        """Those that are not there: kept while they are few, as a node that comes back is soon here again."""
-        if len(self.states) > 2 * len(self.peer_addresses) + 64:
-            for name in [n for n in self.states if n not in self.peer_addresses and n != self.name]:
-                del self.states[name]
-                self._pending_broadcasts.discard(name)
+        if len(self.states) <= 2 * len(self.peer_addresses) + ABSENT_STATES_KEPT:
+            return
+        absent = [name for name in self.states if name not in self.peer_addresses and name != self.name]
+        for name in absent:
+            del self.states[name]
+            self._pending_broadcasts.discard(name)
 
-    def _gossip(self) -> list[Action]:
+    # --- dissemination
+
+    def _gossip(self) -> list[SendStates]:
         if self.name not in self.states or not self.peer_addresses:
             return []
         names = list(self.peer_addresses)
-        out: list[Action] = []
-        for to in self._random.sample(names, min(GOSSIP_FANOUT, len(names))):
-            words: dict[str, AdvertisedState] = {}
-            left = self._capacity_bytes
-
-            def fits(name: str, words: dict[str, AdvertisedState] = words) -> bool:
-                nonlocal left
-                if name in words or name not in self.states:
-                    return True
-                if (needs := self._encoded_bytes(self.states[name])) > left:
-                    return False
-                left -= needs
-                words[name] = self.states[name]
-                return True
+        chosen = self._random.sample(names, min(GOSSIP_FANOUT, len(names)))
+        return [SendStates(self.peer_addresses[peer], self._fill_datagram(names)) for peer in chosen]
 
-            self._pending_broadcasts.take(fits, MAX_TRANSMISSIONS, 16)
-            for _ in range(min(16, len(names) + 1)):
-                self._round_robin_position = (self._round_robin_position + 1) % (len(names) + 1)
-                if not fits(
-                    names[self._round_robin_position]
-                    if self._round_robin_position < len(names)
-                    else self.name
-                ):
-                    break
-            out.append(SendStates(self.peer_addresses[to], tuple(words.values())))
-        return out
+    def _fill_datagram(self, peer_names: Sequence[str]) -> tuple[AdvertisedState, ...]:
+        """Changed states first, then the states of all present nodes in turn, as far as they fit."""
+        chosen: dict[str, AdvertisedState] = {}
+        free_bytes = self._capacity_bytes
 
-    # --- who disagrees
-
-    @property
-    def propagation_ms(self) -> float:
-        """How long it takes, about, until the words of all are known where all changed at once."""
-        return (
-            GOSSIP_INTERVAL_MS
-            * MAX_TRANSMISSIONS
-            * len(self.peer_addresses)
-            / (GOSSIP_FANOUT * TYPICAL_STATES_PER_DATAGRAM)
-        )
+        def try_add(name: str) -> bool:
+            nonlocal free_bytes
+            if name in chosen or name not in self.states:
+                return True
+            needed_bytes = self._encoded_bytes(self.states[name])
+            if needed_bytes > free_bytes:
+                return False
+            free_bytes -= needed_bytes
+            chosen[name] = self.states[name]
+            return True
+
+        self._pending_broadcasts.take(try_add, MAX_TRANSMISSIONS, MAX_NAMES_PER_DATAGRAM)
+        ring = [*peer_names, self.name]
+        for _ in range(min(MAX_NAMES_PER_DATAGRAM, len(ring))):
+            self._round_robin_position = (self._round_robin_position + 1) % len(ring)
+            if not try_add(ring[self._round_robin_position]):
+                break
+        return tuple(chosen.values())
+
+    # --- divergences
 
     def present_states(self) -> list[AdvertisedState]:
-        """The words of all that are there, this node's own too."""
+        """The states of the reachable peers and of this node."""
         return [
-            word for name, word in self.states.items() if name in self.peer_addresses or name == self.name
+            state for name, state in self.states.items() if name in self.peer_addresses or name == self.name
         ]
 
-    def confirmed_revision(self, source: str, order: int) -> int:
-        """The newest revision that two nodes told, or one where there are no three."""
-        told = sorted(self._revisions_by_node(source, order).values())
-        return told[-2] if len(told) > 2 else told[-1] if told else 0
+    def confirmed_revision(self, source: str, identity: int) -> int:
+        """The newest revision that two nodes advertise, or that one does if there are fewer than three."""
+        revisions = sorted(self._revisions_by_node(source, identity).values())
+        if len(revisions) > 2:
+            return revisions[-2]
+        return revisions[-1] if revisions else 0
 
-    def _revisions_by_node(self, source: str, order: int) -> dict[str, int]:
+    def _revisions_by_node(self, source: str, identity: int) -> dict[str, int]:
         return {
-            word.name: revision
-            for word in self.present_states()
-            for of, its, revision, _ in word.sources
-            if (of, its) == (source, order)
+            state.name: revision
+            for state in self.present_states()
+            for name, advertised_identity, revision, _ in state.sources
+            if (name, advertised_identity) == (source, identity)
         }
 
-    def _update_divergences(self, now_ms: float) -> list[Action]:
-        mine = self.states.get(self.name)
-        if mine is None:
+    def _update_divergences(self, now_ms: float) -> list[DivergenceBegan | DivergenceEnded]:
+        own = self.states.get(self.name)
+        if own is None:
             return []
-        words = self.present_states()
-        found: dict[tuple[str, str], Divergence] = {}
-
-        def differ(what: str, of: str, said: Iterable[tuple[str, object]], why: str) -> None:
-            if names := minority(said):
-                found[what, of] = Divergence(names, why)
-
-        for at, of in enumerate(("platform", "operators")):
-            differ(
-                "settings",
-                of,
-                ((w.name, w.settings_digests[at]) for w in words),
-                "another digest of the file",
-            )
-        differ("version", "", ((w.name, w.program_version) for w in words), "another program")
-        same = tuple(source[:3] for source in mine.sources)
-        alike = (w for w in words if w.endpoints_digest and tuple(source[:3] for source in w.sources) == same)
-        differ(
-            "list", "", ((w.name, w.endpoints_digest) for w in alike), "another list at the same revisions"
-        )
-        for source, order, _, _ in mine.sources:
-            orders = ((w.name, its) for w in words for of, its, _, _ in w.sources if of == source and its)
-            differ("order", source, orders, "another identity of the source")
-            if late := self._find_behind(now_ms, source, order):
-                found["behind", source] = late
+        found = self._find_divergences(now_ms, own)
         self._is_behind = any(
-            self.name in its.node_names for (what, _), its in found.items() if what == "behind"
+            self.name in divergence.node_names
+            for key, divergence in found.items()
+            if key.kind == DivergenceKind.BEHIND
         )
-        self._set_own_state(mine)
+        self._set_own_state(own)
         self.divergences = found
         self._divergent_since_ms = {key: self._divergent_since_ms.get(key, now_ms) for key in found}
-        slow = PROPAGATION_SENSITIVE_KINDS if self.propagation_ms > DIVERGENCE_BEGIN_MS else ()
-        found = {
-            key: its
-            for key, its in found.items()
-            if key[0] not in slow or now_ms - self._divergent_since_ms[key] >= self.propagation_ms
-        }
-        began, ended = dict(self.divergence_hysteresis.active_since_ms), []
-        fresh, over = self.divergence_hysteresis.update(now_ms, found)
-        for what, of in over:
-            ended.append(DivergenceEnded(what, of, now_ms - began[what, of]))
-        return [*ended, *(self._divergence_began(key) for key in fresh)]
-
-    def _divergence_began(self, key: tuple[str, str]) -> DivergenceBegan:
-        its = self._divergence(key)
-        return DivergenceBegan(
-            *key, tuple(islice(sorted(its.node_names), MAX_EVENT_NAMES)), len(its.node_names), its.reason
-        )
+        lasting = [key for key in found if self._has_outlasted_propagation(now_ms, key)]
+        active_since_ms = dict(self.divergence_hysteresis.active_since_ms)
+        began, ended = self.divergence_hysteresis.update(now_ms, lasting)
+        return [
+            *(DivergenceEnded(*key, now_ms - active_since_ms[key]) for key in ended),
+            *(self._divergence_began(key) for key in began),
+        ]
 
-    def _find_behind(self, now_ms: float, source: str, order: int) -> Divergence | None:
-        """Against what was seen a while ago, so that a list that changes all the time makes nobody late."""
-        marks = self._revision_samples.setdefault((source, order), deque(maxlen=MAX_REVISION_SAMPLES))
-        if len(self._revision_samples) > 8:
-            del self._revision_samples[next(iter(self._revision_samples))]
-        seen = self.confirmed_revision(source, order)
-        if marks and seen < marks[-1][1]:  # whoever told it is gone, or took it back
-            marks.clear()
-        if seen and (not marks or seen > marks[-1][1]):
-            marks.append((now_ms, seen))
-        due = [mark for mark in marks if now_ms - mark[0] >= MAX_REVISION_LAG_MS]
+    def _find_divergences(self, now_ms: float, own: AdvertisedState) -> dict[DivergenceKey, Divergence]:
+        states = self.present_states()
+        found: dict[DivergenceKey, Divergence] = {}
+
+        def compare(
+            kind: DivergenceKind, subject: str, values: Iterable[tuple[str, object]], reason: str
+        ) -> None:
+            if names := minority(values):
+                found[DivergenceKey(kind, subject)] = Divergence(names, reason)
+
+        for index, file in enumerate(SETTINGS_FILES):
+            digests = ((state.name, state.settings_digests[index]) for state in states)
+            compare(DivergenceKind.SETTINGS, file, digests, "another digest of the file")
+        versions = ((state.name, state.program_version) for state in states)
+        compare(DivergenceKind.VERSION, "", versions, "another program")
+        own_revisions = _revisions(own)
+        lists = (
+            (state.name, state.endpoints_digest)
+            for state in states
+            if state.endpoints_digest and _revisions(state) == own_revisions
+        )
+        compare(DivergenceKind.ENDPOINT_LIST, "", lists, "another list at the same revisions")
+        for source, identity, _, _ in own.sources:
+            identities = (
+                (state.name, other_identity)
+                for state in states
+                for other_source, other_identity, _, _ in state.sources
+                if other_source == source and other_identity
+            )
+            compare(DivergenceKind.SOURCE_IDENTITY, source, identities, "another identity of the source")
+            if behind := self._find_behind(now_ms, source, identity):
+                found[DivergenceKey(DivergenceKind.BEHIND, source)] = behind
+        return found
+
+    def _has_outlasted_propagation(self, now_ms: float, key: DivergenceKey) -> bool:
+        """Whether a divergence is more than states that are still on their way."""
+        if key.kind not in PROPAGATION_SENSITIVE_KINDS or self.propagation_ms <= DIVERGENCE_BEGIN_MS:
+            return True
+        return now_ms - self._divergent_since_ms[key] >= self.propagation_ms
+
+    def _divergence_began(self, key: DivergenceKey) -> DivergenceBegan:
+        divergence = self.divergences.get(key, NO_DIVERGENCE)
+        names = tuple(islice(sorted(divergence.node_names), MAX_EVENT_NAMES))
+        return DivergenceBegan(*key, names, len(divergence.node_names), divergence.reason)
+
+    def _find_behind(self, now_ms: float, source: str, identity: int) -> Divergence | None:
+        """Nodes below the revision that was published MAX_REVISION_LAG_MS ago.
+
+        The comparison with a past revision keeps a list that changes all the time from making anybody look
+        behind. Peers count by their own FLAG_BEHIND only, since what is held of them may be out of date.
+        """
+        published = self.confirmed_revision(source, identity)
+        samples = self._sample_revision(now_ms, source, identity, published)
+        due = [sample for sample in samples if now_ms - sample.seen_ms >= MAX_REVISION_LAG_MS]
         if not due:
             return None
-        # Each judges itself, as the words of others may be old, and all are told.
-        late = {
-            n: r
-            for n, r in self._revisions_by_node(source, order).items()
-            if r < due[-1][1] and (n == self.name or self.states[n].flags & FLAG_BEHIND)
+        behind = {
+            name: revision
+            for name, revision in self._revisions_by_node(source, identity).items()
+            if revision < due[-1].revision and (name == self.name or self.states[name].flags & FLAG_BEHIND)
         }
-        if not late:
+        if not behind:
             return None
-        least = min(late.values())
-        since = next(at for at, revision in marks if revision > least)
-        why = f"by up to {seen - least} revisions, for over {(now_ms - since) / 1000:.1f} s"
-        return Divergence(frozenset(late), why)
+        lowest = min(behind.values())
+        since_ms = next(sample.seen_ms for sample in samples if sample.revision > lowest)
+        duration_s = (now_ms - since_ms) / 1000
+        reason = f"by up to {published - lowest} revisions, for over {duration_s:.1f} s"
+        return Divergence(frozenset(behind), reason)
+
+    def _sample_revision(
+        self, now_ms: float, source: str, identity: int, published: int
+    ) -> deque[RevisionSample]:
+        """Note the published revision if it has risen; returns the samples, oldest first."""
+        samples = self._revision_samples.setdefault((source, identity), deque(maxlen=MAX_REVISION_SAMPLES))
+        if len(self._revision_samples) > MAX_SAMPLED_SOURCES:
+            del self._revision_samples[next(iter(self._revision_samples))]
+        if samples and published < samples[-1].revision:  # who advertised it has left, or took it back
+            samples.clear()
+        if published and (not samples or published > samples[-1].revision):
+            samples.append(RevisionSample(now_ms, published))
+        return samples
+
+
+def _revisions(state: AdvertisedState) -> tuple[tuple[str | int, ...], ...]:
+    """Sources, identities and revisions, without the states."""
+    return tuple(position[:3] for position in state.sources)
--- a/balancer/core/cluster/partition_detector.py
+++ b/balancer/core/cluster/partition_detector.py
@@ -1,12 +1,13 @@
-"""What this node is cut off from, what tells one cut from another, and what each means.
+"""Detects network partitions: what this node cannot reach, whether others can, and what follows from it.
 
-Silence alone tells a cut from an end only where somebody else still hears: so what the peers that are heard
-say of discovery and of the servers decides between `CUT` (they reach it: the path is at fault) and `AWAY`
-(they do not either). Where nobody is heard, or the peers themselves are silent, it is `UNKNOWN`.
+Silence alone does not tell a partition from a failure. What the reachable peers advertise does: if they reach
+discovery or a zone that this node cannot, the network path is at fault (`Verdict.PARTITIONED`), else the
+target is (`TARGET_DOWN`). Without reachable peers, or where the peers themselves are silent, the verdict is
+`UNKNOWN`.
 
-`MEANS` says what each means. Serving goes on in all, and the share of what is divided among the nodes
-(`core/cluster/quota_allocation`) rises in none. Begins and ends are steady: what comes and goes each
-second is one cut.
+`CONSEQUENCES` lists what each scope means for leases and for gossiped removals. Serving goes on in all of
+them, and none of them raises a quota (`quota_allocation`). Hysteresis makes one partition of one that comes
+and goes.
 """
 
 from __future__ import annotations
@@ -21,15 +22,20 @@
 from balancer.core.cluster.node_state import FLAG_NO_DISCOVERY, AdvertisedState
 from balancer.core.hysteresis import Hysteresis
 
-PARTITION_BEGIN_MS, PARTITION_END_MS = 500.0, 1_500.0
-LOST_AFTER_SUSPECT_MS = 1_500.0  # a peer suspect for so long is lost: with many nodes the failure comes later
-SILENT_ZONE_RATIO, SILENT_ZONE_MIN_BACKENDS = 0.8, 2  # of a zone's servers, for the zone to be silent
-MAX_REASON_NAMES = 8  # names in a text
-MAX_ZONES = 64  # looked at
+PARTITION_BEGIN_MS = 500.0
+PARTITION_END_MS = 1_500.0
+LOST_AFTER_SUSPECT_MS = 1_500.0  # in large clusters a suspicion takes longer than this to become a failure
+SILENT_ZONE_RATIO = 0.8  # of a zone's backends, for the zone to count as silent
+SILENT_ZONE_MIN_BACKENDS = 2  # one silent backend is no evidence against its zone
+MAX_REASON_NAMES = 8  # peers named in a reason
+MAX_ZONES = 64  # examined, in order of their names
 
 
 class PartitionScope(Enum):
-    """What a node is cut off from. ALL comes beside peers, discovery and all servers at once."""
+    """What a node is partitioned from.
+
+    EVERYTHING is reported in addition to ALL_PEERS, DISCOVERY and ALL_BACKENDS where these hold together.
+    """
 
     SOME_PEERS = "some peers"
     ALL_PEERS = "peers"
@@ -40,7 +46,7 @@
 
 
 class Verdict(Enum):
-    """What the others' words make of it."""
+    """Whether the network path or the target is at fault, by what the peers advertise."""
 
     PARTITIONED = "cut off: others reach it"
     TARGET_DOWN = "away: no peer reaches it either"
@@ -48,20 +54,21 @@
 
 
 class LeasePolicy(Enum):
-    """What becomes of a role held, from the least strict on."""
+    """What becomes of a lease or leadership that this node holds, in order of strictness."""
 
     KEEP = "goes on"
     REQUIRE_MAJORITY = "goes on where more than half of those known are here"
     RELEASE = "ends"
 
 
+LEASE_POLICIES_BY_STRICTNESS = tuple(LeasePolicy)
+
+
 class PartitionConsequences(NamedTuple):
-    """What follows."""
+    """What a partition means for this node."""
 
     lease_policy: LeasePolicy
-    accepts_gossiped_removals: (
-        bool  # drains and removals are taken from peers (`core/cluster/gossiped_removals`)
-    )
+    accepts_gossiped_removals: bool  # drains and removals that peers report (`gossiped_removals`)
 
 
 NOT_PARTITIONED = PartitionConsequences(LeasePolicy.KEEP, False)
@@ -73,28 +80,42 @@
     PartitionScope.ALL_BACKENDS: PartitionConsequences(LeasePolicy.RELEASE, False),
     PartitionScope.EVERYTHING: PartitionConsequences(LeasePolicy.RELEASE, False),
 }
-LEASE_POLICIES_BY_STRICTNESS = tuple(LeasePolicy)
+
+
+class BackendCounts(NamedTuple):
+    """Backends of a zone that discovery lists as up, and how many of them do not respond to this node."""
+
+    up: int
+    silent: int
+
+
+class PeerReachability(NamedTuple):
+    """How many peers are reachable, and the names of those that are lost."""
+
+    reachable_count: int
+    lost: tuple[str, ...]
 
 
 @dataclass(slots=True, frozen=True)
 class Evidence:
-    """The evidence, told at each round.
+    """What this node observes in one gossip interval.
 
-    `heard` peers are alive; `lost` failed or are suspect and did not say that they leave. `discovery`: a
-    source is in sync. `servers`: by zone, how many are up and how many of these are silent to this node.
-    `words`: of the peers heard. `doubt`: this node stood still and has not heard others since.
+    `is_discovery_in_sync` holds if any own source is in sync. `peer_states` are those of the reachable peers.
+    While `is_in_doubt`, this node has stalled and not yet heard from its peers again: silence means nothing.
     """
 
     reachable_peer_count: int
     lost_peers: tuple[str, ...]
     is_discovery_in_sync: bool
-    backends_by_zone: Mapping[str, tuple[int, int]] = field(default_factory=dict)
+    backends_by_zone: Mapping[str, BackendCounts] = field(default_factory=dict)
     peer_states: Sequence[AdvertisedState] = ()
     is_in_doubt: bool = False
 
 
 @dataclass(slots=True, frozen=True)
 class PartitionBegan:
+    """A partition has held for PARTITION_BEGIN_MS."""
+
     scope: PartitionScope
     zone: str
     verdict: Verdict
@@ -103,122 +124,150 @@
 
 @dataclass(slots=True, frozen=True)
 class PartitionHealed:
+    """A partition has not been seen for PARTITION_END_MS."""
+
     scope: PartitionScope
     zone: str
     duration_ms: float
 
 
-PartitionKey = tuple[PartitionScope, str]
+class PartitionKey(NamedTuple):
+    """Identifies a partition; `zone` is empty but for BACKEND_ZONE."""
+
+    scope: PartitionScope
+    zone: str = ""
+
+
+class Finding(NamedTuple):
+    """What the last evidence says of a partition."""
+
+    verdict: Verdict
+    reason: str
 
 
 def zone_id(zone: str) -> int:
-    """How a zone that is silent is named in a word; never 0."""
+    """The 16-bit number by which a node advertises the zone that it cannot reach; never 0."""
     return zlib.crc32(zone.encode()) % 65_535 + 1
 
 
 class PartitionDetector:
-    """`cut`: what has begun, with its verdict as of the last evidence."""
+    """`partitions` holds those that have begun and not healed, with the finding of the last evidence."""
 
     def __init__(self) -> None:
-        self.partitions: dict[PartitionKey, tuple[Verdict, str]] = {}
+        self.partitions: dict[PartitionKey, Finding] = {}
         self.has_majority = True
         self._hysteresis: Hysteresis[PartitionKey] = Hysteresis(PARTITION_BEGIN_MS, PARTITION_END_MS)
 
     def __repr__(self) -> str:
-        return f"<Cuts {', '.join(f'{of.value} {zone}'.strip() for of, zone in self.partitions) or 'none'}>"
+        names = ", ".join(f"{scope.value} {zone}".strip() for scope, zone in self.partitions)
+        return f"<PartitionDetector {names or 'none'}>"
 
     @property
     def consequences(self) -> PartitionConsequences:
-        """Of all that has begun: the strictest for roles; drains only where a peer is heard."""
-        rows = [CONSEQUENCES[of] for of, _ in self.partitions] or [NOT_PARTITIONED]
-        deaf = any(
-            (of, "") in self.partitions for of in (PartitionScope.ALL_PEERS, PartitionScope.EVERYTHING)
+        """Of all partitions together: the strictest lease policy; gossip only if a peer is reachable."""
+        rows = [CONSEQUENCES[scope] for scope, _ in self.partitions] or [NOT_PARTITIONED]
+        is_isolated = (
+            PartitionKey(PartitionScope.ALL_PEERS) in self.partitions
+            or PartitionKey(PartitionScope.EVERYTHING) in self.partitions
         )
         return PartitionConsequences(
             max((row.lease_policy for row in rows), key=LEASE_POLICIES_BY_STRICTNESS.index),
-            any(row.accepts_gossiped_removals for row in rows) and not deaf,
+            any(row.accepts_gossiped_removals for row in rows) and not is_isolated,
         )
 
     @property
     def may_hold_leases(self) -> bool:
-        """Whether a role that is held may go on; leases ask before each act."""
-        roles = self.consequences.lease_policy
-        return roles is LeasePolicy.KEEP or (roles is LeasePolicy.REQUIRE_MAJORITY and self.has_majority)
-
-    def handle(self, now_ms: float, saw: Evidence) -> list[PartitionBegan | PartitionHealed]:
-        """What begins or ends by this evidence."""
-        if saw.is_in_doubt:
+        """Whether this node may go on as leader or lease holder; to be checked before each action."""
+        match self.consequences.lease_policy:
+            case LeasePolicy.KEEP:
+                return True
+            case LeasePolicy.REQUIRE_MAJORITY:
+                return self.has_majority
+            case LeasePolicy.RELEASE:
+                return False
+
+    def handle(self, now_ms: float, evidence: Evidence) -> list[PartitionBegan | PartitionHealed]:
+        """Update the partitions; returns those that healed, then those that began."""
+        if evidence.is_in_doubt:
             return []
-        self.has_majority = 2 * (saw.reachable_peer_count + 1) > saw.reachable_peer_count + 1 + len(
-            saw.lost_peers
-        )
-        found = _find_partitions(saw)
-        since = dict(self._hysteresis.active_since_ms)
+        here_count = evidence.reachable_peer_count + 1
+        self.has_majority = 2 * here_count > here_count + len(evidence.lost_peers)
+        found = _find_partitions(evidence)
+        active_since_ms = dict(self._hysteresis.active_since_ms)
         began, ended = self._hysteresis.update(now_ms, found)
         for key in ended:
             del self.partitions[key]
         for key in found.keys() & self._hysteresis.active_since_ms.keys():
             self.partitions[key] = found[key]
-        out: list[PartitionBegan | PartitionHealed] = [
-            PartitionHealed(*key, now_ms - since[key]) for key in ended
-        ]
-        return out + [PartitionBegan(*key, *found[key]) for key in began]
+        healed = [PartitionHealed(*key, now_ms - active_since_ms[key]) for key in ended]
+        return [*healed, *(PartitionBegan(*key, *found[key]) for key in began)]
 
 
-def classify_peers(peers: FailureDetector, now_ms: float) -> tuple[int, tuple[str, ...]]:
-    """How many peers are heard, and who is lost: failed, or suspect for long; who left is neither."""
+def classify_peers(detector: FailureDetector, now_ms: float) -> PeerReachability:
+    """Which peers are lost: failed, or suspect for LOST_AFTER_SUSPECT_MS. Those that left do not count."""
     lost = tuple(
         name
-        for name, peer in peers.peers.items()
+        for name, peer in detector.peers.items()
         if peer.record.state == PeerState.FAILED
         or (peer.record.state == PeerState.SUSPECT and now_ms - peer.state_since_ms >= LOST_AFTER_SUSPECT_MS)
     )
-    left = sum(peer.record.state == PeerState.LEFT for peer in peers.peers.values())
-    return len(peers.peers) - left - len(lost), lost
+    left_count = sum(peer.record.state == PeerState.LEFT for peer in detector.peers.values())
+    return PeerReachability(len(detector.peers) - left_count - len(lost), lost)
+
+
+def _find_partitions(evidence: Evidence) -> dict[PartitionKey, Finding]:
+    found: dict[PartitionKey, Finding] = {}
+    if evidence.lost_peers:
+        scope = PartitionScope.SOME_PEERS if evidence.reachable_peer_count else PartitionScope.ALL_PEERS
+        found[PartitionKey(scope)] = Finding(Verdict.UNKNOWN, _lost_peers_reason(evidence))
+    if not evidence.is_discovery_in_sync:
+        reaching_count = sum(not state.flags & FLAG_NO_DISCOVERY for state in evidence.peer_states)
+        found[PartitionKey(PartitionScope.DISCOVERY)] = _finding(
+            reaching_count, len(evidence.peer_states), "no source in sync"
+        )
+    found |= _find_backend_partitions(evidence)
+    parts = [
+        PartitionKey(scope)
+        for scope in (PartitionScope.ALL_PEERS, PartitionScope.DISCOVERY, PartitionScope.ALL_BACKENDS)
+    ]
+    if all(key in found for key in parts):
+        reason = "; ".join(found[key].reason for key in parts)
+        found[PartitionKey(PartitionScope.EVERYTHING)] = Finding(Verdict.UNKNOWN, reason)
+    return found
 
 
-def _find_partitions(saw: Evidence) -> dict[PartitionKey, tuple[Verdict, str]]:
-    found: dict[PartitionKey, tuple[Verdict, str]] = {}
-    if saw.lost_peers:
-        names = ", ".join(saw.lost_peers[:MAX_REASON_NAMES]) + (
-            " and others" if len(saw.lost_peers) > MAX_REASON_NAMES else ""
-        )
-        all_of = len(saw.lost_peers) + saw.reachable_peer_count
-        why = f"{len(saw.lost_peers)} of {all_of} peers silent ({names}): ended, or cut off from here"
-        found[PartitionScope.SOME_PEERS if saw.reachable_peer_count else PartitionScope.ALL_PEERS, ""] = (
-            Verdict.UNKNOWN,
-            why,
-        )
-    if not saw.is_discovery_in_sync:
-        reach = sum(not word.flags & FLAG_NO_DISCOVERY for word in saw.peer_states)
-        found[PartitionScope.DISCOVERY, ""] = _judge_reachability(
-            reach, len(saw.peer_states), "no source in sync"
-        )
-    silent = [
+def _find_backend_partitions(evidence: Evidence) -> dict[PartitionKey, Finding]:
+    """All backends if every zone that has any is silent, else each silent zone."""
+    peer_count = len(evidence.peer_states)
+    silent_zones = [
         zone
-        for zone, (up, quiet) in sorted(saw.backends_by_zone.items())[:MAX_ZONES]
-        if up >= SILENT_ZONE_MIN_BACKENDS and quiet >= SILENT_ZONE_RATIO * up
+        for zone, counts in sorted(evidence.backends_by_zone.items())[:MAX_ZONES]
+        if counts.up >= SILENT_ZONE_MIN_BACKENDS and counts.silent >= SILENT_ZONE_RATIO * counts.up
     ]
-    if silent and len(silent) == sum(up > 0 for up, _ in saw.backends_by_zone.values()):
-        reach = sum(not word.partitioned_zone_id for word in saw.peer_states)
-        found[PartitionScope.ALL_BACKENDS, ""] = _judge_reachability(
-            reach, len(saw.peer_states), "nearly all servers silent"
+    zone_count = sum(counts.up > 0 for counts in evidence.backends_by_zone.values())
+    if silent_zones and len(silent_zones) == zone_count:
+        reaching_count = sum(not state.partitioned_zone_id for state in evidence.peer_states)
+        finding = _finding(reaching_count, peer_count, "nearly all servers silent")
+        return {PartitionKey(PartitionScope.ALL_BACKENDS): finding}
+    found = {}
+    for zone in silent_zones:
+        reaching_count = sum(state.partitioned_zone_id != zone_id(zone) for state in evidence.peer_states)
+        up, silent = evidence.backends_by_zone[zone]
+        found[PartitionKey(PartitionScope.BACKEND_ZONE, zone)] = _finding(
+            reaching_count, peer_count, f"{silent} of {up} servers silent"
         )
-    else:
-        for zone in silent:
-            reach = sum(word.partitioned_zone_id != zone_id(zone) for word in saw.peer_states)
-            text = f"{saw.backends_by_zone[zone][1]} of {saw.backends_by_zone[zone][0]} servers silent"
-            found[PartitionScope.BACKEND_ZONE, zone] = _judge_reachability(reach, len(saw.peer_states), text)
-    parts = [
-        (of, "") for of in (PartitionScope.ALL_PEERS, PartitionScope.DISCOVERY, PartitionScope.ALL_BACKENDS)
-    ]
-    if all(key in found for key in parts):
-        found[PartitionScope.EVERYTHING, ""] = Verdict.UNKNOWN, "; ".join(found[key][1] for key in parts)
     return found
 
 
-def _judge_reachability(reach: int, asked: int, what: str) -> tuple[Verdict, str]:
-    if not asked:
-        return Verdict.UNKNOWN, f"{what}; no peer to ask"
-    verdict = Verdict.PARTITIONED if reach else Verdict.TARGET_DOWN
-    return verdict, f"{what}; {reach} of {asked} peers reach it"
+def _lost_peers_reason(evidence: Evidence) -> str:
+    lost = evidence.lost_peers
+    names = ", ".join(lost[:MAX_REASON_NAMES]) + (" and others" if len(lost) > MAX_REASON_NAMES else "")
+    peer_count = len(lost) + evidence.reachable_peer_count
+    return f"{len(lost)} of {peer_count} peers silent ({names}): ended, or cut off from here"
+
+
+def _finding(reaching_count: int, asked_count: int, observation: str) -> Finding:
+    if not asked_count:
+        return Finding(Verdict.UNKNOWN, f"{observation}; no peer to ask")
+    verdict = Verdict.PARTITIONED if reaching_count else Verdict.TARGET_DOWN
+    return Finding(verdict, f"{observation}; {reaching_count} of {asked_count} peers reach it")
--- a/balancer/net/cluster_gossip.py
+++ b/balancer/net/cluster_gossip.py
@@ -1,11 +1,11 @@
-"""What the other nodes' words lead to on a running node: `core/cluster/gossip_coordinator`, fed and
-carried out.
+"""Feeds `core/cluster/gossip_coordinator` on a running node and performs its actions.
 
-`Words` hands it the sections of each datagram, how the node stands each round, and what the merge applied.
-What it says goes to the other nodes, the time line, the log, the merge and this node's discovery.
+The coordinator receives the sections of each datagram, the status of the node in each gossip interval, and
+what the endpoint merger applied. Its actions go to the other nodes, the time line, the log, the merger and
+this node's discovery.
 
-Drains and removals that are taken from peers are the word of one more source of the merge, the last, which
-may drain and remove alone. It is there from the first such word on, until `[peers]` is switched off.
+Removals that are accepted from peers reach the merger as one more source, the last, which may only drain and
+remove. It is configured from the first such removal on, until the operators switch `[peers]` off.
 """
 
 from __future__ import annotations
@@ -17,197 +17,211 @@
 from typing import Any
 
 import balancer
-from balancer.core import recovery as r
-from balancer.core.cluster import gossip_coordinator as t
-from balancer.core.cluster import gossiped_removals as hearsay
-from balancer.core.cluster import quota_allocation as shares
-from balancer.core.cluster.configuration_digest import (
-    NODE_FIELDS,
-    OPERATOR_NODE_FIELDS,
+from balancer.core import recovery
+from balancer.core.cluster import (
     configuration_digest,
+    gossip_coordinator,
+    gossiped_removals,
+    node_state,
+    quota_allocation,
+    report,
 )
 from balancer.core.cluster.failure_detector import FailureDetector
-from balancer.core.cluster.node_state import GOSSIP_SOURCE_NAME
-from balancer.core.cluster.report import gossip_report, printable
-from balancer.core.discovery import endpoint_merger as membership
+from balancer.core.cluster.partition_detector import BackendCounts
+from balancer.core.discovery import endpoint_merger
 from balancer.core.staggering import StaggeredSchedule
 from balancer.interface import Phase
 from balancer.net.component import RunningNode
 from balancer.net.discovery.platform import SOURCE_NAME as PLATFORM
 from balancer.operator_settings import OperatorSettings
-from balancer.protocol import gossip
-from balancer.protocol import gossip_sections as goes_by
+from balancer.protocol import gossip, gossip_sections
 
 log = logging.getLogger(__name__)
 
-MAX_DISCOVERY_FETCHES_PER_S = (
-    50.0  # calls a second that discovery is taken to bear of nodes that are told of a newer list
-)
-BACKEND_SCAN_INTERVAL_MS = 1_000.0  # between two looks at all servers
-RECOVERY_STATES = tuple(r.RecoveryState)
+# What discovery is assumed to sustain, from all nodes that learn at once of a newer list.
+MAX_DISCOVERY_FETCHES_PER_S = 50.0
+BACKEND_SCAN_INTERVAL_MS = 1_000.0  # a scan visits all backends
+RECOVERY_STATES = tuple(recovery.RecoveryState)
 
 
 class ClusterGossip:
-    """`write` sends sections to an address."""
+    """Connects a `GossipCoordinator` with the running node.
+
+    `send_sections` sends a datagram to an address. Events on the time line are counted in `event_counts`.
+    """
 
     def __init__(
         self,
         running: RunningNode,
-        peers: FailureDetector,
-        write: Callable[[str, t.Sections], None],
-        counts: Counter[str],
+        failure_detector: FailureDetector,
+        send_sections: Callable[[str, gossip_coordinator.Sections], None],
+        event_counts: Counter[str],
     ) -> None:
-        self.running, self.node, self.endpoint_view, self.event_counts = (
-            running,
-            running.node,
-            running.fleet,
-            counts,
+        self.running, self.node, self.endpoint_view = running, running.node, running.fleet
+        self.event_counts = event_counts
+        settings = self.node.settings
+        self.coordinator = gossip_coordinator.GossipCoordinator(
+            failure_detector,
+            settings.node_index,
+            settings.node_count,
+            persisted_quota=None,
+            time_slots=StaggeredSchedule(
+                settings.node_index, settings.node_count, MAX_DISCOVERY_FETCHES_PER_S
+            ),
+            random=Random(),
+            codec=gossip_sections,
+            capacity_bytes=gossip.record_space_bytes(
+                running.name, gossip.Message(gossip_sections.MESSAGE_KIND, 0, "", "", ())
+            ),
+            # Where lists are pushed, each node has an agent of its own.
+            sources_with_local_agents=() if settings.must_poll else (PLATFORM,),
         )
-        told = self.node.settings
-        self.coordinator = t.GossipCoordinator(
-            peers,
-            told.node_index,
-            told.node_count,
-            None,
-            StaggeredSchedule(told.node_index, told.node_count, MAX_DISCOVERY_FETCHES_PER_S),
-            Random(),
-            goes_by,
-            gossip.record_space_bytes(running.name, gossip.Message(goes_by.MESSAGE_KIND, 0, "", "", ())),
-            () if told.must_poll else (PLATFORM,),  # where lists are pushed each node has an agent of its own
+        self.quota: quota_allocation.SetQuota | None = None  # reported; no limit is divided by it yet
+        self._send_sections = send_sections
+        self._settings_digests = (
+            configuration_digest.configuration_digest(settings, configuration_digest.NODE_FIELDS),
+            0,
         )
-        self.quota: shares.SetQuota | None = None  # nothing is divided by it yet
-        self._send_sections = write
-        self._settings_digests = configuration_digest(told, NODE_FIELDS), 0
-        self._backends_by_zone: dict[str, tuple[int, int]] = {}
+        self._backends_by_zone: dict[str, BackendCounts] = {}
         self._last_backend_scan_ms = float("-inf")
         self.coordinator.digest_tree.apply(tuple(self.endpoint_view.merger.view.values()), ())
         self.endpoint_view.listeners.append(self._on_merge)
 
     def apply(self, settings: OperatorSettings) -> None:
-        """The operators' file says this from now on."""
-        self._settings_digests = (
-            self._settings_digests[0],
-            configuration_digest(settings, OPERATOR_NODE_FIELDS),
+        """Advertise the digest of these operators' settings from now on."""
+        operators_digest = configuration_digest.configuration_digest(
+            settings, configuration_digest.OPERATOR_NODE_FIELDS
         )
+        self._settings_digests = self._settings_digests[0], operators_digest
 
-    def use_failure_detector(self, peers: FailureDetector) -> None:
-        """Go on at another address, as whoever speaks there."""
-        self.coordinator.failure_detector = peers
+    def use_failure_detector(self, failure_detector: FailureDetector) -> None:
+        """Continue with the failure detector of another listening address."""
+        self.coordinator.failure_detector = failure_detector
 
-    def close(self, lift: bool) -> None:
-        """Hear no more. `lift`: what peers said holds no longer, else it stays and may be remembered."""
+    def close(self, withdraws_removals: bool) -> None:
+        """Stop. Removals accepted from peers are withdrawn, or stay in the view and may be persisted."""
         if self._on_merge in self.endpoint_view.listeners:
             self.endpoint_view.listeners.remove(self._on_merge)
-        self.handle(shares.ShutdownStarted())
-        if lift:
-            self._set_gossip_source(False)
+        self.handle(quota_allocation.ShutdownStarted())
+        if withdraws_removals:
+            self._disable_gossip_source()
 
-    def handle(self, event: t.Event) -> None:
-        """Something happened that bears on it."""
+    def handle(self, event: gossip_coordinator.Event) -> None:
+        """Pass an event to the coordinator and perform its actions. Errors of the coordinator are logged."""
         try:
             actions = self.coordinator.handle(self.node.now(), event)
-        except Exception:  # guards who is there, and requests, against one event
+        except Exception:  # an event must harm neither the failure detector nor requests
             log.exception("peers: %s failed", type(event).__name__)
             return
         for action in actions:
             self._perform(action)
 
     def run_round(self) -> None:
-        """How the node stands."""
-        meter, merge = self.running.recovery, self.endpoint_view.merger
-        state = 0 if meter is None else RECOVERY_STATES.index(meter.recovery.state)
-        version, zone, sources = balancer.__version__, self.node.settings.zone, list(merge.sources.values())
+        """Pass the status of this node to the coordinator; due each node_state.GOSSIP_INTERVAL_MS."""
+        component, merger = self.running.recovery, self.endpoint_view.merger
+        state_index = 0 if component is None else RECOVERY_STATES.index(component.recovery.state)
         self.handle(
-            t.GossipIntervalElapsed(
-                state,
-                self._settings_digests,
-                version,
-                zone,
-                sources,
-                merge.view,
-                self._count_silent_backends(),
+            gossip_coordinator.GossipIntervalElapsed(
+                recovery_state=state_index,
+                settings_digests=self._settings_digests,
+                program_version=balancer.__version__,
+                zone=self.node.settings.zone,
+                sources=list(merger.sources.values()),
+                endpoints=merger.view,
+                backends_by_zone=self._count_silent_backends(),
             )
         )
 
-    def _count_silent_backends(self) -> Mapping[str, tuple[int, int]]:
-        """By zone, how many servers are up, and how many of them the module leaves alone, as they failed."""
-        if (now := self.node.now()) - self._last_backend_scan_ms >= BACKEND_SCAN_INTERVAL_MS:
-            self._last_backend_scan_ms, counts = now, Counter[tuple[str, bool]]()
-            for one in self.node.balancer.backends.values():
-                if one.endpoint.phase is Phase.UP:
-                    counts[one.endpoint.zone, one.ejected_until_ms > now] += 1
+    def _count_silent_backends(self) -> Mapping[str, BackendCounts]:
+        """Backends that are up, by zone; those that are ejected count as silent."""
+        if (now_ms := self.node.now()) - self._last_backend_scan_ms >= BACKEND_SCAN_INTERVAL_MS:
+            self._last_backend_scan_ms = now_ms
+            counts = Counter[tuple[str, bool]]()
+            for backend in self.node.balancer.backends.values():
+                if backend.endpoint.phase is Phase.UP:
+                    counts[backend.endpoint.zone, backend.ejected_until_ms > now_ms] += 1
             self._backends_by_zone = {
-                z: (counts[z, True] + counts[z, False], counts[z, True]) for z, _ in counts
+                zone: BackendCounts(counts[zone, True] + counts[zone, False], counts[zone, True])
+                for zone, _ in counts
             }
         return self._backends_by_zone
 
-    def _on_merge(self, event: membership.Event, actions: Sequence[membership.Action]) -> None:
-        """The merge changed: by a source's word, or by none where it is set anew or goes on with a list."""
+    def _on_merge(self, event: endpoint_merger.Event, actions: Sequence[endpoint_merger.Action]) -> None:
+        """The merger has handled an event. Configuration and later slices of a list belong to no source."""
         source = None
-        if not isinstance(event, (membership.SourcesConfigured, membership.NextSliceDue)):
+        if not isinstance(event, (endpoint_merger.SourcesConfigured, endpoint_merger.NextSliceDue)):
             source = self.endpoint_view.merger.sources.get(event.source)
         for action in actions:
-            if isinstance(action, membership.ApplyEndpoints):
-                self.coordinator.on_source_applied(self.node.now(), source or hearsay.gossip_source(), action)
+            if isinstance(action, endpoint_merger.ApplyEndpoints):
+                self.coordinator.on_source_applied(
+                    self.node.now(), source or gossiped_removals.gossip_source(), action
+                )
 
-    # --- what was decided
+    # --- actions
 
-    def _perform(self, action: t.Action) -> None:
+    def _perform(self, action: gossip_coordinator.Action) -> None:
         match action:
-            case t.SendGossip():
+            case gossip_coordinator.SendGossip():
                 self._send_sections(action.address, action.sections)
-            case t.RecordEvent():
+            case gossip_coordinator.RecordEvent():
                 self._record_event(action)
-            case t.WriteLog():
-                log.info("peers: %s", printable(action.message))
-            case membership.EndpointsListed():
-                self._set_gossip_source(True)
+            case gossip_coordinator.WriteLog():
+                log.info("peers: %s", report.printable(action.message))
+            case endpoint_merger.EndpointsListed():
+                self._enable_gossip_source()
                 self.endpoint_view.handle(action)
-            case hearsay.ResetGossipSource():
-                self._set_gossip_source(False)
-            case hearsay.FetchSnapshot():
+            case gossiped_removals.ResetGossipSource():
+                self._disable_gossip_source()
+            case gossiped_removals.FetchSnapshot():
                 self._fetch_snapshot(action)
-            case shares.SetQuota():
+            case quota_allocation.SetQuota():
                 self.quota = action
 
-    def _record_event(self, action: t.RecordEvent) -> None:
+    def _record_event(self, action: gossip_coordinator.RecordEvent) -> None:
         self.event_counts[f"peer {action.name}"] += 1
-        of = printable(action.subject)
-        log.warning("peers: %s: %s: %s", action.name, of, printable(action.reason))
+        subject = report.printable(action.subject)
+        log.warning("peers: %s: %s: %s", action.name, subject, report.printable(action.reason))
         evidence: dict[str, object] = {"why": action.reason}
         if action.node_names:
             evidence["names"] = ", ".join(action.node_names)
-        self.running.record_event(action.name, "node", of, "peers", evidence)
+        self.running.record_event(action.name, "node", subject, "peers", evidence)
+
+    def _enable_gossip_source(self) -> None:
+        """Have the merger accept removals from peers, as a source behind all others."""
+        sources = self.endpoint_view.merger.sources
+        if node_state.GOSSIP_SOURCE_NAME not in sources:
+            configured = (*sources.values(), gossiped_removals.gossip_source())
+            self.endpoint_view.handle(endpoint_merger.SourcesConfigured(configured))
 
-    def _set_gossip_source(self, on: bool) -> None:
-        """Have the merge hear peers behind all others, or not at all."""
+    def _disable_gossip_source(self) -> None:
+        """Withdraw all removals that were accepted from peers."""
         sources = self.endpoint_view.merger.sources
-        if (GOSSIP_SOURCE_NAME in sources) is not on:
-            others = [source for name, source in sources.items() if name != GOSSIP_SOURCE_NAME]
-            self.endpoint_view.handle(
-                membership.SourcesConfigured((*others, *([hearsay.gossip_source()] if on else [])))
+        if node_state.GOSSIP_SOURCE_NAME in sources:
+            others = tuple(
+                source for name, source in sources.items() if name != node_state.GOSSIP_SOURCE_NAME
             )
+            self.endpoint_view.handle(endpoint_merger.SourcesConfigured(others))
 
-    def _fetch_snapshot(self, action: hearsay.FetchSnapshot) -> None:
-        """For its whole list, as the module would. etcd's watch cannot be asked for more than it tells."""
+    def _fetch_snapshot(self, action: gossiped_removals.FetchSnapshot) -> None:
+        """Fetch the platform's list. etcd's watch already delivers all that it has."""
         if action.source == PLATFORM and self.node.discovery is not None:
             log.info("peers: others have seen revision %d of %s: it is asked", action.revision, PLATFORM)
             self.node.discovery.fetch()
 
-    # --- what operators ask
+    # --- what operators see
 
     def gauges(self) -> dict[str, dict[str, float]]:
-        """For the metrics: what is so now, by kind."""
-        decider = self.coordinator
-        taken = decider.gossiped_removals.accepted.values()
+        """Current numbers of partitions, divergences and accepted removals, by kind, for the metrics."""
+        coordinator = self.coordinator
+        partitions = coordinator.partition_detector.partitions
+        divergences = coordinator.node_states.divergence_hysteresis.active_since_ms
+        removals = coordinator.gossiped_removals.accepted.values()
         return {
-            "cuts": dict(Counter(of.value for of, _ in decider.partition_detector.partitions)),
-            "disagreements": dict(
-                Counter(what for what, _ in decider.node_states.divergence_hysteresis.active_since_ms)
-            ),
-            "taken": dict(Counter("gone" if out.is_gone else "drains" for out in taken)),
+            "cuts": dict(Counter(key.scope.value for key in partitions)),
+            "disagreements": dict(Counter(str(key.kind) for key in divergences)),
+            "taken": dict(Counter("gone" if removal.is_gone else "drains" for removal in removals)),
         }
 
     def report(self) -> dict[str, Any]:
-        """What of `peers` is by the others' words."""
-        return gossip_report(self.coordinator, self.quota)
+        """The part of `balancer peers` that follows from gossip."""
+        return report.gossip_report(self.coordinator, self.quota)
--- a/tests/core/cluster/test_gossip_coordinator.py
+++ b/tests/core/cluster/test_gossip_coordinator.py
@@ -1,4 +1,4 @@
-"""All deciders of the peers' words in one, between nodes that have only bytes of each other."""
+"""The gossip coordinators of several nodes, which exchange encoded datagrams only."""
 
 from __future__ import annotations
 
@@ -9,18 +9,12 @@
 import pytest
 
 from balancer.core.cluster import (
-    gossip_coordinator as together,
+    failure_detector,
+    gossip_coordinator,
+    gossiped_removals,
+    node_state,
+    quota_allocation,
 )
-from balancer.core.cluster import (
-    gossiped_removals as hearsay,
-)
-from balancer.core.cluster import (
-    node_state as views,
-)
-from balancer.core.cluster import (
-    quota_allocation as shares,
-)
-from balancer.core.cluster.failure_detector import ShutdownStarted
 from balancer.core.cluster.gossip_coordinator import (
     GossipCoordinator,
     GossipIntervalElapsed,
@@ -29,7 +23,7 @@
     SendGossip,
     WriteLog,
 )
-from balancer.core.discovery import endpoint_merger as ms
+from balancer.core.discovery import endpoint_merger
 from balancer.core.discovery.endpoint_merger import (
     ApplyEndpoints,
     EndpointMerger,
@@ -40,220 +34,239 @@
 )
 from balancer.core.recovery import ROLE_HOLD_OFF_MS
 from balancer.core.staggering import StaggeredSchedule
-from balancer.endpoints import EndpointList
+from balancer.endpoints import EndpointList, EndpointRecord
 from balancer.interface import Phase
-from balancer.protocol import gossip
-from balancer.protocol import gossip_sections as goes_by
+from balancer.protocol import gossip, gossip_sections
 from benchmarks.failure_detection import Net
 from benchmarks.node_state_gossip import member, room
 
-SERVERS = 30
+SERVER_COUNT = 30
+SERVERS = tuple(map(member, range(SERVER_COUNT)))
+KEY = gossip.Key(bytes(32))
+
+
+def draining(number: int) -> EndpointRecord:
+    record = member(number)
+    return replace(record, endpoint=replace(record.endpoint, phase=Phase.DRAINING))
 
 
-class Village(Net):
-    """Nodes with a merge each; `size` of them by the settings, those after are newcomers."""
+class Cluster(Net):
+    """Nodes with an endpoint merger each. `node_count` of them are configured, those after are newcomers."""
 
-    def __init__(self, count: int, size: int) -> None:
-        super().__init__(count, 5)
-        self.all: dict[str, GossipCoordinator] = {}
-        self.merge: dict[str, EndpointMerger] = {}
-        self.events: list[tuple[str, together.Action]] = []
-        self.deaf: set[str] = set()
+    def __init__(self, size: int, node_count: int) -> None:
+        super().__init__(size, 5)
+        self.coordinators: dict[str, GossipCoordinator] = {}
+        self.mergers: dict[str, EndpointMerger] = {}
+        self.events: list[tuple[str, gossip_coordinator.Action]] = []
+        self.without_discovery: set[str] = set()
         self.revision = 1
-        for number, (address, node) in enumerate(self.nodes.items()):
-            turns, random = StaggeredSchedule(number, count, 50), Random(number)
-            its = GossipCoordinator(node, number, size, None, turns, random, goes_by, room("n9"))
-            self.all[address], self.merge[address] = (
-                its,
-                EndpointMerger([Source("platform"), hearsay.gossip_source()]),
+        for index, (address, detector) in enumerate(self.nodes.items()):
+            self.coordinators[address] = GossipCoordinator(
+                detector,
+                index,
+                node_count,
+                None,
+                StaggeredSchedule(index, size, 50),
+                Random(index),
+                gossip_sections,
+                room("n9"),
             )
-            everything = tuple(map(member, range(SERVERS)))
-            self.listed(address, EndpointsListed("platform", "p", EndpointList(1, True, everything)))
+            self.mergers[address] = EndpointMerger([Source("platform"), gossiped_removals.gossip_source()])
+            self.merge(address, EndpointsListed("platform", "p", EndpointList(1, True, SERVERS)))
 
-    def listed(self, address: str, event: EndpointsListed | SourceLost) -> None:
-        todo: list[EndpointsListed | SourceLost | NextSliceDue] = [event]
-        while todo:
-            done: list[ms.Action] = self.merge[address].handle(self.now, todo.pop())
-            todo += [NextSliceDue() for action in done if isinstance(action, ms.ScheduleNextSlice)]
-            for action in done:
-                if isinstance(action, ApplyEndpoints):
-                    self.all[address].on_source_applied(
-                        self.now, self.merge[address].sources[event.source], action
-                    )
+    def merge(self, address: str, event: EndpointsListed | SourceLost) -> None:
+        """Pass an event, and the slices that follow from it, to a node's merger."""
+        merger = self.mergers[address]
+        pending: list[EndpointsListed | SourceLost | NextSliceDue] = [event]
+        while pending:
+            actions: list[endpoint_merger.Action] = merger.handle(self.now, pending.pop())
+            for action in actions:
+                if isinstance(action, endpoint_merger.ScheduleNextSlice):
+                    pending.append(NextSliceDue())
+                elif isinstance(action, ApplyEndpoints):
+                    source = merger.sources[event.source]
+                    self.coordinators[address].on_source_applied(self.now, source, action)
 
-    def say(self, *numbers: int) -> None:
-        """Servers drain, by discovery's word, where it is heard."""
+    def drain(self, *numbers: int) -> None:
+        """Discovery lists servers as draining, to the nodes that hear it."""
         self.revision += 1
-        drains = [replace(member(n).endpoint, phase=Phase.DRAINING) for n in numbers]
-        members = tuple(replace(member(n), endpoint=entry) for n, entry in zip(numbers, drains, strict=True))
-        for address in self.nodes.keys() - self.deaf:
-            self.listed(
-                address, EndpointsListed("platform", "p", EndpointList(self.revision, False, members))
-            )
+        listed = EndpointList(self.revision, False, tuple(map(draining, numbers)))
+        for address in self.nodes.keys() - self.without_discovery:
+            self.merge(address, EndpointsListed("platform", "p", listed))
+
+    def interval(self, address: str) -> GossipIntervalElapsed:
+        merger = self.mergers[address]
+        return GossipIntervalElapsed(3, (1, 2), "0.34.0", "z", list(merger.sources.values()), merger.view)
+
+    def run_for(self, duration_ms: float) -> None:
+        end_ms = self.now + duration_ms
+        while self.now < end_ms:
+            self.run(self.now + node_state.GOSSIP_INTERVAL_MS)
+            pending = [
+                (address, action)
+                for address in self.mergers
+                for action in self.coordinators[address].handle(self.now, self.interval(address))
+            ]
+            while pending:
+                address, action = pending.pop(0)
+                match action:
+                    case EndpointsListed():
+                        self.merge(address, action)
+                    case SendGossip():
+                        pending += self.deliver(address, action)
+                    case _:
+                        self.events.append((address, action))
+
+    def deliver(self, sender: str, action: SendGossip) -> list[tuple[str, gossip_coordinator.Action]]:
+        """Encode, sign, verify and decode a datagram; returns what its receiver does."""
+        message = gossip.Message(gossip_sections.MESSAGE_KIND, 0, "", "", ())
+        writer = gossip.Writer(self.nodes[sender].name, [KEY])
+        datagram = writer.write(1, message, action.sections)
+        accepted = gossip.Reader([KEY]).read(self.now, sender, datagram)
+        assert isinstance(accepted, gossip.AcceptedDatagram) and len(datagram) <= gossip.MAX_DATAGRAM_BYTES
+        if action.address not in self.coordinators or self.cut(sender, action.address):
+            return []
+        received = SectionsReceived(accepted.sender, sender, accepted.sections)
+        actions = self.coordinators[action.address].handle(self.now, received)
+        return [(action.address, answer) for answer in actions]
 
-    def rounds(self, ms: float) -> None:
-        end = self.now + ms
-        while self.now < end:
-            self.run(self.now + 200)
-            todo: list[tuple[str, together.Action]] = []
-            for address, merge in self.merge.items():
-                now = GossipIntervalElapsed(
-                    3, (1, 2), "0.34.0", "z", list(merge.sources.values()), merge.view
-                )
-                todo += [(address, action) for action in self.all[address].handle(self.now, now)]
-            while todo:
-                address, action = todo.pop(0)
-                if isinstance(action, EndpointsListed):
-                    self.listed(address, action)
-                elif isinstance(action, SendGossip):
-                    key = gossip.Key(bytes(32))
-                    data = gossip.Writer(self.nodes[address].name, [key]).write(
-                        1, gossip.Message(goes_by.MESSAGE_KIND, 0, "", "", ()), action.sections
-                    )
-                    read = gossip.Reader([key]).read(self.now, address, data)
-                    assert (
-                        isinstance(read, gossip.AcceptedDatagram) and len(data) <= gossip.MAX_DATAGRAM_BYTES
-                    )
-                    if action.address in self.all and not self.cut(address, action.address):
-                        came = SectionsReceived(read.sender, address, read.sections)
-                        todo += [
-                            (action.address, its) for its in self.all[action.address].handle(self.now, came)
-                        ]
-                else:
-                    self.events.append((address, action))
+    def recorded(self) -> Counter[tuple[str, str]]:
+        return Counter(
+            (event.name, event.subject) for _, event in self.events if isinstance(event, RecordEvent)
+        )
 
-    def happened(self) -> Counter[tuple[str, str]]:
-        return Counter((e.name, e.subject) for _, e in self.events if isinstance(e, RecordEvent))
+    def quotas(self) -> list[float]:
+        return [node.quota.quota for node in self.coordinators.values() if node.quota]
 
 
-def test_a_cut_and_a_drain_that_one_node_hears_of_by_its_peers_alone() -> None:
-    """From the bytes to the merge, and back when its source comes again."""
-    village = Village(5, 5)
-    village.rounds(3_000)
-    last = village.address("n4")
-    village.deaf = {last}
-    village.listed(last, SourceLost("platform", "out of reach"))
-    village.rounds(2_000)
-    assert village.happened() == {("cut_began", "discovery"): 1}
-    assert village.all[village.address("n1")].node_states.states["n4"].flags & views.FLAG_NO_DISCOVERY
-    village.say(3, 4)
-    village.rounds(2_000)
-    down = {n for n, m in village.merge[last].view.items() if m.endpoint.phase is not Phase.UP}
-    assert down == {"server-3", "server-4"}
-    village.deaf = set()
-    everything = tuple(map(member, range(SERVERS)))
-    for address in village.nodes:
-        village.listed(address, EndpointsListed("platform", "p", EndpointList(9, True, everything)))
-    village.rounds(6_000)
-    assert all(len(merge.view) == SERVERS for merge in village.merge.values())
-    assert {m.endpoint.phase for m in village.merge[last].view.values()} == {Phase.UP}
-    assert (
-        village.happened()["cut_ended", "discovery"] == 1 and not village.all[last].gossiped_removals.accepted
-    )
+def test_node_without_discovery_detects_it_and_drains_by_its_peers_until_discovery_returns() -> None:
+    cluster = Cluster(5, 5)
+    cluster.run_for(3_000)
+    last = cluster.address("n4")
+    cluster.without_discovery = {last}
+    cluster.merge(last, SourceLost("platform", "out of reach"))
+    cluster.run_for(2_000)
+    assert cluster.recorded() == {("cut_began", "discovery"): 1}
+    advertised = cluster.coordinators[cluster.address("n1")].node_states.states["n4"]
+    assert advertised.flags & node_state.FLAG_NO_DISCOVERY
+    cluster.drain(3, 4)
+    cluster.run_for(2_000)
+    view = cluster.mergers[last].view
+    not_up = {name for name, record in view.items() if record.endpoint.phase is not Phase.UP}
+    assert not_up == {"server-3", "server-4"}
+    cluster.without_discovery = set()
+    for address in cluster.nodes:
+        cluster.merge(address, EndpointsListed("platform", "p", EndpointList(9, True, SERVERS)))
+    cluster.run_for(6_000)
+    assert all(len(merger.view) == SERVER_COUNT for merger in cluster.mergers.values())
+    assert {record.endpoint.phase for record in cluster.mergers[last].view.values()} == {Phase.UP}
+    assert cluster.recorded()["cut_ended", "discovery"] == 1
+    assert not cluster.coordinators[last].gossiped_removals.accepted
 
 
-def test_lists_that_differ_at_the_same_revision_are_named_with_the_entries() -> None:
-    village = Village(4, 4)
-    odd = village.address("n2")
-    merge = village.merge[odd]
-    merge.sources["platform"].records["server-7"] = member(7, 5.0)
-    merge.view["server-7"] = member(7, 5.0)
-    village.all[odd].digest_tree.apply([member(7, 5.0)], ())
-    village.rounds(8_000)
-    assert village.happened() == {("disagreement_began", "list"): 4}
-    said = [e.message for _, e in village.events if isinstance(e, WriteLog)]
-    assert said and all("server-7" in text for text in said)
-    assert {e.node_names for _, e in village.events if isinstance(e, RecordEvent)} == {("n2",)}
+def test_lists_that_differ_at_the_same_revision_are_reported_with_the_entries() -> None:
+    cluster = Cluster(4, 4)
+    divergent = cluster.address("n2")
+    merger = cluster.mergers[divergent]
+    merger.sources["platform"].records["server-7"] = member(7, 5.0)
+    merger.view["server-7"] = member(7, 5.0)
+    cluster.coordinators[divergent].digest_tree.apply([member(7, 5.0)], ())
+    cluster.run_for(8_000)
+    assert cluster.recorded() == {("disagreement_began", "list"): 4}
+    messages = [event.message for _, event in cluster.events if isinstance(event, WriteLog)]
+    assert messages and all("server-7" in message for message in messages)
+    recorded = [event for _, event in cluster.events if isinstance(event, RecordEvent)]
+    assert {event.node_names for event in recorded} == {("n2",)}
 
 
-def test_a_first_start_and_a_newcomer_come_to_their_shares_over_bytes() -> None:
-    village = Village(5, 4)
+def test_nodes_at_their_first_start_and_a_newcomer_arrive_at_their_quotas() -> None:
+    cluster = Cluster(5, 4)
     for _ in range(int(ROLE_HOLD_OFF_MS / 1_000) + 15):
-        village.rounds(1_000)
-        assert sum(its.quota.quota for its in village.all.values() if its.quota) <= 1 + 1e-9
-    assert [its.quota.quota for its in village.all.values() if its.quota] == [0.2] * 5
-    kept = {e.state for _, e in village.events if isinstance(e, shares.PersistQuota)}
-    assert shares.PersistedQuota(True, (shares.KnownNewcomer(4, 1, False),)) in kept
-    last = village.address("n4")
-    village.all[last].handle(village.now, shares.ShutdownStarted())
-    assert village.all[last].quota.quota == 0  # type: ignore[union-attr]
-    village.do(last, ShutdownStarted())
-    del village.nodes[last], village.merge[last], village.all[last]
-    village.rounds(shares.DIVISOR_DECREASE_DELAY_MS + 2_000)
-    assert [its.quota.quota for its in village.all.values() if its.quota] == [0.25] * 4
+        cluster.run_for(1_000)
+        assert sum(cluster.quotas()) <= 1 + 1e-9
+    assert cluster.quotas() == [0.2] * 5
+    persisted = {
+        event.state for _, event in cluster.events if isinstance(event, quota_allocation.PersistQuota)
+    }
+    newcomer = quota_allocation.KnownNewcomer(4, 1, False)
+    assert quota_allocation.PersistedQuota(True, (newcomer,)) in persisted
+    last = cluster.address("n4")
+    cluster.coordinators[last].handle(cluster.now, quota_allocation.ShutdownStarted())
+    assert cluster.quotas() == [0.2] * 4 + [0.0]
+    cluster.do(last, failure_detector.ShutdownStarted())
+    del cluster.nodes[last], cluster.mergers[last], cluster.coordinators[last]
+    cluster.run_for(quota_allocation.DIVISOR_DECREASE_DELAY_MS + 2_000)
+    assert cluster.quotas() == [0.25] * 4
 
 
-@pytest.mark.parametrize("wrong", ["unknown", "elsewhere"])
-def test_what_comes_from_one_that_is_not_there_counts_for_nothing(wrong: str) -> None:
-    village = Village(4, 4)
-    village.rounds(2_000)
-    its = village.all[village.address("n0")]
-    out = goes_by.encode_removals("platform", 5, [("server-1", 9, 1)])
-    word = goes_by.encode_node_state(its.node_states.states["n1"]._replace(sequence_number=900))
-    sender, source = ("x", "10.9.9.9:1") if wrong == "unknown" else ("n1", "10.9.9.9:1")
-    assert not its.handle(
-        village.now, SectionsReceived(sender, source, [(goes_by.NODE_STATE, word), (goes_by.REMOVALS, out)])
-    )
-    assert its.node_states.states["n1"].sequence_number < 900 and not its.gossiped_removals.claims
+@pytest.mark.parametrize("sender", ["x", "n1"], ids=["unknown sender", "another address"])
+def test_sections_from_a_sender_that_is_not_present_there_are_ignored(sender: str) -> None:
+    cluster = Cluster(4, 4)
+    cluster.run_for(2_000)
+    coordinator = cluster.coordinators[cluster.address("n0")]
+    state = coordinator.node_states.states["n1"]._replace(sequence_number=900)
+    sections = [
+        (gossip_sections.NODE_STATE, gossip_sections.encode_node_state(state)),
+        (gossip_sections.REMOVALS, gossip_sections.encode_removals("platform", 5, [("server-1", 9, 1)])),
+    ]
+    assert not coordinator.handle(cluster.now, SectionsReceived(sender, "10.9.9.9:1", sections))
+    assert coordinator.node_states.states["n1"].sequence_number < 900
+    assert not coordinator.gossiped_removals.claims
 
 
-def test_answers_of_a_round_are_bounded_and_ask_nothing() -> None:
-    village = Village(3, 3)
-    village.rounds(2_000)
-    address = village.address("n0")
-    its, merge = village.all[address], village.merge[address]
-    assert its.quota and its.quota.wants_replies
-    its.handle(
-        village.now, GossipIntervalElapsed(3, (1, 2), "0.34.0", "z", list(merge.sources.values()), merge.view)
-    )
-    asked = goes_by.encode_quota_report(1, 1, 0, False, True, ())
-    came = SectionsReceived("n1", village.address("n1"), [(goes_by.QUOTA_REPORT, asked)])
-    sent = [a for _ in range(200) for a in its.handle(village.now, came) if isinstance(a, SendGossip)]
-    assert len(sent) == together.MAX_ANSWERS_PER_ROUND
-    told = goes_by.decode_quota_report(sent[0].sections[0][1])
-    assert told and told[0] == 0 and not told[4]
+def test_answers_in_an_interval_are_bounded_and_ask_for_no_reply() -> None:
+    cluster = Cluster(3, 3)
+    cluster.run_for(2_000)
+    address = cluster.address("n0")
+    coordinator = cluster.coordinators[address]
+    assert coordinator.quota and coordinator.quota.wants_replies
+    coordinator.handle(cluster.now, cluster.interval(address))
+    query = gossip_sections.encode_quota_report(1, 1, 0, False, True, ())
+    received = SectionsReceived("n1", cluster.address("n1"), [(gossip_sections.QUOTA_REPORT, query)])
+    actions = [action for _ in range(200) for action in coordinator.handle(cluster.now, received)]
+    sent = [action for action in actions if isinstance(action, SendGossip)]
+    assert len(sent) == gossip_coordinator.MAX_ANSWERS_PER_ROUND
+    report = gossip_sections.decode_quota_report(sent[0].sections[0][1])
+    assert report and report.node_index == 0 and not report.wants_reply
 
 
-def test_only_what_the_own_source_says_of_a_server_is_told_on() -> None:
-    """Not what peers said of one that it names anew, nor that another has taken a server's address."""
-    village = Village(1, 1)
-    [(address, its)] = village.all.items()
-    drains = replace(member(3), endpoint=replace(member(3).endpoint, phase=Phase.DRAINING))
-    village.listed(address, EndpointsListed("peers", "peers", EndpointList(1, True, ())))
-    village.listed(address, EndpointsListed("peers", "peers", EndpointList(2, False, (drains,))))
+def test_only_removals_by_the_own_source_are_reported_to_peers() -> None:
+    """Neither what peers said of an endpoint that the source lists anew, nor the loss of an address."""
+    cluster = Cluster(1, 1)
+    [(address, coordinator)] = cluster.coordinators.items()
+    source_name = node_state.GOSSIP_SOURCE_NAME
+    cluster.merge(address, EndpointsListed(source_name, source_name, EndpointList(1, True, ())))
+    removals = EndpointList(2, False, (draining(3),))
+    cluster.merge(address, EndpointsListed(source_name, source_name, removals))
     usurper = replace(member(40), address=member(4).address)
-    village.revision = 2
-    village.listed(
-        address, EndpointsListed("platform", "p", EndpointList(2, False, (member(3, 2.0), usurper)))
-    )
-    view = village.merge[address].view
+    cluster.revision = 2
+    listed = EndpointList(2, False, (member(3, 2.0), usurper))
+    cluster.merge(address, EndpointsListed("platform", "p", listed))
+    view = cluster.mergers[address].view
     assert view["server-3"].endpoint.weight == 2.0 and "server-4" not in view
-    assert not its.gossiped_removals.sources["platform"].recent_removals
-    village.say(5)
-    assert [*its.gossiped_removals.sources["platform"].recent_removals] == ["server-5"]
+    assert not coordinator.gossiped_removals.sources["platform"].recent_removals
+    cluster.drain(5)
+    assert [*coordinator.gossiped_removals.sources["platform"].recent_removals] == ["server-5"]
 
 
-def test_a_discovery_that_counts_anew_is_no_older_word_where_each_has_an_agent_of_its_own() -> None:
-    village = Village(4, 4)
-    last = village.address("n3")
-    for number, (address, its) in enumerate(village.all.items()):
-        its.sources_with_local_agents = ("platform",)
-        for revision, identity in ((70, f"old {number}"), (3, f"new {number}")):
-            everything = tuple(map(member, range(SERVERS)))
-            village.listed(
-                address, EndpointsListed("platform", identity, EndpointList(revision, True, everything))
-            )
-            village.rounds(400) if address == last else None
-    village.rounds(2_000)
-    assert not {
-        key for its in village.all.values() for key in its.node_states.divergence_hysteresis.active_since_ms
-    }
-    village.listed(last, SourceLost("platform", "out of reach"))
-    drains = replace(member(9), endpoint=replace(member(9).endpoint, phase=Phase.DRAINING))
-    for number, address in enumerate(village.nodes):
+def test_restarted_discovery_is_no_divergence_and_removals_go_on_where_nodes_have_local_agents() -> None:
+    """Revisions begin anew, and each node hears another identity of one list."""
+    cluster = Cluster(4, 4)
+    last = cluster.address("n3")
+    for index, (address, coordinator) in enumerate(cluster.coordinators.items()):
+        coordinator.sources_with_local_agents = ("platform",)
+        for revision, identity in ((70, f"old {index}"), (3, f"new {index}")):
+            listed = EndpointList(revision, True, SERVERS)
+            cluster.merge(address, EndpointsListed("platform", identity, listed))
+            if address == last:
+                cluster.run_for(400)
+    cluster.run_for(2_000)
+    for coordinator in cluster.coordinators.values():
+        assert not coordinator.node_states.divergence_hysteresis.active_since_ms
+    cluster.merge(last, SourceLost("platform", "out of reach"))
+    for index, address in enumerate(cluster.nodes):
         if address != last:
-            village.listed(
-                address, EndpointsListed("platform", f"new {number}", EndpointList(4, False, (drains,)))
-            )
-    village.rounds(2_000)
-    assert village.merge[last].view["server-9"].endpoint.phase is Phase.DRAINING
+            listed = EndpointList(4, False, (draining(9),))
+            cluster.merge(address, EndpointsListed("platform", f"new {index}", listed))
+    cluster.run_for(2_000)
+    assert cluster.mergers[last].view["server-9"].endpoint.phase is Phase.DRAINING
--- a/tests/core/cluster/test_node_state.py
+++ b/tests/core/cluster/test_node_state.py
@@ -1,41 +1,26 @@
-"""What nodes go by: merging, who disagrees, entries that differ, and cuts."""
+"""Advertised node states: merging, dissemination, and divergences."""
 
 from __future__ import annotations
 
 from random import Random
 
 import pytest
-from hypothesis import given, settings
+from hypothesis import given
 from hypothesis import strategies as st
 
-from balancer.core.cluster import (
-    anti_entropy as halves,
-)
-from balancer.core.cluster import (
-    gossiped_removals as hearsay,
-)
-from balancer.core.cluster import (
-    node_state as views,
-)
-from balancer.core.cluster import (
-    partition_detector as cuts,
-)
-from balancer.core.cluster.anti_entropy import DigestTree
+from balancer.core.cluster import gossiped_removals, node_state
 from balancer.core.cluster.node_state import (
     AdvertisedState,
+    DivergenceBegan,
+    DivergenceEnded,
+    DivergenceKind,
     GossipIntervalElapsed,
     NodeStateTable,
     OwnStateChanged,
+    SendStates,
     StatesReceived,
     latest,
 )
-from balancer.core.cluster.partition_detector import (
-    Evidence,
-    LeasePolicy,
-    PartitionDetector,
-    PartitionScope,
-    Verdict,
-)
 from balancer.core.discovery.endpoint_merger import (
     EndpointMerger,
     EndpointsListed,
@@ -44,19 +29,12 @@
 )
 from balancer.core.hysteresis import Hysteresis
 from balancer.endpoints import EndpointList
-from balancer.protocol import gossip
-from benchmarks.node_state_gossip import (
-    World,
-    cost,
-    goes,
-    member,
-    room,
-    search,
-)
+from benchmarks.node_state_gossip import cost, goes, member, room
 
-WORDS = st.builds(
-    lambda its, edition, revision, digest: goes(
-        "b", 1, revision, digest, incarnation=its, sequence_number=edition
+INTERVAL_MS = 200
+STATES = st.builds(
+    lambda incarnation, sequence_number, revision, digest: goes(
+        "b", 1, revision, digest, incarnation=incarnation, sequence_number=sequence_number
     ),
     st.integers(1, 2),
     st.integers(1, 3),
@@ -65,61 +43,99 @@
 )
 
 
-def node(*others: AdvertisedState, mine: AdvertisedState | None = None) -> NodeStateTable:
-    its = NodeStateTable("a", Random(1), cost, room("a"))
-    its.handle(0, OwnStateChanged(mine or goes("a")))
-    its.handle(0, StatesReceived(others))
-    return its
+def table_with(*others: AdvertisedState, own: AdvertisedState | None = None) -> NodeStateTable:
+    """The table of node "a", which has received the others' states."""
+    table = NodeStateTable("a", Random(1), cost, room("a"))
+    table.handle(0, OwnStateChanged(own or goes("a")))
+    table.handle(0, StatesReceived(others))
+    return table
 
 
-def on_for(its: NodeStateTable, ms: float, start: float = 0.0) -> list[views.Action]:
-    here = {name: f"10.0.0.{at}:1" for at, name in enumerate(sorted(its.states)) if name != its.name}
-    times = range(int(start), int(start + ms), 200)
-    return [action for at in times for action in its.handle(at, GossipIntervalElapsed(here))]
+def run_for(table: NodeStateTable, duration_ms: float, start_ms: float = 0.0) -> list[node_state.Action]:
+    """Actions of the gossip intervals in that time, with all known nodes reachable."""
+    addresses = {
+        name: f"10.0.0.{number}:1" for number, name in enumerate(sorted(table.states)) if name != table.name
+    }
+    times_ms = range(int(start_ms), int(start_ms + duration_ms), INTERVAL_MS)
+    return [
+        action for now_ms in times_ms for action in table.handle(now_ms, GossipIntervalElapsed(addresses))
+    ]
+
+
+def begun(actions: list[node_state.Action]) -> list[DivergenceBegan]:
+    return [action for action in actions if isinstance(action, DivergenceBegan)]
 
 
 # --- merging
 
 
-@given(WORDS, WORDS, WORDS)
-def test_merging_is_associative_commutative_and_idempotent(
+@given(STATES, STATES, STATES)
+def test_latest_is_associative_commutative_and_idempotent(
     one: AdvertisedState, two: AdvertisedState, three: AdvertisedState
 ) -> None:
     assert latest(one, two) == latest(two, one) and latest(one, one) == one
     assert latest(latest(one, two), three) == latest(one, latest(two, three))
 
 
-@given(st.lists(WORDS, min_size=1, max_size=6), st.randoms())
-def test_order_and_doubling_of_words_do_not_matter(words: list[AdvertisedState], random: Random) -> None:
-    again = words * 2
-    random.shuffle(again)
-    assert node(*words).states["b"] == node(*again).states["b"]
+@given(st.lists(STATES, min_size=1, max_size=6), st.randoms())
+def test_table_is_the_same_for_any_order_and_duplication_of_states(
+    states: list[AdvertisedState], random: Random
+) -> None:
+    shuffled = states * 2
+    random.shuffle(shuffled)
+    assert table_with(*states).states["b"] == table_with(*shuffled).states["b"]
 
 
-def test_a_word_is_put_above_what_others_hold_of_its_node_and_a_lie_has_a_bound() -> None:
-    its = node(
+def test_own_state_is_raised_above_what_peers_hold_and_implausible_states_are_ignored() -> None:
+    table = table_with(
         goes("a", 0, 9, sequence_number=40),
         goes("b", sequence_number=2**32 - 1),
         goes("c", incarnation=2**32 - 1),
     )
-    assert its.states == {"a": goes("a", sequence_number=41)}
+    assert table.states == {"a": goes("a", sequence_number=41)}
 
 
-def test_words_are_bounded_and_every_datagram_fits(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(views, "MAX_PEERS", 100)
-    its = node(*(goes(f"x{number}", zone="z" * (number % 50)) for number in range(200)))
-    assert len(its.states) == 101
-    sent = [action for action in on_for(its, 2_000) if isinstance(action, views.SendStates)]
+def test_table_and_datagrams_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(node_state, "MAX_PEERS", 100)
+    table = table_with(*(goes(f"x{number}", zone="z" * (number % 50)) for number in range(200)))
+    assert len(table.states) == 101
+    sent = [action for action in run_for(table, 2_000) if isinstance(action, SendStates)]
     assert len(sent) == 20 and all(0 < sum(map(cost, send.states)) <= room("a") for send in sent)
-    its.handle(0, GossipIntervalElapsed({"x1": "x"}))
-    assert its.states.keys() == {"a", "x1"}
+    table.handle(0, GossipIntervalElapsed({"x1": "x"}))
+    assert table.states.keys() == {"a", "x1"}
+
+
+# --- what is advertised of the own sources
 
 
-# --- who disagrees
+def test_advertised_sources_are_the_own_ones_and_their_digest_needs_complete_lists() -> None:
+    merger = EndpointMerger([Source("platform"), gossiped_removals.gossip_source()])
+    sources = merger.sources.values()
+    assert node_state.advertised_sources(sources) == (("platform", 0, 0, 0),)
+    listed = EndpointsListed("platform", "p", EndpointList(7, True, tuple(map(member, range(501)))))
+    merger.handle(0, listed)
+    assert node_state.advertised_sources(sources) == (("platform", node_state.identity_hash("p"), 7, 2),)
+    assert not node_state.is_comparable(sources)  # a slice is pending
+    merger.handle(0, NextSliceDue())
+    assert node_state.is_comparable(sources)
+
+
+def test_list_with_gossiped_removals_is_not_comparable() -> None:
+    merger = EndpointMerger([Source("platform"), gossiped_removals.gossip_source()])
+    records = tuple(map(member, range(3)))
+    merger.handle(0, EndpointsListed("platform", "p", EndpointList(7, True, records)))
+    merger.handle(0, EndpointsListed(node_state.GOSSIP_SOURCE_NAME, "", EndpointList(1, True, ())))
+    assert node_state.is_comparable(merger.sources.values())
+    removal = EndpointList(2, False, (), ("server-1",))
+    merger.handle(0, EndpointsListed(node_state.GOSSIP_SOURCE_NAME, "", removal))
+    assert not node_state.is_comparable(merger.sources.values())
+
+
+# --- divergences
 
 
 @pytest.mark.parametrize(
-    ("what", "of", "other"),
+    ("kind", "subject", "fields"),
     [
         ("settings", "platform", {"settings_digests": (9, 2)}),
         ("settings", "operators", {"settings_digests": (1, 9)}),
@@ -128,255 +144,97 @@
         ("order", "platform", {"sources": (("platform", 9, 1, 2), ("etcd", 6, 1, 2))}),
     ],
 )
-def test_the_odd_one_is_named_by_itself_and_by_others(what: str, of: str, other: dict[str, object]) -> None:
-    odd = goes("b", **other)  # type: ignore[arg-type]
-    for its in (node(odd, goes("c")), node(goes("b"), goes("c"), mine=odd._replace(name="a"))):
-        began = [action for action in on_for(its, 3_000) if isinstance(action, views.DivergenceBegan)]
-        assert [(action.kind, action.subject, action.node_count) for action in began] == [(what, of, 1)]
-        assert its.own_divergences == ([(what, of)] if began[0].node_names == ("a",) else [])
-        its.handle(3_000, StatesReceived([goes("b", sequence_number=5)]))
-        its.handle(3_000, OwnStateChanged(goes("a")))
-        ended = [action for action in on_for(its, 4_000, 3_200) if isinstance(action, views.DivergenceEnded)]
-        assert [(action.kind, action.subject) for action in ended] == [(what, of)] and not its.own_divergences
-
-
-def test_lists_are_compared_at_the_same_revisions_only_and_a_tie_names_both() -> None:
-    for others in ((goes("b", 1, 2, 9), goes("c", 2, 2, 9)), (goes("b", digest=0), goes("c"))):
-        its = node(*others)
-        on_for(its, 1_000)
-        assert ("list", "") not in its.divergences
-    its = node(goes("b", digest=9))
-    (began,) = (action for action in on_for(its, 3_000) if isinstance(action, views.DivergenceBegan))
+def test_divergent_node_is_named_by_itself_and_by_others(
+    kind: str, subject: str, fields: dict[str, object]
+) -> None:
+    divergent = goes("b", **fields)  # type: ignore[arg-type]
+    others_table = table_with(divergent, goes("c"))
+    own_table = table_with(goes("b"), goes("c"), own=divergent._replace(name="a"))
+    for table in (others_table, own_table):
+        began = begun(run_for(table, 3_000))
+        assert [(event.kind, event.subject, event.node_count) for event in began] == [(kind, subject, 1)]
+        assert table.own_divergences == ([(kind, subject)] if began[0].node_names == ("a",) else [])
+        table.handle(3_000, StatesReceived([goes("b", sequence_number=5)]))
+        table.handle(3_000, OwnStateChanged(goes("a")))
+        ended = [event for event in run_for(table, 4_000, 3_200) if isinstance(event, DivergenceEnded)]
+        assert [(event.kind, event.subject) for event in ended] == [(kind, subject)]
+        assert not table.own_divergences
+
+
+@pytest.mark.parametrize(
+    "others",
+    [(goes("b", 1, 2, 9), goes("c", 2, 2, 9)), (goes("b", digest=0), goes("c"))],
+    ids=["other revisions", "no digest"],
+)
+def test_list_digests_are_compared_at_the_same_revisions_only(others: tuple[AdvertisedState, ...]) -> None:
+    table = table_with(*others)
+    run_for(table, 1_000)
+    assert (DivergenceKind.ENDPOINT_LIST, "") not in table.divergences
+
+
+def test_divergence_between_equally_frequent_values_names_all_nodes() -> None:
+    (began,) = begun(run_for(table_with(goes("b", digest=9)), 3_000))
     assert began.node_names == ("a", "b")
 
 
-def test_a_word_says_what_the_own_sources_are_at_and_no_digest_of_what_is_not_theirs() -> None:
-    merge = EndpointMerger([Source("platform"), hearsay.gossip_source()])
-    assert views.advertised_sources(merge.sources.values()) == (("platform", 0, 0, 0),)
-    merge.handle(0, EndpointsListed("platform", "p", EndpointList(7, True, tuple(map(member, range(501))))))
-    assert views.advertised_sources(merge.sources.values()) == (("platform", views.identity_hash("p"), 7, 2),)
-    assert not views.is_comparable(merge.sources.values())  # a slice waits
-    merge.handle(0, NextSliceDue())
-    assert views.is_comparable(merge.sources.values())
-    for number, listing in enumerate((EndpointList(1, True, ()), EndpointList(2, False, (), ("server-1",)))):
-        merge.handle(0, EndpointsListed(views.GOSSIP_SOURCE_NAME, "", listing))
-        assert views.is_comparable(merge.sources.values()) is not bool(number)
-
-
-def test_who_is_behind_is_named_late_enough_and_not_for_one_that_lies() -> None:
-    its = node(goes("b", 1, 5), goes("c", 2, 5))  # a: revision 1
-    assert not [a for a in on_for(its, views.MAX_REVISION_LAG_MS) if isinstance(a, views.DivergenceBegan)]
-    (began,) = (
-        a for a in on_for(its, 3_000, views.MAX_REVISION_LAG_MS) if isinstance(a, views.DivergenceBegan)
-    )
-    assert (
-        began.node_names == ("a",)
-        and "4 revisions" in began.reason
-        and its.states["a"].flags == views.FLAG_BEHIND
-    )
-    its.handle(5_000, OwnStateChanged(goes("a", 0, 5)))
-    assert (
-        on_for(its, 4_000, 5_000)[-1] != began
-        and not its.states["a"].flags
-        and not its.divergence_hysteresis.active_since_ms
-    )
-    for flags in (
-        0,
-        views.FLAG_BEHIND,
-    ):  # others are late by their own word alone, as what is held may be old
-        its = node(goes("b", 1, 1, flags=flags), goes("c", 2, 5), mine=goes("a", 0, 5))
-        assert bool([a for a in on_for(its, 9_000) if isinstance(a, views.DivergenceBegan)]) is bool(flags)
-    two = node(goes("b", 1, 2**60), goes("c", 2, 2**60))
-    assert [a for a in on_for(two, 5_000) if isinstance(a, views.DivergenceBegan)]
-    two.handle(5_000, StatesReceived([goes("b", sequence_number=2), goes("c", sequence_number=2)]))
-    on_for(two, 3_000, 5_000)
-    assert not two.divergence_hysteresis.active_since_ms  # as soon as it is taken back
-    liar = node(goes("b", 1, 2**60), goes("c"))
-    assert not [a for a in on_for(liar, 9_000) if isinstance(a, views.DivergenceBegan)]
-
-
-def test_old_words_of_many_are_no_disagreement_for_as_long_as_a_turn_takes() -> None:
-    its = node(*(goes(f"x{number}", settings_digests=(1, number % 2)) for number in range(60)))
-    on_for(its, 200)
-    began = [a for a in on_for(its, its.propagation_ms - 600, 200) if isinstance(a, views.DivergenceBegan)]
-    assert not began and its.propagation_ms > 10_000
-    assert [a for a in on_for(its, 3_000, its.propagation_ms) if isinstance(a, views.DivergenceBegan)]
-
-
-def test_a_list_that_changes_all_the_time_makes_nobody_late() -> None:
-    its = node(goes("b"), goes("c"))
-    for turn in range(200):
-        for at, name in enumerate("abc"):
-            word = goes(name, at, 2 + turn - at, sequence_number=turn + 2)  # up to two rounds late
-            its.handle(turn * 200, OwnStateChanged(word) if name == "a" else StatesReceived([word]))
-        assert not [a for a in on_for(its, 200, turn * 200) if isinstance(a, views.DivergenceBegan)], turn
+def test_node_behind_is_named_after_the_allowed_lag_until_it_catches_up() -> None:
+    table = table_with(goes("b", 1, 5), goes("c", 2, 5))  # node a has revision 1
+    assert not begun(run_for(table, node_state.MAX_REVISION_LAG_MS))
+    (began,) = begun(run_for(table, 3_000, node_state.MAX_REVISION_LAG_MS))
+    assert began.node_names == ("a",) and "4 revisions" in began.reason
+    assert table.states["a"].flags == node_state.FLAG_BEHIND
+    table.handle(5_000, OwnStateChanged(goes("a", 0, 5)))
+    assert run_for(table, 4_000, 5_000)[-1] != began and not table.states["a"].flags
+    assert not table.divergence_hysteresis.active_since_ms
 
 
-@given(st.lists(st.booleans(), max_size=40))
-def test_what_is_steady_begins_and_ends_in_turn_and_never_by_a_short_one(present: list[bool]) -> None:
-    its: Hysteresis[str] = Hysteresis(500, 1_500)
-    events, run, last = [], 0, None
-    for at, now in enumerate(present):
-        run = run + 1 if now == last else 1
-        last = now
-        began, ended = its.update(at * 250.0, ["x"] if now else [])
-        assert not began or (now and run >= 3)
-        assert not ended or (not now and run >= 7)
-        events += ["began"] * len(began) + ["ended"] * len(ended)
-    assert events == [("began", "ended")[at % 2] for at in range(len(events))]
+@pytest.mark.parametrize("flags", [0, node_state.FLAG_BEHIND])
+def test_peer_is_named_behind_by_its_own_flag_only(flags: int) -> None:
+    """What this node holds of a peer may be out of date."""
+    table = table_with(goes("b", 1, 1, flags=flags), goes("c", 2, 5), own=goes("a", 0, 5))
+    assert bool(begun(run_for(table, 9_000))) is bool(flags)
 
 
-# --- entries that differ
+def test_divergence_ends_when_the_newer_revision_is_taken_back() -> None:
+    table = table_with(goes("b", 1, 2**60), goes("c", 2, 2**60))
+    assert begun(run_for(table, 5_000))
+    table.handle(5_000, StatesReceived([goes("b", sequence_number=2), goes("c", sequence_number=2)]))
+    run_for(table, 3_000, 5_000)
+    assert not table.divergence_hysteresis.active_since_ms
 
 
-@settings(max_examples=60, deadline=None)
-@given(
-    st.dictionaries(st.integers(0, 60), st.integers(1, 3)),
-    st.dictionaries(st.integers(0, 60), st.integers(1, 3)),
-    st.integers(1, 4),
-)
-def test_what_differs_is_found_and_nothing_else(
-    one: dict[int, int], other: dict[int, int], down: int
-) -> None:
-    """Names that only the searched side has are counted, as it has no name for them."""
-    sides = []
-    for entries in (one, other):
-        its = DigestTree(down)
-        its.apply((member(n, 9.0) for n in range(61)), ())  # what came and went leaves nothing behind
-        its.apply((), [member(n) for n in range(61) if n not in entries])
-        its.apply([member(n, float(weight)) for n, weight in entries.items()], ())
-        sides.append(its)
-        fresh = DigestTree()
-        fresh.apply([member(n, float(weight)) for n, weight in sorted(entries.items())], ())
-        assert fresh.digest == its.digest
-    assert (sides[0].digest == sides[1].digest) == (one == other)
-    names = search(*sides)[0] | search(*reversed(sides))[0]
-    assert names == {f"server-{n}" for n in one.keys() | other.keys() if one.get(n) != other.get(n)}
-
-
-def test_a_search_in_ten_thousand_has_a_bound_whatever_is_asked() -> None:
-    one, other = DigestTree(), DigestTree()
-    one.apply(map(member, range(10_000)), ())
-    other.apply(map(member, range(10_000)), ())
-    other.apply([member(7, 2.0)], ())
-    names, datagrams, size, _ = search(one, other)
-    assert names == {"server-7"} and datagrams <= 6 and size <= datagrams * gossip.MAX_DATAGRAM_BYTES
-    for start in (1, 200, halves.LEAF_COUNT):
-        asked = halves.TreeDigests(tuple((place, 1) for place in range(start, 2 * halves.LEAF_COUNT)))
-        assert 1 < len(one.receive(asked)[0]) <= halves.MAX_ANSWER_DATAGRAMS
-    assert one.receive(halves.TreeDigests(((0, 1), (70_000, 1)))) == ([], None)
-
-
-# --- cuts
-
-FAR, NEAR = goes("b"), goes("c", flags=views.FLAG_NO_DISCOVERY, partitioned_zone_id=cuts.zone_id("z"))
-ZONES = {"z": (4, 4), "y": (4, 0)}
-CASES = [
-    (Evidence(4, (), True), {}, LeasePolicy.KEEP, True),
-    (
-        Evidence(3, ("e",), True),
-        {PartitionScope.SOME_PEERS: Verdict.UNKNOWN},
-        LeasePolicy.REQUIRE_MAJORITY,
-        True,
-    ),
-    (
-        Evidence(1, ("c", "d", "e"), True),
-        {PartitionScope.SOME_PEERS: Verdict.UNKNOWN},
-        LeasePolicy.REQUIRE_MAJORITY,
-        False,
-    ),
-    (Evidence(0, ("b",), True), {PartitionScope.ALL_PEERS: Verdict.UNKNOWN}, LeasePolicy.RELEASE, False),
-    (
-        Evidence(2, (), False, peer_states=(FAR, NEAR)),
-        {PartitionScope.DISCOVERY: Verdict.PARTITIONED},
-        LeasePolicy.KEEP,
-        True,
-    ),
-    (
-        Evidence(1, (), False, peer_states=(NEAR,)),
-        {PartitionScope.DISCOVERY: Verdict.TARGET_DOWN},
-        LeasePolicy.KEEP,
-        True,
-    ),
-    (Evidence(0, (), False), {PartitionScope.DISCOVERY: Verdict.UNKNOWN}, LeasePolicy.KEEP, True),
-    (
-        Evidence(2, (), True, ZONES, (FAR, NEAR)),
-        {PartitionScope.BACKEND_ZONE: Verdict.PARTITIONED},
-        LeasePolicy.KEEP,
-        True,
-    ),
-    (
-        Evidence(1, (), True, ZONES, (NEAR,)),
-        {PartitionScope.BACKEND_ZONE: Verdict.TARGET_DOWN},
-        LeasePolicy.KEEP,
-        True,
-    ),
-    (
-        Evidence(2, (), True, {"z": (4, 4)}, (FAR, NEAR)),
-        {PartitionScope.ALL_BACKENDS: Verdict.PARTITIONED},
-        LeasePolicy.RELEASE,
-        False,
-    ),
-    (
-        Evidence(0, ("b",), False, {"z": (4, 4)}),
-        dict.fromkeys(
-            (
-                PartitionScope.ALL_PEERS,
-                PartitionScope.DISCOVERY,
-                PartitionScope.ALL_BACKENDS,
-                PartitionScope.EVERYTHING,
-            ),
-            Verdict.UNKNOWN,
-        ),
-        LeasePolicy.RELEASE,
-        False,
-    ),
-]
+def test_revision_that_one_of_three_nodes_advertises_makes_none_behind() -> None:
+    assert not begun(run_for(table_with(goes("b", 1, 2**60), goes("c")), 9_000))
 
 
-@pytest.mark.parametrize(("saw", "of", "roles", "keeps"), CASES)
-def test_each_cut_is_told_apart_and_means_what_the_table_says(
-    saw: Evidence, of: dict[PartitionScope, Verdict], roles: LeasePolicy, keeps: bool
-) -> None:
-    its = PartitionDetector()
-    began = [event for at in range(0, 1_000, 200) for event in its.handle(at, saw)]
-    assert {event.scope: event.verdict for event in began if isinstance(event, cuts.PartitionBegan)} == of
-    assert its.consequences.lease_policy is roles and its.may_hold_leases is keeps
-    assert its.consequences.accepts_gossiped_removals == (
-        PartitionScope.DISCOVERY in of and PartitionScope.ALL_PEERS not in of
-    )
-    assert cuts.CONSEQUENCES.keys() == set(PartitionScope)
-    ended = [event for at in range(1_000, 4_000, 200) for event in its.handle(at, Evidence(4, (), True))]
-    assert {event.scope for event in ended} == set(of) and not its.partitions
+def test_states_under_way_are_no_divergence_during_the_propagation_time() -> None:
+    states = (goes(f"x{number}", settings_digests=(1, number % 2)) for number in range(60))
+    table = table_with(*states)
+    run_for(table, 200)
+    began = begun(run_for(table, table.propagation_ms - 600, 200))
+    assert not began and table.propagation_ms > 10_000
+    assert begun(run_for(table, 3_000, table.propagation_ms))
 
 
-def test_one_in_doubt_calls_nothing_a_cut_and_a_flapping_one_is_one() -> None:
-    its, saw = PartitionDetector(), Evidence(0, ("b",), True)
-    assert not [
-        e for at in range(0, 5_000, 200) for e in its.handle(at, Evidence(0, ("b",), False, is_in_doubt=True))
-    ]
-    events = []
-    for at in range(5_000, 30_000, 200):
-        events += its.handle(at, saw if at // 1_000 % 2 else Evidence(1, (), True))
-    assert [type(event) for event in events] == [cuts.PartitionBegan]
-
-
-def test_a_cut_in_a_world_is_named_by_both_sides_once_and_views_meet_again() -> None:
-    """With a node that knows nothing of all this: an older one."""
-    world = World(10, 3, 0.1)
-    old = world.address("n9")
-    quiet, world.views[old] = world.views[old], NodeStateTable("n9", Random(1), cost, room("n9"))
-    assert quiet.states
-    world.rounds(4_000)
-    part = set(list(world.nodes)[:4])
-    world.events.clear()
-    world.cut = lambda one, other: (one in part) != (other in part)
-    world.rounds(8_000)
-    began = [(name, e.scope) for _, name, e in world.events if isinstance(e, cuts.PartitionBegan)]
-    assert sorted(began) == sorted((node.name, PartitionScope.SOME_PEERS) for node in world.nodes.values())
-    world.say(world.address("n1"), goes("n1", 1, zone="moved"))
-    world.cut = lambda one, other: False
-    world.rounds(20_000)
-    assert not any(its.partitions for its in world.cuts.values())
-    assert {its.states["n1"].zone for its in world.views.values()} == {"moved"}
-    assert all(node.state_of("n9") == 0 for node in world.nodes.values() if node.name != "n9")
+def test_list_that_changes_all_the_time_makes_no_node_behind() -> None:
+    table = table_with(goes("b"), goes("c"))
+    for turn in range(200):
+        now_ms = turn * INTERVAL_MS
+        for index, name in enumerate("abc"):  # up to two intervals behind
+            state = goes(name, index, 2 + turn - index, sequence_number=turn + 2)
+            table.handle(now_ms, OwnStateChanged(state) if name == "a" else StatesReceived([state]))
+        assert not begun(run_for(table, INTERVAL_MS, now_ms)), turn
+
+
+@given(st.lists(st.booleans(), max_size=40))
+def test_hysteresis_begins_and_ends_alternate_and_need_their_delays(present: list[bool]) -> None:
+    hysteresis: Hysteresis[str] = Hysteresis(500, 1_500)
+    events, run_length, last = [], 0, None
+    for index, is_present in enumerate(present):
+        run_length = run_length + 1 if is_present == last else 1
+        last = is_present
+        began, ended = hysteresis.update(index * 250.0, ["x"] if is_present else [])
+        assert not began or (is_present and run_length >= 3)
+        assert not ended or (not is_present and run_length >= 7)
+        events += ["began"] * len(began) + ["ended"] * len(ended)
+    assert events == [("began", "ended")[index % 2] for index in range(len(events))]
