--- a/balancer/core/cluster/gossip_coordinator.py
+++ b/balancer/core/cluster/gossip_coordinator.py
@@ -9,13 +9,14 @@
 
 from __future__ import annotations
 
-from collections.abc import Collection, Iterable, Mapping, Sequence
+from collections.abc import Collection, Mapping, Sequence
 from dataclasses import dataclass, field
 from enum import StrEnum
 from random import Random
-from typing import Any, NamedTuple, Protocol
+from typing import NamedTuple
 
 from balancer.core.cluster import (
+    advertised_sources,
     anti_entropy,
     gossiped_removals,
     node_state,
@@ -23,6 +24,7 @@
     quota_allocation,
 )
 from balancer.core.cluster.failure_detector import FailureDetector, PeerState
+from balancer.core.cluster.section_codec import SectionCodec
 from balancer.core.discovery.endpoint_merger import ApplyEndpoints, EndpointsListed, Source, SourceState
 from balancer.core.staggering import StaggeredSchedule
 from balancer.endpoints import EndpointRecord
@@ -47,44 +49,6 @@
 Sections = Sequence[tuple[int, bytes]]  # fields of `Section`
 
 
-class SectionCodec(Protocol):
-    """The functions of `protocol/gossip_sections`, which this package may not import.
-
-    A decoder returns None for data that is malformed.
-    """
-
-    NODE_STATE: int
-    QUOTA_REPORT: int
-    TREE_DIGESTS: int
-    LEAF_ENTRIES: int
-    REMOVALS: int
-    REMOVALS_QUERY: int
-
-    def encode_node_state(self, state: node_state.AdvertisedState, /) -> bytes: ...
-    def decode_node_state(self, data: bytes, /) -> tuple[Any, ...] | None: ...
-    def encode_quota_report(
-        self,
-        node_index: int,
-        incarnation: int,
-        acknowledged_incarnation: int,
-        is_certain: bool,
-        wants_reply: bool,
-        newcomers: Iterable[tuple[int, int, bool]],
-        /,
-    ) -> bytes: ...
-    def decode_quota_report(self, data: bytes, /) -> tuple[Any, ...] | None: ...
-    def encode_tree_digests(self, digests: Iterable[tuple[int, int]], /) -> bytes: ...
-    def decode_tree_digests(self, data: bytes, /) -> Sequence[tuple[int, int]]: ...
-    def encode_leaf_entries(self, tree_index: int, entries: Iterable[tuple[int, int]], /) -> bytes: ...
-    def decode_leaf_entries(self, data: bytes, /) -> tuple[int, Sequence[tuple[int, int]]] | None: ...
-    def encode_removals(
-        self, source: str, identity_hash: int, removals: Sequence[tuple[str, int, int]], /
-    ) -> bytes: ...
-    def decode_removals(self, data: bytes, /) -> tuple[str, int, Sequence[tuple[str, int, int]]] | None: ...
-    def encode_removals_query(self, source: str, identity_hash: int, since_revision: int, /) -> bytes: ...
-    def decode_removals_query(self, data: bytes, /) -> tuple[str, int, int] | None: ...
-
-
 @dataclass(slots=True, frozen=True)
 class SectionsReceived:
     """The sections of a valid datagram of the sender's current incarnation."""
@@ -166,7 +130,7 @@
     """Passes events to the state machines and their actions out, in the order in which to perform them.
 
     `node_index` and `node_count` are the settings'. `capacity_bytes` is the space for sections in a datagram.
-    `sources_with_local_agents` is explained at `node_state.source_identity_hash`.
+    `sources_with_local_agents` is explained at `advertised_sources.source_identity_hash`.
     """
 
     def __init__(
@@ -401,11 +365,13 @@
             flags=0 if has_discovery else node_state.FLAG_NO_DISCOVERY,
             partitioned_zone_id=partition_detector.zone_id(zone) if zone else 0,
             quota_divisor=quota_divisor,
-            endpoints_digest=self.digest_tree.digest if node_state.is_comparable(event.sources) else 0,
+            endpoints_digest=self.digest_tree.digest
+            if advertised_sources.is_comparable(event.sources)
+            else 0,
             settings_digests=event.settings_digests,
             program_version=event.program_version,
             zone=event.zone,
-            sources=node_state.advertised_sources(event.sources, self.sources_with_local_agents),
+            sources=advertised_sources.advertised_sources(event.sources, self.sources_with_local_agents),
         )
 
     def _record_divergence(
@@ -477,7 +443,7 @@
     ) -> gossiped_removals.SourceAdvanced:
         return gossiped_removals.SourceAdvanced(
             source.name,
-            node_state.source_identity_hash(source, self.sources_with_local_agents),
+            advertised_sources.source_identity_hash(source, self.sources_with_local_agents),
             -1 if source.revision is None else source.revision,
             source.state is SourceState.IN_SYNC,
             removals,
--- a/balancer/core/cluster/node_state.py
+++ b/balancer/core/cluster/node_state.py
@@ -13,9 +13,8 @@
 
 from __future__ import annotations
 
-import zlib
 from collections import Counter, deque
-from collections.abc import Callable, Collection, Iterable, Mapping, Sequence
+from collections.abc import Callable, Iterable, Mapping, Sequence
 from dataclasses import dataclass
 from enum import StrEnum
 from itertools import islice
@@ -23,7 +22,6 @@
 from typing import NamedTuple
 
 from balancer.core.cluster.failure_detector import MAX_INCARNATION, MAX_PEERS, PendingBroadcasts
-from balancer.core.discovery.endpoint_merger import Source, SourceState
 from balancer.core.hysteresis import Hysteresis
 
 GOSSIP_INTERVAL_MS = 200.0
@@ -66,21 +64,13 @@
 SETTINGS_FILES = ("platform", "operators")  # in the order of `AdvertisedState.settings_digests`
 
 
-class SourcePosition(NamedTuple):
-    """How far a node has followed a source; `state` is an index into `endpoint_merger.SourceState`."""
-
-    source: str
-    identity_hash: int
-    revision: int
-    state: int
-
-
 class AdvertisedState(NamedTuple):
     """What a node advertises of itself, in the field order of `protocol/gossip_sections`.
 
     `sequence_number` rises with each change within an incarnation. `recovery_state` is an index into
     `recovery.RecoveryState`. `partitioned_zone_id` is `partition_detector.zone_id` of a zone that the node
-    cannot reach, or 0. `endpoints_digest` is 0 where the list is not comparable (`is_comparable`).
+    cannot reach, or 0. `endpoints_digest` is 0 where the list is not
+    comparable (`advertised_sources.is_comparable`).
     """
 
     name: str
@@ -95,51 +85,7 @@
     settings_digests: tuple[int, int]
     program_version: str
     zone: str
-    sources: tuple[tuple[str, int, int, int], ...]  # fields of `SourcePosition`
-
-
-def identity_hash(identity: str | None) -> int:
-    """A source's identity in 32 bits; 0: there is none yet."""
-    return zlib.crc32(identity.encode()) or 1 if identity is not None else 0
-
-
-def source_identity_hash(source: Source, sources_with_local_agents: Collection[str] = ()) -> int:
-    """The hash of the identity within which a source's revisions are ordered.
-
-    Sources with local agents are those that each node hears through an agent at an address of its own. Their
-    revisions belong to one list, though the identities differ, so the name stands for the identity.
-    """
-    has_local_agent = source.identity is not None and source.name in sources_with_local_agents
-    return identity_hash(source.name if has_local_agent else source.identity)
-
-
-def advertised_sources(
-    sources: Iterable[Source], sources_with_local_agents: Collection[str] = ()
-) -> tuple[SourcePosition, ...]:
-    """The positions of a node's own sources; what peers reported is not among them."""
-    states = tuple(SourceState)
-    return tuple(
-        SourcePosition(
-            source.name,
-            source_identity_hash(source, sources_with_local_agents),
-            source.revision or 0,
-            states.index(source.state),
-        )
-        for source in sources
-        if source.name != GOSSIP_SOURCE_NAME
-    )
-
-
-def is_comparable(sources: Iterable[Source]) -> bool:
-    """Whether the view consists of complete lists of the own sources, so that its digest may be compared."""
-    return not any(
-        source.pending_records
-        or source.has_cached_records
-        or source.needs_snapshot
-        or source.invalid_entries
-        or (source.name == GOSSIP_SOURCE_NAME and (source.records or source.removed_ids))
-        for source in sources
-    )
+    sources: tuple[tuple[str, int, int, int], ...]  # `advertised_sources.SourcePosition`
 
 
 def latest(held: AdvertisedState | None, received: AdvertisedState) -> AdvertisedState:
--- a/tests/core/cluster/test_node_state.py
+++ b/tests/core/cluster/test_node_state.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from balancer.core.cluster import gossiped_removals, node_state
+from balancer.core.cluster import advertised_sources, gossiped_removals, node_state
 from balancer.core.cluster.node_state import (
     AdvertisedState,
     DivergenceBegan,
@@ -111,13 +111,15 @@
 def test_advertised_sources_are_the_own_ones_and_their_digest_needs_complete_lists() -> None:
     merger = EndpointMerger([Source("platform"), gossiped_removals.gossip_source()])
     sources = merger.sources.values()
-    assert node_state.advertised_sources(sources) == (("platform", 0, 0, 0),)
+    assert advertised_sources.advertised_sources(sources) == (("platform", 0, 0, 0),)
     listed = EndpointsListed("platform", "p", EndpointList(7, True, tuple(map(member, range(501)))))
     merger.handle(0, listed)
-    assert node_state.advertised_sources(sources) == (("platform", node_state.identity_hash("p"), 7, 2),)
-    assert not node_state.is_comparable(sources)  # a slice is pending
+    assert advertised_sources.advertised_sources(sources) == (
+        ("platform", advertised_sources.identity_hash("p"), 7, 2),
+    )
+    assert not advertised_sources.is_comparable(sources)  # a slice is pending
     merger.handle(0, NextSliceDue())
-    assert node_state.is_comparable(sources)
+    assert advertised_sources.is_comparable(sources)
 
 
 def test_list_with_gossiped_removals_is_not_comparable() -> None:
@@ -125,10 +127,10 @@
     records = tuple(map(member, range(3)))
     merger.handle(0, EndpointsListed("platform", "p", EndpointList(7, True, records)))
     merger.handle(0, EndpointsListed(node_state.GOSSIP_SOURCE_NAME, "", EndpointList(1, True, ())))
-    assert node_state.is_comparable(merger.sources.values())
+    assert advertised_sources.is_comparable(merger.sources.values())
     removal = EndpointList(2, False, (), ("server-1",))
     merger.handle(0, EndpointsListed(node_state.GOSSIP_SOURCE_NAME, "", removal))
-    assert not node_state.is_comparable(merger.sources.values())
+    assert not advertised_sources.is_comparable(merger.sources.values())
 
 
 # --- divergences
