--- a/balancer/net/persistence.py
+++ b/balancer/net/persistence.py
@@ -313,7 +313,7 @@
         for fault in opened.faults:
             log.warning("state: not believed: %s", fault)
         identity = next_identity(
-            restored, self.running.name, os.urandom(16).hex(), opened.generation, _wall_clock_ms()
+            restored, self.running.name, os.urandom(16).hex(), opened.next_generation, _wall_clock_ms()
         )
         self._handle(k.StoreOpened(identity, restored.rows, restored.order, _wall_clock_ms()))
         try:
--- a/tests/store/test_engine.py
+++ b/tests/store/test_engine.py
@@ -509,7 +509,7 @@
     engine.commit([Put("view", "a", b"1")])
     engine.close()
     for module in (piece_module, engine_module):
-        monkeypatch.setattr(module, "FORMAT", 3)
+        monkeypatch.setattr(module, "FORMAT_VERSION", 3)
     ups = [
         lambda t: {"seen": {k: v + b"2" for k, v in t["view"].items()}},
         lambda t: {"seen": {k: v + b"3" for k, v in t["seen"].items()}},
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -278,14 +278,14 @@
 from balancer.store.store import Store
 store = Store(sys.argv[1], lambda run: run())
 found = store.open()
-print("open", found.generation, len(found.faults), flush=True)
+print("open", found.next_generation, len(found.faults), flush=True)
 n = int(sys.argv[2])
 while True:
     n += 1
     store.put("view", "n", n, lambda stamp, n=n: print("done", n, flush=True))
     store.append("log", n)
     store.put("ends", "n", n)
-    while store.state().waiting > 50:
+    while store.status().queued_changes > 50:
         time.sleep(0.001)
 """
 
