--- a/balancer/cli/state.py
+++ b/balancer/cli/state.py
@@ -22,7 +22,7 @@
 from balancer.net.startup import read_operators
 
 if TYPE_CHECKING:
-    from balancer.store.files import StoreFileError
+    from balancer.store.errors import StoreFileError
 
 STATE_HELP = "Show, check or take away what a node keeps over a restart."
 SHOW_HELP = "Show what is there and what a start would believe."
@@ -48,7 +48,7 @@
 def show(settings: Path | None, directory: Path | None, as_json: bool) -> int:
     """The word."""
     from balancer.store import inspect
-    from balancer.store.files import StoreFileError
+    from balancer.store.errors import StoreFileError
 
     try:
         report = inspect.show(_resolve_directory(settings, directory))
@@ -67,7 +67,7 @@
 def verify(settings: Path | None, directory: Path | None, as_json: bool) -> int:
     """The word."""
     from balancer.store import inspect
-    from balancer.store.files import StoreFileError
+    from balancer.store.errors import StoreFileError
 
     target = _resolve_directory(settings, directory)
     try:
@@ -89,7 +89,7 @@
 def clear(settings: Path | None, directory: Path | None, yes: bool, as_json: bool) -> int:
     """The word."""
     from balancer.store import inspect
-    from balancer.store.files import StoreFileError
+    from balancer.store.errors import StoreFileError
 
     target = _resolve_directory(settings, directory)
     if not yes:
--- a/balancer/net/persistence.py
+++ b/balancer/net/persistence.py
@@ -44,8 +44,9 @@
     OpenResult,
     Put,
 )
-from balancer.store.files import FaultKind, FileSystem, StoreFileError
-from balancer.store.store import Store, WriteQueueFull
+from balancer.store.errors import FaultKind, StoreFileError, WriteQueueFull
+from balancer.store.files import FileSystem
+from balancer.store.store import Store
 
 log = logging.getLogger(__name__)
 T = TypeVar("T")
--- a/balancer/store/engine.py
+++ b/balancer/store/engine.py
@@ -27,20 +27,15 @@
 import operator
 import os
 import re
-from collections.abc import Callable, Iterable, Iterator, Mapping, Sequence
+from collections.abc import Callable, Iterable, Mapping, Sequence
 from functools import reduce
 from itertools import chain
 from typing import NamedTuple
 
 import msgspec
 
-from balancer.store.files import (
-    DirectoryLock,
-    FaultKind,
-    FileSystem,
-    StoreFileError,
-    store_error_from_os,
-)
+from balancer.store.errors import FaultKind, StoreFileError, translate_os_errors
+from balancer.store.files import DirectoryLock, FileSystem
 from balancer.store.sqlite_file import (
     FORMAT_VERSION,
     Row,
@@ -557,11 +552,3 @@
 
 def segment_file_name(name: str, first: int) -> str:
     return f"journal-{name}-{first:012}.db"
-
-
-@contextlib.contextmanager
-def translate_os_errors(path: str) -> Iterator[None]:
-    try:
-        yield
-    except OSError as error:
-        raise store_error_from_os(error, path) from error
--- a/balancer/store/files.py
+++ b/balancer/store/files.py
@@ -1,7 +1,7 @@
-"""The file layer as a port: what the store asks of a directory, and the SQLite VFS that its files go through.
+"""The file-system port: what the store needs of a directory, and the SQLite VFS of its files.
 
-`Real` is the machine's own. A test hands in another whose VFS fails at the n-th call, tears or loses what was
-not synced, or waits (`balancer/testbed/simulated_disk.py`).
+`LocalFileSystem` is the machine's own. Tests pass another one, whose calls fail at the n-th, tear or lose
+what was not synced, or block (`balancer/testbed/simulated_disk.py`).
 """
 
 from __future__ import annotations
@@ -11,118 +11,84 @@
 import fcntl
 import os
 import stat
-from enum import Enum
 from typing import Protocol
 
-
-class FaultKind(Enum):
-    """What is wrong with the store, or with a part of it."""
-
-    LOCKED = "owned"  # another living process holds the directory
-    MISSING = "gone"  # the directory or the file in use is not there (any more)
-    DISK_FULL = "full"
-    READ_ONLY = "read-only"
-    FOREIGN = "foreign"  # a folder, a link or another program's file where one of the store's should be
-    UNSUPPORTED_FORMAT = "format"  # a version that this program cannot read
-    CORRUPT = "spoiled"  # a checksum, a seal or SQLite's own structure does not hold
-    IO_ERROR = "failed"  # a read, write or sync came back with an error
-
-
-class StoreFileError(Exception):
-    """Something of the store cannot be used: what, where, and why."""
-
-    def __init__(self, kind: FaultKind, path: str, detail: str) -> None:
-        self.kind, self.path, self.detail = kind, path, detail
-        super().__init__(f"{path}: {kind.value}: {detail}")
-
-
-def store_error_from_os(error: OSError, path: str) -> StoreFileError:
-    """The fault that an error of the system stands for."""
-    kinds = {
-        errno.ENOSPC: FaultKind.DISK_FULL,
-        errno.EDQUOT: FaultKind.DISK_FULL,
-        errno.EROFS: FaultKind.READ_ONLY,
-        errno.EACCES: FaultKind.READ_ONLY,
-        errno.EPERM: FaultKind.READ_ONLY,
-        errno.ENOENT: FaultKind.MISSING,
-        errno.ELOOP: FaultKind.FOREIGN,
-        errno.EISDIR: FaultKind.FOREIGN,
-        errno.ENOTDIR: FaultKind.FOREIGN,
-    }
-    return StoreFileError(kinds.get(error.errno or 0, FaultKind.IO_ERROR), path, error.strerror or str(error))
+LOCK_FILE_NAME = "owner"
+"""Locked by the process that has the directory; it holds the process id, for operators."""
 
 
 class DirectoryLock(Protocol):
-    """The directory while it is one's own."""
+    """Exclusive ownership of a directory, until it is released or the process ends."""
 
     def release(self) -> None:
-        """Let others have it."""
+        """Lets another process lock the directory."""
 
 
 class FileSystem(Protocol):
-    """What the store asks of the disk beside SQLite's own calls, which go to the VFS named `vfs`.
+    """What the store needs of the disk besides SQLite's own calls, which go to the VFS `vfs_name`.
 
-    All raise OSError.
+    All methods raise OSError.
     """
 
     vfs_name: str
 
     def lock(self, directory: str) -> DirectoryLock:
-        """Be the one owner; BlockingIOError while another lives. A dead owner holds nothing."""
+        """Locks a directory; raises BlockingIOError while another living process has it."""
 
     def list_names(self, directory: str) -> list[str]:
-        """Names in it, in no order."""
+        """Names in a directory, in no particular order."""
 
     def is_regular_file(self, path: str) -> bool:
-        """Whether this is a file of its own, no folder and no link."""
+        """Whether the path is a regular file: no directory and no symbolic link."""
 
     def inode(self, path: str) -> int:
-        """What tells a file from another one of the same name."""
+        """A number that tells a file from another one of the same name."""
 
     def size_bytes(self, path: str) -> int:
-        """Bytes."""
+        """Size of a file."""
 
     def rename(self, old: str, new: str) -> None:
-        """Give a file another name; durable after `settle`."""
+        """Renames a file; durable after `sync_directory`."""
 
     def remove(self, path: str) -> None:
-        """Take a file away; one that is not there is no error."""
+        """Removes a file; one that does not exist is no error. Durable after `sync_directory`."""
 
     def sync_directory(self, directory: str) -> None:
-        """Make names, as they are now, durable."""
+        """Makes the directory's entries, as they are now, durable."""
 
 
 class _FlockLock:
-    def __init__(self, fd: int) -> None:
-        self._fd = fd
+    def __init__(self, file_descriptor: int) -> None:
+        self._file_descriptor = file_descriptor
 
     def release(self) -> None:
-        """Closing the file lets go of it."""
-        if self._fd >= 0:
-            os.close(self._fd)
-        self._fd = -1
+        """Closes the file, which releases its flock(2)."""
+        if self._file_descriptor >= 0:
+            os.close(self._file_descriptor)
+        self._file_descriptor = -1
 
 
 class LocalFileSystem:
-    """The machine's own files."""
+    """The machine's own file system."""
 
     vfs_name = "unix"
 
     def lock(self, directory: str) -> DirectoryLock:
-        """By flock(2) on the file `owner`: the kernel lets go of it when its process dies."""
-        path, flags = os.path.join(directory, "owner"), os.O_RDWR | os.O_CREAT | os.O_NOFOLLOW | os.O_CLOEXEC
-        fd = os.open(path, flags, 0o600)
+        """Locks the lock file by flock(2), which the kernel releases when the process ends."""
+        path = os.path.join(directory, LOCK_FILE_NAME)
+        flags = os.O_RDWR | os.O_CREAT | os.O_NOFOLLOW | os.O_CLOEXEC
+        file_descriptor = os.open(path, flags, 0o600)
         try:
-            fcntl.flock(fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
-            # Guards against an `owner` that was taken away: another process would lock a file of its own.
-            if os.stat(path).st_ino != os.fstat(fd).st_ino:
+            fcntl.flock(file_descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            # Guards against a lock file that was removed: another process would lock a new file of that name.
+            if os.stat(path).st_ino != os.fstat(file_descriptor).st_ino:
                 raise BlockingIOError(errno.EAGAIN, "the lock's file was replaced")
-            os.ftruncate(fd, 0)
-            os.pwrite(fd, f"{os.getpid()}\n".encode(), 0)
+            os.ftruncate(file_descriptor, 0)
+            os.pwrite(file_descriptor, f"{os.getpid()}\n".encode(), 0)
         except BaseException:
-            os.close(fd)
+            os.close(file_descriptor)
             raise
-        return _FlockLock(fd)
+        return _FlockLock(file_descriptor)
 
     def list_names(self, directory: str) -> list[str]:
         """By listdir(3)."""
@@ -151,8 +117,8 @@
 
     def sync_directory(self, directory: str) -> None:
         """By fsync(2) of the directory."""
-        fd = os.open(directory, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
+        file_descriptor = os.open(directory, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
-            os.fsync(fd)
+            os.fsync(file_descriptor)
         finally:
-            os.close(fd)
+            os.close(file_descriptor)
--- a/balancer/store/inspect.py
+++ b/balancer/store/inspect.py
@@ -18,12 +18,8 @@
 
 from balancer.core.persistence.persisted_state import NodeIdentity, restore
 from balancer.store.engine import GENERATION_NAME_PATTERN, SEGMENT_NAME_PATTERN, STORE_FILE_NAME_PATTERN
-from balancer.store.files import (
-    FaultKind,
-    LocalFileSystem,
-    StoreFileError,
-    store_error_from_os,
-)
+from balancer.store.errors import FaultKind, StoreFileError, store_error_from_os
+from balancer.store.files import LocalFileSystem
 from balancer.store.sqlite_file import FORMAT_VERSION, Row, SealedFile
 
 RECORDS_PER_READ = 1_000  # records of a journal read in one go
--- a/balancer/store/sqlite_file.py
+++ b/balancer/store/sqlite_file.py
@@ -19,12 +19,8 @@
 import msgspec
 import xxhash
 
-from balancer.store.files import (
-    FaultKind,
-    FileSystem,
-    StoreFileError,
-    store_error_from_os,
-)
+from balancer.store.errors import FaultKind, StoreFileError, store_error_from_os
+from balancer.store.files import FileSystem
 
 APPLICATION_ID = 0x444C5053  # SQLite's application_id of these files
 FORMAT_VERSION = 1  # of what is written; see engine.MIGRATIONS for the way up
--- a/balancer/store/store.py
+++ b/balancer/store/store.py
@@ -18,7 +18,6 @@
 import time
 from collections import deque
 from collections.abc import Callable, Sequence
-from typing import Protocol
 
 import msgspec
 
@@ -33,12 +32,8 @@
     OpenResult,
     Put,
 )
-from balancer.store.files import (
-    FaultKind,
-    FileSystem,
-    LocalFileSystem,
-    StoreFileError,
-)
+from balancer.store.errors import FaultKind, StoreFileError, WriteQueueFull
+from balancer.store.files import FileSystem, LocalFileSystem
 
 MAX_LANE_CHANGES = 20_000  # changes and records of a lane
 MAX_LANE_BYTES = 8 * 1024 * 1024  # of a lane
@@ -52,31 +47,6 @@
 CallSoonThreadsafe = Callable[[Callable[[], None]], object]
 
 
-class WriteQueueFull(Exception):
-    """As much waits to be written as may; nothing of this was taken."""
-
-
-class StorePort(Protocol):
-    """What others know of the store. `done` gets a journal's position, or the stamp of the last change."""
-
-    def append(self, journal: str, record: object, done: DurableCallback | None = None) -> None:
-        """Add a record to a journal; raises StoreFull, ValueError."""
-
-    def put(self, table: str, key: str, value: object, done: DurableCallback | None = None) -> None:
-        """Set a key; raises StoreFull, ValueError."""
-
-    def delete(self, table: str, key: str, done: DurableCallback | None = None) -> None:
-        """Take a key out; raises StoreFull."""
-
-    def items(self, table: str) -> dict[str, bytes]:
-        """A table as it is durable, each value as MessagePack. Not for the loop where it is long."""
-
-    def read(
-        self, journal: str, position: int, count: int, then: Callable[[list[JournalRecord]], None]
-    ) -> None:
-        """Up to `count` records from `position` on, as they are durable."""
-
-
 class StoreStatus(msgspec.Struct, frozen=True):
     """How the store does, for pages and logs. `trouble` is None while all is well."""
 
@@ -260,9 +230,7 @@
             )
             if self._is_closing or is_over_limit:
                 self._rejected_changes += work.change_count
-                raise WriteQueueFull(
-                    "the store is closing" if self._is_closing else f"{lane.change_count} changes wait"
-                )
+                raise WriteQueueFull(lane.change_count, self._is_closing)
             lane.queue.append(work)
             lane.change_count += work.change_count
             lane.size_bytes += work.size_bytes
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -38,7 +38,8 @@
     restore,
 )
 from balancer.store.engine import Delete, Put
-from balancer.store.store import Store, WriteQueueFull
+from balancer.store.errors import WriteQueueFull
+from balancer.store.store import Store
 from balancer.testbed.simulated_disk import SimulatedDisk, SimulatedFileSystem
 from benchmarks.result_table import (
     Row,
--- a/tests/compatibility/exported_names.py
+++ b/tests/compatibility/exported_names.py
@@ -28,7 +28,7 @@
 from balancer.operator_settings import OperatorSettings
 from balancer.protocol import gossip
 from balancer.protocol import gossip_sections as goes_by
-from balancer.store import files
+from balancer.store import errors
 from balancer.store import sqlite_file as piece
 from balancer.timeline import schema as keys
 from balancer.timeline.monitor import TimelineMonitor
@@ -81,7 +81,7 @@
         "peer_state_number": _values(peers.PeerState),
         "message_kind_number": _values(peers.MessageKind),
         "partition": _values(cuts.Verdict),
-        "store_fault": _values(files.FaultKind),
+        "store_fault": _values(errors.FaultKind),
         "timeline_counters": list(keys.NAMES.values()),
     }
 
--- a/tests/store/test_engine.py
+++ b/tests/store/test_engine.py
@@ -24,7 +24,8 @@
     Engine,
     Put,
 )
-from balancer.store.files import FaultKind, LocalFileSystem, StoreFileError
+from balancer.store.errors import FaultKind, StoreFileError
+from balancer.store.files import LocalFileSystem
 from balancer.store.sqlite_file import Seal, SealedFile
 from balancer.testbed.simulated_disk import (
     InjectedError,
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -24,10 +24,11 @@
     JournalRecord,
     Put,
 )
-from balancer.store.files import FaultKind, LocalFileSystem, StoreFileError
+from balancer.store.errors import FaultKind, StoreFileError, WriteQueueFull
+from balancer.store.files import LocalFileSystem
 from balancer.store.inspect import clear, show, verify
 from balancer.store.sqlite_file import SealedFile
-from balancer.store.store import Store, WriteQueueFull
+from balancer.store.store import Store
 from balancer.testbed.simulated_disk import InjectedError, SimulatedDisk, SimulatedFileSystem
 from tests.sockets import ROOT, WAIT
 
