--- a/balancer/store/inspect.py
+++ b/balancer/store/inspect.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from balancer.core.persistence.persisted_state import NodeIdentity, restore
-from balancer.store.engine import GENERATION_NAME_PATTERN, SEGMENT_NAME_PATTERN, STORE_FILE_NAME_PATTERN
+from balancer.store.directory import GENERATION_NAME_PATTERN, SEGMENT_NAME_PATTERN, STORE_FILE_NAME_PATTERN
 from balancer.store.errors import FaultKind, StoreFileError, store_error_from_os
 from balancer.store.files import LocalFileSystem
 from balancer.store.sqlite_file import FORMAT_VERSION, Row, SealedFile
--- a/balancer/store/sqlite_file.py
+++ b/balancer/store/sqlite_file.py
@@ -1,12 +1,12 @@
-"""One file of the store: SQLite in WAL mode, held by one connection, its content sealed.
+"""One file of the store: SQLite in WAL mode on one connection, with a checksum of each record and a seal.
 
-The *seal* is one record that is written with every commit: how many rows there are, the XOR of their
-checksums, the last stamp and the wall time. A flipped bit, a lost row or one in another's place breaks a
-row's checksum or the seal; both are XXH3 of 64 bits over all that makes up the record. SQLite's own structure
-is looked at by reading all of the file once, at the start.
+The *seal* is one record that is written with every commit: the number of rows, the XOR of their checksums,
+the last sequence number and the wall time. A flipped bit, a lost row or a row in another's place breaks the
+row's checksum or the seal. Both checksums are XXH3 of 64 bits over all that makes up the record. SQLite's own
+structure is checked by reading the complete file once, at the start.
 
 `synchronous=FULL`: each commit is one fsync of the WAL. `locking_mode=EXCLUSIVE`: no shared memory is needed,
-so any VFS does.
+so any VFS will do.
 """
 
 from __future__ import annotations
@@ -22,8 +22,14 @@
 from balancer.store.errors import FaultKind, StoreFileError, store_error_from_os
 from balancer.store.files import FileSystem
 
-APPLICATION_ID = 0x444C5053  # SQLite's application_id of these files
-FORMAT_VERSION = 1  # of what is written; see engine.MIGRATIONS for the way up
+APPLICATION_ID = 0x444C5053
+"""SQLite's application_id of the store's files."""
+FORMAT_VERSION = 1
+"""SQLite's user_version of the files that are written; engine.MIGRATIONS converts older ones."""
+SEAL_TABLE = "seal"
+"""Stands for the table in the checksum of the seal."""
+WAL_CHECKPOINT_PAGES = 1_000
+MAX_STRUCTURE_FAULTS = 20
 _FAULT_KIND_BY_EXCEPTION: dict[type, FaultKind] = {
     apsw.FullError: FaultKind.DISK_FULL,
     apsw.ReadOnlyError: FaultKind.READ_ONLY,
@@ -41,47 +47,77 @@
     msgspec.ValidationError: FaultKind.CORRUPT,
     msgspec.DecodeError: FaultKind.CORRUPT,
 }
+_CREATE_TABLES = (
+    "create table seal (id integer primary key, value blob, sum integer);"
+    "create table rows (tab text, key text, stamp integer, value blob, sum integer,"
+    " primary key (tab, key)) without rowid;"
+    "create table records (position integer primary key, at_ms integer, value blob, sum integer)"
+)
 
 
 class Row(NamedTuple):
-    """A value as it is kept: `stamp` rises with each write, `sum` covers all of it and where it stands."""
+    """A stored value; the fields are the columns of the table, in this order.
+
+    `sequence_number` rises with each change, `checksum` covers all of the row, its table and its key.
+    """
 
     sequence_number: int
     value: bytes
     checksum: int
 
 
+Tables = dict[str, dict[str, Row]]
+"""Rows by table and key."""
+
+
+class RowChange(NamedTuple):
+    """The row that a key of a table gets; None removes it."""
+
+    table: str
+    key: str
+    row: Row | None
+
+
+class JournalRecord(NamedTuple):
+    """One record of a journal; `value` is None where the record is missing or its checksum is wrong."""
+
+    position: int
+    written_at_ms: int
+    """Wall clock."""
+    value: bytes | None
+
+
 class Seal(msgspec.Struct, frozen=True, array_like=True):
-    """What a piece says of itself. `first` is a journal's first position, `next` the one to come."""
+    """What a file states about its own content. The order of the fields is that of the stored array."""
 
     row_count: int = 0
     checksum_xor: int = 0
     last_sequence_number: int = 0
     committed_at_ms: int = 0
+    """Wall clock of the last commit."""
     first_position: int = 0
+    """Of a journal's segment: the position of its first record."""
     next_position: int = 0
+    """Of a journal's segment: the position that the next record gets."""
 
 
 def record_checksum(table: str, key: str, sequence_number: int, value: bytes) -> int:
-    """XXH3 (64 bits, signed as SQLite has them) over a record and its place."""
+    """XXH3 (64 bits, signed as SQLite's integers are) over a record and its place."""
     digest = xxhash.xxh3_64_intdigest(f"{table}\0{key}\0{sequence_number}\0".encode() + value)
     return digest - (1 << 64) if digest >> 63 else digest
 
 
 def store_error_from_sqlite(error: BaseException, path: str) -> StoreFileError:
-    """The fault that an error of SQLite stands for."""
+    """Converts an error of SQLite, of the file system or of decoding."""
     if isinstance(error, OSError):
         return store_error_from_os(error, path)
-    return StoreFileError(
-        _FAULT_KIND_BY_EXCEPTION.get(type(error), FaultKind.IO_ERROR),
-        path,
-        str(error) or type(error).__name__,
-    )
+    kind = _FAULT_KIND_BY_EXCEPTION.get(type(error), FaultKind.IO_ERROR)
+    return StoreFileError(kind, path, str(error) or type(error).__name__)
 
 
 @contextlib.contextmanager
 def translate_sqlite_errors(path: str) -> Iterator[None]:
-    """Whatever SQLite or the file layer raises within comes out as a StoreFault."""
+    """Raises each error of SQLite, the file system or decoding as a StoreFileError about `path`."""
     try:
         yield
     except StoreFileError:
@@ -91,12 +127,16 @@
 
 
 class SealedFile:
-    """An open file. One thread at a time; after any StoreFault of a write it is to be abandoned."""
+    """An open file. One thread at a time; after a StoreFileError of a write it must be abandoned."""
 
     def __init__(self, file_system: FileSystem, path: str, create: bool = False) -> None:
-        """Open it, or `make` it; raises StoreFault."""
+        """Opens or creates the file; raises StoreFileError.
+
+        A file that is being created is not synced before `checkpoint_and_close`.
+        """
         self.path = path
         self.seal = Seal()
+        self.format_version = FORMAT_VERSION
         flags = apsw.SQLITE_OPEN_READWRITE | apsw.SQLITE_OPEN_NOFOLLOW
         with translate_sqlite_errors(path):
             if not create and not file_system.is_regular_file(path):
@@ -105,52 +145,53 @@
             self._connection = apsw.Connection(path, flags=flags, vfs=file_system.vfs_name)
         try:
             with translate_sqlite_errors(path):
-                self._configure(create)
+                if create:
+                    self._configure_new()
+                else:
+                    self._configure_existing()
         except BaseException:
             self.abandon()
             raise
 
-    def _configure(self, create: bool) -> None:
+    def _configure_new(self) -> None:
         execute = self._connection.execute
-        execute("pragma locking_mode=exclusive")
-        execute("pragma trusted_schema=off")
-        execute("pragma cell_size_check=on")
-        # One that is made counts from `finish` on: eight syncs are spared if this comes before what follows.
-        execute(f"pragma synchronous={'off' if create else 'full'}")
-        if create:
-            execute(f"pragma application_id={APPLICATION_ID}")
-            execute(f"pragma user_version={FORMAT_VERSION}")
-        else:
-            owner, version = (
-                _first_integer(execute("pragma application_id")),
-                _first_integer(execute("pragma user_version")),
-            )
-            if owner != APPLICATION_ID:
-                raise StoreFileError(FaultKind.FOREIGN, self.path, "a file that another program made")
-            if version != FORMAT_VERSION and not 0 < int(version) < FORMAT_VERSION:
-                what = f"version {version}, where this program knows 1 to {FORMAT_VERSION}"
-                raise StoreFileError(FaultKind.UNSUPPORTED_FORMAT, self.path, what)
-            self.format_version = int(version)
-        execute("pragma journal_mode=wal").fetchall()
-        execute("pragma wal_autocheckpoint=1000")
-        if create:
-            self.format_version = FORMAT_VERSION
-            execute(
-                "create table seal (id integer primary key, value blob, sum integer);"
-                "create table rows (tab text, key text, stamp integer, value blob, sum integer,"
-                " primary key (tab, key)) without rowid;"
-                "create table records (position integer primary key, at_ms integer, value blob, sum integer)"
-            )
+        self._restrict_connection()
+        # Nothing counts before `checkpoint_and_close`: set this early, it saves eight syncs of what follows.
+        execute("pragma synchronous=off")
+        execute(f"pragma application_id={APPLICATION_ID}")
+        execute(f"pragma user_version={FORMAT_VERSION}")
+        self._enable_wal()
+        execute(_CREATE_TABLES)
+
+    def _configure_existing(self) -> None:
+        execute = self._connection.execute
+        self._restrict_connection()
+        execute("pragma synchronous=full")
+        application_id = _first_integer(execute("pragma application_id"))
+        version = _first_integer(execute("pragma user_version"))
+        if application_id != APPLICATION_ID:
+            raise StoreFileError(FaultKind.FOREIGN, self.path, "a file that another program made")
+        if not 0 < version <= FORMAT_VERSION:
+            detail = f"version {version}, where this program knows 1 to {FORMAT_VERSION}"
+            raise StoreFileError(FaultKind.UNSUPPORTED_FORMAT, self.path, detail)
+        self.format_version = version
+        self._enable_wal()
+
+    def _restrict_connection(self) -> None:
+        self._connection.execute("pragma locking_mode=exclusive")
+        self._connection.execute("pragma trusted_schema=off")
+        self._connection.execute("pragma cell_size_check=on")
+
+    def _enable_wal(self) -> None:
+        self._connection.execute("pragma journal_mode=wal").fetchall()
+        self._connection.execute(f"pragma wal_autocheckpoint={WAL_CHECKPOINT_PAGES}")
 
     # --- writing ---
 
     def commit(
-        self,
-        seal: Seal,
-        rows: Iterable[tuple[str, str, Row | None]] = (),
-        records: Iterable[tuple[int, int, bytes]] = (),
+        self, seal: Seal, rows: Iterable[RowChange] = (), records: Iterable[JournalRecord] = ()
     ) -> None:
-        """One transaction, durable once this returns. None takes a row away. Raises StoreFault."""
+        """One transaction, durable on return; raises StoreFileError. The records have values."""
         execute = self._connection.execute
         with translate_sqlite_errors(self.path):
             execute("begin immediate")
@@ -159,29 +200,28 @@
                     execute("delete from rows where tab=? and key=?", (table, key))
                 else:
                     execute("insert or replace into rows values (?,?,?,?,?)", (table, key, *row))
-            for position, at_ms, value in records:
-                checksum = record_checksum("", str(position), at_ms, value)
-                execute("insert into records values (?,?,?,?)", (position, at_ms, value, checksum))
+            for position, written_at_ms, value in records:
+                assert value is not None
+                checksum = record_checksum("", str(position), written_at_ms, value)
+                execute("insert into records values (?,?,?,?)", (position, written_at_ms, value, checksum))
             packed = msgspec.msgpack.encode(seal)
-            execute(
-                "insert or replace into seal values (0,?,?)", (packed, record_checksum("seal", "", 0, packed))
-            )
+            checksum = record_checksum(SEAL_TABLE, "", 0, packed)
+            execute("insert or replace into seal values (0,?,?)", (packed, checksum))
             execute("commit")
             self.seal = seal
 
     def checkpoint_and_close(self) -> None:
-        """Bring all into the main file, synced, and close; raises StoreFault."""
+        """Copies the log into the main file, synced, and closes it; raises StoreFileError."""
         with translate_sqlite_errors(self.path):
             self._connection.execute("pragma synchronous=full")
-            busy = _first_integer(self._connection.execute("pragma wal_checkpoint(truncate)"))
-            if busy:
-                raise StoreFileError(
-                    FaultKind.IO_ERROR, self.path, "the log could not be brought into the file"
-                )
+            is_busy = _first_integer(self._connection.execute("pragma wal_checkpoint(truncate)"))
+            if is_busy:
+                detail = "the log could not be brought into the file"
+                raise StoreFileError(FaultKind.IO_ERROR, self.path, detail)
             self._connection.close()
 
     def abandon(self) -> None:
-        """Close without a write: nothing that was not synced is brought any further."""
+        """Closes without writing: nothing that was not synced gets any further."""
         with contextlib.suppress(apsw.Error, OSError):
             self._connection.config(apsw.SQLITE_DBCONFIG_NO_CKPT_ON_CLOSE, 1)
         with contextlib.suppress(apsw.Error, OSError):
@@ -190,25 +230,26 @@
     # --- reading ---
 
     def read_seal(self) -> Seal:
-        """The seal, checked; raises StoreFault."""
+        """The seal, its checksum verified; raises StoreFileError."""
         with translate_sqlite_errors(self.path):
             found = self._connection.execute("select value, sum from seal where id=0").fetchall()
             if len(found) != 1 or not isinstance(value := found[0][0], bytes):
                 raise StoreFileError(FaultKind.CORRUPT, self.path, "it has no seal")
-            summed = found[0][1]
-            if record_checksum("seal", "", 0, value) != summed:
+            if record_checksum(SEAL_TABLE, "", 0, value) != found[0][1]:
                 raise StoreFileError(FaultKind.CORRUPT, self.path, "its seal is broken")
             self.seal = msgspec.msgpack.decode(value, type=Seal)
             return self.seal
 
-    def read_rows(self) -> dict[str, dict[str, Row]]:
-        """All rows by table and key, each checked and the whole against the seal; raises StoreFault."""
-        tables: dict[str, dict[str, Row]] = {}
-        count = digest = 0
+    def read_rows(self) -> Tables:
+        """All rows, each checksum verified and the whole against the seal; raises StoreFileError."""
+        tables: Tables = {}
+        row_count = checksum_xor = 0
         with translate_sqlite_errors(self.path):
             seal = self.read_seal()
-            for table, key, *rest in self._connection.execute("select tab, key, stamp, value, sum from rows"):
-                row = Row(*rest)
+            for table, key, *columns in self._connection.execute(
+                "select tab, key, stamp, value, sum from rows"
+            ):
+                row = Row(*columns)
                 has_valid_types = (
                     isinstance(table, str) and isinstance(key, str) and isinstance(row.value, bytes)
                 )
@@ -216,43 +257,47 @@
                     not has_valid_types
                     or record_checksum(table, key, row.sequence_number, row.value) != row.checksum
                 ):
-                    raise StoreFileError(
-                        FaultKind.CORRUPT, self.path, f"the checksum of {table!r:.40} {key!r:.80}"
-                    )
+                    detail = f"the checksum of {table!r:.40} {key!r:.80}"
+                    raise StoreFileError(FaultKind.CORRUPT, self.path, detail)
                 tables.setdefault(table, {})[key] = row
-                count, digest = count + 1, digest ^ row.checksum
-        if (count, digest) != (seal.row_count, seal.checksum_xor):
-            what = f"{count} rows that are not the {seal.row_count} of its seal"
-            raise StoreFileError(FaultKind.CORRUPT, self.path, what)
+                row_count, checksum_xor = row_count + 1, checksum_xor ^ row.checksum
+        if (row_count, checksum_xor) != (seal.row_count, seal.checksum_xor):
+            detail = f"{row_count} rows that are not the {seal.row_count} of its seal"
+            raise StoreFileError(FaultKind.CORRUPT, self.path, detail)
         return tables
 
-    def read_records(self, position: int, count: int) -> list[tuple[int, int, bytes | None]]:
-        """Records from `position` on: position, wall ms, value, None for one that is not believed."""
-        records: list[tuple[int, int, bytes | None]] = []
+    def read_records(self, position: int, count: int) -> list[JournalRecord]:
+        """Up to `count` records that exist, from `position` on; raises StoreFileError.
+
+        A record whose checksum is wrong has no value.
+        """
+        records: list[JournalRecord] = []
         found = self._connection.execute(
             "select position, at_ms, value, sum from records where position>=? order by position limit ?",
             (position, count),
         )
         with translate_sqlite_errors(self.path):
-            for record_position, at_ms, value, checksum in found:
+            for record_position, written_at_ms, value, checksum in found:
                 is_valid = (
                     isinstance(value, bytes)
-                    and record_checksum("", str(record_position), at_ms, value) == checksum
+                    and record_checksum("", str(record_position), written_at_ms, value) == checksum
                 )
-                records.append((record_position, at_ms, value if is_valid else None))
+                records.append(JournalRecord(record_position, written_at_ms, value if is_valid else None))
         return records
 
     def structure_faults(self) -> list[str]:
-        """What SQLite says of its own structure, a line a fault; empty where it is sound."""
+        """What SQLite reports about its own structure, a line a fault; empty if it is sound."""
         try:
             with translate_sqlite_errors(self.path):
-                found = [str(row[0]) for row in self._connection.execute("pragma integrity_check(20)")]
-        except StoreFileError as fault:
-            return [fault.detail]
-        return [] if found == ["ok"] else found
+                found = self._connection.execute(f"pragma integrity_check({MAX_STRUCTURE_FAULTS})")
+                lines = [str(row[0]) for row in found]
+        except StoreFileError as error:
+            return [error.detail]
+        return [] if lines == ["ok"] else lines
 
 
-def _first_integer(found: Iterable[tuple[object, ...]]) -> int:
-    for row in found:
+def _first_integer(rows: Iterable[tuple[object, ...]]) -> int:
+    """The first column of the first row; 0 if there is none."""
+    for row in rows:
         return int(str(row[0]))
     return 0
--- a/balancer/store/store.py
+++ b/balancer/store/store.py
@@ -1,15 +1,15 @@
-"""The store behind its port: a writer on a thread of its own, which commits in groups; the loop never waits.
+"""The store as the node uses it: one writer thread, which commits in groups; the event loop never waits.
 
-What is handed over is encoded at once and waits in one of two *lanes*: that of the urgent tables (removals
-and drains), which is written first, and that of all else. A table or journal belongs to one lane, so its own
-order is always kept. A lane is bounded in changes and bytes: what does not fit is turned away at once with
-`StoreFull`, counted, and nothing of it is written.
+A change is encoded at once and queued in one of two *lanes*: that of the urgent tables (removals and drains),
+which is written first, and that of everything else. A table or journal belongs to one lane, so its own order
+is always kept. A lane is bounded in changes and bytes: what does not fit is rejected at once with
+`WriteQueueFull`, counted, and nothing of it is written.
 
-`done` is called once what it was given with is durable, by way of `hand_over` (`loop.call_soon_threadsafe`),
-some hundred in one turn. It is not called before, and never for what was not written: who must know waits.
+`on_durable` is called once the changes that it came with are durable, through `call_soon_threadsafe` (that of
+the event loop), some hundred in one turn. It is not called earlier, and never for what was not written.
 
-A commit that fails is tried again, whole, after a wait that doubles up to RETRY_MOST, in a new file (see
-`engine`); meanwhile the lanes fill, and `state` says why. The process goes on serving.
+A commit that fails is retried completely, after a backoff that doubles up to MAX_RETRY_BACKOFF_S, in a new
+file (see `engine`); meanwhile the lanes fill, and `status` gives the reason. The process continues to serve.
 """
 
 from __future__ import annotations
@@ -21,63 +21,102 @@
 
 import msgspec
 
-from balancer.store.engine import (
-    MAX_KEY_LENGTH,
-    MAX_VALUE_BYTES,
-    TABLE_NAME_PATTERN,
-    Change,
-    Delete,
-    Engine,
-    JournalRecord,
-    OpenResult,
-    Put,
-)
+from balancer.store.directory import TABLE_NAME_PATTERN
+from balancer.store.engine import Change, Delete, Engine, OpenResult, Put
 from balancer.store.errors import FaultKind, StoreFileError, WriteQueueFull
 from balancer.store.files import FileSystem, LocalFileSystem
-
-MAX_LANE_CHANGES = 20_000  # changes and records of a lane
-MAX_LANE_BYTES = 8 * 1024 * 1024  # of a lane
-GROUP_COMMIT_CHANGES = 1_000  # changes and records of one commit, or one batch more
-CALLBACKS_PER_LOOP_TURN = 100  # calls of `done` in one turn of the loop
-MIN_RETRY_BACKOFF_S, MAX_RETRY_BACKOFF_S = 0.1, 10.0  # s
-LOCK_WAIT_TIMEOUT_S = 0.5  # s for which a start waits for an owner to go
-SLOW_COMMIT_THRESHOLD_S = 1.0  # s of a commit from which the store says that it is slow
+from balancer.store.sqlite_file import JournalRecord
+
+MAX_VALUE_BYTES = 64 * 1024
+MAX_KEY_LENGTH = 512
+"""Characters of a key."""
+MAX_LANE_CHANGES = 20_000
+"""Changes and records that one lane queues."""
+MAX_LANE_BYTES = 8 * 1024 * 1024
+GROUP_COMMIT_CHANGES = 1_000
+"""Changes and records from which a commit takes no further request."""
+CALLBACKS_PER_LOOP_TURN = 100
+MIN_RETRY_BACKOFF_S = 0.1
+MAX_RETRY_BACKOFF_S = 10.0
+LOCK_WAIT_TIMEOUT_S = 0.5
+"""How long `open` waits for another owner: a process that is ending, or an inspection of the directory."""
+LOCK_POLL_INTERVAL_S = 0.02
+SLOW_COMMIT_THRESHOLD_S = 1.0
+"""Duration of a running commit from which the status reports it as slow."""
 
 DurableCallback = Callable[[int], None]
+"""Gets the position of a journal's record, or the sequence number of the commit's last change."""
 CallSoonThreadsafe = Callable[[Callable[[], None]], object]
 
 
 class StoreStatus(msgspec.Struct, frozen=True):
-    """How the store does, for pages and logs. `trouble` is None while all is well."""
+    """State of the store for reports and logs."""
 
     fault: FaultKind | None
+    """Of the last commit; None if it succeeded."""
     reason: str
     queued_changes: int
     queued_bytes: int
     rejected_changes: int
     commit_count: int
     failure_count: int
-    slow_commit_ms: int  # how long the commit at work takes by now, where that is over SLOW; else 0
+    slow_commit_ms: int
+    """Duration so far of the running commit if it is over SLOW_COMMIT_THRESHOLD_S; else 0."""
+
+
+class _QueuedCommit(msgspec.Struct):
+    changes: Sequence[Change]
+    on_durable: DurableCallback | None
+    size_bytes: int
+    change_count: int
+
+
+class _QueuedAppend(msgspec.Struct):
+    journal: str
+    record: bytes
+    on_durable: DurableCallback | None
+    size_bytes: int
+    change_count: int = 1
+
 
+class _QueuedCall(msgspec.Struct):
+    """A call of the engine, made on the writer thread; what it returns is called on the loop."""
 
-class _QueuedWork(msgspec.Struct):
-    changes: Sequence[Change] = ()
-    journal: str = ""
-    record: bytes = b""
-    on_durable: DurableCallback | None = None
-    engine_call: Callable[[Engine], Callable[[], None] | None] | None = None
+    engine_call: Callable[[Engine], Callable[[], None] | None]
     size_bytes: int = 0
     change_count: int = 1
 
 
+_QueuedWork = _QueuedCommit | _QueuedAppend | _QueuedCall
+
+
 class _Lane(msgspec.Struct):
     queue: deque[_QueuedWork] = msgspec.field(default_factory=deque)
     change_count: int = 0
     size_bytes: int = 0
 
+    def has_capacity_for(self, work: _QueuedWork) -> bool:
+        """Whether the bounds of the lane admit it."""
+        return (
+            self.change_count + work.change_count <= MAX_LANE_CHANGES
+            and self.size_bytes + work.size_bytes <= MAX_LANE_BYTES
+        )
+
+    def push(self, work: _QueuedWork) -> None:
+        """Queues it as the last."""
+        self.queue.append(work)
+        self.change_count += work.change_count
+        self.size_bytes += work.size_bytes
+
+    def pop(self) -> None:
+        """Removes the first."""
+        work = self.queue.popleft()
+        self.change_count -= work.change_count
+        self.size_bytes -= work.size_bytes
+
 
 class Store:
-    """A directory, from `open` to `close`. All but these two return at once, on any thread."""
+    """One directory, from `open` to `close`. All methods but these two return at once, on any thread."""
 
     def __init__(
         self,
@@ -87,22 +126,22 @@
         urgent_tables: frozenset[str] = frozenset(),
         wall_clock_ms: Callable[[], int] = lambda: time.time_ns() // 1_000_000,
     ) -> None:
-        """`urgent` tables are written before all else."""
+        """`urgent_tables` are written before everything else."""
         self.engine = Engine(file_system or LocalFileSystem(), directory, wall_clock_ms)
         self._call_soon_threadsafe, self._urgent_tables = call_soon_threadsafe, urgent_tables
-        self._lanes = (_Lane(), _Lane())
+        self._urgent_lane, self._normal_lane = self._lanes = (_Lane(), _Lane())
         self._condition = threading.Condition()
         self._thread: threading.Thread | None = None
         self._is_closing = False
         self._last_error: StoreFileError | None = None
         self._rejected_changes = self._commit_count = self._failure_count = 0
-        self._commit_started_s = 0.0
-        self._commits_singly = False  # one piece of work a commit, to find the one that cannot be done
+        self._commit_started_s = 0.0  # monotonic; 0: no commit is running
+        self._commits_singly = False  # one request a commit, to find the one that cannot be carried out
 
     def open(self) -> OpenResult:
-        """Take the directory and load it; blocks, so not on the loop. Raises StoreFault.
+        """Locks the directory and loads it; blocks, so not on the event loop. Raises StoreFileError.
 
-        It waits for no sync: the first write begins this start's generation, and `state` says where that
+        It waits for no sync: the first write begins this start's generation, and `status` tells if that
         fails.
         """
         deadline_s = time.monotonic() + LOCK_WAIT_TIMEOUT_S
@@ -110,74 +149,62 @@
             try:
                 result = self.engine.open()
                 break
-            except StoreFileError as fault:  # a process that is dying, or a look at the directory
-                if fault.kind is not FaultKind.LOCKED or time.monotonic() > deadline_s:
+            except StoreFileError as error:
+                if error.kind is not FaultKind.LOCKED or time.monotonic() > deadline_s:
                     raise
-                time.sleep(0.02)
+                time.sleep(LOCK_POLL_INTERVAL_S)
         self._thread = threading.Thread(target=self._run_writer, name="store", daemon=True)
         self._thread.start()
         return result
 
     def close(self, timeout_s: float = 2.0) -> int:
-        """Write what waits, for so long at most, and let go; how much was not written. Blocks."""
+        """Writes what is queued, up to the time-out, and closes; returns the changes not written. Blocks."""
         with self._condition:
             self._is_closing = True
             self._condition.notify()
         if self._thread is not None:
             self._thread.join(timeout_s)
-            if self._thread.is_alive():  # a disk that hangs: the kernel lets go of the lock with the process
-                return max(1, sum(lane.change_count for lane in self._lanes))
+            if self._thread.is_alive():  # the disk hangs: the kernel releases the lock with the process
+                return max(1, self._queued_changes())
         self.engine.close()
-        return sum(lane.change_count for lane in self._lanes)
+        return self._queued_changes()
 
-    # --- what others ask ---
+    # --- requests ---
 
     def put(self, table: str, key: str, value: object, on_durable: DurableCallback | None = None) -> None:
-        """See StorePort."""
+        """Sets a key; raises WriteQueueFull, ValueError."""
         self.write([Put(table, key, msgspec.msgpack.encode(value))], on_durable)
 
     def delete(self, table: str, key: str, on_durable: DurableCallback | None = None) -> None:
-        """See StorePort."""
+        """Removes a key; raises WriteQueueFull, ValueError."""
         self.write([Delete(table, key)], on_durable)
 
     def write(self, changes: Sequence[Change], on_durable: DurableCallback | None = None) -> None:
-        """All of them in one commit, all or none; the tables of one lane. Raises StoreFull, ValueError."""
+        """Queues changes for one commit, all or none. Raises WriteQueueFull.
+
+        Raises ValueError for a bad key, a value over MAX_VALUE_BYTES, and tables of both lanes.
+        """
         if not changes:
             raise ValueError("nothing to write")
         urgencies = {change.table in self._urgent_tables for change in changes}
         if len(urgencies) > 1:
             raise ValueError("urgent tables and others in one commit")
-        size_bytes = 0
-        for change in changes:
-            if (
-                not TABLE_NAME_PATTERN.fullmatch(change.table)
-                or not 0 < len(change.key) <= MAX_KEY_LENGTH
-                or "\0" in change.key
-            ):
-                raise ValueError(f"no key of a table: {change.table!r:.60}, {change.key!r:.120}")
-            if isinstance(change, Put):
-                size_bytes += len(change.key) + _checked_size_bytes(change.value)
-        self._enqueue(
-            self._lanes[not urgencies.pop()],
-            _QueuedWork(changes, on_durable=on_durable, size_bytes=size_bytes, change_count=len(changes)),
-        )
+        size_bytes = sum(_checked_change_size_bytes(change) for change in changes)
+        lane = self._urgent_lane if urgencies.pop() else self._normal_lane
+        self._enqueue(lane, _QueuedCommit(changes, on_durable, size_bytes, len(changes)))
 
     def append(self, journal: str, record: object, on_durable: DurableCallback | None = None) -> None:
-        """See StorePort."""
+        """Appends a record to a journal; raises WriteQueueFull, ValueError."""
         if not TABLE_NAME_PATTERN.fullmatch(journal):
             raise ValueError(f"no name of a journal: {journal!r:.60}")
         packed = msgspec.msgpack.encode(record)
-        self._enqueue(
-            self._lanes[1],
-            _QueuedWork(
-                journal=journal, record=packed, on_durable=on_durable, size_bytes=_checked_size_bytes(packed)
-            ),
-        )
+        work = _QueuedAppend(journal, packed, on_durable, _checked_size_bytes(packed))
+        self._enqueue(self._normal_lane, work)
 
     def items(self, table: str) -> dict[str, bytes]:
-        """See StorePort."""
-        found = self.engine.tables.get(table)
-        return {} if found is None else {key: row.value for key, row in found.copy().items()}
+        """A table as it is durable, each value as MessagePack. Too slow for the event loop if it is long."""
+        rows = self.engine.tables.get(table)
+        return {} if rows is None else {key: row.value for key, row in rows.copy().items()}
 
     def get(self, table: str, key: str) -> bytes | None:
         """One value as it is durable."""
@@ -187,56 +214,54 @@
     def read_journal(
         self, journal: str, position: int, count: int, on_read: Callable[[list[JournalRecord]], None]
     ) -> None:
-        """See StorePort."""
+        """Reads up to `count` durable records from `position` on; raises WriteQueueFull."""
 
-        def ask(engine: Engine) -> Callable[[], None]:
-            found = engine.read_journal(journal, position, count)
-            return lambda: on_read(found)
+        def read(engine: Engine) -> Callable[[], None]:
+            records = engine.read_journal(journal, position, count)
+            return lambda: on_read(records)
 
-        self._enqueue(self._lanes[1], _QueuedWork(engine_call=ask))
+        self._enqueue(self._normal_lane, _QueuedCall(read))
 
     def trim_journal(self, journal: str, before_ms: int = 0, max_bytes: int | None = None) -> None:
-        """Take away a journal's old segments (`Engine.cut`), at some time soon."""
+        """Removes old segments of a journal, see `Journal.trim`; raises WriteQueueFull."""
 
-        def ask(engine: Engine) -> None:
+        def trim(engine: Engine) -> None:
             engine.trim_journal(journal, before_ms, max_bytes)
 
-        self._enqueue(self._lanes[1], _QueuedWork(engine_call=ask))
+        self._enqueue(self._normal_lane, _QueuedCall(trim))
 
     def begin_generation(self) -> None:
-        """Write all tables anew, at some time soon; who changes them waits for so long."""
-        self._enqueue(self._lanes[1], _QueuedWork(engine_call=lambda engine: engine.begin_generation()))
+        """Writes all tables to a new file, which delays other writes; raises WriteQueueFull."""
+        self._enqueue(self._normal_lane, _QueuedCall(lambda engine: engine.begin_generation()))
 
     def status(self) -> StoreStatus:
-        """How it does."""
+        """State for reports and logs."""
         commit_started_s, last_error = self._commit_started_s, self._last_error
         commit_duration_s = time.monotonic() - commit_started_s if commit_started_s else 0.0
+        is_slow = commit_duration_s > SLOW_COMMIT_THRESHOLD_S
         return StoreStatus(
-            last_error.kind if last_error else None,
-            str(last_error or ""),
-            sum(lane.change_count for lane in self._lanes),
-            sum(lane.size_bytes for lane in self._lanes),
-            self._rejected_changes,
-            self._commit_count,
-            self._failure_count,
-            int(commit_duration_s * 1000) if commit_duration_s > SLOW_COMMIT_THRESHOLD_S else 0,
+            fault=last_error.kind if last_error else None,
+            reason=str(last_error or ""),
+            queued_changes=self._queued_changes(),
+            queued_bytes=sum(lane.size_bytes for lane in self._lanes),
+            rejected_changes=self._rejected_changes,
+            commit_count=self._commit_count,
+            failure_count=self._failure_count,
+            slow_commit_ms=int(commit_duration_s * 1000) if is_slow else 0,
         )
 
+    def _queued_changes(self) -> int:
+        return sum(lane.change_count for lane in self._lanes)
+
     def _enqueue(self, lane: _Lane, work: _QueuedWork) -> None:
         with self._condition:
-            is_over_limit = (
-                lane.change_count + work.change_count > MAX_LANE_CHANGES
-                or lane.size_bytes + work.size_bytes > MAX_LANE_BYTES
-            )
-            if self._is_closing or is_over_limit:
+            if self._is_closing or not lane.has_capacity_for(work):
                 self._rejected_changes += work.change_count
                 raise WriteQueueFull(lane.change_count, self._is_closing)
-            lane.queue.append(work)
-            lane.change_count += work.change_count
-            lane.size_bytes += work.size_bytes
+            lane.push(work)
             self._condition.notify()
 
-    # --- the writer ---
+    # --- the writer thread ---
 
     def _run_writer(self) -> None:
         backoff_s = MIN_RETRY_BACKOFF_S
@@ -244,21 +269,13 @@
             try:
                 self._commit_started_s = time.monotonic()
                 callbacks = self._execute_group(group)
-            except Exception as error:  # guards against a store that stops for good by one odd error
-                unexpected = StoreFileError(FaultKind.IO_ERROR, self.engine.directory, repr(error))
-                self._last_error, self._commit_started_s = (
-                    error if isinstance(error, StoreFileError) else unexpected,
-                    0.0,
-                )
-                self._failure_count += 1
+            except Exception as error:  # guards against a writer that ends for good by one unexpected error
+                self._record_failure(error)
                 with self._condition:
                     if self._is_closing:
                         return
-                    if isinstance(error, ValueError):  # a change that can never be made: it alone goes
-                        if self._commits_singly:
-                            self._dequeue_group(group)
-                            self._rejected_changes += group[0].change_count
-                        self._commits_singly = not self._commits_singly
+                    if isinstance(error, ValueError):
+                        self._isolate_invalid_change(group)
                         continue
                     self._condition.wait_for(lambda: self._is_closing, backoff_s)
                 backoff_s = min(2 * backoff_s, MAX_RETRY_BACKOFF_S)
@@ -268,84 +285,110 @@
             self._commit_count += 1
             self._notify(callbacks)
 
+    def _record_failure(self, error: Exception) -> None:
+        if not isinstance(error, StoreFileError):
+            error = StoreFileError(FaultKind.IO_ERROR, self.engine.directory, repr(error))
+        self._last_error, self._commit_started_s = error, 0.0
+        self._failure_count += 1
+
+    def _isolate_invalid_change(self, group: list[_QueuedWork]) -> None:
+        """Rejects a request that can never be carried out; a group is first retried one by one."""
+        if self._commits_singly:
+            self._dequeue_group(group)
+            self._rejected_changes += group[0].change_count
+        self._commits_singly = not self._commits_singly
+
     def _next_group(self) -> list[_QueuedWork]:
-        """What one commit takes; it stays in its lane until it is durable. Empty: nothing is left."""
+        """Waits for the work of one commit, which stays queued until it is durable; empty at the end."""
         with self._condition:
             while not any(lane.queue for lane in self._lanes):
                 if self._is_closing:
                     return []
                 self._condition.wait()
-            lane = self._lanes[0] if self._lanes[0].queue else self._lanes[1]
+            lane = self._urgent_lane if self._urgent_lane.queue else self._normal_lane
             group: list[_QueuedWork] = []
-            count, first = 0, lane.queue[0]
+            change_count = 0
             for work in lane.queue:
-                starts_next_group = (
+                if group and (
                     self._commits_singly
-                    or work.engine_call is not None
-                    or _group_key(work) != _group_key(first)
-                )
-                if group and (starts_next_group or count >= GROUP_COMMIT_CHANGES):
+                    or change_count >= GROUP_COMMIT_CHANGES
+                    or not _may_share_commit(group[0], work)
+                ):
                     break
                 group.append(work)
-                count += work.change_count
+                change_count += work.change_count
             return group
 
     def _execute_group(self, group: list[_QueuedWork]) -> list[Callable[[], None]]:
-        first = group[0]
-        callbacks: list[Callable[[], None]] = []
-        if first.engine_call is not None:
-            callback = first.engine_call(self.engine)
-            callbacks += [callback] if callback is not None else []
-        elif first.journal:
-            position = self.engine.append(first.journal, [work.record for work in group])
-            callbacks += [
-                _bind_callback(w.on_durable, position + n)
-                for n, w in enumerate(group)
-                if w.on_durable is not None
-            ]
-        else:
-            stamp = self.engine.commit([change for work in group for change in work.changes])
-            callbacks += [
-                _bind_callback(work.on_durable, stamp) for work in group if work.on_durable is not None
-            ]
+        """Carries out and dequeues a group; returns what is to be called on the loop."""
+        match group[0]:
+            case _QueuedCall(engine_call=engine_call):
+                callback = engine_call(self.engine)
+                callbacks = [] if callback is None else [callback]
+            case _QueuedAppend(journal=journal):
+                appends = [work for work in group if isinstance(work, _QueuedAppend)]
+                position = self.engine.append(journal, [work.record for work in appends])
+                callbacks = [
+                    _bind_callback(work.on_durable, position + n)
+                    for n, work in enumerate(appends)
+                    if work.on_durable is not None
+                ]
+            case _QueuedCommit():
+                commits = [work for work in group if isinstance(work, _QueuedCommit)]
+                sequence_number = self.engine.commit([change for work in commits for change in work.changes])
+                callbacks = [
+                    _bind_callback(work.on_durable, sequence_number)
+                    for work in commits
+                    if work.on_durable is not None
+                ]
         with self._condition:
             self._dequeue_group(group)
         return callbacks
 
     def _dequeue_group(self, group: list[_QueuedWork]) -> None:
-        """It waits no more."""
-        urgent, other = self._lanes
-        lane = urgent if urgent.queue and urgent.queue[0] is group[0] else other
-        for work in group:
-            lane.queue.popleft()
-            lane.change_count -= work.change_count
-            lane.size_bytes -= work.size_bytes
+        urgent = self._urgent_lane
+        lane = urgent if urgent.queue and urgent.queue[0] is group[0] else self._normal_lane
+        for _ in group:
+            lane.pop()
 
     def _notify(self, callbacks: list[Callable[[], None]]) -> None:
         try:
             for start in range(0, len(callbacks), CALLBACKS_PER_LOOP_TURN):
                 self._call_soon_threadsafe(_run_all(callbacks[start : start + CALLBACKS_PER_LOOP_TURN]))
-        except RuntimeError:  # the loop is closed: nobody waits any more
+        except RuntimeError:  # the loop is closed: nobody waits for them
             pass
 
 
-def _group_key(work: _QueuedWork) -> str:
-    return work.journal if work.record else "?" if work.engine_call is not None else ""
+def _may_share_commit(first: _QueuedWork, other: _QueuedWork) -> bool:
+    match first, other:
+        case _QueuedCommit(), _QueuedCommit():
+            return True
+        case _QueuedAppend(journal=journal), _QueuedAppend(journal=other_journal):
+            return journal == other_journal
+        case _:
+            return False
 
 
-def _bind_callback(on_durable: DurableCallback | None, value: int) -> Callable[[], None]:
-    assert on_durable is not None
+def _bind_callback(on_durable: DurableCallback, value: int) -> Callable[[], None]:
     return lambda: on_durable(value)
 
 
 def _run_all(callbacks: list[Callable[[], None]]) -> Callable[[], None]:
     def run() -> None:
-        for one in callbacks:
-            one()
+        for callback in callbacks:
+            callback()
 
     return run
 
 
+def _checked_change_size_bytes(change: Change) -> int:
+    """What a change counts in its lane; raises ValueError for a bad key or a value that is too long."""
+    is_valid_key = 0 < len(change.key) <= MAX_KEY_LENGTH and "\0" not in change.key
+    if not is_valid_key or not TABLE_NAME_PATTERN.fullmatch(change.table):
+        raise ValueError(f"no key of a table: {change.table!r:.60}, {change.key!r:.120}")
+    return len(change.key) + _checked_size_bytes(change.value) if isinstance(change, Put) else 0
+
+
 def _checked_size_bytes(value: bytes) -> int:
     if len(value) > MAX_VALUE_BYTES:
         raise ValueError(f"a value of {len(value)} bytes, where {MAX_VALUE_BYTES} are allowed")
--- a/tests/store/test_engine.py
+++ b/tests/store/test_engine.py
@@ -17,15 +17,10 @@
 
 from balancer.store import engine as engine_module
 from balancer.store import sqlite_file as piece_module
-from balancer.store.engine import (
-    UNREADABLE_SEGMENT_POSITION_GAP,
-    Change,
-    Delete,
-    Engine,
-    Put,
-)
+from balancer.store.engine import Change, Delete, Engine, Put
 from balancer.store.errors import FaultKind, StoreFileError
 from balancer.store.files import LocalFileSystem
+from balancer.store.journal import UNREADABLE_SEGMENT_POSITION_GAP
 from balancer.store.sqlite_file import Seal, SealedFile
 from balancer.testbed.simulated_disk import (
     InjectedError,
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -18,16 +18,11 @@
 from balancer.core.persistence.persisted_state import URGENT_TABLES, NodeIdentity, PersistedEndpoint
 from balancer.operator_settings import OperatorSettingsError, StateSettings, parse
 from balancer.store import store as store_module
-from balancer.store.engine import (
-    Delete,
-    Engine,
-    JournalRecord,
-    Put,
-)
+from balancer.store.engine import Delete, Engine, Put
 from balancer.store.errors import FaultKind, StoreFileError, WriteQueueFull
 from balancer.store.files import LocalFileSystem
 from balancer.store.inspect import clear, show, verify
-from balancer.store.sqlite_file import SealedFile
+from balancer.store.sqlite_file import JournalRecord, SealedFile
 from balancer.store.store import Store
 from balancer.testbed.simulated_disk import InjectedError, SimulatedDisk, SimulatedFileSystem
 from tests.sockets import ROOT, WAIT
