--- a/balancer/cli/state.py
+++ b/balancer/cli/state.py
@@ -1,4 +1,4 @@
-"""`state show|verify|clear`: what is kept in a directory. `recovery`: how far a running node is back."""
+"""Commands `state show|verify|clear` on a state directory, and `recovery` on a running node."""
 
 from __future__ import annotations
 
@@ -23,6 +23,7 @@
 
 if TYPE_CHECKING:
     from balancer.store.errors import StoreFileError
+    from balancer.store.inspect import GenerationReport
 
 STATE_HELP = "Show, check or take away what a node keeps over a restart."
 SHOW_HELP = "Show what is there and what a start would believe."
@@ -30,23 +31,26 @@
 CLEAR_HELP = "Take away all that the node kept, its identity too."
 RECOVERY_HELP = "Show how far a running node is back, and what it waits for."
 
+REQUIRED_PACKAGES = ("msgspec", "apsw", "xxhash")
+"""What the extra `state` installs; `balancer.store` is imported only once they are known to exist."""
+
 
 def directory_options(command: Command) -> Command:
-    """`--settings` and `--directory`."""
+    """Adds the options `--settings` and `--directory`."""
     text = "The directory; that of the settings by default."
     return settings_option(click.option("--directory", metavar="DIR", type=PATH_TYPE, help=text)(command))
 
 
 @click.group(help=STATE_HELP, short_help=STATE_HELP)
 def state() -> None:
-    """The words on a directory."""
+    """Commands on a state directory."""
 
 
 @state.command(help=SHOW_HELP, short_help=SHOW_HELP)
 @directory_options
 @json_option
 def show(settings: Path | None, directory: Path | None, as_json: bool) -> int:
-    """The word."""
+    """Prints what the directory contains and what a start would restore."""
     from balancer.store import inspect
     from balancer.store.errors import StoreFileError
 
@@ -65,7 +69,7 @@
 @directory_options
 @json_option
 def verify(settings: Path | None, directory: Path | None, as_json: bool) -> int:
-    """The word."""
+    """Prints every fault; exit code 1 if there is one."""
     from balancer.store import inspect
     from balancer.store.errors import StoreFileError
 
@@ -87,7 +91,7 @@
 @click.option("--yes", is_flag=True, help="Do not ask first.")
 @json_option
 def clear(settings: Path | None, directory: Path | None, yes: bool, as_json: bool) -> int:
-    """The word."""
+    """Removes the files of the store, after a confirmation."""
     from balancer.store import inspect
     from balancer.store.errors import StoreFileError
 
@@ -97,7 +101,7 @@
             is_confirmed = click.confirm(
                 f"Take away all that is kept in {target}? It cannot be undone", err=True
             )
-        except click.Abort:  # nobody to ask
+        except click.Abort:  # standard input is closed
             raise CommandError(2, "state clear: nothing was taken away: say yes, or --yes") from None
         if not is_confirmed:
             raise CommandError(1, "state clear: nothing was taken away")
@@ -120,7 +124,7 @@
 )
 @json_option
 def recovery(settings: Path | None, control: Path | None, as_json: bool) -> int:
-    """The word."""
+    """Prints how far the recovery of a running node is."""
     from balancer.net.admin_socket import AdminSocketError, ask
 
     if control is None:
@@ -137,21 +141,13 @@
     if as_json:
         print(json.dumps(report))
         return 0
-    print(f"{report['state']}; memory {report['memory']}, life {report['incarnation']}")
-    for line in report["waits_for"]:
-        print(f"waits for {format_cell(line)}")
-    if store := report.get("store"):
-        print(f"kept in {format_cell(store['directory'])}: {format_cell(store['trouble'] or 'no fault')}")
-    if report["phases"]:
-        print_columns(
-            [["PHASE", "MS"], *([format_cell(one["name"]), f"{one['ms']:.0f}"] for one in report["phases"])]
-        )
+    _print_recovery(report)
     return 0
 
 
 def _resolve_directory(settings: Path | None, directory: Path | None) -> str:
-    """The one that is named, or that of the settings."""
-    missing = [name for name in ("msgspec", "apsw", "xxhash") if importlib.util.find_spec(name) is None]
+    """The directory that is given, or that of the settings; raises CommandError."""
+    missing = [name for name in REQUIRED_PACKAGES if importlib.util.find_spec(name) is None]
     if missing:
         raise CommandError(
             2, f"state: no package {', '.join(missing)}: the install `snowloom-balancer[state]` has it"
@@ -167,8 +163,10 @@
 
 
 def _command_error(error: StoreFileError) -> CommandError:
-    """A directory that a node holds is 1, as it may be asked later; one that is none is 2."""
-    return CommandError(1 if error.kind.value == "owned" else 2, f"state: {error}")
+    """Exit code 1 if a node has the directory, as it may be free later; else 2."""
+    from balancer.store.errors import FaultKind
+
+    return CommandError(1 if error.kind is FaultKind.LOCKED else 2, f"state: {error}")
 
 
 def _print_summary(report: dict[str, Any]) -> None:
@@ -178,21 +176,34 @@
         print(f"held by process {owner}: balancer recovery asks the node")
     if node:
         print(f"node {format_cell(node['name'])}, life {node['incarnation']}, id {format_cell(node['id'])}")
-    rows = [
-        [format_cell(one.get(key)) for key in ("number", "bytes", "rows")] + [_generation_verdict(one)]
-        for one in report["generations"]
+    generations = [
+        [format_cell(generation.get(key)) for key in ("number", "bytes", "rows")]
+        + [_generation_verdict(generation)]
+        for generation in report["generations"]
     ]
-    if rows:
-        print_columns([["GENERATION", "BYTES", "ROWS", ""], *rows])
+    if generations:
+        print_columns([["GENERATION", "BYTES", "ROWS", ""], *generations])
     if report["tables"]:
-        print_columns(
-            [["TABLE", "ROWS"], *([format_cell(name), str(rows)] for name, rows in report["tables"].items())]
-        )
+        tables = [[format_cell(name), str(row_count)] for name, row_count in report["tables"].items()]
+        print_columns([["TABLE", "ROWS"], *tables])
     for journal in report["journals"]:
         print(f"journal {format_cell(journal['name'])}: {journal['bytes']} bytes")
     for line in report["faults"]:
         print(f"fault: {format_cell(line)}")
 
 
-def _generation_verdict(generation: dict[str, Any]) -> str:
-    return "" if "believed" not in generation else "believed" if generation["believed"] else "not believed"
+def _print_recovery(report: dict[str, Any]) -> None:
+    print(f"{report['state']}; memory {report['memory']}, life {report['incarnation']}")
+    for line in report["waits_for"]:
+        print(f"waits for {format_cell(line)}")
+    if store := report.get("store"):
+        print(f"kept in {format_cell(store['directory'])}: {format_cell(store['trouble'] or 'no fault')}")
+    if report["phases"]:
+        rows = [[format_cell(phase["name"]), f"{phase['ms']:.0f}"] for phase in report["phases"]]
+        print_columns([["PHASE", "MS"], *rows])
+
+
+def _generation_verdict(generation: GenerationReport) -> str:
+    if "believed" not in generation:  # a node has the directory: only its files were listed
+        return ""
+    return "believed" if generation["believed"] else "not believed"
--- a/balancer/store/engine.py
+++ b/balancer/store/engine.py
@@ -6,11 +6,11 @@
 number, which only rises, is known even if a file cannot be read. `open` itself writes no record and waits for
 no sync: the restored tables are available at once, and their file stays until the new one is durable.
 
-*A write or sync that fails* ends the use of its file: what the kernel still shows of it may never reach
-the disk, and a second fsync would report success (Rebello et al., "Can Applications Recover from fsync
-Failures?", ATC 2020). What was written to it since the last successful sync is void: the tables continue in a new
-generation, made of what is known to be durable and of what was to be written; a journal continues in a new
-segment (see `journal`).
+*A write or sync that fails* ends the use of its file: what the kernel still shows of it may never reach the
+disk, and a second fsync would report success (Rebello et al., "Can Applications Recover from fsync
+Failures?", ATC 2020). Nothing that was written to the file since the last successful sync counts: the tables
+continue in a new generation, made of what is known to be durable and of what was to be written; a journal
+continues in a new segment (see `journal`).
 
 `Engine` is called by one thread at a time and blocks. Bounds: MAX_ROWS rows, RETAINED_GENERATION_COUNT valid
 generations and as many invalid ones; `store` bounds keys and values.
--- a/balancer/store/inspect.py
+++ b/balancer/store/inspect.py
@@ -1,36 +1,85 @@
 """What is in a store's directory, without a node: `balancer state show|verify|clear`, as data.
 
-All looks are at a copy, so that nothing of the directory changes, not even by SQLite's own recovery. While a
-node holds the directory there is nothing to be seen but its files: ask the node.
+Everything is read from a copy, so that nothing in the directory changes, not even by SQLite's own recovery.
+While a node has the directory only its files can be listed: ask the node.
 """
 
 from __future__ import annotations
 
 import contextlib
+import math
 import os
 import re
 import shutil
 import tempfile
-from collections.abc import Iterator
-from typing import Any
+from collections.abc import Iterator, Sequence
+from dataclasses import dataclass, field
+from typing import Any, NamedTuple, NotRequired, TypedDict
 
 import msgspec
 
 from balancer.core.persistence.persisted_state import NodeIdentity, restore
-from balancer.store.directory import GENERATION_NAME_PATTERN, SEGMENT_NAME_PATTERN, STORE_FILE_NAME_PATTERN
+from balancer.store.directory import (
+    STORE_FILE_NAME_PATTERN,
+    UNFINISHED_FILE_NAME,
+    WAL_SUFFIX,
+    StoreDirectory,
+    generation_file_name,
+    generation_numbers,
+    segment_file_name,
+    segment_positions,
+)
 from balancer.store.errors import FaultKind, StoreFileError, store_error_from_os
-from balancer.store.files import LocalFileSystem
-from balancer.store.sqlite_file import FORMAT_VERSION, Row, SealedFile
+from balancer.store.files import LOCK_FILE_NAME, LocalFileSystem
+from balancer.store.sqlite_file import FORMAT_VERSION, SealedFile, Tables
 
-RECORDS_PER_READ = 1_000  # records of a journal read in one go
+RECORDS_PER_READ = 1_000
+MAX_JOURNAL_FAULTS = 20
+"""Faults of one journal that are listed; the others are counted."""
+
+
+class GenerationReport(TypedDict):
+    """One generation of the tables; the last three are missing while a node has the directory."""
+
+    number: int
+    bytes: int
+    believed: NotRequired[bool]
+    rows: NotRequired[int]
+    wrote_ms: NotRequired[int]
+
+
+class JournalReport(TypedDict):
+    """One journal; all but the first two are missing while a node has the directory."""
+
+    name: str
+    bytes: int
+    first: NotRequired[int]
+    next: NotRequired[int]
+    segments: NotRequired[int]
+    spoiled: NotRequired[int]
+
+
+@dataclass(frozen=True)
+class _InspectedGeneration:
+    is_valid: bool = False
+    row_count: int = 0
+    committed_at_ms: int = 0
+    tables: Tables = field(default_factory=dict)
+    faults: Sequence[str] = ()
+
+
+class _CopiedFiles(NamedTuple):
+    directory: StoreDirectory
+    errors: list[StoreFileError]
+    """One for each file that could not be copied."""
 
 
 def show(directory: str) -> dict[str, Any]:
-    """What is there, as plain data that JSON can hold; raises StoreFault where it is no folder.
+    """What is in the directory, as JSON values; raises StoreFileError if it is no directory.
 
-    `owner` is the process that holds it or None; where there is one, `generations` and `journals` have names
-    and bytes alone. `believed` is the generation that a start would take, None for none; `memory` what it
-    would say.
+    `owner` is the process that has it, or None; if there is one, the generations and journals are listed by
+    name and size only. `believed` is the generation that a start would load, None for none, and `memory` the
+    state that it would report.
     """
     owner_pid, names = _owner_pid(directory), _store_file_names(directory)
     report: dict[str, Any] = {
@@ -49,108 +98,84 @@
     if owner_pid is not None:
         report["memory"] = "in use"
         report["generations"] = [
-            {"number": n, "bytes": _size_with_log_bytes(directory, name)}
-            for n, name in _generations_newest_first(names)
+            GenerationReport(number=number, bytes=_generation_size_bytes(directory, number))
+            for number in generation_numbers(names)
         ]
         report["journals"] = [
-            {"name": name, "bytes": b} for name, b in _journal_sizes_bytes(directory, names).items()
+            JournalReport(name=name, bytes=_journal_size_bytes(directory, name, first_positions))
+            for name, first_positions in segment_positions(names).items()
         ]
         return report
-    with _copied_files(directory, names) as (copy_directory, faults):
-        report["faults"] = [str(fault) for fault in faults]
-        for number, name in _generations_newest_first(names):
-            generation, rows, file_faults = _inspect_generation(copy_directory, name)
-            report["generations"].append(
-                {"number": number, "bytes": _size_with_log_bytes(directory, name)} | generation
-            )
-            report["faults"] += file_faults
-            if generation["believed"] and report["believed"] is None:
-                report["believed"], report["tables"] = (
-                    number,
-                    {t: len(persisted) for t, persisted in sorted(rows.items())},
-                )
-                persisted = _inspect_persisted_state(rows, number, generation["wrote_ms"], report["older"])
-                report["faults"] += persisted.pop("faults", [])
-                report.update(persisted)
-            report["older"] = report["older"] or report["believed"] is None
-        if report["believed"] is None and report["older"]:
-            report["memory"] = "lost"
-        for journal, size in _journal_sizes_bytes(directory, names).items():
-            segments, file_faults = _inspect_journal(copy_directory, names, journal)
-            report["journals"].append({"name": journal, "bytes": size} | segments)
-            report["faults"] += file_faults
-    report["faults"] = [line.replace(copy_directory, directory) for line in report["faults"]]
+    with _copied_files(directory, names) as copied:
+        report["faults"] = [str(error) for error in copied.errors]
+        _add_generations(report, directory, copied.directory, names)
+        _add_journals(report, directory, copied.directory, names)
+    report["faults"] = [line.replace(copied.directory.path, directory) for line in report["faults"]]
     return report
 
 
 def verify(directory: str) -> list[str]:
-    """Every fault of every file, a line each; empty where all that is there can be believed.
+    """Every fault of every file, a line each; empty if all files are valid.
 
-    Raises StoreFault where a node holds the directory, or it is no folder.
+    Raises StoreFileError if a node has the directory, or it is no directory.
     """
     owner_pid = _owner_pid(directory)
     if owner_pid is not None:
         raise StoreFileError(FaultKind.LOCKED, directory, f"process {owner_pid} holds it; ask the node")
     lines: list[str] = show(directory)["faults"]
     names = _store_file_names(directory)
-    with _copied_files(directory, names) as (copy_directory, _):
+    with _copied_files(directory, names) as copied:
         for name in names:
-            if not name.endswith(".db") or name == "new.db":
+            if not name.endswith(".db") or name == UNFINISHED_FILE_NAME:
                 continue
-            with contextlib.suppress(StoreFileError):  # told above
-                sealed_file = SealedFile(LocalFileSystem(), os.path.join(copy_directory, name))
-                lines += [
-                    f"{os.path.join(directory, name)}: {line}" for line in sealed_file.structure_faults()
-                ]
+            with contextlib.suppress(StoreFileError):  # `show` has reported it
+                sealed_file = copied.directory.open_file(name)
+                path = os.path.join(directory, name)
+                lines += [f"{path}: {line}" for line in sealed_file.structure_faults()]
                 sealed_file.abandon()
     return lines
 
 
 def clear(directory: str) -> list[str]:
-    """Take away all that the store made; names of what went. Others' files stay, and links and folders.
+    """Removes all files of the store; returns their names. Other files, links and directories stay.
 
-    The node's identity goes with it: its next start is a first one. Raises StoreFault.
+    The node's identity is removed with them: its next start is a first one. Raises StoreFileError.
     """
-    files = LocalFileSystem()
+    file_system = LocalFileSystem()
     try:
-        lock = files.lock(directory)
-    except BlockingIOError as err:
-        raise StoreFileError(FaultKind.LOCKED, directory, "a node holds it: stop it first") from err
-    except OSError as err:
-        raise store_error_from_os(err, directory) from err
+        lock = file_system.lock(directory)
+    except BlockingIOError as error:
+        raise StoreFileError(FaultKind.LOCKED, directory, "a node holds it: stop it first") from error
+    except OSError as error:
+        raise store_error_from_os(error, directory) from error
     try:
-        removed = [
-            n for n in _store_file_names(directory) if files.is_regular_file(os.path.join(directory, n))
-        ]
-        # The newest generation last: a clearing that is cut off leaves one that is still whole, or none.
-        removed.sort(key=lambda name: (name.startswith("tables-"), name.removesuffix("-wal")))
+        names = _store_file_names(directory)
+        removed = [name for name in names if file_system.is_regular_file(os.path.join(directory, name))]
+        # The newest generation last: if this is interrupted, a complete one is left, or none.
+        removed.sort(key=lambda name: (name.startswith("tables-"), name.removesuffix(WAL_SUFFIX)))
         for name in removed:
-            files.remove(os.path.join(directory, name))
-        files.sync_directory(directory)
-    except OSError as err:
-        raise store_error_from_os(err, directory) from err
+            file_system.remove(os.path.join(directory, name))
+        file_system.sync_directory(directory)
+    except OSError as error:
+        raise store_error_from_os(error, directory) from error
     finally:
         lock.release()
     return removed
 
 
+# --- files ---
+
+
 def _store_file_names(directory: str) -> list[str]:
     try:
         return sorted(name for name in os.listdir(directory) if STORE_FILE_NAME_PATTERN.fullmatch(name))
-    except OSError as err:
-        raise store_error_from_os(err, directory) from err
-
-
-def _generations_newest_first(names: list[str]) -> list[tuple[int, str]]:
-    """Generations, newest first."""
-    return sorted(
-        ((int(m[1]), n) for n in names if (m := GENERATION_NAME_PATTERN.fullmatch(n))), reverse=True
-    )
+    except OSError as error:
+        raise store_error_from_os(error, directory) from error
 
 
 def _owner_pid(directory: str) -> int | None:
-    """The process that holds it; 0 where it does not say."""
-    path = os.path.join(directory, "owner")
+    """The process that has the directory; 0 if its lock file does not tell."""
+    path = os.path.join(directory, LOCK_FILE_NAME)
     if not os.path.lexists(path):
         return None
     try:
@@ -160,127 +185,182 @@
         with open(path, "rb") as file:
             match = re.fullmatch(rb"(\d{1,10})\n", file.read(20))
         return int(match[1]) if match else 0
-    except OSError as err:
-        raise store_error_from_os(err, path) from err
+    except OSError as error:
+        raise store_error_from_os(error, path) from error
 
 
 def _size_with_log_bytes(directory: str, name: str) -> int:
+    """Size of a file and its log; what does not exist counts 0."""
     size_bytes = 0
-    for part in (name, name + "-wal"):
+    for part in (name, name + WAL_SUFFIX):
         with contextlib.suppress(OSError):
             size_bytes += os.lstat(os.path.join(directory, part)).st_size
     return size_bytes
 
 
-def _journal_sizes_bytes(directory: str, names: list[str]) -> dict[str, int]:
-    sizes_bytes: dict[str, int] = {}
-    for name in names:
-        if match := SEGMENT_NAME_PATTERN.fullmatch(name):
-            sizes_bytes[match[1]] = sizes_bytes.get(match[1], 0) + _size_with_log_bytes(directory, name)
-    return sizes_bytes
+def _generation_size_bytes(directory: str, number: int) -> int:
+    return _size_with_log_bytes(directory, generation_file_name(number))
+
+
+def _journal_size_bytes(directory: str, name: str, first_positions: Sequence[int]) -> int:
+    segments = (segment_file_name(name, first) for first in first_positions)
+    return sum(_size_with_log_bytes(directory, segment) for segment in segments)
 
 
 @contextlib.contextmanager
-def _copied_files(directory: str, names: list[str]) -> Iterator[tuple[str, list[StoreFileError]]]:
-    """A copy of the store's files, taken while nobody may write, and what could not be copied."""
-    faults: list[StoreFileError] = []
-    files = LocalFileSystem()
-    with tempfile.TemporaryDirectory(prefix="balancer-state-") as copy_directory:
-        copy_directory = os.path.realpath(copy_directory)
-        lock = files.lock(directory) if os.path.lexists(os.path.join(directory, "owner")) else None
+def _copied_files(directory: str, names: Sequence[str]) -> Iterator[_CopiedFiles]:
+    """A temporary copy of the store's files, made while the directory is locked if it has a lock file."""
+    errors: list[StoreFileError] = []
+    file_system = LocalFileSystem()
+    with tempfile.TemporaryDirectory(prefix="balancer-state-") as temporary_path:
+        copy = StoreDirectory(file_system, temporary_path)
+        has_lock_file = os.path.lexists(os.path.join(directory, LOCK_FILE_NAME))
+        lock = file_system.lock(directory) if has_lock_file else None
         try:
             for name in names:
                 path = os.path.join(directory, name)
                 try:
-                    if not files.is_regular_file(path):
+                    if not file_system.is_regular_file(path):
                         detail = "a folder or a link where a file should be"
-                        faults.append(StoreFileError(FaultKind.FOREIGN, path, detail))
+                        errors.append(StoreFileError(FaultKind.FOREIGN, path, detail))
                     else:
-                        shutil.copyfile(path, os.path.join(copy_directory, name), follow_symlinks=False)
-                except OSError as err:
-                    faults.append(store_error_from_os(err, path))
+                        shutil.copyfile(path, copy.file_path(name), follow_symlinks=False)
+                except OSError as error:
+                    errors.append(store_error_from_os(error, path))
         finally:
             if lock is not None:
                 lock.release()
-        yield copy_directory, faults
+        yield _CopiedFiles(copy, errors)
+
+
+# --- generations ---
 
 
-def _inspect_generation(
-    copy_directory: str, name: str
-) -> tuple[dict[str, Any], dict[str, dict[str, Row]], list[str]]:
-    path = os.path.join(copy_directory, name)
-    summary: dict[str, Any] = {"believed": False, "rows": 0, "wrote_ms": 0}
-    if not os.path.exists(path):  # told as a fault where it was copied
-        return summary, {}, []
-    sealed_file = None
+def _add_generations(
+    report: dict[str, Any], directory: str, copy: StoreDirectory, names: Sequence[str]
+) -> None:
+    """Adds the generations, and what a start would restore from the newest valid one."""
+    for number in generation_numbers(names):
+        generation = _inspect_generation(copy, generation_file_name(number))
+        report["generations"].append(
+            GenerationReport(
+                number=number,
+                bytes=_generation_size_bytes(directory, number),
+                believed=generation.is_valid,
+                rows=generation.row_count,
+                wrote_ms=generation.committed_at_ms,
+            )
+        )
+        report["faults"] += generation.faults
+        if generation.is_valid and report["believed"] is None:
+            report["believed"] = number
+            report["tables"] = {name: len(rows) for name, rows in sorted(generation.tables.items())}
+            _add_restored_state(report, number, generation)
+        report["older"] = report["older"] or report["believed"] is None
+    if report["believed"] is None and report["older"]:
+        report["memory"] = "lost"
+
+
+def _inspect_generation(copy: StoreDirectory, name: str) -> _InspectedGeneration:
+    if not os.path.exists(copy.file_path(name)):  # reported when it could not be copied
+        return _InspectedGeneration()
+    generation_file = None
     try:
-        sealed_file = SealedFile(LocalFileSystem(), path)
-        rows = sealed_file.read_rows()
-        summary |= {
-            "believed": True,
-            "rows": sealed_file.seal.row_count,
-            "wrote_ms": sealed_file.seal.committed_at_ms,
-        }
-        return summary, rows, []
-    except StoreFileError as fault:
-        return summary, {}, [str(fault)]
+        generation_file = copy.open_file(name)
+        tables = generation_file.read_rows()
+        seal = generation_file.seal
+        return _InspectedGeneration(True, seal.row_count, seal.committed_at_ms, tables)
+    except StoreFileError as error:
+        return _InspectedGeneration(faults=[str(error)])
     finally:
-        if sealed_file is not None:
-            sealed_file.abandon()
+        if generation_file is not None:
+            generation_file.abandon()
 
 
-def _inspect_persisted_state(
-    rows: dict[str, dict[str, Row]], number: int, wrote_ms: int, is_outdated: bool
-) -> dict[str, Any]:
-    """Whose memory it is, and what a start would make of it."""
-    values = {table: {key: row.value for key, row in persisted.items()} for table, persisted in rows.items()}
+def _add_restored_state(report: dict[str, Any], number: int, generation: _InspectedGeneration) -> None:
+    """Adds the node's identity and what a start of it would make of the tables."""
+    values = {name: {key: row.value for key, row in rows.items()} for name, rows in generation.tables.items()}
     try:
         identity = msgspec.msgpack.decode(values["self"]["node"], type=NodeIdentity)
     except (KeyError, msgspec.MsgspecError):
-        return {"memory": "lost"}
-    persisted = restore(values, number, is_outdated, wrote_ms, identity.name, wrote_ms, float("inf"))
-    node = {
+        report["memory"] = "lost"
+        return
+    wrote_ms = generation.committed_at_ms
+    restored = restore(values, number, report["older"], wrote_ms, identity.name, wrote_ms, math.inf)
+    report["faults"] += restored.said
+    report["memory"] = restored.memory
+    report["node"] = {
         "id": identity.id,
         "name": identity.name,
         "incarnation": identity.incarnation,
         "first_ms": identity.first_started_at_ms,
     }
-    return {"memory": persisted.memory, "node": node, "faults": persisted.said}
 
 
-def _inspect_journal(copy_directory: str, names: list[str], journal: str) -> tuple[dict[str, Any], list[str]]:
-    """First position, the one to come, segments, records that are not believed."""
-    firsts = sorted(int(m[2]) for n in names if (m := SEGMENT_NAME_PATTERN.fullmatch(n)) and m[1] == journal)
-    summary: dict[str, Any] = {"first": firsts[0], "next": firsts[-1], "segments": len(firsts), "spoiled": 0}
-    faults: list[str] = []
-    for first, end in zip(firsts, [*firsts[1:], None], strict=True):
-        path = os.path.join(copy_directory, f"journal-{journal}-{first:012}.db")
+# --- journals ---
+
+
+def _add_journals(report: dict[str, Any], directory: str, copy: StoreDirectory, names: Sequence[str]) -> None:
+    for name, first_positions in segment_positions(names).items():
+        inspection = _JournalInspection(copy, name, first_positions[-1])
+        for first, end in zip(first_positions, [*first_positions[1:], None], strict=True):
+            inspection.inspect_segment(first, end)
+        report["journals"].append(
+            JournalReport(
+                name=name,
+                bytes=_journal_size_bytes(directory, name, first_positions),
+                first=first_positions[0],
+                next=inspection.next_position,
+                segments=len(first_positions),
+                spoiled=inspection.invalid_count,
+            )
+        )
+        faults = inspection.faults
+        report["faults"] += faults[:MAX_JOURNAL_FAULTS]
+        if len(faults) > MAX_JOURNAL_FAULTS:
+            report["faults"].append(f"and {len(faults) - MAX_JOURNAL_FAULTS} more")
+
+
+@dataclass
+class _JournalInspection:
+    """The records of a journal, segment by segment."""
+
+    copy: StoreDirectory
+    name: str
+    next_position: int
+    invalid_count: int = 0
+    """Records that are missing or whose checksum is wrong."""
+    faults: list[str] = field(default_factory=list)
+
+    def inspect_segment(self, first: int, end: int | None) -> None:
+        """Checks the records from `first` to before `end`; None: to the segment's own end."""
         segment = None
         try:
-            segment = SealedFile(LocalFileSystem(), path)
-            seal = segment.read_seal()
-            end_position = seal.next_position if end is None else min(end, seal.next_position)
-            summary["next"] = max(summary["next"], end_position)
-            expected = first
-            while expected < end_position and (records := segment.read_records(expected, RECORDS_PER_READ)):
-                for position, _, value in records:
-                    if position >= end_position:
-                        break
-                    missing = position - expected + (value is None)
-                    if missing:
-                        summary["spoiled"] += missing
-                        faults.append(
-                            f"{path}: spoiled: position {expected if position > expected else position}"
-                        )
-                    expected = position + 1
-                if records[-1][0] >= end_position:
-                    break
-            if expected < end_position:
-                summary["spoiled"] += end_position - expected
-                faults.append(f"{path}: spoiled: positions {expected} to {end_position - 1} are not there")
-        except StoreFileError as fault:
-            faults.append(str(fault))
+            segment = self.copy.open_file(segment_file_name(self.name, first))
+            next_position = segment.read_seal().next_position
+            end = next_position if end is None else min(end, next_position)
+            self.next_position = max(self.next_position, end)
+            self._check_records(segment, first, end)
+        except StoreFileError as error:
+            self.faults.append(str(error))
         finally:
             if segment is not None:
                 segment.abandon()
-    return summary, faults[:20] + ([f"and {len(faults) - 20} more"] if len(faults) > 20 else [])
+
+    def _check_records(self, segment: SealedFile, first: int, end: int) -> None:
+        expected = first
+        while expected < end and (records := segment.read_records(expected, RECORDS_PER_READ)):
+            for position, _, value in records:
+                if position >= end:
+                    break
+                missing_count = position - expected + (value is None)
+                if missing_count:
+                    self.invalid_count += missing_count
+                    place = expected if position > expected else position
+                    self.faults.append(f"{segment.path}: spoiled: position {place}")
+                expected = position + 1
+            if records[-1].position >= end:
+                break
+        if expected < end:
+            self.invalid_count += end - expected
+            self.faults.append(f"{segment.path}: spoiled: positions {expected} to {end - 1} are not there")
