--- /dev/null
+++ b/tests/store/test_damaged_files.py
@@ -0,0 +1,104 @@
+"""Truncated files and flipped bits: what is loaded is one of the generations, complete."""
+
+from __future__ import annotations
+
+import os
+import random
+from pathlib import Path
+
+import msgspec
+import pytest
+
+from balancer.store import sqlite_file as piece_module
+from balancer.store.engine import Put
+from balancer.store.errors import StoreFileError
+from balancer.store.files import LocalFileSystem
+from balancer.store.sqlite_file import Seal, SealedFile
+from balancer.testbed.simulated_disk import (
+    SimulatedFileSystem,
+)
+from tests.store.durable_node import (
+    TwoGenerations,
+    open_engine,
+    stored_values,
+)
+
+
+def check_damaged_generation(two_generation_disk: TwoGenerations, change: str, offset: int) -> None:
+    """What is loaded is one of the generations, complete; the older one only with a reported fault."""
+    disk, states = two_generation_disk.disk.copy(), two_generation_disk.states
+    content = disk.files["/d/tables-00000002.db"]
+    if change == "cut":
+        del content.current[offset:]
+    else:
+        content.current[offset // 8] ^= 1 << offset % 8
+    engine, found = open_engine(disk)
+    try:
+        assert stored_values(engine) in states and found.committed_at_ms == 1_000, (change, offset)
+        if stored_values(engine) != states[0]:
+            assert found.is_outdated and [f.path for f in found.faults] == ["/d/tables-00000002.db"], (
+                change,
+                offset,
+            )
+            assert found.restored_generation == 1 and found.next_generation == 3
+        engine.commit([Put("view", "c", b"on")])
+    finally:
+        engine.close()
+
+
+def test_generation_truncated_at_each_byte_is_not_loaded_or_complete(
+    two_generation_disk: TwoGenerations,
+) -> None:
+    size = len(two_generation_disk.disk.files["/d/tables-00000002.db"].current)
+    is_exhaustive = os.environ.get("BALANCER_CRASHES")
+    # Each byte at the start and end of a page; each 256th of the blank space between, unless exhaustive.
+    for offset in range(size):
+        if is_exhaustive or offset % 4096 < 64 or offset % 4096 > 3800 or offset % 256 == 0:
+            check_damaged_generation(two_generation_disk, "cut", offset)
+
+
+def test_generation_with_flipped_bit_is_not_loaded_or_complete(
+    two_generation_disk: TwoGenerations,
+) -> None:
+    size = len(two_generation_disk.disk.files["/d/tables-00000002.db"].current)
+    rng = random.Random(5)
+    for offset in range(0, size, 1 if os.environ.get("BALANCER_CRASHES") else 16):
+        check_damaged_generation(two_generation_disk, "flip", 8 * offset + rng.randrange(8))
+    files = SimulatedFileSystem(two_generation_disk.disk.copy())
+    seal = SealedFile(files, "/d/tables-00000002.db").read_seal()
+    packed = msgspec.msgpack.encode(seal)
+    first = two_generation_disk.disk.files["/d/tables-00000002.db"].current.rindex(packed)
+    for bit in range(8 * first, 8 * (first + len(packed))):
+        check_damaged_generation(two_generation_disk, "flip", bit)
+
+
+def test_engine_two_corrupt_generations_restore_nothing_and_number_rises(
+    two_generation_disk: TwoGenerations,
+) -> None:
+    disk = two_generation_disk.disk.copy()
+    for number in (1, 2):
+        disk.files[f"/d/tables-0000000{number}.db"].current[:100] = bytes(100)
+    engine, found = open_engine(disk)
+    assert (
+        stored_values(engine) == {}
+        and found.is_outdated
+        and found.next_generation == 3
+        and len(found.faults) == 2
+    )
+    assert "/d/tables-00000002.db" in disk.files, "a corrupt file stays for inspection"
+    engine.close()
+
+
+def test_sealed_file_missing_row_breaks_the_seal(tmp_path: Path) -> None:
+    """Each row left has a valid checksum: only the one over all rows shows that one is missing."""
+    files, path, good = (
+        LocalFileSystem(),
+        str(tmp_path / "new.db"),
+        piece_module.record_checksum("view", "a", 1, b"1"),
+    )
+    made = SealedFile(files, path, create=True)
+    made.commit(Seal(), [])
+    made._connection.execute("insert into rows values ('view', 'a', 1, x'31', ?)", (good,))
+    with pytest.raises(StoreFileError, match="1 rows"):
+        made.read_rows()
+    made.abandon()
--- /dev/null
+++ b/tests/store/test_inspect.py
@@ -0,0 +1,92 @@
+"""`state show|verify|clear` as data: what they report, and that they leave a directory as it is."""
+
+from __future__ import annotations
+
+import json
+import os
+from pathlib import Path
+
+import msgspec
+import pytest
+
+from balancer.core.persistence.persisted_state import NodeIdentity, PersistedEndpoint
+from balancer.store.engine import Engine, Put
+from balancer.store.errors import FaultKind, StoreFileError
+from balancer.store.files import LocalFileSystem
+from balancer.store.inspect import clear, show, verify
+from balancer.store.sqlite_file import SealedFile
+from balancer.store.store import Store
+from tests.store.test_store import flush
+
+NODE_IDENTITY = msgspec.msgpack.encode(NodeIdentity("id-1", "n0", 3, 0))
+
+
+def write_generations(path: Path) -> None:
+    for n in range(3):
+        engine = Engine(LocalFileSystem(), str(path), lambda: 1_000)
+        engine.open()
+        one = msgspec.msgpack.encode(PersistedEndpoint("127.0.0.1", 80))
+        engine.commit([Put("self", "node", NODE_IDENTITY), Put("view", f"s{n}", one)])
+        engine.append("log", [b"%d" % n])
+        engine.close()
+
+
+def file_contents(path: Path) -> dict[str, bytes]:
+    return {p.name: p.read_bytes() for p in path.iterdir()}
+
+
+def test_inspect_show_and_verify_change_nothing_and_clear_removes_store_files_only(tmp_path: Path) -> None:
+    write_generations(tmp_path)
+    (tmp_path / "notes.txt").write_text("mine")
+    before = file_contents(tmp_path)
+    found = show(str(tmp_path))
+    assert json.loads(json.dumps(found)) == found and not found["faults"] and not verify(str(tmp_path))
+    assert (found["memory"], found["believed"], found["tables"]) == ("kept", 3, {"self": 1, "view": 3})
+    assert [g["number"] for g in found["generations"]] == [3, 2] and found["owner"] is None
+    assert found["node"] == {"id": "id-1", "name": "n0", "incarnation": 3, "first_ms": 0}
+    log = found["journals"][0]
+    assert (log["name"], log["first"], log["next"], log["segments"], log["spoiled"]) == ("log", 1, 4, 1, 0)
+    after = file_contents(tmp_path)
+    assert {**after, "owner": b""} == {**before, "owner": b""}
+    clear(str(tmp_path))
+    assert {p.name for p in tmp_path.iterdir()} == {"notes.txt", "owner"}
+    assert show(str(tmp_path))["memory"] == "none"
+
+
+def test_verify_damaged_and_foreign_files_are_all_reported(tmp_path: Path) -> None:
+    write_generations(tmp_path)
+    (tmp_path / "tables-00000003.db-wal").unlink()
+    (tmp_path / "tables-00000003.db").write_bytes(b"x" * 5_000)
+    (tmp_path / "tables-00000009.db").mkdir()
+    found = verify(str(tmp_path))
+    assert any("tables-00000003.db: spoiled" in line for line in found), found
+    assert any("tables-00000009.db: foreign" in line for line in found), found
+    shown = show(str(tmp_path))
+    assert shown["memory"] == "older" and shown["believed"] == 2
+    assert all(line.startswith(str(tmp_path)) for line in found), found
+
+
+def test_inspect_directory_in_use_is_only_listed(tmp_path: Path) -> None:
+    store = Store(str(tmp_path), lambda run: run())
+    store.open()
+    flush(store)
+    found = show(str(tmp_path))
+    assert found["owner"] == os.getpid() and found["memory"] == "in use" and found["generations"]
+    for act in (verify, clear):
+        with pytest.raises(StoreFileError) as caught:
+            act(str(tmp_path))
+        assert caught.value.kind is FaultKind.LOCKED
+    flush(store)
+    store.close()
+    with pytest.raises(StoreFileError):
+        show(str(tmp_path / "none"))
+
+
+def test_verify_corrupt_journal_record_is_reported_by_position(tmp_path: Path) -> None:
+    write_generations(tmp_path)
+    db = tmp_path / "journal-log-000000000001.db"
+    copy = SealedFile(LocalFileSystem(), str(db))
+    copy._connection.execute("update records set value=x'39' where position=2")
+    copy.checkpoint_and_close()
+    assert verify(str(tmp_path)) == [f"{db}: spoiled: position 2"]
+    assert show(str(tmp_path))["journals"][0]["spoiled"] == 1
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -1,11 +1,9 @@
-"""The store's thread: groups, lanes, bounds, disks that are slow, full and back; looks at a directory."""
+"""The writer thread: groups, lanes, bounds; disks that are slow, full and back; a killed process."""
 
 from __future__ import annotations
 
 import asyncio
 import errno
-import json
-import os
 import subprocess
 import sys
 import threading
@@ -15,14 +13,12 @@
 import msgspec
 import pytest
 
-from balancer.core.persistence.persisted_state import URGENT_TABLES, NodeIdentity, PersistedEndpoint
-from balancer.operator_settings import OperatorSettingsError, StateSettings, parse
+from balancer.core.persistence.persisted_state import URGENT_TABLES
 from balancer.store import store as store_module
-from balancer.store.engine import Delete, Engine, Put
-from balancer.store.errors import FaultKind, StoreFileError, WriteQueueFull
-from balancer.store.files import LocalFileSystem
-from balancer.store.inspect import clear, show, verify
-from balancer.store.sqlite_file import JournalRecord, SealedFile
+from balancer.store.engine import Delete, Put
+from balancer.store.errors import FaultKind, WriteQueueFull
+from balancer.store.inspect import show
+from balancer.store.sqlite_file import JournalRecord
 from balancer.store.store import Store
 from balancer.testbed.simulated_disk import InjectedError, SimulatedDisk, SimulatedFileSystem
 from tests.sockets import ROOT, WAIT
@@ -63,7 +59,7 @@
     assert done.wait(WAIT)
 
 
-def test_the_loop_goes_on_while_the_disk_takes_its_time() -> None:
+def test_store_slow_sync_does_not_block_the_loop() -> None:
     gate = SyncGate()
 
     async def test() -> None:
@@ -88,7 +84,7 @@
 
 
 @pytest.mark.parametrize("number", [None, errno.EIO, errno.ENOSPC])
-def test_what_was_kept_is_there_before_the_new_generation_is_synced(number: int | None) -> None:
+def test_store_restored_values_are_available_before_first_sync(number: int | None) -> None:
     """A sync that takes long, or fails: said, nothing acknowledged, and what was kept is there all along."""
     gate = SyncGate()
     store = open_store(gate)
@@ -120,7 +116,7 @@
     again.file_system.close()
 
 
-def test_what_is_urgent_is_written_first_and_each_lane_keeps_its_order() -> None:
+def test_store_urgent_tables_are_written_first_and_lanes_keep_their_order() -> None:
     gate, order = SyncGate(), list[str]()
     store = open_store(gate)
     gate.block_syncs()
@@ -140,7 +136,7 @@
     gate.file_system.close()
 
 
-def test_what_waits_is_bounded_by_count_and_by_bytes() -> None:
+def test_store_full_lane_rejects_by_count_and_by_bytes() -> None:
     gate = SyncGate()
     store = open_store(gate)
     gate.block_syncs()
@@ -186,7 +182,7 @@
 
 
 @pytest.mark.parametrize("number", FAULT_KIND_BY_ERRNO)
-def test_a_disk_that_fails_is_said_and_all_is_written_once_it_is_back(number: int) -> None:
+def test_store_failing_disk_is_reported_and_all_is_written_after_it_recovers(number: int) -> None:
     gate, failed = SyncGate(), threading.Event()
     store = open_store(gate)
     broken = True
@@ -215,7 +211,7 @@
     gate.file_system.close()
 
 
-def test_a_close_under_a_disk_that_fails_says_what_was_not_written() -> None:
+def test_store_close_on_failing_disk_returns_changes_not_written() -> None:
     gate = SyncGate()
     store = open_store(gate)
 
@@ -231,7 +227,7 @@
     gate.file_system.close()
 
 
-def test_a_change_that_can_never_be_made_costs_itself_alone(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_store_invalid_change_alone_is_rejected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("balancer.store.engine.MAX_ROWS", 3)
     gate = SyncGate()
     store = open_store(gate)
@@ -248,7 +244,7 @@
     gate.file_system.close()
 
 
-def test_a_journal_is_read_as_it_is_durable_and_cut(tmp_path: Path) -> None:
+def test_store_read_journal_returns_durable_records_and_trim_removes_them(tmp_path: Path) -> None:
     store = Store(str(tmp_path), lambda run: run())
     store.open()
     for n in range(5):
@@ -286,7 +282,7 @@
 """
 
 
-def test_a_process_that_is_killed_leaves_what_it_acknowledged(tmp_path: Path) -> None:
+def test_store_killed_process_leaves_what_it_acknowledged(tmp_path: Path) -> None:
     """SIGKILL, five times in a row, each start at once after the one before."""
     last = 0
     for life in range(5):
@@ -308,99 +304,3 @@
     value = store.get("view", "n")
     assert value is not None and msgspec.msgpack.decode(value) >= last
     store.close()
-
-
-# --- looking at a directory
-
-
-NODE_IDENTITY = msgspec.msgpack.encode(NodeIdentity("id-1", "n0", 3, 0))
-
-
-def write_generations(path: Path) -> None:
-    for n in range(3):
-        engine = Engine(LocalFileSystem(), str(path), lambda: 1_000)
-        engine.open()
-        one = msgspec.msgpack.encode(PersistedEndpoint("127.0.0.1", 80))
-        engine.commit([Put("self", "node", NODE_IDENTITY), Put("view", f"s{n}", one)])
-        engine.append("log", [b"%d" % n])
-        engine.close()
-
-
-def file_contents(path: Path) -> dict[str, bytes]:
-    return {p.name: p.read_bytes() for p in path.iterdir()}
-
-
-def test_show_and_verify_change_nothing_and_clear_takes_its_own_alone(tmp_path: Path) -> None:
-    write_generations(tmp_path)
-    (tmp_path / "notes.txt").write_text("mine")
-    before = file_contents(tmp_path)
-    found = show(str(tmp_path))
-    assert json.loads(json.dumps(found)) == found and not found["faults"] and not verify(str(tmp_path))
-    assert (found["memory"], found["believed"], found["tables"]) == ("kept", 3, {"self": 1, "view": 3})
-    assert [g["number"] for g in found["generations"]] == [3, 2] and found["owner"] is None
-    assert found["node"] == {"id": "id-1", "name": "n0", "incarnation": 3, "first_ms": 0}
-    log = found["journals"][0]
-    assert (log["name"], log["first"], log["next"], log["segments"], log["spoiled"]) == ("log", 1, 4, 1, 0)
-    after = file_contents(tmp_path)
-    assert {**after, "owner": b""} == {**before, "owner": b""}
-    clear(str(tmp_path))
-    assert {p.name for p in tmp_path.iterdir()} == {"notes.txt", "owner"}
-    assert show(str(tmp_path))["memory"] == "none"
-
-
-def test_verify_names_every_fault(tmp_path: Path) -> None:
-    write_generations(tmp_path)
-    (tmp_path / "tables-00000003.db-wal").unlink()
-    (tmp_path / "tables-00000003.db").write_bytes(b"x" * 5_000)
-    (tmp_path / "tables-00000009.db").mkdir()
-    found = verify(str(tmp_path))
-    assert any("tables-00000003.db: spoiled" in line for line in found), found
-    assert any("tables-00000009.db: foreign" in line for line in found), found
-    shown = show(str(tmp_path))
-    assert shown["memory"] == "older" and shown["believed"] == 2
-    assert all(line.startswith(str(tmp_path)) for line in found), found
-
-
-def test_a_directory_in_use_is_left_alone(tmp_path: Path) -> None:
-    store = Store(str(tmp_path), lambda run: run())
-    store.open()
-    flush(store)
-    found = show(str(tmp_path))
-    assert found["owner"] == os.getpid() and found["memory"] == "in use" and found["generations"]
-    for act in (verify, clear):
-        with pytest.raises(StoreFileError) as caught:
-            act(str(tmp_path))
-        assert caught.value.kind is FaultKind.LOCKED
-    flush(store)
-    store.close()
-    with pytest.raises(StoreFileError):
-        show(str(tmp_path / "none"))
-
-
-# --- settings
-
-
-def test_the_settings_name_all_faults_at_once(tmp_path: Path) -> None:
-    (tmp_path / "state").mkdir()
-    (tmp_path / "file").write_text("")
-    found = parse({"state": {"directory": "state"}}, tmp_path).state
-    assert found == StateSettings(directory=tmp_path / "state") and "believed for 86400 s" in found.summary()
-    for bad in ("none", "file", "", 7, "x" * 5_000, "a\0b"):
-        with pytest.raises(OperatorSettingsError) as caught:
-            parse({"state": {"directory": bad, "max_age": 59, "every": True}}, tmp_path)
-        paths = {fault.path for fault in caught.value.faults}
-        assert paths == {"state.directory", "state.max_age", "state.every"}, bad
-    with pytest.raises(OperatorSettingsError, match=r"state\.every: found 3600 s, over max_age"):
-        parse({"state": {"directory": "state", "max_age": 60, "every": 3_600}}, tmp_path)
-    with pytest.raises(OperatorSettingsError, match=r"state\.directory: found nothing"):
-        parse({"state": {}}, tmp_path)
-
-
-def test_a_spoiled_record_of_a_journal_is_named_by_its_position(tmp_path: Path) -> None:
-    write_generations(tmp_path)
-    db = tmp_path / "journal-log-000000000001.db"
-    copy = SealedFile(LocalFileSystem(), str(db))
-    copy._connection.execute("update records set value=x'39' where position=2")
-    copy.checkpoint_and_close()
-    assert verify(str(tmp_path)) == [f"{db}: spoiled: position 2"]
-    assert show(str(tmp_path))["journals"][0]["spoiled"] == 1
