--- a/balancer/testbed/disk_faults.py
+++ b/balancer/testbed/disk_faults.py
@@ -1,16 +1,18 @@
-"""Faults of a node's own directory that can be brought about from outside, without special rights.
+"""Faults of a node's state directory that can be injected from outside, without special rights.
 
-While the process is down, on the file that was written last: `torn` (its end is missing), `flipped` (bits),
-`blocked` (a folder in its place); on the whole directory: `wiped`, `swapped`, `copied` and `restored`.
+While the process is down, on the file that was written last: `truncate_newest_file`,
+`flip_bits_in_newest_file` and `replace_newest_file_by_directory`; on the whole directory: `empty_directory`,
+`swap_directories`, `save_copy` and `restore_copy`.
 
 While it runs:
-- `full`: RLIMIT_FSIZE of the process (prlimit(2)): no file may go on past so many bytes, and a write says
-  EFBIG where a full disk says ENOSPC. At 0 nothing can be written, but all can be read, as on a read-only
-  disk: chmod does not stop root, and mounts and immutable files need rights that nobody should need.
-- `away`: the directory is gone and a file is in its place: whatever is opened by its path fails, and what is
-  open goes on.
-
-A disk that is slow, or that loses what was not synced, is for the store's own file port, in its process.
+- `limit_file_size`: RLIMIT_FSIZE of the process (prlimit(2)): no file may grow past so many bytes, and a
+  write returns EFBIG where a full disk returns ENOSPC. At 0 nothing can be written but all can be read, as on
+  a read-only disk: chmod does not stop root, and mounts and immutable files need rights that no test should
+  need.
+- `set_directory_hidden`: a file takes the place of the directory: opening a path in it fails, and files that
+  are open continue to work.
+
+A disk that is slow, or that loses what was not synced, is simulated in the process (`simulated_disk`).
 """
 
 from __future__ import annotations
@@ -23,21 +25,21 @@
 
 
 def newest_file(directory: Path) -> Path | None:
-    """The file with something in it that was written last, however deep; None where there is none."""
+    """The non-empty file that was written last, at any depth; None if there is none."""
     found = [path for path in directory.rglob("*") if path.is_file() and not path.is_symlink()]
     filled = [(path.stat().st_mtime_ns, str(path), path) for path in found if path.stat().st_size]
     return max(filled)[2] if filled else None
 
 
 def truncate_newest_file(directory: Path, rng: random.Random) -> None:
-    """The newest file ends at any byte."""
+    """Truncates the newest file at a random byte."""
     if (path := newest_file(directory)) is not None:
         with path.open("r+b") as file:
             file.truncate(rng.randrange(path.stat().st_size))
 
 
 def flip_bits_in_newest_file(directory: Path, rng: random.Random, bit_count: int = 8) -> None:
-    """So many different bits of the newest file are the other way round."""
+    """Inverts so many different bits of the newest file."""
     if (path := newest_file(directory)) is not None:
         data = bytearray(path.read_bytes())
         for bit in rng.sample(range(8 * len(data)), min(bit_count, 8 * len(data))):
@@ -46,33 +48,33 @@
 
 
 def replace_newest_file_by_directory(directory: Path) -> None:
-    """A folder is where the newest file was."""
+    """Puts a directory in the place of the newest file."""
     if (path := newest_file(directory)) is not None:
         path.unlink()
         path.mkdir()
 
 
 def empty_directory(directory: Path) -> None:
-    """Nothing is in it."""
+    """Removes everything in a directory."""
     shutil.rmtree(directory)
     directory.mkdir()
 
 
 def swap_directories(directories: Sequence[Path]) -> None:
-    """Each gets what the one before it had, the first what the last had."""
+    """Rotates contents: each gets what the one before it had, the first what the last had."""
     moved = [path.rename(path.with_suffix(".swap")) for path in directories]
     for path, other in zip(directories, [moved[-1], *moved[:-1]], strict=True):
         other.rename(path)
 
 
 def save_copy(directory: Path) -> None:
-    """Keep a copy of what is in it now, in place of one that was kept before."""
+    """Saves a copy of a directory beside it, in place of an earlier one."""
     shutil.rmtree(_copy_path(directory), ignore_errors=True)
     shutil.copytree(directory, _copy_path(directory))
 
 
 def restore_copy(directory: Path) -> None:
-    """It is as it was when it was copied; raises FileNotFoundError where it never was."""
+    """Restores a directory from its copy; raises FileNotFoundError if there is none."""
     copy_path = _copy_path(directory)
     if not copy_path.is_dir():
         raise FileNotFoundError(f"no copy of {directory.name} was taken")
@@ -85,17 +87,14 @@
 
 
 def limit_file_size(pid: int, max_size_bytes: int | None) -> None:
-    """No file of a process of ours may go on past so many bytes; None: as before."""
+    """Limits the size of each file that a process of this user writes; None removes the limit."""
     _, hard_limit_bytes = resource.prlimit(pid, resource.RLIMIT_FSIZE)
-    resource.prlimit(
-        pid,
-        resource.RLIMIT_FSIZE,
-        (hard_limit_bytes if max_size_bytes is None else max_size_bytes, hard_limit_bytes),
-    )
+    soft_limit_bytes = hard_limit_bytes if max_size_bytes is None else max_size_bytes
+    resource.prlimit(pid, resource.RLIMIT_FSIZE, (soft_limit_bytes, hard_limit_bytes))
 
 
 def set_directory_hidden(directory: Path, is_hidden: bool) -> None:
-    """A file is in its place, or it is there again."""
+    """Puts a file in the place of a directory, or the directory back; repeating either has no effect."""
     hidden_path = directory.with_suffix(".away")
     if is_hidden and not hidden_path.exists():
         directory.rename(hidden_path)
--- a/balancer/testbed/simulated_disk.py
+++ b/balancer/testbed/simulated_disk.py
@@ -1,12 +1,13 @@
 """A disk in memory for the store's tests: it fails, tears, loses, reorders and delays what was not synced.
 
-`Disk` is the medium: names and contents as they are now, and as they are durable. `SimFiles` is the store's
-file port on it, with a VFS of SQLite's own. `Disk.calls` counts every call that changes something; a `Plan`
-says what the n-th does. `Disk.crash(rng)` leaves what a power cut would: of each file, any of the writes
-since its last sync, whole, in part or not at all; of the names, any of the changes since the directory was
-synced.
-
-What a call is named by (`Disk.points`), as "write tables-00000002.db-wal 3", makes crash points repeatable.
+`SimulatedDisk` is the medium: names and contents as they are now, and as they are durable.
+`SimulatedFileSystem` is the store's file-system port on it, with a VFS of its own for SQLite. The disk counts
+every call that changes something; a `FaultPlan` decides what happens to the n-th. `crash(rng)` leaves what a
+power cut would: of each file, any of the writes since its last sync, complete, in part or not at all; of the
+names, any of the changes since the directory was synced.
+
+The name of a call (`SimulatedDisk.call_names`), as "write tables-00000002.db-wal 3", makes crash points
+repeatable.
 """
 
 from __future__ import annotations
@@ -19,11 +20,17 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 from itertools import count
+from typing import NamedTuple
 
 import apsw
 
-SECTOR_SIZE_BYTES = 512  # bytes that a disk writes whole
-_numbers = count()
+SECTOR_SIZE_BYTES = 512
+"""What a disk writes completely or not at all."""
+UNSYNCED_ENTRY_SURVIVAL_PROBABILITY = 0.5
+REORDERED_WRITES_PROBABILITY = 0.5
+LOST_WRITE_PROBABILITY = 0.4
+LOST_OR_TORN_WRITE_PROBABILITY = 0.6
+_unique_numbers = count()
 _APSW_ERROR_BY_ERRNO: dict[int, type[apsw.Error]] = {
     errno.ENOSPC: apsw.FullError,
     errno.EROFS: apsw.ReadOnlyError,
@@ -31,7 +38,7 @@
 
 
 class InjectedError(Exception):
-    """A call comes back with an error of this number (errno)."""
+    """Raised by a fault plan: the call returns an error of this number (errno)."""
 
     def __init__(self, error_number: int = errno.EIO) -> None:
         self.error_number = error_number
@@ -39,34 +46,50 @@
 
 
 class PowerCut(BaseException):
-    """The process is gone, in the middle of a call."""
+    """Raised by a fault plan: the process ends in the middle of a call."""
+
+
+class UnsyncedWrite(NamedTuple):
+    """A write or a truncation that was not synced; it may be lost."""
+
+    offset: int
+    """Of a write; TRUNCATION for a truncation."""
+    data: bytes
+    """What is written; of a truncation the new length, big-endian."""
+
+
+TRUNCATION = -1
 
 
 @dataclass(eq=False)
 class FileContent:
-    """A file: its bytes now, its bytes that are durable, what was written since."""
+    """A file: its current bytes, its durable bytes, and the writes since."""
 
-    inode: int = field(default_factory=lambda: next(_numbers))
+    inode: int = field(default_factory=lambda: next(_unique_numbers))
     current: bytearray = field(default_factory=bytearray)
     durable: bytes = b""
-    unsynced_writes: list[tuple[int, bytes]] = field(
-        default_factory=list
-    )  # offset and bytes; -1: cut to a length
+    unsynced_writes: list[UnsyncedWrite] = field(default_factory=list)
+
+    def write(self, change: UnsyncedWrite) -> None:
+        """Carries out a write or truncation, not durable before `SimulatedDisk.sync`."""
+        self.unsynced_writes.append(change)
+        self.apply(self.current, change.offset, change.data)
 
     def apply(self, target: bytearray, offset: int, data: bytes) -> None:
-        """Carry out one write, or a cut."""
-        if offset < 0:
+        """Carries out one write or truncation on `target`."""
+        if offset == TRUNCATION:
             del target[int.from_bytes(data, "big") :]
             return
         target.extend(bytes(max(0, offset + len(data) - len(target))))
         target[offset : offset + len(data)] = data
 
 
-FaultPlan = Callable[[int, str], None]  # told a call's number and name; raises what is to happen to it
+FaultPlan = Callable[[int, str], None]
+"""Gets the number and the name of a call; raises what is to happen to it."""
 
 
 class SimulatedDisk:
-    """The medium and its directory (there is one)."""
+    """The medium and its only directory."""
 
     def __init__(self) -> None:
         self.files: dict[str, FileContent] = {}
@@ -80,7 +103,10 @@
         self._call_counts: Counter[str] = Counter()
 
     def record_call(self, operation: str, path: str, by_sqlite: bool = True) -> None:
-        """A call that changes something is about to be made, by SQLite or by the store itself."""
+        """Counts a call that is about to change something, and applies the fault plan.
+
+        Raises PowerCut, or the error that SQLite or (not `by_sqlite`) the store expects of a failing call.
+        """
         if self.is_powered_off:
             raise PowerCut
         name = f"{operation} {path.rpartition('/')[2]}"
@@ -94,42 +120,46 @@
                 raise OSError(error.error_number, os.strerror(error.error_number)) from None
             raise _APSW_ERROR_BY_ERRNO.get(error.error_number, apsw.IOError)(str(error)) from None
         except PowerCut:
-            self.is_powered_off = True  # whatever the dying process still does reaches nothing
+            self.is_powered_off = True  # nothing that the ending process still does reaches the disk
             raise
 
     def crash(self, rng: random.Random) -> None:
-        """The power was cut; from here on the disk is as it came out of it."""
+        """Cuts the power; from here on the disk is as it is after that, with no faults planned."""
         files = dict(self.durable_files)
         for path in {*self.files, *self.durable_files}:
-            if self.files.get(path) is not self.durable_files.get(path) and rng.random() < 0.5:
+            is_changed = self.files.get(path) is not self.durable_files.get(path)
+            if is_changed and rng.random() < UNSYNCED_ENTRY_SURVIVAL_PROBABILITY:
                 files.pop(path, None)
                 if path in self.files:
                     files[path] = self.files[path]
         for content in set(files.values()):
-            restored = bytearray(content.durable)
-            writes = content.unsynced_writes[:]
-            if rng.random() < 0.5:
-                rng.shuffle(writes)  # guards against a reliance on their order
-            for offset, data in writes:
-                fate = rng.random()
-                if fate < 0.4:
-                    continue
-                if fate < 0.6 and offset >= 0:  # torn, at the border of a sector
-                    data = data[: rng.randrange(0, len(data) + SECTOR_SIZE_BYTES, SECTOR_SIZE_BYTES)]
-                content.apply(restored, offset, data)
-            content.current, content.durable, content.unsynced_writes = restored, bytes(restored), []
+            self._lose_unsynced_writes(content, rng)
         self.files, self.durable_files = files, dict(files)
         self.is_locked = self.is_powered_off = False
         self.fault_plan = lambda number, name: None
 
+    def _lose_unsynced_writes(self, content: FileContent, rng: random.Random) -> None:
+        restored = bytearray(content.durable)
+        writes = content.unsynced_writes[:]
+        if rng.random() < REORDERED_WRITES_PROBABILITY:  # guards against a reliance on their order
+            rng.shuffle(writes)
+        for offset, data in writes:
+            fate = rng.random()
+            if fate < LOST_WRITE_PROBABILITY:
+                continue
+            if fate < LOST_OR_TORN_WRITE_PROBABILITY and offset != TRUNCATION:
+                data = data[: rng.randrange(0, len(data) + SECTOR_SIZE_BYTES, SECTOR_SIZE_BYTES)]
+            content.apply(restored, offset, data)
+        content.current, content.durable, content.unsynced_writes = restored, bytes(restored), []
+
     def sync(self, content: FileContent) -> None:
-        """All that was written to a file is durable."""
+        """Makes all writes to a file durable."""
         if self.sync_duration_s:
             time.sleep(self.sync_duration_s)
         content.durable, content.unsynced_writes = bytes(content.current), []
 
     def copy(self) -> SimulatedDisk:
-        """The same content, durable, on another disk."""
+        """Another disk with the current content, all of it durable."""
         copied = SimulatedDisk()
         for path, content in self.files.items():
             copied.files[path] = FileContent(
@@ -148,54 +178,57 @@
 
 
 class SimulatedFileSystem:
-    """The store's file port on a `Disk`. Close it when done: SQLite holds its VFS by name."""
+    """The store's file-system port on a `SimulatedDisk`.
+
+    It must be closed: its VFS is registered with SQLite by name.
+    """
 
     def __init__(self, disk: SimulatedDisk) -> None:
         self.disk = disk
-        self.vfs_name = f"sim-{next(_numbers)}"
+        self.vfs_name = f"sim-{next(_unique_numbers)}"
         self._vfs = _SimulatedVfs(self.vfs_name, disk)
 
     def close(self) -> None:
-        """Take the VFS back."""
+        """Unregisters the VFS."""
         self._vfs.unregister()
 
     def lock(self, directory: str) -> _SimulatedLock:
-        """One owner of the disk."""
+        """Locks the disk; raises BlockingIOError while it is locked."""
         if self.disk.is_locked:
             raise BlockingIOError(errno.EAGAIN, "another process")
         self.disk.is_locked = True
         return _SimulatedLock(self.disk)
 
     def list_names(self, directory: str) -> list[str]:
-        """Of the directory's files."""
+        """Names of the directory's files."""
         return [path.rpartition("/")[2] for path in self.disk.files]
 
     def is_regular_file(self, path: str) -> bool:
-        """A file that is there."""
+        """True for each file; raises FileNotFoundError."""
         return bool(self._content(path))
 
     def inode(self, path: str) -> int:
-        """The number of the content."""
+        """Number of the content."""
         return self._content(path).inode
 
     def size_bytes(self, path: str) -> int:
-        """Bytes now."""
+        """Current size."""
         return len(self._content(path).current)
 
     def rename(self, old: str, new: str) -> None:
-        """Names alone; not durable."""
-        self.disk.record_call("rename", new, False)
+        """Changes the names only; durable after `sync_directory`."""
+        self.disk.record_call("rename", new, by_sqlite=False)
         self.disk.files[new] = self.disk.files.pop(old)
 
     def remove(self, path: str) -> None:
-        """Names alone; not durable."""
+        """Changes the names only; durable after `sync_directory`."""
         if path in self.disk.files:
-            self.disk.record_call("remove", path, False)
+            self.disk.record_call("remove", path, by_sqlite=False)
             self.disk.files.pop(path, None)
 
     def sync_directory(self, directory: str) -> None:
-        """Names are durable."""
-        self.disk.record_call("settle", directory, False)
+        """Makes all names durable."""
+        self.disk.record_call("settle", directory, by_sqlite=False)
         self.disk.durable_files = dict(self.disk.files)
 
     def _content(self, path: str) -> FileContent:
@@ -236,7 +269,7 @@
 
 
 class _SimulatedFile:
-    """SQLite's methods of an open file."""
+    """An open file, as SQLite's VFS calls it."""
 
     def __init__(self, disk: SimulatedDisk, path: str, content: FileContent) -> None:
         self.disk, self.path, self.content = disk, path, content
@@ -246,29 +279,26 @@
 
     def xWrite(self, data: bytes, offset: int) -> None:
         self.disk.record_call("write", self.path)
-        self.content.unsynced_writes.append((offset, bytes(data)))
-        self.content.apply(self.content.current, offset, bytes(data))
+        self.content.write(UnsyncedWrite(offset, bytes(data)))
 
     def xTruncate(self, newsize: int) -> None:
         self.disk.record_call("cut", self.path)
-        length = newsize.to_bytes(8, "big")
-        self.content.unsynced_writes.append((-1, length))
-        self.content.apply(self.content.current, -1, length)
+        self.content.write(UnsyncedWrite(TRUNCATION, newsize.to_bytes(8, "big")))
 
     def xSync(self, flags: int) -> None:
         self.disk.record_call("sync", self.path)
         self.disk.sync(self.content)
         if self.path not in self.disk.durable_files and self.path.endswith(("-wal", "-journal")):
-            self.disk.durable_files[self.path] = self.content  # as SQLite's own VFS syncs the directory then
+            self.disk.durable_files[self.path] = self.content  # SQLite's own VFS syncs the directory then
 
     def xFileSize(self) -> int:
         return len(self.content.current)
 
     def xLock(self, level: int) -> None:
-        """There is one owner."""
+        """Nothing to do: the disk has one owner."""
 
     def xUnlock(self, level: int) -> None:
-        """There is one owner."""
+        """Nothing to do: the disk has one owner."""
 
     def xCheckReservedLock(self) -> bool:
         return False
@@ -283,4 +313,4 @@
         return 0
 
     def xClose(self) -> None:
-        """Nothing is held."""
+        """Nothing to release."""
--- a/tests/cli/test_state_commands.py
+++ b/tests/cli/test_state_commands.py
@@ -1,11 +1,11 @@
-"""`state show|verify|clear` and `recovery` on the command line: what is printed, exit codes, the question."""
+"""Commands `state show|verify|clear` and `recovery`: output, exit codes, the confirmation."""
 
 from __future__ import annotations
 
 import asyncio
 import json
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 import pytest
 
@@ -17,28 +17,39 @@
 
 @pytest.fixture
 def directory(tmp_path: Path) -> Path:
-    """A directory that a node has left."""
-    out = tmp_path / "state"
-    out.mkdir()
-    store = Store(str(out), lambda run: run())
+    """A state directory as a node has left it."""
+    path = tmp_path / "state"
+    path.mkdir()
+    store = Store(str(path), lambda run: run())
     store.open()
     store.put("self", "node", NodeIdentity("an id", "n0", 3, 1_000))
     store.put("view", "s1", PersistedEndpoint("127.0.0.1", 80, started_at_ms=1.8e12, sources=("platform",)))
     assert store.close() == 0
-    return out
+    return path
 
 
-def run_command(capsys: pytest.CaptureFixture[str], *words: str) -> tuple[int, str, str]:
-    code = main(words)
+class CommandResult(NamedTuple):
+    """Exit code and output of a command."""
+
+    exit_code: int
+    out: str
+    err: str
+
+
+def run_command(capsys: pytest.CaptureFixture[str], *words: str) -> CommandResult:
+    exit_code = main(words)
     out, err = capsys.readouterr()
-    return code, out, err
+    return CommandResult(exit_code, out, err)
 
 
-def test_show_and_verify(directory: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_state_show_and_verify_print_the_directory_and_its_faults(
+    directory: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     here = ("--directory", str(directory))
     code, out, _ = run_command(capsys, "state", "show", "--json", *here)
-    told = json.loads(out)
-    assert code == 0 and told["node"]["incarnation"] == 3 and told["tables"] == {"self": 1, "view": 1}
+    report = json.loads(out)
+    assert code == 0 and report["node"]["incarnation"] == 3
+    assert report["tables"] == {"self": 1, "view": 1}
     code, out, _ = run_command(capsys, "state", "show", *here)
     assert code == 0 and "node n0, life 3" in out and "memory kept" in out
     assert run_command(capsys, "state", "verify", *here) == (0, f"{directory}: no fault\n", "")
@@ -48,46 +59,50 @@
     assert code == 1 and json.loads(out)["faults"]
 
 
-def test_clear_asks_first_and_takes_all_or_nothing(
+def test_state_clear_asks_first_and_removes_all_or_nothing(
     directory: Path, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     words = ("state", "clear", "--directory", str(directory))
     before = sorted(directory.iterdir())
     monkeypatch.setattr("click.termui.visible_prompt_func", lambda text="": "n")
-    assert run_command(capsys, *words)[0] == 1 and sorted(directory.iterdir()) == before
+    assert run_command(capsys, *words).exit_code == 1 and sorted(directory.iterdir()) == before
 
-    def nobody(text: str = "") -> str:
+    def closed_input(text: str = "") -> str:
         raise EOFError
 
-    monkeypatch.setattr("click.termui.visible_prompt_func", nobody)
+    monkeypatch.setattr("click.termui.visible_prompt_func", closed_input)
     code, _, err = run_command(capsys, *words)
     assert code == 2 and "--yes" in err and sorted(directory.iterdir()) == before
-    held = Store(str(directory), lambda run: run())
-    held.open()
+    open_store = Store(str(directory), lambda run: run())
+    open_store.open()
     code, _, err = run_command(capsys, *words, "--yes")
     assert (
-        code == 1 and "a node holds it" in err and run_command(capsys, "state", "verify", *words[2:])[0] == 1
+        code == 1
+        and "a node holds it" in err
+        and run_command(capsys, "state", "verify", *words[2:]).exit_code == 1
     )
-    held.close()
+    open_store.close()
     code, out, _ = run_command(capsys, *words, "--yes", "--json")
     assert code == 0 and json.loads(out)["removed"] and not list(directory.glob("tables-*"))
 
 
-def test_words_that_make_no_sense_are_2(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_state_commands_without_directory_or_node_exit_with_2(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     code, _, err = run_command(capsys, "state", "show", "--directory", str(tmp_path / "none"))
     assert code == 2 and "No such file" in err
     code, _, err = run_command(capsys, "state", "show")
     assert code == 2 and "no [state] in the settings and no --directory" in err
     code, _, err = run_command(capsys, "recovery")
     assert code == 2 and "no [control]" in err
-    assert run_command(capsys, "recovery", "--control", str(tmp_path / "none"))[0] == 1
+    assert run_command(capsys, "recovery", "--control", str(tmp_path / "none")).exit_code == 1
 
 
 @pytest.mark.parametrize("as_json", [True, False])
-def test_recovery_prints_what_the_node_says(
+def test_recovery_prints_the_report_of_the_node(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], as_json: bool
 ) -> None:
-    told: dict[str, Any] = {
+    report: dict[str, Any] = {
         "state": "provisional",
         "since": 5,
         "incarnation": 2,
@@ -97,9 +112,9 @@
         "store": {"directory": "/d", "open": True, "trouble": "it is full"},
     }
 
-    async def test() -> tuple[int, str, str]:
+    async def test() -> CommandResult:
         control = AdminSocket()
-        control.register("recovery", lambda: told)
+        control.register("recovery", lambda: report)
         await control.listen(tmp_path / "c.sock")
         words = ("recovery", "--control", str(tmp_path / "c.sock"), *(["--json"] if as_json else []))
         try:
@@ -110,7 +125,7 @@
     code, out, _ = asyncio.run(test())
     assert code == 0
     if as_json:
-        assert json.loads(out) == told
+        assert json.loads(out) == report
     else:
         for piece in ("provisional; memory kept, life 2", "waits for a source", "it is full", "imports"):
             assert piece in out
--- a/tests/store/durable_node.py
+++ b/tests/store/durable_node.py
@@ -5,8 +5,7 @@
 import random
 from typing import NamedTuple
 
-from balancer.store import engine as engine_module
-from balancer.store.engine import Change, Delete, Engine, Put
+from balancer.store.engine import Change, Delete, Engine, OpenResult, Put
 from balancer.testbed.simulated_disk import (
     SimulatedDisk,
     SimulatedFileSystem,
@@ -121,6 +120,6 @@
     reopened.close()
 
 
-def open_engine(disk: SimulatedDisk) -> tuple[Engine, engine_module.OpenResult]:
+def open_engine(disk: SimulatedDisk) -> tuple[Engine, OpenResult]:
     engine = Engine(SimulatedFileSystem(disk), "/d", lambda: 3_000)
     return engine, engine.open()
--- a/tests/store/test_damaged_files.py
+++ b/tests/store/test_damaged_files.py
@@ -9,7 +9,7 @@
 import msgspec
 import pytest
 
-from balancer.store import sqlite_file as piece_module
+from balancer.store import sqlite_file
 from balancer.store.engine import Put
 from balancer.store.errors import StoreFileError
 from balancer.store.files import LocalFileSystem
@@ -94,7 +94,7 @@
     files, path, good = (
         LocalFileSystem(),
         str(tmp_path / "new.db"),
-        piece_module.record_checksum("view", "a", 1, b"1"),
+        sqlite_file.record_checksum("view", "a", 1, b"1"),
     )
     made = SealedFile(files, path, create=True)
     made.commit(Seal(), [])
--- a/tests/store/test_engine.py
+++ b/tests/store/test_engine.py
@@ -10,7 +10,7 @@
 import pytest
 
 from balancer.store import engine as engine_module
-from balancer.store import sqlite_file as piece_module
+from balancer.store import sqlite_file
 from balancer.store.engine import Engine, Put
 from balancer.store.errors import FaultKind, StoreFileError
 from balancer.store.files import LocalFileSystem
@@ -45,7 +45,7 @@
     engine.open()
     engine.commit([Put("view", "a", b"1")])
     engine.close()
-    for module in (piece_module, engine_module):
+    for module in (sqlite_file, engine_module):
         monkeypatch.setattr(module, "FORMAT_VERSION", 3)
     ups = [
         lambda t: {"seen": {k: v + b"2" for k, v in t["view"].items()}},
--- a/tests/testbed/test_disk_faults.py
+++ b/tests/testbed/test_disk_faults.py
@@ -1,4 +1,4 @@
-"""Faults of a node's directory: on plain files, and on a process that writes."""
+"""Faults of a state directory: on plain files, and on a process that writes."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     return {str(path.relative_to(place)): path.read_bytes() for path in place.rglob("*") if path.is_file()}
 
 
-def test_the_newest_file_is_torn_flipped_or_blocked_as_the_seed_says(place: Path) -> None:
+def test_newest_file_faults_damage_it_as_the_seed_decides(place: Path) -> None:
     new = place / "deep/new"
     for seed in (1, 2):
         disk.flip_bits_in_newest_file(place, random.Random(seed))
@@ -56,7 +56,7 @@
     assert place.is_dir() and not list(place.iterdir())
 
 
-def test_directories_are_swapped_copied_restored_and_away(place: Path, tmp_path: Path) -> None:
+def test_directory_faults_swap_copy_restore_and_hide(place: Path, tmp_path: Path) -> None:
     others = [tmp_path / f"n{n}.state" for n in (1, 2)]
     for other in others:
         other.mkdir()
@@ -79,8 +79,8 @@
     assert contents(place) == before
 
 
-def test_a_process_of_ours_finds_its_disk_full_and_then_not(tmp_path: Path) -> None:
-    """It goes on reading and is not ended: Python ignores SIGXFSZ."""
+def test_limit_file_size_makes_writes_fail_until_it_is_removed(tmp_path: Path) -> None:
+    """The process continues to read and is not killed: Python ignores SIGXFSZ."""
     text = (
         "import sys\n"
         "for line in sys.stdin:\n"
