--- a/balancer/cli/members.py
+++ b/balancer/cli/members.py
@@ -111,5 +111,6 @@
     print(format_count(len(listed), "server"))
     for fault in told.get("faults", []):
         print(
-            f"cannot be read, from {fault['source']}: {format_cell(fault['key'])}: {format_cell(fault['reason'])}"
+            f"cannot be read, from {fault['source']}: "
+            f"{format_cell(fault['key'])}: {format_cell(fault['reason'])}"
         )
--- a/balancer/cli/node.py
+++ b/balancer/cli/node.py
@@ -45,7 +45,8 @@
     if config is not None:
         print(f"configuration {os.environ[CONFIG]}: no fault")
         print(
-            f"  {format_cell(config.name or 'a node without a name')} listens on {format_address(config.listen_address)}"
+            f"  {format_cell(config.name or 'a node without a name')}"
+            f" listens on {format_address(config.listen_address)}"
         )
         print(f"  discovery is at {format_address(config.discovery_address)}")
         print(f"  {format_count(len(config.configured_endpoints.records), 'server')} known at the start")
@@ -53,7 +54,8 @@
         print(f"  {format_count(len(config.settings.classes), 'class', 'es')}: {names}")
         for fault in config.configured_endpoints.invalid_entries:
             print(
-                f"  the server {format_cell(fault.key)} cannot be read and is left out: {format_cell(fault.reason)}"
+                f"  the server {format_cell(fault.key)} cannot be read and is left out:"
+                f" {format_cell(fault.reason)}"
             )
     if path is None:
         print(f"settings: none (neither --settings nor {SETTINGS}): all that they could switch on is off")
--- a/balancer/cli/peers.py
+++ b/balancer/cli/peers.py
@@ -65,7 +65,8 @@
 def _show(told: dict[str, Any]) -> None:
     doing = "speaks" if told["speaks"] else "does not speak yet" if told["address"] else "has no address"
     print(
-        f"{format_cell(told['self'])} at {format_cell(told['address'])}, life {told['incarnation']}; it {doing}"
+        f"{format_cell(told['self'])} at {format_cell(told['address'])},"
+        f" life {told['incarnation']}; it {doing}"
     )
     for said, text in (
         (told["trouble"], f"not had: {told['trouble']}"),
--- a/balancer/cli/timeline.py
+++ b/balancer/cli/timeline.py
@@ -307,7 +307,8 @@
         return
     first = told["decisions"][0]["at"]
     print(
-        f"request {format_cell(told['request'])} came {format_time(first)}{'' if told['over'] else ', still open'}"
+        f"request {format_cell(told['request'])} came {format_time(first)}"
+        f"{'' if told['over'] else ', still open'}"
     )
     rows = [["MS", "ACTION", "WHY", "SERVER", "MORE"]]
     for step in told["decisions"]:
--- a/balancer/core/cluster/configuration_digest.py
+++ b/balancer/core/cluster/configuration_digest.py
@@ -121,5 +121,6 @@
             return "an address"
         return [_comparable(one, excluded) for one in value]
     if isinstance(value, Enum):
-        return _Literal(f"<{ENUM_NAMES[value.value]}: {value.value!r}>")
+        name = ENUM_NAMES.get(value.value, f"{type(value).__name__}.{value.name}")
+        return _Literal(f"<{name}: {value.value!r}>")
     return "a path" if isinstance(value, Path) else value
--- a/balancer/net/clock.py
+++ b/balancer/net/clock.py
@@ -16,7 +16,7 @@
 
 def set_offset(env: Mapping[str, str]) -> str:
     """Add what a test asks for to every reading from now on; what is wrong with it, or nothing."""
-    global _off_ms
+    global _offset_ms
     text = env.get(TEST_CLOCK, "0")
     try:
         _offset_ms = float(int(text))
--- a/balancer/net/http_server.py
+++ b/balancer/net/http_server.py
@@ -229,7 +229,7 @@
             if self.head > MAX_HEAD_BYTES:
                 self._reject(431, "headers too long")
         if self.close_after and self.request is None:
-            self._linger()  # a request was left unread behind answers that are
+            self._lingering_close()  # a request was left unread behind answers that are
         if self.mid and not (self.closing or self.blocked):
             self.server.waiting.setdefault(self, self.server.loop.time())
 
--- a/balancer/operator_settings/table.py
+++ b/balancer/operator_settings/table.py
@@ -117,7 +117,7 @@
         if isinstance(was, Table) and isinstance(now, Table):
             yield from _changes(was, now, where)
         elif isinstance(was, Table) or isinstance(now, Table):
-            yield f"{where} is {'off' if now is None else 'on: ' + now.says()}"
+            yield f"{where} is {'off' if now is None else 'on: ' + now.summary()}"
         elif was != now:
             yield f"{where} changed" if not spec.repr else f"{where} is {_plain(now)}, was {_plain(was)}"
 
--- a/benchmarks/sparse_traffic.py
+++ b/benchmarks/sparse_traffic.py
@@ -77,23 +77,36 @@
 
 
 QUESTIONS = {
-    "subset": Question("how many nodes feed a server", "FEEDERS", (8, 16), ("calm", "burst", "failing")),
-    "limit": Question("least requests out at a node", "LIMIT_LEAST", (2.0, 3.0, 6.0), ("calm", "burst")),
-    "hold": Question("usual times held for room", "HOLD", (0.5, 2.0, 3.0), ("calm", "burst")),
+    "subset": Question(
+        "how many nodes feed a server", "NODES_PER_BACKEND", (8, 16), ("calm", "burst", "failing")
+    ),
+    "limit": Question(
+        "least requests out at a node", "MIN_LIMIT_PER_BACKEND", (2.0, 3.0, 6.0), ("calm", "burst")
+    ),
+    "hold": Question(
+        "usual times held for room", "MAX_QUEUE_TIME_LATENCIES", (0.5, 2.0, 3.0), ("calm", "burst")
+    ),
     "spare": Question(
         "requests a core from which a server is spared",
-        "SPARE",
+        "OVERLOAD_REQUESTS_PER_CORE",
         ((1.0, 2.5), (2.0, 3.0), (1e8, 1e9)),
         ("calm", "burst", "restarts", "silence"),
     ),
     "eject": Question(
         "failures in a row that chance explains less often eject",
-        "CHANCE",
+        "EJECTION_SIGNIFICANCE",
         (0.1, 0.01, 0.0001),
         ("noise", "failing"),
     ),
-    "cold": Question("part of a cold server's room that is used", "COLD_PART", (0.25, 0.75), ("restarts",)),
-    "first": Question("first share of sends that are trusted", "THROTTLE", (1.1, 1.8), ("burst", "restarts")),
+    "cold": Question(
+        "part of a cold server's room that is used", "SLOW_START_LOAD_FRACTION", (0.25, 0.75), ("restarts",)
+    ),
+    "first": Question(
+        "first share of sends that are trusted",
+        "ADAPTIVE_THROTTLING_FACTOR",
+        (1.1, 1.8),
+        ("burst", "restarts"),
+    ),
 }
 
 
--- a/tests/net/test_backend_pool.py
+++ b/tests/net/test_backend_pool.py
@@ -65,7 +65,7 @@
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.listener.settimeout(WAIT)
         # No connection fails for a slow machine: its test would wait for one that never comes.
-        usual = {"conn_idle": 60_000.0, "connect_timeout": HOUR}
+        usual = {"connection_idle_ms": 60_000.0, "connect_timeout_ms": HOUR}
         self.pool = BackendPool(Settings(classes=(READ,), **usual | over), limit)
         self.port = self.listener.getsockname()[1]
         self.pool.update(members(self.port))
@@ -189,7 +189,7 @@
 @LOOPS
 def test_time_that_is_over_once_it_is_connected_does_not_end_it_half_way(new_loop: NewLoop) -> None:
     async def test() -> None:
-        stand = Stand(connect_timeout=1.0)
+        stand = Stand(connect_timeout_ms=1.0)
         connect_in_one_turn(0.01)
         await turns(3)
         stand.start(b"one")
@@ -328,7 +328,7 @@
     """A connection is kept only where it can be used again before the backend closes it."""
 
     async def test() -> None:
-        stand = Stand(conn_idle=limit)
+        stand = Stand(connection_idle_ms=limit)
         stand.start(b"one")
         peer = await stand.accept()
         await stand.request(peer, 3)
--- a/tests/net/test_etcd_discovery.py
+++ b/tests/net/test_etcd_discovery.py
@@ -208,14 +208,14 @@
         gateway = await Gateway().start()
         gateway.keys = {b"/m/s-%04d" % i: value(i + 1) for i in range(1200)} | {b"/m/a/b": value()}
         rig = Rig(gateway)
-        listing = (await rig.next(EndpointsListed)).listing
-        assert listing.complete and listing.revision == 10 and len(listing.members) == 1200
-        assert [f.key for f in listing.faults] == ["a/b"]
+        listing = (await rig.next(EndpointsListed)).endpoint_list
+        assert listing.is_complete and listing.revision == 10 and len(listing.records) == 1200
+        assert [f.key for f in listing.invalid_entries] == ["a/b"]
         stream = await gateway.streams.get()
         assert stream.start == 10
         stream.events((b"/m/s-0007", None), (b"/m/s-0008", value(99)))
-        changes = (await rig.next(EndpointsListed)).listing
-        assert changes.removed == ("s-0007",) and changes.members[0].address == ("10.0.0.1", 99)
+        changes = (await rig.next(EndpointsListed)).endpoint_list
+        assert changes.removed_ids == ("s-0007",) and changes.records[0].address == ("10.0.0.1", 99)
         for _ in range(5):
             await rig.next(SourceConfirmedCurrent)
         assert gateway.connections == 2 and gateway.count("/v3/kv/range") >= 9
@@ -239,9 +239,9 @@
         del gateway.keys[b"/m/a"]  # compacted away at its own revision: the watch says nothing of it
         gateway.revision += 1
         stream.events((b"/m/b", value(3)))
-        assert (await rig.next(EndpointsListed)).listing.removed == ()
-        listing = (await rig.next(EndpointsListed)).listing
-        assert listing.removed == ("a",) and not listing.complete and listing.revision == 12
+        assert (await rig.next(EndpointsListed)).endpoint_list.removed_ids == ()
+        listing = (await rig.next(EndpointsListed)).endpoint_list
+        assert listing.removed_ids == ("a",) and not listing.is_complete and listing.revision == 12
         assert "1 keys are there and 2 were told of" in caplog.text
         rig.source.stop()
         gateway.stop()
@@ -263,7 +263,7 @@
         rig.source.start()
         assert "behind 10" in (await rig.next(SourceLost)).reason
         gateway.revision = 11
-        assert (await rig.next(EndpointsListed)).listing.revision == 11
+        assert (await rig.next(EndpointsListed)).endpoint_list.revision == 11
         rig.source.stop()
         assert [type(e) for e in rig.all[told:]][:2] == [SourceLost, EndpointsListed]
         gateway.stop()
@@ -321,7 +321,7 @@
         rig = Rig(slow, good)
         rig.first(0)
         begun = asyncio.get_running_loop().time()
-        assert (await rig.next(EndpointsListed)).listing.members[0].id == "a"
+        assert (await rig.next(EndpointsListed)).endpoint_list.records[0].id == "a"
         assert asyncio.get_running_loop().time() - begun < 5
         assert "is left: no answer in 3000 ms while listing" in caplog.text and slow.url in caplog.text
         await until(lambda: not slow.writers)
@@ -405,8 +405,8 @@
         for spoil in (b"{what?}\n", b'{"result":{}}\n', b" " * (9 << 20)):
             (await gateway.streams.get()).raw(spoil)
             gateway.revision += 1
-            listing = (await rig.next(EndpointsListed)).listing
-            assert listing.complete and listing.revision == gateway.revision
+            listing = (await rig.next(EndpointsListed)).endpoint_list
+            assert listing.is_complete and listing.revision == gateway.revision
         rig.source.stop()
         gateway.stop()
 
@@ -421,7 +421,7 @@
         stream = await gateway.streams.get()
         stream.line(canceled=True, compact_revision="11")
         gateway.revision = 15
-        assert (await rig.next(EndpointsListed)).listing.revision == 15
+        assert (await rig.next(EndpointsListed)).endpoint_list.revision == 15
         assert (await gateway.streams.get()).start == 15
         await until(lambda: stream.writer not in gateway.writers)
         rig.source.stop()
@@ -539,18 +539,18 @@
         gateway.keys = {b"/m/s-%05d" % i: value(i % 60_000 + 1) for i in range(10_000)}
         ticker = asyncio.ensure_future(turns())
         rig = Rig(gateway)
-        assert len((await rig.next(EndpointsListed)).listing.members) == 10_000
+        assert len((await rig.next(EndpointsListed)).endpoint_list.records) == 10_000
         assert most[0] <= etcd.ROWS_PER_STEP
         (await gateway.streams.get()).events(*((key, None) for key in gateway.keys))
         gone: set[str] = set()
         while len(gone) < 10_000:
-            gone |= set((await rig.next(EndpointsListed)).listing.removed)
+            gone |= set((await rig.next(EndpointsListed)).endpoint_list.removed_ids)
         assert most[0] < 10_000
         ticker.cancel()
         rig.source.stop()
         gateway.stop()
 
-    monkeypatch.setattr("balancer.net.discovery.etcd.entry", counted)
+    monkeypatch.setattr("balancer.net.discovery.etcd.parse_entry", counted)
     monkeypatch.setattr(ef, "CHECK_INTERVAL_MS", 1000.0)
     run(test)
 
--- a/tests/test_benchmarks.py
+++ b/tests/test_benchmarks.py
@@ -83,7 +83,7 @@
 
 def test_a_constant_is_set_for_one_play_alone() -> None:
     was = policy.OVERLOAD_REQUESTS_PER_CORE
-    with other("SPARE", (1e8, 1e9)):
+    with other("OVERLOAD_REQUESTS_PER_CORE", (1e8, 1e9)):
         assert policy.OVERLOAD_REQUESTS_PER_CORE == (1e8, 1e9)
     assert was == policy.OVERLOAD_REQUESTS_PER_CORE
     for question in QUESTIONS.values():
