--- a/balancer/net/persistence.py
+++ b/balancer/net/persistence.py
@@ -44,8 +44,9 @@
     OpenResult,
     Put,
 )
-from balancer.store.files import FaultKind, FileSystem, StoreFileError
-from balancer.store.store import Store, WriteQueueFull
+from balancer.store.errors import FaultKind, StoreFileError, WriteQueueFull
+from balancer.store.files import FileSystem
+from balancer.store.store import Store
 
 log = logging.getLogger(__name__)
 T = TypeVar("T")
@@ -313,7 +314,7 @@
         for fault in opened.faults:
             log.warning("state: not believed: %s", fault)
         identity = next_identity(
-            restored, self.running.name, os.urandom(16).hex(), opened.generation, _wall_clock_ms()
+            restored, self.running.name, os.urandom(16).hex(), opened.next_generation, _wall_clock_ms()
         )
         self._handle(k.StoreOpened(identity, restored.rows, restored.order, _wall_clock_ms()))
         try:
--- a/tests/store/test_engine.py
+++ b/tests/store/test_engine.py
@@ -24,7 +24,8 @@
     Engine,
     Put,
 )
-from balancer.store.files import FaultKind, LocalFileSystem, StoreFileError
+from balancer.store.errors import FaultKind, StoreFileError
+from balancer.store.files import LocalFileSystem
 from balancer.store.sqlite_file import Seal, SealedFile
 from balancer.testbed.simulated_disk import (
     InjectedError,
@@ -509,7 +510,7 @@
     engine.commit([Put("view", "a", b"1")])
     engine.close()
     for module in (piece_module, engine_module):
-        monkeypatch.setattr(module, "FORMAT", 3)
+        monkeypatch.setattr(module, "FORMAT_VERSION", 3)
     ups = [
         lambda t: {"seen": {k: v + b"2" for k, v in t["view"].items()}},
         lambda t: {"seen": {k: v + b"3" for k, v in t["seen"].items()}},
