--- a/balancer/net/persistence.py
+++ b/balancer/net/persistence.py
@@ -18,7 +18,7 @@
 import os
 import threading
 from collections.abc import Callable
-from typing import Any, TypeVar
+from typing import Any, Generic, TypeVar
 
 import msgspec
 
@@ -49,6 +49,7 @@
 
 log = logging.getLogger(__name__)
 T = TypeVar("T")
+A = TypeVar("A")
 
 ENDPOINTS_PER_TURN = 250  # servers in one turn of the loop
 OPEN_RETRY_INTERVAL_S = 5.0  # s until a directory that could not be had is tried again
@@ -72,30 +73,32 @@
     return int(wall_ms())
 
 
-class BlockingCall:
+class BlockingCall(Generic[T]):
     """Work on a thread of its own, which holds up neither the loop nor the end of the process."""
 
-    def __init__(self, work: Callable[[], object]) -> None:
+    def __init__(self, work: Callable[[], T]) -> None:
         self._work, self._loop = work, asyncio.get_running_loop()
-        self.result: asyncio.Future[Any] = self._loop.create_future()
+        self.result: asyncio.Future[T] = self._loop.create_future()
         threading.Thread(target=self._run, name="state", daemon=True).start()
 
     def _run(self) -> None:
-        value: object = None
-        error: BaseException | None = None
         try:
             value = self._work()
-        except BaseException as caught:
-            error = caught
+        except BaseException as error:
+            self._complete(self._set_exception, error)
+        else:
+            self._complete(self._set_result, value)
+
+    def _complete(self, callback: Callable[[A], None], argument: A) -> None:
         with contextlib.suppress(RuntimeError):  # the loop is closed: nobody waits any more
-            self._loop.call_soon_threadsafe(self._set_result, value, error)
+            self._loop.call_soon_threadsafe(callback, argument)
 
-    def _set_result(self, value: object, error: BaseException | None) -> None:
-        if self.result.cancelled():
-            return
-        if error is None:
+    def _set_result(self, value: T) -> None:
+        if not self.result.cancelled():
             self.result.set_result(value)
-        else:
+
+    def _set_exception(self, error: BaseException) -> None:
+        if not self.result.cancelled():
             self.result.set_exception(error)
 
 
@@ -313,7 +316,7 @@
         for fault in opened.faults:
             log.warning("state: not believed: %s", fault)
         identity = next_identity(
-            restored, self.running.name, os.urandom(16).hex(), opened.generation, _wall_clock_ms()
+            restored, self.running.name, os.urandom(16).hex(), opened.next_generation, _wall_clock_ms()
         )
         self._handle(k.StoreOpened(identity, restored.rows, restored.order, _wall_clock_ms()))
         try:
