--- a/balancer/core/persistence/write_behind.py
+++ b/balancer/core/persistence/write_behind.py
@@ -1,16 +1,19 @@
-"""Which change of what a node keeps is written when: a pure decider in front of the store.
-
-- A removal or drain is handed over at once, in the store's urgent lane.
-- Changes of the view wait GROUP_MS for others, the last word on each server alone, at most BATCH of them in
-  one turn of the loop and one batch in the store at a time: a slow disk makes fewer writes, no longer queue.
-- How far a source has told (its revision) goes with the last change that it brought, never before: a restart
-  that took the revision as seen without the change would never be told it again.
-- What was learned is asked for each `every_ms`, and written where it moved by over MOVED since.
-- A server that comes back after its end keeps the end until its new row is durable.
-- A generation is begun after an hour with changes, or once changes are over GENERATION_CHANGES and four times
-  the rows; ends older than `max_age_ms` go then.
-
-The state is bounded by what is kept: one entry a server, MAX_KEPT in all; what is over is left out, and said.
+"""What is written when: a state machine between the changes of a node's persisted state and the store.
+
+- A removal or drain is written at once, in the store's urgent lane.
+- Other changes of the view wait `GROUP_COMMIT_WINDOW_MS` for more; only the last state of an endpoint is
+  written. One write of at most `MAX_CHANGES_PER_WRITE` is in the store at a time: a slow disk makes fewer
+  writes, not a longer queue.
+- The position of a source (its revision) is written with the last change that it brought, never before it: a
+  restart that took the revision as seen without the change would never receive that change again.
+- Learned state is collected every `collection_interval_ms`, and a figure is written where it moved by more
+  than `SIGNIFICANT_CHANGE_RATIO` since it was written last.
+- An endpoint that comes back after its withdrawal keeps the withdrawal until its new row is durable.
+- A generation begins after `GENERATION_INTERVAL_MS` with changes, or after many changes for so many rows;
+  withdrawals older than `max_age_ms` are deleted then.
+
+The state is bounded: a row an endpoint, `MAX_PERSISTED_ENDPOINTS` in all; those above it are left out, with a
+log line.
 """
 
 from __future__ import annotations
@@ -20,31 +23,44 @@
 import msgspec
 
 from balancer.core.persistence.persisted_state import (
+    NODE_KEY,
     URGENT_TABLES,
+    BackendEjection,
+    BackendSlowness,
+    ConcurrencyLimit,
+    ExpectedLatency,
     NodeIdentity,
     PersistedEndpoint,
     PersistedRow,
+    RowKey,
     SourcePosition,
     Withdrawal,
 )
 
 GROUP_COMMIT_WINDOW_MS = 50.0
-MAX_CHANGES_PER_WRITE = 250  # changes of one write, about 1 ms of the loop
-MAX_URGENT_WRITES_IN_FLIGHT = 4  # urgent writes handed over and not yet durable
-MAX_PERSISTED_ENDPOINTS = 100_000  # servers, and ends
+"""How long a change of the view waits for others."""
+MAX_CHANGES_PER_WRITE = 250
+"""About 1 ms of the event loop."""
+MAX_URGENT_WRITES_IN_FLIGHT = 4
+"""Urgent writes in the store that are not yet durable."""
+MAX_PERSISTED_ENDPOINTS = 100_000
+"""Endpoints, and as many withdrawals."""
 REJECTED_WRITE_RETRY_MS = 1_000.0
-SIGNIFICANT_CHANGE_RATIO = 0.1  # of a learned figure
+SIGNIFICANT_CHANGE_RATIO = 0.1
+"""A learned figure is written again when it moved by more than this."""
 GENERATION_INTERVAL_MS = 3_600_000.0
 MIN_GENERATION_CHANGES = 20_000
+"""Changes that begin a generation early, unless the rows are more than a quarter of them."""
 
-RowKey = tuple[str, str]  # table, key
+RowChange = tuple[RowKey, PersistedRow | None]
+"""A row and its new value; None deletes it."""
 
 
 # --- events
 
 
 class StoreOpened(msgspec.Struct, frozen=True):
-    """The store is open: what it holds, and who this start is. `order` is the highest in it."""
+    """The store is open: its rows, and the identity of this start."""
 
     identity: NodeIdentity
     rows: Mapping[str, Mapping[str, PersistedRow]]
@@ -53,9 +69,9 @@
 
 
 class EndpointsChanged(msgspec.Struct, frozen=True):
-    """The view changed: servers as they are now (a drain is one of them), servers that are gone.
+    """Endpoints of the view changed (a drain is one such change) or were removed from it.
 
-    `source` at `revision` of `identity` brought it. At most some hundred in one event: the loop waits.
+    `source` at `revision` of `identity` brought it. At most some hundreds in one event: the event loop waits.
     """
 
     source: str
@@ -67,7 +83,7 @@
 
 
 class SourceConfirmed(msgspec.Struct, frozen=True):
-    """A source showed that what it said last is current."""
+    """A source confirmed that its last list is current."""
 
     source: str
     identity: str
@@ -76,19 +92,19 @@
 
 
 class LearnedStateCollected(msgspec.Struct, frozen=True):
-    """What the module learned, after `AskLearned`: rows of its tables; None takes one away."""
+    """The answer to `CollectLearnedState`: rows of the learned tables; None deletes one."""
 
     rows: Mapping[RowKey, PersistedRow | None]
 
 
 class IncarnationRaised(msgspec.Struct, frozen=True):
-    """This life goes by a greater number from now on."""
+    """The running node has this incarnation from now on."""
 
     incarnation: int
 
 
 class TimeAdvanced(msgspec.Struct, frozen=True):
-    """Time went by."""
+    """The time of `next_ms` has come."""
 
     wall_ms: int
 
@@ -100,7 +116,7 @@
 
 
 class WriteRejected(msgspec.Struct, frozen=True):
-    """The store could not take a write: nothing of it is written."""
+    """The store had no capacity for a write: nothing of it is written."""
 
     write_number: int
 
@@ -121,22 +137,22 @@
 
 
 class WriteRows(msgspec.Struct, frozen=True):
-    """Make all of these durable in one commit, and tell `Written` or `TurnedAway` by this number."""
+    """Make all of these durable in one commit, and answer `WriteCommitted` or `WriteRejected`."""
 
     write_number: int
-    changes: tuple[tuple[RowKey, PersistedRow | None], ...]
+    changes: tuple[RowChange, ...]
 
 
 class CollectLearnedState(msgspec.Struct, frozen=True):
-    """Ask the module what it learned."""
+    """Read what the decision module has learned, and answer `LearnedStateCollected`."""
 
 
 class BeginGeneration(msgspec.Struct, frozen=True):
-    """Have the store write all tables anew."""
+    """Make the store write all tables into a new generation."""
 
 
 class WriteLog(msgspec.Struct, frozen=True):
-    """Tell the log."""
+    """Write a line to the log, as a warning."""
 
     text: str
 
@@ -145,80 +161,87 @@
 
 
 class WriteBehindState(msgspec.Struct):
-    """All that the decider holds."""
+    """All that `WriteBehind` knows.
+
+    `dirty` and `urgent_dirty` are changes that are in no write yet, in the order in which they are written;
+    `in_flight` are writes in the store that are not yet durable, by number.
+    """
 
     identity: NodeIdentity | None = None
-    endpoint_sequence_numbers: dict[str, int] = {}  # order of each one's row, as it was last decided
+    endpoint_sequence_numbers: dict[str, int] = {}
+    """Sequence number of the latest row of each endpoint, written or not."""
     withdrawals: dict[str, Withdrawal] = {}
     sources: dict[str, SourcePosition] = {}
-    unwritten_sources: set[str] = set()  # sources that spoke since they were last written
+    unwritten_sources: set[str] = set()
+    """Sources confirmed since their position was written last."""
     dirty: dict[RowKey, PersistedRow | None] = {}
     urgent_dirty: dict[RowKey, PersistedRow | None] = {}
-    in_flight: dict[int, tuple[tuple[RowKey, PersistedRow | None], ...]] = {}
-    normal_write_number: int = 0  # the number of the one write that is not urgent, 0: none
+    in_flight: dict[int, tuple[RowChange, ...]] = {}
+    normal_write_number: int = 0
+    """The one write in flight that is not urgent; 0 for none."""
     urgent_in_flight_count: int = 0
     last_write_number: int = 0
     last_sequence_number: int = 0
-    generation_change_count: int = 0  # since the generation began
+    generation_change_count: int = 0
+    """Changes since the generation began."""
     next_group_commit_ms: float = 0.0
     next_collection_ms: float = 0.0
     next_generation_ms: float = 0.0
     retry_at_ms: float = 0.0
-    written_learned_rows: dict[RowKey, PersistedRow] = {}  # as they were last handed over
+    written_learned_rows: dict[RowKey, PersistedRow] = {}
+    """Learned rows as they were handed to the store last."""
     is_lagging: bool = False
     omitted_count: int = 0
 
 
 class WriteBehind:
-    """`handle` is told events at the node's clock; `next_ms` says when to tell `Ticked` next."""
+    """Decides what is written when. The owner sends events to `handle`, and `TimeAdvanced` at `next_ms`."""
 
     def __init__(self, collection_interval_ms: float, max_age_ms: float, first_write_number: int = 0) -> None:
-        """`every_ms` between two writings of what was learned, `max_age_ms` until an end is forgotten."""
+        """Learned state is collected at this interval; withdrawals older than `max_age_ms` are deleted."""
         self.collection_interval_ms, self.max_age_ms = collection_interval_ms, max_age_ms
         self.state = WriteBehindState(last_write_number=first_write_number)
 
     def __repr__(self) -> str:
         state = self.state
-        return f"<Keeping {len(state.endpoint_sequence_numbers)} servers, {len(state.dirty)} + {len(state.urgent_dirty)} dirty, {len(state.in_flight)} out>"
+        dirty = f"{len(state.dirty)} + {len(state.urgent_dirty)} dirty"
+        endpoint_count = len(state.endpoint_sequence_numbers)
+        return f"<WriteBehind {endpoint_count} endpoints, {dirty}, {len(state.in_flight)} in flight>"
 
     def next_ms(self) -> float:
-        """When time alone brings something next."""
+        """The node's time at which `TimeAdvanced` is due next."""
         state = self.state
-        group_commit_ms = (
-            [max(state.next_group_commit_ms, state.retry_at_ms)]
-            if state.dirty and not state.normal_write_number
-            else []
-        )
-        urgent_retry_ms = (
-            [state.retry_at_ms]
-            if state.urgent_dirty and state.urgent_in_flight_count < MAX_URGENT_WRITES_IN_FLIGHT
-            else []
-        )
-        return min([state.next_collection_ms, state.next_generation_ms, *group_commit_ms, *urgent_retry_ms])
+        times_ms = [state.next_collection_ms, state.next_generation_ms]
+        if state.dirty and not state.normal_write_number:
+            times_ms.append(max(state.next_group_commit_ms, state.retry_at_ms))
+        if state.urgent_dirty and state.urgent_in_flight_count < MAX_URGENT_WRITES_IN_FLIGHT:
+            times_ms.append(state.retry_at_ms)
+        return min(times_ms)
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
-        """What follows from an event, in order. `now_ms` never goes back."""
+        """The actions that follow from an event, in order. `now_ms` is monotonic."""
         actions: list[Action] = []
-        if isinstance(event, EndpointsChanged):
-            self._on_endpoints_changed(now_ms, event, actions)
-        elif isinstance(event, WriteCommitted):
-            self._on_write_committed(event.write_number)
-        elif isinstance(event, SourceConfirmed):
-            self._update_source(event)
-        elif isinstance(event, LearnedStateCollected):
-            self._on_learned_state_collected(event)
-        elif isinstance(event, WriteRejected):
-            self._on_write_rejected(now_ms, event.write_number, actions)
-        elif isinstance(event, StoreOpened):
-            self._on_store_opened(now_ms, event)
-        elif isinstance(event, IncarnationRaised):
-            self._on_incarnation_raised(event.incarnation)
-        else:
-            self._on_time_advanced(now_ms, event.wall_ms, actions)
+        match event:
+            case EndpointsChanged():
+                self._on_endpoints_changed(now_ms, event, actions)
+            case WriteCommitted():
+                self._on_write_committed(event.write_number)
+            case SourceConfirmed():
+                self._update_source(event)
+            case LearnedStateCollected():
+                self._on_learned_state_collected(event)
+            case WriteRejected():
+                self._on_write_rejected(now_ms, event.write_number, actions)
+            case StoreOpened():
+                self._on_store_opened(now_ms, event)
+            case IncarnationRaised():
+                self._on_incarnation_raised(event.incarnation)
+            case TimeAdvanced():
+                self._on_time_advanced(now_ms, event.wall_ms, actions)
         self._start_writes(now_ms, actions)
         return actions
 
-    # --- what was told
+    # --- events
 
     def _on_store_opened(self, now_ms: float, event: StoreOpened) -> None:
         state = self.state
@@ -228,92 +251,85 @@
         }
         rows = event.rows.get("view", {}).items()
         state.endpoint_sequence_numbers = {
-            key: row.order for key, row in rows if isinstance(row, PersistedEndpoint)
+            key: row.sequence_number for key, row in rows if isinstance(row, PersistedEndpoint)
         }
         rows = event.rows.get("sources", {}).items()
         state.sources = {key: row for key, row in rows if isinstance(row, SourcePosition)}
-        state.identity = state.urgent_dirty["self", "node"] = event.identity
-        state.next_collection_ms, state.next_generation_ms = (
-            now_ms + self.collection_interval_ms,
-            now_ms + GENERATION_INTERVAL_MS,
-        )
+        state.identity = state.urgent_dirty["self", NODE_KEY] = event.identity
+        state.next_collection_ms = now_ms + self.collection_interval_ms
+        state.next_generation_ms = now_ms + GENERATION_INTERVAL_MS
 
     def _on_incarnation_raised(self, incarnation: int) -> None:
         identity = self.state.identity
         if identity is not None and incarnation > identity.incarnation:
             self.state.identity = identity = msgspec.structs.replace(identity, incarnation=incarnation)
-            self.state.urgent_dirty["self", "node"] = identity
+            self.state.urgent_dirty["self", NODE_KEY] = identity
 
     def _on_endpoints_changed(self, now_ms: float, event: EndpointsChanged, actions: list[Action]) -> None:
-        state = self.state
-        if not state.dirty:
-            state.next_group_commit_ms = now_ms + GROUP_COMMIT_WINDOW_MS
+        if not self.state.dirty:
+            self.state.next_group_commit_ms = now_ms + GROUP_COMMIT_WINDOW_MS
         for endpoint_id, endpoint in event.endpoints:
-            state.last_sequence_number += 1
-            if (
-                endpoint_id not in state.endpoint_sequence_numbers
-                and len(state.endpoint_sequence_numbers) >= MAX_PERSISTED_ENDPOINTS
-            ):
-                self._count_omitted(actions)
-                continue
-            state.endpoint_sequence_numbers[endpoint_id] = state.last_sequence_number
-            state.dirty["view", endpoint_id] = msgspec.structs.replace(
-                endpoint, order=state.last_sequence_number
-            )
-            if endpoint.draining:
-                state.last_sequence_number += 1  # the end is the later word
-                self._record_withdrawal(
-                    endpoint_id,
-                    Withdrawal(
-                        False, event.source, event.revision, event.wall_ms, state.last_sequence_number
-                    ),
-                    actions,
-                )
+            self._put_endpoint(endpoint_id, endpoint, event, actions)
         for endpoint_id in event.removed_ids:
-            state.last_sequence_number += 1
-            if state.endpoint_sequence_numbers.pop(endpoint_id, None) is not None:
-                state.dirty["view", endpoint_id] = None
-            self._record_withdrawal(
-                endpoint_id,
-                Withdrawal(True, event.source, event.revision, event.wall_ms, state.last_sequence_number),
-                actions,
-            )
+            self._remove_endpoint(endpoint_id, event, actions)
         if self._update_source(event):
             self._write_source(event.source)
 
+    def _put_endpoint(
+        self, endpoint_id: str, endpoint: PersistedEndpoint, event: EndpointsChanged, actions: list[Action]
+    ) -> None:
+        state = self.state
+        state.last_sequence_number += 1
+        numbers = state.endpoint_sequence_numbers
+        if endpoint_id not in numbers and len(numbers) >= MAX_PERSISTED_ENDPOINTS:
+            self._count_omitted(actions)
+            return
+        number = numbers[endpoint_id] = state.last_sequence_number
+        state.dirty["view", endpoint_id] = msgspec.structs.replace(endpoint, sequence_number=number)
+        if endpoint.is_draining:
+            # The withdrawal is the later of the two rows.
+            number = state.last_sequence_number = number + 1
+            drain = Withdrawal(False, event.source, event.revision, event.wall_ms, number)
+            self._record_withdrawal(endpoint_id, drain, actions)
+
+    def _remove_endpoint(self, endpoint_id: str, event: EndpointsChanged, actions: list[Action]) -> None:
+        state = self.state
+        state.last_sequence_number += 1
+        if state.endpoint_sequence_numbers.pop(endpoint_id, None) is not None:
+            state.dirty["view", endpoint_id] = None
+        number = state.last_sequence_number
+        removal = Withdrawal(True, event.source, event.revision, event.wall_ms, number)
+        self._record_withdrawal(endpoint_id, removal, actions)
+
     def _record_withdrawal(self, endpoint_id: str, withdrawal: Withdrawal, actions: list[Action]) -> None:
-        if (
-            endpoint_id not in self.state.withdrawals
-            and len(self.state.withdrawals) >= MAX_PERSISTED_ENDPOINTS
-        ):
-            oldest = next(iter(self.state.withdrawals))
-            del self.state.withdrawals[oldest]
+        withdrawals = self.state.withdrawals
+        if endpoint_id not in withdrawals and len(withdrawals) >= MAX_PERSISTED_ENDPOINTS:
+            oldest = next(iter(withdrawals))
+            del withdrawals[oldest]
             self.state.urgent_dirty["ends", oldest] = None
             self._count_omitted(actions)
-        self.state.withdrawals.pop(endpoint_id, None)
-        self.state.withdrawals[endpoint_id] = withdrawal
+        withdrawals.pop(endpoint_id, None)  # the latest is the last in the order of the dict
+        withdrawals[endpoint_id] = withdrawal
         self.state.urgent_dirty["ends", endpoint_id] = withdrawal
 
     def _count_omitted(self, actions: list[Action]) -> None:
         self.state.omitted_count += 1
         if self.state.omitted_count == 1:
-            actions.append(
-                WriteLog(f"over {MAX_PERSISTED_ENDPOINTS} servers or ends: those over it are not kept")
-            )
+            limit = f"over {MAX_PERSISTED_ENDPOINTS} servers or ends"
+            actions.append(WriteLog(f"{limit}: those over it are not kept"))
 
     def _update_source(self, event: EndpointsChanged | SourceConfirmed) -> bool:
-        """Whether its word is no older than what was known of it."""
+        """Note the source's position; False if it is older than the known one."""
         state, previous = self.state, self.state.sources.get(event.source)
         if previous is None or previous.identity != event.identity or event.revision >= previous.revision:
-            state.sources[event.source] = SourcePosition(
-                event.identity, event.revision, max(0, event.wall_ms)
-            )
+            confirmed_at_ms = max(0, event.wall_ms)
+            state.sources[event.source] = SourcePosition(event.identity, event.revision, confirmed_at_ms)
             state.unwritten_sources.add(event.source)
             return True
         return False
 
     def _write_source(self, source_name: str) -> None:
-        """Behind all changes that wait: they are written in their order."""
+        """Queue the source's position behind all dirty changes: they are written in their order."""
         state = self.state
         state.dirty.pop(("sources", source_name), None)
         state.dirty["sources", source_name] = state.sources[source_name]
@@ -336,23 +352,32 @@
         if now_ms >= state.next_collection_ms:
             state.next_collection_ms = now_ms + self.collection_interval_ms
             actions.append(CollectLearnedState())
-            for name in sorted(state.unwritten_sources):
-                self._write_source(name)
+            for source_name in sorted(state.unwritten_sources):
+                self._write_source(source_name)
         row_count = len(state.endpoint_sequence_numbers) + len(state.withdrawals)
-        is_generation_due = now_ms >= state.next_generation_ms
-        if (is_generation_due and state.generation_change_count) or state.generation_change_count > max(
-            MIN_GENERATION_CHANGES, 4 * row_count
-        ):
-            for name in [n for n, end in state.withdrawals.items() if wall_ms - end.at_ms > self.max_age_ms]:
-                del state.withdrawals[name]
-                state.urgent_dirty["ends", name] = None
-            state.generation_change_count, is_generation_due = 0, True
-            actions.append(BeginGeneration())
-        if is_generation_due:
+        is_due = now_ms >= state.next_generation_ms
+        has_many_changes = state.generation_change_count > max(MIN_GENERATION_CHANGES, 4 * row_count)
+        if (is_due and state.generation_change_count) or has_many_changes:
+            self._begin_generation(wall_ms, actions)
+            is_due = True
+        if is_due:
             state.next_generation_ms = now_ms + GENERATION_INTERVAL_MS
 
+    def _begin_generation(self, wall_ms: int, actions: list[Action]) -> None:
+        state = self.state
+        expired_ids = [
+            endpoint_id
+            for endpoint_id, withdrawal in state.withdrawals.items()
+            if wall_ms - withdrawal.at_ms > self.max_age_ms
+        ]
+        for endpoint_id in expired_ids:
+            del state.withdrawals[endpoint_id]
+            state.urgent_dirty["ends", endpoint_id] = None
+        state.generation_change_count = 0
+        actions.append(BeginGeneration())
+
     def _on_write_committed(self, write_number: int) -> None:
-        """What came back after its end, and is durable now, needs the end no more."""
+        """Delete the withdrawals of endpoints that came back after it and whose row is durable now."""
         state = self.state
         state.is_lagging = False
         for (table, key), row in self._finish_write(write_number):
@@ -361,17 +386,17 @@
                 table == "view"
                 and isinstance(row, PersistedEndpoint)
                 and withdrawal is not None
-                and withdrawal.sequence_number < row.order
+                and withdrawal.sequence_number < row.sequence_number
             ):
                 del state.withdrawals[key]
                 state.urgent_dirty["ends", key] = None
 
     def _on_write_rejected(self, now_ms: float, write_number: int, actions: list[Action]) -> None:
-        """It is dirty still, but for what has changed since; it stays ahead of what came later."""
+        """Its rows are dirty again, unless they have changed since, and stay ahead of later changes."""
         state = self.state
         rejected = dict(self._finish_write(write_number))
         if any(table in URGENT_TABLES for table, _ in rejected):
-            # Guards against an older word that is handed over again behind a newer one.
+            # Guards against writing an older withdrawal or identity behind a newer one.
             for table, key in rejected:
                 rejected[table, key] = state.withdrawals.get(key) if table == "ends" else state.identity
             state.urgent_dirty = {**rejected, **state.urgent_dirty}
@@ -382,7 +407,7 @@
             state.is_lagging = True
             actions.append(WriteLog("the store takes no more: what is kept lags behind"))
 
-    def _finish_write(self, write_number: int) -> tuple[tuple[RowKey, PersistedRow | None], ...]:
+    def _finish_write(self, write_number: int) -> tuple[RowChange, ...]:
         state = self.state
         changes = state.in_flight.pop(write_number, ())
         if write_number == state.normal_write_number:
@@ -391,32 +416,23 @@
             state.urgent_in_flight_count -= 1
         return changes
 
-    # --- what is handed over
+    # --- writes
 
     def _start_writes(self, now_ms: float, actions: list[Action]) -> None:
         state = self.state
-        while (
-            state.urgent_dirty
-            and state.urgent_in_flight_count < MAX_URGENT_WRITES_IN_FLIGHT
-            and now_ms >= state.retry_at_ms
-        ):
+        if now_ms < state.retry_at_ms:
+            return
+        while state.urgent_dirty and state.urgent_in_flight_count < MAX_URGENT_WRITES_IN_FLIGHT:
             state.urgent_in_flight_count += 1
             self._start_write(_take_batch(state.urgent_dirty), actions)
-        if (
-            state.normal_write_number
-            or not state.dirty
-            or now_ms < max(state.next_group_commit_ms, state.retry_at_ms)
-        ):
+        if state.normal_write_number or not state.dirty or now_ms < state.next_group_commit_ms:
             return
         self._start_write(_take_batch(state.dirty), actions)
         state.normal_write_number = state.last_write_number
-        state.next_group_commit_ms = now_ms + (
-            0.0 if len(state.dirty) >= MAX_CHANGES_PER_WRITE else GROUP_COMMIT_WINDOW_MS
-        )
+        has_full_batch = len(state.dirty) >= MAX_CHANGES_PER_WRITE
+        state.next_group_commit_ms = now_ms + (0.0 if has_full_batch else GROUP_COMMIT_WINDOW_MS)
 
-    def _start_write(
-        self, changes: tuple[tuple[RowKey, PersistedRow | None], ...], actions: list[Action]
-    ) -> None:
+    def _start_write(self, changes: tuple[RowChange, ...], actions: list[Action]) -> None:
         state = self.state
         state.last_write_number += 1
         state.in_flight[state.last_write_number] = changes
@@ -425,18 +441,23 @@
 
 
 def _is_significant_change(old: PersistedRow, new: PersistedRow, max_age_ms: float) -> bool:
-    """Whether a learned figure is another one by now, or was written long ago."""
-    for name in ("usual_ms", "limit", "slow"):
-        if hasattr(old, name):
-            old_value, new_value = getattr(old, name), getattr(new, name)
-            elapsed_ms = getattr(new, "at_ms", 0) - getattr(old, "at_ms", 0)
-            return (
-                abs(new_value - old_value) > SIGNIFICANT_CHANGE_RATIO * old_value or elapsed_ms > max_age_ms
-            )
-    return getattr(old, "until_ms", None) != getattr(new, "until_ms", None)
-
-
-def _take_batch(changes: dict[RowKey, PersistedRow | None]) -> tuple[tuple[RowKey, PersistedRow | None], ...]:
-    """The first BATCH, taken out."""
+    """Whether a learned figure has moved, or was written more than `max_age_ms` before the new one."""
+    match old, new:
+        case ExpectedLatency(), ExpectedLatency():
+            old_value, new_value = old.expected_latency_ms, new.expected_latency_ms
+        case ConcurrencyLimit(), ConcurrencyLimit():
+            old_value, new_value = old.limit, new.limit
+        case BackendSlowness(), BackendSlowness():
+            old_value, new_value = old.slowness, new.slowness
+        case BackendEjection(), BackendEjection():
+            return old.until_ms != new.until_ms
+        case _:
+            return False
+    has_moved = abs(new_value - old_value) > SIGNIFICANT_CHANGE_RATIO * old_value
+    return has_moved or new.at_ms - old.at_ms > max_age_ms
+
+
+def _take_batch(changes: dict[RowKey, PersistedRow | None]) -> tuple[RowChange, ...]:
+    """Remove and return the first `MAX_CHANGES_PER_WRITE` changes."""
     keys = [key for key, _ in zip(changes, range(MAX_CHANGES_PER_WRITE), strict=False)]
     return tuple((key, changes.pop(key)) for key in keys)
--- a/balancer/net/persistence.py
+++ b/balancer/net/persistence.py
@@ -27,9 +27,11 @@
 from balancer.core.discovery import endpoint_merger as membership
 from balancer.core.persistence import persisted_state as kept
 from balancer.core.persistence import write_behind as k
-from balancer.core.persistence.persisted_state import (
-    PersistedEndpoint,
+from balancer.core.persistence.persisted_state import PersistedEndpoint
+from balancer.core.persistence.restoration import (
+    ListedIds,
     RestoredState,
+    RestoreOutcome,
     next_identity,
     restore,
     without_withdrawn,
@@ -308,17 +310,17 @@
         except asyncio.CancelledError:
             BlockingCall(self.store.close)  # once it is open, if ever; the lock goes with the process
             raise
-        for message in restored.said:
+        for message in restored.messages:
             log.warning("state: %s", message)
-        if restored.foreign:
+        if restored.is_foreign:
             await BlockingCall(self.store.close).result
-            raise StoreFileError(FaultKind.FOREIGN, self.store.engine.directory, restored.said[-1])
+            raise StoreFileError(FaultKind.FOREIGN, self.store.engine.directory, restored.messages[-1])
         for fault in opened.faults:
             log.warning("state: not believed: %s", fault)
         identity = next_identity(
             restored, self.running.name, os.urandom(16).hex(), opened.next_generation, _wall_clock_ms()
         )
-        self._handle(k.StoreOpened(identity, restored.rows, restored.order, _wall_clock_ms()))
+        self._handle(k.StoreOpened(identity, restored.rows, restored.last_sequence_number, _wall_clock_ms()))
         try:
             await asyncio.sleep(0)  # thousands of rows have had their turn
             if is_first_directory:
@@ -341,7 +343,9 @@
         """Blocks. What takes long for a large list is done here, too, and not on the loop."""
         opened = self.store.open()
         try:
-            tables = {table: self.store.items(table) for table in kept.TABLE_NAMES}
+            tables: dict[str, dict[str, bytes]] = {
+                table: self.store.items(table) for table in kept.TABLE_NAMES
+            }
             node_name = self.running.name
             restored = restore(
                 tables,
@@ -380,12 +384,12 @@
         if (recovery_component := self.running.recovery) is not None:
             previous_run, fault = None, ""
             if restored.identity is not None:
-                older = restored.memory == "older"
+                older = restored.memory is RestoreOutcome.OUTDATED
                 previous_run = recovery.PersistedIncarnation(
                     restored.identity.incarnation, float(opened.committed_at_ms), older
                 )
-            elif restored.memory == "lost":
-                fault = "; ".join(str(one) for one in opened.faults) or restored.said[-1]
+            elif restored.memory is RestoreOutcome.LOST:
+                fault = "; ".join(str(one) for one in opened.faults) or restored.messages[-1]
             recovery_component.begin(previous_run, fault, incarnation, float(_wall_clock_ms()))
         for source_name, position in restored.sources.items():
             if (snapshot := self._restored_snapshot(source_name, position, restored)) is not None:
@@ -446,7 +450,7 @@
             key for key, row in rows if isinstance(row, PersistedEndpoint) and source.name in row.sources
         }
         is_newer = source.revision is not None and revision > source.revision
-        seen = (revision, restored_ids) if is_newer else None
+        seen = ListedIds(revision, restored_ids) if is_newer else None
         remaining = without_withdrawn(
             source.records, source.revision, restored.withdrawals, source.name, seen
         )
@@ -473,13 +477,13 @@
         )
         learned = api.LearnedState(
             {
-                name: (row.usual_ms, row.mean_deviation_ms)
+                name: (row.expected_latency_ms, row.mean_deviation_ms)
                 for name, row in restored.expected_latencies.items()
             },
             restored.concurrency_limit.limit
             if restored.concurrency_limit is not None
             else self.node.balancer.concurrency_limit,
-            {name: row.slow for name, row in restored.slowness.items()},
+            {name: row.slowness for name, row in restored.slowness.items()},
             {name: left + age_ms for name, left in restored.ejection_left_ms.items()},
         )
         self.node.event(api.LearnedStateRestored(learned, age_ms))
@@ -567,7 +571,7 @@
                     changes_by_source.setdefault(source, ([], []))[1].append(name)
                 continue
             row = self._persisted_endpoint(member, wall_ms)
-            remembered = member.endpoint.cached_age_ms is not None and not row.draining
+            remembered = member.endpoint.cached_age_ms is not None and not row.is_draining
             if (
                 remembered
                 or self._persisted.get(name) == _without_write_times(row)
@@ -683,7 +687,7 @@
     def _collect_learned_state(self) -> None:
         """What the module learned, as rows; what it says no longer goes."""
         learned, wall_ms = self.node.balancer.learned(self.node.now()), _wall_clock_ms()
-        rows: dict[k.RowKey, kept.PersistedRow | None] = {
+        rows: dict[kept.RowKey, kept.PersistedRow | None] = {
             key: None
             for key in self.write_behind.state.written_learned_rows
             if key[0] in ("weights", "ejections")
@@ -740,20 +744,20 @@
             log.error("state: %d changes were not written by the end", unwritten_count)
 
 
-def _store_change(key: k.RowKey, row: kept.PersistedRow | None) -> Change:
+def _store_change(key: kept.RowKey, row: kept.PersistedRow | None) -> Change:
     return Delete(*key) if row is None else Put(*key, msgspec.msgpack.encode(row))
 
 
 def _without_write_times(row: PersistedEndpoint) -> PersistedEndpoint:
     """A row without what differs from one writing to the next."""
-    return msgspec.structs.replace(row, order=0, confirmed_at_ms=0)
+    return msgspec.structs.replace(row, sequence_number=0, confirmed_at_ms=0)
 
 
 def _restored_record(
     endpoint_id: str, row: PersistedEndpoint, source_name: str, withdrawal: kept.Withdrawal | None
 ) -> EndpointRecord:
     """What a source had said of a server; a drain is that source's who told it."""
-    is_draining = row.draining and (
+    is_draining = row.is_draining and (
         withdrawal is None or withdrawal.is_removed or withdrawal.source in (source_name, UNKNOWN_SOURCE)
     )
     phase = api.Phase.DRAINING if is_draining else api.Phase.UP
--- a/balancer/store/inspect.py
+++ b/balancer/store/inspect.py
@@ -16,7 +16,8 @@
 
 import msgspec
 
-from balancer.core.persistence.persisted_state import NodeIdentity, restore
+from balancer.core.persistence.persisted_state import NodeIdentity
+from balancer.core.persistence.restoration import restore
 from balancer.store.engine import GENERATION_NAME_PATTERN, SEGMENT_NAME_PATTERN, STORE_FILE_NAME_PATTERN
 from balancer.store.files import (
     FaultKind,
@@ -249,7 +250,7 @@
         "incarnation": identity.incarnation,
         "first_ms": identity.first_started_at_ms,
     }
-    return {"memory": persisted.memory, "node": node, "faults": persisted.said}
+    return {"memory": persisted.memory, "node": node, "faults": persisted.messages}
 
 
 def _inspect_journal(copy_directory: str, names: list[str], journal: str) -> tuple[dict[str, Any], list[str]]:
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -35,8 +35,8 @@
     URGENT_TABLES,
     NodeIdentity,
     PersistedEndpoint,
-    restore,
 )
+from balancer.core.persistence.restoration import restore
 from balancer.store.engine import Delete, Put
 from balancer.store.store import Store, WriteQueueFull
 from balancer.testbed.simulated_disk import SimulatedDisk, SimulatedFileSystem
--- a/tests/compatibility/stored_data.py
+++ b/tests/compatibility/stored_data.py
@@ -15,11 +15,10 @@
     ExpectedLatency,
     NodeIdentity,
     PersistedEndpoint,
-    RestoredState,
     SourcePosition,
     Withdrawal,
-    restore,
 )
+from balancer.core.persistence.restoration import RestoredState, restore
 from balancer.store import inspect
 from balancer.store.engine import Delete, Engine, Put
 from balancer.store.files import LocalFileSystem
@@ -91,7 +90,9 @@
     engine.append("log", [b"last"])
     engine.begin_generation()
     clock[0] += 1_000
-    engine.commit([_put("view", "s6", PersistedEndpoint("10.0.0.6", 8_006, order=20)), Delete("view", "s0")])
+    engine.commit(
+        [_put("view", "s6", PersistedEndpoint("10.0.0.6", 8_006, sequence_number=20)), Delete("view", "s0")]
+    )
     engine.close()
     newest = sorted(directory.glob("tables-*.db"))[-1]
     number = int(newest.stem.removeprefix("tables-")) + 1
@@ -109,9 +110,9 @@
     return {
         "memory": found.memory,
         "self": _plain(found.identity),
-        "foreign": found.foreign,
+        "foreign": found.is_foreign,
         "clock_behind_ms": found.clock_behind_ms,
-        "order": found.order,
+        "order": found.last_sequence_number,
         "view": {name: [_plain(row.endpoint), row.age_ms] for name, row in sorted(found.endpoints.items())},
         "ends": {name: _plain(row) for name, row in sorted(found.withdrawals.items())},
         "sources": {name: _plain(row) for name, row in sorted(found.sources.items())},
@@ -120,7 +121,7 @@
         "weights": {name: _plain(row) for name, row in sorted(found.slowness.items())},
         "ejections": dict(sorted(found.ejection_left_ms.items())),
         "tables": {name: sorted(rows) for name, rows in sorted(found.rows.items())},
-        "messages": found.said,
+        "messages": found.messages,
     }
 
 
--- a/tests/core/persistence/test_write_behind.py
+++ b/tests/core/persistence/test_write_behind.py
@@ -13,8 +13,6 @@
 
 from balancer.core.persistence import write_behind as k
 from balancer.core.persistence.persisted_state import (
-    DAY_MS,
-    MAX_RESTORED_EJECTION_MS,
     URGENT_TABLES,
     BackendEjection,
     BackendSlowness,
@@ -23,9 +21,15 @@
     NodeIdentity,
     PersistedEndpoint,
     PersistedRow,
-    RestoredState,
+    RowKey,
     SourcePosition,
     Withdrawal,
+)
+from balancer.core.persistence.restoration import (
+    DAY_MS,
+    MAX_RESTORED_EJECTION_MS,
+    RestoredState,
+    RestoreOutcome,
     next_identity,
     restore,
 )
@@ -47,7 +51,13 @@
 
 
 def recalled(rows: dict[tuple[str, str], PersistedRow], now: int = NOW, **more: Any) -> RestoredState:
-    told: dict[str, Any] = {"found": 2, "older": False, "wrote_ms": NOW, "name": "n0", "max_age_ms": DAY_MS}
+    told: dict[str, Any] = {
+        "generation": 2,
+        "is_outdated": False,
+        "committed_at_ms": NOW,
+        "node_name": "n0",
+        "max_age_ms": DAY_MS,
+    }
     told |= more
     return restore(packed({("self", "node"): ME} | rows), now_ms=now, **told)
 
@@ -95,7 +105,7 @@
         order = sorted(names)
         self.told += [(self.revision, name, what) for name in order]
         gone = tuple(order) if what == "gone" else ()
-        one = server(draining=what == "draining", weight=float(self.revision))
+        one = server(is_draining=what == "draining", weight=float(self.revision))
         listed = () if gone else tuple((name, one) for name in order)
         self.do(k.EndpointsChanged("platform", "x", self.revision, NOW, listed, gone))
 
@@ -136,15 +146,15 @@
         for name, what in latest.items():  # a revision that counts as seen is there in all it said, or later
             state = "gone"
             if name in found.endpoints:
-                state = "draining" if found.endpoints[name].endpoint.draining else "up"
+                state = "draining" if found.endpoints[name].endpoint.is_draining else "up"
             later = {w for r, n, w in self.told if n == name and r > seen}
             assert state in {what, *later}, (name, state, what)
         for name, at in self.ended.items():  # an end that is durable is never forgotten for an older word
             if last[name] == (at, "gone"):
                 assert name not in found.endpoints
             elif last[name] == (at, "draining"):
-                assert name not in found.endpoints or found.endpoints[name].endpoint.draining
-            if name in found.endpoints and not found.endpoints[name].endpoint.draining:
+                assert name not in found.endpoints or found.endpoints[name].endpoint.is_draining
+            if name in found.endpoints and not found.endpoints[name].endpoint.is_draining:
                 assert found.endpoints[name].endpoint.weight > at, name  # the revision that listed it
 
     def teardown(self) -> None:
@@ -157,7 +167,7 @@
                     self.written(urgent)
         found = restore(packed(self.durable), 1, False, NOW, "n0", NOW, DAY_MS)
         last = {name: what for _, name, what in self.told}
-        assert {n: "draining" if r.endpoint.draining else "up" for n, r in found.endpoints.items()} == {
+        assert {n: "draining" if r.endpoint.is_draining else "up" for n, r in found.endpoints.items()} == {
             name: what for name, what in last.items() if what != "gone"
         }
         assert not self.told or found.sources["platform"].revision == self.revision
@@ -197,7 +207,7 @@
     (again,) = writes(keeping.handle(2_000, k.TimeAdvanced(NOW)))
     assert [at for at, _ in again.changes] == [("view", "a"), ("view", "b")]
     (drain,) = writes(
-        keeping.handle(2_001, k.EndpointsChanged("p", "x", 3, NOW, (("a", server(draining=True)),)))
+        keeping.handle(2_001, k.EndpointsChanged("p", "x", 3, NOW, (("a", server(is_draining=True)),)))
     )
     (gone,) = writes(keeping.handle(2_002, k.EndpointsChanged("p", "x", 4, NOW, (), ("a",))))
     keeping.handle(2_003, k.WriteRejected(drain.write_number))
@@ -224,7 +234,7 @@
     assert any(isinstance(a, k.CollectLearnedState) for a in keeping.handle(10_000, k.TimeAdvanced(NOW)))
 
     def told(now: float, limit: float) -> int:
-        rows: dict[k.RowKey, PersistedRow | None] = {("limit", "node"): ConcurrencyLimit(limit, NOW)}
+        rows: dict[RowKey, PersistedRow | None] = {("limit", "node"): ConcurrencyLimit(limit, NOW)}
         rows["ejections", "a"] = BackendEjection(9, 1, 1)
         out = writes(keeping.handle(now, k.LearnedStateCollected(rows)))
         for write in out:
@@ -272,19 +282,23 @@
 def test_the_kinds_of_memory() -> None:
     assert restore({}, 0, False, 0, "n0", NOW, 1).memory == "none"
     assert restore({}, 0, True, 0, "n0", NOW, 1).memory == "lost"
-    assert recalled({}).memory == "kept" and recalled({}, older=True).memory == "older"
+    assert recalled({}).memory == "kept" and recalled({}, is_outdated=True).memory == "older"
     assert restore(packed({("view", "a"): server()}), 1, False, NOW, "n0", NOW, DAY_MS).memory == "lost"
-    other = recalled({("view", "a"): server()}, name="n1")
-    assert other.foreign and other.memory == "lost" and not other.endpoints and "'n0'" in other.said[0]
+    other = recalled({("view", "a"): server()}, node_name="n1")
+    assert other.is_foreign and other.memory == "lost" and not other.endpoints and "'n0'" in other.messages[0]
 
 
 def test_an_end_is_the_later_word_by_its_order() -> None:
-    rows: dict[tuple[str, str], PersistedRow] = {("view", n): server(order=5) for n in "abcd"}
+    rows: dict[tuple[str, str], PersistedRow] = {("view", n): server(sequence_number=5) for n in "abcd"}
     rows |= {("ends", "a"): Withdrawal(True, "p", 1, NOW, 6), ("ends", "b"): Withdrawal(True, "p", 1, NOW, 4)}
     rows |= {("ends", "c"): Withdrawal(False, "p", 1, NOW, 6)}
     found = recalled(rows)
-    assert {n: r.endpoint.draining for n, r in found.endpoints.items()} == {"b": False, "c": True, "d": False}
-    assert found.order == 6
+    assert {n: r.endpoint.is_draining for n, r in found.endpoints.items()} == {
+        "b": False,
+        "c": True,
+        "d": False,
+    }
+    assert found.last_sequence_number == 6
 
 
 def test_a_clock_a_day_back_or_ahead_is_clamped_and_said() -> None:
@@ -297,14 +311,14 @@
     assert (
         back.endpoints["a"].age_ms == 0
         and back.clock_behind_ms == DAY_MS
-        and "86400 s behind" in back.said[0]
+        and "86400 s behind" in back.messages[0]
     )
     assert back.ejection_left_ms == {"a": 5_000} and back.concurrency_limit is not None
     ahead = recalled(rows, NOW + DAY_MS + 1)
     assert not ahead.endpoints and not ahead.ejection_left_ms and ahead.concurrency_limit is None
-    assert "1 servers were last confirmed over" in ahead.said[0]
-    odd = recalled({("view", "a"): server()}, NOW, wrote_ms=NOW - 100)
-    assert odd.endpoints["a"].age_ms == 100 and "after the last write" in odd.said[0]
+    assert "1 servers were last confirmed over" in ahead.messages[0]
+    odd = recalled({("view", "a"): server()}, NOW, committed_at_ms=NOW - 100)
+    assert odd.endpoints["a"].age_ms == 100 and "after the last write" in odd.messages[0]
     long = recalled({("ejections", "a"): BackendEjection(NOW + DAY_MS, 1, NOW - 1)})
     assert long.ejection_left_ms == {"a": MAX_RESTORED_EJECTION_MS}
 
@@ -326,14 +340,16 @@
     assert (
         set(found.endpoints) == {"good"} and found.endpoints["good"].endpoint == good and not found.slowness
     )
-    assert len(found.said) == 6 and found.expected_latencies["c"].usual_ms == 1
+    assert len(found.messages) == 6 and found.expected_latencies["c"].expected_latency_ms == 1
 
 
 def test_the_incarnation_only_rises() -> None:
     assert next_identity(recalled({}), "n0", "new", 3, NOW) == NodeIdentity("id-1", "n0", 4, 0)
     assert next_identity(recalled({}), "n0", "new", 9, NOW).incarnation == 9
-    assert next_identity(RestoredState("lost"), "n0", "new", 7, NOW) == NodeIdentity("new", "n0", 7, NOW)
+    assert next_identity(RestoredState(RestoreOutcome.LOST), "n0", "new", 7, NOW) == NodeIdentity(
+        "new", "n0", 7, NOW
+    )
 
 
 def test_weights_are_plain_figures() -> None:
-    assert recalled({("weights", "a"): BackendSlowness(1.5, NOW)}).slowness["a"].slow == 1.5
+    assert recalled({("weights", "a"): BackendSlowness(1.5, NOW)}).slowness["a"].slowness == 1.5
