--- a/balancer/net/persistence.py
+++ b/balancer/net/persistence.py
@@ -18,7 +18,7 @@
 import os
 import threading
 from collections.abc import Callable
-from typing import Any, TypeVar
+from typing import Any, Generic, TypeVar
 
 import msgspec
 
@@ -27,9 +27,11 @@
 from balancer.core.discovery import endpoint_merger as membership
 from balancer.core.persistence import persisted_state as kept
 from balancer.core.persistence import write_behind as k
-from balancer.core.persistence.persisted_state import (
-    PersistedEndpoint,
+from balancer.core.persistence.persisted_state import PersistedEndpoint
+from balancer.core.persistence.restoration import (
+    ListedIds,
     RestoredState,
+    RestoreOutcome,
     next_identity,
     restore,
     without_withdrawn,
@@ -50,6 +52,7 @@
 
 log = logging.getLogger(__name__)
 T = TypeVar("T")
+A = TypeVar("A")
 
 ENDPOINTS_PER_TURN = 250  # servers in one turn of the loop
 OPEN_RETRY_INTERVAL_S = 5.0  # s until a directory that could not be had is tried again
@@ -73,30 +76,32 @@
     return int(wall_ms())
 
 
-class BlockingCall:
+class BlockingCall(Generic[T]):
     """Work on a thread of its own, which holds up neither the loop nor the end of the process."""
 
-    def __init__(self, work: Callable[[], object]) -> None:
+    def __init__(self, work: Callable[[], T]) -> None:
         self._work, self._loop = work, asyncio.get_running_loop()
-        self.result: asyncio.Future[Any] = self._loop.create_future()
+        self.result: asyncio.Future[T] = self._loop.create_future()
         threading.Thread(target=self._run, name="state", daemon=True).start()
 
     def _run(self) -> None:
-        value: object = None
-        error: BaseException | None = None
         try:
             value = self._work()
-        except BaseException as caught:
-            error = caught
+        except BaseException as error:
+            self._complete(self._set_exception, error)
+        else:
+            self._complete(self._set_result, value)
+
+    def _complete(self, callback: Callable[[A], None], argument: A) -> None:
         with contextlib.suppress(RuntimeError):  # the loop is closed: nobody waits any more
-            self._loop.call_soon_threadsafe(self._set_result, value, error)
+            self._loop.call_soon_threadsafe(callback, argument)
 
-    def _set_result(self, value: object, error: BaseException | None) -> None:
-        if self.result.cancelled():
-            return
-        if error is None:
+    def _set_result(self, value: T) -> None:
+        if not self.result.cancelled():
             self.result.set_result(value)
-        else:
+
+    def _set_exception(self, error: BaseException) -> None:
+        if not self.result.cancelled():
             self.result.set_exception(error)
 
 
@@ -306,17 +311,17 @@
         except asyncio.CancelledError:
             BlockingCall(self.store.close)  # once it is open, if ever; the lock goes with the process
             raise
-        for message in restored.said:
+        for message in restored.messages:
             log.warning("state: %s", message)
-        if restored.foreign:
+        if restored.is_foreign:
             await BlockingCall(self.store.close).result
-            raise StoreFileError(FaultKind.FOREIGN, self.store.engine.directory, restored.said[-1])
+            raise StoreFileError(FaultKind.FOREIGN, self.store.engine.directory, restored.messages[-1])
         for fault in opened.faults:
             log.warning("state: not believed: %s", fault)
         identity = next_identity(
             restored, self.running.name, os.urandom(16).hex(), opened.next_generation, _wall_clock_ms()
         )
-        self._handle(k.StoreOpened(identity, restored.rows, restored.order, _wall_clock_ms()))
+        self._handle(k.StoreOpened(identity, restored.rows, restored.last_sequence_number, _wall_clock_ms()))
         try:
             await asyncio.sleep(0)  # thousands of rows have had their turn
             if is_first_directory:
@@ -339,7 +344,9 @@
         """Blocks. What takes long for a large list is done here, too, and not on the loop."""
         opened = self.store.open()
         try:
-            tables = {table: self.store.items(table) for table in kept.TABLE_NAMES}
+            tables: dict[str, dict[str, bytes]] = {
+                table: self.store.items(table) for table in kept.TABLE_NAMES
+            }
             node_name = self.running.name
             restored = restore(
                 tables,
@@ -378,12 +385,12 @@
         if (recovery_component := self.running.recovery) is not None:
             previous_run, fault = None, ""
             if restored.identity is not None:
-                older = restored.memory == "older"
+                older = restored.memory is RestoreOutcome.OUTDATED
                 previous_run = recovery.PersistedIncarnation(
                     restored.identity.incarnation, float(opened.committed_at_ms), older
                 )
-            elif restored.memory == "lost":
-                fault = "; ".join(str(one) for one in opened.faults) or restored.said[-1]
+            elif restored.memory is RestoreOutcome.LOST:
+                fault = "; ".join(str(one) for one in opened.faults) or restored.messages[-1]
             recovery_component.begin(previous_run, fault, incarnation, float(_wall_clock_ms()))
         for source_name, position in restored.sources.items():
             if (snapshot := self._restored_snapshot(source_name, position, restored)) is not None:
@@ -444,7 +451,7 @@
             key for key, row in rows if isinstance(row, PersistedEndpoint) and source.name in row.sources
         }
         is_newer = source.revision is not None and revision > source.revision
-        seen = (revision, restored_ids) if is_newer else None
+        seen = ListedIds(revision, restored_ids) if is_newer else None
         remaining = without_withdrawn(
             source.records, source.revision, restored.withdrawals, source.name, seen
         )
@@ -471,13 +478,13 @@
         )
         learned = api.LearnedState(
             {
-                name: (row.usual_ms, row.mean_deviation_ms)
+                name: (row.expected_latency_ms, row.mean_deviation_ms)
                 for name, row in restored.expected_latencies.items()
             },
             restored.concurrency_limit.limit
             if restored.concurrency_limit is not None
             else self.node.balancer.concurrency_limit,
-            {name: row.slow for name, row in restored.slowness.items()},
+            {name: row.slowness for name, row in restored.slowness.items()},
             {name: left + age_ms for name, left in restored.ejection_left_ms.items()},
         )
         self.node.event(api.LearnedStateRestored(learned, age_ms))
@@ -565,7 +572,7 @@
                     changes_by_source.setdefault(source, ([], []))[1].append(name)
                 continue
             row = self._persisted_endpoint(member, wall_ms)
-            remembered = member.endpoint.cached_age_ms is not None and not row.draining
+            remembered = member.endpoint.cached_age_ms is not None and not row.is_draining
             if (
                 remembered
                 or self._persisted.get(name) == _without_write_times(row)
@@ -681,7 +688,7 @@
     def _collect_learned_state(self) -> None:
         """What the module learned, as rows; what it says no longer goes."""
         learned, wall_ms = self.node.balancer.learned(self.node.now()), _wall_clock_ms()
-        rows: dict[k.RowKey, kept.PersistedRow | None] = {
+        rows: dict[kept.RowKey, kept.PersistedRow | None] = {
             key: None
             for key in self.write_behind.state.written_learned_rows
             if key[0] in ("weights", "ejections")
@@ -738,20 +745,20 @@
             log.error("state: %d changes were not written by the end", unwritten_count)
 
 
-def _store_change(key: k.RowKey, row: kept.PersistedRow | None) -> Change:
+def _store_change(key: kept.RowKey, row: kept.PersistedRow | None) -> Change:
     return Delete(*key) if row is None else Put(*key, msgspec.msgpack.encode(row))
 
 
 def _without_write_times(row: PersistedEndpoint) -> PersistedEndpoint:
     """A row without what differs from one writing to the next."""
-    return msgspec.structs.replace(row, order=0, confirmed_at_ms=0)
+    return msgspec.structs.replace(row, sequence_number=0, confirmed_at_ms=0)
 
 
 def _restored_record(
     endpoint_id: str, row: PersistedEndpoint, source_name: str, withdrawal: kept.Withdrawal | None
 ) -> EndpointRecord:
     """What a source had said of a server; a drain is that source's who told it."""
-    is_draining = row.draining and (
+    is_draining = row.is_draining and (
         withdrawal is None or withdrawal.is_removed or withdrawal.source in (source_name, UNKNOWN_SOURCE)
     )
     phase = api.Phase.DRAINING if is_draining else api.Phase.UP
