--- a/balancer/core/discovery/etcd_watcher.py
+++ b/balancer/core/discovery/etcd_watcher.py
@@ -694,7 +694,8 @@
             self.candidate_cluster_id = ""
             if self.has_snapshot and self.reported_status is ReportedStatus.AVAILABLE:
                 self.reported_status = ReportedStatus.UNAVAILABLE
-                reason = f"the whole list of cluster {self.connected_cluster_id} has its turn in {wait_ms / 1000:.1f} s"
+                cluster_id = self.connected_cluster_id
+                reason = f"the whole list of cluster {cluster_id} has its turn in {wait_ms / 1000:.1f} s"
                 self._actions.append(DeliverUpdate(SourceLost(self.source_name, reason)))
             self._wait(wait_ms)
             return
@@ -1037,7 +1038,8 @@
         is_cluster_present = any(o.cluster_id == self.cluster_id for o in outcomes.values())
         if unknown_cluster_indexes and not is_cluster_present and EndpointVerdict.LAGGING not in verdicts:
             self.candidate_cluster_id = outcomes[unknown_cluster_indexes[0]].cluster_id
-            text = f"no endpoint of cluster {self.cluster_id} answers; going over to cluster {self.candidate_cluster_id}"
+            text = f"no endpoint of cluster {self.cluster_id} answers"
+            text += f"; going over to cluster {self.candidate_cluster_id}"
             self._write_log("warning", text)
             self.endpoint_position = self.endpoint_order.index(unknown_cluster_indexes[0])
             self._begin_checking()
--- a/tests/core/discovery/test_etcd_watcher.py
+++ b/tests/core/discovery/test_etcd_watcher.py
@@ -200,34 +200,55 @@
 }
 # What an event leads to, where it leads anywhere: the next phase and the actions. `Drop` is of the endpoint
 # that is left, `Check` of the next one.
-LEFT = (WatcherPhase.CHECKING, "Say Drop Check SetTimer")
-GONE = (WatcherPhase.CHECKING, "Drop Check SetTimer")
+LEFT = (WatcherPhase.CHECKING, "WriteLog CloseConnections CheckEndpoint SetTimer")
+GONE = (WatcherPhase.CHECKING, "CloseConnections CheckEndpoint SetTimer")
 TABLE: dict[tuple[WatcherPhase, str], tuple[WatcherPhase, str]] = {
-    (WatcherPhase.STOPPED, "started"): (WatcherPhase.CHECKING, "Check SetTimer"),
+    (WatcherPhase.STOPPED, "started"): (WatcherPhase.CHECKING, "CheckEndpoint SetTimer"),
     (WatcherPhase.CHECKING, "timer"): GONE,
-    (WatcherPhase.CHECKING, "check"): (WatcherPhase.FETCHING_SNAPSHOT, "Range SetTimer"),
+    (WatcherPhase.CHECKING, "check"): (WatcherPhase.FETCHING_SNAPSHOT, "FetchSnapshotPage SetTimer"),
     (WatcherPhase.CHECKING, "check failed"): GONE,
     (WatcherPhase.FETCHING_SNAPSHOT, "timer"): LEFT,
-    (WatcherPhase.FETCHING_SNAPSHOT, "page"): (WatcherPhase.OPENING_WATCH, "Deliver Watch SetTimer"),
+    (WatcherPhase.FETCHING_SNAPSHOT, "page"): (
+        WatcherPhase.OPENING_WATCH,
+        "DeliverUpdate OpenWatch SetTimer",
+    ),
     (WatcherPhase.FETCHING_SNAPSHOT, "page failed"): LEFT,
-    (WatcherPhase.FETCHING_SNAPSHOT, "page compacted"): (WatcherPhase.FETCHING_SNAPSHOT, "Range SetTimer"),
+    (WatcherPhase.FETCHING_SNAPSHOT, "page compacted"): (
+        WatcherPhase.FETCHING_SNAPSHOT,
+        "FetchSnapshotPage SetTimer",
+    ),
     (WatcherPhase.OPENING_WATCH, "timer"): LEFT,
     (WatcherPhase.OPENING_WATCH, "created"): (WatcherPhase.WATCHING, "SetTimer"),
     (WatcherPhase.OPENING_WATCH, "said"): LEFT,
     (WatcherPhase.OPENING_WATCH, "progress"): LEFT,
-    (WatcherPhase.OPENING_WATCH, "canceled"): (WatcherPhase.CHECKING, "CloseWatch Say Drop Check SetTimer"),
-    (WatcherPhase.OPENING_WATCH, "compacted"): (WatcherPhase.FETCHING_SNAPSHOT, "CloseWatch Range SetTimer"),
+    (WatcherPhase.OPENING_WATCH, "canceled"): (
+        WatcherPhase.CHECKING,
+        "CloseWatch WriteLog CloseConnections CheckEndpoint SetTimer",
+    ),
+    (WatcherPhase.OPENING_WATCH, "compacted"): (
+        WatcherPhase.FETCHING_SNAPSHOT,
+        "CloseWatch FetchSnapshotPage SetTimer",
+    ),
     (WatcherPhase.OPENING_WATCH, "watch failed"): (
         WatcherPhase.CHECKING,
-        "CloseWatch Say Drop Check SetTimer",
+        "CloseWatch WriteLog CloseConnections CheckEndpoint SetTimer",
+    ),
+    (WatcherPhase.WATCHING, "timer"): (WatcherPhase.WATCHING, "CheckEndpoint SetTimer"),
+    (WatcherPhase.WATCHING, "said"): (WatcherPhase.WATCHING, "DeliverUpdate"),
+    (WatcherPhase.WATCHING, "progress"): (WatcherPhase.WATCHING, "DeliverUpdate"),
+    (WatcherPhase.WATCHING, "canceled"): (
+        WatcherPhase.CHECKING,
+        "CloseWatch WriteLog CloseConnections CheckEndpoint SetTimer",
+    ),
+    (WatcherPhase.WATCHING, "compacted"): (
+        WatcherPhase.FETCHING_SNAPSHOT,
+        "CloseWatch FetchSnapshotPage SetTimer",
+    ),
+    (WatcherPhase.WATCHING, "watch failed"): (
+        WatcherPhase.CHECKING,
+        "CloseWatch WriteLog CloseConnections CheckEndpoint SetTimer",
     ),
-    (WatcherPhase.WATCHING, "timer"): (WatcherPhase.WATCHING, "Check SetTimer"),
-    (WatcherPhase.WATCHING, "said"): (WatcherPhase.WATCHING, "Deliver"),
-    (WatcherPhase.WATCHING, "progress"): (WatcherPhase.WATCHING, "Deliver"),
-    (WatcherPhase.WATCHING, "canceled"): (WatcherPhase.CHECKING, "CloseWatch Say Drop Check SetTimer"),
-    (WatcherPhase.WATCHING, "compacted"): (WatcherPhase.FETCHING_SNAPSHOT, "CloseWatch Range SetTimer"),
-    (WatcherPhase.WATCHING, "watch failed"): (WatcherPhase.CHECKING, "CloseWatch Say Drop Check SetTimer"),
-    (WatcherPhase.WAITING, "timer"): (WatcherPhase.CHECKING, "Check SetTimer"),
+    (WatcherPhase.WAITING, "timer"): (WatcherPhase.CHECKING, "CheckEndpoint SetTimer"),
     (WatcherPhase.WAITING, "stopped"): (WatcherPhase.STOPPED, ""),
 }
 for _phase in (
@@ -236,7 +257,7 @@
     WatcherPhase.OPENING_WATCH,
     WatcherPhase.WATCHING,
 ):
-    TABLE[_phase, "stopped"] = (WatcherPhase.STOPPED, "Drop")
+    TABLE[_phase, "stopped"] = (WatcherPhase.STOPPED, "CloseConnections")
 
 
 @pytest.mark.parametrize("phase", WatcherPhase)
@@ -250,7 +271,7 @@
 
 def test_the_state_can_be_read() -> None:
     assert repr(Rig().follow) == "<EtcdFollow etcd idle None/0 at 0>"
-    rig = Rig(1, names=["http://e:1"], epoch=3).watching(5, A)
+    rig = Rig(1, endpoint_names=["http://e:1"], epoch=3).watching(5, A)
     assert repr(rig.follow) == "<EtcdFollow etcd watching http://e:1 1/3 at 5>"
 
 
@@ -613,7 +634,7 @@
         while rig.at(WatcherPhase.CHECKING):
             rig.check(20)
     assert len(rig.out) == 3 and rig.view == {"a": A}  # said once
-    anew = Rig(2, epoch=1, seen=("1/0", 60)).watching(20, B)
+    anew = Rig(2, epoch=1, resume_from=("1/0", 60)).watching(20, B)
     assert anew.listed[0].identity == "1/1" and anew.view == {"b": B}
 
 
@@ -653,7 +674,7 @@
 
 
 def test_what_was_seen_before_the_start_holds() -> None:
-    rig = Rig(1, seen=("1/0", 60))
+    rig = Rig(1, resume_from=("1/0", 60))
     rig.do(ef.WatcherStarted())
     rig.check(59)
     assert rig.at(WatcherPhase.WAITING) and isinstance(rig.out[0], SourceLost)
@@ -882,7 +903,7 @@
 
     def __init__(self, endpoints: int = 1, me: int = 1, **more: object) -> None:
         self.turns = StaggeredSchedule(me, NODES, BEARS)
-        super().__init__(endpoints, turns=self.turns, **more)  # type: ignore[arg-type]
+        super().__init__(endpoints, time_slots=self.turns, **more)  # type: ignore[arg-type]
 
     def on(self) -> Turned:
         self.do(ef.WatcherStarted())
@@ -928,7 +949,7 @@
 
 
 def test_new_settings_of_an_etcd_that_is_followed_do_not_cut_its_news_short() -> None:
-    rig, other = Turned(seen=("1/0", 5)), Turned(seen=("1/0", 5), epoch=1)
+    rig, other = Turned(resume_from=("1/0", 5)), Turned(resume_from=("1/0", 5), epoch=1)
     other.do(ef.WatcherStarted())
     assert other.at(WatcherPhase.WAITING), "in another order nothing was followed"
     rig.do(ef.WatcherStarted())
--- a/tests/net/test_etcd_discovery.py
+++ b/tests/net/test_etcd_discovery.py
@@ -550,7 +550,7 @@
         rig.source.stop()
         gateway.stop()
 
-    monkeypatch.setattr("balancer.net.discovery.etcd.entry", counted)
+    monkeypatch.setattr("balancer.net.discovery.etcd.parse_entry", counted)
     monkeypatch.setattr(ef, "CHECK_INTERVAL_MS", 1000.0)
     run(test)
 
--- a/tests/protocol/test_etcd_watch.py
+++ b/tests/protocol/test_etcd_watch.py
@@ -123,23 +123,37 @@
 @pytest.mark.parametrize(
     ("status", "body", "expected"),
     [
-        ("400 Bad Request", error(11, "mvcc: required revision has been compacted"), "compacted"),
-        ("401 Unauthorized", error(16, "invalid auth token"), "stale_token"),
-        ("403 Forbidden", error(7, "permission denied"), "denied"),
-        ("400 Bad Request", error(3, "user name is empty"), "denied"),
-        ("400 Bad Request", error(3, "authentication failed, invalid user ID or password"), "denied"),
-        ("412 Precondition Failed", error(9, "authentication is not enabled"), "auth_off"),
+        ("400 Bad Request", error(11, "mvcc: required revision has been compacted"), "is_compacted"),
+        ("401 Unauthorized", error(16, "invalid auth token"), "is_token_expired"),
+        ("403 Forbidden", error(7, "permission denied"), "is_permission_denied"),
+        ("400 Bad Request", error(3, "user name is empty"), "is_permission_denied"),
+        (
+            "400 Bad Request",
+            error(3, "authentication failed, invalid user ID or password"),
+            "is_permission_denied",
+        ),
+        ("412 Precondition Failed", error(9, "authentication is not enabled"), "is_auth_disabled"),
         ("404 Not Found", b"Not Found\n", ""),
-        ("503 Service Unavailable", b"", "busy"),  # a proxy's
+        ("503 Service Unavailable", b"", "is_overloaded"),  # a proxy's
         ("503 Service Unavailable", error(14, "etcdserver: no leader"), ""),
-        ("429 Too Many Requests", error(8, "too many requests"), "busy"),
+        ("429 Too Many Requests", error(8, "too many requests"), "is_overloaded"),
     ],
 )
 def test_refusals(status: str, body: dict[str, Any] | bytes, expected: str) -> None:
     messages = said(CallKind.RANGE, sized(body, status))
     (error,) = messages
     assert isinstance(error, ew.GatewayError) and error.http_status == int(status[:3])
-    flags = [f for f in ("compacted", "stale_token", "denied", "auth_off", "busy") if getattr(error, f)]
+    flags = [
+        f
+        for f in (
+            "is_compacted",
+            "is_token_expired",
+            "is_permission_denied",
+            "is_auth_disabled",
+            "is_overloaded",
+        )
+        if getattr(error, f)
+    ]
     assert flags == ([expected] if expected else []) and error.retry_after_s == 0
 
 
