--- a/balancer/net/components.py
+++ b/balancer/net/components.py
@@ -17,7 +17,7 @@
 from balancer.operator_settings import OperatorSettings
 
 if TYPE_CHECKING:
-    from balancer.core.discovery.etcd_watcher import EtcdConfig
+    from balancer.core.discovery.etcd_watcher.config import EtcdConfig
 
 log = logging.getLogger(__name__)
 
--- a/balancer/net/discovery/etcd.py
+++ b/balancer/net/discovery/etcd.py
@@ -16,14 +16,16 @@
 from functools import partial
 from typing import cast
 
-from balancer.core.discovery import etcd_watcher as ef
 from balancer.core.discovery.endpoint_merger import (
     EndpointsListed,
     SourceConfirmedCurrent,
     SourceLost,
     SourceRejected,
 )
-from balancer.core.discovery.etcd_watcher import CallFault, EtcdConfig
+from balancer.core.discovery.etcd_watcher import messages as ef
+from balancer.core.discovery.etcd_watcher.config import EtcdConfig, parse_endpoint_url
+from balancer.core.discovery.etcd_watcher.messages import CallFault
+from balancer.core.discovery.etcd_watcher.watcher import EtcdWatcher
 from balancer.core.staggering import StaggeredSchedule
 from balancer.endpoints import InvalidEntry
 from balancer.protocol import etcd_watch as ew
@@ -170,7 +172,7 @@
     ) -> None:
         self.config, self.emit, self.name = config, emit, name
         self.prefix = config.prefix.encode()
-        self.peers = [ef.parse_endpoint_url(url) for url in config.endpoints]
+        self.peers = [parse_endpoint_url(url) for url in config.endpoints]
         self.tls = _tls(config) if any(tls for _, _, tls in self.peers) else None
         self.asks = [RequestBuilder(_host(host, port), self.prefix) for host, port, _ in self.peers]
         self.rng = rng or random.Random()
@@ -185,11 +187,11 @@
         self._watching: asyncio.Task[None] | None = None
         self._timers: dict[int, asyncio.TimerHandle] = {}
 
-    def _begin(self) -> ef.EtcdWatcher:
+    def _begin(self) -> EtcdWatcher:
         count, epoch = len(self.peers), self.config.epoch
         names, bears = self.config.endpoints, self.config.bears
         turns = None if bears is None or self.nodes == 1 else StaggeredSchedule(self.me, self.nodes, bears)
-        return ef.EtcdWatcher(
+        return EtcdWatcher(
             self.name,
             count,
             self.rng,
--- a/balancer/net/etcd_component.py
+++ b/balancer/net/etcd_component.py
@@ -10,7 +10,7 @@
 
 from balancer.core.discovery import endpoint_merger as membership
 from balancer.core.discovery.endpoint_merger import Source, SourceRole
-from balancer.core.discovery.etcd_watcher import EtcdConfig
+from balancer.core.discovery.etcd_watcher.config import EtcdConfig
 from balancer.net.component import PEERS_SOURCE
 from balancer.net.endpoint_view import EndpointView
 from balancer.operator_settings import EtcdSettings, OperatorSettings
--- a/benchmarks/discovery_outage.py
+++ b/benchmarks/discovery_outage.py
@@ -12,8 +12,9 @@
 from bisect import bisect_left
 from collections.abc import Callable, Iterator
 
-from balancer.core.discovery import etcd_watcher as ef
 from balancer.core.discovery import platform_watcher as pf
+from balancer.core.discovery.etcd_watcher import messages as ef
+from balancer.core.discovery.etcd_watcher.watcher import EtcdWatcher
 from benchmarks.result_table import Row
 
 NODES = 1000
@@ -47,7 +48,7 @@
 
     def __init__(self, clock: Clock, seed: int, frozen: bool) -> None:
         self.clock, self.frozen = clock, frozen
-        self.follow = ef.EtcdWatcher("etcd", 3, random.Random(seed))
+        self.follow = EtcdWatcher("etcd", 3, random.Random(seed))
         self.back: list[float] = []  # moments of what an etcd that is there again said
         self.watch = 0
 
@@ -58,7 +59,9 @@
 
     def hand(self, event: ef.Event) -> None:
         """An event; what was decided on it."""
-        heard = isinstance(event, ef.CheckAnswered) and event.call_id == self.follow.check_call_id
+        heard = (
+            isinstance(event, ef.CheckAnswered) and event.call_id == self.follow.state.session.check_call_id
+        )
         if heard and self.clock.now_ms >= UNTIL_MS:
             self.back.append(self.clock.now_ms)
         for action in self.follow.handle(self.clock.now_ms, event):
--- a/benchmarks/property_search.py
+++ b/benchmarks/property_search.py
@@ -25,7 +25,7 @@
 from hypothesis.strategies import SearchStrategy
 
 from tests.core.discovery import test_endpoint_merger as merge
-from tests.core.discovery import test_etcd_watcher as follow
+from tests.core.discovery.etcd_watcher import test_delivery_properties as follow
 
 BLOCK = 500  # cases of one seed: the search keeps what it has seen of a block
 
@@ -39,7 +39,7 @@
 
 
 PROPERTIES = {
-    "follower": Property(follow.test_what_is_delivered_is_a_state_that_etcd_had, follow.CASES),
+    "follower": Property(follow.test_delivery_random_faults_is_always_a_state_that_etcd_had, follow.CASES),
     "merge": Property(merge.test_the_view_is_what_a_naive_model_says, merge.CASES),
 }
 
--- a/benchmarks/restart_recovery.py
+++ b/benchmarks/restart_recovery.py
@@ -28,9 +28,10 @@
 from statistics import median
 
 from balancer import interface as api
-from balancer.core.discovery import etcd_watcher as ef
 from balancer.core.discovery import platform_watcher as pf
 from balancer.core.discovery.endpoint_merger import EndpointsListed
+from balancer.core.discovery.etcd_watcher import messages as ef
+from balancer.core.discovery.etcd_watcher.watcher import EtcdWatcher
 from balancer.core.recovery import RequestOutcome, ServiceMeter
 from balancer.core.staggering import StaggeredSchedule
 from balancer.policy.balancer import Balancer
@@ -444,7 +445,7 @@
 
     def __init__(self, clock: Clock, lister: Lister, me: int, turns: StaggeredSchedule | None) -> None:
         self.clock, self.lister, self.listed_ms, self.news_ms = clock, lister, float("inf"), float("inf")
-        self.follow = ef.EtcdWatcher("etcd", 3, random.Random(me), time_slots=turns)
+        self.follow = EtcdWatcher("etcd", 3, random.Random(me), time_slots=turns)
         self.watch = 0
 
     def start(self) -> None:
--- a/tests/net/test_endpoint_view.py
+++ b/tests/net/test_endpoint_view.py
@@ -11,7 +11,7 @@
 
 from balancer.core.cluster import gossiped_removals as hearsay
 from balancer.core.discovery.endpoint_merger import ApplyEndpoints, Source, SourceConfirmedCurrent
-from balancer.core.discovery.etcd_watcher import EtcdConfig
+from balancer.core.discovery.etcd_watcher.config import EtcdConfig
 from balancer.endpoints import EndpointRecord
 from balancer.net.discovery.etcd import EtcdDiscovery
 from balancer.net.endpoint_view import EndpointView
--- a/tests/net/test_etcd_discovery.py
+++ b/tests/net/test_etcd_discovery.py
@@ -16,14 +16,15 @@
 import pytest
 import uvloop
 
-from balancer.core.discovery import etcd_watcher as ef
 from balancer.core.discovery.endpoint_merger import (
     EndpointsListed,
     SourceConfirmedCurrent,
     SourceLost,
     SourceRejected,
 )
-from balancer.core.discovery.etcd_watcher import EtcdConfig
+from balancer.core.discovery.etcd_watcher import limits
+from balancer.core.discovery.etcd_watcher.config import EtcdConfig, parse_endpoint_url
+from balancer.core.discovery.etcd_watcher.state import WatcherPhase
 from balancer.net.discovery import etcd
 from balancer.net.discovery.etcd import EtcdDiscovery
 from balancer.protocol.etcd_entry import parse_entry
@@ -184,8 +185,8 @@
 
     def first(self, number: int) -> None:
         """Ask this endpoint first."""
-        self.source.follow.endpoint_order = sorted(
-            self.source.follow.endpoint_order, key=lambda i: i != number
+        self.source.follow.state.selection.endpoint_order = sorted(
+            self.source.follow.state.selection.endpoint_order, key=lambda i: i != number
         )
 
 
@@ -198,7 +199,7 @@
 @pytest.fixture(autouse=True)
 def _quick(monkeypatch: pytest.MonkeyPatch) -> Iterator[None]:
     """Check often, so that tests need not wait."""
-    monkeypatch.setattr(ef, "CHECK_INTERVAL_MS", 30.0)
+    monkeypatch.setattr(limits, "CHECK_INTERVAL_MS", 30.0)
     yield
 
 
@@ -228,7 +229,7 @@
 def test_a_deletion_that_the_watch_never_tells_is_found_by_a_count(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    monkeypatch.setattr(ef, "AUDIT_INTERVAL_MS", 50.0)
+    monkeypatch.setattr(limits, "AUDIT_INTERVAL_MS", 50.0)
 
     async def test() -> None:
         gateway = await Gateway().start()
@@ -390,8 +391,8 @@
         assert len(asked) == 2 and asked[0] - begun >= 0.07 and asked[1] - asked[0] >= 1.14
         rig.source.stop()
         # The first of the nodes, and one that is alone, ask at once.
-        assert Rig(gateway, bears=1, me=0, nodes=100).source.follow.phase is ef.WatcherPhase.CHECKING
-        assert Rig(gateway, bears=1, me=7, nodes=1).source.follow.phase is ef.WatcherPhase.CHECKING
+        assert Rig(gateway, bears=1, me=0, nodes=100).source.follow.phase is WatcherPhase.CHECKING
+        assert Rig(gateway, bears=1, me=7, nodes=1).source.follow.phase is WatcherPhase.CHECKING
         gateway.stop()
 
     run(test)
@@ -551,7 +552,7 @@
         gateway.stop()
 
     monkeypatch.setattr("balancer.net.discovery.etcd.parse_entry", counted)
-    monkeypatch.setattr(ef, "CHECK_INTERVAL_MS", 1000.0)
+    monkeypatch.setattr(limits, "CHECK_INTERVAL_MS", 1000.0)
     run(test)
 
 
@@ -576,7 +577,7 @@
     with pytest.raises(ValueError) as caught:
         make("http://reader:secret-1@h:1")
     assert "secret-1" not in str(caught.value)
-    assert ef.parse_endpoint_url("https://[::1]:2379/") == ("::1", 2379, True)
+    assert parse_endpoint_url("https://[::1]:2379/") == ("::1", 2379, True)
     with pytest.raises(ValueError, match="no endpoint"):
         EtcdDiscovery(EtcdConfig((), "/m/"), told.append)
 
--- a/tests/system/test_etcd_conformance.py
+++ b/tests/system/test_etcd_conformance.py
@@ -17,14 +17,15 @@
 
 import pytest
 
-from balancer.core.discovery import etcd_watcher as ef
 from balancer.core.discovery.endpoint_merger import (
     EndpointsListed,
     SourceConfirmedCurrent,
     SourceLost,
     SourceRejected,
 )
-from balancer.core.discovery.etcd_watcher import EtcdConfig, WatcherPhase
+from balancer.core.discovery.etcd_watcher import limits
+from balancer.core.discovery.etcd_watcher.config import EtcdConfig
+from balancer.core.discovery.etcd_watcher.state import WatcherPhase
 from balancer.endpoints import EndpointRecord
 from balancer.interface import Phase as MemberPhase
 from balancer.net.discovery.etcd import EtcdDiscovery
@@ -33,7 +34,7 @@
 from balancer.testbed.etcd.standin import StandIn
 from tests.testbed.conftest import run
 
-CHECK_MS = ef.CHECK_INTERVAL_MS
+CHECK_MS = limits.CHECK_INTERVAL_MS
 PREFIX = "/dillport/members/"
 WAIT = 25.0  # s until a test that waits for something that does not come fails
 LEFT = 5.0  # s within which an endpoint is left that cannot show it is current
@@ -42,7 +43,7 @@
 @pytest.fixture(autouse=True)
 def _quick(monkeypatch: pytest.MonkeyPatch) -> None:
     """Check often, so that tests need not wait; those of who is left in time set it back."""
-    monkeypatch.setattr(ef, "CHECK_INTERVAL_MS", 100.0)
+    monkeypatch.setattr(limits, "CHECK_INTERVAL_MS", 100.0)
 
 
 def value(port: int = 80, **more: Any) -> bytes:
@@ -112,7 +113,7 @@
 
     async def settled(self) -> None:
         """Wait until the watch is on and was checked."""
-        await self.until(lambda: self.source.follow.is_endpoint_proven)
+        await self.until(lambda: self.source.follow.state.session.is_proven)
 
 
 class Relay:
@@ -351,7 +352,7 @@
 
 
 def test_who_cannot_show_that_it_is_current_is_left(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(ef, "CHECK_INTERVAL_MS", CHECK_MS)
+    monkeypatch.setattr(limits, "CHECK_INTERVAL_MS", CHECK_MS)
 
     async def test() -> None:
         async with asyncio.TaskGroup() as together:
@@ -381,7 +382,7 @@
 
 # Authentication guide 3.4, simple tokens end after auth-token-ttl and with the member that gave them.
 def test_auth_tokens_run_out_and_are_lost(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(ef, "CHECK_INTERVAL_MS", 2500.0)  # longer than a token lives
+    monkeypatch.setattr(limits, "CHECK_INTERVAL_MS", 2500.0)  # longer than a token lives
 
     async def test() -> None:
         async with StandIn(token_ttl_s=1) as cluster:
@@ -504,7 +505,7 @@
 
 
 def test_a_restored_backup_and_a_new_cluster(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(ef, "MIN_REGRESSION_MS", 300.0)
+    monkeypatch.setattr(limits, "MIN_REGRESSION_MS", 300.0)
 
     async def test() -> None:
         async with StandIn() as cluster:
