--- a/balancer/net/discovery/etcd.py
+++ b/balancer/net/discovery/etcd.py
@@ -28,9 +28,10 @@
 from balancer.core.discovery.etcd_watcher.watcher import EtcdWatcher
 from balancer.core.staggering import StaggeredSchedule
 from balancer.endpoints import InvalidEntry
-from balancer.protocol import etcd_watch as ew
 from balancer.protocol.etcd_entry import parse_entry
-from balancer.protocol.etcd_watch import CallKind, RequestBuilder, ResponseDecoder
+from balancer.protocol.etcd_watch import responses as ew
+from balancer.protocol.etcd_watch.requests import RequestBuilder
+from balancer.protocol.etcd_watch.response_decoder import CallKind, ResponseDecoder
 
 log = logging.getLogger(__name__)
 
