--- a/balancer/core/cluster/failure_detector.py
+++ b/balancer/core/cluster/failure_detector.py
@@ -307,7 +307,10 @@
         self._accuser_id = accuser_id(name)
 
     def __repr__(self) -> str:
-        return f"<Peers {self.name} {self.incarnation}, {len(self._probe_ring)} there, {len(self._tombstones)} fallen>"
+        return (
+            f"<FailureDetector {self.name} {self.incarnation}, {len(self._probe_ring)} present, "
+            f"{len(self._tombstones)} gone>"
+        )
 
     # --- what is asked of it
 
--- a/tests/core/cluster/test_failure_detector.py
+++ b/tests/core/cluster/test_failure_detector.py
@@ -157,7 +157,7 @@
 
 
 def test_all_tables_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    for name in ("PEERS_MAX", "FALLEN_MAX", "RELAYS_MAX"):
+    for name in ("MAX_PEERS", "MAX_TOMBSTONES", "MAX_RELAYED_PROBES"):
         monkeypatch.setattr(pr, name, 5)
     peers, seen = detector_of(), []
     for number in range(40):
