--- a/balancer/core/cluster/gossip_coordinator.py
+++ b/balancer/core/cluster/gossip_coordinator.py
@@ -34,7 +34,8 @@
     LeafEntries,
     TreeDigests,
 )
-from balancer.core.cluster.failure_detector import FailureDetector, PeerState
+from balancer.core.cluster.failure_detector.detector import FailureDetector
+from balancer.core.cluster.failure_detector.member_records import PeerState
 from balancer.core.discovery.endpoint_merger import ApplyEndpoints, EndpointsListed, Source
 from balancer.core.discovery.endpoint_merger import SourceState as Known
 from balancer.core.staggering import StaggeredSchedule
--- a/balancer/core/cluster/node_state.py
+++ b/balancer/core/cluster/node_state.py
@@ -27,7 +27,8 @@
 from random import Random
 from typing import NamedTuple
 
-from balancer.core.cluster.failure_detector import MAX_INCARNATION, MAX_PEERS, PendingBroadcasts
+from balancer.core.cluster.failure_detector.broadcasts import PendingBroadcasts
+from balancer.core.cluster.failure_detector.parameters import MAX_INCARNATION, MAX_PEERS
 from balancer.core.discovery.endpoint_merger import Source, SourceState
 from balancer.core.hysteresis import Hysteresis
 
--- a/balancer/core/cluster/partition_detector.py
+++ b/balancer/core/cluster/partition_detector.py
@@ -17,7 +17,8 @@
 from enum import Enum
 from typing import NamedTuple
 
-from balancer.core.cluster.failure_detector import FailureDetector, PeerState
+from balancer.core.cluster.failure_detector.detector import FailureDetector
+from balancer.core.cluster.failure_detector.member_records import PeerState
 from balancer.core.cluster.node_state import FLAG_NO_DISCOVERY, AdvertisedState
 from balancer.core.hysteresis import Hysteresis
 
--- a/balancer/core/cluster/quota_allocation.py
+++ b/balancer/core/cluster/quota_allocation.py
@@ -28,7 +28,7 @@
 from dataclasses import dataclass
 from math import ceil
 
-from balancer.core.cluster.failure_detector import STALL_SETTLE_MS
+from balancer.core.cluster.failure_detector.parameters import STALL_SETTLE_MS
 from balancer.core.recovery import ROLE_HOLD_OFF_MS
 
 DIVISOR_DECREASE_DELAY_MS = 60_000.0
--- a/balancer/core/cluster/report.py
+++ b/balancer/core/cluster/report.py
@@ -8,7 +8,8 @@
 from itertools import islice
 from typing import Any
 
-from balancer.core.cluster.failure_detector import FailureDetector, PeerState
+from balancer.core.cluster.failure_detector.detector import FailureDetector
+from balancer.core.cluster.failure_detector.member_records import PeerState
 from balancer.core.cluster.gossip_coordinator import GossipCoordinator
 from balancer.core.cluster.node_state import FLAG_BEHIND, FLAG_NO_DISCOVERY, AdvertisedState
 from balancer.core.cluster.quota_allocation import SetQuota
--- a/balancer/net/cluster.py
+++ b/balancer/net/cluster.py
@@ -27,9 +27,10 @@
 from typing import Any
 
 from balancer.core import recovery as r
-from balancer.core.cluster import failure_detector as p
 from balancer.core.cluster import gossip_coordinator as together
 from balancer.core.cluster import quota_allocation as shares
+from balancer.core.cluster.failure_detector import events, messages, parameters
+from balancer.core.cluster.failure_detector.detector import FailureDetector
 from balancer.core.cluster.node_state import GOSSIP_INTERVAL_MS
 from balancer.core.cluster.report import count_by_state, peers_report
 from balancer.core.stall_detector import StallDetector
@@ -60,7 +61,7 @@
     def __init__(self, running: RunningNode) -> None:
         self.running, self.node = running, running.node
         self.loop = asyncio.get_running_loop()
-        self.detector: p.FailureDetector | None = None
+        self.detector: FailureDetector | None = None
         self.cluster_gossip: ClusterGossip | None = None  # from the first word on, until it is off
         self.listen_error = ""  # why there is no socket
         self.counts: Counter[str] = Counter()  # datagrams: received, sent, unsent
@@ -68,7 +69,7 @@
         self._operator_settings = OperatorSettings()
         self._socket: socket.socket | None = None
         self._bound_addresses: tuple[Address, Address | None] | None = None  # where it listens and is seen
-        self._previous_detector: p.FailureDetector | None = None  # at the address before
+        self._previous_detector: FailureDetector | None = None  # at the address before
         self._writer: gossip.Writer | None = None
         self._reader = gossip.Reader(())
         self._stall_detector = StallDetector(
@@ -167,7 +168,7 @@
         if settings is None or sock is None or self.detector is not None:
             return
         incarnation, is_persisted = self._restored_incarnation()
-        if incarnation >= p.MAX_INCARNATION:
+        if incarnation >= parameters.MAX_INCARNATION:
             log.error("peers: life %d is over what others take; the node serves without peers", incarnation)
             return
         address, seeds = written(settings.address or sock.getsockname()[:2]), seed_addresses(settings)
@@ -176,10 +177,10 @@
         ) is not None and not previous_detector.is_asking_for_incarnation:  # it is who it was, somewhere else
             incarnation, is_persisted = previous_detector.incarnation + 1, True
             seeds += [peer.record.address for peer in previous_detector.peers.values()]
-        self.detector = p.FailureDetector(
+        self.detector = FailureDetector(
             self.running.name,
             address,
-            seeds[: p.MAX_SEEDS],
+            seeds[: parameters.MAX_SEEDS],
             incarnation - 1,
             Random(),
             gossip.record_size_bytes,
@@ -195,7 +196,7 @@
         self.loop.add_reader(sock, self._on_readable)
         self._run_round()
         log.info("peers: %s at %s", self.running.name, address)
-        self._handle(p.Started())
+        self._handle(events.Started())
 
     def _restored_incarnation(self) -> tuple[int, bool]:
         """The number of this life, and whether the memory of those before it is whole."""
@@ -210,7 +211,7 @@
 
     def _stop(self, leave: bool = False) -> None:
         if leave and self.detector is not None:
-            self._handle(p.ShutdownStarted())
+            self._handle(events.ShutdownStarted())
         for timer in (self._timer, self._round_timer, self._listen_retry_timer):
             if timer is not None:
                 timer.cancel()
@@ -233,7 +234,7 @@
     def _check_for_stall(self) -> None:
         if stall_ms := self._stall_detector.record_turn(self.node.now()):
             log.warning("peers: this process stood still for %.0f ms: it calls nobody failed yet", stall_ms)
-            self._handle(p.ProcessStalled(stall_ms))
+            self._handle(events.ProcessStalled(stall_ms))
             if self.cluster_gossip is not None:
                 self.cluster_gossip.handle(shares.LoopStalled())
 
@@ -258,9 +259,9 @@
             source = written(sender_address[:2])
             datagram = self._reader.read(now_ms, source, data)
             if isinstance(datagram, gossip.AcceptedDatagram):
-                message = p.Message(*datagram.message)
+                message = messages.Message(*datagram.message)
                 self._handle(
-                    p.DatagramReceived(
+                    events.DatagramReceived(
                         datagram.sender, datagram.incarnation, source, message, datagram.is_current
                     )
                 )
@@ -273,7 +274,7 @@
         self._timer, self._timer_at_ms = None, float("inf")
         self._check_for_stall()
         self._receive()  # an answer that is here already has come in time
-        self._handle(p.TimerFired())
+        self._handle(events.TimerFired())
 
     def _on_socket_error(self, error: OSError) -> None:
         """Unreachable, refused, no room: as lost as any other datagram. Said once a kind."""
@@ -283,7 +284,7 @@
             log.warning("peers: %s; datagrams are lost, the node goes on", reason)
         self.counts[f"fault {error.errno}"] += 1
 
-    def _handle(self, event: p.Event) -> None:
+    def _handle(self, event: events.Event) -> None:
         detector = self.detector
         if detector is None:
             return
@@ -293,22 +294,22 @@
         except Exception:  # guards requests, and the peers after it, against one event
             log.exception("peers: %s failed", type(event).__name__)
             if self._timer is None:
-                self._set_timer(self.node.now() + p.PROBE_INTERVAL_MS)
+                self._set_timer(self.node.now() + parameters.PROBE_INTERVAL_MS)
             return
         for action in actions:
             match action:
-                case p.SendDatagram():
+                case events.SendDatagram():
                     self._send(action)
-                case p.SetTimer():
+                case events.SetTimer():
                     self._set_timer(action.at_ms)
-                case p.PersistIncarnation():
+                case events.PersistIncarnation():
                     self._persist_incarnation(
                         action.incarnation, detector.reported_incarnation if was_asking else None
                     )
-                case p.NotifyPeerChange():
+                case events.NotifyPeerChange():
                     self._report_change(detector, action)
 
-    def _send(self, action: p.SendDatagram) -> None:
+    def _send(self, action: events.SendDatagram) -> None:
         self._send_datagram(action.address, action.incarnation, action.message)
 
     def _send_sections(self, address: str, sections: gossip.Sections) -> None:
@@ -318,11 +319,14 @@
             and not self.detector.has_yielded_name
         ):
             self._send_datagram(
-                address, self.detector.incarnation, p.Message(goes_by.MESSAGE_KIND, 0, "", "", ()), sections
+                address,
+                self.detector.incarnation,
+                messages.Message(goes_by.MESSAGE_KIND, 0, "", "", ()),
+                sections,
             )
 
     def _send_datagram(
-        self, address: str, incarnation: int, message: p.Message, sections: gossip.Sections = ()
+        self, address: str, incarnation: int, message: messages.Message, sections: gossip.Sections = ()
     ) -> None:
         assert self._writer is not None
         if self._socket is None:
@@ -367,7 +371,7 @@
             recovery.handle(r.PeersReportedIncarnation(reported_incarnation))
         recovery.handle(r.IncarnationRaised(incarnation))
 
-    def _report_change(self, detector: p.FailureDetector, notification: p.NotifyPeerChange) -> None:
+    def _report_change(self, detector: FailureDetector, notification: events.NotifyPeerChange) -> None:
         shown_name = "".join(c if c.isprintable() else "?" for c in notification.name)
         level = logging.WARNING if notification.change in WARNING_CHANGES else logging.INFO
         level = logging.DEBUG if notification.change in DEBUG_CHANGES else level
@@ -401,7 +405,7 @@
         }
 
 
-@lru_cache(p.MAX_PEERS)
+@lru_cache(parameters.MAX_PEERS)
 def socket_address(text: str, family: int) -> Address | None:
     """An address to send to; guards against a name, which the system would look up while the loop waits."""
     host, _, port = text.rpartition(":")
--- a/balancer/net/cluster_gossip.py
+++ b/balancer/net/cluster_gossip.py
@@ -26,7 +26,7 @@
     OPERATOR_NODE_FIELDS,
     configuration_digest,
 )
-from balancer.core.cluster.failure_detector import FailureDetector
+from balancer.core.cluster.failure_detector.detector import FailureDetector
 from balancer.core.cluster.node_state import GOSSIP_SOURCE_NAME
 from balancer.core.cluster.report import gossip_report, printable
 from balancer.core.discovery import endpoint_merger as membership
--- a/benchmarks/failure_detection.py
+++ b/benchmarks/failure_detection.py
@@ -21,10 +21,12 @@
 from random import Random
 from statistics import mean
 
-from balancer.core.cluster import failure_detector as pr
+from balancer.core.cluster.failure_detector import events, parameters
+from balancer.core.cluster.failure_detector.detector import FailureDetector
+from balancer.core.cluster.failure_detector.member_records import MemberRecord, PeerState
 from balancer.protocol import gossip
 
-PERIOD = pr.PROBE_INTERVAL_MS
+PERIOD = parameters.PROBE_INTERVAL_MS
 
 
 class Net:
@@ -35,7 +37,7 @@
         count: int,
         seed: int,
         loss: float = 0.0,
-        options: pr.Options | None = None,
+        options: events.Options | None = None,
         cold: bool = False,
         delay_ms: tuple[float, float] = (0.3, 3.0),
     ) -> None:
@@ -43,34 +45,34 @@
         self.now = 0.0
         self.heap: list[tuple[float, int, str, object]] = []
         self.count = 0
-        self.nodes: dict[str, pr.FailureDetector] = {}  # by address
+        self.nodes: dict[str, FailureDetector] = {}  # by address
         self.wakes: dict[str, float] = {}
         self.stalled: dict[str, tuple[float, float]] = {}  # address -> since, until
         self.cut: Callable[[str, str], bool] = lambda one, other: False
         self.sent = self.bytes = self.largest = 0
         self.firsts: dict[tuple[str, str, int], str] = {}  # what, of whom, its incarnation -> by whom first
-        self.told: list[tuple[float, str, pr.NotifyPeerChange]] = []
+        self.told: list[tuple[float, str, events.NotifyPeerChange]] = []
         names = [f"n{number}" for number in range(count)]
         for name in names:
             self.add(name, [self.address(name) for name in names[:3]], 0)
         if not cold:
-            words = [pr.MemberRecord(name, pr.PeerState.ALIVE, 1, self.address(name)) for name in names]
+            words = [MemberRecord(name, PeerState.ALIVE, 1, self.address(name)) for name in names]
             for node in self.nodes.values():
                 for word in self.random.sample(words, count):
                     if word.name != node.name:
-                        node._merge(0.0, word, "")
-                node._pending_broadcasts = pr.PendingBroadcasts()
+                        node.record_merger.merge(0.0, word, "")
+                node.broadcasts.clear()
         for address in self.nodes:
-            self.do(address, pr.Started())
+            self.do(address, events.Started())
 
     @staticmethod
     def address(name: str) -> str:
         number = int(name[1:])
         return f"10.0.{number >> 8}.{number & 255}:7946"
 
-    def add(self, name: str, seeds: Sequence[str], kept: int | None, at: str = "") -> pr.FailureDetector:
+    def add(self, name: str, seeds: Sequence[str], kept: int | None, at: str = "") -> FailureDetector:
         where = at or self.address(name)
-        node = pr.FailureDetector(
+        node = FailureDetector(
             name,
             where,
             seeds,
@@ -87,31 +89,33 @@
         self.count += 1
         heappush(self.heap, (at, self.count, address, what))
 
-    def do(self, address: str, event: pr.Event) -> None:
+    def do(self, address: str, event: events.Event) -> None:
         node = self.nodes.get(address)
         if node is None:
             return
         for action in node.handle(self.now, event):
-            if isinstance(action, pr.SendDatagram):
+            if isinstance(action, events.SendDatagram):
                 self.send(address, action, node)
-            elif isinstance(action, pr.SetTimer):
+            elif isinstance(action, events.SetTimer):
                 if action.at_ms != self.wakes.get(address):
                     self.wakes[address] = action.at_ms
                     self.push(action.at_ms, address, action.at_ms)
-            elif isinstance(action, pr.NotifyPeerChange):
+            elif isinstance(action, events.NotifyPeerChange):
                 self.told.append((self.now, node.name, action))
                 if action.change in _BAD:
                     its = node.peers[action.name].record.incarnation
                     self.firsts.setdefault((action.change, action.name, its), node.name)
 
-    def send(self, source: str, action: pr.SendDatagram, node: pr.FailureDetector) -> None:
+    def send(self, source: str, action: events.SendDatagram, node: FailureDetector) -> None:
         words = sum(map(gossip.record_size_bytes, action.message.records))
         size = gossip.MAX_DATAGRAM_BYTES - gossip.record_space_bytes(node.name, action.message) + words
         self.sent, self.bytes, self.largest = self.sent + 1, self.bytes + size, max(self.largest, size)
         if self.random.random() >= self.loss and not self.cut(source, action.address):
             at = self.now + self.random.uniform(*self.delay_ms)
             self.push(
-                at, action.address, pr.DatagramReceived(node.name, action.incarnation, source, action.message)
+                at,
+                action.address,
+                events.DatagramReceived(node.name, action.incarnation, source, action.message),
             )
 
     def stall(self, address: str, ms: float) -> None:
@@ -127,15 +131,15 @@
                 if what == "on" and at >= end:
                     del self.stalled[address]
                     if end - since > 1_000:
-                        self.do(address, pr.ProcessStalled(end - since))
-                    self.do(address, pr.TimerFired())
+                        self.do(address, events.ProcessStalled(end - since))
+                    self.do(address, events.TimerFired())
                 else:
                     self.push(end + 0.01, address, what)  # waits in its socket
                 continue
             if isinstance(what, float):
                 if what == self.wakes.get(address):
-                    self.do(address, pr.TimerFired())
-            elif isinstance(what, pr.DatagramReceived):
+                    self.do(address, events.TimerFired())
+            elif isinstance(what, events.DatagramReceived):
                 self.do(address, what)
             if done and done():
                 return
@@ -151,7 +155,7 @@
     _line(["---"] * len(cells))
 
 
-def detect(sizes: Sequence[int], seeds: int, loss: float, options: pr.Options | None = None) -> None:
+def detect(sizes: Sequence[int], seeds: int, loss: float, options: events.Options | None = None) -> None:
     """One node dies: the first suspicion, the first failure, and failed at all others."""
     _head(
         "nodes",
@@ -193,7 +197,7 @@
                     first["suspected"] - died,
                     first["failed"] - died,
                     net.now - died,
-                    node.suspicion_timeout_ms(pr.MAX_SUSPICION_CONFIRMATIONS),
+                    node.suspicion.timeout_ms(parameters.MAX_SUSPICION_CONFIRMATIONS),
                     rates[0] / size / max(seconds, 0.05),
                     rates[1] / size / max(seconds, 0.05),
                 ]
@@ -215,13 +219,13 @@
 
 _BAD = ("suspected", "failed")
 VARIANTS = {
-    "all": pr.Options(),
-    "no local health": pr.Options(local_health=False),
-    "no dogpile": pr.Options(dogpile_suspicion=False),
-    "no buddy": pr.Options(buddy_system=False),
-    "no filling": pr.Options(fill_datagrams=False),
-    "no news at once": pr.Options(immediate_gossip=False),
-    "SWIM alone": pr.Options(
+    "all": events.Options(),
+    "no local health": events.Options(local_health=False),
+    "no dogpile": events.Options(dogpile_suspicion=False),
+    "no buddy": events.Options(buddy_system=False),
+    "no filling": events.Options(fill_datagrams=False),
+    "no news at once": events.Options(immediate_gossip=False),
+    "SWIM alone": events.Options(
         local_health=False,
         dogpile_suspicion=False,
         buddy_system=False,
@@ -283,7 +287,7 @@
         cold = Net(size, 3, cold=True)
 
         def whole(net: Net) -> bool:
-            return all(len(node._probe_ring) == len(net.nodes) - 1 for node in net.nodes.values())
+            return all(len(node.members.ring) == len(net.nodes) - 1 for node in net.nodes.values())
 
         def until(net: Net, done: Callable[[Net], bool], most: float) -> float:
             start = net.now
@@ -300,7 +304,7 @@
 
         def parted(net: Net, few: int = few, side: dict[str, bool] = side) -> bool:
             most = {True: few - 1, False: len(side) - few - 1}
-            return all(len(node._probe_ring) <= most[side[at]] for at, node in net.nodes.items())
+            return all(len(node.members.ring) <= most[side[at]] for at, node in net.nodes.items())
 
         cut = until(net, parted, 30_000)
         net.run(31_000)
--- a/tests/compatibility/exported_names.py
+++ b/tests/compatibility/exported_names.py
@@ -20,8 +20,8 @@
 from balancer import interface as api
 from balancer.core import recovery
 from balancer.core.anomaly_detection import detector as departure
-from balancer.core.cluster import failure_detector as peers
 from balancer.core.cluster import partition_detector as cuts
+from balancer.core.cluster.failure_detector import member_records, messages
 from balancer.core.discovery import endpoint_merger as membership
 from balancer.core.persistence import persisted_state as kept
 from balancer.observability.metrics import Metrics
@@ -77,9 +77,9 @@
         "recovery_end": _values(recovery.RequestOutcome),
         "recovery_memory": _values(recovery.PersistedState),
         "membership_state": _values(membership.SourceState),
-        "peer_state": [member.name.lower() for member in peers.PeerState],
-        "peer_state_number": _values(peers.PeerState),
-        "message_kind_number": _values(peers.MessageKind),
+        "peer_state": [member.name.lower() for member in member_records.PeerState],
+        "peer_state_number": _values(member_records.PeerState),
+        "message_kind_number": _values(messages.MessageKind),
         "partition": _values(cuts.Verdict),
         "store_fault": _values(files.FaultKind),
         "timeline_counters": list(keys.NAMES.values()),
--- a/tests/core/cluster/test_failure_detector.py
+++ b/tests/core/cluster/test_failure_detector.py
@@ -10,15 +10,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from balancer.core.cluster import failure_detector as pr
-from balancer.core.cluster.failure_detector import (
+from balancer.core.cluster.failure_detector import events, parameters
+from balancer.core.cluster.failure_detector.detector import FailureDetector
+from balancer.core.cluster.failure_detector.events import (
     DatagramReceived,
-    FailureDetector,
-    MemberRecord,
-    Message,
-    MessageKind,
     NotifyPeerChange,
-    PeerState,
     PersistIncarnation,
     ProcessStalled,
     SendDatagram,
@@ -26,8 +22,9 @@
     ShutdownStarted,
     Started,
     TimerFired,
-    newer_record,
 )
+from balancer.core.cluster.failure_detector.member_records import MemberRecord, PeerState, newer_record
+from balancer.core.cluster.failure_detector.messages import Message, MessageKind
 from balancer.protocol import gossip
 from benchmarks.failure_detection import Net
 
@@ -64,13 +61,13 @@
     source: str,
     *records: MemberRecord,
     incarnation: int = 1,
-) -> list[pr.Action]:
+) -> list[events.Action]:
     return detector.handle(
         now_ms, DatagramReceived(sender, incarnation, source, EMPTY_MESSAGE._replace(records=records))
     )
 
 
-def run_timers(detector: FailureDetector, start_ms: float, end_ms: float) -> list[pr.Action]:
+def run_timers(detector: FailureDetector, start_ms: float, end_ms: float) -> list[events.Action]:
     """Ticks whenever it asked for one; all that it did."""
     done, now_ms = [], start_ms
     while now_ms <= end_ms:
@@ -80,7 +77,7 @@
     return done
 
 
-def changes(actions: list[pr.Action]) -> list[tuple[str, str]]:
+def changes(actions: list[events.Action]) -> list[tuple[str, str]]:
     return [(action.change, action.name) for action in actions if isinstance(action, NotifyPeerChange)]
 
 
@@ -158,16 +155,18 @@
 
 def test_all_tables_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     for name in ("MAX_PEERS", "MAX_TOMBSTONES", "MAX_RELAYED_PROBES"):
-        monkeypatch.setattr(pr, name, 5)
+        monkeypatch.setattr(parameters, name, 5)
     peers, seen = detector_of(), []
     for number in range(40):
         word = MemberRecord(f"x{number}", number % 2 * 2, 1, f"10.1.0.{number}:1")
         seen += receive(peers, 0, "b", B, word)
         peers.handle(0, DatagramReceived("b", 1, B, Message(MessageKind.PING_REQ, number, "c", C, ())))
-    assert len(peers._probe_ring) == 5 and len(peers._tombstones) == 5 and len(peers._relayed_probes) == 5
+    assert (
+        len(peers.members.ring) == 5 and len(peers.members.tombstones) == 5 and len(peers.prober.relayed) == 5
+    )
     assert len(peers.peers) == 10 and changes(seen).count(("full", "x8")) == 1
     peers.handle(0, Started())
-    run_timers(peers, 0, pr.TOMBSTONE_RETENTION_MS + 60_000)
+    run_timers(peers, 0, parameters.TOMBSTONE_RETENTION_MS + 60_000)
     assert not peers.peers  # forgotten in the end
 
 
@@ -238,9 +237,9 @@
 def test_one_that_nobody_answers_begins_alone_and_mends_it_when_told() -> None:
     peers = detector_of(None, B)
     peers.handle(0, Started())
-    run_timers(peers, 0, pr.NO_ANSWER_WAIT_MS - 300)
+    run_timers(peers, 0, parameters.NO_ANSWER_WAIT_MS - 300)
     assert peers.is_asking_for_incarnation
-    run_timers(peers, pr.NO_ANSWER_WAIT_MS - 299, pr.NO_ANSWER_WAIT_MS + 300)
+    run_timers(peers, parameters.NO_ANSWER_WAIT_MS - 299, parameters.NO_ANSWER_WAIT_MS + 300)
     assert peers.incarnation == 1
     receive(peers, 4_000, "b", B, MemberRecord("a", PeerState.ALIVE, 9, A))  # an older self
     assert peers.incarnation == 10
@@ -308,7 +307,7 @@
     receive(peers, 0, "b", B)
     receive(peers, 100, "c", C, MemberRecord("b", PeerState.FAILED, 1, B))
     assert peers.state_of("b") is PeerState.SUSPECT
-    receive(peers, pr.RECENT_CONTACT_MS + 1, "c", C, MemberRecord("b", PeerState.FAILED, 1, B))
+    receive(peers, parameters.RECENT_CONTACT_MS + 1, "c", C, MemberRecord("b", PeerState.FAILED, 1, B))
     assert peers.state_of("b") is PeerState.FAILED
 
 
@@ -344,7 +343,7 @@
         told = [action for action in actions if action.message.kind == MessageKind.GOSSIP]
         assert number or {"10.1.0.0:1"} < {action.address for action in told}
         sent += told
-    assert len(sent) == pr.MAX_IMMEDIATE_GOSSIP_PER_INTERVAL  # until the next period
+    assert len(sent) == parameters.MAX_IMMEDIATE_GOSSIP_PER_INTERVAL  # until the next period
 
 
 def test_the_more_share_a_suspicion_the_sooner_it_ends() -> None:
@@ -379,14 +378,14 @@
                     nack = Message(MessageKind.NACK, action.message.sequence, "", "", ())
                     peers.handle(turn * 40 + 20, DatagramReceived(helper, 1, action.address, nack))
         health.append(peers.local_health)
-    assert health == [pr.MAX_LOCAL_HEALTH, 0]
+    assert health == [parameters.MAX_LOCAL_HEALTH, 0]
 
 
 # --- worlds
 
 
 def is_complete(net: Net) -> bool:
-    return all(len(node._probe_ring) == len(net.nodes) - 1 for node in net.nodes.values())
+    return all(len(node.members.ring) == len(net.nodes) - 1 for node in net.nodes.values())
 
 
 @pytest.mark.parametrize("loss", [0.0, 0.3])
@@ -403,7 +402,7 @@
 def test_a_cut_heals_and_old_seeds_do_not_stop_a_join() -> None:
     net = Net(10, 3)
     for node in net.nodes.values():
-        node.seeds = []  # a seed that is there on the other side would heal it too
+        node.set_seeds([])  # a seed that is there on the other side would heal it too
     side = {address: number < 4 for number, address in enumerate(net.nodes)}
     net.cut = lambda one, other: side.get(one) != side.get(other)
     net.run(20_000)
@@ -434,15 +433,15 @@
     net.run(1_000)
     left_out = net.nodes[net.address("n5")]
     peer = left_out.peers["n9"]
-    left_out._remove_from_ring(0, "n9", peer)
-    left_out._forget("n9")
-    left_out._pending_broadcasts = pr.PendingBroadcasts()
+    left_out.members.bury(0, peer)
+    left_out.members.forget("n9")
+    left_out.broadcasts.clear()
     for other in net.nodes.values():
-        other._pending_broadcasts = pr.PendingBroadcasts()
+        other.broadcasts.clear()
     del net.nodes[net.address("n9")].peers["n5"]  # it shall not be told by n9 itself
-    net.nodes[net.address("n9")]._probe_ring.remove("n5")
-    net.nodes[net.address("n9")]._probed_count = 0
-    for at, name in enumerate(net.nodes[net.address("n9")]._probe_ring):
+    net.nodes[net.address("n9")].members.ring.remove("n5")
+    net.nodes[net.address("n9")].members.probed_count = 0
+    for at, name in enumerate(net.nodes[net.address("n9")].members.ring):
         net.nodes[net.address("n9")].peers[name].ring_index = at
     net.cut = lambda one, other: {one, other} == {net.address("n5"), net.address("n9")}
     net.run(5_000)
@@ -488,7 +487,7 @@
             gossip.record_space_bytes,
         )
 
-    def _handle(self, name: str, event: pr.Event) -> float:
+    def _handle(self, name: str, event: events.Event) -> float:
         wake = 0.0
         for action in self.nodes[name].handle(self.now_ms[name], event):
             if isinstance(action, SendDatagram):
@@ -556,9 +555,9 @@
                 self._handle(to, heard)
         self.check()
         for name, node in self.nodes.items():
-            assert set(node._probe_ring) == NAMES.keys() - {name}, node
+            assert set(node.members.ring) == NAMES.keys() - {name}, node
             assert all(
-                node.peers[of].record.incarnation == self.nodes[of].incarnation for of in node._probe_ring
+                node.peers[of].record.incarnation == self.nodes[of].incarnation for of in node.members.ring
             )
 
     def key(self) -> object:
--- a/tests/core/cluster/test_gossip_coordinator.py
+++ b/tests/core/cluster/test_gossip_coordinator.py
@@ -20,7 +20,7 @@
 from balancer.core.cluster import (
     quota_allocation as shares,
 )
-from balancer.core.cluster.failure_detector import ShutdownStarted
+from balancer.core.cluster.failure_detector.events import ShutdownStarted
 from balancer.core.cluster.gossip_coordinator import (
     GossipCoordinator,
     GossipIntervalElapsed,
--- a/tests/net/test_cluster.py
+++ b/tests/net/test_cluster.py
@@ -18,7 +18,8 @@
 from balancer import interface as api
 from balancer.core import recovery as r
 from balancer.core.anomaly_detection.detector import TimelineEvent
-from balancer.core.cluster import failure_detector as p
+from balancer.core.cluster.failure_detector import events, messages, parameters
+from balancer.core.cluster.failure_detector.member_records import PeerState
 from balancer.core.discovery import endpoint_merger as ms
 from balancer.endpoints import EndpointList, EndpointRecord
 from balancer.net import cluster as net
@@ -38,7 +39,7 @@
 @pytest.fixture(autouse=True)
 def short_incarnation_wait(monkeypatch: pytest.MonkeyPatch) -> None:
     """The first one waits for an answer that nobody can give."""
-    monkeypatch.setattr(p, "NO_ANSWER_WAIT_MS", 400.0)
+    monkeypatch.setattr(parameters, "NO_ANSWER_WAIT_MS", 400.0)
 
 
 class NodeStub:
@@ -144,9 +145,9 @@
 
 
 def message(
-    kind: p.MessageKind, *words: tuple[str, int, int, str, int], seq: int = 0, target: str = ""
-) -> p.Message:
-    return p.Message(kind, seq, target, "", words)
+    kind: messages.MessageKind, *words: tuple[str, int, int, str, int], seq: int = 0, target: str = ""
+) -> messages.Message:
+    return messages.Message(kind, seq, target, "", words)
 
 
 def test_they_find_each_other_and_one_that_is_switched_off_has_left() -> None:
@@ -171,8 +172,8 @@
         async with cluster_of(3) as (one, other, _):
             address = written(other.address)
             lie = message(
-                p.MessageKind.GOSSIP,
-                ("n1", p.PeerState.FAILED, 9, address, 1),
+                messages.MessageKind.GOSSIP,
+                ("n1", PeerState.FAILED, 9, address, 1),
                 ("n9", 0, 1, "127.0.0.1:9", 0),
             )
             good = gossip.Writer("liar", KEYS).write(1, lie)
@@ -188,7 +189,7 @@
                 await wait_until(lambda: sum(one.report()["refused"].values()) == len(bad) + len(good))
                 assert set(one.states_by_name()) == {"n1", "n2"} and one.states_by_name()["n1"] == "alive"
                 # The right one counts, once.
-                hello = gossip.Writer("n9", KEYS).write(5, message(p.MessageKind.GOSSIP))
+                hello = gossip.Writer("n9", KEYS).write(5, message(messages.MessageKind.GOSSIP))
                 for _ in range(3):
                     sock.sendto(hello, one.address)
                 await wait_until(
@@ -222,23 +223,24 @@
         async with cluster_of(1) as (one,):
             with udp_socket() as sock:
                 writer, reader, ping = gossip.Writer("slow", KEYS), gossip.Reader(KEYS), None
-                sock.sendto(writer.write(1, message(p.MessageKind.GOSSIP)), one.address)
+                sock.sendto(writer.write(1, message(messages.MessageKind.GOSSIP)), one.address)
                 while ping is None:
                     await asyncio.sleep(0.001)
                     with contextlib.suppress(BlockingIOError):
                         found = reader.read(0.0, "", sock.recv(300))
                         if (
                             isinstance(found, gossip.AcceptedDatagram)
-                            and found.message.kind == p.MessageKind.PING
+                            and found.message.kind == messages.MessageKind.PING
                         ):
                             ping = found.message
                 sock.sendto(
-                    writer.write(1, message(p.MessageKind.ACK, seq=ping.sequence, target="slow")), one.address
+                    writer.write(1, message(messages.MessageKind.ACK, seq=ping.sequence, target="slow")),
+                    one.address,
                 )
-                time.sleep(p.PROBE_INTERVAL_MS / 1000 + 0.1)
+                time.sleep(parameters.PROBE_INTERVAL_MS / 1000 + 0.1)
                 one._on_timer()  # as a loop may call it before it looks at its sockets
                 assert one.states_by_name() == {"slow": "alive"}
-                time.sleep(p.PROBE_INTERVAL_MS / 1000 + 0.1)
+                time.sleep(parameters.PROBE_INTERVAL_MS / 1000 + 0.1)
                 one._on_timer()  # and now there was none
                 assert one.states_by_name() == {"slow": "suspect"}
 
@@ -394,7 +396,8 @@
     with udp_socket() as sock:
         word = (one.running.name, state, incarnation, written(one.address), 1)
         sock.sendto(
-            gossip.Writer("liar", KEYS).write(incarnation, message(p.MessageKind.GOSSIP, word)), one.address
+            gossip.Writer("liar", KEYS).write(incarnation, message(messages.MessageKind.GOSSIP, word)),
+            one.address,
         )
 
 
@@ -412,9 +415,9 @@
                 meter.begin(r.PersistedIncarnation(7, 1_000.0))
                 assert one.report()["speaks"] and meter.memory_and_incarnation == ("kept", 8)
                 await wait_until(lambda: other.sees_alive(one))
-                await gossip_about(one, p.PeerState.SUSPECT, 8)
+                await gossip_about(one, PeerState.SUSPECT, 8)
                 await wait_until(lambda: meter.memory_and_incarnation == ("kept", 9))
-                await gossip_about(one, p.PeerState.FAILED, 20)
+                await gossip_about(one, PeerState.FAILED, 20)
                 await wait_until(lambda: meter.memory_and_incarnation == ("older", 21))
                 await wait_until(lambda: ("n1", 21) in other.incarnations())
                 assert meter.persisted_incarnations == [8, 9, 21]
@@ -433,8 +436,8 @@
             meter.begin(None)
             if held:
                 assert other.detector is not None
-                fell = message(p.MessageKind.GOSSIP, ("n1", p.PeerState.FAILED, held, "127.0.0.1:9", 1))
-                other._handle(p.DatagramReceived("n2", 1, "127.0.0.1:8", fell))
+                fell = message(messages.MessageKind.GOSSIP, ("n1", PeerState.FAILED, held, "127.0.0.1:9", 1))
+                other._handle(events.DatagramReceived("n2", 1, "127.0.0.1:8", fell))
             try:
                 one.switch_on(other)
                 assert not one.report()["speaks"]
--- a/tests/protocol/test_gossip_sections.py
+++ b/tests/protocol/test_gossip_sections.py
@@ -7,14 +7,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from balancer.core.cluster.failure_detector import (
-    DatagramReceived,
-    FailureDetector,
-    Message,
-    PeerState,
-    SendDatagram,
-    TimerFired,
-)
+from balancer.core.cluster.failure_detector.detector import FailureDetector
+from balancer.core.cluster.failure_detector.events import DatagramReceived, SendDatagram, TimerFired
+from balancer.core.cluster.failure_detector.member_records import PeerState
+from balancer.core.cluster.failure_detector.messages import Message
 from balancer.protocol import gossip
 from balancer.protocol import gossip_sections as goes_by
 
