--- a/balancer/protocol/gossip.py
+++ b/balancer/protocol/gossip.py
@@ -1,26 +1,27 @@
-"""Datagrams between nodes: at most 256 bytes, with a code by a shared key, readable by several versions at
-once.
+"""Datagrams between nodes: at most 256 bytes, authenticated by a shared key, readable across versions.
 
     version 1 | least 1 | key id 2 | counter 6 | incarnation 4 | name
-    kind 1 | seq 4 | target | address | words | sections | code 16
-
-Text is a byte of length and UTF-8; an address is text, or a byte 255 and six bytes where it is IPv4. A word
-is a byte of length, state 1, incarnation 4, accuser 2, name, address; whatever a later version puts behind
-that within the length is skipped.
-Behind the words, which a word of length 0 ends, come sections, each a byte of kind, one of length and that
-many (`protocol/gossip_sections`): the first readers skipped all of them, later ones skip kinds that they
-do not know,
-and one whose length points behind the end ends them.
-`least` is the oldest version of a reader that may take it: a later version raises it only where an older
-reader would be misled.
-
-The code is keyed BLAKE2s of the standard library, 16 bytes, over all that is before it (RFC 7693); it is
-checked before anything behind the key's id is read. Forged datagrams cost one code each up to FORGED a
-second; beyond that, only those from addresses that a right one came from lately. Replays: the greatest
-counter of each sender's incarnation and the 64 before it (as RFC 4303, 3.4.3); a restarted sender has a
-greater incarnation. Those without an incarnation (0: the sender asks who it was) are not held against the
-window: an answer to one is all they cost. A reader that restarts has no windows: what is replayed to it then
-is merged, which is harmless.
+    kind 1 | sequence 4 | target | address | records | sections | MAC 16
+
+Numbers are bytes. Text is a byte of length and UTF-8; an address is text, or a byte 255 and six bytes if it
+is IPv4. A record is a byte of length, state 1, incarnation 4, accuser id 2, name, address; whatever a later
+version puts behind that within the length is skipped. A record of length 0 ends the records.
+
+Sections follow, each a byte of kind, a byte of length and that many bytes (`protocol/gossip_sections`). The
+first readers skipped all of them, later ones skip kinds that they do not know; a length that points behind
+the end ends them.
+
+`least` is the oldest version of a reader that may take the datagram: a later version raises it only where an
+older reader would be misled.
+
+The message authentication code (MAC) is keyed BLAKE2s, 16 bytes, over all that is before it (RFC 7693). It is
+checked before anything behind the key's id is read. Each forged datagram costs one MAC, up to
+MAX_FORGED_PER_S; beyond that, only those from addresses are read that an authentic one came from lately.
+
+Replays are found by a window of counters for each sender's incarnation (as RFC 4303, section 3.4.3); a
+restarted sender has a greater incarnation. Datagrams with incarnation 0, by which a sender asks for its own,
+are not held against the window: an answer to each is all that they cost. A reader that restarts has no
+windows: what is replayed to it then is merged, which is harmless.
 """
 
 from __future__ import annotations
@@ -28,40 +29,49 @@
 from collections import OrderedDict
 from collections.abc import Sequence
 from contextlib import suppress
+from enum import Enum, StrEnum, auto
 from functools import lru_cache
 from hashlib import blake2s
 from hmac import compare_digest
 from struct import Struct
-from typing import Any, NamedTuple
+from typing import NamedTuple, TypeVar
 
-MAX_DATAGRAM_BYTES = 256  # the longest datagram, in bytes
+MAX_DATAGRAM_BYTES = 256  # below any MTU, so that no datagram is fragmented
 PROTOCOL_VERSION = 1
-MAC_BYTES = 16  # bytes of the code
-MAX_TEXT_BYTES = 64  # the longest name or address, in bytes
-MAX_KEYS = 8  # at most so many at once
-MAX_SENDERS = 8_192  # windows and known addresses held; beyond, the longest unheard one is dropped
-REPLAY_WINDOW_COUNTERS = 64  # counters that may come late
-MAX_FORGED_PER_S = 2_000  # wrong codes a second, before strangers are no longer read
+MAC_BYTES = 16
+MAX_TEXT_BYTES = 64  # of a name or an address
+MIN_KEY_BYTES, MAX_KEY_BYTES = 16, 32
+MAX_KEYS = 8  # at once
+MAX_SENDERS = 8_192  # with a replay window, and known addresses; beyond, the longest unheard one is dropped
+REPLAY_WINDOW_COUNTERS = 64  # by so many a datagram may come late
+MAX_FORGED_PER_S = 2_000  # wrong MACs, before datagrams from unknown addresses are no longer read
+
 _HEADER = Struct("!BB2sHIL")  # version, least, key id, counter (high, low), incarnation
-_MESSAGE_HEADER = Struct("!BL")
-_RECORD_HEADER = Struct("!BLH")
+_MESSAGE_HEADER = Struct("!BL")  # kind, sequence
+_RECORD_HEADER = Struct("!BLH")  # state, incarnation, accuser id
+_OLDEST_READER_VERSION = 1  # `least` of what is written
+_IPV4_MARK = 255  # in place of a length, which is at most MAX_TEXT_BYTES
 
-MemberRecord = tuple[str, int, int, str, int]  # name, state, incarnation, address, accuser
+PlainRecord = tuple[str, int, int, str, int]  # name, state, incarnation, address, accuser id
+MessageFields = tuple[int, int, str, str, Sequence[PlainRecord]]  # of a `Message`
 Sections = Sequence[tuple[int, bytes]]  # kind, and what the codec of that kind reads
 
 
 class Message(NamedTuple):
-    """What a datagram says, in the shape of the decider's `Message`."""
+    """What a datagram says, with the fields of the failure detector's `Message`."""
 
     kind: int
     sequence: int
     target: str
     address: str
-    records: Sequence[MemberRecord]
+    records: Sequence[PlainRecord]
 
 
 class AcceptedDatagram(NamedTuple):
-    """A right datagram; `fresh` False: of an incarnation of the sender older than one heard."""
+    """An authentic datagram.
+
+    `is_current` is False if the sender was heard in a greater incarnation before.
+    """
 
     sender: str
     incarnation: int
@@ -70,20 +80,34 @@
     sections: Sections = ()
 
 
+class RejectionReason(StrEnum):
+    """Why a datagram is not read. The values are labels of metrics."""
+
+    TOO_LONG = "long"
+    TOO_SHORT = "short"
+    VERSION = "version"  # written for later readers only
+    UNKNOWN_KEY = "key"
+    WRONG_MAC = "code"
+    UNKNOWN_ADDRESS = "stranger"  # while there are many forged ones
+    REPLAYED = "replay"
+    MALFORMED = "garbled"
+
+
 class RejectedDatagram(NamedTuple):
-    """`why`: long, short, version, key, code, stranger, replay or garbled."""
+    """A datagram that is not read."""
 
-    reason: str
+    reason: RejectionReason
 
 
 class Key:
-    """A secret of 16 to 32 bytes. `id`: two bytes that tell which it is, and nothing about it."""
+    """A shared secret of 16 to 32 bytes. `id`: two bytes that tell which one it is, and nothing about it."""
 
     __slots__ = ("_state", "id")
 
     def __init__(self, secret: bytes) -> None:
-        if not 16 <= len(secret) <= 32:
-            raise ValueError(f"a key has {len(secret)} bytes; 16 to 32 are allowed")
+        if not MIN_KEY_BYTES <= len(secret) <= MAX_KEY_BYTES:
+            raise ValueError(f"a key has {len(secret)} bytes; {MIN_KEY_BYTES} to {MAX_KEY_BYTES} are allowed")
+        # The personalization is part of the wire format: with another one no other version accepts the MAC.
         self._state = blake2s(key=secret, digest_size=MAC_BYTES, person=b"dillport")
         self.id = blake2s(b"id", key=secret, digest_size=2, person=b"key id").digest()
 
@@ -94,16 +118,17 @@
         raise TypeError("a key is not written down")
 
     def mac(self, data: bytes) -> bytes:
-        """The code of some bytes; the state after the key is copied, which saves a block each."""
+        """The MAC of some bytes. The state after the key is copied, which saves a block each time."""
         state = self._state.copy()
         state.update(data)
         return state.digest()
 
 
 def parse_keys(text: str) -> tuple[Key, ...]:
-    """Keys of a file: hexadecimal, one a line, the first signs, all verify; blank lines and # do not count.
+    """Read a file of keys: hexadecimal, one a line; the first signs, all verify.
 
-    Raises ValueError with all faults, by line, none of which quotes what is there.
+    Blank lines and lines with # in front are skipped. Raises ValueError with all faults, by line, none of
+    which quotes what is there.
     """
     keys: dict[bytes, Key] = {}
     faults = []
@@ -135,132 +160,158 @@
 
 @lru_cache(MAX_SENDERS)
 def _encode_address(text: str) -> bytes:
-    host, _, port = text.rpartition(":")
+    host, _, port_text = text.rpartition(":")
     parts = host.split(".")
-    if len(parts) == 4 and all(part.isdecimal() and str(int(part)) == part for part in (*parts, port)):
-        numbers = [int(part) for part in parts]
-        if max(numbers) < 256 and int(port) < 65_536:
-            return bytes((255, *numbers, int(port) >> 8, int(port) & 255))
+    # Only what reads back as the same text: neither leading zeros nor other digits.
+    if len(parts) == 4 and all(part.isdecimal() and str(int(part)) == part for part in (*parts, port_text)):
+        octets, port = [int(part) for part in parts], int(port_text)
+        if max(octets) < 256 and port < 65_536:
+            return bytes((_IPV4_MARK, *octets, port >> 8, port & 255))
     return _encode_text(text)
 
 
-def record_size_bytes(record: MemberRecord) -> int:
-    """Bytes that a word takes in a datagram."""
-    return 8 + len(_encode_text(record[0])) + len(_encode_address(record[3]))
+def record_size_bytes(record: PlainRecord) -> int:
+    """Bytes that a record takes in a datagram."""
+    return 1 + _RECORD_HEADER.size + len(_encode_text(record[0])) + len(_encode_address(record[3]))
 
 
-def record_space_bytes(name: str, message: tuple[int, int, str, str, Sequence[MemberRecord]]) -> int:
-    """Bytes for words in a datagram of this sender with such a message."""
+def record_space_bytes(name: str, message: MessageFields) -> int:
+    """Bytes for records in a datagram of this sender with such a message."""
     _, _, target, address, _ = message
-    used_bytes = (
-        _HEADER.size
-        + _MESSAGE_HEADER.size
-        + len(_encode_text(name))
-        + len(_encode_text(target))
-        + len(_encode_address(address))
-    )
-    return MAX_DATAGRAM_BYTES - MAC_BYTES - 1 - used_bytes
+    texts_bytes = len(_encode_text(name)) + len(_encode_text(target)) + len(_encode_address(address))
+    end_of_records_bytes = 1
+    used_bytes = _HEADER.size + _MESSAGE_HEADER.size + texts_bytes + end_of_records_bytes + MAC_BYTES
+    return MAX_DATAGRAM_BYTES - used_bytes
 
 
-class _MalformedDatagram(Exception):
-    """A length points behind the end, or what is there is none of what may be."""
+class Writer:
+    """Writes the datagrams of one node. `keys`: the first signs; they may be replaced at any time."""
+
+    def __init__(self, name: str, keys: Sequence[Key]) -> None:
+        self.keys = keys
+        self._encoded_name = _encode_text(name)
+        self._counter = self._incarnation = 0
+
+    def write(self, incarnation: int, message: MessageFields, sections: Sections = ()) -> bytes:
+        """One datagram; each has a counter of its own, so one that is to be sent twice is written twice.
+
+        Raises ValueError if it would be longer than MAX_DATAGRAM_BYTES: `record_space_bytes` and
+        `record_size_bytes` tell before what fits.
+        """
+        if incarnation != self._incarnation:
+            self._incarnation, self._counter = incarnation, 0
+        self._counter += 1
+        high, low = self._counter >> 32, self._counter & 0xFFFFFFFF
+        kind, sequence, target, address, records = message
+        key = self.keys[0]
+        parts = [
+            _HEADER.pack(PROTOCOL_VERSION, _OLDEST_READER_VERSION, key.id, high, low, incarnation),
+            self._encoded_name,
+            _MESSAGE_HEADER.pack(kind, sequence),
+            _encode_text(target),
+            _encode_address(address),
+            *map(_encode_record, records),
+            b"\0",  # ends the records
+            *(bytes((section_kind, len(content))) + content for section_kind, content in sections),
+        ]
+        data = b"".join(parts)
+        if len(data) + MAC_BYTES > MAX_DATAGRAM_BYTES:
+            raise ValueError(
+                f"a datagram of {len(data) + MAC_BYTES} bytes; at most {MAX_DATAGRAM_BYTES} are allowed"
+            )
+        return data + key.mac(data)
+
+
+def _encode_record(record: PlainRecord) -> bytes:
+    name, state, incarnation, address, accuser_id = record
+    header = _RECORD_HEADER.pack(state, incarnation, accuser_id)
+    data = header + _encode_text(name) + _encode_address(address)
+    return bytes((len(data),)) + data
+
+
+class _MalformedDatagramError(Exception):
+    """A length points behind the end, or a value is none of those that may be there."""
 
 
 class _ByteReader:
+    """Reads `data` from `position` to `end`."""
+
     __slots__ = ("data", "end", "position")
 
     def __init__(self, data: bytes, position: int, end: int) -> None:
         self.data, self.position, self.end = data, position, end
 
     def take(self, count: int) -> bytes:
+        """The next bytes; raises _MalformedDatagramError if there are fewer."""
         if self.position + count > self.end:
-            raise _MalformedDatagram
+            raise _MalformedDatagramError
         self.position += count
         return self.data[self.position - count : self.position]
 
     def text(self) -> str:
+        """The next text."""
         length = self.take(1)[0]
         if length > MAX_TEXT_BYTES:
-            raise _MalformedDatagram
+            raise _MalformedDatagramError
         try:
             return self.take(length).decode()
         except UnicodeDecodeError:
-            raise _MalformedDatagram from None
+            raise _MalformedDatagramError from None
 
     def address(self) -> str:
-        if self.position < self.end and self.data[self.position] == 255:
+        """The next address."""
+        if self.position < self.end and self.data[self.position] == _IPV4_MARK:
             raw = self.take(7)
             return f"{raw[1]}.{raw[2]}.{raw[3]}.{raw[4]}:{raw[5] << 8 | raw[6]}"
         return self.text()
 
 
-class Writer:
-    """Datagrams of one node. `keys`: the first signs; set anew when the file changed."""
+class _ReplayWindow(NamedTuple):
+    """Which counters of a sender's incarnation were read; bit n of `seen_bits`: `greatest_counter - n`."""
 
-    def __init__(self, name: str, keys: Sequence[Key]) -> None:
-        self.keys = keys
-        self._encoded_name = _encode_text(name)
-        self._counter = self._incarnation = 0
+    incarnation: int
+    greatest_counter: int
+    seen_bits: int
+
+    def with_counter(self, counter: int) -> _ReplayWindow | None:
+        """The window after one more datagram; None if its counter was seen or is too old to tell."""
+        lag = self.greatest_counter - counter
+        if lag < 0:
+            shift = min(-lag, REPLAY_WINDOW_COUNTERS)
+            seen_bits = (self.seen_bits << shift | 1) & (1 << REPLAY_WINDOW_COUNTERS) - 1
+            return _ReplayWindow(self.incarnation, counter, seen_bits)
+        if lag >= REPLAY_WINDOW_COUNTERS or self.seen_bits >> lag & 1:
+            return None
+        return self._replace(seen_bits=self.seen_bits | 1 << lag)
 
-    def write(
-        self,
-        incarnation: int,
-        message: tuple[int, int, str, str, Sequence[MemberRecord]],
-        sections: Sections = (),
-    ) -> bytes:
-        """One datagram; each has a counter of its own, so one that is to be sent twice is written twice.
 
-        Raises ValueError where it would be longer than SIZE: whoever packs asks `room` and `cost` before.
-        """
-        if incarnation != self._incarnation:
-            self._incarnation, self._counter = incarnation, 0
-        self._counter += 1
-        kind, sequence, target, address, records = message
-        key = self.keys[0]
-        parts = [
-            _HEADER.pack(
-                PROTOCOL_VERSION, 1, key.id, self._counter >> 32, self._counter & 0xFFFFFFFF, incarnation
-            ),
-            self._encoded_name,
-            _MESSAGE_HEADER.pack(kind, sequence),
-            _encode_text(target),
-            _encode_address(address),
-        ]
-        for name, state, member_incarnation, member_address, accuser_id in records:
-            record = (
-                _RECORD_HEADER.pack(state, member_incarnation, accuser_id)
-                + _encode_text(name)
-                + _encode_address(member_address)
-            )
-            parts.append(bytes((len(record),)) + record)
-        data = (
-            b"".join(parts)
-            + b"\0"
-            + b"".join(bytes((kind, len(content))) + content for kind, content in sections)
-        )
-        if len(data) + MAC_BYTES > MAX_DATAGRAM_BYTES:
-            raise ValueError(
-                f"a datagram of {len(data) + MAC_BYTES} bytes; at most {MAX_DATAGRAM_BYTES} are allowed"
-            )
-        return data + key.mac(data)
+class _Freshness(Enum):
+    CURRENT = auto()
+    STALE = auto()  # of an older incarnation than the greatest one heard
+    REPLAYED = auto()
+
+
+_NEVER_HEARD = _ReplayWindow(0, 0, 0)
 
 
 class Reader:
-    """Datagrams of all others: never raises, whatever came. `refused` counts by reason."""
+    """Reads the datagrams of all others; never raises, whatever came. `rejected_counts` counts by reason.
+
+    `max_version`: the version that this reader understands.
+    """
 
     def __init__(self, keys: Sequence[Key], max_version: int = PROTOCOL_VERSION) -> None:
         self.keys = keys
         self.rejected_counts: dict[str, int] = {}
         self._max_version = max_version
-        self._replay_windows: OrderedDict[str, tuple[int, int, int]] = (
-            OrderedDict()
-        )  # incarnation, greatest, bits
+        self._replay_windows: OrderedDict[str, _ReplayWindow] = OrderedDict()  # by sender
         self._known_addresses: OrderedDict[str, None] = OrderedDict()
-        self._current_second, self._forged_count = 0, 0
+        self._current_second = 0
+        self._forged_count = 0  # in that second
 
     @property
     def keys(self) -> tuple[Key, ...]:
-        """All that verify; another list takes the place of this one between two datagrams."""
+        """All that verify; they may be replaced at any time."""
         return tuple(self._keys.values())
 
     @keys.setter
@@ -268,88 +319,106 @@
         self._keys = {key.id: key for key in keys}
 
     def read(self, now_ms: float, source: str, data: bytes) -> AcceptedDatagram | RejectedDatagram:
-        """What a datagram says, or why it is not taken."""
-        found = self._check(now_ms, source, data)
-        if isinstance(found, RejectedDatagram):
-            self.rejected_counts[found.reason] = self.rejected_counts.get(found.reason, 0) + 1
-        return found
-
-    def _check(self, now_ms: float, source: str, data: bytes) -> AcceptedDatagram | RejectedDatagram:
+        """What a datagram says, or why it is rejected; `source` is the address it came from."""
+        reason = self._rejection_by_header(data) or self._rejection_by_mac(now_ms, source, data)
+        datagram = RejectedDatagram(reason) if reason else self._read_authentic(source, data)
+        if isinstance(datagram, RejectedDatagram):
+            self.rejected_counts[datagram.reason] = self.rejected_counts.get(datagram.reason, 0) + 1
+        return datagram
+
+    def _rejection_by_header(self, data: bytes) -> RejectionReason | None:
         if len(data) > MAX_DATAGRAM_BYTES:
-            return RejectedDatagram("long")
+            return RejectionReason.TOO_LONG
         if len(data) < _HEADER.size + MAC_BYTES:
-            return RejectedDatagram("short")
-        if not data[0] or data[1] > self._max_version:
-            return RejectedDatagram("version")
+            return RejectionReason.TOO_SHORT
+        version, least = data[0], data[1]
+        if not version or least > self._max_version:
+            return RejectionReason.VERSION
+        return None
+
+    def _rejection_by_mac(self, now_ms: float, source: str, data: bytes) -> RejectionReason | None:
         key = self._keys.get(data[2:4])
         if key is None:
-            return RejectedDatagram("key")
+            return RejectionReason.UNKNOWN_KEY
         second = int(now_ms // 1_000)
         if second != self._current_second:
             self._current_second, self._forged_count = second, 0
         if self._forged_count >= MAX_FORGED_PER_S and source not in self._known_addresses:
-            return RejectedDatagram("stranger")
+            return RejectionReason.UNKNOWN_ADDRESS
         if not compare_digest(key.mac(data[:-MAC_BYTES]), data[-MAC_BYTES:]):
             self._forged_count += 1
-            return RejectedDatagram("code")
+            return RejectionReason.WRONG_MAC
+        return None
+
+    def _read_authentic(self, source: str, data: bytes) -> AcceptedDatagram | RejectedDatagram:
         try:
-            sender, incarnation, counter, message, sections = _parse(data)
-        except _MalformedDatagram:
-            return RejectedDatagram("garbled")
-        fresh = self._is_current(sender, incarnation, counter)
-        if fresh is None:
-            return RejectedDatagram("replay")
-        if fresh and incarnation:  # all others can be a right one that somebody else sends once more
+            counter, datagram = _parse(data)
+        except _MalformedDatagramError:
+            return RejectedDatagram(RejectionReason.MALFORMED)
+        freshness = self._note_counter(datagram.sender, datagram.incarnation, counter)
+        if freshness is _Freshness.REPLAYED:
+            return RejectedDatagram(RejectionReason.REPLAYED)
+        if freshness is _Freshness.STALE:
+            return datagram._replace(is_current=False)
+        if datagram.incarnation:  # any other may be an authentic one that somebody else sends once more
             _refresh(self._known_addresses, source, None)
-        return AcceptedDatagram(sender, incarnation, message, fresh, sections)
+        return datagram
 
-    def _is_current(self, sender: str, incarnation: int, counter: int) -> bool | None:
-        """Whether it is new (True), of an older incarnation (False), or was read before (None)."""
+    def _note_counter(self, sender: str, incarnation: int, counter: int) -> _Freshness:
         if not incarnation:
-            return True
-        newest_incarnation, greatest, seen_bits = self._replay_windows.get(sender, (0, 0, 0))
-        if incarnation < newest_incarnation:
-            return False
-        if incarnation > newest_incarnation:
-            greatest, seen_bits = counter, 1
-        elif counter > greatest:
-            seen_bits = (seen_bits << min(counter - greatest, REPLAY_WINDOW_COUNTERS) | 1) & (
-                1 << REPLAY_WINDOW_COUNTERS
-            ) - 1
-            greatest = counter
-        elif greatest - counter >= REPLAY_WINDOW_COUNTERS or seen_bits >> greatest - counter & 1:
-            return None
-        else:
-            seen_bits |= 1 << greatest - counter
-        _refresh(self._replay_windows, sender, (incarnation, greatest, seen_bits))
-        return True
+            return _Freshness.CURRENT
+        held = self._replay_windows.get(sender, _NEVER_HEARD)
+        if incarnation < held.incarnation:
+            return _Freshness.STALE
+        window: _ReplayWindow | None = _ReplayWindow(incarnation, counter, 1)
+        if incarnation == held.incarnation:
+            window = held.with_counter(counter)
+        if window is None:
+            return _Freshness.REPLAYED
+        _refresh(self._replay_windows, sender, window)
+        return _Freshness.CURRENT
+
 
+_Value = TypeVar("_Value")
 
-def _refresh(table: OrderedDict[str, Any], key: str, value: object) -> None:
+
+def _refresh(table: OrderedDict[str, _Value], key: str, value: _Value) -> None:
+    """Set an entry and put it last; drop the first one if there are over MAX_SENDERS."""
     table[key] = value
     table.move_to_end(key)
     if len(table) > MAX_SENDERS:
         table.popitem(last=False)
 
 
-def _parse(data: bytes) -> tuple[str, int, int, Message, Sections]:
-    _, _, _, high, low, incarnation = _HEADER.unpack_from(data)
+def _parse(data: bytes) -> tuple[int, AcceptedDatagram]:
+    """The counter of a datagram and what it says, as if it were current."""
+    _, _, _, counter_high, counter_low, incarnation = _HEADER.unpack_from(data)
     reader = _ByteReader(data, _HEADER.size, len(data) - MAC_BYTES)
     sender = reader.text()
     kind, sequence = _MESSAGE_HEADER.unpack(reader.take(_MESSAGE_HEADER.size))
     target, address = reader.text(), reader.address()
-    records: list[MemberRecord] = []
+    records = tuple(_parse_records(reader))
+    if not sender:
+        raise _MalformedDatagramError
+    message = Message(kind, sequence, target, address, records)
+    sections = tuple(_parse_sections(reader))
+    return counter_high << 32 | counter_low, AcceptedDatagram(sender, incarnation, message, True, sections)
+
+
+def _parse_records(reader: _ByteReader) -> list[PlainRecord]:
+    records: list[PlainRecord] = []
     while length := reader.take(1)[0]:
-        record_reader = _ByteReader(data, reader.position, reader.position + length)
+        record_reader = _ByteReader(reader.data, reader.position, reader.position + length)
         reader.take(length)
-        state, member_incarnation, accuser_id = _RECORD_HEADER.unpack(record_reader.take(_RECORD_HEADER.size))
-        records.append((record_reader.text(), state, member_incarnation, record_reader.address(), accuser_id))
-    if not sender:
-        raise _MalformedDatagram
+        state, incarnation, accuser_id = _RECORD_HEADER.unpack(record_reader.take(_RECORD_HEADER.size))
+        records.append((record_reader.text(), state, incarnation, record_reader.address(), accuser_id))
+    return records
+
+
+def _parse_sections(reader: _ByteReader) -> list[tuple[int, bytes]]:
     sections = []
-    with suppress(_MalformedDatagram):
+    with suppress(_MalformedDatagramError):
         while reader.position < reader.end:
-            section_kind, section_bytes = reader.take(2)
-            sections.append((section_kind, reader.take(section_bytes)))
-    message = Message(kind, sequence, target, address, tuple(records))
-    return sender, incarnation, high << 32 | low, message, tuple(sections)
+            kind, length = reader.take(2)
+            sections.append((kind, reader.take(length)))
+    return sections
