--- a/balancer/core/cluster/gossip_coordinator.py
+++ b/balancer/core/cluster/gossip_coordinator.py
@@ -35,8 +35,9 @@
     TreeDigests,
 )
 from balancer.core.cluster.failure_detector import FailureDetector, PeerState
-from balancer.core.discovery.endpoint_merger import ApplyEndpoints, EndpointsListed, Source
-from balancer.core.discovery.endpoint_merger import SourceState as Known
+from balancer.core.discovery.endpoint_merger import ApplyEndpoints, EndpointsListed
+from balancer.core.discovery.source_state import Source
+from balancer.core.discovery.source_state import SourceState as Known
 from balancer.core.staggering import StaggeredSchedule
 from balancer.endpoints import EndpointRecord
 from balancer.interface import Phase
--- a/balancer/core/cluster/gossiped_removals.py
+++ b/balancer/core/cluster/gossiped_removals.py
@@ -29,7 +29,8 @@
 from random import Random
 
 from balancer.core.cluster.node_state import FLAG_NO_DISCOVERY, GOSSIP_SOURCE_NAME, AdvertisedState
-from balancer.core.discovery.endpoint_merger import EndpointsListed, Source, SourceRole
+from balancer.core.discovery.endpoint_merger import EndpointsListed
+from balancer.core.discovery.source_state import Source, SourceRole
 from balancer.core.staggering import StaggeredSchedule
 from balancer.endpoints import EndpointList, EndpointRecord
 from balancer.interface import Phase
--- a/balancer/core/cluster/node_state.py
+++ b/balancer/core/cluster/node_state.py
@@ -28,7 +28,7 @@
 from typing import NamedTuple
 
 from balancer.core.cluster.failure_detector import MAX_INCARNATION, MAX_PEERS, PendingBroadcasts
-from balancer.core.discovery.endpoint_merger import Source, SourceState
+from balancer.core.discovery.source_state import Source, SourceState
 from balancer.core.hysteresis import Hysteresis
 
 GOSSIP_INTERVAL_MS = 200.0
--- a/balancer/core/cluster/report.py
+++ b/balancer/core/cluster/report.py
@@ -12,7 +12,7 @@
 from balancer.core.cluster.gossip_coordinator import GossipCoordinator
 from balancer.core.cluster.node_state import FLAG_BEHIND, FLAG_NO_DISCOVERY, AdvertisedState
 from balancer.core.cluster.quota_allocation import SetQuota
-from balancer.core.discovery.endpoint_merger import SourceState as Known
+from balancer.core.discovery.source_state import SourceState as Known
 from balancer.core.recovery import RecoveryState as Back
 
 MAX_REPORTED_REMOVALS = 64  # servers that are out by others' word
--- a/balancer/core/discovery/endpoint_merger.py
+++ b/balancer/core/discovery/endpoint_merger.py
@@ -1,70 +1,33 @@
-"""Several sources of the list of backends, one view out that never goes back.
+"""Merges the endpoint lists of several discovery sources into one view that never goes back.
 
-Each source has an order of its own: an identity (the platform's is its address, etcd's its cluster id) and
-revisions in it. What is not newer than what was seen in that order is not applied, whole lists included. One
-of equal revision is taken after a line that could not be read, and where a source's revisions come in pieces.
-A new identity begins a new order, by a whole list only.
+Each source has an order of its own: an identity and revisions in it (`source_state`). What is not newer
+than what was seen in that order is not applied, snapshots included. A snapshot of equal revision is
+applied after an update that could not be read, and where the changes of one revision may come in several
+lists. A new identity begins a new order, by a snapshot only.
 
-The view of one backend, over all sources:
+`merged_view` has the precedence between sources, `snapshot_slices` how large lists are applied over several
+turns of the event loop, `merge_log` the log lines, `merge_report` what operators see.
 
-- gone, if a source that may remove has removed it and has not listed it anew;
-- draining, if a source that may remove says so;
-- else up, if a source that may add lists it. Its address, zone, cell, kind and weight are those of the first
-  such source in the order given; its start time is the latest that any of them names, as one that may be cold
-  is to be treated as cold.
+A *cached* list (the configuration's `known`, or one that an earlier process persisted:
+`EndpointsListed.is_cached`) is in the view with its age until its source lists it, or shows that nothing
+has changed since: then the source confirms every record at once. Its revision counts as seen, so that the
+source cannot bring back an older view.
 
-What is *remembered* (out of the configuration's `known`, or kept on disk: `Listed.saved`) is in the view with
-its age, until its source lists it, or shows that nothing has changed since: then it is vouched for, entry by
-entry, at once. Its revision counts as seen, so that the source cannot bring back an older view.
-
-`Membership.handle` takes an event and a clock time and returns actions. Nothing here does I/O.
+`EndpointMerger.handle` takes an event and a clock time and returns actions. Nothing here does I/O.
 """
 
 from __future__ import annotations
 
-from collections.abc import Iterable, Sequence
-from dataclasses import dataclass, field, replace
-from enum import Enum
-from itertools import islice
+from collections.abc import Sequence
+from dataclasses import dataclass
 
-from balancer.endpoints import (
-    Address,
-    EndpointList,
-    EndpointRecord,
-    InvalidEntry,
-)
+from balancer.core.discovery import merge_log, snapshot_slices
+from balancer.core.discovery.merged_view import Changes, MergedView
+from balancer.core.discovery.source_state import Source, SourceState, with_cached_age
+from balancer.endpoints import EndpointList, EndpointRecord, InvalidEntry
 from balancer.interface import EndpointUpdateKind, Phase
 
-SNAPSHOT_SLICE_ENTRIES = 500  # entries of a whole list that are looked at in one go
-CHANGE_SLICE_ENTRIES = 125  # the same, where each is a change, or the list is of over LARGE servers
-LARGE_SNAPSHOT_ENTRIES = 1_000
-MAX_REMOVED_IDS_PER_SOURCE = 20_000  # removals remembered a source beside those of whom another source lists
-MAX_LOG_LINES_PER_LIST = (
-    20  # lines on entries left out, of one listing or slice: the log is bounded, others need it too
-)
-MAX_INVALID_ENTRIES_PER_SOURCE = 1000  # unreadable entries shown a source; further ones are counted
-MAX_CACHED_AGE_MS = 365 * 86_400_000.0  # of what was kept: a clock may say anything
-MASS_REMOVAL_MIN_ENTRIES = (
-    4  # removals at once, over half of what the source listed, that are worth a line of their own
-)
-
-
-class SourceRole(Enum):
-    """What a source's word may do."""
-
-    FULL = "full"  # add, drain and remove
-    ADD = "add"  # add, and withdraw what it added; it takes away nothing that another source lists
-    REMOVE = "remove"  # drain and remove what others list
-
-
-class SourceState(Enum):
-    """How far a source is to be believed."""
-
-    NO_CONTACT_YET = "unheard"  # nothing of it has come
-    SYNCING = "syncing"  # its whole list is needed
-    IN_SYNC = "in sync"
-    UNREACHABLE = "silent"  # out of reach, or cannot show that it is current: its last word stays in force
-    REJECTED = "refused"  # it answers, and what it says must not be used
+MAX_CACHED_AGE_MS = 365 * 86_400_000.0  # a clock that was set wrongly may claim any age
 
 
 # --- events
@@ -72,28 +35,26 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointsListed:
-    """A source listed: a whole list or changes, with a revision in the order of `identity`."""
+    """A source listed a snapshot or incremental changes, with a revision in the order of `identity`."""
 
     source: str
     identity: str
     endpoint_list: EndpointList
-    is_cached: bool = False  # out of what the node was given or had kept at its start
-    cached_age_ms: float = 0.0  # of what was saved: how long ago the source said so, or 0 where nobody knows
-    is_from_watch: bool = (
-        False  # by a watch, which tells things in their order: a call may be overtaken by it
-    )
+    is_cached: bool = False  # from the configuration or from what an earlier process persisted
+    cached_age_ms: float = 0.0  # of a cached list: time since the source listed it, 0 where that is unknown
+    is_from_watch: bool = False  # a watch lists in order; the answer to a poll may be overtaken by it
 
 
 @dataclass(slots=True, frozen=True)
 class SourceConfirmedCurrent:
-    """A source showed that it lives and that what it said last is current."""
+    """A source showed that it is reachable and that its last list is current."""
 
     source: str
 
 
 @dataclass(slots=True, frozen=True)
 class UpdateUnreadable:
-    """Something came that could not be read at all; what it said is lost."""
+    """An update could not be read at all; what it changed is lost."""
 
     source: str
     reason: str
@@ -101,7 +62,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SourceLost:
-    """A source is out of reach, or cannot show that it is current."""
+    """A source is unreachable, or cannot show that it is current."""
 
     source: str
     reason: str
@@ -109,7 +70,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SourceRejected:
-    """A source answers, and what it says must not be used: it went back for good, or lets nobody in."""
+    """A source answers, but must not be used: its revisions went back for good, or it denies access."""
 
     source: str
     reason: str
@@ -117,7 +78,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SourceIdentityChanged:
-    """A source is another one from now on: its order begins anew, by a whole list."""
+    """A source was replaced by another one: its order begins anew, by a snapshot."""
 
     source: str
     identity: str
@@ -125,9 +86,9 @@
 
 @dataclass(slots=True, frozen=True)
 class SourcesConfigured:
-    """The operators set the sources anew, in this order of precedence.
+    """Operators configured the sources anew, in this order of precedence.
 
-    One that is left out is as if it had never said a word; one that stays keeps all it said.
+    One that is left out is treated as if it had never listed anything; one that stays keeps all it listed.
     """
 
     sources: tuple[Source, ...]
@@ -135,28 +96,28 @@
 
 @dataclass(slots=True, frozen=True)
 class NextSliceDue:
-    """The turn of the loop that `Continue` asked for has come."""
+    """The turn of the event loop that `ScheduleNextSlice` asked for has come."""
 
 
-Event = (
+SourceEvent = (
     EndpointsListed
     | SourceConfirmedCurrent
     | UpdateUnreadable
     | SourceLost
     | SourceRejected
     | SourceIdentityChanged
-    | SourcesConfigured
-    | NextSliceDue
 )
+Event = SourceEvent | SourcesConfigured | NextSliceDue
 
 # --- actions
 
 
 @dataclass(slots=True, frozen=True)
 class ApplyEndpoints:
-    """Take changes of the view: `members` are up or draining, `removed` are the last entries of those gone.
+    """Apply changes of the view.
 
-    `revision` counts the changes of the view; it has nothing to do with any source's.
+    `records` are up or draining; `removed_records` are the last records of endpoints that are gone.
+    `revision` counts the changes of the view and is unrelated to the revisions of sources.
     """
 
     kind: EndpointUpdateKind
@@ -167,67 +128,10 @@
 
 @dataclass(slots=True, frozen=True)
 class ScheduleNextSlice:
-    """Hand in `Continued` at the loop's next turn: the rest of a whole list waits."""
+    """Hand in `NextSliceDue` at the next turn of the event loop: the rest of a list is pending."""
 
 
-@dataclass(slots=True, frozen=True)
-class WriteLog:
-    """A line for the people on call."""
-
-    text: str
-    is_warning: bool = False
-
-
-Action = ApplyEndpoints | ScheduleNextSlice | WriteLog
-
-
-@dataclass(slots=True)
-class Source:
-    """One source, as data. `revision` is None until a whole list of the present order has been taken."""
-
-    name: str
-    role: SourceRole = SourceRole.FULL
-    has_partial_revisions: bool = False  # changes of one revision may come in several pieces
-    configuration_generation: int = (
-        0  # counts how often it was set up anew, maybe for other keys: its first list is news then
-    )
-    identity: str | None = None
-    revision: int | None = None
-    state: SourceState = SourceState.NO_CONTACT_YET
-    needs_snapshot: bool = False  # a line was lost: only a whole list will do
-    has_cached_records: bool = False  # memory alone vouches for some of what it lists
-    uses_small_slices: bool = (
-        False  # what waits in `pending` is news to whoever is told, all of it, or is much
-    )
-    pending_cached_age_ms: float | None = (
-        None  # by memory alone, and how old it is, what waits in `pending` is listed
-    )
-    has_regressed: bool = False  # it went back: that it lives does not show that its last word is current
-    last_contact_ms: float | None = None
-    state_reason: str = ""  # why it is silent or refused
-    records: dict[str, EndpointRecord] = field(default_factory=dict, repr=False)
-    removed_ids: dict[str, None] = field(default_factory=dict, repr=False)  # until it lists them anew
-    invalid_entries: dict[str, InvalidEntry] = field(default_factory=dict, repr=False)
-    invalid_entry_count: int = 0  # entries that could not be read, ever
-    stale_list_count: int = 0  # listings that were not applied, as they were not newer
-    pending_records: dict[str, EndpointRecord] = field(
-        default_factory=dict, repr=False
-    )  # the rest of a whole list
-
-    @property
-    def accepts_incremental(self) -> bool:
-        """Whether changes can be applied to what is held."""
-        return self.revision is not None and not self.needs_snapshot
-
-
-def with_cached_age(record: EndpointRecord, age_ms: float | None = None) -> EndpointRecord:
-    """The same, by a source's word (None) or by a memory of that age."""
-    endpoint = record.endpoint
-    return (
-        record
-        if endpoint.cached_age_ms == age_ms
-        else EndpointRecord(replace(endpoint, cached_age_ms=age_ms), record.address)
-    )
+Action = ApplyEndpoints | ScheduleNextSlice | merge_log.WriteLog
 
 
 def _sources_by_name(sources: Sequence[Source]) -> dict[str, Source]:
@@ -242,135 +146,114 @@
 
     def __init__(self, sources: Sequence[Source]) -> None:
         self.sources = _sources_by_name(sources)
-        self.view: dict[str, EndpointRecord] = {}  # in force: up or draining
-        self.view_revision = 0  # of the view
-        self.shadowed_ids: set[str] = set()  # listed, up, and left out: another is up at the same address
-        self._up_ids_by_address: dict[
-            Address, dict[str, None]
-        ] = {}  # who is up at an address, in the order they came
-        self._address_by_up_id: dict[str, Address] = {}  # and the other way round
-        self._contested_addresses: dict[Address, None] = {}  # where that changed, and others are or were up
-        self._unannounced: dict[str, EndpointRecord] = {}  # changes of a whole list that are not told yet
-        self._is_first_snapshot = False  # the whole list that is looked at is the first
-        self._is_large_snapshot = (
-            False  # and is of over LARGE servers: nobody who is up is told of before its end
-        )
+        self.merged_view = MergedView()
+        self.view_revision = 0
         self.now_ms = 0.0
+        self._slices = snapshot_slices.SliceProgress()
         self._actions: list[Action] = []
 
+    @property
+    def view(self) -> dict[str, EndpointRecord]:
+        """The endpoints in force, up or draining, by id."""
+        return self.merged_view.records
+
+    def watch_revision(self, name: str) -> int | None:
+        """The revision from which to watch a source, or None where only a snapshot will do."""
+        source = self.sources[name]
+        return source.revision if source.accepts_incremental else None
+
     def handle(self, now_ms: float, event: Event) -> list[Action]:
         """Decide on one event at the clock time `now_ms`."""
         self.now_ms, self._actions = now_ms, []
-        if isinstance(event, NextSliceDue):
-            self._apply_next_slice()
-        elif isinstance(event, SourcesConfigured):
-            self._configure_sources(_sources_by_name(event.sources))
-        elif (source := self.sources.get(event.source)) is not None:
-            self._handle_source_event(source, event)
+        match event:
+            case NextSliceDue():
+                self._apply_next_slice()
+            case SourcesConfigured():
+                self._configure_sources(_sources_by_name(event.sources))
+            case _:
+                if (source := self.sources.get(event.source)) is not None:
+                    self._handle_source_event(source, event)
         return self._actions
 
-    def _handle_source_event(
-        self,
-        source: Source,
-        event: EndpointsListed
-        | SourceConfirmedCurrent
-        | UpdateUnreadable
-        | SourceLost
-        | SourceRejected
-        | SourceIdentityChanged,
-    ) -> None:
+    def _handle_source_event(self, source: Source, event: SourceEvent) -> None:
         match event:
             case EndpointsListed():
                 self._handle_list(source, event)
             case SourceConfirmedCurrent():
                 self._confirm_current(source)
             case UpdateUnreadable():
-                source.needs_snapshot, source.state, source.state_reason = (
-                    True,
-                    SourceState.SYNCING,
-                    event.reason,
-                )
+                source.needs_snapshot = True
+                source.state, source.state_reason = SourceState.SYNCING, event.reason
             case SourceLost():
                 self._mark_unavailable(source, SourceState.UNREACHABLE, event.reason)
             case SourceRejected():
                 self._mark_unavailable(source, SourceState.REJECTED, event.reason)
             case SourceIdentityChanged() if source.identity != event.identity:
-                self._reset_revision_order(source, event.identity)
+                source.reset_revision_order(event.identity)
 
-    def watch_revision(self, name: str) -> int | None:
-        """The revision to watch a source from, or None where only its whole list will do."""
-        source = self.sources[name]
-        return source.revision if source.accepts_incremental else None
+    def _configure_sources(self, configured: dict[str, Source]) -> None:
+        previous = self.sources
+        self.sources = {name: previous.get(name, source) for name, source in configured.items()}
+        for name, source in configured.items():
+            self.sources[name].configure(source)
+        touched_ids = {*self.view, *self.merged_view.shadowed_ids}
+        for source in previous.values():
+            touched_ids |= source.records.keys() | source.removed_ids.keys()
+        self._update_view(sorted(touched_ids))
 
-    def _configure_sources(self, sources: dict[str, Source]) -> None:
-        before, self.sources = self.sources, {}
-        for name, source in sources.items():
-            self.sources[name] = current = before.get(name, source)
-            current.role, current.has_partial_revisions = source.role, source.has_partial_revisions
-            if current.configuration_generation != source.configuration_generation:
-                current.configuration_generation, current.needs_snapshot, current.state = (
-                    source.configuration_generation,
-                    True,
-                    SourceState.SYNCING,
-                )
-            if current.role is SourceRole.ADD:
-                current.removed_ids.clear()
-        touched = {*self.view, *self.shadowed_ids}
-        for source in before.values():
-            touched |= source.records.keys() | source.removed_ids.keys()
-        self._update_view(sorted(touched), EndpointUpdateKind.INCREMENTAL)
-
-    # --- order
+    # --- the order of each source
 
     def _handle_list(self, source: Source, event: EndpointsListed) -> None:
-        endpoint_list = event.endpoint_list
         source.last_contact_ms = self.now_ms
         if event.identity != source.identity:
-            if not endpoint_list.is_complete:
+            if not event.endpoint_list.is_complete:
                 self._reject_list(source, "changes of an order that has not begun here")
                 return
             if source.identity is not None:
-                text = f"{source.name}: a new order begins: {event.identity} in place of {source.identity}"
-                self._actions.append(WriteLog(text, is_warning=True))
-            self._reset_revision_order(source, event.identity)
-        is_newer = source.revision is None or endpoint_list.revision > source.revision
-        if endpoint_list.is_complete:
-            # An equal one is taken where something may have been lost on the way: a line, or a piece.
-            if is_newer or (
-                endpoint_list.revision == source.revision
-                and (source.needs_snapshot or source.has_partial_revisions)
-            ):
-                self._apply_snapshot(source, endpoint_list, event.is_cached, event.cached_age_ms)
-            elif endpoint_list.revision == source.revision:
-                self._mark_in_sync(source)
-                self._update_view([], EndpointUpdateKind.INCREMENTAL)
-                self._confirm_cached_records(source)
+                self._actions.append(merge_log.order_begins(source, event.identity))
+            source.reset_revision_order(event.identity)
+        if event.endpoint_list.is_complete:
+            self._handle_snapshot(source, event)
+        else:
+            self._handle_incremental(source, event.endpoint_list)
+
+    def _handle_snapshot(self, source: Source, event: EndpointsListed) -> None:
+        revision = event.endpoint_list.revision
+        if source.revision is not None and revision < source.revision:
+            self._reject_older_snapshot(source, event)
+        elif revision != source.revision or source.needs_snapshot or source.has_partial_revisions:
+            # One of equal revision is applied where something may have been lost: an update, or a part of
+            # one.
+            if event.is_cached:
+                self._apply_cached_snapshot(source, event)
             else:
-                reason = (
-                    f"its whole list is of revision {endpoint_list.revision}, older than {source.revision}"
-                )
-                source.stale_list_count += 1
-                if (
-                    event.is_from_watch or source.state is not SourceState.IN_SYNC
-                ):  # else a call that was overtaken
-                    self._mark_unavailable(source, SourceState.REJECTED, reason)
-                    source.has_regressed = True
-        elif not source.accepts_incremental:
+                self._apply_snapshot(source, event.endpoint_list)
+        else:
+            self._mark_in_sync(source)
+            self._update_view([])
+            self._confirm_cached_records(source)
+
+    def _reject_older_snapshot(self, source: Source, event: EndpointsListed) -> None:
+        source.stale_list_count += 1
+        if not event.is_from_watch and source.state is SourceState.IN_SYNC:
+            return  # the answer to a poll, overtaken by the watch
+        older = f"its whole list is of revision {event.endpoint_list.revision}, older than {source.revision}"
+        self._mark_unavailable(source, SourceState.REJECTED, older)
+        source.has_regressed = True
+
+    def _handle_incremental(self, source: Source, endpoint_list: EndpointList) -> None:
+        revision = endpoint_list.revision
+        if source.revision is None or source.needs_snapshot:
             self._reject_list(source, "changes, where the whole list is needed")
-        elif is_newer or (source.has_partial_revisions and endpoint_list.revision == source.revision):
+        elif revision > source.revision or (source.has_partial_revisions and revision == source.revision):
             self._apply_incremental(source, endpoint_list)
         else:
-            source.stale_list_count += 1  # said before: a watch that was taken up again may repeat some
+            source.stale_list_count += 1  # a watch that was resumed may repeat changes
             self._confirm_current(source)
 
-    def _reset_revision_order(self, source: Source, identity: str) -> None:
-        """A new order: what the old one said stays in force until the new one's whole list is here."""
-        source.identity, source.revision, source.needs_snapshot = identity, None, False
-        source.state, source.has_regressed = SourceState.SYNCING, False
-
     def _reject_list(self, source: Source, reason: str) -> None:
         source.stale_list_count += 1
-        self._actions.append(WriteLog(f"{source.name}: not applied: {reason}"))
+        self._actions.append(merge_log.list_not_applied(source, reason))
 
     def _confirm_current(self, source: Source) -> None:
         source.last_contact_ms = self.now_ms
@@ -378,349 +261,182 @@
             self._mark_in_sync(source)
             self._confirm_cached_records(source)
 
-    def _mark_in_sync(self, source: Source) -> None:
-        if source.state in (SourceState.UNREACHABLE, SourceState.REJECTED):
-            self._actions.append(WriteLog(f"{source.name}: in sync again"))
-            self._update_view(
-                [], EndpointUpdateKind.INCREMENTAL
-            )  # that it may be asked again soon, though nothing has changed
-        source.state, source.state_reason, source.has_regressed = SourceState.IN_SYNC, "", False
-
     def _confirm_cached_records(self, source: Source) -> None:
-        """Nothing has changed since: the source vouches for all that only memory did, in slices."""
+        """Nothing has changed since they were cached: the source confirms them all, in slices."""
         if source.has_cached_records:
-            source.has_cached_records, source.uses_small_slices, source.pending_cached_age_ms = (
-                False,
-                True,
-                None,
-            )
+            source.has_cached_records, source.uses_small_slices = False, True
+            source.pending_cached_age_ms = None
             source.pending_records = source.records | source.pending_records
             self._apply_next_slice()
 
+    def _mark_in_sync(self, source: Source) -> None:
+        if source.state in (SourceState.UNREACHABLE, SourceState.REJECTED):
+            self._actions.append(merge_log.in_sync_again(source))
+            self._update_view([])  # an empty update shows that polling works again
+        source.set_state(SourceState.IN_SYNC)
+
     def _mark_unavailable(self, source: Source, state: SourceState, reason: str) -> None:
-        """The view stays: a source that says nothing has taken nothing back."""
+        """Nothing leaves the view: an unavailable source has withdrawn nothing."""
         if (source.state, source.state_reason) != (state, reason):
-            text = f"{source.name} is {state.value}: {reason}; its last word stays in force"
-            self._actions.append(WriteLog(text, is_warning=state is SourceState.REJECTED))
-        source.state, source.state_reason, source.has_regressed = state, reason, False
+            self._actions.append(merge_log.source_unavailable(source, state, reason))
+        source.set_state(state, reason)
 
     # --- what was listed
 
-    def _apply_snapshot(
-        self, source: Source, endpoint_list: EndpointList, is_cached: bool, cached_age_ms: float
-    ) -> None:
-        """Removals and drains at once; the rest in slices, as one of thousands would hold the loop."""
-        listed, draining_ids, up = dict[str, EndpointRecord](), list[str](), Phase.UP
-        for record in endpoint_list.records:
-            endpoint = record.endpoint
-            listed[endpoint.id] = record
-            if endpoint.phase is not up:
-                draining_ids.append(endpoint.id)
-        is_large, is_first = len(listed) > LARGE_SNAPSHOT_ENTRIES, not self._address_by_up_id
-        source.pending_cached_age_ms = min(max(0.0, cached_age_ms), MAX_CACHED_AGE_MS) if is_cached else None
-        if is_cached and not is_large:
-            listed = {
-                name: with_cached_age(record, source.pending_cached_age_ms) for name, record in listed.items()
-            }
-        source.uses_small_slices, source.has_cached_records = source.has_cached_records or is_large, is_cached
-        invalid_ids = {fault.key for fault in endpoint_list.invalid_entries}
+    def _apply_snapshot(self, source: Source, endpoint_list: EndpointList) -> None:
+        """Apply removals and draining at once and the rest in slices."""
+        listed = {record.endpoint.id: record for record in endpoint_list.records}
+        is_large, is_first = snapshot_slices.is_large(listed), not self.merged_view.has_up_endpoints
+        source.uses_small_slices = source.has_cached_records or is_large
+        source.has_cached_records, source.pending_cached_age_ms = False, None
+        touched_ids = self._replace_records(source, endpoint_list, listed)
+        self._mark_in_sync(source)
+        if touched_ids:
+            self._update_view(touched_ids)
+        self._begin_slices(source, listed, is_first, is_large)
+
+    def _apply_cached_snapshot(self, source: Source, event: EndpointsListed) -> None:
+        """Apply a cached snapshot: its records have an age, and its source has not been contacted yet."""
+        endpoint_list = event.endpoint_list
+        listed = {record.endpoint.id: record for record in endpoint_list.records}
+        is_large, is_first = snapshot_slices.is_large(listed), not self.merged_view.has_up_endpoints
+        source.uses_small_slices = source.has_cached_records or is_large
+        source.has_cached_records = True
+        source.pending_cached_age_ms = age_ms = min(max(0.0, event.cached_age_ms), MAX_CACHED_AGE_MS)
+        if not is_large:
+            listed = {name: with_cached_age(record, age_ms) for name, record in listed.items()}
+        touched_ids = self._replace_records(source, endpoint_list, listed)
+        source.state = SourceState.NO_CONTACT_YET
+        source.needs_snapshot = bool(endpoint_list.invalid_entries)  # the source may list them validly
+        # Of several cached lists only the first can be a snapshot for those who apply it.
+        kind = EndpointUpdateKind.INCREMENTAL if self.view else EndpointUpdateKind.CACHED
+        if is_large:
+            self._update_view(touched_ids, kind)  # a snapshot in which no endpoint is up yet
+            self._begin_slices(source, listed, is_first, is_large)
+        else:
+            source.store(listed.values())
+            self._update_view([*touched_ids, *listed], kind)
+
+    def _replace_records(
+        self, source: Source, endpoint_list: EndpointList, listed: dict[str, EndpointRecord]
+    ) -> list[str]:
+        """Take over a snapshot but for the endpoints that are up; returns the touched ids.
+
+        Endpoints that it does not list are removed. The last record of one that it lists invalidly stays.
+        """
+        invalid_ids = {entry.key for entry in endpoint_list.invalid_entries}
         known = source.records | source.pending_records
         removed_ids = [name for name in known if name not in listed and name not in invalid_ids]
         removed_ids += [name for name in endpoint_list.removed_ids if name not in known]
-        source.revision, source.needs_snapshot, source.invalid_entries = endpoint_list.revision, False, {}
-        retained = [last for name, last in source.pending_records.items() if name in invalid_ids]
-        self._store_records(source, retained)
-        source.pending_records, known_count = {}, len(known)
-        touched_ids = [last.endpoint.id for last in retained]
-        touched_ids += self._remove_records(source, removed_ids)
+        source.revision, source.needs_snapshot = endpoint_list.revision, False
+        source.invalid_entries = {}
+        retained = [record for name, record in source.pending_records.items() if name in invalid_ids]
+        source.store(retained)
+        source.pending_records = {}
+        touched_ids = [record.endpoint.id for record in retained]
+        touched_ids += source.remove(removed_ids, self.sources)
         touched_ids += self._note_invalid_entries(source, endpoint_list.invalid_entries)
-        for name in draining_ids:
-            if listed[name].endpoint.phase is up:
-                continue  # named twice: the later entry holds
-            source.records[name] = with_cached_age(listed[name], source.pending_cached_age_ms)
-            source.removed_ids.pop(name, None)
-            touched_ids.append(name)
-        self._log_mass_removal(source, len(removed_ids), known_count)
-        if not is_cached:
-            self._mark_in_sync(source)
-            if touched_ids:
-                self._update_view(touched_ids, EndpointUpdateKind.INCREMENTAL)
-        else:
-            source.state = SourceState.NO_CONTACT_YET
-            source.needs_snapshot = bool(
-                endpoint_list.invalid_entries
-            )  # whoever was left out may be readable at the source
-            # A whole list for whoever is told: of several that are remembered the first alone can be one.
-            kind = EndpointUpdateKind.INCREMENTAL if self.view else EndpointUpdateKind.CACHED
-            if not is_large:
-                self._store_records(source, listed.values())
-                self._update_view([*touched_ids, *listed], kind)
-                return
-            self._update_view(touched_ids, kind)  # it is one in which nobody is up yet
-        self._is_first_snapshot = self._is_first_snapshot or (is_first if is_large else not self.view)
-        self._is_large_snapshot = self._is_large_snapshot or is_large
+        touched_ids += self._store_draining(source, endpoint_list, listed)
+        self._actions += merge_log.mass_removal(source, len(removed_ids), len(known))
+        return touched_ids
+
+    def _store_draining(
+        self, source: Source, endpoint_list: EndpointList, listed: dict[str, EndpointRecord]
+    ) -> list[str]:
+        draining_ids, up = [], Phase.UP
+        for record in endpoint_list.records:
+            if record.endpoint.phase is up:
+                continue
+            endpoint_id = record.endpoint.id
+            if listed[endpoint_id].endpoint.phase is up:
+                continue  # listed twice: the later record counts
+            source.records[endpoint_id] = with_cached_age(listed[endpoint_id], source.pending_cached_age_ms)
+            source.removed_ids.pop(endpoint_id, None)
+            draining_ids.append(endpoint_id)
+        return draining_ids
+
+    def _begin_slices(
+        self, source: Source, listed: dict[str, EndpointRecord], is_first: bool, is_large: bool
+    ) -> None:
+        # A list that is not large is first if the view is empty by now, even if endpoints were up before
+        # it.
+        self._slices.begin(is_first if is_large else not self.view, is_large)
         source.pending_records = listed
         if is_large:
-            self._actions.append(ScheduleNextSlice())  # this turn has had its part
+            self._actions.append(ScheduleNextSlice())  # indexing the list was this turn's share
         else:
             self._apply_next_slice()
 
     def _apply_next_slice(self) -> None:
-        """Look at the next slice of whatever whole list waits, and apply what changed in it.
-
-        A first list is applied in one piece, once all was seen: the module lays its subset out over all of
-        it, and nobody waits meanwhile, as there is nobody to send to. In a large one what is said of those
-        who are up meanwhile waits for that, too; removals and drains do not.
-        """
-        for source in self.sources.values():
-            if not source.pending_records:
-                continue
-            names = list(
-                islice(
-                    source.pending_records,
-                    CHANGE_SLICE_ENTRIES if source.uses_small_slices else SNAPSHOT_SLICE_ENTRIES,
-                )
-            )
-            self._store_records(
-                source,
-                [
-                    with_cached_age(source.pending_records.pop(name), source.pending_cached_age_ms)
-                    for name in names
-                ],
-            )
-            for name in names:
-                self._update_endpoint(name, self._unannounced)
-            if not (self._is_first_snapshot and self._is_large_snapshot):  # else once, at its end
-                self._settle_contested_addresses(self._unannounced)
-            if any(source.pending_records for source in self.sources.values()):
-                if self._unannounced and not self._is_first_snapshot:
-                    self._announce_pending()
+        """Apply the next slice of the first source that has pending records, or end the snapshot."""
+        source = next((one for one in self.sources.values() if one.pending_records), None)
+        slices = self._slices
+        if source is not None:
+            for endpoint_id in snapshot_slices.take_slice(source):
+                self.merged_view.update(endpoint_id, self.sources, slices.unannounced)
+            if not slices.withholds_up_endpoints:  # else once, at the end
+                self._settle_contested(slices.unannounced)
+            if any(one.pending_records for one in self.sources.values()):
+                if slices.unannounced and not slices.is_first:
+                    self._announce(slices.take_unannounced())
                 self._actions.append(ScheduleNextSlice())
                 return
-        self._is_first_snapshot = self._is_large_snapshot = False
-        self._settle_contested_addresses(self._unannounced)
-        self._announce_pending()
-
-    def _store_records(self, source: Source, records: Iterable[EndpointRecord]) -> None:
-        for record in records:
-            name = record.endpoint.id
-            source.records[name] = record
-            source.removed_ids.pop(name, None)
-            source.invalid_entries.pop(name, None)
+        slices.end()
+        self._settle_contested(slices.unannounced)
+        self._announce(slices.take_unannounced())
 
     def _apply_incremental(self, source: Source, endpoint_list: EndpointList) -> None:
-        """Many at once, as where weights are live, wait in slices too; removals and drains do not."""
+        """Apply changes; those of many endpoints that are up, as where weights are live, wait in slices."""
         source.revision = endpoint_list.revision
         known_count = len(source.records)
-        touched_ids = self._remove_records(source, endpoint_list.removed_ids)
+        touched_ids = source.remove(endpoint_list.removed_ids, self.sources)
         touched_ids += self._note_invalid_entries(source, endpoint_list.invalid_entries)
-        immediate, deferred = list(endpoint_list.records), list[EndpointRecord]()
-        if len(immediate) > SNAPSHOT_SLICE_ENTRIES:
-            deferred = [record for record in immediate if record.endpoint.phase is Phase.UP]
+        immediate: Sequence[EndpointRecord] = endpoint_list.records
+        if deferred := snapshot_slices.deferrable_changes(immediate):
             immediate = [record for record in immediate if record.endpoint.phase is not Phase.UP]
-        self._store_records(source, immediate)
+        source.store(immediate)
         touched_ids += [record.endpoint.id for record in immediate]
-        for name in touched_ids:
-            source.pending_records.pop(name, None)  # older than what has just been said
-        self._log_mass_removal(source, len(endpoint_list.removed_ids), known_count)
+        for endpoint_id in touched_ids:
+            source.pending_records.pop(endpoint_id, None)  # older than these changes
+        self._actions += merge_log.mass_removal(source, len(endpoint_list.removed_ids), known_count)
         self._mark_in_sync(source)
         if touched_ids or not deferred:
-            self._update_view(touched_ids, EndpointUpdateKind.INCREMENTAL)
+            self._update_view(touched_ids)
         if deferred:
-            source.pending_cached_age_ms, source.uses_small_slices = (
-                None,
-                source.uses_small_slices or len(deferred) > LARGE_SNAPSHOT_ENTRIES,
-            )  # vouched for
+            source.pending_cached_age_ms = None
+            source.uses_small_slices = source.uses_small_slices or snapshot_slices.is_large(deferred)
             source.pending_records |= {record.endpoint.id: record for record in deferred}
             self._apply_next_slice()
         self._confirm_cached_records(source)
 
-    def _remove_records(self, source: Source, names: Iterable[str]) -> list[str]:
-        removed_ids = []
-        for name in names:
-            source.records.pop(name, None)
-            source.invalid_entries.pop(name, None)
-            if source.role is not SourceRole.ADD and len(self.sources) > 1:
-                source.removed_ids.pop(name, None)
-                source.removed_ids[name] = None
-            removed_ids.append(name)
-        for name in list(islice(source.removed_ids, 2 * len(removed_ids))):
-            if len(source.removed_ids) <= MAX_REMOVED_IDS_PER_SOURCE:
-                break
-            del source.removed_ids[name]
-            if any(name in other.records or name in other.pending_records for other in self.sources.values()):
-                source.removed_ids[name] = None  # it would be used again; its turn comes when nobody lists it
-        return removed_ids
-
-    def _note_invalid_entries(self, source: Source, invalid_entries: Iterable[InvalidEntry]) -> list[str]:
-        """An entry that cannot be read costs nothing but itself; that it drains is obeyed all the same."""
-        touched_ids, log_lines = [], []
-        for entry in invalid_entries:
-            source.invalid_entry_count += 1
-            source.invalid_entries.pop(entry.key, None)
-            if len(source.invalid_entries) < MAX_INVALID_ENTRIES_PER_SOURCE:
-                source.invalid_entries[entry.key] = entry
-            log_lines.append(f"{source.name}: entry {entry.key!r:.300} left out: {entry.reason:.300}")
-            if not entry.is_draining:
-                continue
-            if (last := source.records.get(entry.key)) is not None:
-                endpoint = replace(last.endpoint, phase=Phase.DRAINING)
-                source.records[entry.key] = EndpointRecord(endpoint, last.address)
-                touched_ids.append(entry.key)
-            else:
-                touched_ids += self._remove_records(source, [entry.key])
-        self._log_omitted(log_lines)
+    def _note_invalid_entries(self, source: Source, entries: Sequence[InvalidEntry]) -> list[str]:
+        touched_ids = []
+        for entry in entries:
+            touched_ids += source.note_invalid(entry, self.sources)
+        self._actions += merge_log.invalid_entries(source, entries)
         return touched_ids
 
-    def _log_omitted(self, log_lines: list[str]) -> None:
-        self._actions += [WriteLog(text) for text in log_lines[:MAX_LOG_LINES_PER_LIST]]
-        if len(log_lines) > MAX_LOG_LINES_PER_LIST:
-            self._actions.append(
-                WriteLog(
-                    f"{len(log_lines) - MAX_LOG_LINES_PER_LIST} more left out like these; see balancer members"
-                )
-            )
-
-    def _log_mass_removal(self, source: Source, removed_count: int, known_count: int) -> None:
-        if source.has_partial_revisions:
-            return  # whoever puts the pieces together says so
-        if removed_count >= MASS_REMOVAL_MIN_ENTRIES and 2 * removed_count > known_count:
-            text = f"{source.name}: {removed_count} of {known_count} backends removed at once; obeyed"
-            self._actions.append(WriteLog(text, is_warning=True))
-
     # --- the view
 
-    def _merge_records(self, name: str) -> EndpointRecord | None:
-        """What holds of a backend over all sources; None: it is not to be used."""
-        merged: EndpointRecord | None = None
-        is_draining, started_at_ms, cached_ages_ms = False, 0.0, list[float | None]()
-        for source in self.sources.values():
-            if name in source.removed_ids:
-                return None
-            if (record := source.records.get(name)) is None:
-                continue
-            record_drains = record.endpoint.phase is not Phase.UP
-            if source.role is SourceRole.REMOVE:
-                is_draining = is_draining or record_drains
-                continue
-            if source.role is SourceRole.FULL:
-                is_draining = is_draining or record_drains
-            started_at_ms = max(started_at_ms, record.endpoint.started_at_ms)
-            cached_ages_ms.append(record.endpoint.cached_age_ms)
-            if merged is None or (
-                merged.endpoint.phase is not Phase.UP and not record_drains and not is_draining
-            ):
-                merged = record
-        if merged is None:
-            return None
-        phase = Phase.DRAINING if is_draining else merged.endpoint.phase
-        cached_age_ms = (
-            None
-            if None in cached_ages_ms
-            else min(cached_age_ms for cached_age_ms in cached_ages_ms if cached_age_ms is not None)
-        )
-        if (phase, started_at_ms, cached_age_ms) != (
-            merged.endpoint.phase,
-            merged.endpoint.started_at_ms,
-            merged.endpoint.cached_age_ms,
-        ):
-            merged = EndpointRecord(
-                replace(
-                    merged.endpoint, phase=phase, started_at_ms=started_at_ms, cached_age_ms=cached_age_ms
-                ),
-                merged.address,
-            )
-        return merged
-
-    def _update_endpoint(self, name: str, changes: dict[str, EndpointRecord]) -> None:
-        """Bring the view of one backend up to date, and note what changed; `_share` has to follow."""
-        merged = self._merge_records(name)
-        up_address = merged.address if merged is not None and merged.endpoint.phase is Phase.UP else None
-        previous_address = self._address_by_up_id.get(name)
-        if previous_address is not None and previous_address != up_address:
-            del self._address_by_up_id[name]
-            self.shadowed_ids.discard(name)
-            del self._up_ids_by_address[previous_address][name]
-            if self._up_ids_by_address[previous_address]:
-                self._contested_addresses[previous_address] = None
-            else:
-                del self._up_ids_by_address[previous_address]
-        if up_address is not None:
-            up_ids = self._up_ids_by_address.setdefault(up_address, {})
-            up_ids[name], self._address_by_up_id[name] = None, up_address
-            if len(up_ids) > 1:
-                self._contested_addresses[up_address] = None
-                return
-        self._set_view_record(name, merged, changes)
+    def _update_view(
+        self, touched_ids: Sequence[str], kind: EndpointUpdateKind = EndpointUpdateKind.INCREMENTAL
+    ) -> None:
+        """Bring these endpoints up to date in the view and announce what changed, if anything or not."""
+        changes = self._slices.withdraw(touched_ids)
+        for endpoint_id in touched_ids:
+            self.merged_view.update(endpoint_id, self.sources, changes)
+        self._settle_contested(changes)
+        self._announce(self._slices.withhold(changes), kind)
 
-    def _settle_contested_addresses(self, changes: dict[str, EndpointRecord]) -> None:
-        """Of several that are up at one address one is used: the latest start, then whoever came last.
+    def _settle_contested(self, changes: Changes) -> None:
+        self._actions += merge_log.omissions(self.merged_view.settle_contested(self.sources, changes))
 
-        There is one process, and it would get the work, and the cold start's budget, of each of its names.
-        Done once for all that were settled: guards against weighing each of thousands against each.
-        """
-        contested, self._contested_addresses = self._contested_addresses, {}
-        log_lines: list[str] = []
-        for address in contested:
-            candidates = [
-                (name, merged)
-                for name in self._up_ids_by_address.get(address, ())
-                if (merged := self._merge_records(name))
-            ]
-            if not candidates:
-                continue  # all of them left
-            winner = max(
-                enumerate(candidates), key=lambda item: (item[1][1].endpoint.started_at_ms, item[0])
-            )[1][0]
-            for name, merged in candidates:
-                if name == winner:
-                    self.shadowed_ids.discard(name)
-                    self._set_view_record(name, merged, changes)
-                    continue
-                if name not in self.shadowed_ids:
-                    self.shadowed_ids.add(name)
-                    text = f"{name!r:.300} left out: {winner!r:.300} is up at the same address"
-                    log_lines.append(f"{text} {address[0]}:{address[1]}")
-                self._set_view_record(name, None, changes)
-        self._log_omitted(log_lines)
-
-    def _set_view_record(
-        self, name: str, record: EndpointRecord | None, changes: dict[str, EndpointRecord]
-    ) -> None:
-        previous = self.view.get(name)
-        if record is not None:
-            if previous != record:
-                self.view[name] = changes[name] = record
-        elif previous is not None:
-            del self.view[name]
-            changes[name] = EndpointRecord(replace(previous.endpoint, phase=Phase.REMOVED), previous.address)
-
-    def _update_view(self, touched_ids: Iterable[str], kind: EndpointUpdateKind) -> None:
-        touched_ids = list(touched_ids)
-        # Those of a whole list that is under way are in the view, and not yet told.
-        changes = {name: self._unannounced.pop(name) for name in touched_ids if name in self._unannounced}
-        for name in touched_ids:
-            self._update_endpoint(name, changes)
-        self._settle_contested_addresses(changes)
-        for name in changes.keys() & self._unannounced.keys():
-            del self._unannounced[name]
-        if self._is_first_snapshot and self._is_large_snapshot:
-            self._unannounced |= {
-                name: now for name, now in changes.items() if now.endpoint.phase is Phase.UP
-            }
-            changes = {name: now for name, now in changes.items() if now.endpoint.phase is not Phase.UP}
-        self._announce(changes, kind)
-
-    def _announce_pending(self) -> None:
-        changes, self._unannounced = self._unannounced, {}
-        self._announce(changes, EndpointUpdateKind.INCREMENTAL)
-
-    def _announce(self, changes: dict[str, EndpointRecord], kind: EndpointUpdateKind) -> None:
+    def _announce(self, changes: Changes, kind: EndpointUpdateKind = EndpointUpdateKind.INCREMENTAL) -> None:
         self.view_revision += bool(changes)
-        by_phase = {phase: list[EndpointRecord]() for phase in Phase}
+        by_phase: dict[Phase, list[EndpointRecord]] = {phase: [] for phase in Phase}
         for record in changes.values():
             by_phase[record.endpoint.phase].append(record)
-        current = *by_phase[Phase.DRAINING], *by_phase[Phase.UP]
+        records = *by_phase[Phase.DRAINING], *by_phase[Phase.UP]
         self._actions.append(
-            ApplyEndpoints(kind, current, tuple(by_phase[Phase.REMOVED]), self.view_revision)
+            ApplyEndpoints(kind, records, tuple(by_phase[Phase.REMOVED]), self.view_revision)
         )
--- a/balancer/core/discovery/merge_report.py
+++ b/balancer/core/discovery/merge_report.py
@@ -1,69 +1,119 @@
-"""The merge as operators see it: what each source says of whom, and the view. Loaded when somebody asks."""
+"""The merge as operators see it: what each source lists, and the view. Loaded when somebody asks for it."""
 
 from __future__ import annotations
 
-from typing import Any
+from typing import TypedDict
 
 from balancer.core.discovery.endpoint_merger import EndpointMerger
+from balancer.core.discovery.source_state import Source
 
 
-def build_report(merger: EndpointMerger) -> dict[str, Any]:
-    """What each source says of whom, and the view; plain values for a table or JSON."""
-    sources = [
-        {
-            "name": source.name,
-            "role": source.role.value,
-            "state": source.state.value,
-            "reason": source.state_reason,
-            "identity": source.identity,
-            "revision": source.revision,
-            "members": len(source.records),
-            "removed": len(source.removed_ids),
-            "unreadable": source.invalid_entry_count,
-            "not_applied": source.stale_list_count,
-            "silent_for_ms": None
-            if source.last_contact_ms is None
-            else round(merger.now_ms - source.last_contact_ms),
-        }
-        for source in merger.sources.values()
-    ]
-    names = dict.fromkeys(merger.view)
-    for source in merger.sources.values():
-        names.update(dict.fromkeys(source.records))
-    faults = [
+class SourceRow(TypedDict):
+    """One source, with the key names of `balancer members --json`."""
+
+    name: str
+    role: str
+    state: str
+    reason: str
+    identity: str | None
+    revision: int | None
+    members: int
+    removed: int
+    unreadable: int
+    not_applied: int
+    silent_for_ms: int | None
+
+
+class EndpointRow(TypedDict):
+    """One endpoint; `sources` has the phase that each source lists, or "removed"."""
+
+    id: str
+    address: str
+    phase: str  # of the view, or "shadowed" or "gone"
+    zone: str
+    weight: float
+    started_at_ms: float
+    sources: dict[str, str]
+
+
+class InvalidEntryRow(TypedDict):
+    """One entry that could not be read."""
+
+    source: str
+    key: str
+    reason: str
+
+
+class MergeReport(TypedDict):
+    """The whole report."""
+
+    revision: int
+    sources: list[SourceRow]
+    members: list[EndpointRow]
+    faults: list[InvalidEntryRow]
+
+
+def build_report(merger: EndpointMerger) -> MergeReport:
+    """What each source lists and the view, as plain values for a table or JSON."""
+    sources = merger.sources.values()
+    endpoint_ids = dict.fromkeys(merger.view)
+    for source in sources:
+        endpoint_ids.update(dict.fromkeys(source.records))
+    faults: list[InvalidEntryRow] = [
         {"source": source.name, "key": key, "reason": entry.reason}
-        for source in merger.sources.values()
+        for source in sources
         for key, entry in source.invalid_entries.items()
     ]
-    members = [_endpoint_row(merger, name) for name in names]
-    return {"revision": merger.view_revision, "sources": sources, "members": members, "faults": faults}
+    return {
+        "revision": merger.view_revision,
+        "sources": [_source_row(source, merger.now_ms) for source in sources],
+        "members": [_endpoint_row(merger, endpoint_id) for endpoint_id in endpoint_ids],
+        "faults": faults,
+    }
 
 
-def _endpoint_row(merger: EndpointMerger, name: str) -> dict[str, Any]:
-    phase_by_source = {}
-    for source in merger.sources.values():
-        if name in source.records:
-            phase_by_source[source.name] = source.records[name].endpoint.phase.value
-        elif name in source.removed_ids:
-            phase_by_source[source.name] = "removed"
-    view_record = merger.view.get(name)
-    phase = (
-        "shadowed"
-        if name in merger.shadowed_ids
-        else "gone"
-        if view_record is None
-        else view_record.endpoint.phase.value
-    )
-    record = view_record or next(
-        source.records[name] for source in merger.sources.values() if name in source.records
-    )
+def _source_row(source: Source, now_ms: float) -> SourceRow:
+    last_contact_ms = source.last_contact_ms
+    return {
+        "name": source.name,
+        "role": source.role.value,
+        "state": source.state.value,
+        "reason": source.state_reason,
+        "identity": source.identity,
+        "revision": source.revision,
+        "members": len(source.records),
+        "removed": len(source.removed_ids),
+        "unreadable": source.invalid_entry_count,
+        "not_applied": source.stale_list_count,
+        "silent_for_ms": None if last_contact_ms is None else round(now_ms - last_contact_ms),
+    }
+
+
+def _endpoint_row(merger: EndpointMerger, endpoint_id: str) -> EndpointRow:
+    listed = [one.records[endpoint_id] for one in merger.sources.values() if endpoint_id in one.records]
+    in_view = merger.view.get(endpoint_id)
+    if endpoint_id in merger.merged_view.shadowed_ids:
+        phase = "shadowed"
+    else:
+        phase = "gone" if in_view is None else in_view.endpoint.phase.value
+    record = in_view or listed[0]
     host, port = record.address
     return {
-        "id": name,
+        "id": endpoint_id,
         "address": f"[{host}]:{port}" if ":" in host else f"{host}:{port}",
         "phase": phase,
         "zone": record.endpoint.zone,
         "weight": record.endpoint.weight,
         "started_at_ms": record.endpoint.started_at_ms,
-        "sources": phase_by_source,
+        "sources": _phase_by_source(merger, endpoint_id),
     }
+
+
+def _phase_by_source(merger: EndpointMerger, endpoint_id: str) -> dict[str, str]:
+    phases = {}
+    for source in merger.sources.values():
+        if endpoint_id in source.records:
+            phases[source.name] = source.records[endpoint_id].endpoint.phase.value
+        elif endpoint_id in source.removed_ids:
+            phases[source.name] = "removed"
+    return phases
--- /dev/null
+++ b/balancer/core/discovery/merged_view.py
@@ -0,0 +1,160 @@
+"""One view of the endpoints over all sources: precedence between sources, one endpoint for each address.
+
+What holds of one endpoint, over the sources in the order of their precedence:
+
+- it is gone if a source that may remove has removed it and has not listed it again;
+- it drains if a source that may drain says so;
+- otherwise it is up if a source that may add lists it. Address, zone, cell, kind and weight are those of the
+  first such source; the start time is the latest that any of them names, since a backend that may be warming
+  up is to be treated as such.
+
+Of several endpoints that are up at one address one is in the view; the others are shadowed.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from dataclasses import replace
+
+from balancer.core.discovery.source_state import Source, SourceRole
+from balancer.endpoints import Address, EndpointRecord
+from balancer.interface import Phase
+
+Changes = dict[str, EndpointRecord]  # by endpoint id; the phase is REMOVED for one that left the view
+
+
+def merge_records(sources: Mapping[str, Source], endpoint_id: str) -> EndpointRecord | None:
+    """What holds of one endpoint over all sources, or None if it must not be used."""
+    first: EndpointRecord | None = None
+    is_draining, started_at_ms, cached_ages_ms = False, 0.0, list[float | None]()
+    for source in sources.values():
+        if endpoint_id in source.removed_ids:
+            return None
+        if (record := source.records.get(endpoint_id)) is None:
+            continue
+        record_drains = record.endpoint.phase is not Phase.UP
+        if source.role is not SourceRole.ADD:
+            is_draining = is_draining or record_drains
+        if source.role is SourceRole.REMOVE:
+            continue
+        started_at_ms = max(started_at_ms, record.endpoint.started_at_ms)
+        cached_ages_ms.append(record.endpoint.cached_age_ms)
+        if first is None or (first.endpoint.phase is not Phase.UP and not record_drains and not is_draining):
+            first = record
+    if first is None:
+        return None
+    phase = Phase.DRAINING if is_draining else first.endpoint.phase
+    return _with_merged_fields(first, phase, started_at_ms, _youngest_age_ms(cached_ages_ms))
+
+
+def _youngest_age_ms(cached_ages_ms: list[float | None]) -> float | None:
+    """None if any source confirms the endpoint."""
+    if None in cached_ages_ms:
+        return None
+    return min(age_ms for age_ms in cached_ages_ms if age_ms is not None)
+
+
+def _with_merged_fields(
+    record: EndpointRecord, phase: Phase, started_at_ms: float, cached_age_ms: float | None
+) -> EndpointRecord:
+    endpoint = record.endpoint
+    if (phase, started_at_ms, cached_age_ms) == (
+        endpoint.phase,
+        endpoint.started_at_ms,
+        endpoint.cached_age_ms,
+    ):
+        return record
+    merged = replace(endpoint, phase=phase, started_at_ms=started_at_ms, cached_age_ms=cached_age_ms)
+    return EndpointRecord(merged, record.address)
+
+
+class MergedView:
+    """The view in force. Updates note in `changes` what they changed; nothing here announces it."""
+
+    def __init__(self) -> None:
+        self.records: dict[str, EndpointRecord] = {}  # up or draining
+        self.shadowed_ids: set[str] = set()  # listed as up, left out: another is up at the same address
+        # Who is listed as up at an address, in the order in which they came, and the inverse.
+        self._up_ids_by_address: dict[Address, dict[str, None]] = {}
+        self._address_by_up_id: dict[str, Address] = {}
+        # Addresses at which that changed since the last `settle_contested` and that several share or
+        # shared.
+        self._contested_addresses: dict[Address, None] = {}
+
+    @property
+    def has_up_endpoints(self) -> bool:
+        """Whether any endpoint is listed as up."""
+        return bool(self._address_by_up_id)
+
+    def update(self, endpoint_id: str, sources: Mapping[str, Source], changes: Changes) -> None:
+        """Bring one endpoint up to date; `settle_contested` has to follow once all are."""
+        merged = merge_records(sources, endpoint_id)
+        address = None
+        if merged is not None and merged.endpoint.phase is Phase.UP:
+            address = merged.address
+        previous_address = self._address_by_up_id.get(endpoint_id)
+        if previous_address is not None and previous_address != address:
+            self._leave_address(endpoint_id, previous_address)
+        if address is not None:
+            up_ids = self._up_ids_by_address.setdefault(address, {})
+            up_ids[endpoint_id], self._address_by_up_id[endpoint_id] = None, address
+            if len(up_ids) > 1:
+                self._contested_addresses[address] = None
+                return
+        self._set(endpoint_id, merged, changes)
+
+    def _leave_address(self, endpoint_id: str, address: Address) -> None:
+        del self._address_by_up_id[endpoint_id]
+        self.shadowed_ids.discard(endpoint_id)
+        up_ids = self._up_ids_by_address[address]
+        del up_ids[endpoint_id]
+        if up_ids:
+            self._contested_addresses[address] = None
+        else:
+            del self._up_ids_by_address[address]
+
+    def settle_contested(self, sources: Mapping[str, Source], changes: Changes) -> list[str]:
+        """Choose one endpoint for each contested address; returns log lines on those that are left out.
+
+        One process listens there and would otherwise get the work and the slow start's budget of each of
+        its ids. Done once for all updates: weighing each endpoint against each would cost the square of
+        their number where a whole list names one address.
+        """
+        contested, self._contested_addresses = self._contested_addresses, {}
+        log_lines: list[str] = []
+        for address in contested:
+            candidates = {
+                endpoint_id: merged
+                for endpoint_id in self._up_ids_by_address.get(address, ())
+                if (merged := merge_records(sources, endpoint_id)) is not None
+            }
+            if candidates:
+                self._settle_address(address, candidates, changes, log_lines)
+        return log_lines
+
+    def _settle_address(
+        self, address: Address, candidates: Changes, changes: Changes, log_lines: list[str]
+    ) -> None:
+        """Use the endpoint that started last, or of those that started together whoever came last."""
+        order = {endpoint_id: position for position, endpoint_id in enumerate(candidates)}
+        winner = max(candidates, key=lambda one: (candidates[one].endpoint.started_at_ms, order[one]))
+        for endpoint_id, merged in candidates.items():
+            if endpoint_id == winner:
+                self.shadowed_ids.discard(endpoint_id)
+                self._set(endpoint_id, merged, changes)
+                continue
+            if endpoint_id not in self.shadowed_ids:
+                self.shadowed_ids.add(endpoint_id)
+                text = f"{endpoint_id!r:.300} left out: {winner!r:.300} is up at the same address"
+                log_lines.append(f"{text} {address[0]}:{address[1]}")
+            self._set(endpoint_id, None, changes)
+
+    def _set(self, endpoint_id: str, record: EndpointRecord | None, changes: Changes) -> None:
+        previous = self.records.get(endpoint_id)
+        if record is not None:
+            if previous != record:
+                self.records[endpoint_id] = changes[endpoint_id] = record
+        elif previous is not None:
+            del self.records[endpoint_id]
+            removed = replace(previous.endpoint, phase=Phase.REMOVED)
+            changes[endpoint_id] = EndpointRecord(removed, previous.address)
--- a/balancer/net/application.py
+++ b/balancer/net/application.py
@@ -28,7 +28,8 @@
     descriptor_quotas,
     unread_budget_bytes,
 )
-from balancer.core.discovery.endpoint_merger import EndpointsListed, Source
+from balancer.core.discovery.endpoint_merger import EndpointsListed
+from balancer.core.discovery.source_state import Source
 from balancer.net import clock
 from balancer.net.config import Config, ConfigError, load
 from balancer.net.discovery import platform
--- a/balancer/net/component.py
+++ b/balancer/net/component.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING, Protocol
 
 from balancer import interface as api
-from balancer.core.discovery.endpoint_merger import Source
+from balancer.core.discovery.source_state import Source
 from balancer.net.admin_socket import AdminSocket
 from balancer.net.endpoint_view import EndpointView
 from balancer.net.request_dispatcher import RequestDispatcher
--- a/balancer/net/endpoint_view.py
+++ b/balancer/net/endpoint_view.py
@@ -1,39 +1,41 @@
-"""The fleet as the node sees it: one view, merged from the sources of its list, handed on to the node."""
+"""The node's one view of its endpoints: runs the merge of its sources and hands changes to the node."""
 
 from __future__ import annotations
 
 import asyncio
 import logging
-from collections.abc import Callable
-from typing import Any, Protocol
+from collections.abc import Callable, Sequence
+from typing import Protocol
 
-from balancer.core.discovery import endpoint_merger as membership
-from balancer.core.discovery.endpoint_merger import EndpointMerger, Source
+from balancer.core.discovery import endpoint_merger, merge_log
+from balancer.core.discovery.source_state import Source
 
 log = logging.getLogger(__name__)
 
+Listener = Callable[[endpoint_merger.Event, list[endpoint_merger.Action]], None]
+
 
 class ViewSink(Protocol):
-    """Who is told of changes of the view."""
+    """Who applies changes of the view."""
 
     def now(self) -> float:
         """Milliseconds; never goes back."""
 
-    def apply(self, change: membership.ApplyEndpoints) -> None:
-        """Take a change."""
+    def apply(self, change: endpoint_merger.ApplyEndpoints) -> None:
+        """Apply one change."""
 
 
 class EndpointView:
-    """Runs the merge: events of sources in, changes of the view out. It decides nothing."""
+    """Hands events of sources to the merge and executes its actions. It decides nothing."""
 
-    def __init__(self, sink: ViewSink, sources: list[Source]) -> None:
+    def __init__(self, sink: ViewSink, sources: Sequence[Source]) -> None:
         self.sink = sink
-        self.merger = EndpointMerger(sources)
+        self.merger = endpoint_merger.EndpointMerger(sources)
         self.loop = asyncio.get_running_loop()
-        self.listeners: list[Callable[[membership.Event, list[membership.Action]], None]] = []  # told last
+        self.listeners: list[Listener] = []  # called last, once the actions were executed
 
-    def handle(self, event: membership.Event) -> None:
-        """An event of a source. Never raises: a source in the middle of its work would stay so."""
+    def handle(self, event: endpoint_merger.Event) -> None:
+        """Handle an event of a source. Never raises: the source could not go on with its work."""
         try:
             actions = self.merger.handle(self.sink.now(), event)
         except Exception:
@@ -47,24 +49,24 @@
         for listener in self.listeners:
             try:
                 listener(event, actions)
-            except Exception:  # guards the list against whoever only watches
+            except Exception:  # the view must not depend on those who only observe it
                 log.exception("membership: a listener failed on %s", type(event).__name__)
 
-    def _execute(self, action: membership.Action) -> None:
+    def _execute(self, action: endpoint_merger.Action) -> None:
         match action:
-            case membership.ApplyEndpoints():
+            case endpoint_merger.ApplyEndpoints():
                 self.sink.apply(action)
-            case membership.ScheduleNextSlice():
-                self.loop.call_soon(self.handle, membership.NextSliceDue())
-            case membership.WriteLog():
+            case endpoint_merger.ScheduleNextSlice():
+                self.loop.call_soon(self.handle, endpoint_merger.NextSliceDue())
+            case merge_log.WriteLog():
                 log.log(logging.WARNING if action.is_warning else logging.INFO, "%s", action.text)
 
     def watch_revision(self, name: str) -> int | None:
-        """The revision to watch a source from; None: only its whole list will do."""
+        """The revision from which to watch a source, or None where only a snapshot will do."""
         return self.merger.watch_revision(name)
 
-    def report(self) -> dict[str, Any]:
-        """What the sources say of whom, for operators."""
-        from balancer.core.discovery.merge_report import build_report
+    def report(self) -> dict[str, object]:
+        """What the sources list and the view, for operators."""
+        from balancer.core.discovery import merge_report  # costs start-up time; loaded when asked for
 
-        return build_report(self.merger)
+        return dict(merge_report.build_report(self.merger))
--- a/balancer/net/etcd_component.py
+++ b/balancer/net/etcd_component.py
@@ -9,8 +9,8 @@
 from typing import Protocol
 
 from balancer.core.discovery import endpoint_merger as membership
-from balancer.core.discovery.endpoint_merger import Source, SourceRole
 from balancer.core.discovery.etcd_watcher import EtcdConfig
+from balancer.core.discovery.source_state import Source, SourceRole
 from balancer.net.component import PEERS_SOURCE
 from balancer.net.endpoint_view import EndpointView
 from balancer.operator_settings import EtcdSettings, OperatorSettings
--- a/balancer/net/persistence.py
+++ b/balancer/net/persistence.py
@@ -25,6 +25,7 @@
 from balancer import interface as api
 from balancer.core import recovery
 from balancer.core.discovery import endpoint_merger as membership
+from balancer.core.discovery import source_state
 from balancer.core.persistence import persisted_state as kept
 from balancer.core.persistence import write_behind as k
 from balancer.core.persistence.persisted_state import (
@@ -150,7 +151,7 @@
         sources = self.running.fleet.merger.sources.values()
         is_cached = isinstance(event, membership.EndpointsListed) and event.is_cached
         if not is_cached and all(
-            s.state is membership.SourceState.IN_SYNC and not s.has_cached_records for s in sources
+            s.state is source_state.SourceState.IN_SYNC and not s.has_cached_records for s in sources
         ):
             self._release_requests()
 
@@ -432,7 +433,7 @@
 
     @staticmethod
     def _snapshot_without_withdrawn(
-        source: membership.Source, identity: str, revision: int, restored: RestoredState
+        source: source_state.Source, identity: str, revision: int, restored: RestoredState
     ) -> membership.EndpointsListed | None:
         """Where the list that was kept is not to be had: the one that is there, but for later ends."""
         known_identity = source.identity or identity
@@ -493,7 +494,7 @@
             is_heard = (
                 listing_sources
                 and listing_sources[0] in sources
-                and sources[listing_sources[0]].state is not membership.SourceState.NO_CONTACT_YET
+                and sources[listing_sources[0]].state is not source_state.SourceState.NO_CONTACT_YET
             )
             self._withdrawn_ids[endpoint_id] = listing_sources[0] if is_heard else UNKNOWN_SOURCE
         self._changed_ids |= dict.fromkeys(view, UNKNOWN_SOURCE)
@@ -525,10 +526,10 @@
                 if isinstance(event, membership.NextSliceDue) or source_name == event.source:
                     self._confirm_source(source_name, source)
 
-    def _confirm_source(self, source_name: str, source: membership.Source) -> None:
+    def _confirm_source(self, source_name: str, source: source_state.Source) -> None:
         """It is current, and all that it said is handed over."""
         if (
-            source.state is membership.SourceState.IN_SYNC
+            source.state is source_state.SourceState.IN_SYNC
             and not source.has_regressed
             and self._is_settled(source)
         ):
@@ -607,7 +608,7 @@
             max(0, wall_ms - age_ms),
         )
 
-    def _is_settled(self, source: membership.Source) -> bool:
+    def _is_settled(self, source: source_state.Source) -> bool:
         """Whether its word is in the view as a whole, and all of it was looked at."""
         waiting = source.pending_records or self._withdrawn_ids or self._changed_ids
         return source.revision is not None and not waiting and not source.needs_snapshot
--- a/balancer/net/recovery.py
+++ b/balancer/net/recovery.py
@@ -15,6 +15,7 @@
 from balancer import interface as api
 from balancer.core import recovery as r
 from balancer.core.discovery import endpoint_merger as membership
+from balancer.core.discovery import source_state
 from balancer.core.stall_detector import STALL_THRESHOLD_MS
 from balancer.net.component import PEERS_SOURCE, RunningNode
 from balancer.operator_settings import OperatorSettings
@@ -157,7 +158,7 @@
             other = event.source == PEERS_SOURCE or (
                 isinstance(event, membership.EndpointsListed) and event.is_cached
             )
-            if source is not None and source.state is membership.SourceState.IN_SYNC and not other:
+            if source is not None and source.state is source_state.SourceState.IN_SYNC and not other:
                 self._record_phase("first list")
                 if self.recovery.is_in_doubt:
                     self.handle(r.SourceResponded())
--- a/benchmarks/gossiped_removals.py
+++ b/benchmarks/gossiped_removals.py
@@ -36,8 +36,8 @@
     EndpointsListed,
     NextSliceDue,
     ScheduleNextSlice,
-    Source,
 )
+from balancer.core.discovery.source_state import Source
 from balancer.core.staggering import StaggeredSchedule
 from balancer.endpoints import EndpointList, EndpointRecord
 from balancer.interface import Phase
--- a/benchmarks/list_change_cost.py
+++ b/benchmarks/list_change_cost.py
@@ -14,13 +14,8 @@
 from dataclasses import replace
 from statistics import median
 
-from balancer.core.discovery.endpoint_merger import (
-    ApplyEndpoints,
-    EndpointMerger,
-    EndpointsListed,
-    Source,
-    SourceRole,
-)
+from balancer.core.discovery.endpoint_merger import ApplyEndpoints, EndpointMerger, EndpointsListed
+from balancer.core.discovery.source_state import Source, SourceRole
 from balancer.endpoints import EndpointList, EndpointRecord
 from balancer.interface import Endpoint, EndpointsUpdated, Phase
 from balancer.net.backend_pool import BackendPool
--- a/benchmarks/list_processing_stalls.py
+++ b/benchmarks/list_processing_stalls.py
@@ -17,7 +17,8 @@
 from pathlib import Path
 from typing import Any
 
-from balancer.core.discovery.endpoint_merger import EndpointMerger, EndpointsListed, Source
+from balancer.core.discovery.endpoint_merger import EndpointMerger, EndpointsListed
+from balancer.core.discovery.source_state import Source
 from balancer.net import persistence as state
 from balancer.net.admin_socket import AdminSocket
 from balancer.net.backend_pool import BackendPool
--- a/benchmarks/measured_process.py
+++ b/benchmarks/measured_process.py
@@ -26,7 +26,8 @@
 
 from balancer import operator_settings as operators
 from balancer.core.discovery import endpoint_merger as membership
-from balancer.core.discovery.endpoint_merger import EndpointsListed, Source
+from balancer.core.discovery.endpoint_merger import EndpointsListed
+from balancer.core.discovery.source_state import Source
 from balancer.net import application as assemble
 from balancer.net.admin_socket import AdminSocket
 from balancer.net.backend_pool import BackendPool
--- a/tests/compatibility/exported_names.py
+++ b/tests/compatibility/exported_names.py
@@ -22,7 +22,7 @@
 from balancer.core.anomaly_detection import detector as departure
 from balancer.core.cluster import failure_detector as peers
 from balancer.core.cluster import partition_detector as cuts
-from balancer.core.discovery import endpoint_merger as membership
+from balancer.core.discovery import source_state
 from balancer.core.persistence import persisted_state as kept
 from balancer.observability.metrics import Metrics
 from balancer.operator_settings import OperatorSettings
@@ -76,7 +76,7 @@
         "recovery_state": _values(recovery.RecoveryState),
         "recovery_end": _values(recovery.RequestOutcome),
         "recovery_memory": _values(recovery.PersistedState),
-        "membership_state": _values(membership.SourceState),
+        "membership_state": _values(source_state.SourceState),
         "peer_state": [member.name.lower() for member in peers.PeerState],
         "peer_state_number": _values(peers.PeerState),
         "message_kind_number": _values(peers.MessageKind),
--- a/tests/core/cluster/test_gossip_coordinator.py
+++ b/tests/core/cluster/test_gossip_coordinator.py
@@ -35,9 +35,9 @@
     EndpointMerger,
     EndpointsListed,
     NextSliceDue,
-    Source,
     SourceLost,
 )
+from balancer.core.discovery.source_state import Source
 from balancer.core.recovery import ROLE_HOLD_OFF_MS
 from balancer.core.staggering import StaggeredSchedule
 from balancer.endpoints import EndpointList
--- a/tests/core/cluster/test_gossiped_removals.py
+++ b/tests/core/cluster/test_gossiped_removals.py
@@ -21,7 +21,8 @@
     SendRemovals,
     SourceAdvanced,
 )
-from balancer.core.discovery.endpoint_merger import EndpointMerger, EndpointsListed, Source
+from balancer.core.discovery.endpoint_merger import EndpointMerger, EndpointsListed
+from balancer.core.discovery.source_state import Source
 from balancer.core.staggering import StaggeredSchedule
 from balancer.endpoints import EndpointList
 from balancer.interface import Phase
--- a/tests/core/cluster/test_node_state.py
+++ b/tests/core/cluster/test_node_state.py
@@ -36,12 +36,8 @@
     PartitionScope,
     Verdict,
 )
-from balancer.core.discovery.endpoint_merger import (
-    EndpointMerger,
-    EndpointsListed,
-    NextSliceDue,
-    Source,
-)
+from balancer.core.discovery.endpoint_merger import EndpointMerger, EndpointsListed, NextSliceDue
+from balancer.core.discovery.source_state import Source
 from balancer.core.hysteresis import Hysteresis
 from balancer.endpoints import EndpointList
 from balancer.protocol import gossip
--- a/tests/core/discovery/test_endpoint_merger.py
+++ b/tests/core/discovery/test_endpoint_merger.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import itertools
+from collections.abc import Mapping
 from dataclasses import replace
 from typing import Any
 
@@ -11,13 +12,10 @@
 from hypothesis import strategies as st
 
 from balancer.core.discovery import endpoint_merger as m
-from balancer.core.discovery.endpoint_merger import (
-    EndpointMerger,
-    Source,
-    SourceRole,
-    SourceState,
-)
+from balancer.core.discovery import merge_log, merged_view, snapshot_slices, source_state
+from balancer.core.discovery.endpoint_merger import EndpointMerger
 from balancer.core.discovery.merge_report import build_report as report_of
+from balancer.core.discovery.source_state import Source, SourceRole, SourceState
 from balancer.endpoints import EndpointList, EndpointRecord, InvalidEntry
 from balancer.interface import Endpoint, EndpointUpdateKind, Phase
 
@@ -59,7 +57,7 @@
         self.now_ms = 0.0
         self.announced: dict[str, EndpointRecord] = {}
         self.kinds: list[EndpointUpdateKind] = []
-        self.log_lines: list[m.WriteLog] = []
+        self.log_lines: list[merge_log.WriteLog] = []
         self.slice_scheduled = False
         self.revision = 0
 
@@ -79,7 +77,7 @@
                         self.announced[one.endpoint.id] = one
                 case m.ScheduleNextSlice():
                     self.slice_scheduled = True
-                case m.WriteLog():
+                case merge_log.WriteLog():
                     self.log_lines.append(action)
 
     def run_slices(self) -> None:
@@ -191,7 +189,7 @@
 
 def test_what_was_saved_counts_as_seen() -> None:
     rig = MergerHarness(Source("platform"))
-    rig.list_endpoints("platform", make_snapshot(41, make_record("a")), saved=True)
+    rig.list_endpoints("platform", make_snapshot(41, make_record("a")), is_cached=True)
     assert rig.kinds == [EndpointUpdateKind.CACHED] and rig.view == {"a": "up"}
     assert rig.state("platform") is SourceState.NO_CONTACT_YET
     assert rig.merger.watch_revision("platform") == 41
@@ -210,7 +208,9 @@
     news = make_incremental(2, *(make_record(f"s{n}", port=n + 1, weight=2.0) for n in range(600)))
     rig.handle(m.EndpointsListed("platform", "p", news))
     told = [one for one in rig.announced.values() if one.endpoint.weight == 2.0]
-    assert len(told) == m.SNAPSHOT_SLICE_ENTRIES and all(one.endpoint.cached_age_ms is None for one in told)
+    assert len(told) == snapshot_slices.SNAPSHOT_SLICE_ENTRIES and all(
+        one.endpoint.cached_age_ms is None for one in told
+    )
 
 
 def test_a_saved_list_with_an_entry_that_cannot_be_read_asks_for_the_whole_one() -> None:
@@ -218,7 +218,7 @@
     rig.list_endpoints(
         "platform",
         make_snapshot(41, make_record("a"), invalid_entries=(InvalidEntry("b", "no port"),)),
-        saved=True,
+        is_cached=True,
     )
     assert rig.view == {"a": "up"} and rig.merger.watch_revision("platform") is None
     rig.list_endpoints("platform", make_snapshot(41, make_record("a"), make_record("b")))
@@ -376,7 +376,7 @@
     assert rig.view == {"last": "up"}
     rig.list_endpoints("platform", make_incremental(6, make_record("last", port=8)))
     assert rig.view == {"last": "up", "old": "up"}
-    assert not rig.merger.shadowed_ids
+    assert not rig.merger.merged_view.shadowed_ids
 
 
 def test_a_source_that_operators_take_out_has_never_said_a_word() -> None:
@@ -469,7 +469,7 @@
 
 
 def test_what_is_remembered_of_the_removed_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(m, "MAX_REMOVED_IDS_PER_SOURCE", 3)
+    monkeypatch.setattr(source_state, "MAX_REMOVED_IDS_PER_SOURCE", 3)
     rig = MergerHarness()
     rig.list_endpoints("platform", make_snapshot(1, *(make_record(f"s{i}") for i in range(5))))
     rig.list_endpoints("etcd", make_snapshot(1, *(make_record(f"s{i}") for i in range(5))))
@@ -485,7 +485,7 @@
 
 
 def test_faults_shown_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(m, "MAX_INVALID_ENTRIES_PER_SOURCE", 2)
+    monkeypatch.setattr(source_state, "MAX_INVALID_ENTRIES_PER_SOURCE", 2)
     rig = MergerHarness(Source("platform"))
     rig.list_endpoints(
         "platform", make_snapshot(1, invalid_entries=tuple(InvalidEntry(f"f{i}", "odd") for i in range(9)))
@@ -495,7 +495,7 @@
 
 
 def test_a_large_list_comes_in_slices_removals_first(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(m, "SNAPSHOT_SLICE_ENTRIES", 10)
+    monkeypatch.setattr(snapshot_slices, "SNAPSHOT_SLICE_ENTRIES", 10)
     rig = MergerHarness(Source("platform"))
     rig.list_endpoints("platform", make_snapshot(1, *(make_record(f"s{i}", port=i + 1) for i in range(95))))
     assert len(rig.view) == 95
@@ -526,7 +526,7 @@
 
 def test_many_changes_at_once_come_in_slices_too(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against a fleet's live weights that hold the loop in one piece; drains do not wait for them."""
-    monkeypatch.setattr(m, "SNAPSHOT_SLICE_ENTRIES", 10)
+    monkeypatch.setattr(snapshot_slices, "SNAPSHOT_SLICE_ENTRIES", 10)
     rig = MergerHarness(Source("platform"))
     rig.list_endpoints("platform", make_snapshot(1, *(make_record(f"s{i}", port=i + 1) for i in range(50))))
     rest = [make_record(f"s{i}", DRAINING if i == 40 else UP, port=i + 1, weight=2.0) for i in range(2, 50)]
@@ -543,7 +543,7 @@
 
 def test_a_first_list_comes_in_one_piece(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against subsets that are laid out over its first slice alone."""
-    monkeypatch.setattr(m, "SNAPSHOT_SLICE_ENTRIES", 10)
+    monkeypatch.setattr(snapshot_slices, "SNAPSHOT_SLICE_ENTRIES", 10)
     rig = MergerHarness(Source("platform"))
     rig.handle(
         m.EndpointsListed(
@@ -558,7 +558,7 @@
 def test_a_move_in_the_middle_of_a_large_list_loses_nothing_that_was_said(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(m, "SNAPSHOT_SLICE_ENTRIES", 10)
+    monkeypatch.setattr(snapshot_slices, "SNAPSHOT_SLICE_ENTRIES", 10)
     rig = MergerHarness(Source("platform"))
     rig.handle(
         m.EndpointsListed(
@@ -590,7 +590,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Guards against a removal that is forgotten as the list it follows had not been looked through."""
-    monkeypatch.setattr(m, "SNAPSHOT_SLICE_ENTRIES", 1)
+    monkeypatch.setattr(snapshot_slices, "SNAPSHOT_SLICE_ENTRIES", 1)
     rig = MergerHarness()
     rig.handle(m.EndpointsListed("platform", "one", make_snapshot(1, make_record("a"), make_record("b"))))
     rig.list_endpoints("platform", make_snapshot(2, make_record("a")))
@@ -600,7 +600,7 @@
 
 def test_one_address_in_a_large_list_that_is_under_way(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against telling an older state after a newer one, of a backend that another pushed out."""
-    monkeypatch.setattr(m, "SNAPSHOT_SLICE_ENTRIES", 1)
+    monkeypatch.setattr(snapshot_slices, "SNAPSHOT_SLICE_ENTRIES", 1)
     rig = MergerHarness(Source("platform"))
     both = make_record("b", port=1), make_record("a", port=1)
     rig.handle(m.EndpointsListed("platform", "one", make_snapshot(1, *both)))
@@ -611,8 +611,8 @@
 @pytest.fixture
 def tiny(monkeypatch: pytest.MonkeyPatch) -> None:
     """Lists of over four servers are large, and two are looked at in one turn."""
-    monkeypatch.setattr(m, "LARGE_SNAPSHOT_ENTRIES", 4)
-    monkeypatch.setattr(m, "CHANGE_SLICE_ENTRIES", 2)
+    monkeypatch.setattr(snapshot_slices, "LARGE_SNAPSHOT_ENTRIES", 4)
+    monkeypatch.setattr(snapshot_slices, "CHANGE_SLICE_ENTRIES", 2)
 
 
 @pytest.mark.usefixtures("tiny")
@@ -667,7 +667,7 @@
 ) -> None:
     views = []
     for large in (4, 1000):
-        monkeypatch.setattr(m, "LARGE_SNAPSHOT_ENTRIES", large)
+        monkeypatch.setattr(snapshot_slices, "LARGE_SNAPSHOT_ENTRIES", large)
         for news in (
             None,
             m.SourceConfirmedCurrent("platform"),
@@ -759,10 +759,18 @@
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(*CASES)
 def test_the_view_is_what_a_naive_model_says(steps: list[Any], size: int, large: int) -> None:
-    before = m.SNAPSHOT_SLICE_ENTRIES, m.CHANGE_SLICE_ENTRIES, m.LARGE_SNAPSHOT_ENTRIES
-    m.SNAPSHOT_SLICE_ENTRIES, m.CHANGE_SLICE_ENTRIES, m.LARGE_SNAPSHOT_ENTRIES = (
+    before = (
+        snapshot_slices.SNAPSHOT_SLICE_ENTRIES,
+        snapshot_slices.CHANGE_SLICE_ENTRIES,
+        snapshot_slices.LARGE_SNAPSHOT_ENTRIES,
+    )
+    (
+        snapshot_slices.SNAPSHOT_SLICE_ENTRIES,
+        snapshot_slices.CHANGE_SLICE_ENTRIES,
+        snapshot_slices.LARGE_SNAPSHOT_ENTRIES,
+    ) = (
         size,
-        min(size, m.CHANGE_SLICE_ENTRIES),
+        min(size, snapshot_slices.CHANGE_SLICE_ENTRIES),
         large,
     )
     try:
@@ -814,9 +822,13 @@
                 assert got.pop(name) == want[name]
         used = [port for phase, port, _ in got.values()]
         assert len(used) == len(set(used)) == len({p for p in ports if ports.count(p) > 1})
-        assert not rig.merger._unannounced
+        assert not rig.merger._slices.unannounced
     finally:
-        m.SNAPSHOT_SLICE_ENTRIES, m.CHANGE_SLICE_ENTRIES, m.LARGE_SNAPSHOT_ENTRIES = before
+        (
+            snapshot_slices.SNAPSHOT_SLICE_ENTRIES,
+            snapshot_slices.CHANGE_SLICE_ENTRIES,
+            snapshot_slices.LARGE_SNAPSHOT_ENTRIES,
+        ) = before
 
 
 def test_a_second_source_of_one_name_is_refused() -> None:
@@ -824,30 +836,29 @@
         EndpointMerger([Source("etcd"), Source("etcd")])
 
 
-def test_many_ids_at_one_address_cost_no_more_than_many_addresses() -> None:
-    """Guards the loop against a list whose servers all bear one address: each was weighed against each."""
-    resolved = 0
+def test_many_ids_at_one_address_cost_no_more_than_many_addresses(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards the loop against a list whose endpoints all have one address: each was weighed against each."""
+    merged_ids: list[str] = []
+    merge_records = merged_view.merge_records
 
-    class Counted(EndpointMerger):
-        def _merge_records(self, name: str) -> EndpointRecord | None:
-            nonlocal resolved
-            resolved += 1
-            return super()._merge_records(name)
+    def counted(sources: Mapping[str, Source], endpoint_id: str) -> EndpointRecord | None:
+        merged_ids.append(endpoint_id)
+        return merge_records(sources, endpoint_id)
 
+    monkeypatch.setattr(merged_view, "merge_records", counted)
     rig, count = MergerHarness(Source("platform")), 2000
-    rig.merger = Counted([Source("platform")])
     names = [f"s{i:04}" for i in range(count)]
     rig.list_endpoints("platform", make_snapshot(1, *(make_record(name, port=7) for name in names)))
     assert rig.view == {names[-1]: "up"}
     rig.list_endpoints("platform", make_incremental(2, removed_ids=tuple(names[1:])))
-    assert rig.view == {names[0]: "up"} and not rig.merger.shadowed_ids
-    assert resolved < 10 * count
+    assert rig.view == {names[0]: "up"} and not rig.merger.merged_view.shadowed_ids
+    assert count < len(merged_ids) < 10 * count
 
 
 def test_a_backend_whose_list_was_under_way_and_that_cannot_be_read_in_the_next_is_used(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(m, "SNAPSHOT_SLICE_ENTRIES", 1)
+    monkeypatch.setattr(snapshot_slices, "SNAPSHOT_SLICE_ENTRIES", 1)
     rig = MergerHarness(Source("platform"))
     rig.handle(m.EndpointsListed("platform", "one", make_snapshot(1, make_record("a"), make_record("b"))))
     rig.list_endpoints(
@@ -861,7 +872,7 @@
     rig = MergerHarness(Source("platform"))
     rig.list_endpoints("platform", make_snapshot(60, make_record("a")))
     rig.handle(m.SourceConfirmedCurrent("platform"))
-    rig.list_endpoints("platform", make_snapshot(5, make_record("b")), watched=True)
+    rig.list_endpoints("platform", make_snapshot(5, make_record("b")), is_from_watch=True)
     assert rig.state("platform") is SourceState.REJECTED
     assert rig.log_lines[-1].is_warning and "older than 60" in rig.log_lines[-1].text
     rig.handle(m.SourceConfirmedCurrent("platform"))
@@ -885,7 +896,7 @@
     assert sum("left out" in line.text for line in rig.log_lines) > 5
     assert any("480 more" in line.text for line in rig.log_lines)
     assert any("279 more" in line.text for line in rig.log_lines)
-    assert len(rig.merger.shadowed_ids) == 299
+    assert len(rig.merger.merged_view.shadowed_ids) == 299
 
 
 # --- what memory alone vouches for
@@ -994,5 +1005,7 @@
         more = any(isinstance(one, m.ScheduleNextSlice) for one in acts)
         acts = merge.handle(1.0, m.NextSliceDue()) if more else []
     assert (
-        sum(sizes) == 1_000 and max(sizes) <= m.CHANGE_SLICE_ENTRIES and set(ages(merge).values()) == {None}
+        sum(sizes) == 1_000
+        and max(sizes) <= snapshot_slices.CHANGE_SLICE_ENTRIES
+        and set(ages(merge).values()) == {None}
     )
--- a/tests/core/discovery/test_platform_watcher.py
+++ b/tests/core/discovery/test_platform_watcher.py
@@ -22,20 +22,20 @@
     return out
 
 
-FETCH_SNAPSHOT, START_WATCH, SET_RETRY_TIMER = "AskWhole", "WatchFrom", "Wait"
+FETCH_SNAPSHOT, START_WATCH, SET_RETRY_TIMER = "FetchSnapshot", "StartWatch", "SetRetryTimer"
 # state, event, revision held -> what is done, and the state after it (not: the module does not ask by itself)
 TABLE = [
     ("unwanted", p.SubscriptionChanged(True), None, [FETCH_SNAPSHOT], "following"),
     ("unwanted", p.SubscriptionChanged(True), 7, [START_WATCH], "following"),
-    ("unwanted", p.SubscriptionChanged(False), 7, ["Drop"], "unwanted"),
-    ("unwanted", p.AddressChanged(), 7, ["Drop"], "unwanted"),
+    ("unwanted", p.SubscriptionChanged(False), 7, ["CancelCalls"], "unwanted"),
+    ("unwanted", p.AddressChanged(), 7, ["CancelCalls"], "unwanted"),
     ("unwanted", p.DiscoveryAnswered(), 7, [], "unwanted"),
     ("unwanted", p.CallEnded(True), 7, [], "unwanted"),
     ("unwanted", p.CallEnded(False), 7, [], "unwanted"),
     ("unwanted", p.RetryTimerFired(), 7, [], "unwanted"),
     ("following", p.SubscriptionChanged(True), 7, [], "following"),
-    ("following", p.SubscriptionChanged(False), 7, ["Drop"], "unwanted"),
-    ("following", p.AddressChanged(), 7, ["Drop", FETCH_SNAPSHOT], "following"),
+    ("following", p.SubscriptionChanged(False), 7, ["CancelCalls"], "unwanted"),
+    ("following", p.AddressChanged(), 7, ["CancelCalls", FETCH_SNAPSHOT], "following"),
     ("following", p.DiscoveryAnswered(), 7, [], "following"),
     ("following", p.CallEnded(True), 7, [START_WATCH], "following"),
     ("following", p.CallEnded(True), None, [SET_RETRY_TIMER], "waiting"),
@@ -44,8 +44,8 @@
     ("following", p.CallEnded(False, is_additional=True), 7, [], "following"),
     ("following", p.RetryTimerFired(), 7, [], "following"),
     ("waiting", p.SubscriptionChanged(True), 7, [], "waiting"),
-    ("waiting", p.SubscriptionChanged(False), 7, ["Drop"], "unwanted"),
-    ("waiting", p.AddressChanged(), 7, ["Drop", FETCH_SNAPSHOT], "following"),
+    ("waiting", p.SubscriptionChanged(False), 7, ["CancelCalls"], "unwanted"),
+    ("waiting", p.AddressChanged(), 7, ["CancelCalls", FETCH_SNAPSHOT], "following"),
     ("waiting", p.DiscoveryAnswered(), 7, [], "waiting"),
     ("waiting", p.CallEnded(True, is_additional=True), 7, [], "waiting"),
     ("waiting", p.RetryTimerFired(), None, [FETCH_SNAPSHOT], "following"),
--- a/tests/core/test_recovery.py
+++ b/tests/core/test_recovery.py
@@ -14,7 +14,8 @@
 
 from balancer.core import recovery as r
 from balancer.core.discovery import endpoint_merger as m
-from balancer.core.discovery.endpoint_merger import EndpointMerger, Source
+from balancer.core.discovery.endpoint_merger import EndpointMerger
+from balancer.core.discovery.source_state import Source
 from balancer.core.recovery import (
     PersistedState,
     Recovery,
--- a/tests/net/test_bulk_update.py
+++ b/tests/net/test_bulk_update.py
@@ -11,6 +11,7 @@
 import pytest
 
 from balancer.core.discovery import endpoint_merger as m
+from balancer.core.discovery import snapshot_slices, source_state
 from balancer.endpoints import EndpointList, EndpointRecord
 from balancer.interface import (
     Action,
@@ -45,7 +46,7 @@
         self.servers, self.node, self.listed = (
             servers,
             RequestDispatcher(config),
-            m.Source(platform.SOURCE_NAME),
+            source_state.Source(platform.SOURCE_NAME),
         )
         self.fleet, self.front = EndpointView(self.node, [self.listed]), HttpServer(self.node, 9)
         self.sent: list[str] = []
@@ -140,7 +141,7 @@
 def test_requests_are_answered_between_the_slices_of_another_list(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(m, "CHANGE_SLICE_ENTRIES", 25)  # 120 turns
+    monkeypatch.setattr(snapshot_slices, "CHANGE_SLICE_ENTRIES", 25)  # 120 turns
 
     async def test() -> None:
         async with running_node(tmp_path) as (here, client):
@@ -155,7 +156,10 @@
             await until(lambda: not here.listed.pending_records)
             weights = {b.endpoint.weight for b in here.node.balancer.backends.values()}
             assert weights == {2.0} and len(here.node.balancer.order) == ENDPOINT_COUNT
-            assert max(here.kinds[here.kinds.index(ENDPOINT_COUNT) + 1 :]) <= m.CHANGE_SLICE_ENTRIES
+            assert (
+                max(here.kinds[here.kinds.index(ENDPOINT_COUNT) + 1 :])
+                <= snapshot_slices.CHANGE_SLICE_ENTRIES
+            )
 
     run(test)
 
@@ -186,7 +190,13 @@
         )
         await until(lambda: node.ready)
         assert len(node.balancer.order) == count
-        news = [] if count <= node_module.LARGE_LIST_ENDPOINTS else ["ListUpdate", "Remembered", "ClientGone"]
-        assert handled == (news or ["ClientGone", "Remembered"]), "what was kept goes before all that waited"
+        news = (
+            []
+            if count <= node_module.LARGE_LIST_ENDPOINTS
+            else ["EndpointsUpdated", "LearnedStateRestored", "ClientLeft"]
+        )
+        assert handled == (news or ["ClientLeft", "LearnedStateRestored"]), (
+            "what was kept goes before all that waited"
+        )
 
     run(test)
--- a/tests/net/test_client_gone.py
+++ b/tests/net/test_client_gone.py
@@ -13,7 +13,8 @@
 
 import pytest
 
-from balancer.core.discovery.endpoint_merger import EndpointsListed, Source
+from balancer.core.discovery.endpoint_merger import EndpointsListed
+from balancer.core.discovery.source_state import Source
 from balancer.net import backend_pool as upstream
 from balancer.net.config import load
 from balancer.net.endpoint_view import EndpointView
--- a/tests/net/test_cluster.py
+++ b/tests/net/test_cluster.py
@@ -20,6 +20,7 @@
 from balancer.core.anomaly_detection.detector import TimelineEvent
 from balancer.core.cluster import failure_detector as p
 from balancer.core.discovery import endpoint_merger as ms
+from balancer.core.discovery import source_state
 from balancer.endpoints import EndpointList, EndpointRecord
 from balancer.net import cluster as net
 from balancer.net.admin_socket import AdminSocket
@@ -65,7 +66,7 @@
     def __init__(self, name: str) -> None:
         self.events: list[tuple[str, str]] = []
         self.node_stub = NodeStub(int(name[1:] or 0))
-        self.fleet = EndpointView(self.node_stub, [ms.Source("platform")])
+        self.fleet = EndpointView(self.node_stub, [source_state.Source("platform")])
         running = RunningNode(cast(Any, self.node_stub), self.fleet, (), AdminSocket(), name=name)
         running.watch = cast(Any, self)
         super().__init__(running)
--- a/tests/net/test_endpoint_view.py
+++ b/tests/net/test_endpoint_view.py
@@ -10,8 +10,9 @@
 import pytest
 
 from balancer.core.cluster import gossiped_removals as hearsay
-from balancer.core.discovery.endpoint_merger import ApplyEndpoints, Source, SourceConfirmedCurrent
+from balancer.core.discovery.endpoint_merger import ApplyEndpoints, SourceConfirmedCurrent
 from balancer.core.discovery.etcd_watcher import EtcdConfig
+from balancer.core.discovery.source_state import Source
 from balancer.endpoints import EndpointRecord
 from balancer.net.discovery.etcd import EtcdDiscovery
 from balancer.net.endpoint_view import EndpointView
@@ -149,6 +150,9 @@
 
         fleet.listeners += [fails, lambda event, actions: heard.append(event)]
         fleet.handle(SourceConfirmedCurrent("platform"))
-        assert heard == [SourceConfirmedCurrent("platform")] and "a listener failed on Heard" in caplog.text
+        assert (
+            heard == [SourceConfirmedCurrent("platform")]
+            and "a listener failed on SourceConfirmedCurrent" in caplog.text
+        )
 
     run(test)
--- a/tests/net/test_persistence.py
+++ b/tests/net/test_persistence.py
@@ -19,13 +19,9 @@
 from balancer.core import recovery
 from balancer.core.cluster import gossiped_removals as hearsay
 from balancer.core.discovery import endpoint_merger as membership
-from balancer.core.discovery.endpoint_merger import (
-    EndpointsListed,
-    Source,
-    SourceConfirmedCurrent,
-    SourcesConfigured,
-    SourceState,
-)
+from balancer.core.discovery import snapshot_slices
+from balancer.core.discovery.endpoint_merger import EndpointsListed, SourceConfirmedCurrent, SourcesConfigured
+from balancer.core.discovery.source_state import Source, SourceState
 from balancer.core.persistence import persisted_state as kept
 from balancer.core.persistence import write_behind as k
 from balancer.endpoints import EndpointList, EndpointRecord
@@ -218,8 +214,8 @@
 
     async def test() -> None:
         await life(tmp_path, disk, listed(5, *names))
-        monkeypatch.setattr(membership, "LARGE_SNAPSHOT_ENTRIES", 4)
-        monkeypatch.setattr(membership, "CHANGE_SLICE_ENTRIES", 1)
+        monkeypatch.setattr(snapshot_slices, "LARGE_SNAPSHOT_ENTRIES", 4)
+        monkeypatch.setattr(snapshot_slices, "CHANGE_SLICE_ENTRIES", 1)
         monkeypatch.setattr(node_module, "LARGE_LIST_ENDPOINTS", 4)
         async with rig(tmp_path, disk) as one:
             source, seen = one.fleet.merger.sources["platform"], list[int]()
--- a/tests/net/test_platform_recovery.py
+++ b/tests/net/test_platform_recovery.py
@@ -17,7 +17,8 @@
 import pytest
 
 from balancer.core.discovery import endpoint_merger as membership
-from balancer.core.discovery.endpoint_merger import Source, SourceLost
+from balancer.core.discovery.endpoint_merger import SourceLost
+from balancer.core.discovery.source_state import Source
 from balancer.endpoints import parse_endpoint_list
 from balancer.interface import Phase
 from balancer.net import request_dispatcher as real
--- a/tests/net/test_request_dispatcher.py
+++ b/tests/net/test_request_dispatcher.py
@@ -16,7 +16,8 @@
 
 import pytest
 
-from balancer.core.discovery.endpoint_merger import EndpointsListed, Source
+from balancer.core.discovery.endpoint_merger import EndpointsListed
+from balancer.core.discovery.source_state import Source
 from balancer.endpoints import (
     EndpointList,
     EndpointListError,
