--- a/benchmarks/property_search.py
+++ b/benchmarks/property_search.py
@@ -24,7 +24,7 @@
 from hypothesis import HealthCheck, given, seed, settings
 from hypothesis.strategies import SearchStrategy
 
-from tests.core.discovery import test_endpoint_merger as merge
+from tests.core.discovery import test_endpoint_merger_model as merge
 from tests.core.discovery import test_etcd_watcher as follow
 
 BLOCK = 500  # cases of one seed: the search keeps what it has seen of a block
@@ -40,7 +40,7 @@
 
 PROPERTIES = {
     "follower": Property(follow.test_what_is_delivered_is_a_state_that_etcd_had, follow.CASES),
-    "merge": Property(merge.test_the_view_is_what_a_naive_model_says, merge.CASES),
+    "merge": Property(merge.test_view_equals_that_of_a_naive_model, merge.CASES),
 }
 
 
--- /dev/null
+++ b/tests/core/discovery/test_endpoint_merger_model.py
@@ -0,0 +1,167 @@
+"""The merge against a naive model of the same rules, over drawn sequences of events."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from hypothesis import given, settings
+from hypothesis import strategies as st
+
+from balancer.core.discovery import endpoint_merger, snapshot_slices
+from balancer.core.discovery.source_state import Source
+from balancer.endpoints import EndpointRecord
+from balancer.interface import Phase
+from tests.core.discovery.merger_harness import (
+    DRAINING,
+    UP,
+    MergerHarness,
+    make_incremental,
+    make_record,
+    make_snapshot,
+)
+
+IDS = ["a", "b", "c", "d"]
+
+
+PHASES = st.sampled_from([UP, UP, DRAINING])
+
+
+RECORDS = st.dictionaries(
+    st.sampled_from(IDS), st.tuples(PHASES, st.integers(1, 3), st.integers(0, 2)), max_size=4
+).map(lambda table: [make_record(n, p, port, started_at_ms=float(at)) for n, (p, port, at) in table.items()])
+
+
+STEPS = st.lists(
+    st.tuples(
+        st.sampled_from(["platform", "etcd"]),
+        st.sampled_from(["whole", "changes", "spoiled", "new order", "silent", "turn"]),
+        st.integers(-1, 2),
+        RECORDS,
+        st.lists(st.sampled_from(IDS), max_size=2),
+    ),
+    max_size=25,
+)
+
+
+class NaiveSource:
+    """What one source has said, kept in the most obvious way."""
+
+    def __init__(self) -> None:
+        self.identity = self.revision = 0
+        self.known = self.spoiled = False
+        self.says: dict[str, EndpointRecord | None] = {}  # None: removed
+
+    def whole(self, revision: int, members: list[EndpointRecord]) -> None:
+        """A complete list."""
+        if not self.known or revision > self.revision or (revision == self.revision and self.spoiled):
+            named = {one.endpoint.id: one for one in members}
+            self.says |= dict.fromkeys(name for name, last in self.says.items() if last is not None)
+            self.says |= named
+            self.known, self.revision, self.spoiled = True, revision, False
+
+    def changes(self, revision: int, members: list[EndpointRecord], removed: list[str]) -> None:
+        """Changes; removals come first."""
+        if self.known and not self.spoiled and revision > self.revision:
+            self.says |= dict.fromkeys(removed)
+            self.says |= {one.endpoint.id: one for one in members}
+            self.revision = revision
+
+
+def expected_view(first: NaiveSource, second: NaiveSource) -> dict[str, tuple[Phase, int, float]]:
+    """The view, from the words of the page alone; two at one address are left out of the comparison."""
+    out = {}
+    for name in IDS:
+        words = [source.says[name] for source in (first, second) if name in source.says]
+        if not words or None in words:
+            continue
+        entries = [word for word in words if word is not None]
+        drains = any(one.endpoint.phase is DRAINING for one in entries)
+        start = max(one.endpoint.started_at_ms for one in entries)
+        out[name] = (DRAINING if drains else UP, entries[0].address[1], start)
+    return out
+
+
+CASES = (STEPS, st.sampled_from([1, 2, 1000]), st.sampled_from([0, 2, 1000]))
+
+
+@settings(max_examples=300, deadline=None, derandomize=True)
+@given(*CASES)
+def test_view_equals_that_of_a_naive_model(steps: list[Any], size: int, large: int) -> None:
+    before = (
+        snapshot_slices.SNAPSHOT_SLICE_ENTRIES,
+        snapshot_slices.CHANGE_SLICE_ENTRIES,
+        snapshot_slices.LARGE_SNAPSHOT_ENTRIES,
+    )
+    (
+        snapshot_slices.SNAPSHOT_SLICE_ENTRIES,
+        snapshot_slices.CHANGE_SLICE_ENTRIES,
+        snapshot_slices.LARGE_SNAPSHOT_ENTRIES,
+    ) = (
+        size,
+        min(size, snapshot_slices.CHANGE_SLICE_ENTRIES),
+        large,
+    )
+    try:
+        harness, naive = (
+            MergerHarness(Source("platform"), Source("etcd")),
+            {"platform": NaiveSource(), "etcd": NaiveSource()},
+        )
+        for source, what, ahead, members, removed in steps:
+            model = naive[source]
+            revision = model.revision + ahead
+            removed = [name for name in removed if name not in {one.endpoint.id for one in members}]
+            match what:
+                case "whole":
+                    model.whole(revision, members)
+                    harness.handle(
+                        endpoint_merger.EndpointsListed(
+                            source, str(model.identity), make_snapshot(revision, *members)
+                        )
+                    )
+                case "changes":
+                    model.changes(revision, members, removed)
+                    listing = make_incremental(revision, *members, removed_ids=tuple(removed))
+                    harness.handle(endpoint_merger.EndpointsListed(source, str(model.identity), listing))
+                case "spoiled":
+                    model.spoiled = True
+                    harness.handle(endpoint_merger.UpdateUnreadable(source, "odd"))
+                case "new order":
+                    model.identity += 1
+                    model.known = model.spoiled = False
+                    harness.handle(endpoint_merger.SourceIdentityChanged(source, str(model.identity)))
+                    model.whole(revision, members)
+                    harness.handle(
+                        endpoint_merger.EndpointsListed(
+                            source, str(model.identity), make_snapshot(revision, *members)
+                        )
+                    )
+                case "silent":
+                    harness.handle(endpoint_merger.SourceLost(source, "away"))
+                case _:
+                    harness.run_slices()
+            for model in naive.values():  # at once, however long a list is that waits
+                for name, word in model.says.items():
+                    held = harness.announced.get(name)
+                    if held is not None:
+                        assert word is not None, "it was removed"
+                        assert held.endpoint.phase is not UP or word.endpoint.phase is UP, "it drains"
+        harness.run_slices()
+        want = expected_view(naive["platform"], naive["etcd"])
+        got = {
+            n: (o.endpoint.phase, o.address[1], o.endpoint.started_at_ms)
+            for n, o in harness.announced.items()
+        }
+        assert harness.announced == harness.merger.view
+        ports = [port for phase, port, _ in want.values() if phase is UP]
+        for name, (phase, port, _) in want.items():
+            if phase is DRAINING or ports.count(port) == 1:
+                assert got.pop(name) == want[name]
+        used = [port for phase, port, _ in got.values()]
+        assert len(used) == len(set(used)) == len({p for p in ports if ports.count(p) > 1})
+        assert not harness.merger._slices.unannounced
+    finally:
+        (
+            snapshot_slices.SNAPSHOT_SLICE_ENTRIES,
+            snapshot_slices.CHANGE_SLICE_ENTRIES,
+            snapshot_slices.LARGE_SNAPSHOT_ENTRIES,
+        ) = before
--- /dev/null
+++ b/tests/core/discovery/test_merged_view.py
@@ -0,0 +1,182 @@
+"""The merged view: precedence between two sources, and endpoints that share an address."""
+
+from __future__ import annotations
+
+import itertools
+from collections.abc import Mapping
+from dataclasses import replace
+
+import pytest
+
+from balancer.core.discovery import merged_view
+from balancer.core.discovery.source_state import Source, SourceRole
+from balancer.endpoints import EndpointRecord
+from tests.core.discovery.merger_harness import (
+    DRAINING,
+    MergerHarness,
+    make_incremental,
+    make_record,
+    make_snapshot,
+)
+
+LISTED_PHASES = ("nothing", "up", "draining", "removed")
+
+
+# What holds where the first source and the second say so, by the role of the second (the first may do all).
+EXPECTED_PHASE = {
+    SourceRole.FULL: {
+        ("nothing", "nothing"): None,
+        ("nothing", "up"): "up",
+        ("nothing", "draining"): "draining",
+        ("nothing", "removed"): None,
+        ("up", "nothing"): "up",
+        ("up", "up"): "up",
+        ("up", "draining"): "draining",
+        ("up", "removed"): None,
+        ("draining", "nothing"): "draining",
+        ("draining", "up"): "draining",
+        ("draining", "draining"): "draining",
+        ("draining", "removed"): None,
+        ("removed", "nothing"): None,
+        ("removed", "up"): None,
+        ("removed", "draining"): None,
+        ("removed", "removed"): None,
+    },
+    SourceRole.ADD: {
+        ("nothing", "nothing"): None,
+        ("nothing", "up"): "up",
+        ("nothing", "draining"): "draining",
+        ("nothing", "removed"): None,
+        ("up", "nothing"): "up",
+        ("up", "up"): "up",
+        ("up", "draining"): "up",
+        ("up", "removed"): "up",
+        ("draining", "nothing"): "draining",
+        ("draining", "up"): "draining",
+        ("draining", "draining"): "draining",
+        ("draining", "removed"): "draining",
+        ("removed", "nothing"): None,
+        ("removed", "up"): None,
+        ("removed", "draining"): None,
+        ("removed", "removed"): None,
+    },
+    SourceRole.REMOVE: {
+        ("nothing", "nothing"): None,
+        ("nothing", "up"): None,
+        ("nothing", "draining"): None,
+        ("nothing", "removed"): None,
+        ("up", "nothing"): "up",
+        ("up", "up"): "up",
+        ("up", "draining"): "draining",
+        ("up", "removed"): None,
+        ("draining", "nothing"): "draining",
+        ("draining", "up"): "draining",
+        ("draining", "draining"): "draining",
+        ("draining", "removed"): None,
+        ("removed", "nothing"): None,
+        ("removed", "up"): None,
+        ("removed", "draining"): None,
+        ("removed", "removed"): None,
+    },
+}
+
+
+@pytest.mark.parametrize("role", SourceRole)
+@pytest.mark.parametrize(("first", "second"), list(itertools.product(LISTED_PHASES, LISTED_PHASES)))
+@pytest.mark.parametrize("order", [("platform", "etcd"), ("etcd", "platform")])
+def test_precedence_of_two_sources_follows_the_table(
+    role: SourceRole, first: str, second: str, order: tuple[str, str]
+) -> None:
+    """Whichever of the two lists last."""
+    harness = MergerHarness(Source("platform"), Source("etcd", role))
+    said = {"platform": first, "etcd": second}
+    for name in order:
+        harness.list_endpoints(
+            name, make_snapshot(1, *([] if said[name] == "nothing" else [make_record("x")]))
+        )
+    for name in order:
+        if said[name] == "removed":
+            harness.list_endpoints(name, make_incremental(2, removed_ids=("x",)))
+        elif said[name] == "draining":
+            harness.list_endpoints(name, make_incremental(2, make_record("x", DRAINING)))
+    assert harness.view.get("x") == EXPECTED_PHASE[role][first, second]
+
+
+def test_removed_endpoint_stays_removed_until_the_same_source_lists_it_again() -> None:
+    harness = MergerHarness()
+    harness.list_endpoints("platform", make_snapshot(1, make_record("x"), make_record("y")))
+    harness.list_endpoints("etcd", make_snapshot(1, make_record("x")))
+    harness.list_endpoints("etcd", make_snapshot(2))
+    assert harness.view == {"y": "up"}
+    harness.list_endpoints(
+        "platform", make_incremental(2, make_record("x"))
+    )  # whatever another source still says
+    harness.list_endpoints("platform", make_snapshot(3, make_record("x"), make_record("y")))
+    assert harness.view == {"y": "up"}
+    harness.list_endpoints("etcd", make_incremental(3, make_record("x")))
+    assert harness.view == {"x": "up", "y": "up"}
+
+
+def test_removal_of_an_endpoint_that_only_another_source_listed_is_obeyed() -> None:
+    harness = MergerHarness()
+    harness.list_endpoints("platform", make_snapshot(1, make_record("x")))
+    harness.list_endpoints("etcd", make_snapshot(1))
+    harness.list_endpoints("etcd", make_incremental(2, removed_ids=("x",)))
+    assert harness.view == {}
+
+
+def test_endpoint_of_two_sources_has_the_fields_of_the_first_and_the_latest_start() -> None:
+    harness = MergerHarness()
+    one = make_record("x", port=1, weight=0.4, zone="a", kind="m2", started_at_ms=50.0)
+    two = make_record("x", port=2, weight=3.0, zone="b", kind="m9", started_at_ms=90.0)
+    harness.list_endpoints("etcd", make_snapshot(1, two))
+    assert harness.announced["x"] == two
+    harness.list_endpoints("platform", make_snapshot(1, one))
+    assert harness.announced["x"] == EndpointRecord(replace(one.endpoint, started_at_ms=90.0), one.address)
+    harness.list_endpoints("platform", make_snapshot(2))
+    assert harness.view == {}
+    harness.list_endpoints("platform", make_incremental(3, one))
+    harness.list_endpoints("etcd", make_snapshot(2, make_record("x", port=2, started_at_ms=10.0)))
+    assert harness.announced["x"] == one
+
+
+def test_shared_address_is_used_by_the_endpoint_that_started_last() -> None:
+    harness = MergerHarness(Source("platform"))
+    harness.list_endpoints(
+        "platform",
+        make_snapshot(1, make_record("new", port=7, started_at_ms=9.0), make_record("old", port=7)),
+    )
+    assert harness.view == {"new": "up"} and "left out" in harness.log_lines[-1].text
+    harness.list_endpoints(
+        "platform", make_incremental(2, make_record("new", DRAINING, port=7, started_at_ms=9.0))
+    )
+    assert harness.view == {"new": "draining", "old": "up"}
+    harness.list_endpoints("platform", make_incremental(3, make_record("new", port=7, started_at_ms=9.0)))
+    harness.list_endpoints("platform", make_incremental(4, removed_ids=("new",)))
+    assert harness.view == {"old": "up"}
+    harness.list_endpoints("platform", make_incremental(5, make_record("last", port=7)))
+    assert harness.view == {"last": "up"}
+    harness.list_endpoints("platform", make_incremental(6, make_record("last", port=8)))
+    assert harness.view == {"last": "up", "old": "up"}
+    assert not harness.merger.merged_view.shadowed_ids
+
+
+def test_many_endpoints_at_one_address_cost_as_little_as_many_addresses(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Guards the loop against a list whose endpoints all have one address: each was weighed against each."""
+    merged_ids: list[str] = []
+    merge_records = merged_view.merge_records
+
+    def counted(sources: Mapping[str, Source], endpoint_id: str) -> EndpointRecord | None:
+        merged_ids.append(endpoint_id)
+        return merge_records(sources, endpoint_id)
+
+    monkeypatch.setattr(merged_view, "merge_records", counted)
+    harness, count = MergerHarness(Source("platform")), 2000
+    names = [f"s{i:04}" for i in range(count)]
+    harness.list_endpoints("platform", make_snapshot(1, *(make_record(name, port=7) for name in names)))
+    assert harness.view == {names[-1]: "up"}
+    harness.list_endpoints("platform", make_incremental(2, removed_ids=tuple(names[1:])))
+    assert harness.view == {names[0]: "up"} and not harness.merger.merged_view.shadowed_ids
+    assert count < len(merged_ids) < 10 * count
--- /dev/null
+++ b/tests/core/discovery/test_snapshot_slices.py
@@ -0,0 +1,239 @@
+"""Lists that are applied in slices: what is announced when, and what another event does in between."""
+
+from __future__ import annotations
+
+import pytest
+
+from balancer.core.discovery import endpoint_merger, snapshot_slices
+from balancer.core.discovery.source_state import Source
+from balancer.endpoints import InvalidEntry
+from balancer.interface import EndpointUpdateKind
+from tests.core.discovery.merger_harness import (
+    DRAINING,
+    UP,
+    MergerHarness,
+    make_incremental,
+    make_record,
+    make_snapshot,
+)
+
+
+def test_long_snapshot_is_applied_in_slices_after_removals(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(snapshot_slices, "SNAPSHOT_SLICE_ENTRIES", 10)
+    harness = MergerHarness(Source("platform"))
+    harness.list_endpoints(
+        "platform", make_snapshot(1, *(make_record(f"s{i}", port=i + 1) for i in range(95)))
+    )
+    assert len(harness.view) == 95
+    rest = [make_record(f"s{i}", DRAINING if i == 94 else UP, port=i + 1, weight=2.0) for i in range(5, 95)]
+    harness.handle(endpoint_merger.EndpointsListed("platform", "one", make_snapshot(2, *rest)))
+    assert (
+        len(harness.announced) == 90 and harness.announced["s94"].endpoint.phase is DRAINING
+    )  # before anything else
+    assert harness.slice_scheduled and harness.announced["s50"].endpoint.weight == 1.0
+    seen = [one.endpoint.weight for one in harness.announced.values()].count(2.0)
+    assert seen == 11  # the first slice, and who drains
+    harness.handle(
+        endpoint_merger.EndpointsListed(
+            "platform",
+            "one",
+            make_incremental(3, make_record("s60", port=61, weight=5.0), removed_ids=("s61",)),
+        )
+    )
+    assert harness.announced["s60"].endpoint.weight == 5.0
+    harness.slice_scheduled = False
+    harness.handle(endpoint_merger.NextSliceDue())
+    weights = [one.endpoint.weight for one in harness.announced.values()]
+    assert weights.count(2.0) == seen + 10  # each slice at once
+    harness.run_slices()
+    assert (
+        harness.announced["s60"].endpoint.weight == 5.0 and "s61" not in harness.announced
+    )  # the newer word holds
+    assert harness.announced["s50"].endpoint.weight == 2.0 and len(harness.view) == 89
+
+
+def test_long_incremental_list_is_applied_in_slices(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against a fleet's live weights that hold the loop in one piece; drains do not wait for them."""
+    monkeypatch.setattr(snapshot_slices, "SNAPSHOT_SLICE_ENTRIES", 10)
+    harness = MergerHarness(Source("platform"))
+    harness.list_endpoints(
+        "platform", make_snapshot(1, *(make_record(f"s{i}", port=i + 1) for i in range(50)))
+    )
+    rest = [make_record(f"s{i}", DRAINING if i == 40 else UP, port=i + 1, weight=2.0) for i in range(2, 50)]
+    harness.handle(
+        endpoint_merger.EndpointsListed(
+            "platform", "one", make_incremental(2, *rest, removed_ids=("s0", "s1"))
+        )
+    )
+    assert "s0" not in harness.announced and harness.announced["s40"].endpoint.phase is DRAINING
+    assert [one.endpoint.weight for one in harness.announced.values()].count(2.0) == 11
+    harness.handle(
+        endpoint_merger.EndpointsListed(
+            "platform", "one", make_incremental(3, make_record("s49", port=50, weight=3.0))
+        )
+    )
+    harness.run_slices()
+    weights = [one.endpoint.weight for one in harness.announced.values()]
+    assert weights.count(2.0) == 47 and harness.announced["s49"].endpoint.weight == 3.0
+
+
+def test_first_snapshot_is_announced_in_one_piece(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against subsets that are laid out over its first slice alone."""
+    monkeypatch.setattr(snapshot_slices, "SNAPSHOT_SLICE_ENTRIES", 10)
+    harness = MergerHarness(Source("platform"))
+    harness.handle(
+        endpoint_merger.EndpointsListed(
+            "platform", "one", make_snapshot(1, *(make_record(f"s{i}", port=i + 1) for i in range(95)))
+        )
+    )
+    assert harness.slice_scheduled and not harness.announced
+    harness.run_slices()
+    assert len(harness.announced) == 95 and len(harness.kinds) == 1
+
+
+def test_source_identity_change_during_a_sliced_snapshot_loses_nothing(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    monkeypatch.setattr(snapshot_slices, "SNAPSHOT_SLICE_ENTRIES", 10)
+    harness = MergerHarness(Source("platform"))
+    harness.handle(
+        endpoint_merger.EndpointsListed(
+            "platform", "one", make_snapshot(1, *(make_record(f"s{i}", port=i + 1) for i in range(50)))
+        )
+    )
+    harness.handle(endpoint_merger.SourceIdentityChanged("platform", "two"))
+    harness.run_slices()
+    assert harness.merger.watch_revision("platform") is None
+    assert harness.view == {f"s{i}": "up" for i in range(50)}
+
+
+def test_pending_endpoint_that_a_newer_snapshot_omits_counts_as_removed(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Guards against a removal that is forgotten as the list it follows had not been looked through."""
+    monkeypatch.setattr(snapshot_slices, "SNAPSHOT_SLICE_ENTRIES", 1)
+    harness = MergerHarness()
+    harness.handle(
+        endpoint_merger.EndpointsListed(
+            "platform", "one", make_snapshot(1, make_record("a"), make_record("b"))
+        )
+    )
+    harness.list_endpoints("platform", make_snapshot(2, make_record("a")))
+    harness.list_endpoints("etcd", make_snapshot(1, make_record("b")))
+    assert harness.view == {"a": "up"}
+
+
+def test_shared_address_during_a_sliced_snapshot_has_one_endpoint(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against telling an older state after a newer one, of a backend that another pushed out."""
+    monkeypatch.setattr(snapshot_slices, "SNAPSHOT_SLICE_ENTRIES", 1)
+    harness = MergerHarness(Source("platform"))
+    both = make_record("b", port=1), make_record("a", port=1)
+    harness.handle(endpoint_merger.EndpointsListed("platform", "one", make_snapshot(1, *both)))
+    harness.list_endpoints("platform", make_incremental(2, *reversed(both)))
+    assert len(harness.view) == 1
+
+
+@pytest.fixture
+def small_limits(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Lists of over four servers are large, and two are looked at in one turn."""
+    monkeypatch.setattr(snapshot_slices, "LARGE_SNAPSHOT_ENTRIES", 4)
+    monkeypatch.setattr(snapshot_slices, "CHANGE_SLICE_ENTRIES", 2)
+
+
+@pytest.mark.usefixtures("small_limits")
+@pytest.mark.parametrize("saved", [False, True])
+def test_large_first_snapshot_announces_no_endpoint_as_up_before_its_end(saved: bool) -> None:
+    """Guards against a policy that lays its subset out over what came in between."""
+    harness = MergerHarness(Source("platform"))
+    names = [make_record(f"s{i}", DRAINING if i == 3 else UP, port=i + 1) for i in range(9)]
+    harness.handle(
+        endpoint_merger.EndpointsListed(
+            "platform", "one", make_snapshot(1, *names), is_cached=saved, cached_age_ms=7.0
+        )
+    )
+    assert harness.slice_scheduled and [*harness.announced] == ["s3"], "who drains goes first"
+    assert (harness.kinds[0] is EndpointUpdateKind.CACHED) == saved
+    harness.handle(endpoint_merger.NextSliceDue())
+    harness.handle(
+        endpoint_merger.EndpointsListed(
+            "platform",
+            "one",
+            make_incremental(2, make_record("s0", port=1, weight=5.0), removed_ids=("s1", "s8")),
+        )
+    )
+    assert [*harness.announced] == ["s3"]
+    before = len(harness.kinds)
+    harness.run_slices()
+    assert len(harness.kinds) == before + 1, "in one piece"
+    assert harness.announced.keys() == {f"s{i}" for i in range(9)} - {"s1", "s8"}
+    assert harness.announced["s0"].endpoint.weight == 5.0 and {
+        one.endpoint.cached_age_ms for one in harness.announced.values()
+    } == {None}
+
+
+@pytest.mark.usefixtures("small_limits")
+@pytest.mark.parametrize("seen", range(6))
+def test_newer_snapshot_during_a_large_one_replaces_it(seen: int) -> None:
+    harness = MergerHarness(Source("platform"))
+    for revision, size, weight in ((1, 9, 1.0), (2, 9, 2.0), (3, 6, 3.0)):
+        rows = [make_record(f"s{i}", port=i + 1, weight=weight) for i in range(size)]
+        harness.handle(endpoint_merger.EndpointsListed("platform", "one", make_snapshot(revision, *rows)))
+        for _ in range(seen):
+            harness.handle(endpoint_merger.NextSliceDue())
+    assert harness.announced.keys() <= {f"s{i}" for i in range(6)}, "who is not in it is gone at once"
+    harness.run_slices()
+    assert {name: one.endpoint.weight for name, one in harness.announced.items()} == {
+        f"s{i}": 3.0 for i in range(6)
+    }
+
+
+@pytest.mark.usefixtures("small_limits")
+@pytest.mark.parametrize("seen", range(6))
+def test_large_cached_snapshot_ends_in_the_view_of_a_small_one(
+    seen: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    views = []
+    for large in (4, 1000):
+        monkeypatch.setattr(snapshot_slices, "LARGE_SNAPSHOT_ENTRIES", large)
+        for news in (
+            None,
+            endpoint_merger.SourceConfirmedCurrent("platform"),
+            endpoint_merger.SourceIdentityChanged("platform", "two"),
+            endpoint_merger.SourceLost("platform", "away"),
+        ):
+            harness = MergerHarness(Source("platform"))
+            rows = [make_record(f"s{i}", DRAINING if i == 3 else UP, port=i + 1) for i in range(9)]
+            harness.handle(
+                endpoint_merger.EndpointsListed(
+                    "platform", "one", make_snapshot(7, *rows), is_cached=True, cached_age_ms=5.0
+                )
+            )
+            for _ in range(seen):
+                harness.handle(endpoint_merger.NextSliceDue())
+            if news is not None:
+                harness.handle(news)
+            harness.run_slices()
+            assert harness.view
+            views.append(
+                {
+                    name: (one.endpoint.phase, one.endpoint.cached_age_ms)
+                    for name, one in harness.announced.items()
+                }
+            )
+    assert views[:4] == views[4:] and views[0]["s3"] == (DRAINING, 5.0) and views[1]["s0"] == (UP, None)
+
+
+def test_pending_endpoint_that_is_invalid_in_the_next_snapshot_keeps_its_pending_record(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    monkeypatch.setattr(snapshot_slices, "SNAPSHOT_SLICE_ENTRIES", 1)
+    harness = MergerHarness(Source("platform"))
+    harness.handle(
+        endpoint_merger.EndpointsListed(
+            "platform", "one", make_snapshot(1, make_record("a"), make_record("b"))
+        )
+    )
+    harness.list_endpoints(
+        "platform", make_snapshot(2, make_record("a"), invalid_entries=(InvalidEntry("b", "odd"),))
+    )
+    assert harness.view == {"a": "up", "b": "up"}  # its last good entry stays
--- a/tests/core/test_recovery.py
+++ b/tests/core/test_recovery.py
@@ -26,7 +26,7 @@
 )
 from balancer.endpoints import EndpointList, EndpointRecord
 from balancer.interface import EndpointUpdateKind, Phase
-from tests.core.discovery.test_endpoint_merger import make_record, make_snapshot
+from tests.core.discovery.merger_harness import make_record, make_snapshot
 
 B, P, C, F = RecoveryState.BLANK, RecoveryState.PROVISIONAL, RecoveryState.CONFIRMED, RecoveryState.FULL
 DAY = 86_400_000.0
