--- a/balancer/core/discovery/platform_watcher.py
+++ b/balancer/core/discovery/platform_watcher.py
@@ -1,11 +1,12 @@
-"""What to ask of the platform's discovery next: its whole list, a watch from a revision, nothing for a while.
+"""What to request of the platform's discovery next: a snapshot, a watch from a revision, or nothing yet.
 
-Where the settings say that nodes ask by themselves, the decision module says when to ask again after a
-failure, and patience is long: discovery is one service for all, and calls wait their turn.
+Where the settings let nodes poll (`must_poll`), the request policy says when to poll again after a failure,
+and timeouts are long: discovery is one service for all nodes, and calls queue there.
 
-Where lists are pushed, discovery is an agent on the node's own machine that answers at once, and what it has
-counts as told at once. A call that says nothing was opened while discovery was down: it and the wait after it
-have to be over well within the time in which a drain has to be obeyed, counted from discovery's return.
+Where lists are pushed, discovery is an agent on the node's own machine that answers at once, and what it
+holds counts as notified at once. A call that stays silent was opened while discovery was down. That call
+and the wait after it have to end well within the drain grace (the time in which draining has to be
+obeyed), counted from discovery's return.
 """
 
 from __future__ import annotations
@@ -15,49 +16,49 @@
 
 from balancer.core.backoff import Backoff
 
-INITIAL_RETRY_WAIT_MS, MAX_RETRY_WAIT_MS = (
-    100.0,
-    2000.0,
-)  # waits before a new try, doubled with each failure, jittered
-# Of the time to obey a drain, where lists are pushed: a call's patience, from its beginning to its answer's,
-# and the longest wait. That one is drawn up to 1.5 of it, so at most 0.45 + 1.5 * 0.4 / 3 = 0.65 of that time
-# pass from discovery's return to the next call.
-PROGRESS_TIMEOUT_PER_DRAIN_GRACE, RETRY_WAIT_PER_DRAIN_GRACE = 0.45, 0.4 / 3
-MIN_PROGRESS_TIMEOUT_MS, MIN_RETRY_WAIT_LIMIT_MS = (
-    100.0,
-    40.0,
-)  # however short that time is: tries cost processor time
-MAX_PROGRESS_TIMEOUT_MS = 2000.0  # of a node that is starved, or whose discovery stutters
-PROGRESS_TIMEOUT_GROWTH_FACTOR = (
-    1.5  # as much patience, where it has to grow: still within the time to obey a drain, up to
-)
-LONG_OUTAGE_FAILURES = (
-    256  # failures in a row; then it goes on growing: no list at all is worse than a late one
-)
-MAX_CONNECT_TIMEOUT_MS = 2000.0  # for a connection to come up
-HEARTBEAT_INTERVAL_MS = 2000.0  # an empty line comes so often on a watch where nothing changes
+# The wait before a retry: doubled with each failure, jittered.
+INITIAL_RETRY_WAIT_MS = 100.0
+MAX_RETRY_WAIT_MS = 2000.0
+# Shares of the drain grace, where lists are pushed. The longest wait is drawn up to 1.5 times its limit,
+# so at most 0.45 + 1.5 * 0.4 / 3 = 0.65 of the grace passes from discovery's return to the next call.
+PROGRESS_TIMEOUT_PER_DRAIN_GRACE = 0.45
+RETRY_WAIT_PER_DRAIN_GRACE = 0.4 / 3
+# However short the grace is: each attempt costs processor time.
+MIN_PROGRESS_TIMEOUT_MS = 100.0
+MIN_RETRY_WAIT_LIMIT_MS = 40.0
+MAX_PROGRESS_TIMEOUT_MS = 2000.0  # at a node that is starved, or whose discovery stutters
+# A timeout that has to grow stays within the drain grace by this factor, until so many failures in a row;
+# then it goes on growing, since no list at all is worse than a late one.
+PROGRESS_TIMEOUT_GROWTH_FACTOR = 1.5
+LONG_OUTAGE_FAILURES = 256
+MAX_CONNECT_TIMEOUT_MS = 2000.0
+HEARTBEAT_INTERVAL_MS = 2000.0  # of the empty lines that discovery sends on a watch where nothing changes
+HEARTBEATS_PER_IDLE_TIMEOUT = 1.75
+POLL_TIMEOUT_MS = 5000.0
 
 
 @dataclass(slots=True, frozen=True)
 class CallTimeouts:
-    """How long calls are waited for, in milliseconds."""
+    """How long to wait for a call, in milliseconds."""
 
-    progress_timeout_ms: float  # for an answer to begin, and for the next piece of what has begun
-    answer_timeout_ms: float  # for an answer to begin, from when the call is connected, if that is later
-    watch_idle_timeout_ms: float  # between two whole lines of a watch
-    message_timeout_ms: float  # for a line or a whole list, from its first piece to its last
-    max_retry_wait_ms: float  # the longest between two tries, before it is drawn
+    progress_timeout_ms: float  # for an answer to begin, and for the next part of an incomplete message
+    answer_timeout_ms: float  # for an answer to begin, once the call is connected, if that is later
+    watch_idle_timeout_ms: float  # between two messages of a watch
+    message_timeout_ms: float  # for a line or a snapshot, from its first part to its last
+    max_retry_wait_ms: float  # before it is jittered
 
 
 def call_timeouts(must_poll: bool, drain_grace_ms: float) -> CallTimeouts:
-    """What the settings allow.
+    """The timeouts that the settings allow.
 
-    A watch that fell silent is given up 3.5 s after its last line. What it missed counts as told 6 s after
-    it fell silent: that leaves 2.5 s, and the time to obey a drain, for more calls.
+    A watch that falls silent is given up 3.5 s after its last line. What it missed counts as notified 6 s
+    after it fell silent: that leaves 2.5 s, and the drain grace, for further calls.
     """
-    watch_idle_timeout_ms = 1.75 * HEARTBEAT_INTERVAL_MS
+    watch_idle_timeout_ms = HEARTBEATS_PER_IDLE_TIMEOUT * HEARTBEAT_INTERVAL_MS
     if must_poll:
-        return CallTimeouts(5000.0, 5000.0, watch_idle_timeout_ms, 5000.0, MAX_RETRY_WAIT_MS)
+        return CallTimeouts(
+            POLL_TIMEOUT_MS, POLL_TIMEOUT_MS, watch_idle_timeout_ms, POLL_TIMEOUT_MS, MAX_RETRY_WAIT_MS
+        )
     progress_timeout_ms = max(
         MIN_PROGRESS_TIMEOUT_MS,
         min(PROGRESS_TIMEOUT_PER_DRAIN_GRACE * drain_grace_ms, MAX_PROGRESS_TIMEOUT_MS),
@@ -71,77 +72,82 @@
 
 
 class CallDeadline:
-    """Until when one call may go on: it lives by whole lines, not by bytes.
+    """The time up to which one call may go on. Complete messages extend it, bytes alone do not.
 
-    Guards against a watch that falls silent in the middle of a line, and one that dribbles and never ends it.
+    Guards against a watch that falls silent in the middle of a line, and one that sends a line byte by byte
+    without end.
     """
 
     def __init__(self, now_ms: float, timeouts: CallTimeouts, progress_timeout_ms: float) -> None:
         self.timeouts, self.progress_timeout_ms = timeouts, progress_timeout_ms
         self.deadline_ms = now_ms + min(progress_timeout_ms, MAX_CONNECT_TIMEOUT_MS)
-        self.last_message_ms = now_ms  # when the last whole line came, or the answer began
-        self.has_only_head = (
-            False  # a head has come, and nothing since: another call may be due beside this one
-        )
-        self.incomplete_since_ms: float | None = None  # when what is under way began
+        self.last_message_ms = now_ms  # when the last message was complete, or the answer began
+        self.has_only_head = False  # nothing followed the answer's head: another call may be due beside it
+        self.incomplete_since_ms: float | None = None  # when the message began that is still incomplete
 
     def note_connected(self, now_ms: float) -> None:
-        """The call is made."""
+        """The call is connected and sent."""
         self.deadline_ms = max(self.deadline_ms, now_ms + self.timeouts.answer_timeout_ms)
 
     def note_received(
         self, now_ms: float, has_message: bool, is_incomplete: bool, is_head_alone: bool = False
     ) -> None:
-        """A piece of an answer came: with its head or a line in it (`whole`), with the rest `under_way`."""
+        """A part of the answer came.
+
+        `has_message`: it completed the head or a line; `is_incomplete`: it ended within a message;
+        `is_head_alone`: it was nothing but the head, and the calls before it failed.
+        """
         if has_message:
             self.last_message_ms, self.incomplete_since_ms = now_ms, None
-        self.has_only_head = (
-            is_head_alone
-            and not is_incomplete
-            and self.progress_timeout_ms < self.timeouts.watch_idle_timeout_ms
-        )
+        is_short_of_idle_timeout = self.progress_timeout_ms < self.timeouts.watch_idle_timeout_ms
+        self.has_only_head = is_head_alone and not is_incomplete and is_short_of_idle_timeout
         if is_incomplete:
-            self.incomplete_since_ms = (
-                now_ms if self.incomplete_since_ms is None else self.incomplete_since_ms
-            )
-            self.deadline_ms = min(
-                now_ms + self.progress_timeout_ms, self.incomplete_since_ms + self.timeouts.message_timeout_ms
-            )
+            if self.incomplete_since_ms is None:
+                self.incomplete_since_ms = now_ms
+            message_deadline_ms = self.incomplete_since_ms + self.timeouts.message_timeout_ms
+            self.deadline_ms = min(now_ms + self.progress_timeout_ms, message_deadline_ms)
         else:
             self.incomplete_since_ms = None
+            idle_timeout_ms = self.timeouts.watch_idle_timeout_ms
             self.deadline_ms = self.last_message_ms + (
-                self.progress_timeout_ms if self.has_only_head else self.timeouts.watch_idle_timeout_ms
+                self.progress_timeout_ms if self.has_only_head else idle_timeout_ms
             )
 
     def may_need_longer_timeout(self, now_ms: float) -> bool:
-        """Whether more patience may help a call that is over its time: it had begun, or this is late."""
-        return (
-            self.incomplete_since_ms is not None or now_ms - self.deadline_ms > self.progress_timeout_ms / 2
-        )
+        """Whether a longer timeout may help a call that is past its deadline.
+
+        True if an answer had begun, or if this node is late itself.
+        """
+        is_node_late = now_ms - self.deadline_ms > self.progress_timeout_ms / 2
+        return self.incomplete_since_ms is not None or is_node_late
+
+
+# --- events
 
 
 @dataclass(slots=True, frozen=True)
 class SubscriptionChanged:
-    """The list is wanted from now on, or no longer."""
+    """The list is to be followed from now on, or no longer."""
 
     is_enabled: bool
 
 
 @dataclass(slots=True, frozen=True)
 class AddressChanged:
-    """Discovery is at another address."""
+    """Discovery has another address."""
 
 
 @dataclass(slots=True, frozen=True)
 class DiscoveryAnswered:
-    """Discovery said something that could be read, or that nothing has changed."""
+    """Discovery sent something readable, or showed that nothing has changed."""
 
 
 @dataclass(slots=True, frozen=True)
 class CallEnded:
-    """A call is over; `whole` says that it brought the whole list, `extra` that nothing goes on from it.
+    """A call has ended.
 
-    `slow` says that it was given up, and that more patience might have helped.
+    `is_complete`: it brought a complete snapshot. `is_additional`: it is not the call that follows the
+    list. `was_slow`: it was given up, and a longer timeout might have helped.
     """
 
     is_complete: bool
@@ -151,64 +157,65 @@
 
 @dataclass(slots=True, frozen=True)
 class RetryTimerFired:
-    """The time that `Wait` named has come."""
+    """The time that `SetRetryTimer` named has come."""
 
 
 Event = SubscriptionChanged | AddressChanged | DiscoveryAnswered | CallEnded | RetryTimerFired
 
+# --- actions
+
 
 @dataclass(slots=True, frozen=True)
 class FetchSnapshot:
-    """Ask for the whole list; a watch goes on from it."""
+    """Request a snapshot; a watch follows from it."""
 
 
 @dataclass(slots=True, frozen=True)
 class StartWatch:
-    """Watch what comes after this revision."""
+    """Watch the changes after this revision."""
 
     revision: int
 
 
 @dataclass(slots=True, frozen=True)
 class CancelCalls:
-    """End all calls, and any wait."""
+    """Cancel all calls and the retry timer."""
 
 
 @dataclass(slots=True, frozen=True)
 class SetRetryTimer:
-    """Hand in `Due` at this clock time."""
+    """Hand in `RetryTimerFired` at this clock time."""
 
     at_ms: float
 
 
 @dataclass(slots=True, frozen=True)
 class NotifyCallFailed:
-    """Tell the decision module that a call failed: it says when to ask again."""
+    """Notify the request policy that a call failed: it says when to poll again."""
 
 
 Action = FetchSnapshot | StartWatch | CancelCalls | SetRetryTimer | NotifyCallFailed
 
 
 class PlatformWatcher:
-    """At most one call that follows the list is out, or one wait."""
+    """Follows the platform's list. At most one call that follows it is active, or one retry timer is set."""
 
     def __init__(self, rng: random.Random, must_poll: bool, drain_grace_ms: float) -> None:
         self.must_poll = must_poll
         self.is_subscribed = self.has_active_call = self.is_waiting = False
         self.timeouts = call_timeouts(must_poll, drain_grace_ms)
-        self.progress_timeout_ms = self.timeouts.progress_timeout_ms
-        self.consecutive_failures = 0  # calls in a row
-        self.last_failure_was_slow = False  # more patience might have helped the last one
-        self.backoff = Backoff(
-            min(INITIAL_RETRY_WAIT_MS, self.timeouts.max_retry_wait_ms), self.timeouts.max_retry_wait_ms, rng
-        )
+        self.progress_timeout_ms = self.timeouts.progress_timeout_ms  # of the next call
+        self.consecutive_failures = 0
+        self.last_failure_was_slow = False  # a longer timeout might have helped
+        max_retry_wait_ms = self.timeouts.max_retry_wait_ms
+        self.backoff = Backoff(min(INITIAL_RETRY_WAIT_MS, max_retry_wait_ms), max_retry_wait_ms, rng)
 
     def start_deadline(self, now_ms: float) -> CallDeadline:
-        """Of a call that begins."""
+        """The deadline of a call that begins now."""
         return CallDeadline(now_ms, self.timeouts, self.progress_timeout_ms)
 
     def handle(self, now_ms: float, event: Event, revision: int | None) -> list[Action]:
-        """Decide; `revision` is that of the list held, None where only the whole list will do."""
+        """Decide on one event. `revision` is that of the list held, None where only a snapshot will do."""
         match event:
             case SubscriptionChanged(is_enabled=False):
                 self.is_subscribed = self.has_active_call = self.is_waiting = False
@@ -230,35 +237,31 @@
                 return self._start_call(revision) if is_due else []
 
     def _reset_after_answer(self) -> None:
-        self.progress_timeout_ms, self.consecutive_failures, self.last_failure_was_slow = (
-            self.timeouts.progress_timeout_ms,
-            0,
-            False,
-        )
+        self.progress_timeout_ms = self.timeouts.progress_timeout_ms
+        self.consecutive_failures, self.last_failure_was_slow = 0, False
         self.backoff.reset()
 
     def _adjust_progress_timeout(self, was_slow: bool) -> None:
-        """Guards a node that is starved against giving up each call too soon; a mute one gets no more."""
+        """Count a failure, and lengthen or shorten the timeout of the next call.
+
+        Guards a starved node against giving up each call too soon; a silent discovery gets no longer
+        timeout.
+        """
         self.consecutive_failures += 1
         min_timeout_ms = self.timeouts.progress_timeout_ms
-        if (was_slow and self.last_failure_was_slow) or self.consecutive_failures % LONG_OUTAGE_FAILURES == 0:
-            max_timeout_ms = (
-                MAX_PROGRESS_TIMEOUT_MS
-                if self.consecutive_failures >= LONG_OUTAGE_FAILURES
-                else PROGRESS_TIMEOUT_GROWTH_FACTOR * min_timeout_ms
-            )  # an outage may stall them, too
-            self.progress_timeout_ms = max(
-                min_timeout_ms,
-                min(
-                    PROGRESS_TIMEOUT_GROWTH_FACTOR * self.progress_timeout_ms,
-                    max_timeout_ms,
-                    MAX_PROGRESS_TIMEOUT_MS,
-                ),
-            )
-        elif not was_slow and self.consecutive_failures < LONG_OUTAGE_FAILURES:
+        is_long_outage = self.consecutive_failures >= LONG_OUTAGE_FAILURES
+        is_step_of_outage = self.consecutive_failures % LONG_OUTAGE_FAILURES == 0
+        if (was_slow and self.last_failure_was_slow) or is_step_of_outage:
+            # An outage may also stall calls half-way, so the limit of short outages is tight.
+            limit_ms = PROGRESS_TIMEOUT_GROWTH_FACTOR * min_timeout_ms
+            max_timeout_ms = MAX_PROGRESS_TIMEOUT_MS if is_long_outage else limit_ms
+            grown_ms = PROGRESS_TIMEOUT_GROWTH_FACTOR * self.progress_timeout_ms
             self.progress_timeout_ms = max(
-                min_timeout_ms, self.progress_timeout_ms / PROGRESS_TIMEOUT_GROWTH_FACTOR
+                min_timeout_ms, min(grown_ms, max_timeout_ms, MAX_PROGRESS_TIMEOUT_MS)
             )
+        elif not was_slow and not is_long_outage:
+            shrunk_ms = self.progress_timeout_ms / PROGRESS_TIMEOUT_GROWTH_FACTOR
+            self.progress_timeout_ms = max(min_timeout_ms, shrunk_ms)
         self.last_failure_was_slow = was_slow
 
     def _start_call(self, revision: int | None) -> list[Action]:
@@ -275,7 +278,7 @@
         if event.is_complete and revision is not None and not event.is_additional:
             return self._start_call(revision)
         if self.must_poll:
-            # A whole list that was not applied leaves nothing to watch from: it has to be asked for again.
+            # A snapshot that was not applied leaves no revision to watch from: it has to be fetched again.
             return [] if event.is_complete and event.is_additional else [NotifyCallFailed()]
         if event.is_additional:
             return []
