--- a/balancer/core/cluster/node_state.py
+++ b/balancer/core/cluster/node_state.py
@@ -29,7 +29,7 @@
 
 from balancer.core.cluster.failure_detector.broadcasts import PendingBroadcasts
 from balancer.core.cluster.failure_detector.parameters import MAX_INCARNATION, MAX_PEERS
-from balancer.core.discovery.endpoint_merger import Source, SourceState
+from balancer.core.discovery.source_state import Source, SourceState
 from balancer.core.hysteresis import Hysteresis
 
 GOSSIP_INTERVAL_MS = 200.0
