--- a/balancer/net/persistence.py
+++ b/balancer/net/persistence.py
@@ -18,18 +18,21 @@
 import os
 import threading
 from collections.abc import Callable
-from typing import Any, TypeVar
+from typing import Any, Generic, TypeVar
 
 import msgspec
 
 from balancer import interface as api
 from balancer.core import recovery
 from balancer.core.discovery import endpoint_merger as membership
+from balancer.core.discovery import source_state
 from balancer.core.persistence import persisted_state as kept
 from balancer.core.persistence import write_behind as k
-from balancer.core.persistence.persisted_state import (
-    PersistedEndpoint,
+from balancer.core.persistence.persisted_state import PersistedEndpoint
+from balancer.core.persistence.restoration import (
+    ListedIds,
     RestoredState,
+    RestoreOutcome,
     next_identity,
     restore,
     without_withdrawn,
@@ -50,6 +53,7 @@
 
 log = logging.getLogger(__name__)
 T = TypeVar("T")
+A = TypeVar("A")
 
 ENDPOINTS_PER_TURN = 250  # servers in one turn of the loop
 OPEN_RETRY_INTERVAL_S = 5.0  # s until a directory that could not be had is tried again
@@ -73,30 +77,32 @@
     return int(wall_ms())
 
 
-class BlockingCall:
+class BlockingCall(Generic[T]):
     """Work on a thread of its own, which holds up neither the loop nor the end of the process."""
 
-    def __init__(self, work: Callable[[], object]) -> None:
+    def __init__(self, work: Callable[[], T]) -> None:
         self._work, self._loop = work, asyncio.get_running_loop()
-        self.result: asyncio.Future[Any] = self._loop.create_future()
+        self.result: asyncio.Future[T] = self._loop.create_future()
         threading.Thread(target=self._run, name="state", daemon=True).start()
 
     def _run(self) -> None:
-        value: object = None
-        error: BaseException | None = None
         try:
             value = self._work()
-        except BaseException as caught:
-            error = caught
+        except BaseException as error:
+            self._complete(self._set_exception, error)
+        else:
+            self._complete(self._set_result, value)
+
+    def _complete(self, callback: Callable[[A], None], argument: A) -> None:
         with contextlib.suppress(RuntimeError):  # the loop is closed: nobody waits any more
-            self._loop.call_soon_threadsafe(self._set_result, value, error)
+            self._loop.call_soon_threadsafe(callback, argument)
 
-    def _set_result(self, value: object, error: BaseException | None) -> None:
-        if self.result.cancelled():
-            return
-        if error is None:
+    def _set_result(self, value: T) -> None:
+        if not self.result.cancelled():
             self.result.set_result(value)
-        else:
+
+    def _set_exception(self, error: BaseException) -> None:
+        if not self.result.cancelled():
             self.result.set_exception(error)
 
 
@@ -151,7 +157,7 @@
         sources = self.running.fleet.merger.sources.values()
         is_cached = isinstance(event, membership.EndpointsListed) and event.is_cached
         if not is_cached and all(
-            s.state is membership.SourceState.IN_SYNC and not s.has_cached_records for s in sources
+            s.state is source_state.SourceState.IN_SYNC and not s.has_cached_records for s in sources
         ):
             self._release_requests()
 
@@ -306,17 +312,17 @@
         except asyncio.CancelledError:
             BlockingCall(self.store.close)  # once it is open, if ever; the lock goes with the process
             raise
-        for message in restored.said:
+        for message in restored.messages:
             log.warning("state: %s", message)
-        if restored.foreign:
+        if restored.is_foreign:
             await BlockingCall(self.store.close).result
-            raise StoreFileError(FaultKind.FOREIGN, self.store.engine.directory, restored.said[-1])
+            raise StoreFileError(FaultKind.FOREIGN, self.store.engine.directory, restored.messages[-1])
         for fault in opened.faults:
             log.warning("state: not believed: %s", fault)
         identity = next_identity(
             restored, self.running.name, os.urandom(16).hex(), opened.next_generation, _wall_clock_ms()
         )
-        self._handle(k.StoreOpened(identity, restored.rows, restored.order, _wall_clock_ms()))
+        self._handle(k.StoreOpened(identity, restored.rows, restored.last_sequence_number, _wall_clock_ms()))
         try:
             await asyncio.sleep(0)  # thousands of rows have had their turn
             if is_first_directory:
@@ -339,7 +345,9 @@
         """Blocks. What takes long for a large list is done here, too, and not on the loop."""
         opened = self.store.open()
         try:
-            tables = {table: self.store.items(table) for table in kept.TABLE_NAMES}
+            tables: dict[str, dict[str, bytes]] = {
+                table: self.store.items(table) for table in kept.TABLE_NAMES
+            }
             node_name = self.running.name
             restored = restore(
                 tables,
@@ -378,12 +386,12 @@
         if (recovery_component := self.running.recovery) is not None:
             previous_run, fault = None, ""
             if restored.identity is not None:
-                older = restored.memory == "older"
+                older = restored.memory is RestoreOutcome.OUTDATED
                 previous_run = recovery.PersistedIncarnation(
                     restored.identity.incarnation, float(opened.committed_at_ms), older
                 )
-            elif restored.memory == "lost":
-                fault = "; ".join(str(one) for one in opened.faults) or restored.said[-1]
+            elif restored.memory is RestoreOutcome.LOST:
+                fault = "; ".join(str(one) for one in opened.faults) or restored.messages[-1]
             recovery_component.begin(previous_run, fault, incarnation, float(_wall_clock_ms()))
         for source_name, position in restored.sources.items():
             if (snapshot := self._restored_snapshot(source_name, position, restored)) is not None:
@@ -433,7 +441,7 @@
 
     @staticmethod
     def _snapshot_without_withdrawn(
-        source: membership.Source, identity: str, revision: int, restored: RestoredState
+        source: source_state.Source, identity: str, revision: int, restored: RestoredState
     ) -> membership.EndpointsListed | None:
         """Where the list that was kept is not to be had: the one that is there, but for later ends."""
         known_identity = source.identity or identity
@@ -444,7 +452,7 @@
             key for key, row in rows if isinstance(row, PersistedEndpoint) and source.name in row.sources
         }
         is_newer = source.revision is not None and revision > source.revision
-        seen = (revision, restored_ids) if is_newer else None
+        seen = ListedIds(revision, restored_ids) if is_newer else None
         remaining = without_withdrawn(
             source.records, source.revision, restored.withdrawals, source.name, seen
         )
@@ -471,13 +479,13 @@
         )
         learned = api.LearnedState(
             {
-                name: (row.usual_ms, row.mean_deviation_ms)
+                name: (row.expected_latency_ms, row.mean_deviation_ms)
                 for name, row in restored.expected_latencies.items()
             },
             restored.concurrency_limit.limit
             if restored.concurrency_limit is not None
             else self.node.balancer.concurrency_limit,
-            {name: row.slow for name, row in restored.slowness.items()},
+            {name: row.slowness for name, row in restored.slowness.items()},
             {name: left + age_ms for name, left in restored.ejection_left_ms.items()},
         )
         self.node.event(api.LearnedStateRestored(learned, age_ms))
@@ -494,7 +502,7 @@
             is_heard = (
                 listing_sources
                 and listing_sources[0] in sources
-                and sources[listing_sources[0]].state is not membership.SourceState.NO_CONTACT_YET
+                and sources[listing_sources[0]].state is not source_state.SourceState.NO_CONTACT_YET
             )
             self._withdrawn_ids[endpoint_id] = listing_sources[0] if is_heard else UNKNOWN_SOURCE
         self._changed_ids |= dict.fromkeys(view, UNKNOWN_SOURCE)
@@ -526,10 +534,10 @@
                 if isinstance(event, membership.NextSliceDue) or source_name == event.source:
                     self._confirm_source(source_name, source)
 
-    def _confirm_source(self, source_name: str, source: membership.Source) -> None:
+    def _confirm_source(self, source_name: str, source: source_state.Source) -> None:
         """It is current, and all that it said is handed over."""
         if (
-            source.state is membership.SourceState.IN_SYNC
+            source.state is source_state.SourceState.IN_SYNC
             and not source.has_regressed
             and self._is_settled(source)
         ):
@@ -565,7 +573,7 @@
                     changes_by_source.setdefault(source, ([], []))[1].append(name)
                 continue
             row = self._persisted_endpoint(member, wall_ms)
-            remembered = member.endpoint.cached_age_ms is not None and not row.draining
+            remembered = member.endpoint.cached_age_ms is not None and not row.is_draining
             if (
                 remembered
                 or self._persisted.get(name) == _without_write_times(row)
@@ -608,7 +616,7 @@
             max(0, wall_ms - age_ms),
         )
 
-    def _is_settled(self, source: membership.Source) -> bool:
+    def _is_settled(self, source: source_state.Source) -> bool:
         """Whether its word is in the view as a whole, and all of it was looked at."""
         waiting = source.pending_records or self._withdrawn_ids or self._changed_ids
         return source.revision is not None and not waiting and not source.needs_snapshot
@@ -681,7 +689,7 @@
     def _collect_learned_state(self) -> None:
         """What the module learned, as rows; what it says no longer goes."""
         learned, wall_ms = self.node.balancer.learned(self.node.now()), _wall_clock_ms()
-        rows: dict[k.RowKey, kept.PersistedRow | None] = {
+        rows: dict[kept.RowKey, kept.PersistedRow | None] = {
             key: None
             for key in self.write_behind.state.written_learned_rows
             if key[0] in ("weights", "ejections")
@@ -738,20 +746,20 @@
             log.error("state: %d changes were not written by the end", unwritten_count)
 
 
-def _store_change(key: k.RowKey, row: kept.PersistedRow | None) -> Change:
+def _store_change(key: kept.RowKey, row: kept.PersistedRow | None) -> Change:
     return Delete(*key) if row is None else Put(*key, msgspec.msgpack.encode(row))
 
 
 def _without_write_times(row: PersistedEndpoint) -> PersistedEndpoint:
     """A row without what differs from one writing to the next."""
-    return msgspec.structs.replace(row, order=0, confirmed_at_ms=0)
+    return msgspec.structs.replace(row, sequence_number=0, confirmed_at_ms=0)
 
 
 def _restored_record(
     endpoint_id: str, row: PersistedEndpoint, source_name: str, withdrawal: kept.Withdrawal | None
 ) -> EndpointRecord:
     """What a source had said of a server; a drain is that source's who told it."""
-    is_draining = row.draining and (
+    is_draining = row.is_draining and (
         withdrawal is None or withdrawal.is_removed or withdrawal.source in (source_name, UNKNOWN_SOURCE)
     )
     phase = api.Phase.DRAINING if is_draining else api.Phase.UP
--- a/balancer/store/inspect.py
+++ b/balancer/store/inspect.py
@@ -18,7 +18,8 @@
 
 import msgspec
 
-from balancer.core.persistence.persisted_state import NodeIdentity, restore
+from balancer.core.persistence.persisted_state import NodeIdentity
+from balancer.core.persistence.restoration import restore
 from balancer.store.directory import (
     STORE_FILE_NAME_PATTERN,
     UNFINISHED_FILE_NAME,
@@ -287,7 +288,7 @@
         return
     wrote_ms = generation.committed_at_ms
     restored = restore(values, number, report["older"], wrote_ms, identity.name, wrote_ms, math.inf)
-    report["faults"] += restored.said
+    report["faults"] += restored.messages
     report["memory"] = restored.memory
     report["node"] = {
         "id": identity.id,
--- a/tests/core/cluster/test_gossip_coordinator.py
+++ b/tests/core/cluster/test_gossip_coordinator.py
@@ -20,7 +20,7 @@
 from balancer.core.cluster import (
     quota_allocation as shares,
 )
-from balancer.core.cluster.failure_detector import ShutdownStarted
+from balancer.core.cluster.failure_detector.events import ShutdownStarted
 from balancer.core.cluster.gossip_coordinator import (
     GossipCoordinator,
     GossipIntervalElapsed,
@@ -35,9 +35,9 @@
     EndpointMerger,
     EndpointsListed,
     NextSliceDue,
-    Source,
     SourceLost,
 )
+from balancer.core.discovery.source_state import Source
 from balancer.core.recovery import ROLE_HOLD_OFF_MS
 from balancer.core.staggering import StaggeredSchedule
 from balancer.endpoints import EndpointList
@@ -173,7 +173,7 @@
         assert sum(its.quota.quota for its in village.all.values() if its.quota) <= 1 + 1e-9
     assert [its.quota.quota for its in village.all.values() if its.quota] == [0.2] * 5
     kept = {e.state for _, e in village.events if isinstance(e, shares.PersistQuota)}
-    assert shares.PersistedQuota(True, ((4, 1, False),)) in kept
+    assert shares.PersistedQuota(True, (shares.KnownNewcomer(4, 1, False),)) in kept
     last = village.address("n4")
     village.all[last].handle(village.now, shares.ShutdownStarted())
     assert village.all[last].quota.quota == 0  # type: ignore[union-attr]
--- a/tests/core/test_recovery.py
+++ b/tests/core/test_recovery.py
@@ -14,7 +14,8 @@
 
 from balancer.core import recovery as r
 from balancer.core.discovery import endpoint_merger as m
-from balancer.core.discovery.endpoint_merger import EndpointMerger, Source
+from balancer.core.discovery.endpoint_merger import EndpointMerger
+from balancer.core.discovery.source_state import Source
 from balancer.core.recovery import (
     PersistedState,
     Recovery,
@@ -25,7 +26,7 @@
 )
 from balancer.endpoints import EndpointList, EndpointRecord
 from balancer.interface import EndpointUpdateKind, Phase
-from tests.core.discovery.test_endpoint_merger import make_record, make_snapshot
+from tests.core.discovery.merger_harness import make_record, make_snapshot
 
 B, P, C, F = RecoveryState.BLANK, RecoveryState.PROVISIONAL, RecoveryState.CONFIRMED, RecoveryState.FULL
 DAY = 86_400_000.0
