--- a/tests/cli/test_state_commands.py
+++ b/tests/cli/test_state_commands.py
@@ -76,11 +76,8 @@
     open_store = Store(str(directory), lambda run: run())
     open_store.open()
     code, _, err = run_command(capsys, *words, "--yes")
-    assert (
-        code == 1
-        and "a node holds it" in err
-        and run_command(capsys, "state", "verify", *words[2:]).exit_code == 1
-    )
+    assert code == 1 and "a node holds it" in err
+    assert run_command(capsys, "state", "verify", *words[2:]).exit_code == 1
     open_store.close()
     code, out, _ = run_command(capsys, *words, "--yes", "--json")
     assert code == 0 and json.loads(out)["removed"] and not list(directory.glob("tables-*"))
--- a/tests/store/durable_node.py
+++ b/tests/store/durable_node.py
@@ -91,18 +91,22 @@
 
 def reopen_checked(disk: SimulatedDisk) -> Reopened:
     """Opens an engine on the disk, which must be complete and free of left-over files."""
-    files = SimulatedFileSystem(disk)
-    engine = Engine(files, "/d", lambda: 2_000, segment_size_bytes=30_000)
-    found = engine.open()
-    assert not found.is_outdated and not found.faults, found
+    file_system = SimulatedFileSystem(disk)
+    engine = Engine(file_system, "/d", lambda: 2_000, segment_size_bytes=30_000)
+    result = engine.open()
+    assert not result.is_outdated and not result.faults, result
     records = engine.read_journal("log", 1, 1000)
-    assert [r.position for r in records] == list(range(1, len(records) + 1))
+    assert [record.position for record in records] == list(range(1, len(records) + 1))
     names = disk.files.keys()
-    left = [n for n in names if "/new.db" in n or (n[-4:] == "-wal" and n[:-4] not in names)]
-    assert not left, "unfinished files are swept"
-    values = [r.value for r in records]
+    logs_without_file = [name for name in names if name.endswith("-wal") and name[:-4] not in names]
+    assert not logs_without_file and not [name for name in names if "/new.db" in name], (
+        "unfinished files are swept"
+    )
+    values = [record.value for record in records]
     assert None not in values
-    return Reopened(stored_values(engine), [v for v in values if v is not None], engine, files)
+    return Reopened(
+        stored_values(engine), [value for value in values if value is not None], engine, file_system
+    )
 
 
 def check_after_power_cut(node: Node, seed: int) -> None:
--- a/tests/store/test_crash_recovery.py
+++ b/tests/store/test_crash_recovery.py
@@ -30,7 +30,8 @@
     workload_call_count,
 )
 
-SEEDS = int(os.environ.get("BALANCER_CRASHES", "50"))  # 1,000 for the long run
+SEED_COUNT = int(os.environ.get("BALANCER_CRASHES", "50"))
+"""1,000 for the long run."""
 
 
 def run_until_power_cut(number: int) -> Node:
@@ -60,7 +61,7 @@
 
 def test_engine_successive_power_cuts_keep_acknowledged_commits() -> None:
     """Up to five processes on one disk, each cut off, each starting with what the one before left."""
-    for seed in range(SEEDS):
+    for seed in range(SEED_COUNT):
         rng, disk = random.Random(seed), SimulatedDisk()
         states, durable = [StoredValues()], 0
         for _ in range(rng.randint(1, 5)):
@@ -115,8 +116,8 @@
                 node.commit(Delete("view", "a"), Put("ends", "a", b"3"))
                 node.append(b"s")
                 node.engine.begin_generation()
-            except StoreFileError as fault:
-                assert fault.kind in (FaultKind.IO_ERROR, FaultKind.DISK_FULL), fault
+            except StoreFileError as error:
+                assert error.kind in (FaultKind.IO_ERROR, FaultKind.DISK_FULL), error
                 node.records = node.records[: node.acknowledged_record_count]
                 node.states = (
                     node.states[: node.durable_state_index + 1] + node.states[node.durable_state_index + 1 :]
@@ -136,7 +137,7 @@
 def test_engine_failing_call_then_power_cut_keeps_acknowledged_commits() -> None:
     """Random pairs of calls: the power cut meets what the failed call left behind."""
     total = workload_call_count()
-    for seed in range(4 * SEEDS):
+    for seed in range(4 * SEED_COUNT):
         rng, node = random.Random(seed), Node()
         failing = rng.randrange(1, total)
         cut = failing + rng.randrange(1, 120)
@@ -199,16 +200,15 @@
 ) -> None:
     """Each call from the end of `open` to the new generation, which is durable or does not exist."""
     restored = two_generation_disk.states[0]
-    after_it = restored | {("self", "node"): b"2"}
+    after_commit = restored | {("self", "node"): b"2"}
     for failing in count(1):
         node = Node(two_generation_disk.disk.copy())
         assert node.engine.open().next_generation == 3 and stored_values(node.engine) == restored
-        assert {name.split()[0] for name in node.disk.call_names} == {"create"}, (
-            "empty logs, by SQLite's reading"
-        )
+        opening = {name.split()[0] for name in node.disk.call_names}
+        assert opening == {"create"}, "SQLite creates empty logs when it reads"
         failing += node.disk.call_count
 
-        def plan(call: int, name: str, m: Node = node, failing: int = failing) -> None:
+        def plan(call: int, name: str, failing: int = failing) -> None:
             if call >= failing if fault is PowerCut else call == failing:
                 raise fault()
 
@@ -216,33 +216,30 @@
         try:
             node.engine.commit([Put("self", "node", b"2")])
             acknowledged = True
-        except (PowerCut, StoreFileError) as err:
+        except (PowerCut, StoreFileError) as error:
             acknowledged = False
-            assert stored_values(node.engine) == restored and "/d/tables-00000002.db" in node.disk.files, (
-                node.disk.call_names
-            )
-            if isinstance(err, StoreFileError):
-                assert err.kind in (FaultKind.IO_ERROR, FaultKind.DISK_FULL)
+            assert stored_values(node.engine) == restored, node.disk.call_names
+            assert "/d/tables-00000002.db" in node.disk.files, node.disk.call_names
+            if isinstance(error, StoreFileError):
+                assert error.kind in (FaultKind.IO_ERROR, FaultKind.DISK_FULL)
                 node.engine.commit([Put("self", "node", b"2")])
                 acknowledged = True
-        begun, done = [name.split()[0] for name in node.disk.call_names], node.disk.call_count < failing
+        operations = [name.split()[0] for name in node.disk.call_names]
+        is_past_last_call = node.disk.call_count < failing
         node.close()
         node.disk.crash(random.Random(failing))
         engine, found = open_engine(node.disk)
         values = stored_values(engine)
-        assert values in ([after_it] if acknowledged else [restored, after_it]), node.disk.call_names
-        assert (
-            not found.faults
-            and not found.is_outdated
-            and found.restored_generation == (2 if values == restored else 3)
-        )
+        assert values in ([after_commit] if acknowledged else [restored, after_commit]), node.disk.call_names
+        assert not found.faults and not found.is_outdated
+        assert found.restored_generation == (2 if values == restored else 3)
         engine.close()
-        if done:
+        if is_past_last_call:
             break
-    assert begun.count("sync") == 2 and begun.count("settle") == 1 and failing > 20
+    assert operations.count("sync") == 2 and operations.count("settle") == 1 and failing > 20
 
 
-def test_engine_commit_failing_after_its_generation_was_made_abandons_it(
+def test_engine_commit_failing_after_commits_generation_was_made_abandons_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Its rows are not in the engine's tables, so a later seal would not match that file."""
--- a/tests/store/test_damaged_files.py
+++ b/tests/store/test_damaged_files.py
@@ -36,10 +36,8 @@
     try:
         assert stored_values(engine) in states and found.committed_at_ms == 1_000, (change, offset)
         if stored_values(engine) != states[0]:
-            assert found.is_outdated and [f.path for f in found.faults] == ["/d/tables-00000002.db"], (
-                change,
-                offset,
-            )
+            faulty_paths = [error.path for error in found.faults]
+            assert found.is_outdated and faulty_paths == ["/d/tables-00000002.db"], (change, offset)
             assert found.restored_generation == 1 and found.next_generation == 3
         engine.commit([Put("view", "c", b"on")])
     finally:
@@ -79,26 +77,18 @@
     for number in (1, 2):
         disk.files[f"/d/tables-0000000{number}.db"].current[:100] = bytes(100)
     engine, found = open_engine(disk)
-    assert (
-        stored_values(engine) == {}
-        and found.is_outdated
-        and found.next_generation == 3
-        and len(found.faults) == 2
-    )
+    assert stored_values(engine) == {} and found.is_outdated
+    assert found.next_generation == 3 and len(found.faults) == 2
     assert "/d/tables-00000002.db" in disk.files, "a corrupt file stays for inspection"
     engine.close()
 
 
 def test_sealed_file_missing_row_breaks_the_seal(tmp_path: Path) -> None:
     """Each row left has a valid checksum: only the one over all rows shows that one is missing."""
-    files, path, good = (
-        LocalFileSystem(),
-        str(tmp_path / "new.db"),
-        sqlite_file.record_checksum("view", "a", 1, b"1"),
-    )
-    made = SealedFile(files, path, create=True)
-    made.commit(Seal(), [])
-    made._connection.execute("insert into rows values ('view', 'a', 1, x'31', ?)", (good,))
+    checksum = sqlite_file.record_checksum("view", "a", 1, b"1")
+    sealed_file = SealedFile(LocalFileSystem(), str(tmp_path / "new.db"), create=True)
+    sealed_file.commit(Seal(), [])
+    sealed_file._connection.execute("insert into rows values ('view', 'a', 1, x'31', ?)", (checksum,))
     with pytest.raises(StoreFileError, match="1 rows"):
-        made.read_rows()
-    made.abandon()
+        sealed_file.read_rows()
+    sealed_file.abandon()
--- a/tests/store/test_engine.py
+++ b/tests/store/test_engine.py
@@ -4,6 +4,8 @@
 
 import fcntl
 import os
+import signal
+from collections.abc import Sequence
 from pathlib import Path
 
 import apsw
@@ -11,7 +13,7 @@
 
 from balancer.store import engine as engine_module
 from balancer.store import sqlite_file
-from balancer.store.engine import Engine, Put
+from balancer.store.engine import Engine, Migration, Put
 from balancer.store.errors import FaultKind, StoreFileError
 from balancer.store.files import LocalFileSystem
 from tests.store.durable_node import (
@@ -19,21 +21,29 @@
 )
 
 
-@pytest.mark.parametrize("version", [0, 99])
-def test_engine_unknown_format_version_is_reported_and_file_stays(version: int, tmp_path: Path) -> None:
-    path = str(tmp_path)
-    engine = Engine(LocalFileSystem(), path, lambda: 1)
+def local_engine(path: Path, migrations: Sequence[Migration] = ()) -> Engine:
+    """An engine on a local directory, not yet open."""
+    return Engine(LocalFileSystem(), str(path), lambda: 1, migrations)
+
+
+def write_generation(path: Path) -> None:
+    """Leaves one generation with one row in a directory."""
+    engine = local_engine(path)
     engine.open()
     engine.commit([Put("view", "a", b"1")])
     engine.close()
+
+
+@pytest.mark.parametrize("version", [0, 99])
+def test_engine_unknown_format_version_is_reported_and_file_stays(version: int, tmp_path: Path) -> None:
+    write_generation(tmp_path)
     db = apsw.Connection(str(tmp_path / "tables-00000001.db"))
     db.execute(f"pragma user_version={version}")
     db.close()
-    engine = Engine(LocalFileSystem(), path, lambda: 1)
+    engine = local_engine(tmp_path)
     found = engine.open()
-    assert [(f.kind, f"version {version}," in f.detail) for f in found.faults] == [
-        (FaultKind.UNSUPPORTED_FORMAT, True)
-    ]
+    [error] = found.faults
+    assert error.kind is FaultKind.UNSUPPORTED_FORMAT and f"version {version}," in error.detail
     assert found.is_outdated and stored_values(engine) == {} and (tmp_path / "tables-00000001.db").exists()
     engine.close()
 
@@ -41,18 +51,15 @@
 def test_engine_older_format_version_is_migrated_step_by_step(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    engine = Engine(LocalFileSystem(), str(tmp_path), lambda: 1)
-    engine.open()
-    engine.commit([Put("view", "a", b"1")])
-    engine.close()
+    write_generation(tmp_path)
     for module in (sqlite_file, engine_module):
         monkeypatch.setattr(module, "FORMAT_VERSION", 3)
-    ups = [
-        lambda t: {"seen": {k: v + b"2" for k, v in t["view"].items()}},
-        lambda t: {"seen": {k: v + b"3" for k, v in t["seen"].items()}},
+    migrations: list[Migration] = [
+        lambda tables: {"seen": {key: value + b"2" for key, value in tables["view"].items()}},
+        lambda tables: {"seen": {key: value + b"3" for key, value in tables["seen"].items()}},
     ]
     for _ in range(2):  # the second open finds the new format
-        engine = Engine(LocalFileSystem(), str(tmp_path), lambda: 1, ups)
+        engine = local_engine(tmp_path, migrations)
         found = engine.open()
         assert stored_values(engine) == {("seen", "a"): b"123"} and not found.faults
         engine.begin_generation()
@@ -60,23 +67,23 @@
 
 
 def test_engine_second_owner_is_refused_and_dead_owner_holds_no_lock(tmp_path: Path) -> None:
-    one, other = (Engine(LocalFileSystem(), str(tmp_path), lambda: 1) for _ in range(2))
-    one.open()
+    owner, other = local_engine(tmp_path), local_engine(tmp_path)
+    owner.open()
     with pytest.raises(StoreFileError) as caught:
         other.open()
     assert caught.value.kind is FaultKind.LOCKED
-    one.commit([Put("view", "a", b"1")])
+    owner.commit([Put("view", "a", b"1")])
     child = os.fork()
     if child == 0:  # owns another directory, and is killed by a signal
         (tmp_path / "two").mkdir()
-        dies = Engine(LocalFileSystem(), str(tmp_path / "two"), lambda: 1)
-        dies.open()
-        dies.commit([Put("view", "a", b"1")])
-        os.kill(os.getpid(), 9)
-    assert os.waitpid(child, 0)[1] == 9
-    dead = Engine(LocalFileSystem(), str(tmp_path / "two"), lambda: 1)
-    assert dead.open().restored_generation == 1
-    for engine in (one, dead):
+        killed = local_engine(tmp_path / "two")
+        killed.open()
+        killed.commit([Put("view", "a", b"1")])
+        os.kill(os.getpid(), signal.SIGKILL)
+    assert os.waitpid(child, 0)[1] == signal.SIGKILL
+    successor = local_engine(tmp_path / "two")
+    assert successor.open().restored_generation == 1
+    for engine in (owner, successor):
         engine.close()
 
 
@@ -90,7 +97,7 @@
 
     monkeypatch.setattr(fcntl, "flock", replaced)
     with pytest.raises(StoreFileError) as caught:
-        Engine(LocalFileSystem(), str(tmp_path), lambda: 1).open()
+        local_engine(tmp_path).open()
     assert caught.value.kind is FaultKind.LOCKED
 
 
@@ -105,16 +112,13 @@
     other.execute("create table x(y)")
     other.close()
     (home / "notes.txt").write_text("another's")
-    engine = Engine(LocalFileSystem(), str(home), lambda: 1)
+    engine = local_engine(home)
     found = engine.open()
-    troubles = [FaultKind.FOREIGN, FaultKind.CORRUPT, FaultKind.FOREIGN, FaultKind.FOREIGN]
-    assert [f.kind for f in found.faults] == troubles and (home / "tables-00000001.db").is_dir()
-    assert [f.path[-4:] for f in found.faults if "a folder or a link" in f.detail] == ["2.db", "1.db"]
-    assert (
-        found.next_generation == 5
-        and (home / "notes.txt").read_text() == "another's"
-        and not outside.exists()
-    )
+    kinds = [FaultKind.FOREIGN, FaultKind.CORRUPT, FaultKind.FOREIGN, FaultKind.FOREIGN]
+    assert [error.kind for error in found.faults] == kinds and (home / "tables-00000001.db").is_dir()
+    not_regular = [error.path[-4:] for error in found.faults if "a folder or a link" in error.detail]
+    assert not_regular == ["2.db", "1.db"] and found.next_generation == 5
+    assert (home / "notes.txt").read_text() == "another's" and not outside.exists()
     engine.close()
     (home / "owner").unlink()
     (home / "owner").symlink_to(outside)
@@ -123,13 +127,13 @@
     assert caught.value.kind is FaultKind.FOREIGN and not outside.exists()
     for path in (tmp_path / "none", outside.parent / "home" / "notes.txt"):
         with pytest.raises(StoreFileError):
-            Engine(LocalFileSystem(), str(path), lambda: 1).open()
+            local_engine(path).open()
 
 
 def test_engine_moved_directory_fails_the_commit(tmp_path: Path) -> None:
     home = tmp_path / "home"
     home.mkdir()
-    engine = Engine(LocalFileSystem(), str(home), lambda: 1)
+    engine = local_engine(home)
     engine.open()
     engine.commit([Put("view", "a", b"1")])
     home.rename(tmp_path / "away")
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -7,7 +7,7 @@
 import subprocess
 import sys
 import threading
-from collections.abc import Callable
+from collections.abc import Callable, Iterator
 from pathlib import Path
 
 import msgspec
@@ -25,7 +25,7 @@
 
 
 class SyncGate:
-    """A disk whose syncs wait until they are let go."""
+    """A disk whose syncs block while they are not allowed."""
 
     def __init__(self, disk: SimulatedDisk | None = None) -> None:
         self.disk = disk or SimulatedDisk()
@@ -44,6 +44,14 @@
         self.syncs_allowed.clear()
 
 
+@pytest.fixture
+def gate() -> Iterator[SyncGate]:
+    """A disk whose syncs are allowed at first."""
+    gate = SyncGate()
+    yield gate
+    gate.file_system.close()
+
+
 def open_store(
     gate: SyncGate, call_soon_threadsafe: Callable[[Callable[[], None]], object] = lambda run: run()
 ) -> Store:
@@ -53,14 +61,13 @@
 
 
 def flush(store: Store) -> None:
-    """All that was handed over before is durable."""
+    """Waits until everything that was queued before is durable."""
     done = threading.Event()
     store.append("flush", 0, lambda position: done.set())
     assert done.wait(WAIT)
 
 
-def test_store_slow_sync_does_not_block_the_loop() -> None:
-    gate = SyncGate()
+def test_store_slow_sync_does_not_block_the_loop(gate: SyncGate) -> None:
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
@@ -69,7 +76,7 @@
         gate.block_syncs()
         store.append("log", {"a": 1}, done.set_result)
         await asyncio.to_thread(gate.sync_reached.wait, WAIT)
-        for _ in range(1_000):  # the sync is under way: turns of the loop, and more work handed over
+        for _ in range(1_000):  # the sync is running: turns of the loop, and more work queued
             store.put("view", "k", 1)
             await asyncio.sleep(0)
         assert not done.done() and store.status().queued_changes == 1_001
@@ -77,16 +84,15 @@
         async with asyncio.timeout(WAIT):
             assert await done == 1
         assert await asyncio.to_thread(store.close, WAIT) == 0
-        assert store.status().commit_count == 2, "what waited was one group"
+        assert store.status().commit_count == 2, "the queued work was one group"
 
     asyncio.run(test())
     gate.file_system.close()
 
 
 @pytest.mark.parametrize("number", [None, errno.EIO, errno.ENOSPC])
-def test_store_restored_values_are_available_before_first_sync(number: int | None) -> None:
-    """A sync that takes long, or fails: said, nothing acknowledged, and what was kept is there all along."""
-    gate = SyncGate()
+def test_store_restored_values_are_available_before_first_sync(gate: SyncGate, number: int | None) -> None:
+    """A sync that is slow or fails is reported and acknowledges nothing; restored values stay available."""
     store = open_store(gate)
     store.put("view", "a", 1)
     assert store.close(WAIT) == 0
@@ -112,20 +118,19 @@
     flush(store)
     assert len(acknowledged) == 1 and store.status().failure_count == (number is not None)
     assert store.close(WAIT) == 0
-    gate.file_system.close()
     again.file_system.close()
 
 
-def test_store_urgent_tables_are_written_first_and_lanes_keep_their_order() -> None:
-    gate, order = SyncGate(), list[str]()
+def test_store_urgent_tables_are_written_first_and_lanes_keep_their_order(gate: SyncGate) -> None:
+    order: list[str] = []
     store = open_store(gate)
     gate.block_syncs()
-    store.put("view", "first", 0, lambda stamp: order.append("first"))
+    store.put("view", "first", 0, lambda sequence_number: order.append("first"))
     assert gate.sync_reached.wait(WAIT)
     for n in range(3):
-        store.put("view", "k", n, lambda stamp, n=n: order.append(f"view {n}"))  # type: ignore[misc]
+        store.put("view", "k", n, lambda sequence_number, n=n: order.append(f"view {n}"))  # type: ignore[misc]
     store.append("log", 0, lambda position: order.append("log"))
-    store.put("ends", "k", 9, lambda stamp: order.append("ends"))
+    store.put("ends", "k", 9, lambda sequence_number: order.append("ends"))
     gate.syncs_allowed.set()
     flush(store)
     assert order == ["first", "ends", "view 0", "view 1", "view 2", "log"]
@@ -136,20 +141,19 @@
     gate.file_system.close()
 
 
-def test_store_full_lane_rejects_by_count_and_by_bytes() -> None:
-    gate = SyncGate()
+def test_store_full_lane_rejects_by_count_and_by_bytes(gate: SyncGate) -> None:
     store = open_store(gate)
     gate.block_syncs()
     store.append("log", 0)
     assert gate.sync_reached.wait(WAIT)
-    taken = 0
+    queued_count = 0
     with pytest.raises(WriteQueueFull):
         for _ in range(store_module.MAX_LANE_CHANGES + 1):
             store.append("log", 0)
-            taken += 1
-    assert taken == store_module.MAX_LANE_CHANGES - 1
+            queued_count += 1
+    assert queued_count == store_module.MAX_LANE_CHANGES - 1
     written = threading.Event()
-    store.put("ends", "k", 1, lambda stamp: written.set())  # the urgent lane has room of its own
+    store.put("ends", "k", 1, lambda sequence_number: written.set())  # the urgent lane has its own capacity
     gate.syncs_allowed.set()
     assert written.wait(WAIT)
     while store.status().queued_changes:
@@ -160,8 +164,8 @@
     with pytest.raises(WriteQueueFull):
         for _ in range(1_000):
             store.append("log", b"x" * 60_000)
-    state = store.status()
-    assert state.queued_bytes <= store_module.MAX_LANE_BYTES and state.rejected_changes == 2
+    status = store.status()
+    assert status.queued_bytes <= store_module.MAX_LANE_BYTES and status.rejected_changes == 2
     for key, value in (("", 1), ("a\0b", 1), ("x" * 600, 1), ("k", b"x" * 70_000)):
         with pytest.raises(ValueError):
             store.put("view", key, value)
@@ -182,8 +186,10 @@
 
 
 @pytest.mark.parametrize("number", FAULT_KIND_BY_ERRNO)
-def test_store_failing_disk_is_reported_and_all_is_written_after_it_recovers(number: int) -> None:
-    gate, failed = SyncGate(), threading.Event()
+def test_store_failing_disk_is_reported_and_all_is_written_after_it_recovers(
+    gate: SyncGate, number: int
+) -> None:
+    failed = threading.Event()
     store = open_store(gate)
     broken = True
 
@@ -211,8 +217,7 @@
     gate.file_system.close()
 
 
-def test_store_close_on_failing_disk_returns_changes_not_written() -> None:
-    gate = SyncGate()
+def test_store_close_on_failing_disk_returns_changes_not_written(gate: SyncGate) -> None:
     store = open_store(gate)
 
     def plan(call: int, name: str) -> None:
@@ -227,9 +232,8 @@
     gate.file_system.close()
 
 
-def test_store_invalid_change_alone_is_rejected(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_store_invalid_change_alone_is_rejected(gate: SyncGate, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("balancer.store.engine.MAX_ROWS", 3)
-    gate = SyncGate()
     store = open_store(gate)
     gate.block_syncs()
     store.put("view", "a", 1)
@@ -252,11 +256,11 @@
     found: list[JournalRecord] = []
     done = threading.Event()
 
-    def then(records: list[JournalRecord]) -> None:
+    def on_read(records: list[JournalRecord]) -> None:
         found.extend(records)
         done.set()
 
-    store.read_journal("log", 2, 3, then)
+    store.read_journal("log", 2, 3, on_read)
     store.trim_journal("log", max_bytes=0)
     store.begin_generation()
     assert done.wait(WAIT) and [r.position for r in found] == [2, 3, 4]
@@ -274,7 +278,7 @@
 n = int(sys.argv[2])
 while True:
     n += 1
-    store.put("view", "n", n, lambda stamp, n=n: print("done", n, flush=True))
+    store.put("view", "n", n, lambda sequence_number, n=n: print("done", n, flush=True))
     store.append("log", n)
     store.put("ends", "n", n)
     while store.status().queued_changes > 50:
@@ -283,22 +287,22 @@
 
 
 def test_store_killed_process_leaves_what_it_acknowledged(tmp_path: Path) -> None:
-    """SIGKILL, five times in a row, each start at once after the one before."""
+    """SIGKILL, five times in a row, each start immediately after the one before."""
     last = 0
-    for life in range(5):
+    for run in range(5):
         command = [sys.executable, "-c", WRITER, str(tmp_path), str(last)]
         process = subprocess.Popen(command, cwd=ROOT, stdout=subprocess.PIPE, text=True)
         assert process.stdout is not None
         opened = process.stdout.readline().split()
-        assert opened[:3] == ["open", str(life + 1), "0"], opened
-        while (acknowledged := int(process.stdout.readline().split()[1])) < last + 30 + 40 * life:
+        assert opened[:3] == ["open", str(run + 1), "0"], opened
+        while (acknowledged := int(process.stdout.readline().split()[1])) < last + 30 + 40 * run:
             pass
         process.kill()
-        whole = process.stdout.read().split("\n")[:-1]  # the last line may be cut off
+        whole = process.stdout.read().split("\n")[:-1]  # the last line may be incomplete
         process.wait()
         last = max([acknowledged, *(int(line.split()[1]) for line in whole)])
         found = show(str(tmp_path))
-        assert not found["faults"] and found["owner"] is None and found["believed"] == life + 1
+        assert not found["faults"] and found["owner"] is None and found["believed"] == run + 1
     store = Store(str(tmp_path), lambda run: run())
     store.open()
     value = store.get("view", "n")
