--- a/benchmarks/list_processing_stalls.py
+++ b/benchmarks/list_processing_stalls.py
@@ -25,7 +25,8 @@
 from balancer.net.component import RunningNode
 from balancer.net.config import load
 from balancer.net.discovery import platform
-from balancer.net.discovery.platform import DiscoveryCall, PlatformSource
+from balancer.net.discovery.platform import PlatformSource
+from balancer.net.discovery.platform_call import DiscoveryCall
 from balancer.net.endpoint_view import EndpointView
 from balancer.net.persistence import PersistenceComponent
 from balancer.net.recovery import RecoveryComponent
--- a/tests/net/test_bulk_update.py
+++ b/tests/net/test_bulk_update.py
@@ -24,7 +24,7 @@
 )
 from balancer.net import request_dispatcher as node_module
 from balancer.net.config import load
-from balancer.net.discovery import platform
+from balancer.net.discovery import platform, platform_call
 from balancer.net.discovery.platform import PlatformSource
 from balancer.net.endpoint_view import EndpointView
 from balancer.net.http_server import HttpServer
@@ -68,7 +68,7 @@
         """Have the whole list called for, from a discovery that has this one."""
         rows = [{**one, "size": weight} for one in self.servers.entries]
         body = json.dumps({"revision": revision, "complete": True, "members": rows}).encode()
-        assert len(body) > platform.MAX_UNSLICED_LINE_BYTES
+        assert len(body) > platform_call.MAX_UNSLICED_LINE_BYTES
         discovery = FixedAnswerDiscovery(b"200 OK", body)
         await discovery.start()
         PlatformSource(
--- a/tests/net/test_platform_recovery.py
+++ b/tests/net/test_platform_recovery.py
@@ -23,7 +23,7 @@
 from balancer.interface import Phase
 from balancer.net import request_dispatcher as real
 from balancer.net.config import load
-from balancer.net.discovery import platform
+from balancer.net.discovery import platform, platform_call
 from balancer.net.discovery.platform import PlatformSource
 from balancer.net.endpoint_view import EndpointView
 from balancer.net.http_server import HttpServer
@@ -449,7 +449,7 @@
         await until(lambda: node.silenced() >= 6)
         node.source.watch(False)
 
-    with caplog.at_level(logging.INFO, platform.log.name):
+    with caplog.at_level(logging.INFO, platform_call.log.name):
         run(test)
     assert sum("no connection" in line for line in caplog.messages) <= 1
 
