--- a/balancer/store/inspect.py
+++ b/balancer/store/inspect.py
@@ -16,14 +16,11 @@
 
 import msgspec
 
-from balancer.core.persistence.persisted_state import NodeIdentity, restore
+from balancer.core.persistence.persisted_state import NodeIdentity
+from balancer.core.persistence.restoration import restore
 from balancer.store.engine import GENERATION_NAME_PATTERN, SEGMENT_NAME_PATTERN, STORE_FILE_NAME_PATTERN
-from balancer.store.files import (
-    FaultKind,
-    LocalFileSystem,
-    StoreFileError,
-    store_error_from_os,
-)
+from balancer.store.errors import FaultKind, StoreFileError, store_error_from_os
+from balancer.store.files import LocalFileSystem
 from balancer.store.sqlite_file import FORMAT_VERSION, Row, SealedFile
 
 RECORDS_PER_READ = 1_000  # records of a journal read in one go
@@ -249,7 +246,7 @@
         "incarnation": identity.incarnation,
         "first_ms": identity.first_started_at_ms,
     }
-    return {"memory": persisted.memory, "node": node, "faults": persisted.said}
+    return {"memory": persisted.memory, "node": node, "faults": persisted.messages}
 
 
 def _inspect_journal(copy_directory: str, names: list[str], journal: str) -> tuple[dict[str, Any], list[str]]:
--- a/tests/compatibility/exported_names.py
+++ b/tests/compatibility/exported_names.py
@@ -20,15 +20,15 @@
 from balancer import interface as api
 from balancer.core import recovery
 from balancer.core.anomaly_detection import detector as departure
-from balancer.core.cluster import failure_detector as peers
 from balancer.core.cluster import partition_detector as cuts
+from balancer.core.cluster.failure_detector import member_records, messages
 from balancer.core.discovery import source_state
 from balancer.core.persistence import persisted_state as kept
 from balancer.observability.metrics import Metrics
 from balancer.operator_settings import OperatorSettings
 from balancer.protocol import gossip
 from balancer.protocol import gossip_sections as goes_by
-from balancer.store import files
+from balancer.store import errors
 from balancer.store import sqlite_file as piece
 from balancer.timeline import schema as keys
 from balancer.timeline.monitor import TimelineMonitor
@@ -77,11 +77,11 @@
         "recovery_end": _values(recovery.RequestOutcome),
         "recovery_memory": _values(recovery.PersistedState),
         "membership_state": _values(source_state.SourceState),
-        "peer_state": [member.name.lower() for member in peers.PeerState],
-        "peer_state_number": _values(peers.PeerState),
-        "message_kind_number": _values(peers.MessageKind),
+        "peer_state": [member.name.lower() for member in member_records.PeerState],
+        "peer_state_number": _values(member_records.PeerState),
+        "message_kind_number": _values(messages.MessageKind),
         "partition": _values(cuts.Verdict),
-        "store_fault": _values(files.FaultKind),
+        "store_fault": _values(errors.FaultKind),
         "timeline_counters": list(keys.NAMES.values()),
     }
 
--- a/tests/net/test_endpoint_view.py
+++ b/tests/net/test_endpoint_view.py
@@ -11,7 +11,7 @@
 
 from balancer.core.cluster import gossiped_removals as hearsay
 from balancer.core.discovery.endpoint_merger import ApplyEndpoints, SourceConfirmedCurrent
-from balancer.core.discovery.etcd_watcher import EtcdConfig
+from balancer.core.discovery.etcd_watcher.config import EtcdConfig
 from balancer.core.discovery.source_state import Source
 from balancer.endpoints import EndpointRecord
 from balancer.net.discovery.etcd import EtcdDiscovery
--- a/tests/net/test_etcd_discovery.py
+++ b/tests/net/test_etcd_discovery.py
@@ -16,14 +16,15 @@
 import pytest
 import uvloop
 
-from balancer.core.discovery import etcd_watcher as ef
 from balancer.core.discovery.endpoint_merger import (
     EndpointsListed,
     SourceConfirmedCurrent,
     SourceLost,
     SourceRejected,
 )
-from balancer.core.discovery.etcd_watcher import EtcdConfig
+from balancer.core.discovery.etcd_watcher import limits
+from balancer.core.discovery.etcd_watcher.config import EtcdConfig, parse_endpoint_url
+from balancer.core.discovery.etcd_watcher.state import WatcherPhase
 from balancer.net.discovery import etcd
 from balancer.net.discovery.etcd import EtcdDiscovery
 from balancer.protocol.etcd_entry import parse_entry
@@ -184,8 +185,8 @@
 
     def first(self, number: int) -> None:
         """Ask this endpoint first."""
-        self.source.follow.endpoint_order = sorted(
-            self.source.follow.endpoint_order, key=lambda i: i != number
+        self.source.follow.state.selection.endpoint_order = sorted(
+            self.source.follow.state.selection.endpoint_order, key=lambda i: i != number
         )
 
 
@@ -198,7 +199,7 @@
 @pytest.fixture(autouse=True)
 def _quick(monkeypatch: pytest.MonkeyPatch) -> Iterator[None]:
     """Check often, so that tests need not wait."""
-    monkeypatch.setattr(ef, "CHECK_INTERVAL_MS", 30.0)
+    monkeypatch.setattr(limits, "CHECK_INTERVAL_MS", 30.0)
     yield
 
 
@@ -208,14 +209,14 @@
         gateway = await Gateway().start()
         gateway.keys = {b"/m/s-%04d" % i: value(i + 1) for i in range(1200)} | {b"/m/a/b": value()}
         rig = Rig(gateway)
-        listing = (await rig.next(EndpointsListed)).listing
-        assert listing.complete and listing.revision == 10 and len(listing.members) == 1200
-        assert [f.key for f in listing.faults] == ["a/b"]
+        listing = (await rig.next(EndpointsListed)).endpoint_list
+        assert listing.is_complete and listing.revision == 10 and len(listing.records) == 1200
+        assert [f.key for f in listing.invalid_entries] == ["a/b"]
         stream = await gateway.streams.get()
         assert stream.start == 10
         stream.events((b"/m/s-0007", None), (b"/m/s-0008", value(99)))
-        changes = (await rig.next(EndpointsListed)).listing
-        assert changes.removed == ("s-0007",) and changes.members[0].address == ("10.0.0.1", 99)
+        changes = (await rig.next(EndpointsListed)).endpoint_list
+        assert changes.removed_ids == ("s-0007",) and changes.records[0].address == ("10.0.0.1", 99)
         for _ in range(5):
             await rig.next(SourceConfirmedCurrent)
         assert gateway.connections == 2 and gateway.count("/v3/kv/range") >= 9
@@ -228,7 +229,7 @@
 def test_a_deletion_that_the_watch_never_tells_is_found_by_a_count(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    monkeypatch.setattr(ef, "AUDIT_INTERVAL_MS", 50.0)
+    monkeypatch.setattr(limits, "AUDIT_INTERVAL_MS", 50.0)
 
     async def test() -> None:
         gateway = await Gateway().start()
@@ -239,9 +240,9 @@
         del gateway.keys[b"/m/a"]  # compacted away at its own revision: the watch says nothing of it
         gateway.revision += 1
         stream.events((b"/m/b", value(3)))
-        assert (await rig.next(EndpointsListed)).listing.removed == ()
-        listing = (await rig.next(EndpointsListed)).listing
-        assert listing.removed == ("a",) and not listing.complete and listing.revision == 12
+        assert (await rig.next(EndpointsListed)).endpoint_list.removed_ids == ()
+        listing = (await rig.next(EndpointsListed)).endpoint_list
+        assert listing.removed_ids == ("a",) and not listing.is_complete and listing.revision == 12
         assert "1 keys are there and 2 were told of" in caplog.text
         rig.source.stop()
         gateway.stop()
@@ -263,7 +264,7 @@
         rig.source.start()
         assert "behind 10" in (await rig.next(SourceLost)).reason
         gateway.revision = 11
-        assert (await rig.next(EndpointsListed)).listing.revision == 11
+        assert (await rig.next(EndpointsListed)).endpoint_list.revision == 11
         rig.source.stop()
         assert [type(e) for e in rig.all[told:]][:2] == [SourceLost, EndpointsListed]
         gateway.stop()
@@ -321,7 +322,7 @@
         rig = Rig(slow, good)
         rig.first(0)
         begun = asyncio.get_running_loop().time()
-        assert (await rig.next(EndpointsListed)).listing.members[0].id == "a"
+        assert (await rig.next(EndpointsListed)).endpoint_list.records[0].id == "a"
         assert asyncio.get_running_loop().time() - begun < 5
         assert "is left: no answer in 3000 ms while listing" in caplog.text and slow.url in caplog.text
         await until(lambda: not slow.writers)
@@ -390,8 +391,8 @@
         assert len(asked) == 2 and asked[0] - begun >= 0.07 and asked[1] - asked[0] >= 1.14
         rig.source.stop()
         # The first of the nodes, and one that is alone, ask at once.
-        assert Rig(gateway, bears=1, me=0, nodes=100).source.follow.phase is ef.WatcherPhase.CHECKING
-        assert Rig(gateway, bears=1, me=7, nodes=1).source.follow.phase is ef.WatcherPhase.CHECKING
+        assert Rig(gateway, bears=1, me=0, nodes=100).source.follow.phase is WatcherPhase.CHECKING
+        assert Rig(gateway, bears=1, me=7, nodes=1).source.follow.phase is WatcherPhase.CHECKING
         gateway.stop()
 
     run(test)
@@ -405,8 +406,8 @@
         for spoil in (b"{what?}\n", b'{"result":{}}\n', b" " * (9 << 20)):
             (await gateway.streams.get()).raw(spoil)
             gateway.revision += 1
-            listing = (await rig.next(EndpointsListed)).listing
-            assert listing.complete and listing.revision == gateway.revision
+            listing = (await rig.next(EndpointsListed)).endpoint_list
+            assert listing.is_complete and listing.revision == gateway.revision
         rig.source.stop()
         gateway.stop()
 
@@ -421,7 +422,7 @@
         stream = await gateway.streams.get()
         stream.line(canceled=True, compact_revision="11")
         gateway.revision = 15
-        assert (await rig.next(EndpointsListed)).listing.revision == 15
+        assert (await rig.next(EndpointsListed)).endpoint_list.revision == 15
         assert (await gateway.streams.get()).start == 15
         await until(lambda: stream.writer not in gateway.writers)
         rig.source.stop()
@@ -539,19 +540,19 @@
         gateway.keys = {b"/m/s-%05d" % i: value(i % 60_000 + 1) for i in range(10_000)}
         ticker = asyncio.ensure_future(turns())
         rig = Rig(gateway)
-        assert len((await rig.next(EndpointsListed)).listing.members) == 10_000
+        assert len((await rig.next(EndpointsListed)).endpoint_list.records) == 10_000
         assert most[0] <= etcd.ROWS_PER_STEP
         (await gateway.streams.get()).events(*((key, None) for key in gateway.keys))
         gone: set[str] = set()
         while len(gone) < 10_000:
-            gone |= set((await rig.next(EndpointsListed)).listing.removed)
+            gone |= set((await rig.next(EndpointsListed)).endpoint_list.removed_ids)
         assert most[0] < 10_000
         ticker.cancel()
         rig.source.stop()
         gateway.stop()
 
-    monkeypatch.setattr("balancer.net.discovery.etcd.entry", counted)
-    monkeypatch.setattr(ef, "CHECK_INTERVAL_MS", 1000.0)
+    monkeypatch.setattr("balancer.net.discovery.etcd.parse_entry", counted)
+    monkeypatch.setattr(limits, "CHECK_INTERVAL_MS", 1000.0)
     run(test)
 
 
@@ -576,7 +577,7 @@
     with pytest.raises(ValueError) as caught:
         make("http://reader:secret-1@h:1")
     assert "secret-1" not in str(caught.value)
-    assert ef.parse_endpoint_url("https://[::1]:2379/") == ("::1", 2379, True)
+    assert parse_endpoint_url("https://[::1]:2379/") == ("::1", 2379, True)
     with pytest.raises(ValueError, match="no endpoint"):
         EtcdDiscovery(EtcdConfig((), "/m/"), told.append)
 
