--- a/tests/core/discovery/merger_harness.py
+++ b/tests/core/discovery/merger_harness.py
@@ -14,7 +14,7 @@
 
 
 def make_record(name: str, phase: Phase = UP, port: int = 0, **overrides: Any) -> EndpointRecord:
-    """An entry; its port follows from its name."""
+    """A record whose port follows from its name, unless one is given."""
     fields: dict[str, Any] = {
         "id": name,
         "zone": "a",
@@ -27,19 +27,19 @@
 
 
 def make_snapshot(revision: int, *records: EndpointRecord, **overrides: Any) -> EndpointList:
-    """A complete list."""
+    """A snapshot."""
     return EndpointList(revision, True, records, **overrides)
 
 
 def make_incremental(
     revision: int, *records: EndpointRecord, removed_ids: tuple[str, ...] = (), **overrides: Any
 ) -> EndpointList:
-    """Changes."""
+    """Incremental changes."""
     return EndpointList(revision, False, records, removed_ids, **overrides)
 
 
 class MergerHarness:
-    """A membership, and the view as whoever is told of it has it."""
+    """An `EndpointMerger`, and the view as built from the changes that it announces."""
 
     def __init__(self, *sources: Source) -> None:
         self.merger = EndpointMerger(
@@ -53,7 +53,7 @@
         self.revision = 0
 
     def handle(self, event: endpoint_merger.Event) -> None:
-        """One event, and what it brings."""
+        """Hand in one event and apply the actions."""
         self.now_ms += 1.0
         for action in self.merger.handle(self.now_ms, event):
             match action:
@@ -61,33 +61,35 @@
                     self.kinds.append(action.kind)
                     assert action.revision >= self.revision
                     self.revision = action.revision
-                    for gone in action.removed_records:
-                        assert gone.endpoint.phase is REMOVED
-                        self.announced.pop(gone.endpoint.id, None)
-                    for one in action.records:
-                        self.announced[one.endpoint.id] = one
+                    for removed in action.removed_records:
+                        assert removed.endpoint.phase is REMOVED
+                        self.announced.pop(removed.endpoint.id, None)
+                    for record in action.records:
+                        self.announced[record.endpoint.id] = record
                 case endpoint_merger.ScheduleNextSlice():
                     self.slice_scheduled = True
                 case merge_log.WriteLog():
                     self.log_lines.append(action)
 
     def run_slices(self) -> None:
-        """The loop's next turns, until nothing waits."""
+        """Hand in `NextSliceDue` until no slice is scheduled."""
         while self.slice_scheduled:
             self.slice_scheduled = False
             self.handle(endpoint_merger.NextSliceDue())
 
-    def list_endpoints(self, source: str, listing: EndpointList, identity: str = "one", **over: Any) -> None:
-        """A source lists, and the loop turns."""
-        self.handle(endpoint_merger.EndpointsListed(source, identity, listing, **over))
+    def list_endpoints(
+        self, source: str, endpoint_list: EndpointList, identity: str = "one", **over: Any
+    ) -> None:
+        """Hand in a list of a source and run all its slices."""
+        self.handle(endpoint_merger.EndpointsListed(source, identity, endpoint_list, **over))
         self.run_slices()
 
     def state(self, name: str) -> SourceState:
-        """How far a source is believed."""
+        """The state of a source."""
         return self.merger.sources[name].state
 
     @property
     def view(self) -> dict[str, str]:
-        """Who is told to be what."""
+        """The phase of each announced endpoint; fails if that differs from the merger's own view."""
         assert self.announced == self.merger.view
-        return {name: one.endpoint.phase.value for name, one in self.announced.items()}
+        return {name: record.endpoint.phase.value for name, record in self.announced.items()}
--- a/tests/core/discovery/test_platform_watcher.py
+++ b/tests/core/discovery/test_platform_watcher.py
@@ -1,4 +1,4 @@
-"""What discovery is asked for next: a table, and a thousand nodes at once."""
+"""What the platform watcher requests next: a table of states and events, deadlines, many nodes at once."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 import pytest
 
-from balancer.core.discovery import platform_watcher as p
+from balancer.core.discovery import platform_watcher
 from balancer.core.discovery.platform_watcher import PlatformWatcher
 
 LONG_DRAIN_GRACE_MS = (
-    p.MAX_RETRY_WAIT_MS / p.RETRY_WAIT_PER_DRAIN_GRACE
+    platform_watcher.MAX_RETRY_WAIT_MS / platform_watcher.RETRY_WAIT_PER_DRAIN_GRACE
 )  # ms to obey a drain that leave room for the longest wait
 
 
@@ -25,37 +25,37 @@
 FETCH_SNAPSHOT, START_WATCH, SET_RETRY_TIMER = "FetchSnapshot", "StartWatch", "SetRetryTimer"
 # state, event, revision held -> what is done, and the state after it (not: the module does not ask by itself)
 TABLE = [
-    ("unwanted", p.SubscriptionChanged(True), None, [FETCH_SNAPSHOT], "following"),
-    ("unwanted", p.SubscriptionChanged(True), 7, [START_WATCH], "following"),
-    ("unwanted", p.SubscriptionChanged(False), 7, ["CancelCalls"], "unwanted"),
-    ("unwanted", p.AddressChanged(), 7, ["CancelCalls"], "unwanted"),
-    ("unwanted", p.DiscoveryAnswered(), 7, [], "unwanted"),
-    ("unwanted", p.CallEnded(True), 7, [], "unwanted"),
-    ("unwanted", p.CallEnded(False), 7, [], "unwanted"),
-    ("unwanted", p.RetryTimerFired(), 7, [], "unwanted"),
-    ("following", p.SubscriptionChanged(True), 7, [], "following"),
-    ("following", p.SubscriptionChanged(False), 7, ["CancelCalls"], "unwanted"),
-    ("following", p.AddressChanged(), 7, ["CancelCalls", FETCH_SNAPSHOT], "following"),
-    ("following", p.DiscoveryAnswered(), 7, [], "following"),
-    ("following", p.CallEnded(True), 7, [START_WATCH], "following"),
-    ("following", p.CallEnded(True), None, [SET_RETRY_TIMER], "waiting"),
-    ("following", p.CallEnded(False), 7, [SET_RETRY_TIMER], "waiting"),
-    ("following", p.CallEnded(True, is_additional=True), 7, [], "following"),
-    ("following", p.CallEnded(False, is_additional=True), 7, [], "following"),
-    ("following", p.RetryTimerFired(), 7, [], "following"),
-    ("waiting", p.SubscriptionChanged(True), 7, [], "waiting"),
-    ("waiting", p.SubscriptionChanged(False), 7, ["CancelCalls"], "unwanted"),
-    ("waiting", p.AddressChanged(), 7, ["CancelCalls", FETCH_SNAPSHOT], "following"),
-    ("waiting", p.DiscoveryAnswered(), 7, [], "waiting"),
-    ("waiting", p.CallEnded(True, is_additional=True), 7, [], "waiting"),
-    ("waiting", p.RetryTimerFired(), None, [FETCH_SNAPSHOT], "following"),
-    ("waiting", p.RetryTimerFired(), 7, [START_WATCH], "following"),
+    ("unwanted", platform_watcher.SubscriptionChanged(True), None, [FETCH_SNAPSHOT], "following"),
+    ("unwanted", platform_watcher.SubscriptionChanged(True), 7, [START_WATCH], "following"),
+    ("unwanted", platform_watcher.SubscriptionChanged(False), 7, ["CancelCalls"], "unwanted"),
+    ("unwanted", platform_watcher.AddressChanged(), 7, ["CancelCalls"], "unwanted"),
+    ("unwanted", platform_watcher.DiscoveryAnswered(), 7, [], "unwanted"),
+    ("unwanted", platform_watcher.CallEnded(True), 7, [], "unwanted"),
+    ("unwanted", platform_watcher.CallEnded(False), 7, [], "unwanted"),
+    ("unwanted", platform_watcher.RetryTimerFired(), 7, [], "unwanted"),
+    ("following", platform_watcher.SubscriptionChanged(True), 7, [], "following"),
+    ("following", platform_watcher.SubscriptionChanged(False), 7, ["CancelCalls"], "unwanted"),
+    ("following", platform_watcher.AddressChanged(), 7, ["CancelCalls", FETCH_SNAPSHOT], "following"),
+    ("following", platform_watcher.DiscoveryAnswered(), 7, [], "following"),
+    ("following", platform_watcher.CallEnded(True), 7, [START_WATCH], "following"),
+    ("following", platform_watcher.CallEnded(True), None, [SET_RETRY_TIMER], "waiting"),
+    ("following", platform_watcher.CallEnded(False), 7, [SET_RETRY_TIMER], "waiting"),
+    ("following", platform_watcher.CallEnded(True, is_additional=True), 7, [], "following"),
+    ("following", platform_watcher.CallEnded(False, is_additional=True), 7, [], "following"),
+    ("following", platform_watcher.RetryTimerFired(), 7, [], "following"),
+    ("waiting", platform_watcher.SubscriptionChanged(True), 7, [], "waiting"),
+    ("waiting", platform_watcher.SubscriptionChanged(False), 7, ["CancelCalls"], "unwanted"),
+    ("waiting", platform_watcher.AddressChanged(), 7, ["CancelCalls", FETCH_SNAPSHOT], "following"),
+    ("waiting", platform_watcher.DiscoveryAnswered(), 7, [], "waiting"),
+    ("waiting", platform_watcher.CallEnded(True, is_additional=True), 7, [], "waiting"),
+    ("waiting", platform_watcher.RetryTimerFired(), None, [FETCH_SNAPSHOT], "following"),
+    ("waiting", platform_watcher.RetryTimerFired(), 7, [START_WATCH], "following"),
 ]
 
 
 @pytest.mark.parametrize(("state", "event", "revision", "does", "after"), TABLE)
-def test_every_event_in_every_state(
-    state: str, event: p.Event, revision: int | None, does: list[str], after: str
+def test_watcher_event_in_each_state_gives_the_actions_of_the_table(
+    state: str, event: platform_watcher.Event, revision: int | None, does: list[str], after: str
 ) -> None:
     one = make_watcher(state=state)
     got = one.handle(1000.0, event, revision)
@@ -67,45 +67,53 @@
 @pytest.mark.parametrize(
     ("event", "does"),
     [
-        (p.CallEnded(False), [p.NotifyCallFailed()]),
-        (p.CallEnded(True), [p.NotifyCallFailed()]),  # it brought nothing that a watch could go on from
-        (p.CallEnded(False, is_additional=True), [p.NotifyCallFailed()]),
-        (p.CallEnded(True, is_additional=True), []),
+        (platform_watcher.CallEnded(False), [platform_watcher.NotifyCallFailed()]),
+        (
+            platform_watcher.CallEnded(True),
+            [platform_watcher.NotifyCallFailed()],
+        ),  # it brought nothing that a watch could go on from
+        (platform_watcher.CallEnded(False, is_additional=True), [platform_watcher.NotifyCallFailed()]),
+        (platform_watcher.CallEnded(True, is_additional=True), []),
     ],
 )
-def test_where_nodes_ask_by_themselves_the_module_says_when(event: p.Event, does: list[p.Action]) -> None:
+def test_watcher_that_must_poll_notifies_the_policy_of_failed_calls(
+    event: platform_watcher.Event, does: list[platform_watcher.Action]
+) -> None:
     assert make_watcher(must_ask=True, state="following").handle(1000.0, event, None) == does
 
 
-def test_waits_grow_to_a_bound_and_begin_again_after_an_answer() -> None:
+def test_retry_waits_grow_to_a_limit_and_are_reset_by_an_answer() -> None:
     one = make_watcher(state="following")
     waits = []
     for _ in range(8):
-        (wait,) = one.handle(0.0, p.CallEnded(False), 7)
-        assert isinstance(wait, p.SetRetryTimer)
+        (wait,) = one.handle(0.0, platform_watcher.CallEnded(False), 7)
+        assert isinstance(wait, platform_watcher.SetRetryTimer)
         waits.append(wait.at_ms)
-        one.handle(0.0, p.RetryTimerFired(), 7)
+        one.handle(0.0, platform_watcher.RetryTimerFired(), 7)
+    assert (
+        waits[0] <= 1.5 * platform_watcher.INITIAL_RETRY_WAIT_MS
+        and 0.5 * platform_watcher.MAX_RETRY_WAIT_MS <= waits[-1] <= 1.5 * platform_watcher.MAX_RETRY_WAIT_MS
+    )
+    one.handle(0.0, platform_watcher.DiscoveryAnswered(), 7)
+    (wait,) = one.handle(0.0, platform_watcher.CallEnded(False), 7)
     assert (
-        waits[0] <= 1.5 * p.INITIAL_RETRY_WAIT_MS
-        and 0.5 * p.MAX_RETRY_WAIT_MS <= waits[-1] <= 1.5 * p.MAX_RETRY_WAIT_MS
+        isinstance(wait, platform_watcher.SetRetryTimer)
+        and wait.at_ms <= 1.5 * platform_watcher.INITIAL_RETRY_WAIT_MS
     )
-    one.handle(0.0, p.DiscoveryAnswered(), 7)
-    (wait,) = one.handle(0.0, p.CallEnded(False), 7)
-    assert isinstance(wait, p.SetRetryTimer) and wait.at_ms <= 1.5 * p.INITIAL_RETRY_WAIT_MS
 
 
-def test_a_thousand_nodes_do_not_come_back_together() -> None:
-    """After a minute without discovery their next tries are spread over the longest wait."""
+def test_retries_of_a_thousand_nodes_are_spread_over_the_longest_wait() -> None:
+    """After a minute without discovery."""
     tries = []
     for seed in range(1000):
         one = PlatformWatcher(random.Random(seed), False, LONG_DRAIN_GRACE_MS)
         now = 0.0
-        one.handle(now, p.SubscriptionChanged(True), 7)
+        one.handle(now, platform_watcher.SubscriptionChanged(True), 7)
         while now < 60_000.0:
-            (wait,) = one.handle(now, p.CallEnded(False), 7)
-            assert isinstance(wait, p.SetRetryTimer)
+            (wait,) = one.handle(now, platform_watcher.CallEnded(False), 7)
+            assert isinstance(wait, platform_watcher.SetRetryTimer)
             now = wait.at_ms
-            one.handle(now, p.RetryTimerFired(), 7)
+            one.handle(now, platform_watcher.RetryTimerFired(), 7)
         tries.append(now)
     most = max(sum(t <= other < t + 1000.0 for other in tries) for t in tries)
     assert max(tries) - min(tries) > 1500.0 and most < 700
@@ -122,14 +130,14 @@
     def __init__(self, seed: int, grace_ms: float) -> None:
         self.now_ms = 0.0
         self.watcher = PlatformWatcher(random.Random(seed), False, grace_ms)
-        self.dispatch(p.SubscriptionChanged(True))
+        self.dispatch(platform_watcher.SubscriptionChanged(True))
 
-    def dispatch(self, event: p.Event) -> None:
+    def dispatch(self, event: platform_watcher.Event) -> None:
         """Up to the next call."""
         for action in self.watcher.handle(self.now_ms, event, 7):
-            if isinstance(action, p.SetRetryTimer):
+            if isinstance(action, platform_watcher.SetRetryTimer):
                 self.now_ms = action.at_ms
-                self.dispatch(p.RetryTimerFired())
+                self.dispatch(platform_watcher.RetryTimerFired())
 
     def call(self, back_ms: float, refuses: bool = False, late: bool = False) -> bool:
         """One call; whether it was answered. One that is opened before the return stays mute for good.
@@ -144,16 +152,16 @@
         life.note_connected(self.now_ms)  # no further patience
         if not refuses:
             self.now_ms = life.deadline_ms
-        self.dispatch(p.CallEnded(False, was_slow=life.may_need_longer_timeout(self.now_ms)))
+        self.dispatch(platform_watcher.CallEnded(False, was_slow=life.may_need_longer_timeout(self.now_ms)))
         return False
 
 
 @pytest.mark.parametrize("grace_ms", GRACES)
 @pytest.mark.parametrize("shape", ["refuses", "mute", "late and mute"])
-def test_the_return_of_discovery_is_learned_with_a_third_of_the_time_to_spare(
+def test_return_of_discovery_is_noticed_within_two_thirds_of_the_drain_grace(
     grace_ms: float, shape: str
 ) -> None:
-    """Guards against new requests for a server whose drain counted as told when discovery came back."""
+    """Guards against new requests for a backend whose draining counts as notified at discovery's return."""
     worst = 0.0
     for seed in range(300):
         back_ms = 3000.0 + 17.0 * seed
@@ -165,32 +173,34 @@
 
 
 @pytest.mark.parametrize("grace_ms", [0.0, 100.0])
-def test_tries_have_a_floor_however_short_the_time_to_obey_is(grace_ms: float) -> None:
+def test_retry_interval_has_a_minimum_for_any_drain_grace(grace_ms: float) -> None:
     agent, tries = DiscoveryAgent(1, grace_ms), 0
     while not agent.call(60_000.0):
         tries += 1
-    assert tries < 60_000.0 / (p.MIN_PROGRESS_TIMEOUT_MS + p.MIN_RETRY_WAIT_LIMIT_MS / 2)
+    assert tries < 60_000.0 / (
+        platform_watcher.MIN_PROGRESS_TIMEOUT_MS + platform_watcher.MIN_RETRY_WAIT_LIMIT_MS / 2
+    )
 
 
 @pytest.mark.parametrize("grace_ms", GRACES)
 @pytest.mark.parametrize("phase", [0.0, 1.0, 500.0, 1000.0, 1999.0])
 @pytest.mark.parametrize("middle", [False, True])
-def test_a_watch_that_falls_silent_is_replaced_before_what_it_misses_has_to_be_obeyed(
+def test_silent_watch_is_replaced_before_missed_draining_has_to_be_obeyed(
     grace_ms: float, phase: float, middle: bool
 ) -> None:
-    """At every phase of the beat, with a call that comes up late and is mute behind it, then a good one."""
+    """At every phase of the heartbeat; the next call connects late and stays silent, then one answers."""
     for seed in range(50):
         agent = DiscoveryAgent(seed, grace_ms)
         life = agent.watcher.start_deadline(0.0)
         life.note_connected(0.0)
         life.note_received(0.0, True, False)
-        agent.dispatch(p.DiscoveryAnswered())
+        agent.dispatch(platform_watcher.DiscoveryAnswered())
         silent_ms = phase  # after the last line
         if middle:
             life.note_received(silent_ms, False, True)
         agent.now_ms = life.deadline_ms
-        assert agent.now_ms > p.HEARTBEAT_INTERVAL_MS or middle
-        agent.dispatch(p.CallEnded(False, was_slow=life.may_need_longer_timeout(agent.now_ms)))
+        assert agent.now_ms > platform_watcher.HEARTBEAT_INTERVAL_MS or middle
+        agent.dispatch(platform_watcher.CallEnded(False, was_slow=life.may_need_longer_timeout(agent.now_ms)))
         agent.call(float("inf"), late=True)
         assert agent.now_ms - silent_ms < 6000.0 + grace_ms / 3
         if grace_ms <= 2000.0:
@@ -198,8 +208,8 @@
 
 
 @pytest.mark.parametrize("must_ask", [False, True])
-def test_a_watch_that_dribbles_is_dead(must_ask: bool) -> None:
-    """Guards against a byte a second and no line: each byte was a sign of life."""
+def test_watch_that_never_completes_a_line_reaches_its_deadline(must_ask: bool) -> None:
+    """Guards against a byte a second and no line: each byte used to extend the deadline."""
     follow = PlatformWatcher(random.Random(1), must_ask, 10_000.0)
     life, now = follow.start_deadline(0.0), 0.0
     life.note_connected(now)
@@ -211,7 +221,7 @@
     assert life.may_need_longer_timeout(now)
 
 
-def test_a_whole_list_under_way_has_a_bound_in_all() -> None:
+def test_incomplete_snapshot_reaches_its_deadline() -> None:
     follow = PlatformWatcher(random.Random(1), False, 1000.0)
     life, now = follow.start_deadline(0.0), 0.0
     life.note_connected(now)
@@ -222,13 +232,13 @@
     assert now <= 50.0 + follow.timeouts.message_timeout_ms
 
 
-def test_lines_keep_a_watch_alive_whatever_is_cut_between_them() -> None:
+def test_complete_lines_extend_the_deadline_wherever_they_are_cut() -> None:
     follow = PlatformWatcher(random.Random(1), False, 500.0)
     life, now = follow.start_deadline(0.0), 0.0
     life.note_connected(now)
     life.note_received(now, True, False)
     for _ in range(20):
-        now += p.HEARTBEAT_INTERVAL_MS
+        now += platform_watcher.HEARTBEAT_INTERVAL_MS
         assert now < life.deadline_ms
         life.note_received(now, False, True)
         now += 50.0
@@ -236,34 +246,37 @@
         life.note_received(now, True, False)
 
 
-def test_the_patience_of_a_starved_node_grows_to_a_bound_and_shrinks_again() -> None:
+def test_progress_timeout_of_a_starved_node_grows_to_a_limit_and_shrinks_again() -> None:
     """Guards a node whose every turn comes late against giving up each call just before its answer."""
     follow = PlatformWatcher(random.Random(1), False, 500.0)
-    follow.handle(0.0, p.SubscriptionChanged(True), 7)
+    follow.handle(0.0, platform_watcher.SubscriptionChanged(True), 7)
     seen = []
     for _ in range(12):
         life = follow.start_deadline(0.0)
         life.note_connected(0.0)
         late = life.deadline_ms + 300.0
-        follow.handle(late, p.CallEnded(False, was_slow=life.may_need_longer_timeout(late)), 7)
-        follow.handle(late, p.RetryTimerFired(), 7)
+        follow.handle(late, platform_watcher.CallEnded(False, was_slow=life.may_need_longer_timeout(late)), 7)
+        follow.handle(late, platform_watcher.RetryTimerFired(), 7)
         seen.append(follow.progress_timeout_ms)
-    assert seen[0] == follow.timeouts.progress_timeout_ms < seen[1] and max(seen) <= p.MAX_PROGRESS_TIMEOUT_MS
+    assert (
+        seen[0] == follow.timeouts.progress_timeout_ms < seen[1]
+        and max(seen) <= platform_watcher.MAX_PROGRESS_TIMEOUT_MS
+    )
     assert max(seen) > 300.0  # no longer given up because of its own lateness
     for _ in range(12):  # in time and mute: more patience would only miss the return
-        follow.handle(0.0, p.CallEnded(False), 7)
-        follow.handle(0.0, p.RetryTimerFired(), 7)
+        follow.handle(0.0, platform_watcher.CallEnded(False), 7)
+        follow.handle(0.0, platform_watcher.RetryTimerFired(), 7)
     assert follow.progress_timeout_ms == follow.timeouts.progress_timeout_ms
     for _ in range(2):
-        follow.handle(0.0, p.CallEnded(False, was_slow=True), 7)
+        follow.handle(0.0, platform_watcher.CallEnded(False, was_slow=True), 7)
     assert follow.progress_timeout_ms > follow.timeouts.progress_timeout_ms
-    follow.handle(0.0, p.DiscoveryAnswered(), 7)
+    follow.handle(0.0, platform_watcher.DiscoveryAnswered(), 7)
     assert follow.progress_timeout_ms == follow.timeouts.progress_timeout_ms
 
 
 @pytest.mark.parametrize("grace_ms", [500.0, 2000.0])
-def test_an_agent_that_is_always_slow_is_heard_in_the_end(grace_ms: float) -> None:
-    """Guards against no list at all for good; an outage of a minute is still followed by it in time."""
+def test_agent_that_is_always_slow_is_answered_in_the_end(grace_ms: float) -> None:
+    """Guards against no list for good. The end of an outage of a minute is still noticed in time."""
     agent = DiscoveryAgent(1, grace_ms)
     while agent.watcher.progress_timeout_ms == agent.watcher.timeouts.progress_timeout_ms:
         agent.call(float("inf"))
@@ -271,41 +284,46 @@
     assert (
         agent.watcher.progress_timeout_ms + 1.5 * agent.watcher.timeouts.max_retry_wait_ms < grace_ms
     )  # and after it for a while
-    while agent.watcher.progress_timeout_ms < p.MAX_PROGRESS_TIMEOUT_MS:
+    while agent.watcher.progress_timeout_ms < platform_watcher.MAX_PROGRESS_TIMEOUT_MS:
         agent.call(float("inf"))
     for _ in range(1000):
         agent.call(float("inf"))
-    assert agent.watcher.progress_timeout_ms == p.MAX_PROGRESS_TIMEOUT_MS
+    assert agent.watcher.progress_timeout_ms == platform_watcher.MAX_PROGRESS_TIMEOUT_MS
 
 
 @pytest.mark.parametrize("grace_ms", GRACES)
-def test_calls_that_stall_in_an_outage_get_no_more_patience_than_its_end_allows(grace_ms: float) -> None:
-    """Each brings half an answer and says no more: none would be heard of the return."""
+def test_progress_timeout_of_stalled_calls_stays_within_the_drain_grace(grace_ms: float) -> None:
+    """Each brings half an answer, then silence: longer timeouts would notice the return too late."""
     follow = PlatformWatcher(random.Random(1), False, grace_ms)
-    follow.handle(0.0, p.SubscriptionChanged(True), 7)
-    for _ in range(p.LONG_OUTAGE_FAILURES - 1):
+    follow.handle(0.0, platform_watcher.SubscriptionChanged(True), 7)
+    for _ in range(platform_watcher.LONG_OUTAGE_FAILURES - 1):
         life = follow.start_deadline(0.0)
         life.note_received(0.0, True, True)
         assert life.deadline_ms + 1.5 * follow.timeouts.max_retry_wait_ms <= 0.9 * grace_ms
         follow.handle(
-            life.deadline_ms, p.CallEnded(False, was_slow=life.may_need_longer_timeout(life.deadline_ms)), 7
+            life.deadline_ms,
+            platform_watcher.CallEnded(False, was_slow=life.may_need_longer_timeout(life.deadline_ms)),
+            7,
         )
-        follow.handle(life.deadline_ms, p.RetryTimerFired(), 7)
+        follow.handle(life.deadline_ms, platform_watcher.RetryTimerFired(), 7)
 
 
-def test_where_nodes_ask_by_themselves_patience_is_as_long_as_a_watch_may_be_silent() -> None:
+def test_progress_timeout_of_polling_nodes_is_the_poll_timeout() -> None:
     follow = PlatformWatcher(random.Random(1), True, 500.0)
     life = follow.start_deadline(0.0)
     assert life.deadline_ms == 2000.0
     life.note_connected(100.0)
     assert life.deadline_ms == 5100.0
-    follow.handle(0.0, p.CallEnded(False, was_slow=True), 7)
+    follow.handle(0.0, platform_watcher.CallEnded(False, was_slow=True), 7)
     assert follow.start_deadline(0.0).progress_timeout_ms == 5000.0
 
 
-def test_where_nodes_ask_by_themselves_a_watch_that_falls_silent_leaves_time_to_ask_anew() -> None:
-    """The module's first wait comes behind it, which may last for 3/32 of the time between two asks."""
+def test_silent_watch_of_a_polling_node_leaves_time_for_a_poll() -> None:
+    """The policy's first wait follows, which may last 3/32 of the poll interval."""
     life = PlatformWatcher(random.Random(1), True, 500.0).start_deadline(0.0)
     life.note_connected(0.0)
     life.note_received(0.0, True, False)
-    assert life.deadline_ms > p.HEARTBEAT_INTERVAL_MS and life.deadline_ms + 20_000.0 * 3 / 32 < 6000.0
+    assert (
+        life.deadline_ms > platform_watcher.HEARTBEAT_INTERVAL_MS
+        and life.deadline_ms + 20_000.0 * 3 / 32 < 6000.0
+    )
--- a/tests/net/test_bulk_update.py
+++ b/tests/net/test_bulk_update.py
@@ -112,7 +112,7 @@
             await until(lambda: not out.front.connections)
 
 
-def test_a_first_list_is_laid_out_between_answers_and_what_leaves_meanwhile_gets_nothing(
+def test_large_first_list_is_applied_between_answers_and_removed_backends_get_no_request(
     tmp_path: Path,
 ) -> None:
     async def test() -> None:
@@ -138,7 +138,7 @@
     run(test)
 
 
-def test_requests_are_answered_between_the_slices_of_another_list(
+def test_requests_are_answered_between_the_slices_of_a_later_list(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(snapshot_slices, "CHANGE_SLICE_ENTRIES", 25)  # 120 turns
@@ -165,7 +165,7 @@
 
 
 @pytest.mark.parametrize("count", [node_module.LARGE_LIST_ENDPOINTS, node_module.LARGE_LIST_ENDPOINTS + 1])
-def test_up_to_a_stated_size_a_first_list_is_taken_in_the_very_turn(tmp_path: Path, count: int) -> None:
+def test_first_list_up_to_the_limit_is_applied_in_the_same_turn(tmp_path: Path, count: int) -> None:
     async def test() -> None:
         (tmp_path / "c.json").write_text(json.dumps(configuration([], 1)))
         node = RequestDispatcher(load({"PROXY_CONFIG": str(tmp_path / "c.json")}))
--- a/tests/net/test_endpoint_view.py
+++ b/tests/net/test_endpoint_view.py
@@ -1,4 +1,4 @@
-"""The fleet: what a fault of one part costs the others, and what operators' changes bring about."""
+"""The endpoint view: exceptions in its sink and listeners, and sources that operators reconfigure."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class Sink:
-    """Who is told of the view; it fails on request."""
+    """Builds the view from its changes; raises once on request."""
 
     def __init__(self) -> None:
         self.view: dict[str, EndpointRecord] = {}
@@ -40,7 +40,7 @@
         return asyncio.get_running_loop().time() * 1000
 
     def apply(self, change: ApplyEndpoints) -> None:
-        """Take a change, or fail."""
+        """Apply a change, or raise."""
         if self.failing:
             self.failing = False
             raise ZeroDivisionError
@@ -55,8 +55,8 @@
     return OperatorSettings(membership=Membership(etcd=etcd))
 
 
-def test_a_fault_of_the_program_does_not_end_a_source(caplog: pytest.LogCaptureFixture) -> None:
-    """Guards against a source that waits for good for what it was about to do when its news failed."""
+def test_exception_in_the_sink_does_not_end_a_source(caplog: pytest.LogCaptureFixture) -> None:
+    """Guards against a source that never goes on with its work after its event raised."""
 
     async def test() -> None:
         gateway, sink = await Gateway().start(), Sink()
@@ -78,8 +78,8 @@
 
 
 @pytest.mark.parametrize("change", [{"prefix": "/other/"}, {"format": "grpc-naming"}])
-def test_another_prefix_or_format_of_a_quiet_etcd_is_taken_at_once(change: dict[str, Any]) -> None:
-    """Guards against a list that was not taken as its revision is not newer than that of the other prefix."""
+def test_new_prefix_or_format_of_an_idle_etcd_applies_at_once(change: dict[str, Any]) -> None:
+    """Guards against a list that is not applied because its revision is not newer than the old prefix's."""
 
     async def test() -> None:
         gateway, sink = await Gateway().start(), Sink()
@@ -102,7 +102,7 @@
     run(test)
 
 
-def test_the_rest_of_a_revision_is_not_lost_with_the_source_that_was_told_its_beginning() -> None:
+def test_rest_of_a_partial_revision_is_applied_by_a_reconfigured_source() -> None:
     async def test() -> None:
         gateway, sink = await Gateway().start(), Sink()
         gateway.keys = {b"/m/a": value(), b"/m/b": value(2)}
@@ -125,7 +125,7 @@
     run(test)
 
 
-def test_other_nodes_stay_behind_all_sources_where_etcd_comes_and_goes() -> None:
+def test_peers_source_stays_last_when_etcd_is_added_and_removed() -> None:
     async def test() -> None:
         first = Source("platform")
         fleet = EndpointView(Sink(), [first, hearsay.gossip_source()])
@@ -140,7 +140,9 @@
     run(test)
 
 
-def test_a_listener_that_fails_costs_the_list_and_others_nothing(caplog: pytest.LogCaptureFixture) -> None:
+def test_listener_that_raises_does_not_affect_the_view_or_other_listeners(
+    caplog: pytest.LogCaptureFixture,
+) -> None:
     async def test() -> None:
         sink, heard = Sink(), list[object]()
         fleet = EndpointView(sink, [Source("platform")])
--- a/tests/net/test_platform_discovery.py
+++ b/tests/net/test_platform_discovery.py
@@ -1,4 +1,4 @@
-"""The platform's list as a source on sockets: what a fault costs it."""
+"""The platform's discovery as a source, on sockets: exceptions and answers of no use."""
 
 from __future__ import annotations
 
@@ -26,10 +26,10 @@
 )  # ms to obey a drain: room for the longest wait
 
 
-def test_a_fault_of_the_program_while_a_line_is_read_costs_that_watch(
+def test_exception_while_a_line_is_parsed_ends_only_that_watch(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Guards against a source that waits for good behind a line that ended its callback."""
+    """Guards against a source that waits for good because a line raised in its callback."""
     entry = EndpointListParser._entry
 
     def fails(self: EndpointListParser, index: int, row: Any) -> None:
@@ -72,7 +72,7 @@
 
 
 class FixedAnswerDiscovery:
-    """A discovery that gives every call the same answer and ends it."""
+    """A discovery that gives every call the same answer and closes the connection."""
 
     def __init__(self, status: bytes, body: bytes) -> None:
         self.text = b"HTTP/1.1 %b\r\nContent-Length: %d\r\n\r\n%b" % (status, len(body), body)
@@ -97,8 +97,8 @@
         (b"200 OK", b'{"revision":1,"complete":true,"members":[]}'),  # older than what was seen
     ],
 )
-def test_an_answer_that_brings_nothing_is_no_sign_of_life_and_waits_grow(status: bytes, body: bytes) -> None:
-    """Guards discovery against a thousand nodes that ask for a list they cannot use ten times a second."""
+def test_answer_without_a_usable_list_does_not_reset_retry_waits(status: bytes, body: bytes) -> None:
+    """Guards discovery against a thousand nodes that fetch a list they cannot use ten times a second."""
 
     async def test() -> None:
         told: list[Event] = []
--- a/tests/net/test_platform_recovery.py
+++ b/tests/net/test_platform_recovery.py
@@ -1,4 +1,4 @@
-"""What a node learns when: discovery that comes back, falls silent, moves, and the crossings of all that.
+"""When a node notices that discovery returned, fell silent or moved, and combinations of these.
 
 The agent here stands where the settings say that lists are pushed: it answers at once, and is mute or refuses
 while discovery is down.
@@ -44,7 +44,7 @@
 
 
 def listed(revision: int, complete: bool = False, indent: int | None = None, **phases: str) -> bytes:
-    """A list of servers by name."""
+    """The bytes of a list of endpoints, with their phases by name."""
     rows = [
         {"id": name, "host_port": f"127.0.0.1:{at}", "phase": phase}
         for at, (name, phase) in enumerate(phases.items(), 1)
@@ -52,8 +52,8 @@
     return json.dumps({"revision": revision, "complete": complete, "members": rows}, indent=indent).encode()
 
 
-class Agent:
-    """Answers calls with the list it has; `asked` holds each call's target and how to write to it."""
+class DiscoveryAgent:
+    """Answers calls with its list; `asked` has the target and the writer of each call."""
 
     def __init__(self) -> None:
         self.asked: asyncio.Queue[tuple[str, asyncio.StreamWriter]] = asyncio.Queue()
@@ -101,10 +101,10 @@
                     return writer
 
 
-class Node:
-    """A source and its merge; the view is what a node would hold."""
+class FollowingNode:
+    """A platform source and its merge, as in a node."""
 
-    def __init__(self, agent: Agent, grace_ms: float) -> None:
+    def __init__(self, agent: DiscoveryAgent, grace_ms: float) -> None:
         self.fleet = EndpointView(self, [Source(platform.SOURCE_NAME)])
         self.told: list[membership.Event] = []
         self.fleet.listeners.append(lambda event, _: self.told.append(event))
@@ -132,28 +132,28 @@
         return sum(isinstance(event, SourceLost) for event in self.told)
 
 
-async def up(grace_ms: float) -> tuple[Agent, Node, asyncio.StreamWriter]:
-    """A node in the middle of its day: its watch is open and has beaten."""
-    agent = Agent()
+async def start_followed(grace_ms: float) -> tuple[DiscoveryAgent, FollowingNode, asyncio.StreamWriter]:
+    """A node whose watch is open and has listed its endpoints."""
+    agent = DiscoveryAgent()
     await agent.start()
-    node = Node(agent, grace_ms)
+    node = FollowingNode(agent, grace_ms)
     node.source.watch(True)
     watch = await agent.watched()
     await until(lambda: "b0" in node.fleet.merger.view)
     return agent, node, watch
 
 
-DRAIN = listed(2, True, b0="terminating", b1="in_service")
+DRAINING_LIST = listed(2, True, b0="terminating", b1="in_service")
 
 
 @pytest.mark.parametrize("loop", LOOPS)
 @pytest.mark.parametrize("grace_ms", [500.0, 2000.0])
 @pytest.mark.parametrize("shape", ["refused", "mute", "head", "mid-line", "indented"])
-def test_what_discovery_has_at_its_return_is_known_within_the_time_to_obey_it(
+def test_list_at_discovery_return_is_applied_within_the_drain_grace(
     shape: str, grace_ms: float, loop: Loop
 ) -> None:
     async def test() -> None:
-        agent, node, watch = await up(grace_ms)
+        agent, node, watch = await start_followed(grace_ms)
         if shape == "refused":
             agent.refuse()
             await until(lambda: node.silenced() >= 6)  # waits have grown
@@ -165,7 +165,7 @@
                 half = listed(2, indent=2 if shape == "indented" else None, b0="terminating")[:30]
                 watch.write(chunk(half))
             await agent.watched()  # a new call is out, that is never answered
-        agent.mute, agent.bare, agent.list = False, False, DRAIN
+        agent.mute, agent.bare, agent.list = False, False, DRAINING_LIST
         if shape == "refused":
             await agent.start()
         back = node.now()
@@ -177,40 +177,40 @@
 
 
 @pytest.mark.parametrize("loop", LOOPS)
-def test_an_answer_that_waits_in_the_kernel_is_read_though_its_time_is_over(loop: Loop) -> None:
+def test_answer_in_the_kernel_buffer_is_read_after_its_deadline(loop: Loop) -> None:
     """Guards a busy node against giving up the one call that was answered: uvloop runs timers first."""
 
     async def test() -> None:
-        agent, node, watch = await up(500.0)
+        agent, node, watch = await start_followed(500.0)
         agent.mute = True
         watch.transport.abort()
         mute = await agent.watched()
         # While another's bytes are read the answer comes, and the call's time is over when the loop goes on.
-        one, other = socket.socketpair()
+        reading_end, writing_end = socket.socketpair()
 
         def busy() -> None:
-            running.remove_reader(one)
+            running.remove_reader(reading_end)
             with socket.socket(fileno=socket.dup(mute.get_extra_info("socket").fileno())) as raw:
-                raw.send(HEAD + chunk(DRAIN + b"\n"))
+                raw.send(HEAD + chunk(DRAINING_LIST + b"\n"))
             time.sleep(0.5)
 
         running = asyncio.get_running_loop()
-        running.add_reader(one, busy)
-        other.send(b"x")
+        running.add_reader(reading_end, busy)
+        writing_end.send(b"x")
         await until(node.drains)
         assert agent.asked.empty() and len(agent.writers) == 3  # whole list, first watch, this one
         node.source.watch(False)
-        one.close()
-        other.close()
+        reading_end.close()
+        writing_end.close()
 
     run(test, loop)
 
 
-def test_a_watch_that_dribbles_is_opened_anew() -> None:
-    """Guards against bytes that pass for beats: no line ever came to its end."""
+def test_watch_that_never_completes_a_line_is_replaced() -> None:
+    """Guards against bytes that count as heartbeats though no line is ever complete."""
 
     async def test() -> None:
-        agent, node, watch = await up(500.0)
+        agent, node, watch = await start_followed(500.0)
 
         async def dribble() -> None:
             while True:
@@ -218,7 +218,7 @@
                 await asyncio.sleep(0.02)
 
         task = asyncio.create_task(dribble())
-        agent.list = DRAIN
+        agent.list = DRAINING_LIST
         await agent.watched()
         await until(node.drains)
         task.cancel()
@@ -227,12 +227,12 @@
     run(test)
 
 
-def test_a_whole_list_that_dribbles_is_asked_for_anew() -> None:
+def test_snapshot_that_never_completes_is_fetched_again() -> None:
     async def test() -> None:
-        agent = Agent()
+        agent = DiscoveryAgent()
         await agent.start()
         agent.mute = True
-        node = Node(agent, 500.0)
+        node = FollowingNode(agent, 500.0)
         node.source.watch(True)
         async with asyncio.timeout(WAIT):
             _, writer = await agent.asked.get()
@@ -252,11 +252,11 @@
     run(test)
 
 
-def test_a_beat_begins_the_waits_anew() -> None:
-    """Guards against a quiet day with resets on which each wait is longer than the one before."""
+def test_heartbeat_resets_retry_waits() -> None:
+    """Guards against an idle day with connection resets on which each wait is longer than the one before."""
 
     async def test() -> None:
-        agent, node, _watch = await up(2000.0)
+        agent, node, _watch = await start_followed(2000.0)
         backoff = node.source.watcher.backoff
         agent.body = b"\n"
         for _ in range(6):
@@ -270,11 +270,13 @@
 
 @pytest.mark.parametrize("which", [0, 1, 2])
 @pytest.mark.parametrize("says", ["a beat", "a change", "half a change", "garbage", "its end"])
-def test_of_watches_that_brought_their_heads_alone_the_one_that_speaks_goes_on(which: int, says: str) -> None:
-    """Guards against several watches for good, and against none that is seen to end."""
+def test_unconfirmed_watch_that_brings_more_than_its_head_becomes_the_active_call(
+    which: int, says: str
+) -> None:
+    """Guards against several watches that stay for good, and against none whose end is noticed."""
 
     async def test() -> None:
-        agent, node, _watch = await up(500.0)
+        agent, node, _watch = await start_followed(500.0)
         agent.bare = True
         agent.reset()
         watches = [await agent.watched() for _ in range(3)]
@@ -286,10 +288,10 @@
         if says == "its end":
             speaks.transport.abort()
             await until(lambda: one not in (*node.source.additional_calls, node.source.active_call))
-            agent.bare, agent.list = False, DRAIN
+            agent.bare, agent.list = False, DRAINING_LIST
             await until(node.drains)
         elif says == "garbage":
-            agent.bare, agent.list = False, DRAIN
+            agent.bare, agent.list = False, DRAINING_LIST
             speaks.write(chunk(b"{]}\n"))
             await until(node.drains)  # the whole list was asked for
         else:
@@ -312,9 +314,9 @@
     run(test)
 
 
-def test_bytes_without_a_line_are_no_beat_and_waits_grow() -> None:
+def test_bytes_without_a_line_do_not_reset_retry_waits() -> None:
     async def test() -> None:
-        agent, node, _watch = await up(2000.0)
+        agent, node, _watch = await start_followed(2000.0)
         agent.body = b" "
         for _ in range(4):
             agent.reset()
@@ -326,9 +328,9 @@
     run(test)
 
 
-def test_an_indented_object_on_a_watch_is_applied_without_asking_for_the_whole_list() -> None:
+def test_indented_object_on_a_watch_is_applied_without_a_snapshot() -> None:
     async def test() -> None:
-        _agent, node, watch = await up(500.0)
+        _agent, node, watch = await start_followed(500.0)
         text = listed(2, indent=2, b0="terminating") + b"\n"
         watch.write(chunk(text[:40]) + chunk(text[40:]))
         await until(node.drains)
@@ -340,43 +342,45 @@
 
 # --- a new address: what it has counts as told 4 s later
 
-MOVED = 2.0  # s: well within that
+MOVE_LIMIT_S = 2.0  # s: well within that
 
 
-async def moves(node: Node, *to: Agent) -> None:
-    """SIGHUP after SIGHUP, with no turn of the loop between; the last one's list is known in time."""
+async def follow_moves(node: FollowingNode, *to: DiscoveryAgent) -> None:
+    """Change the address several times in one turn of the loop; the last one's list is applied in time."""
     for agent in to:
         node.source.set_address(agent.address)
     at = node.now()
     await until(node.drains)
-    assert node.now() - at <= 1000 * MOVED
+    assert node.now() - at <= 1000 * MOVE_LIMIT_S
     assert identity_of(node) == platform.source_identity(to[-1].address)
     await to[-1].watched()
 
 
-def identity_of(node: Node) -> str | None:
+def identity_of(node: FollowingNode) -> str | None:
     return node.fleet.merger.sources[platform.SOURCE_NAME].identity
 
 
-async def other(revision: int = 2) -> Agent:
-    """Another agent, whose list has the drain."""
-    out = Agent()
-    out.list = listed(revision, True, b0="terminating", b1="in_service")
-    await out.start()
-    return out
+async def draining_agent(revision: int = 2) -> DiscoveryAgent:
+    """Another agent, in whose list b0 is draining."""
+    agent = DiscoveryAgent()
+    agent.list = listed(revision, True, b0="terminating", b1="in_service")
+    await agent.start()
+    return agent
 
 
 @pytest.mark.parametrize("loop", LOOPS)
 @pytest.mark.parametrize("state", ["at rest", "in mid-line", "waiting", "calling", "mute", "refused"])
 @pytest.mark.parametrize("ways", ["one", "two at once", "there and back"])
-def test_a_new_address_holds_whatever_was_under_way_at_the_old_one(state: str, ways: str, loop: Loop) -> None:
+def test_new_address_is_followed_whatever_was_in_progress_at_the_old_one(
+    state: str, ways: str, loop: Loop
+) -> None:
     """Its revisions are lower than those of the old one."""
 
     async def test() -> None:
-        agent, node, watch = await up(500.0)
+        agent, node, watch = await start_followed(500.0)
         watch.write(chunk(listed(50, b1="in_service") + b"\n"))
         await until(lambda: node.fleet.watch_revision(platform.SOURCE_NAME) == 50)
-        new, between = await other(), await other(70)
+        new, between = await draining_agent(), await draining_agent(70)
         between.mute = True
         if state == "in mid-line":
             watch.write(chunk(b'{"revision": 51, "complete": true, "mem'))
@@ -402,12 +406,12 @@
                 await between.asked.get()  # it has been asked, and never answers
             if state == "refused":
                 await agent.start()
-            agent.mute, agent.list = False, DRAIN  # its revision is lower than it was, too
+            agent.mute, agent.list = False, DRAINING_LIST  # its revision is lower than it was, too
             while not agent.asked.empty():
                 agent.asked.get_nowait()
-            await moves(node, agent)
+            await follow_moves(node, agent)
         else:
-            await moves(node, *([between, new] if ways == "two at once" else [new]))
+            await follow_moves(node, *([between, new] if ways == "two at once" else [new]))
         assert len(node.source.connect_tasks) <= 2
         node.source.watch(False)
 
@@ -416,10 +420,10 @@
 
 @pytest.mark.parametrize("loop", LOOPS)
 @pytest.mark.parametrize("shape", ["dead", "mute", "head"])
-def test_a_new_address_that_is_dead_at_first_is_heard_when_it_comes(shape: str, loop: Loop) -> None:
+def test_new_address_that_is_unreachable_at_first_is_followed_once_it_answers(shape: str, loop: Loop) -> None:
     async def test() -> None:
-        _agent, node, _watch = await up(500.0)
-        new = await other()
+        _agent, node, _watch = await start_followed(500.0)
+        new = await draining_agent()
         if shape == "dead":
             new.refuse()
         new.mute, new.bare = True, shape == "head"
@@ -440,11 +444,11 @@
     run(test, loop)
 
 
-def test_an_outage_is_one_line_in_the_log(caplog: pytest.LogCaptureFixture) -> None:
-    """Guards against ten lines a second, for which the others are left out."""
+def test_outage_is_logged_once(caplog: pytest.LogCaptureFixture) -> None:
+    """Guards against ten lines a second, which crowd the others out of the log."""
 
     async def test() -> None:
-        agent, node, _watch = await up(500.0)
+        agent, node, _watch = await start_followed(500.0)
         agent.refuse()
         await until(lambda: node.silenced() >= 6)
         node.source.watch(False)
@@ -454,8 +458,8 @@
     assert sum("no connection" in line for line in caplog.messages) <= 1
 
 
-def test_connections_that_never_come_up_are_given_up_and_do_not_pile_up() -> None:
-    """Guards against a socket for each try: the kernel goes on with a connection for minutes."""
+def test_connections_that_never_come_up_are_closed_and_do_not_accumulate() -> None:
+    """Guards against a socket for each attempt: the kernel keeps trying to connect for minutes."""
 
     async def test() -> None:
         full = socket.socket()
@@ -465,7 +469,7 @@
         for one in fill:  # nobody accepts: further ones never come up
             one.setblocking(False)
             one.connect_ex(full.getsockname())
-        _agent, node, _watch = await up(500.0)
+        _agent, node, _watch = await start_followed(500.0)
         node.source.set_address(full.getsockname())
         await until(lambda: node.silenced() >= 6)
         assert len(node.source.connect_tasks) <= 2
@@ -483,16 +487,16 @@
 @pytest.mark.parametrize("first", ["drain", "request"])
 @pytest.mark.parametrize("indent", [None, 2])
 @pytest.mark.parametrize("stood", [0.0, 0.7])  # s without a turn, with 0.5 s to obey a drain
-def test_a_drain_and_a_request_that_are_read_in_one_turn(
+def test_draining_and_request_read_in_one_turn_send_later_requests_elsewhere(
     stood: float, first: str, indent: int | None, loop: Loop, tmp_path: Path
 ) -> None:
-    """The request is served, by whichever is allowed; what comes after it goes to the server that stays."""
+    """The request is served by either backend; later ones go to the one that is not draining."""
 
     async def test() -> None:
         backends = [Backend("b0"), Backend("b1")]
         for backend in backends:
             await backend.start()
-        agent = Agent()
+        agent = DiscoveryAgent()
         agent.list = listed(41, False)
         await agent.start()
         path = tmp_path / "config.json"
@@ -554,11 +558,11 @@
 
 
 @pytest.mark.parametrize("says", ["a beat", "an old change", "the same list"])
-def test_an_answer_that_brings_nothing_new_ends_the_waits_that_had_grown(says: str, tmp_path: Path) -> None:
-    """Guards against a wait of up to 15 s for a watch that falls silent long after an outage."""
+def test_answer_without_changes_resets_poll_waits(says: str, tmp_path: Path) -> None:
+    """Guards against a wait of up to 15 s after a watch that falls silent long after an outage."""
 
     async def test() -> None:
-        agent = Agent()
+        agent = DiscoveryAgent()
         await agent.start()
         path = tmp_path / "config.json"
         path.write_text(json.dumps(configuration([], agent.address[1])))
