--- a/tests/net/test_bulk_update.py
+++ b/tests/net/test_bulk_update.py
@@ -1,4 +1,4 @@
-"""A list of 3,000 servers on sockets: what a node does between its slices, counted by turns of its loop."""
+"""A list of 3,000 endpoints on sockets: what a node does between its slices, counted by turns of its loop."""
 
 from __future__ import annotations
 
@@ -10,8 +10,7 @@
 
 import pytest
 
-from balancer.core.discovery import endpoint_merger as m
-from balancer.core.discovery import snapshot_slices, source_state
+from balancer.core.discovery import endpoint_merger, snapshot_slices, source_state
 from balancer.endpoints import EndpointList, EndpointRecord
 from balancer.interface import (
     Action,
@@ -22,7 +21,7 @@
     LearnedStateRestored,
     Phase,
 )
-from balancer.net import request_dispatcher as node_module
+from balancer.net import request_dispatcher
 from balancer.net.config import load
 from balancer.net.discovery import platform, platform_call
 from balancer.net.discovery.platform import PlatformSource
@@ -38,7 +37,7 @@
 
 
 class NodeWithList:
-    """A node with its front in this process, its discovery, and so many servers that answer."""
+    """A node with its HTTP server and discovery in this process, and backends that answer."""
 
     def __init__(self, path: Path, servers: Servers) -> None:
         (path / "c.json").write_text(json.dumps(configuration([], 1)))
@@ -57,15 +56,17 @@
             return start(name, *args)  # type: ignore[arg-type]
 
         self.node.pool.start = noted  # type: ignore[method-assign, assignment]
-        self.kinds: list[int] = []  # how many servers each change of the view brought
+        self.change_sizes: list[int] = []  # records in each change of the view
         self.fleet.listeners.append(
-            lambda _, actions: self.kinds.extend(
-                len(a.records) for a in actions if isinstance(a, m.ApplyEndpoints)
+            lambda _, actions: self.change_sizes.extend(
+                len(action.records)
+                for action in actions
+                if isinstance(action, endpoint_merger.ApplyEndpoints)
             )
         )
 
     async def fetch(self, revision: int, weight: float) -> None:
-        """Have the whole list called for, from a discovery that has this one."""
+        """Fetch a snapshot of all backends at this weight from a discovery of its own."""
         rows = [{**one, "size": weight} for one in self.servers.entries]
         body = json.dumps({"revision": revision, "complete": True, "members": rows}).encode()
         assert len(body) > platform_call.MAX_UNSLICED_LINE_BYTES
@@ -76,21 +77,21 @@
             False,
             1000.0,
             self.node.now,
-            lambda event: self.fleet.handle(self.here(event)),
+            lambda event: self.fleet.handle(self.with_one_identity(event)),
             lambda: None,
             lambda: None,
         ).fetch()
 
-    def here(self, event: m.Event) -> m.Event:
-        """All discoveries are one."""
+    def with_one_identity(self, event: endpoint_merger.Event) -> endpoint_merger.Event:
+        """The event, with one identity for all discoveries."""
         return (
-            m.EndpointsListed(event.source, "here", event.endpoint_list)
-            if isinstance(event, m.EndpointsListed)
+            endpoint_merger.EndpointsListed(event.source, "here", event.endpoint_list)
+            if isinstance(event, endpoint_merger.EndpointsListed)
             else event
         )
 
     async def turns(self, met: Callable[[], object]) -> None:
-        """The loop's next turns, one at a time, until this holds."""
+        """Run the event loop turn by turn until this holds."""
         async with asyncio.timeout(WAIT):
             while not met():
                 await asyncio.sleep(0)
@@ -116,24 +117,24 @@
     tmp_path: Path,
 ) -> None:
     async def test() -> None:
-        async with running_node(tmp_path) as (here, client):
+        async with running_node(tmp_path) as (running, client):
             assert (await client.ask("/up")).code == 503
-            await here.fetch(1, 1.0)
-            await here.turns(lambda: here.node.bulk_update)
-            names = [one["id"] for one in here.servers.entries]
-            assert (await client.ask("/up")).code == 503 and here.node.bulk_update, (
+            await running.fetch(1, 1.0)
+            await running.turns(lambda: running.node.bulk_update)
+            names = [one["id"] for one in running.servers.entries]
+            assert (await client.ask("/up")).code == 503 and running.node.bulk_update, (
                 "answered between its slices"
             )
             asked = asyncio.create_task(client.ask("/read", "Request-Timeout: 3000m"))
-            await here.turns(lambda: here.node.open)
-            assert here.node.bulk_update and not here.sent
-            left = m.EndpointsListed(
+            await running.turns(lambda: running.node.open)
+            assert running.node.bulk_update and not running.sent
+            left = endpoint_merger.EndpointsListed(
                 "platform", "here", EndpointList(2, False, (), tuple(names[:7] + names[8:]))
             )
-            here.fleet.handle(left)
-            assert (await asked).code == 200 and here.sent == [names[7]]
-            assert here.node.bulk_update is None and here.node.balancer.order == [names[7]]
-            assert (await client.ask("/up")).code == 200 and [*here.node.pool.hosts] == [names[7]]
+            running.fleet.handle(left)
+            assert (await asked).code == 200 and running.sent == [names[7]]
+            assert running.node.bulk_update is None and running.node.balancer.order == [names[7]]
+            assert (await client.ask("/up")).code == 200 and [*running.node.pool.hosts] == [names[7]]
 
     run(test)
 
@@ -144,27 +145,29 @@
     monkeypatch.setattr(snapshot_slices, "CHANGE_SLICE_ENTRIES", 25)  # 120 turns
 
     async def test() -> None:
-        async with running_node(tmp_path) as (here, client):
-            await here.fetch(1, 1.0)
-            await until(lambda: here.node.ready)
-            assert here.kinds[-1] == ENDPOINT_COUNT, "a first list in one piece"
+        async with running_node(tmp_path) as (running, client):
+            await running.fetch(1, 1.0)
+            await until(lambda: running.node.ready)
+            assert running.change_sizes[-1] == ENDPOINT_COUNT, "a first list in one piece"
             assert (await client.ask("/read", "Request-Timeout: 3000m")).code == 200
-            await here.fetch(2, 2.0)
-            await here.turns(lambda: here.listed.pending_records)
+            await running.fetch(2, 2.0)
+            await running.turns(lambda: running.listed.pending_records)
             assert (await client.ask("/read", "Request-Timeout: 3000m")).code == 200
-            assert here.listed.pending_records, "answered between its slices"
-            await until(lambda: not here.listed.pending_records)
-            weights = {b.endpoint.weight for b in here.node.balancer.backends.values()}
-            assert weights == {2.0} and len(here.node.balancer.order) == ENDPOINT_COUNT
+            assert running.listed.pending_records, "answered between its slices"
+            await until(lambda: not running.listed.pending_records)
+            weights = {b.endpoint.weight for b in running.node.balancer.backends.values()}
+            assert weights == {2.0} and len(running.node.balancer.order) == ENDPOINT_COUNT
             assert (
-                max(here.kinds[here.kinds.index(ENDPOINT_COUNT) + 1 :])
+                max(running.change_sizes[running.change_sizes.index(ENDPOINT_COUNT) + 1 :])
                 <= snapshot_slices.CHANGE_SLICE_ENTRIES
             )
 
     run(test)
 
 
-@pytest.mark.parametrize("count", [node_module.LARGE_LIST_ENDPOINTS, node_module.LARGE_LIST_ENDPOINTS + 1])
+@pytest.mark.parametrize(
+    "count", [request_dispatcher.LARGE_LIST_ENDPOINTS, request_dispatcher.LARGE_LIST_ENDPOINTS + 1]
+)
 def test_first_list_up_to_the_limit_is_applied_in_the_same_turn(tmp_path: Path, count: int) -> None:
     async def test() -> None:
         (tmp_path / "c.json").write_text(json.dumps(configuration([], 1)))
@@ -174,7 +177,7 @@
             EndpointRecord(Endpoint(f"s{n}", "a", 0, 1.0, up, 0.0), ("127.0.0.1", n + 1))
             for n in range(count)
         ]
-        node.apply(m.ApplyEndpoints(EndpointUpdateKind.INCREMENTAL, tuple(found), (), 1))
+        node.apply(endpoint_merger.ApplyEndpoints(EndpointUpdateKind.INCREMENTAL, tuple(found), (), 1))
         handled, handle = list[str](), node.balancer.handle
 
         def noted(now_ms: float, event: Event) -> list[Action]:
@@ -185,14 +188,14 @@
         node.event(ClientLeft("r1"))
         node.event(LearnedStateRestored(node.balancer.learned(node.now()), 0.0))
         assert (
-            node.ready is (count <= node_module.LARGE_LIST_ENDPOINTS)
+            node.ready is (count <= request_dispatcher.LARGE_LIST_ENDPOINTS)
             and (node.bulk_update is None) is node.ready
         )
         await until(lambda: node.ready)
         assert len(node.balancer.order) == count
         news = (
             []
-            if count <= node_module.LARGE_LIST_ENDPOINTS
+            if count <= request_dispatcher.LARGE_LIST_ENDPOINTS
             else ["EndpointsUpdated", "LearnedStateRestored", "ClientLeft"]
         )
         assert handled == (news or ["ClientLeft", "LearnedStateRestored"]), (
--- a/tests/net/test_endpoint_view.py
+++ b/tests/net/test_endpoint_view.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from balancer.core.cluster import gossiped_removals as hearsay
+from balancer.core.cluster import gossiped_removals
 from balancer.core.discovery.endpoint_merger import ApplyEndpoints, SourceConfirmedCurrent
 from balancer.core.discovery.etcd_watcher.config import EtcdConfig
 from balancer.core.discovery.source_state import Source
@@ -128,7 +128,7 @@
 def test_peers_source_stays_last_when_etcd_is_added_and_removed() -> None:
     async def test() -> None:
         first = Source("platform")
-        fleet = EndpointView(Sink(), [first, hearsay.gossip_source()])
+        fleet = EndpointView(Sink(), [first, gossiped_removals.gossip_source()])
         part = EtcdComponent(
             fleet, (first,), lambda config, seen: EtcdDiscovery(config, fleet.handle, seen=seen)
         )
--- a/tests/net/test_platform_discovery.py
+++ b/tests/net/test_platform_discovery.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from balancer.core.discovery import platform_watcher as platform_follow
+from balancer.core.discovery import platform_watcher
 from balancer.core.discovery.endpoint_merger import (
     EndpointsListed,
     Event,
@@ -22,7 +22,7 @@
 from tests.sockets import FakeDiscovery
 
 LONG_DRAIN_GRACE_MS = (
-    platform_follow.MAX_RETRY_WAIT_MS / platform_follow.RETRY_WAIT_PER_DRAIN_GRACE
+    platform_watcher.MAX_RETRY_WAIT_MS / platform_watcher.RETRY_WAIT_PER_DRAIN_GRACE
 )  # ms to obey a drain: room for the longest wait
 
 
@@ -116,7 +116,7 @@
         )
         source.watch(True)
         await until(lambda: discovery.call_count == 3)
-        assert source.watcher.backoff.next_ms >= 4 * platform_follow.INITIAL_RETRY_WAIT_MS
+        assert source.watcher.backoff.next_ms >= 4 * platform_watcher.INITIAL_RETRY_WAIT_MS
         source.watch(False)
         assert status.startswith(b"200") or not any(
             isinstance(event, SourceConfirmedCurrent) for event in told
--- a/tests/net/test_platform_recovery.py
+++ b/tests/net/test_platform_recovery.py
@@ -16,12 +16,12 @@
 
 import pytest
 
-from balancer.core.discovery import endpoint_merger as membership
+from balancer.core.discovery import endpoint_merger
 from balancer.core.discovery.endpoint_merger import SourceLost
 from balancer.core.discovery.source_state import Source
 from balancer.endpoints import parse_endpoint_list
 from balancer.interface import Phase
-from balancer.net import request_dispatcher as real
+from balancer.net import request_dispatcher
 from balancer.net.config import load
 from balancer.net.discovery import platform, platform_call
 from balancer.net.discovery.platform import PlatformSource
@@ -106,7 +106,7 @@
 
     def __init__(self, agent: DiscoveryAgent, grace_ms: float) -> None:
         self.fleet = EndpointView(self, [Source(platform.SOURCE_NAME)])
-        self.told: list[membership.Event] = []
+        self.told: list[endpoint_merger.Event] = []
         self.fleet.listeners.append(lambda event, _: self.told.append(event))
         self.source = PlatformSource(
             agent.address,
@@ -121,7 +121,7 @@
     def now(self) -> float:
         return time.monotonic() * 1000
 
-    def apply(self, change: membership.ApplyEndpoints) -> None:
+    def apply(self, change: endpoint_merger.ApplyEndpoints) -> None:
         """The view has it."""
 
     def drains(self, name: str = "b0") -> bool:
@@ -334,7 +334,7 @@
         text = listed(2, indent=2, b0="terminating") + b"\n"
         watch.write(chunk(text[:40]) + chunk(text[40:]))
         await until(node.drains)
-        assert not any(isinstance(event, membership.UpdateUnreadable) for event in node.told)
+        assert not any(isinstance(event, endpoint_merger.UpdateUnreadable) for event in node.told)
         node.source.watch(False)
 
     run(test)
@@ -503,11 +503,11 @@
         path.write_text(json.dumps(configuration([backends[0].member()], agent.address[1])))
         config = load({"PROXY_CONFIG": str(path)})
         config = replace(config, settings=replace(config.settings, drain_grace_ms=500.0))
-        node = real.RequestDispatcher(config)
+        node = request_dispatcher.RequestDispatcher(config)
         fleet = EndpointView(node, [Source(platform.SOURCE_NAME)])
         identity = platform.source_identity(agent.address)
         fleet.handle(
-            membership.EndpointsListed(
+            endpoint_merger.EndpointsListed(
                 platform.SOURCE_NAME, identity, config.configured_endpoints, is_cached=True
             )
         )
@@ -568,7 +568,7 @@
         path.write_text(json.dumps(configuration([], agent.address[1])))
         config = load({"PROXY_CONFIG": str(path)})
         settings = replace(config.settings, must_poll=True, poll_within_ms=320.0)
-        node = real.RequestDispatcher(replace(config, settings=settings))
+        node = request_dispatcher.RequestDispatcher(replace(config, settings=settings))
         fleet = EndpointView(node, [Source(platform.SOURCE_NAME)])
         identity = platform.source_identity(agent.address)
         known = parse_endpoint_list(json.loads(agent.list))
@@ -581,7 +581,7 @@
             lambda: fleet.watch_revision(platform.SOURCE_NAME),
             node.list_failed,
         )
-        fleet.handle(membership.EndpointsListed(platform.SOURCE_NAME, identity, known, is_cached=True))
+        fleet.handle(endpoint_merger.EndpointsListed(platform.SOURCE_NAME, identity, known, is_cached=True))
         await agent.watched()
         await until(lambda: not fleet.merger.sources[platform.SOURCE_NAME].has_cached_records)
         agent.refuse()
