--- a/tests/core/discovery/test_cached_lists.py
+++ b/tests/core/discovery/test_cached_lists.py
@@ -51,7 +51,7 @@
 
 
 def merger_with_cached_list(*names: str) -> EndpointMerger:
-    """Sources of which the first is remembered to list x and y at revision 7, five seconds ago."""
+    """Sources of which the first has a cached list of x and y at revision 7, five seconds old."""
     merger = EndpointMerger([Source(name) for name in names or ("a",)])
     said = endpoint_merger.EndpointsListed(
         "a",
@@ -119,7 +119,7 @@
     )
     merger.handle(
         2.0, endpoint_merger.SourceConfirmedCurrent("a")
-    )  # that it lives shows nothing: it went back
+    )  # contact shows nothing: its revision went back
     assert cached_ages(merger) == BOTH and merger.sources["a"].state is SourceState.REJECTED
 
 
--- a/tests/core/discovery/test_endpoint_merger.py
+++ b/tests/core/discovery/test_endpoint_merger.py
@@ -89,7 +89,9 @@
     assert harness.view == {"a": "up"}
     harness.list_endpoints("platform", make_snapshot(3, make_record("b")), "10.0.0.2:1")
     assert harness.view == {"b": "up"} and harness.merger.watch_revision("platform") == 3
-    harness.handle(endpoint_merger.SourceIdentityChanged("platform", "10.0.0.2:1"))  # no move at all
+    harness.handle(
+        endpoint_merger.SourceIdentityChanged("platform", "10.0.0.2:1")
+    )  # the same identity: no change
     assert harness.merger.watch_revision("platform") == 3
 
 
@@ -112,7 +114,7 @@
         endpoint_merger.SourceLost("etcd", "frozen"),
     ):
         harness.handle(event)
-        harness.handle(event)  # said once
+        harness.handle(event)  # logged once
         assert harness.view == {"a": "up"}
     assert len(harness.log_lines) == 3
     harness.handle(endpoint_merger.SourceConfirmedCurrent("etcd"))
@@ -161,7 +163,7 @@
     harness.list_endpoints(
         "platform", make_snapshot(2, make_record("b"), invalid_entries=(InvalidEntry("a", "no port"),))
     )
-    assert harness.view == {"a": "up", "b": "up"}  # the last good entry stays
+    assert harness.view == {"a": "up", "b": "up"}  # the last valid record stays
     report = merge_report.build_report(harness.merger)
     assert report["sources"][0]["unreadable"] == 2
     assert report["faults"] == [{"source": "platform", "key": "a", "reason": "no port"}]
@@ -199,7 +201,7 @@
     assert harness.view == {"a": "draining", "b": "up"}
     harness.list_endpoints(
         "etcd", make_incremental(2, invalid_entries=(InvalidEntry("b", "no port", is_draining=True),))
-    )  # it never listed b
+    )  # though etcd never listed b
     assert harness.view == {"a": "draining"}
 
 
@@ -219,14 +221,14 @@
     harness.list_endpoints("platform", make_snapshot(1, *(make_record(f"s{i}") for i in range(5))))
     harness.list_endpoints("etcd", make_snapshot(1, *(make_record(f"s{i}") for i in range(5))))
     harness.list_endpoints("etcd", make_snapshot(2))
-    assert harness.view == {}  # none of those that another source still lists is forgotten
+    assert harness.view == {}  # the removals of endpoints that another source lists are kept
     harness.list_endpoints("platform", make_snapshot(2))
     harness.list_endpoints("etcd", make_incremental(3, removed_ids=("s5", "s6")))
     assert list(harness.merger.sources["etcd"].removed_ids) == ["s4", "s5", "s6"]
     alone = MergerHarness(Source("platform"))
     alone.list_endpoints("platform", make_snapshot(1, make_record("a")))
     alone.list_endpoints("platform", make_snapshot(2))
-    assert not alone.merger.sources["platform"].removed_ids  # nobody else could list it
+    assert not alone.merger.sources["platform"].removed_ids  # no other source could list it
 
 
 def test_invalid_entries_kept_are_bounded_and_all_are_counted(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -258,7 +260,7 @@
     assert harness.view == {"a": "up"}
     harness.list_endpoints("platform", make_incremental(61, make_record("c")))
     assert harness.state("platform") is SourceState.IN_SYNC and harness.view == {"a": "up", "c": "up"}
-    harness.list_endpoints("platform", make_snapshot(60))  # a call that the watch has overtaken
+    harness.list_endpoints("platform", make_snapshot(60))  # the answer to a poll, overtaken by the watch
     assert harness.state("platform") is SourceState.IN_SYNC
 
 
--- a/tests/core/discovery/test_endpoint_merger_model.py
+++ b/tests/core/discovery/test_endpoint_merger_model.py
@@ -34,7 +34,7 @@
 STEPS = st.lists(
     st.tuples(
         st.sampled_from(["platform", "etcd"]),
-        st.sampled_from(["whole", "changes", "spoiled", "new order", "silent", "turn"]),
+        st.sampled_from(["whole", "changes", "needs_snapshot", "new order", "silent", "turn"]),
         st.integers(-1, 2),
         RECORDS,
         st.lists(st.sampled_from(IDS), max_size=2),
@@ -44,37 +44,37 @@
 
 
 class NaiveSource:
-    """What one source has said, kept in the most obvious way."""
+    """What one source has listed, kept in the most obvious way."""
 
     def __init__(self) -> None:
         self.identity = self.revision = 0
-        self.known = self.spoiled = False
-        self.says: dict[str, EndpointRecord | None] = {}  # None: removed
+        self.known = self.needs_snapshot = False
+        self.listed: dict[str, EndpointRecord | None] = {}  # None: removed
 
     def whole(self, revision: int, members: list[EndpointRecord]) -> None:
-        """A complete list."""
-        if not self.known or revision > self.revision or (revision == self.revision and self.spoiled):
+        """Take a snapshot."""
+        if not self.known or revision > self.revision or (revision == self.revision and self.needs_snapshot):
             named = {one.endpoint.id: one for one in members}
-            self.says |= dict.fromkeys(name for name, last in self.says.items() if last is not None)
-            self.says |= named
-            self.known, self.revision, self.spoiled = True, revision, False
+            self.listed |= dict.fromkeys(name for name, last in self.listed.items() if last is not None)
+            self.listed |= named
+            self.known, self.revision, self.needs_snapshot = True, revision, False
 
     def changes(self, revision: int, members: list[EndpointRecord], removed: list[str]) -> None:
-        """Changes; removals come first."""
-        if self.known and not self.spoiled and revision > self.revision:
-            self.says |= dict.fromkeys(removed)
-            self.says |= {one.endpoint.id: one for one in members}
+        """Take incremental changes; removals come first."""
+        if self.known and not self.needs_snapshot and revision > self.revision:
+            self.listed |= dict.fromkeys(removed)
+            self.listed |= {one.endpoint.id: one for one in members}
             self.revision = revision
 
 
 def expected_view(first: NaiveSource, second: NaiveSource) -> dict[str, tuple[Phase, int, float]]:
-    """The view, from the words of the page alone; two at one address are left out of the comparison."""
+    """The view by the rules of docs/design/membership.md; shared addresses are not compared."""
     out = {}
     for name in IDS:
-        words = [source.says[name] for source in (first, second) if name in source.says]
-        if not words or None in words:
+        listed_records = [source.listed[name] for source in (first, second) if name in source.listed]
+        if not listed_records or None in listed_records:
             continue
-        entries = [word for word in words if word is not None]
+        entries = [record for record in listed_records if record is not None]
         drains = any(one.endpoint.phase is DRAINING for one in entries)
         start = max(one.endpoint.started_at_ms for one in entries)
         out[name] = (DRAINING if drains else UP, entries[0].address[1], start)
@@ -122,12 +122,12 @@
                     model.changes(revision, members, removed)
                     listing = make_incremental(revision, *members, removed_ids=tuple(removed))
                     harness.handle(endpoint_merger.EndpointsListed(source, str(model.identity), listing))
-                case "spoiled":
-                    model.spoiled = True
+                case "needs_snapshot":
+                    model.needs_snapshot = True
                     harness.handle(endpoint_merger.UpdateUnreadable(source, "odd"))
                 case "new order":
                     model.identity += 1
-                    model.known = model.spoiled = False
+                    model.known = model.needs_snapshot = False
                     harness.handle(endpoint_merger.SourceIdentityChanged(source, str(model.identity)))
                     model.whole(revision, members)
                     harness.handle(
@@ -139,24 +139,24 @@
                     harness.handle(endpoint_merger.SourceLost(source, "away"))
                 case _:
                     harness.run_slices()
-            for model in naive.values():  # at once, however long a list is that waits
-                for name, word in model.says.items():
+            for model in naive.values():  # at once, however long a pending list is
+                for name, record in model.listed.items():
                     held = harness.announced.get(name)
                     if held is not None:
-                        assert word is not None, "it was removed"
-                        assert held.endpoint.phase is not UP or word.endpoint.phase is UP, "it drains"
+                        assert record is not None, "it was removed"
+                        assert held.endpoint.phase is not UP or record.endpoint.phase is UP, "it drains"
         harness.run_slices()
-        want = expected_view(naive["platform"], naive["etcd"])
-        got = {
+        expected = expected_view(naive["platform"], naive["etcd"])
+        actual = {
             n: (o.endpoint.phase, o.address[1], o.endpoint.started_at_ms)
             for n, o in harness.announced.items()
         }
         assert harness.announced == harness.merger.view
-        ports = [port for phase, port, _ in want.values() if phase is UP]
-        for name, (phase, port, _) in want.items():
+        ports = [port for phase, port, _ in expected.values() if phase is UP]
+        for name, (phase, port, _) in expected.items():
             if phase is DRAINING or ports.count(port) == 1:
-                assert got.pop(name) == want[name]
-        used = [port for phase, port, _ in got.values()]
+                assert actual.pop(name) == expected[name]
+        used = [port for phase, port, _ in actual.values()]
         assert len(used) == len(set(used)) == len({p for p in ports if ports.count(p) > 1})
         assert not harness.merger._slices.unannounced
     finally:
--- a/tests/core/discovery/test_merge_report.py
+++ b/tests/core/discovery/test_merge_report.py
@@ -26,4 +26,4 @@
     assert rows["a"] == ("draining", {"platform": "up", "etcd": "draining"})
     assert rows["b"] == ("up", {"platform": "up"})
     assert [s["revision"] for s in report["sources"]] == [4, 10]
-    assert "c" not in rows  # nobody lists it
+    assert "c" not in rows  # no source lists it
--- a/tests/core/discovery/test_merged_view.py
+++ b/tests/core/discovery/test_merged_view.py
@@ -22,7 +22,8 @@
 LISTED_PHASES = ("nothing", "up", "draining", "removed")
 
 
-# What holds where the first source and the second say so, by the role of the second (the first may do all).
+# The phase in the view by what the first and the second source list, for each role of the second one; the
+# first has the full role.
 EXPECTED_PHASE = {
     SourceRole.FULL: {
         ("nothing", "nothing"): None,
@@ -110,7 +111,7 @@
     assert harness.view == {"y": "up"}
     harness.list_endpoints(
         "platform", make_incremental(2, make_record("x"))
-    )  # whatever another source still says
+    )  # another source does not override the removal
     harness.list_endpoints("platform", make_snapshot(3, make_record("x"), make_record("y")))
     assert harness.view == {"y": "up"}
     harness.list_endpoints("etcd", make_incremental(3, make_record("x")))
--- a/tests/core/discovery/test_snapshot_slices.py
+++ b/tests/core/discovery/test_snapshot_slices.py
@@ -32,7 +32,7 @@
     )  # before anything else
     assert harness.slice_scheduled and harness.announced["s50"].endpoint.weight == 1.0
     seen = [one.endpoint.weight for one in harness.announced.values()].count(2.0)
-    assert seen == 11  # the first slice, and who drains
+    assert seen == 11  # the first slice, and the draining endpoint
     harness.handle(
         endpoint_merger.EndpointsListed(
             "platform",
@@ -44,16 +44,16 @@
     harness.slice_scheduled = False
     harness.handle(endpoint_merger.NextSliceDue())
     weights = [one.endpoint.weight for one in harness.announced.values()]
-    assert weights.count(2.0) == seen + 10  # each slice at once
+    assert weights.count(2.0) == seen + 10  # each slice is announced by itself
     harness.run_slices()
     assert (
         harness.announced["s60"].endpoint.weight == 5.0 and "s61" not in harness.announced
-    )  # the newer word holds
+    )  # the newer list holds
     assert harness.announced["s50"].endpoint.weight == 2.0 and len(harness.view) == 89
 
 
 def test_long_incremental_list_is_applied_in_slices(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against a fleet's live weights that hold the loop in one piece; drains do not wait for them."""
+    """Guards the event loop against live weights of a whole fleet in one piece; draining does not wait."""
     monkeypatch.setattr(snapshot_slices, "SNAPSHOT_SLICE_ENTRIES", 10)
     harness = MergerHarness(Source("platform"))
     harness.list_endpoints(
@@ -78,7 +78,7 @@
 
 
 def test_first_snapshot_is_announced_in_one_piece(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against subsets that are laid out over its first slice alone."""
+    """Guards against a policy that lays its subset out over the first slice alone."""
     monkeypatch.setattr(snapshot_slices, "SNAPSHOT_SLICE_ENTRIES", 10)
     harness = MergerHarness(Source("platform"))
     harness.handle(
@@ -110,7 +110,7 @@
 def test_pending_endpoint_that_a_newer_snapshot_omits_counts_as_removed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against a removal that is forgotten as the list it follows had not been looked through."""
+    """Guards against a removal that is lost because the list before it was still pending."""
     monkeypatch.setattr(snapshot_slices, "SNAPSHOT_SLICE_ENTRIES", 1)
     harness = MergerHarness()
     harness.handle(
@@ -124,7 +124,7 @@
 
 
 def test_shared_address_during_a_sliced_snapshot_has_one_endpoint(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against telling an older state after a newer one, of a backend that another pushed out."""
+    """Guards against announcing an older state of a shadowed endpoint after a newer one."""
     monkeypatch.setattr(snapshot_slices, "SNAPSHOT_SLICE_ENTRIES", 1)
     harness = MergerHarness(Source("platform"))
     both = make_record("b", port=1), make_record("a", port=1)
@@ -135,7 +135,7 @@
 
 @pytest.fixture
 def small_limits(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Lists of over four servers are large, and two are looked at in one turn."""
+    """Lists of over four endpoints are large, and slices have two."""
     monkeypatch.setattr(snapshot_slices, "LARGE_SNAPSHOT_ENTRIES", 4)
     monkeypatch.setattr(snapshot_slices, "CHANGE_SLICE_ENTRIES", 2)
 
@@ -236,4 +236,4 @@
     harness.list_endpoints(
         "platform", make_snapshot(2, make_record("a"), invalid_entries=(InvalidEntry("b", "odd"),))
     )
-    assert harness.view == {"a": "up", "b": "up"}  # its last good entry stays
+    assert harness.view == {"a": "up", "b": "up"}  # its last valid record stays
