--- a/balancer/core/discovery/merged_view.py
+++ b/balancer/core/discovery/merged_view.py
@@ -136,8 +136,8 @@
         self, address: Address, candidates: Changes, changes: Changes, log_lines: list[str]
     ) -> None:
         """Use the endpoint that started last, or of those that started together whoever came last."""
-        order = {endpoint_id: position for position, endpoint_id in enumerate(candidates)}
-        winner = max(candidates, key=lambda one: (candidates[one].endpoint.started_at_ms, order[one]))
+        # Reversed, as `max` returns the first of equals.
+        winner = max(reversed(candidates), key=lambda one: candidates[one].endpoint.started_at_ms)
         for endpoint_id, merged in candidates.items():
             if endpoint_id == winner:
                 self.shadowed_ids.discard(endpoint_id)
