--- a/balancer/net/cluster.py
+++ b/balancer/net/cluster.py
@@ -1,105 +1,99 @@
 """The other nodes, for a running one: what `[peers]` switches on, off and over.
 
-`PeersPart` holds the one UDP socket, carries out what `core/cluster/failure_detector` says and gives it
-what `protocol/gossip`
-believes of what comes. It follows the settings, tells the time line, the log and `core/recovery`, and
-answers `peers` on the control socket. What else nodes tell each other passes through to `net/cluster_gossip`.
-
-- *Who this node is*: with a memory that is whole it speaks at once, as the life that the memory counts. With
-  none, a lost or an older one it first asks what others hold of it; what they say goes to `core/recovery`.
-  What it has to go by after a refutation is kept, too.
-- *Standing still*: before anything else of a turn is acted on, the decider is told that the loop stood
-  (`core/stall_detector`), and what lies in the socket is read before what time has brought.
-- *Work*: at most TURN datagrams in one turn of the loop; requests go on between two. What a socket refuses to
-  send is lost and counted: the decider bears loss.
-- An address that cannot be had is tried again: the process before may still drain.
+`ClusterComponent` gives `core/cluster/failure_detector` what its transport (`net/gossip_transport`) accepts,
+and carries out the actions. It follows the settings, informs the time line, the log and `core/recovery`, and
+answers `peers` on the control socket. Sections of datagrams go to `net/cluster_gossip`.
+
+- *Incarnation*: with an intact persisted state the node speaks at once, in the incarnation that it counted.
+  With none, a lost or an outdated one it first asks peers for the incarnation that they hold; the answer goes
+  to `core/recovery`, as does an incarnation that was raised after a refutation, to be persisted.
+- *Stalls*: before anything else of a turn is acted on, the detector is told that the loop stalled
+  (`core/stall_detector`), and datagrams that wait in the socket are read before timers are run.
+- *An address in use* is tried again: the process before may still be draining.
 """
 
 from __future__ import annotations
 
 import asyncio
-import ipaddress
 import logging
-import socket
 from collections import Counter
-from functools import lru_cache
 from random import Random
-from typing import Any
+from typing import Any, NamedTuple
 
-from balancer.core import recovery as r
-from balancer.core.cluster import gossip_coordinator as together
-from balancer.core.cluster import quota_allocation as shares
+from balancer.core import recovery
+from balancer.core.cluster import gossip_coordinator, quota_allocation
 from balancer.core.cluster.failure_detector import events, messages, parameters
 from balancer.core.cluster.failure_detector.detector import FailureDetector
+from balancer.core.cluster.failure_detector.events import PeerChange
 from balancer.core.cluster.node_state import GOSSIP_INTERVAL_MS
-from balancer.core.cluster.report import count_by_state, peers_report
+from balancer.core.cluster.report import count_by_state, peers_report, printable
 from balancer.core.stall_detector import StallDetector
 from balancer.endpoints import Address
 from balancer.net.cluster_gossip import ClusterGossip
 from balancer.net.component import RunningNode
+from balancer.net.gossip_transport import COUNTERS, GossipTransport, open_socket
 from balancer.operator_settings import OperatorSettings, PeersSettings
 from balancer.operator_settings.peers import written
-from balancer.protocol import gossip
-from balancer.protocol import gossip_sections as goes_by
+from balancer.protocol import gossip, gossip_sections
 
 log = logging.getLogger(__name__)
 
-MAX_DATAGRAMS_PER_CALLBACK = (
-    32  # datagrams read in one turn of the loop: some 1 ms where all of them are right
-)
-ROUND_INTERVAL_S = GOSSIP_INTERVAL_MS / 1000  # s between two rounds, and turns where nothing happens
-LISTEN_RETRY_INTERVAL_S = 2.0  # s until an address that could not be had is tried again
-WARNING_CHANGES = frozenset({"failed", "doubled", "yielded", "full"})
-DEBUG_CHANGES = frozenset(
-    {"joined", "suspected"}
-)  # on the time line alone: the log has a bound for all of the node
+ROUND_INTERVAL_S = GOSSIP_INTERVAL_MS / 1000  # between two rounds of gossip
+LISTEN_RETRY_INTERVAL_S = 2.0  # until an address in use is tried again
+WARNING_CHANGES = frozenset({PeerChange.FAILED, PeerChange.DOUBLED, PeerChange.YIELDED, PeerChange.FULL})
+# Only on the time line at the default level: the log has a bound for all of the node.
+DEBUG_CHANGES = frozenset({PeerChange.JOINED, PeerChange.SUSPECTED})
+MIN_STALL_MS = 0.001  # has the stall detector use its least: a suspicion may last 0.6 s
+_EVENT_PREFIX = "peer "  # of the counts that `ClusterGossip` adds to, too
+
+
+class _Incarnation(NamedTuple):
+    """The incarnation to speak in; `is_certain`: nobody can hold a greater one of this node."""
+
+    number: int
+    is_certain: bool
 
 
 class ClusterComponent:
-    """Who is there, as this node sees it."""
+    """The cluster as this node sees it; `detector` is None while it does not speak."""
 
     def __init__(self, running: RunningNode) -> None:
         self.running, self.node = running, running.node
         self.loop = asyncio.get_running_loop()
         self.detector: FailureDetector | None = None
-        self.cluster_gossip: ClusterGossip | None = None  # from the first word on, until it is off
+        self.cluster_gossip: ClusterGossip | None = None  # from the first start until it is switched off
         self.listen_error = ""  # why there is no socket
-        self.counts: Counter[str] = Counter()  # datagrams: received, sent, unsent
+        self.transport = GossipTransport(self._on_datagram)
+        self._event_counts: Counter[str] = Counter()
         self._peers_settings: PeersSettings | None = None
         self._operator_settings = OperatorSettings()
-        self._socket: socket.socket | None = None
-        self._bound_addresses: tuple[Address, Address | None] | None = None  # where it listens and is seen
+        self._bound_addresses: tuple[Address, Address | None] | None = None  # to listen at, and for others
         self._previous_detector: FailureDetector | None = None  # at the address before
-        self._writer: gossip.Writer | None = None
-        self._reader = gossip.Reader(())
-        self._stall_detector = StallDetector(
-            self.node.now(), 0.001
-        )  # the least that it takes: a suspicion may last 0.6 s
-        self._announced_incarnation = 0  # the last incarnation that `core/recovery` knows to be told
+        self._stall_detector = StallDetector(self.node.now(), MIN_STALL_MS)
+        self._announced_incarnation = 0  # the greatest that others were sent
         self._timer: asyncio.TimerHandle | None = None
         self._timer_at_ms = float("inf")
         self._round_timer: asyncio.TimerHandle | None = None
         self._listen_retry_timer: asyncio.TimerHandle | None = None
         running.peers = self
 
-    # --- the settings
+    # --- settings
 
     def apply(self, settings: OperatorSettings) -> None:
-        """Listen elsewhere, ask others, sign with another key; say that it leaves where it is off."""
+        """Listen elsewhere, contact other seeds, sign with another key; leave if `[peers]` is off.
+
+        Raises ValueError, and leaves all as it was, if the node has no name or one too long for a datagram.
+        """
         previous, peers_settings = self._peers_settings, settings.peers
         if peers_settings is None:
-            self._peers_settings = None
-            self._close_gossip(withdraw=True)
-            self._stop(leave=True)
-            self.running.control.register_with("peers", None)
+            self._switch_off()
             return
         keys = gossip.parse_keys(peers_settings.keys)
-        writer = self._writer or gossip.Writer(self.running.name, keys)  # raises where the name is too long
+        writer = self.transport.writer_for(self.running.name, keys)
         if not self.running.name:
             raise ValueError("the configuration gives this node no name, by which others would know it")
-        self._peers_settings, self._writer = peers_settings, writer
-        # From one datagram to the next: all keys are believed, so nobody is unheard meanwhile.
-        writer.keys = self._reader.keys = keys
+        self._peers_settings = peers_settings
+        self.transport.use(writer, keys)
         if (warning := peers_settings.too_open()) and (
             previous is None or previous.keys != peers_settings.keys
         ):
@@ -116,13 +110,41 @@
             self.detector.set_seeds(seed_addresses(peers_settings))
 
     async def close(self) -> None:
-        """Say that it leaves."""
+        """Tell others that this node leaves, and stop; what peers said of endpoints stays."""
         self._peers_settings = None
         self._close_gossip(withdraw=False)
-        self._stop(leave=True)
+        self._leave()
+
+    def _switch_off(self) -> None:
+        self._peers_settings = None
+        self._close_gossip(withdraw=True)
+        self._leave()
+        self.running.control.register_with("peers", None)
+
+    def _close_gossip(self, withdraw: bool) -> None:
+        if self.cluster_gossip is not None:
+            self.cluster_gossip.close(withdraw)
+            self.cluster_gossip = None
+
+    def _leave(self) -> None:
+        self._handle(events.ShutdownStarted())
+        self._stop()
+
+    def _stop(self) -> None:
+        for timer in (self._timer, self._round_timer, self._listen_retry_timer):
+            if timer is not None:
+                timer.cancel()
+        self._timer = self._round_timer = self._listen_retry_timer = None
+        self._timer_at_ms = float("inf")
+        if self.transport.socket is not None:
+            self.loop.remove_reader(self.transport.socket)
+            self.transport.socket.close()
+        self.detector = self.transport.socket = self._bound_addresses = self._previous_detector = None
+
+    # --- start
 
     def _listen(self, settings: PeersSettings) -> None:
-        """Have the address, and begin there as soon as it is known who this is."""
+        """Bind the address, and start there as soon as the persisted state was read."""
         if self._listen_retry_timer is not None:
             self._listen_retry_timer.cancel()
             self._listen_retry_timer = None
@@ -130,65 +152,48 @@
             return
         previous_detector = self.detector
         if self._bound_addresses is not None and self._bound_addresses[0] == settings.listen:
-            self._stop()  # or it would be in its own way
-        family = socket.AF_INET6 if ":" in settings.listen[0] else socket.AF_INET
+            self._stop()  # or its own socket would hold the address
         try:
-            sock = socket.socket(family, socket.SOCK_DGRAM)
-            try:
-                sock.setblocking(False)
-                sock.bind(settings.listen)
-            except OSError:
-                sock.close()
-                raise
+            sock = open_socket(settings.listen)
         except OSError as error:
-            reason = f"{written(settings.listen)}: {error.strerror or error}"
-            if reason != self.listen_error:
-                log.error(
-                    "peers: %s; it is tried again every %g s, the node serves on",
-                    reason,
-                    LISTEN_RETRY_INTERVAL_S,
-                )
-            self.listen_error = reason
-            if self.detector is None:  # nobody could say any more that what was taken holds no longer
-                self._close_gossip(withdraw=True)
-            self._listen_retry_timer = self.loop.call_later(LISTEN_RETRY_INTERVAL_S, self._listen, settings)
+            self._on_listen_error(settings, error)
             return
         self._stop()
-        self._socket, self._previous_detector, self.listen_error = sock, previous_detector, ""
+        self.transport.socket, self._previous_detector, self.listen_error = sock, previous_detector, ""
         self._bound_addresses = settings.listen, settings.address
-        recovery = self.running.recovery
-        if recovery is None or recovery.has_begun:
+        recovery_component = self.running.recovery
+        if recovery_component is None or recovery_component.has_begun:
             self._start_detector()
         else:
-            recovery.on_begun.append(self._start_detector)
+            recovery_component.on_begun.append(self._start_detector)
+
+    def _on_listen_error(self, settings: PeersSettings, error: OSError) -> None:
+        reason = f"{written(settings.listen)}: {error.strerror or error}"
+        if reason != self.listen_error:
+            log.error(
+                "peers: %s; it is tried again every %g s, the node serves on", reason, LISTEN_RETRY_INTERVAL_S
+            )
+        self.listen_error = reason
+        if self.detector is None:  # nobody could tell any more that what was gossiped holds no longer
+            self._close_gossip(withdraw=True)
+        self._listen_retry_timer = self.loop.call_later(LISTEN_RETRY_INTERVAL_S, self._listen, settings)
 
     def _start_detector(self) -> None:
-        """Speak, or ask first who this is."""
-        settings, sock = self._peers_settings, self._socket
+        """Start to speak, or to ask for the own incarnation."""
+        settings, sock = self._peers_settings, self.transport.socket
         if settings is None or sock is None or self.detector is not None:
             return
-        incarnation, is_persisted = self._restored_incarnation()
-        if incarnation >= parameters.MAX_INCARNATION:
-            log.error("peers: life %d is over what others take; the node serves without peers", incarnation)
+        if (restored := self._restored_incarnation()).number >= parameters.MAX_INCARNATION:
+            log.error(
+                "peers: life %d is over what others take; the node serves without peers", restored.number
+            )
             return
-        address, seeds = written(settings.address or sock.getsockname()[:2]), seed_addresses(settings)
-        if (
-            previous_detector := self._previous_detector
-        ) is not None and not previous_detector.is_asking_for_incarnation:  # it is who it was, somewhere else
-            incarnation, is_persisted = previous_detector.incarnation + 1, True
-            seeds += [peer.record.address for peer in previous_detector.peers.values()]
-        self.detector = FailureDetector(
-            self.running.name,
-            address,
-            seeds[: parameters.MAX_SEEDS],
-            incarnation - 1,
-            Random(),
-            gossip.record_size_bytes,
-            gossip.record_space_bytes,
-            ask_for_incarnation=not is_persisted,
-        )
+        address = written(settings.address or sock.getsockname()[:2])
+        self.detector = self._make_detector(address, restored, seed_addresses(settings))
         if self.cluster_gossip is None:
-            self.cluster_gossip = ClusterGossip(self.running, self.detector, self._send_sections, self.counts)
+            self.cluster_gossip = ClusterGossip(
+                self.running, self.detector, self._send_sections, self._event_counts
+            )
         self.cluster_gossip.use_failure_detector(self.detector)
         self.cluster_gossip.apply(self._operator_settings)
         self._announced_incarnation = 0
@@ -198,34 +203,33 @@
         log.info("peers: %s at %s", self.running.name, address)
         self._handle(events.Started())
 
-    def _restored_incarnation(self) -> tuple[int, bool]:
-        """The number of this life, and whether the memory of those before it is whole."""
-        if (recovery := self.running.recovery) is None:
-            return 1, False
-        return recovery.recovery.incarnation, recovery.recovery.persisted_state is r.PersistedState.INTACT
-
-    def _close_gossip(self, withdraw: bool) -> None:
-        if self.cluster_gossip is not None:
-            self.cluster_gossip.close(withdraw)
-            self.cluster_gossip = None
+    def _make_detector(self, address: str, incarnation: _Incarnation, seeds: list[str]) -> FailureDetector:
+        previous = self._previous_detector
+        if previous is not None and not previous.is_asking_for_incarnation:  # the same node, elsewhere
+            incarnation = _Incarnation(previous.incarnation + 1, True)
+            seeds += [peer.record.address for peer in previous.peers.values()]
+        return FailureDetector(
+            self.running.name,
+            address,
+            seeds[: parameters.MAX_SEEDS],
+            incarnation.number - 1,
+            Random(),
+            gossip.record_size_bytes,
+            gossip.record_space_bytes,
+            ask_for_incarnation=not incarnation.is_certain,
+        )
 
-    def _stop(self, leave: bool = False) -> None:
-        if leave and self.detector is not None:
-            self._handle(events.ShutdownStarted())
-        for timer in (self._timer, self._round_timer, self._listen_retry_timer):
-            if timer is not None:
-                timer.cancel()
-        self._timer = self._round_timer = self._listen_retry_timer = None
-        self._timer_at_ms = float("inf")
-        if self._socket is not None:
-            self.loop.remove_reader(self._socket)
-            self._socket.close()
-        self.detector = self._socket = self._bound_addresses = self._previous_detector = None
+    def _restored_incarnation(self) -> _Incarnation:
+        if self.running.recovery is None:
+            return _Incarnation(1, False)
+        state = self.running.recovery.recovery
+        is_intact = state.persisted_state is recovery.PersistedState.INTACT
+        return _Incarnation(state.incarnation, is_intact)
 
-    # --- what passes
+    # --- datagrams and time
 
     def _run_round(self) -> None:
-        """A round; where nothing else happens, a long stand would look like a long silence without it."""
+        """A round of gossip; without it a loop with nothing to do would seem to have stalled."""
         self._check_for_stall()
         if self.cluster_gossip is not None:
             self.cluster_gossip.run_round()
@@ -236,53 +240,40 @@
             log.warning("peers: this process stood still for %.0f ms: it calls nobody failed yet", stall_ms)
             self._handle(events.ProcessStalled(stall_ms))
             if self.cluster_gossip is not None:
-                self.cluster_gossip.handle(shares.LoopStalled())
+                self.cluster_gossip.handle(quota_allocation.LoopStalled())
 
     def _on_readable(self) -> None:
         self._check_for_stall()
         self._receive()
 
     def _receive(self) -> None:
-        """Some of what waits; the loop comes back for the rest after a turn."""
-        sock, now_ms = self._socket, self.node.now()
-        for _ in range(MAX_DATAGRAMS_PER_CALLBACK):
-            if sock is None or self.detector is None:
-                return
-            try:
-                data, sender_address = sock.recvfrom(gossip.MAX_DATAGRAM_BYTES + 1)
-            except BlockingIOError:
-                return
-            except OSError as err:  # what came back of something sent before
-                self._on_socket_error(err)
-                continue
-            self.counts["received"] += 1
-            source = written(sender_address[:2])
-            datagram = self._reader.read(now_ms, source, data)
-            if isinstance(datagram, gossip.AcceptedDatagram):
-                message = messages.Message(*datagram.message)
-                self._handle(
-                    events.DatagramReceived(
-                        datagram.sender, datagram.incarnation, source, message, datagram.is_current
-                    )
-                )
-                if datagram.sections and datagram.is_current and self.cluster_gossip is not None:
-                    self.cluster_gossip.handle(
-                        together.SectionsReceived(datagram.sender, source, datagram.sections)
-                    )
+        if self.detector is not None:
+            self.transport.receive(self.node.now())
+
+    def _on_datagram(self, source: str, datagram: gossip.AcceptedDatagram) -> None:
+        message = messages.Message(*datagram.message)
+        sender, is_current = datagram.sender, datagram.is_current
+        self._handle(events.DatagramReceived(sender, datagram.incarnation, source, message, is_current))
+        if datagram.sections and is_current and self.cluster_gossip is not None:
+            self.cluster_gossip.handle(gossip_coordinator.SectionsReceived(sender, source, datagram.sections))
 
     def _on_timer(self) -> None:
         self._timer, self._timer_at_ms = None, float("inf")
         self._check_for_stall()
-        self._receive()  # an answer that is here already has come in time
+        self._receive()  # an answer that waits in the socket has come in time
         self._handle(events.TimerFired())
 
-    def _on_socket_error(self, error: OSError) -> None:
-        """Unreachable, refused, no room: as lost as any other datagram. Said once a kind."""
-        reason = error.strerror or type(error).__name__
-        self.counts["unsent"] += 1
-        if not self.counts[f"fault {error.errno}"]:
-            log.warning("peers: %s; datagrams are lost, the node goes on", reason)
-        self.counts[f"fault {error.errno}"] += 1
+    def _set_timer(self, at_ms: float) -> None:
+        if at_ms == self._timer_at_ms:
+            return
+        if self._timer is not None:
+            self._timer.cancel()
+        self._timer_at_ms = at_ms
+        # The loop counts in whole ms; if it fired too early the timer would have to be set once more.
+        delay_s = max(0.0, at_ms - self.node.now()) / 1000 + 0.001
+        self._timer = self.loop.call_later(delay_s, self._on_timer)
+
+    # --- actions
 
     def _handle(self, event: events.Event) -> None:
         detector = self.detector
@@ -291,7 +282,7 @@
         was_asking = detector.is_asking_for_incarnation
         try:
             actions = detector.handle(self.node.now(), event)
-        except Exception:  # guards requests, and the peers after it, against one event
+        except Exception:  # guards requests, and the detector after it, against one event
             log.exception("peers: %s failed", type(event).__name__)
             if self._timer is None:
                 self._set_timer(self.node.now() + parameters.PROBE_INTERVAL_MS)
@@ -299,124 +290,84 @@
         for action in actions:
             match action:
                 case events.SendDatagram():
-                    self._send(action)
+                    self._send_datagram(action.address, action.incarnation, action.message)
                 case events.SetTimer():
                     self._set_timer(action.at_ms)
                 case events.PersistIncarnation():
-                    self._persist_incarnation(
-                        action.incarnation, detector.reported_incarnation if was_asking else None
-                    )
+                    reported_incarnation = detector.reported_incarnation if was_asking else None
+                    self._persist_incarnation(action.incarnation, reported_incarnation)
                 case events.NotifyPeerChange():
-                    self._report_change(detector, action)
-
-    def _send(self, action: events.SendDatagram) -> None:
-        self._send_datagram(action.address, action.incarnation, action.message)
+                    self._record_change(detector, action)
 
     def _send_sections(self, address: str, sections: gossip.Sections) -> None:
-        if (
-            self.detector is not None
-            and not self.detector.is_asking_for_incarnation
-            and not self.detector.has_yielded_name
-        ):
-            self._send_datagram(
-                address,
-                self.detector.incarnation,
-                messages.Message(goes_by.MESSAGE_KIND, 0, "", "", ()),
-                sections,
-            )
+        detector = self.detector
+        if detector is None or detector.is_asking_for_incarnation or detector.has_yielded_name:
+            return
+        message = messages.Message(gossip_sections.MESSAGE_KIND, 0, "", "", ())
+        self._send_datagram(address, detector.incarnation, message, sections)
 
     def _send_datagram(
         self, address: str, incarnation: int, message: messages.Message, sections: gossip.Sections = ()
     ) -> None:
-        assert self._writer is not None
-        if self._socket is None:
+        if not self.transport.send(address, incarnation, message, sections):
             return
-        target = socket_address(address, self._socket.family)
-        try:
-            if target is None:
-                raise ValueError
-            self._socket.sendto(self._writer.write(incarnation, message, sections), target)
-            self.counts["sent"] += 1
-        except OSError as error:
-            self._on_socket_error(error)
-        except ValueError:  # somebody with the right key made it up
-            self.counts["unsent"] += 1
-        recovery = self.running.recovery
-        if recovery is not None and incarnation > self._announced_incarnation:
+        recovery_component = self.running.recovery
+        if recovery_component is not None and incarnation > self._announced_incarnation:
             self._announced_incarnation = incarnation
-            recovery.recovery.mark_incarnation_announced()
-
-    def _set_timer(self, at_ms: float) -> None:
-        if at_ms == self._timer_at_ms:
-            return
-        if self._timer is not None:
-            self._timer.cancel()
-        self._timer_at_ms = at_ms
-        # A loop counts in whole ms: one that wakes too early has to be waked once more.
-        self._timer = self.loop.call_later(max(0.0, at_ms - self.node.now()) / 1000 + 0.001, self._on_timer)
+            recovery_component.recovery.mark_incarnation_announced()
 
     def _persist_incarnation(self, incarnation: int, reported_incarnation: int | None) -> None:
-        """It goes by this from now on; `held` is what others held of it before it spoke, where they said so.
+        """Tell the recovery which incarnation this node has from now on.
 
-        One more than the life that it knew of is a refutation of what was told of that; anything above shows
-        that others have seen a later life.
+        `reported_incarnation`: what peers held before it spoke, None if none answered. One above the known
+        incarnation is a refutation of a claim about that; anything above shows that peers have seen a later
+        one, which this node forgot.
         """
-        recovery = self.running.recovery
-        if recovery is None:
+        recovery_component = self.running.recovery
+        if recovery_component is None:
             return
-        known_incarnation = recovery.recovery.incarnation
+        known_incarnation = recovery_component.recovery.incarnation
         if reported_incarnation is None and incarnation > known_incarnation + 1:
             reported_incarnation = incarnation - 1
         if reported_incarnation is not None:
-            recovery.handle(r.PeersReportedIncarnation(reported_incarnation))
-        recovery.handle(r.IncarnationRaised(incarnation))
-
-    def _report_change(self, detector: FailureDetector, notification: events.NotifyPeerChange) -> None:
-        shown_name = "".join(c if c.isprintable() else "?" for c in notification.name)
-        level = logging.WARNING if notification.change in WARNING_CHANGES else logging.INFO
-        level = logging.DEBUG if notification.change in DEBUG_CHANGES else level
-        log.log(level, "peers: %s %s: %s", shown_name, notification.change, notification.reason)
-        evidence: dict[str, object] = {"why": notification.reason}
-        if (peer := detector.peers.get(notification.name)) is not None:
+            recovery_component.handle(recovery.PeersReportedIncarnation(reported_incarnation))
+        recovery_component.handle(recovery.IncarnationRaised(incarnation))
+
+    def _record_change(self, detector: FailureDetector, action: events.NotifyPeerChange) -> None:
+        """Note a change in the membership in the log, the counts and on the time line."""
+        change, name = action.change, action.name
+        level = logging.WARNING if change in WARNING_CHANGES else logging.INFO
+        level = logging.DEBUG if change in DEBUG_CHANGES else level
+        log.log(level, "peers: %s %s: %s", printable(name), change, action.reason)
+        evidence: dict[str, object] = {"why": action.reason}
+        if (peer := detector.peers.get(name)) is not None:
             evidence |= {"incarnation": peer.record.incarnation, "address": peer.record.address}
-        self.counts[f"peer {notification.change}"] += 1
-        scope = "node" if notification.name == detector.name else "peer"
-        self.running.record_event(f"peer_{notification.change}", scope, notification.name, "peers", evidence)
+        self._event_counts[f"{_EVENT_PREFIX}{change}"] += 1
+        scope = "node" if name == detector.name else "peer"
+        self.running.record_event(f"peer_{change}", scope, name, "peers", evidence)
 
     # --- what operators ask
 
     def report(self) -> dict[str, Any]:
-        """Answer `peers`."""
+        """The answer to `peers` on the control socket."""
         gossiped = None if self.cluster_gossip is None else self.cluster_gossip.report()
         answer = peers_report(self.detector, self.running.name, gossiped)
         answer["trouble"] = self.listen_error or None
-        answer["datagrams"] = {name: self.counts[name] for name in ("received", "sent", "unsent")}
-        answer["refused"] = dict(self._reader.rejected_counts)
+        answer["datagrams"] = {name: self.transport.counts[name] for name in COUNTERS}
+        answer["refused"] = dict(self.transport.rejected_counts)
         return answer
 
     def metrics(self) -> dict[str, dict[str, float]]:
         """For the metrics, by name and label."""
         return {
             "states": count_by_state(self.detector),
-            "events": {name[5:]: n for name, n in self.counts.items() if name.startswith("peer ")},
-            "datagrams": {name: self.counts[name] for name in ("received", "sent", "unsent")},
-            "refused": dict(self._reader.rejected_counts),
+            "events": {name.removeprefix(_EVENT_PREFIX): n for name, n in self._event_counts.items()},
+            "datagrams": {name: self.transport.counts[name] for name in COUNTERS},
+            "refused": dict(self.transport.rejected_counts),
             **({} if self.cluster_gossip is None else self.cluster_gossip.gauges()),
         }
 
 
-@lru_cache(parameters.MAX_PEERS)
-def socket_address(text: str, family: int) -> Address | None:
-    """An address to send to; guards against a name, which the system would look up while the loop waits."""
-    host, _, port = text.rpartition(":")
-    try:
-        ip = ipaddress.ip_address(host[1:-1] if host[:1] == "[" else host)
-        port_number = int(port)
-    except ValueError:
-        return None
-    is_usable = (ip.version == 6) is (family == socket.AF_INET6) and 0 < port_number < 65_536
-    return (str(ip), port_number) if is_usable else None
-
-
 def seed_addresses(settings: PeersSettings) -> list[str]:
+    """The seeds as datagrams name them."""
     return [written(seed) for seed in settings.seeds or ()]
--- a/tests/net/test_cluster.py
+++ b/tests/net/test_cluster.py
@@ -23,6 +23,7 @@
 from balancer.core.discovery import endpoint_merger as ms
 from balancer.endpoints import EndpointList, EndpointRecord
 from balancer.net import cluster as net
+from balancer.net import gossip_transport
 from balancer.net.admin_socket import AdminSocket
 from balancer.net.cluster import ClusterComponent
 from balancer.net.component import RunningNode
@@ -83,8 +84,8 @@
 
     @property
     def address(self) -> tuple[str, int]:
-        assert self._socket is not None
-        return cast(tuple[str, int], self._socket.getsockname())
+        assert self.transport.socket is not None
+        return cast(tuple[str, int], self.transport.socket.getsockname())
 
     def list_endpoints(
         self, revision: int, *members: EndpointRecord, whole: bool = True, gone: tuple[str, ...] = ()
@@ -157,7 +158,7 @@
             third.apply(OperatorSettings())
             await wait_until(lambda: one.states_by_name()["n2"] == other.states_by_name()["n2"] == "left")
             assert ("peer_failed", "n2") not in one.events + other.events
-            assert third.running.control._answers == {} and third._socket is None
+            assert third.running.control._answers == {} and third.transport.socket is None
             third.switch_on(one)  # again, as a greater incarnation
             await wait_until(lambda: one.sees_alive(other, third) and other.sees_alive(one, third))
             assert ("peer_returned", "n2") in one.events
@@ -207,10 +208,10 @@
             with udp_socket() as sock:
                 for _ in range(150):
                     sock.sendto(b"x" * 60, one.address)
-            counts = [one.counts["received"]]
+            counts = [one.transport.counts["received"]]
             while counts[-1] < 150:
                 await asyncio.sleep(0)
-                counts.append(one.counts["received"])
+                counts.append(one.transport.counts["received"])
             assert max(b - a for a, b in pairwise(counts)) <= 40, counts
 
     run(test)
@@ -295,7 +296,7 @@
     ],
 )
 def test_a_name_is_never_looked_up(text: str, family: int, found: object) -> None:
-    assert net.socket_address(text, family) == found
+    assert gossip_transport.socket_address(text, family) == found
 
 
 def test_an_address_that_is_taken_is_named_and_had_later(
@@ -328,8 +329,8 @@
             for text in (f"{KEY}\n{OLD_KEY}", f"{OLD_KEY}\n{KEY}", OLD_KEY):
                 for one in them:
                     one.switch_on(keys=text)
-                    much = one.counts["received"] + 10
-                    while one.counts["received"] < much:
+                    much = one.transport.counts["received"] + 10
+                    while one.transport.counts["received"] < much:
                         await asyncio.sleep(0.01)
                     assert not any(o.events for o in them), [o.events for o in them]
                     assert not any(o.report()["refused"] for o in them)
@@ -362,7 +363,7 @@
         one = ClusterNode("")
         with pytest.raises(ValueError, match="no name"):
             one.switch_on()
-        assert one._socket is None
+        assert one.transport.socket is None
 
     run(test)
 
