--- a/balancer/core/cluster/report.py
+++ b/balancer/core/cluster/report.py
@@ -1,102 +1,177 @@
-"""What `balancer peers` says: who is there, in which state, since when, what each goes by, who disagrees on
-what, what this node is cut off from, what it has taken from others.
+"""Reports of the cluster: the answer to `balancer peers` and what of it is gossiped.
+
+The keys and values of the answer are read by operators' programs, so the words of the field differ from some
+of them: `goes_by` is the advertised node state, `cut` the network partitions, `disagreements` the divergences
+of configuration, `taken` the accepted removals, `nodes` the quota.
 """
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 from itertools import islice
-from typing import Any
+from typing import Any, TypedDict
 
 from balancer.core.cluster.failure_detector.detector import FailureDetector
 from balancer.core.cluster.failure_detector.member_records import PeerState
+from balancer.core.cluster.failure_detector.members import Peer
 from balancer.core.cluster.gossip_coordinator import GossipCoordinator
 from balancer.core.cluster.node_state import FLAG_BEHIND, FLAG_NO_DISCOVERY, AdvertisedState
 from balancer.core.cluster.quota_allocation import SetQuota
-from balancer.core.discovery.endpoint_merger import SourceState as Known
-from balancer.core.recovery import RecoveryState as Back
+from balancer.core.discovery.endpoint_merger import SourceState
+from balancer.core.recovery import RecoveryState
+
+MAX_REPORTED_REMOVALS = 64  # more would not fit an operator's screen
+# States are gossiped as their places in these lists.
+RECOVERY_STATE_NAMES = [state.value for state in RecoveryState]
+SOURCE_STATE_NAMES = [state.value for state in SourceState]
+
+
+class PeerReport(TypedDict):
+    """One peer; `since` is the time of its state in ms."""
+
+    name: str
+    address: str
+    state: str
+    since: int
+    incarnation: int
+    goes_by: Mapping[str, Any]
+
+
+class PartitionReport(TypedDict):
+    """What this node is partitioned from."""
+
+    of: str
+    zone: str
+    verdict: str
+    why: str
+
 
-MAX_REPORTED_REMOVALS = 64  # servers that are out by others' word
-RECOVERY_STATES, SOURCE_STATES = ([one.value for one in kind] for kind in (Back, Known))
+class DivergenceReport(TypedDict):
+    """A configuration in which nodes differ; `names` are of the minority."""
+
+    what: str
+    of: str
+    names: list[str]
+    why: str
+
+
+class RemovalReport(TypedDict):
+    """An endpoint that is drained or removed by the gossip of peers."""
+
+    source: str
+    server: str
+    revision: int
+    gone: bool
 
 
 def peers_report(
-    peers: FailureDetector | None, name: str, gossiped: Mapping[str, Any] | None = None
+    detector: FailureDetector | None, name: str, gossiped: Mapping[str, Any] | None = None
 ) -> dict[str, Any]:
-    """All others that are known, by name; `peers` is None while this node does not speak yet, and `told`
-    (`together`) while it has heard no words.
+    """This node and all known peers by name.
+
+    `detector` is None while this node does not speak yet, `gossiped` (`gossip_report`) while it takes no part
+    in the gossip.
     """
-    peers_by_name = [] if peers is None else sorted(peers.peers.items())
     states_by_name = {} if gossiped is None else gossiped["goes_by"]
+    peers = {} if detector is None else detector.peers
     return {
         "self": name,
-        "address": None if peers is None else peers.address,
-        "incarnation": 0 if peers is None else peers.incarnation,
-        "speaks": peers is not None
-        and not (peers.is_asking_for_incarnation or peers.has_yielded_name or peers.has_left),
-        "doubts": peers is not None and peers.heard_since_stall is not None,
-        "doubled": None if peers is None else peers.conflicting_address or None,
-        "health": 0 if peers is None else peers.local_health,
+        **_own_report(detector),
         "goes_by": states_by_name.get(name, {}),
         "peers": [
-            {
-                "name": who,
-                "address": peer.record.address,
-                "state": PeerState(peer.record.state).name.lower(),
-                "since": round(peer.state_since_ms),
-                "incarnation": peer.record.incarnation,
-                "goes_by": states_by_name.get(who, {}),
-            }
-            for who, peer in peers_by_name
+            _peer_report(peer_name, peer, states_by_name.get(peer_name, {}))
+            for peer_name, peer in sorted(peers.items())
         ],
         **{key: [] if gossiped is None else gossiped[key] for key in ("cut", "disagreements", "taken")},
         "nodes": None if gossiped is None else gossiped["nodes"],
     }
 
 
-def gossip_report(coordinator: GossipCoordinator, nodes: SetQuota | None) -> dict[str, Any]:
-    """What `report` needs of the other nodes' words. `nodes` is what would be divided by."""
-    node_states, cuts, taken = (
-        coordinator.node_states,
-        coordinator.partition_detector.partitions,
-        coordinator.gossiped_removals.accepted,
-    )
-    divergences = node_states.divergences
+def _own_report(detector: FailureDetector | None) -> dict[str, Any]:
+    if detector is None:
+        return {
+            "address": None,
+            "incarnation": 0,
+            "speaks": False,
+            "doubts": False,
+            "doubled": None,
+            "health": 0,
+        }
     return {
-        "goes_by": {name: node_state_report(word) for name, word in node_states.states.items()},
-        "cut": [
-            {"of": of.value, "zone": zone, "verdict": verdict.value, "why": why}
-            for (of, zone), (verdict, why) in cuts.items()
-        ],
-        "disagreements": [  # one without names is over, and not yet for long enough
-            {
-                "what": key[0],
-                "of": key[1],
-                "names": sorted(divergences[key].node_names) if key in divergences else [],
-                "why": divergences[key].reason if key in divergences else "not seen any more",
-            }
-            for key in node_states.divergence_hysteresis.active_since_ms
-        ],
-        "taken": [
-            {"source": of, "server": server, "revision": out.revision, "gone": out.is_gone}
-            for (of, server), out in islice(taken.items(), MAX_REPORTED_REMOVALS)
-        ],
-        "nodes": None if nodes is None else {"count": nodes.divisor, "takes": nodes.has_quota},
+        "address": detector.address,
+        "incarnation": detector.incarnation,
+        "speaks": not (detector.own_node.is_silent or detector.has_left),
+        "doubts": detector.heard_since_stall is not None,
+        "doubled": detector.conflicting_address or None,
+        "health": detector.local_health,
     }
 
 
+def _peer_report(name: str, peer: Peer, state: Mapping[str, Any]) -> PeerReport:
+    return {
+        "name": name,
+        "address": peer.record.address,
+        "state": _state_name(peer),
+        "since": round(peer.state_since_ms),
+        "incarnation": peer.record.incarnation,
+        "goes_by": state,
+    }
+
+
+def gossip_report(coordinator: GossipCoordinator, quota: SetQuota | None) -> dict[str, Any]:
+    """What `peers_report` needs of the gossip; `quota` is what limits would be divided by."""
+    states = coordinator.node_states.states
+    return {
+        "goes_by": {name: node_state_report(state) for name, state in states.items()},
+        "cut": _partition_reports(coordinator),
+        "disagreements": _divergence_reports(coordinator),
+        "taken": _removal_reports(coordinator),
+        "nodes": None if quota is None else {"count": quota.divisor, "takes": quota.has_quota},
+    }
+
+
+def _partition_reports(coordinator: GossipCoordinator) -> list[PartitionReport]:
+    return [
+        {"of": scope.value, "zone": zone, "verdict": verdict.value, "why": reason}
+        for (scope, zone), (verdict, reason) in coordinator.partition_detector.partitions.items()
+    ]
+
+
+def _divergence_reports(coordinator: GossipCoordinator) -> list[DivergenceReport]:
+    divergences = coordinator.node_states.divergences
+    reports: list[DivergenceReport] = []
+    for key in coordinator.node_states.divergence_hysteresis.active_since_ms:
+        kind, subject = key
+        divergence = divergences.get(key)
+        if divergence is None:  # over, but not for long enough yet
+            names, reason = [], "not seen any more"
+        else:
+            names, reason = sorted(divergence.node_names), divergence.reason
+        reports.append({"what": kind, "of": subject, "names": names, "why": reason})
+    return reports
+
+
+def _removal_reports(coordinator: GossipCoordinator) -> list[RemovalReport]:
+    accepted = coordinator.gossiped_removals.accepted
+    return [
+        {"source": source, "server": endpoint, "revision": removal.revision, "gone": removal.is_gone}
+        for (source, endpoint), removal in islice(accepted.items(), MAX_REPORTED_REMOVALS)
+    ]
+
+
 def node_state_report(state: AdvertisedState) -> dict[str, Any]:
-    """What a node goes by; revisions by source."""
+    """What a node advertises of itself; revisions by source, digests in hexadecimal."""
+    settings_digest, operators_digest = state.settings_digests
     return {
         "number": state.node_index,
-        "state": _name_at(RECOVERY_STATES, state.recovery_state),
+        "state": _name_at(RECOVERY_STATE_NAMES, state.recovery_state),
         "sources": {
-            of: {"revision": revision, "state": _name_at(SOURCE_STATES, state)}
-            for of, _, revision, state in state.sources
+            source: {"revision": revision, "state": _name_at(SOURCE_STATE_NAMES, source_state)}
+            for source, _, revision, source_state in state.sources
         },
         "list": f"{state.endpoints_digest:08x}" if state.endpoints_digest else None,
-        "settings": f"{state.settings_digests[0]:08x}",
-        "operators": f"{state.settings_digests[1]:08x}",
+        "settings": f"{settings_digest:08x}",
+        "operators": f"{operators_digest:08x}",
         "version": state.program_version,
         "zone": state.zone,
         "nodes": state.quota_divisor,
@@ -106,18 +181,23 @@
 
 
 def _name_at(names: list[str], index: int) -> str:
-    """A later version may have more."""
+    """The name of a gossiped state; its number if only a later version knows it."""
     return names[index] if index < len(names) else str(index)
 
 
-def count_by_state(peers: FailureDetector | None) -> dict[str, float]:
-    """How many are in each state."""
+def _state_name(peer: Peer) -> str:
+    return PeerState(peer.record.state).name.lower()
+
+
+def count_by_state(detector: FailureDetector | None) -> dict[str, float]:
+    """How many peers are in each state."""
     counts = {state.name.lower(): 0.0 for state in PeerState}
-    for peer in () if peers is None else peers.peers.values():
-        counts[PeerState(peer.record.state).name.lower()] += 1
+    if detector is not None:
+        for peer in detector.peers.values():
+            counts[_state_name(peer)] += 1
     return counts
 
 
 def printable(text: str) -> str:
-    """Names from others without what a terminal would obey."""
-    return "".join(c if c.isprintable() else "?" for c in text)
+    """Text from other nodes without control characters, which a terminal would obey."""
+    return "".join(character if character.isprintable() else "?" for character in text)
