--- a/balancer/core/cluster/report.py
+++ b/balancer/core/cluster/report.py
@@ -17,7 +17,7 @@
 from balancer.core.cluster.gossip_coordinator import GossipCoordinator
 from balancer.core.cluster.node_state import FLAG_BEHIND, FLAG_NO_DISCOVERY, AdvertisedState
 from balancer.core.cluster.quota_allocation import SetQuota
-from balancer.core.discovery.endpoint_merger import SourceState
+from balancer.core.discovery.source_state import SourceState
 from balancer.core.recovery import RecoveryState
 
 MAX_REPORTED_REMOVALS = 64  # more would not fit an operator's screen
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -24,10 +24,11 @@
     JournalRecord,
     Put,
 )
-from balancer.store.files import FaultKind, LocalFileSystem, StoreFileError
+from balancer.store.errors import FaultKind, StoreFileError, WriteQueueFull
+from balancer.store.files import LocalFileSystem
 from balancer.store.inspect import clear, show, verify
 from balancer.store.sqlite_file import SealedFile
-from balancer.store.store import Store, WriteQueueFull
+from balancer.store.store import Store
 from balancer.testbed.simulated_disk import InjectedError, SimulatedDisk, SimulatedFileSystem
 from tests.sockets import ROOT, WAIT
 
@@ -278,14 +279,14 @@
 from balancer.store.store import Store
 store = Store(sys.argv[1], lambda run: run())
 found = store.open()
-print("open", found.generation, len(found.faults), flush=True)
+print("open", found.next_generation, len(found.faults), flush=True)
 n = int(sys.argv[2])
 while True:
     n += 1
     store.put("view", "n", n, lambda stamp, n=n: print("done", n, flush=True))
     store.append("log", n)
     store.put("ends", "n", n)
-    while store.state().waiting > 50:
+    while store.status().queued_changes > 50:
         time.sleep(0.001)
 """
 
