--- /dev/null
+++ b/balancer/core/anomaly_detection/anomaly_log.py
@@ -0,0 +1,244 @@
+"""The life cycle of anomalies: opened, updated, ended, and their events in bounded number.
+
+Bounds: `MAX_OPEN_ANOMALIES` are open at a time, `MAX_EVENTS_PER_ROUND` events leave a round; what goes beyond
+is counted in `suppressed_count`.
+"""
+
+from __future__ import annotations
+
+from bisect import insort
+
+from balancer.core.anomaly_detection import cusum, evidence, shared_causes
+from balancer.core.anomaly_detection.baselines import (
+    INACTIVITY_TIMEOUT_MS,
+    LOAD_LEVEL,
+    Baselines,
+    ServerState,
+)
+from balancer.core.anomaly_detection.cusum import PROPORTION_TESTS
+from balancer.core.anomaly_detection.events import (
+    Anomaly,
+    EventType,
+    Group,
+    Scope,
+    Signal,
+    Suspicion,
+    Suspicions,
+    TimelineEvent,
+)
+
+MAX_OPEN_ANOMALIES = 256
+MAX_EVENTS_PER_ROUND = 20  # the first of each kind always
+MAX_REMEMBERED_SUPPRESSIONS = 20_000  # so that one that cannot be opened counts once
+
+RECOVERY_ROWS = 8  # normal rows a server that end an anomaly
+ANOMALOUS_ROW_COST = 2  # normal rows that one anomalous row takes back: no end in between of a flapping fault
+MIN_UPDATE_INTERVAL_MS = 10_000.0  # between two events of one anomaly
+MIN_UPDATE_CHANGE_RATIO = 0.25  # of the value that was reported
+MIN_UPDATE_SERVERS_RATIO = 1.2  # of the servers that were reported
+MIN_REMAINING_CHANGES = 2  # in the window of flapping, that are more than a single restart
+
+
+class AnomalyLog:
+    """The open anomalies by id, and the events of this round."""
+
+    def __init__(self, baselines: Baselines) -> None:
+        self.baselines = baselines
+        self.open: dict[int, Anomaly] = {}
+        self.suppressed_count = 0  # anomalies and events that were not reported one by one
+        self._last_id = 0
+        self._events: list[TimelineEvent] = []
+        self._suppressed: set[tuple[Signal, str]] = set()  # since an anomaly last ended
+
+    # --- the beginning
+
+    def begin_group(self, signal: Signal, group: Group, suspected: Suspicions) -> None:
+        """Open one anomaly of all suspects; those that were reported alone before become part of it."""
+        strongest = max(suspected.values(), key=lambda suspicion: suspicion.score)
+        servers = set(suspected)
+        found = evidence.evidence_of(self.baselines, signal, servers, strongest)
+        if len({suspicion.class_name for suspicion in suspected.values()}) > 1:
+            found.pop("class", None)
+        since_ms = min(suspicion.since_ms for suspicion in suspected.values())
+        self._absorb(signal, servers)
+        self.begin(signal, group, since_ms, found, servers, strongest.class_name)
+
+    def begin_server(self, signal: Signal, name: str, suspicion: Suspicion) -> None:
+        """Open an anomaly of one server."""
+        found = evidence.evidence_of(self.baselines, signal, {name}, suspicion)
+        group = Group(Scope.SERVER, name)
+        self.begin(signal, group, suspicion.since_ms, found, {name}, suspicion.class_name)
+
+    def begin(
+        self,
+        signal: Signal,
+        group: Group,
+        since_ms: float,
+        found: dict[str, object],
+        servers: set[str],
+        class_name: str = "",
+    ) -> Anomaly | None:
+        """Open an anomaly with this evidence; None: too many are open."""
+        if len(self.open) >= MAX_OPEN_ANOMALIES:
+            self._suppress(signal, group.subject)
+            return None
+        self._last_id += 1
+        now_ms = self.baselines.now_ms
+        anomaly = Anomaly(
+            self._last_id,
+            group.scope,
+            group.subject,
+            signal,
+            now_ms,
+            since_ms,
+            found,
+            servers,
+            class_name,
+            last_observed_ms=now_ms,
+        )
+        self.open[anomaly.id] = anomaly
+        self._report(anomaly, EventType.ANOMALY_BEGAN)
+        return anomaly
+
+    def _suppress(self, signal: Signal, subject: str) -> None:
+        key = signal, subject
+        if len(self._suppressed) < MAX_REMEMBERED_SUPPRESSIONS and key not in self._suppressed:
+            self._suppressed.add(key)
+            self.suppressed_count += 1
+
+    def _absorb(self, signal: Signal, servers: set[str]) -> None:
+        """End the anomalies of single servers that the next anomaly speaks of."""
+        related = shared_causes.related_signals(signal)
+        for anomaly in list(self.open.values()):
+            if anomaly.scope is Scope.SERVER and anomaly.subject in servers and anomaly.signal in related:
+                part_of = f"part of event {self._last_id + 1}"
+                anomaly.evidence = {**anomaly.evidence, "ended_as": part_of}
+                self._close(anomaly)
+
+    # --- while it is open
+
+    def add_to_open(self, signal: Signal, name: str, suspicion: Suspicion) -> bool:
+        """Whether an open anomaly speaks of a server's suspicion; it is then updated."""
+        for anomaly in self.open.values():
+            if shared_causes.is_part_of(anomaly, signal, name, self.baselines.servers):
+                anomaly.servers.add(name)
+                self._update(anomaly, suspicion)
+                return True
+        return False
+
+    def is_open_alone(self, signal: Signal, name: str) -> bool:
+        """Whether an anomaly of this server alone is open."""
+        related = shared_causes.related_signals(signal)
+        return any(
+            anomaly.scope is Scope.SERVER and anomaly.subject == name and anomaly.signal in related
+            for anomaly in self.open.values()
+        )
+
+    def _update(self, anomaly: Anomaly, suspicion: Suspicion) -> None:
+        """Report it again where its value or its number of servers has changed much."""
+        found = evidence.evidence_of(self.baselines, anomaly.signal, anomaly.servers, suspicion)
+        reported_servers = evidence.server_count(anomaly.evidence)
+        has_grown = len(anomaly.servers) > MIN_UPDATE_SERVERS_RATIO * reported_servers
+        change = abs(evidence.measured_value(found) - anomaly.reported_value)
+        has_changed = change > MIN_UPDATE_CHANGE_RATIO * abs(anomaly.reported_value)
+        is_due = self.baselines.now_ms - anomaly.reported_ms >= MIN_UPDATE_INTERVAL_MS
+        if (has_grown or has_changed) and is_due:
+            anomaly.evidence = found
+            self._report(anomaly, EventType.ANOMALY_CHANGED)
+
+    def count_row(self, server: ServerState) -> None:
+        """A server was observed: its open anomalies come closer to their end, or not."""
+        for anomaly in self.open.values():
+            if server.name in anomaly.servers and anomaly.scope not in (Scope.CLASS, Scope.NODE):
+                anomaly.last_observed_ms = self.baselines.now_ms
+                if is_still_anomalous(anomaly, server):
+                    anomaly.normal_rows = max(0, anomaly.normal_rows - ANOMALOUS_ROW_COST)
+                else:
+                    anomaly.normal_rows += 1
+
+    def count_shift(self, anomaly: Anomaly, is_present: bool) -> None:
+        """The same for the shift of a class or of the fleet, which has no servers; end it when it is over."""
+        anomaly.normal_rows = 0 if is_present else anomaly.normal_rows + 1
+        anomaly.last_observed_ms = self.baselines.now_ms
+        if anomaly.normal_rows >= RECOVERY_ROWS:
+            self.end(anomaly)
+
+    # --- the end
+
+    def end_recovered(self) -> None:
+        """End the anomalies of servers that are normal again, or that are not observed any more."""
+        for anomaly in list(self.open.values()):
+            if anomaly.scope in (Scope.CLASS, Scope.NODE) or anomaly.is_fleet_shift:
+                continue
+            if anomaly.normal_rows >= RECOVERY_ROWS * max(1, len(anomaly.servers)):
+                self.end(anomaly)
+            elif self.baselines.now_ms - anomaly.last_observed_ms > INACTIVITY_TIMEOUT_MS:
+                self.end(anomaly, "nothing was heard of it any more")
+
+    def end(self, anomaly: Anomaly, reason: str = "") -> None:
+        """End an anomaly, with its duration and the reason if it is not that the cause is gone."""
+        lasted_ms = round(self.baselines.now_ms - anomaly.since_ms)
+        anomaly.evidence = {**anomaly.evidence, "lasted_ms": lasted_ms}
+        if reason:
+            anomaly.evidence["ended_as"] = reason
+        self._close(anomaly)
+
+    def _close(self, anomaly: Anomaly) -> None:
+        del self.open[anomaly.id]
+        self._suppressed.clear()
+        for name in anomaly.servers:
+            if (server := self.baselines.servers.get(name)) is not None:
+                server.reset_scores(anomaly.signal)
+        self._report(anomaly, EventType.ANOMALY_ENDED)
+
+    # --- events
+
+    def _report(self, anomaly: Anomaly, event_type: EventType) -> None:
+        now_ms = self.baselines.now_ms
+        anomaly.event_type, anomaly.at_ms, anomaly.reported_ms = event_type, now_ms, now_ms
+        anomaly.reported_value = evidence.measured_value(anomaly.evidence)
+        self._events.append(
+            TimelineEvent(
+                event_type,
+                anomaly.id,
+                now_ms,
+                anomaly.since_ms,
+                anomaly.scope,
+                anomaly.subject,
+                anomaly.signal,
+                dict(anomaly.evidence),
+            )
+        )
+
+    def take_events(self) -> list[TimelineEvent]:
+        """At most `MAX_EVENTS_PER_ROUND` events of this round, the first of each kind before the rest."""
+        events, self._events = self._events, []
+        if len(events) <= MAX_EVENTS_PER_ROUND:
+            return events
+        seen: set[tuple[EventType, Signal, Scope]] = set()
+        first: list[tuple[int, TimelineEvent]] = []
+        rest: list[tuple[int, TimelineEvent]] = []
+        for number, event in enumerate(events):
+            kind = event.event_type, event.signal, event.scope
+            (rest if kind in seen else first).append((number, event))
+            seen.add(kind)
+        kept: list[tuple[int, TimelineEvent]] = []
+        for item in (first + rest)[:MAX_EVENTS_PER_ROUND]:
+            insort(kept, item, key=lambda pair: pair[0])
+        self.suppressed_count += len(events) - len(kept)
+        return [event for _, event in kept]
+
+
+def is_still_anomalous(anomaly: Anomaly, server: ServerState) -> bool:
+    """Whether a server still shows what an anomaly is about."""
+    match anomaly.signal:
+        case signal if signal in PROPORTION_TESTS:
+            return server.proportion_cusums[signal].score >= cusum.PROPORTION_SUSPICION_SCORE
+        case Signal.STALE_REPORT:
+            return server.has_stale_report
+        case Signal.FLAPPING:
+            return len(server.change_times_ms) >= MIN_REMAINING_CHANGES
+        case signal:
+            name = LOAD_LEVEL if signal is Signal.LOAD else anomaly.class_name
+            level = server.levels.get(name)
+            return level is not None and level.suspicion_ratio >= cusum.SUSPICION_RATIO
--- a/balancer/net/component.py
+++ b/balancer/net/component.py
@@ -101,7 +101,7 @@
     ) -> None:
         """Something that is no departure of a server goes on the time line, as soon as that is on.
 
-        `step`, `scope` and `signal` are values of `core/anomaly_detection/detector`, which comes with the
+        `step`, `scope` and `signal` are values of `core/anomaly_detection/events`, which comes with the
         time line.
         """
         self._event_count += 1  # told below 0: the departures' own numbers begin at 1
@@ -112,7 +112,7 @@
         """Tell a time line that is on what waits for it."""
         if self.watch is None or not self._queued_events:
             return
-        from balancer.core.anomaly_detection.detector import (
+        from balancer.core.anomaly_detection.events import (
             EventType,
             Scope,
             Signal,
--- a/balancer/net/timeline.py
+++ b/balancer/net/timeline.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from balancer import interface as api
-from balancer.core.anomaly_detection.detector import EventType, TimelineEvent
+from balancer.core.anomaly_detection.events import EventType, TimelineEvent
 from balancer.net.component import RunningNode
 from balancer.operator_settings import OperatorSettings, TimelineSettings
 from balancer.timeline import queries as views
--- a/balancer/timeline/monitor.py
+++ b/balancer/timeline/monitor.py
@@ -10,7 +10,8 @@
 from collections.abc import Callable, Sequence
 
 from balancer import interface as api
-from balancer.core.anomaly_detection.detector import AnomalyDetector, ServerObservation, TimelineEvent
+from balancer.core.anomaly_detection.detector import AnomalyDetector
+from balancer.core.anomaly_detection.events import ServerObservation, TimelineEvent
 from balancer.timeline import latency_histogram as sketch
 from balancer.timeline import schema as keys
 from balancer.timeline.recorder import (
--- a/benchmarks/anomaly_detection.py
+++ b/benchmarks/anomaly_detection.py
@@ -25,8 +25,8 @@
 from statistics import median, pstdev
 from typing import Any
 
-from balancer.core.anomaly_detection.detector import (
-    AnomalyDetector,
+from balancer.core.anomaly_detection.detector import AnomalyDetector
+from balancer.core.anomaly_detection.events import (
     EventType,
     ServerObservation,
     Signal,
--- a/tests/compatibility/exported_names.py
+++ b/tests/compatibility/exported_names.py
@@ -19,7 +19,7 @@
 from balancer import cli
 from balancer import interface as api
 from balancer.core import recovery
-from balancer.core.anomaly_detection import detector as departure
+from balancer.core.anomaly_detection import events
 from balancer.core.cluster import failure_detector as peers
 from balancer.core.cluster import partition_detector as cuts
 from balancer.core.discovery import endpoint_merger as membership
@@ -70,9 +70,9 @@
         "reports": _values(api.LoadReportSource),
         "reason": _values(api.DecisionReason),
         "note": _values(api.BackendDecision),
-        "event_step": _values(departure.EventType),
-        "event_scope": _values(departure.Scope),
-        "event_signal": _values(departure.Signal),
+        "event_step": _values(events.EventType),
+        "event_scope": _values(events.Scope),
+        "event_signal": _values(events.Signal),
         "recovery_state": _values(recovery.RecoveryState),
         "recovery_end": _values(recovery.RequestOutcome),
         "recovery_memory": _values(recovery.PersistedState),
--- a/tests/net/test_cluster.py
+++ b/tests/net/test_cluster.py
@@ -17,7 +17,7 @@
 
 from balancer import interface as api
 from balancer.core import recovery as r
-from balancer.core.anomaly_detection.detector import TimelineEvent
+from balancer.core.anomaly_detection.events import TimelineEvent
 from balancer.core.cluster import failure_detector as p
 from balancer.core.discovery import endpoint_merger as ms
 from balancer.endpoints import EndpointList, EndpointRecord
