--- a/balancer/core/recovery.py
+++ b/balancer/core/recovery.py
@@ -1,52 +1,53 @@
-"""What a node may do while it comes back, and how far it has come.
+"""The state machine of a node that comes back after a start, a crash or a stall.
 
-    blank        knows no server
-    provisional  knows some; most of them by memory alone (kept on disk, or the configuration's `known`)
-    confirmed    most are vouched for: by a source, or by an answer in this process
-    full         and it serves as usual
+    blank        knows no backend
+    provisional  knows some; most of them only from persisted state or the configuration's `known`
+    confirmed    most are confirmed: listed by a source, or they have answered in this process
+    full         confirmed, and it serves as usual (`service_meter`)
 
-`ALLOWED` says what each state may do, `NEXT` which state follows on what. Beside it stands the *memory*, as
-roles that rest on it (a lease, a ledger, a word given to others) must not be taken by one that forgot:
+`PERMISSIONS` says what a node may do in each state, `TRANSITIONS` which state follows on what.
 
-- `none`: nothing was kept. That may be a first start or a wiped disk: alone a node cannot tell.
-- `kept`: it is whole and young.
-- `lost`: what was there cannot be read, or the others know this node although it remembers nothing.
-- `older`: others have seen a later life of this node, or the memory is over its age, or this process stood
-  still.
+Beside the state stands the condition of the *persisted state*. Roles that rely on it (a lease, a ledger, a
+promise to peers) must not be taken by a node that lost it:
 
-All but `kept` bar such roles until the others have said what they know of this node (`OthersKnew`,
-`Reminded`), or for the time `bar_ms` in which whatever an earlier life held has surely ended. The number of a
-life, the *incarnation*, only rises.
+- `none`: nothing was persisted. A first start or a wiped disk: alone a node cannot tell these apart.
+- `kept`: it is complete and recent.
+- `lost`: it cannot be read, or peers know this node although it has nothing persisted.
+- `older`: peers have seen a later incarnation, or it is over its age, or this process was stalled.
 
-`Recovery.handle` takes an event and a clock time (milliseconds) and returns actions; a clock that goes back
-is taken to stand still. `Meter` measures the way to full service.
+All but `kept` bar such roles until peers have said what they know of this node (`PeersReportedIncarnation`,
+`PeersReturnedState`), or for `role_hold_off_ms`, in which whatever an earlier process held has expired. The
+*incarnation*, the number of a process of this node, only rises.
+
+`Recovery.handle` takes a clock time in ms and an event and returns actions; a clock that goes back is taken
+to stand still.
 """
 
 from __future__ import annotations
 
 import math
-from collections import deque
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 from enum import Enum
 from typing import Any
 
-ROLE_HOLD_OFF_MS = 30_000.0  # over any lease's time
-MAX_PERSISTED_AGE_MS = 86_400_000.0  # of a memory, where the settings say nothing else
-CLOCK_SKEW_TOLERANCE_MS = 2_000.0  # by which a clock may have gone back without being called wrong
-INCARNATION_LIMIT = 1 << 53  # of an incarnation: more is no number that this program wrote
-CONFIRMED_BACKENDS_RATIO = 0.5  # part of the servers that has to be vouched for
-FULL_SERVICE_RATIO, FULL_SERVICE_WINDOW_MS = (
-    0.95,
-    2_000.0,
-)  # full service: this part of what was asked, for so long
-MIN_WINDOW_REQUESTS = 20  # ends that a stretch has to hold, so that one that fails is 5% of it
-MAX_WINDOW_MS = 30_000.0  # a stretch of fewer: a small node is judged by what it saw in this time
-BUCKET_MS = 100.0
+from balancer.core.service_meter import (
+    FULL_SERVICE_RATIO,
+    FULL_SERVICE_WINDOW_MS,
+    MAX_WINDOW_MS,
+    RequestOutcome,
+    ServiceMeter,
+)
+
+ROLE_HOLD_OFF_MS = 30_000.0  # longer than any lease
+MAX_PERSISTED_AGE_MS = 86_400_000.0  # unless the settings say otherwise
+CLOCK_SKEW_TOLERANCE_MS = 2_000.0  # by which a wall clock may be set back
+INCARNATION_LIMIT = 1 << 53  # no greater number was written by this program: a float holds all below
+CONFIRMED_BACKENDS_RATIO = 0.5
 
 
 class RecoveryState(Enum):
-    """How far a node is back."""
+    """How far a node has come back."""
 
     BLANK = "blank"
     PROVISIONAL = "provisional"
@@ -55,7 +56,7 @@
 
 
 class PersistedState(Enum):
-    """What is left of an earlier life."""
+    """The condition of what an earlier process persisted."""
 
     NONE = "none"
     INTACT = "kept"
@@ -64,7 +65,7 @@
 
 
 class EligibleBackends(Enum):
-    """Which servers a kind of request may go to."""
+    """The backends that requests of one kind may be sent to."""
 
     NONE = "nobody"
     ONE_REQUEST_PER_UNCONFIRMED = "anybody; one at a time to each that nobody vouches for"
@@ -73,7 +74,7 @@
 
 
 class GossipContent(Enum):
-    """What is told to other nodes."""
+    """What a node tells its peers."""
 
     PRESENCE = "that it is there, and its incarnation"
     AGED_KNOWLEDGE = "what it knows, with its age: never as its own word"
@@ -82,12 +83,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Permissions:
-    """What a state may do."""
+    """What a node may do in a state."""
 
     idempotent_requests: EligibleBackends
     non_idempotent_requests: EligibleBackends
     gossip: GossipContent
-    may_hold_roles: bool  # those that rest on memory, unless they are barred beside
+    may_hold_roles: bool  # that rely on persisted state, unless these are barred
 
 
 PERMISSIONS = {
@@ -107,11 +108,11 @@
         EligibleBackends.ALL, EligibleBackends.ALL, GossipContent.OWN_OBSERVATIONS, True
     ),
 }
-"""The policy keeps the rules on servers one by one (`Entry.age_ms`); these are the node's as a whole."""
+"""Of the node as a whole; `balancer.policy` applies the rules on requests to each backend."""
 
 
 class Trigger(Enum):
-    """What an event comes to."""
+    """Input of the state machine. The values are exported as the reason of a state."""
 
     NO_BACKEND = "no server is left"
     MOSTLY_RESTORED = "memory alone vouches for most servers"
@@ -121,15 +122,15 @@
     LATER_INCARNATION_SEEN = "others have seen a later life of this node"
 
 
-_B, _P, _C, _F = RecoveryState.BLANK, RecoveryState.PROVISIONAL, RecoveryState.CONFIRMED, RecoveryState.FULL
+_BLANK, _PROVISIONAL, _CONFIRMED, _FULL = RecoveryState
 TRANSITIONS: dict[RecoveryState, dict[Trigger, RecoveryState]] = {
     state: dict(zip(Trigger, row, strict=True))
     for state, row in {
-        #    nobody, remembered, vouched, served, stood, forgot
-        _B: (_B, _P, _C, _B, _B, _B),
-        _P: (_B, _P, _C, _P, _P, _P),
-        _C: (_B, _P, _C, _F, _P, _P),
-        _F: (_B, _P, _F, _F, _P, _P),
+        # no backend, restored, confirmed, full service, stalled, later incarnation
+        _BLANK: (_BLANK, _PROVISIONAL, _CONFIRMED, _BLANK, _BLANK, _BLANK),
+        _PROVISIONAL: (_BLANK, _PROVISIONAL, _CONFIRMED, _PROVISIONAL, _PROVISIONAL, _PROVISIONAL),
+        _CONFIRMED: (_BLANK, _PROVISIONAL, _CONFIRMED, _FULL, _PROVISIONAL, _PROVISIONAL),
+        _FULL: (_BLANK, _PROVISIONAL, _FULL, _FULL, _PROVISIONAL, _PROVISIONAL),
     }.items()
 }
 
@@ -139,9 +140,9 @@
 
 @dataclass(slots=True, frozen=True)
 class PersistedIncarnation:
-    """What a store kept: the incarnation of the life that wrote it, and when (wall clock, ms).
+    """The incarnation of the process that wrote the persisted state, and when (wall clock, ms).
 
-    `older`: something newer was there and cannot be believed.
+    `is_outdated`: there was a newer one that cannot be trusted.
     """
 
     incarnation: int
@@ -151,10 +152,10 @@
 
 @dataclass(slots=True, frozen=True)
 class ProcessStarted:
-    """The process began. `fault` says why what was kept cannot be used; `parts` are times of the start, ms.
+    """The process started, and what was persisted is known; `fault` says why it cannot be used.
 
-    Names of parts: interpreter, imports, files, first list, first connects; whatever was measured. `least` is
-    a number that no life before this one had, where the store knows one: it rises even with nothing to read.
+    `startup_phases_ms` are durations by name (interpreter, imports, first list, ...). `min_incarnation` is
+    more than any earlier process had, where the store knows that even with nothing to read.
     """
 
     persisted: PersistedIncarnation | None
@@ -166,7 +167,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointViewChanged:
-    """So many servers are up in the view; so many of them a source lists, or have answered here."""
+    """So many backends are up; `confirmed_count` of them are listed by a source, or have answered here."""
 
     up_count: int
     confirmed_count: int
@@ -174,46 +175,38 @@
 
 @dataclass(slots=True, frozen=True)
 class SourceResponded:
-    """A source said something that is current now."""
+    """A source said something that is current."""
 
 
 @dataclass(slots=True, frozen=True)
 class PeersReportedIncarnation:
-    """Others said which incarnation of this node they have seen last; 0: none, ever."""
+    """Peers said which incarnation of this node they have seen last; 0: none."""
 
     incarnation: int
 
 
 @dataclass(slots=True, frozen=True)
 class PeersReturnedState:
-    """Others have told all that this node forgot."""
+    """Peers have told all that this node had lost."""
 
 
 @dataclass(slots=True, frozen=True)
 class IncarnationRaised:
-    """This life goes by a greater number from now on: what others held of the old one had to be refuted."""
+    """This process has taken a greater incarnation, to refute what peers held of the old one."""
 
     incarnation: int
 
 
 @dataclass(slots=True, frozen=True)
 class ProcessStalled:
-    """The process did not run for so long (`core/stall_detector`)."""
+    """The process did not run for so long (`balancer.core.stall_detector`)."""
 
     stall_ms: float
 
 
-class RequestOutcome(Enum):
-    """How a request ended for its client."""
-
-    SERVED = "served"
-    FAILED = "failed"  # or refused by this node, or answered late
-    REJECTED_BY_BACKENDS = "turned away"  # by servers without room: more than the fleet could give
-
-
 @dataclass(slots=True, frozen=True)
 class RequestFinished:
-    """A request ended."""
+    """A request ended for its client."""
 
     class_name: str
     outcome: RequestOutcome
@@ -221,7 +214,7 @@
 
 @dataclass(slots=True, frozen=True)
 class TimerFired:
-    """The time that `Wait` named has come."""
+    """The time of `SetTimer` has come."""
 
 
 Event = (
@@ -241,7 +234,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ReportState:
-    """Another state, and why."""
+    """The state has changed, and why."""
 
     state: RecoveryState
     reason: str
@@ -249,21 +242,21 @@
 
 @dataclass(slots=True, frozen=True)
 class PersistIncarnation:
-    """Keep this incarnation, durably, before anything is told under it."""
+    """Persist this incarnation, durably, before anything is sent under it."""
 
     incarnation: int
 
 
 @dataclass(slots=True, frozen=True)
 class SetTimer:
-    """Hand in `Due` at this clock time."""
+    """Hand in `TimerFired` at this clock time."""
 
     until_ms: float
 
 
 @dataclass(slots=True, frozen=True)
 class WriteLog:
-    """A line for the people on call."""
+    """Write a line to the log."""
 
     text: str
     is_warning: bool = False
@@ -275,82 +268,20 @@
 def persisted_state_age(
     saved_wall_ms: float, wall_ms: float, max_age_ms: float = MAX_PERSISTED_AGE_MS
 ) -> tuple[float, str]:
-    """How old a memory is, from 0 to `max_age_ms`, and what is odd about that, or nothing.
-
-    A clock that has gone back says nothing of the age: it is then the most, as for one that is over it.
-    """
-    age = wall_ms - saved_wall_ms
-    if not math.isfinite(age) or age < -CLOCK_SKEW_TOLERANCE_MS:
-        return max_age_ms, f"the clock is {-age / 1000:.0f} s behind what was kept: its age is not known"
-    if age > max_age_ms:
-        return max_age_ms, f"what was kept is {age / 1000:.0f} s old, over {max_age_ms / 1000:.0f}"
-    return max(0.0, age), ""
-
+    """The age of persisted state in ms, clamped to `max_age_ms`, and what is wrong with it ("": nothing).
 
-class ServiceMeter:
-    """The way to full service, out of requests' ends.
-
-    *Full* is 95% of what was asked and the fleet could give (requests that servers turned away for want of
-    room are left out), in a stretch of at least 2 s that holds at least 20 ends: one failure in 20 is 5%. A
-    node that sees fewer is judged over a longer stretch, up to 30 s, by what it saw there, one answer at
-    least; one that sees none is not said to be full. The time of a phase is that of the stretch's beginning.
+    A clock that was set back says nothing of the age, which is then taken to be the maximum.
     """
-
-    def __init__(self, began_ms: float) -> None:
-        self.began_ms = began_ms
-        self.phases_ms: dict[str, float] = {}  # by name: ms since `began_ms`
-        self._buckets: deque[tuple[float, list[int]]] = deque()  # (start, [asked, served]); at most 300
-        self._evaluated_ms = -math.inf
-        self.full_service_requests = 0  # ends in the stretch that was found full
-
-    @property
-    def is_full(self) -> bool:
-        """Whether a stretch of full service was seen."""
-        return "full" in self.phases_ms
-
-    def record_phase(self, name: str, at_ms: float) -> None:
-        """A phase is reached; the first time counts."""
-        self.phases_ms.setdefault(name, max(0.0, at_ms - self.began_ms))
-
-    def record_outcome(self, now_ms: float, class_name: str, outcome: RequestOutcome) -> None:
-        """A request ended."""
-        if outcome is RequestOutcome.SERVED:
-            self.record_phase("first answer", now_ms)
-            self.record_phase(f"first answer: {class_name}", now_ms)
-        if outcome is not RequestOutcome.REJECTED_BY_BACKENDS:
-            start = now_ms // BUCKET_MS * BUCKET_MS
-            if not self._buckets or self._buckets[-1][0] < start:
-                self._buckets.append((start, [0, 0]))
-            counts = self._buckets[-1][1]
-            counts[0] += 1
-            counts[1] += outcome is RequestOutcome.SERVED
-        self.evaluate(now_ms)
-
-    def evaluate(self, now_ms: float) -> None:
-        """Look at the stretch up to now, once a bucket."""
-        if self.is_full or now_ms < self._evaluated_ms + BUCKET_MS:
-            return
-        self._evaluated_ms = now_ms
-        while self._buckets and self._buckets[0][0] < now_ms - MAX_WINDOW_MS:
-            self._buckets.popleft()
-        asked, served, start = 0, 0, now_ms
-        for start, (some, good) in reversed(self._buckets):
-            asked, served = asked + some, served + good
-            if now_ms - start >= FULL_SERVICE_WINDOW_MS and asked >= MIN_WINDOW_REQUESTS:
-                break
-        else:  # few: only the longest stretch will do
-            if not asked or now_ms - self.began_ms < MAX_WINDOW_MS:
-                return
-        if served >= CONFIRMED_BACKENDS_RATIO * asked:
-            self.record_phase("half", start)
-        if served >= FULL_SERVICE_RATIO * asked:
-            self.full_service_requests = asked
-            # A bucket begins up to 0.1 s before the first answer in it.
-            self.record_phase("full", max(start, self.began_ms + self.phases_ms.get("first answer", 0.0)))
+    age_ms = wall_ms - saved_wall_ms
+    if not math.isfinite(age_ms) or age_ms < -CLOCK_SKEW_TOLERANCE_MS:
+        return max_age_ms, f"the clock is {-age_ms / 1000:.0f} s behind what was kept: its age is not known"
+    if age_ms > max_age_ms:
+        return max_age_ms, f"what was kept is {age_ms / 1000:.0f} s old, over {max_age_ms / 1000:.0f}"
+    return max(0.0, age_ms), ""
 
 
 class Recovery:
-    """One node's way back. `bar_ms` and `max_age_ms` come from the settings; both are over 0."""
+    """The recovery of one node. Both durations come from the settings and are over 0."""
 
     def __init__(
         self,
@@ -361,30 +292,37 @@
         self.role_hold_off_ms, self.max_persisted_age_ms = role_hold_off_ms, max_persisted_age_ms
         self.state, self.since_ms, self.reason = RecoveryState.BLANK, now_ms, "it starts"
         self.persisted_state, self.incarnation = PersistedState.NONE, 1
-        self.persisted_age_ms = 0.0  # at the start, clamped; of `kept` and `older`
-        self.roles_barred_until_ms = now_ms + role_hold_off_ms  # roles that rest on memory
+        self.persisted_age_ms = 0.0  # at the start, clamped; of intact and outdated state
+        self.roles_barred_until_ms = now_ms + role_hold_off_ms
         self.up_count = self.confirmed_count = 0
-        self.is_in_doubt = False  # it stood still, and no source has spoken since
+        self.is_in_doubt = False  # it was stalled, and no source has responded since
         self.startup_phases_ms: dict[str, float] = {}
         self.meter = ServiceMeter(now_ms)
         self._now_ms = now_ms
-        self._has_stalled = False  # it stood still in this life
-        self._is_incarnation_announced = False  # whether this life's number was told to others
+        self._has_stalled = False
+        self._is_incarnation_announced = False  # to peers
         self._actions: list[Action] = []
 
     def __repr__(self) -> str:
-        barred = "" if self.may_take_roles(self._now_ms) else ", no roles"
-        return f"<Recovery {self.state.value}, life {self.incarnation}, memory {self.persisted_state.value}{barred}>"
+        roles = "" if self.may_take_roles(self._now_ms) else ", no roles"
+        persisted = self.persisted_state.value
+        return f"<Recovery {self.state.value}, life {self.incarnation}, memory {persisted}{roles}>"
 
     @property
     def permissions(self) -> Permissions:
-        """What the present state may do."""
+        """What the node may do in its present state."""
         return PERMISSIONS[self.state]
 
     def may_take_roles(self, now_ms: float) -> bool:
-        """Whether a role that rests on memory may be taken, or gone on with. To be asked before each act."""
+        """Whether a role that relies on persisted state may be taken or kept; to be checked each time."""
         return self.permissions.may_hold_roles and now_ms >= self.roles_barred_until_ms
 
+    def mark_incarnation_announced(self) -> None:
+        """The incarnation is persisted durably and known to peers: an echo of it says nothing new."""
+        self._is_incarnation_announced = True
+
+    # --- events
+
     def handle(self, now_ms: float, event: Event) -> list[Action]:
         """Decide on one event."""
         self._now_ms, self._actions = max(now_ms, self._now_ms), []
@@ -410,9 +348,7 @@
             case PeersReturnedState():
                 self._lift_role_bar("the others have told what it forgot")
             case IncarnationRaised():
-                if self.incarnation < event.incarnation < INCARNATION_LIMIT:
-                    self.incarnation = event.incarnation
-                    self._actions.append(PersistIncarnation(event.incarnation))
+                self._on_incarnation_raised(event.incarnation)
         if self.meter.is_full and self.state is RecoveryState.CONFIRMED:
             self._transition(Trigger.FULL_SERVICE_REACHED)
         return self._actions
@@ -421,40 +357,36 @@
         self.startup_phases_ms = {
             str(name): ms for name, ms in event.startup_phases_ms.items() if 0 <= ms < math.inf
         }
-        kept, least = event.persisted, max(0, event.min_incarnation - 1)
-        if event.fault or kept is None:
-            self.persisted_state = PersistedState.LOST if event.fault else PersistedState.NONE
-            if event.fault:
-                self._actions.append(WriteLog(f"what was kept is lost: {event.fault:.300}", is_warning=True))
-            self._raise_incarnation(least)
+        if event.fault or event.persisted is None:
+            self._start_without_state(event)
         else:
-            self.persisted_age_ms, odd = persisted_state_age(
-                kept.saved_wall_ms, event.wall_ms, self.max_persisted_age_ms
-            )
-            self.persisted_state = (
-                PersistedState.OUTDATED if odd or kept.is_outdated else PersistedState.INTACT
-            )
-            odd = odd or ("something newer was kept and cannot be believed" if kept.is_outdated else "")
-            if odd:
-                self._actions.append(WriteLog(odd, is_warning=True))
-            self._raise_incarnation(
-                max(kept.incarnation, least)
-                if 0 <= kept.incarnation < INCARNATION_LIMIT
-                else kept.incarnation
-            )
-        if self._has_stalled:  # while what was kept was being read
+            self._start_with_state(event, event.persisted)
+        if self._has_stalled:  # while the persisted state was being read
             self._mark_outdated()
         self._bar_roles(0.0 if self.persisted_state is PersistedState.INTACT else self.role_hold_off_ms)
 
-    def _evaluate_view(self) -> None:
-        if not self.up_count:
-            self._transition(Trigger.NO_BACKEND)
-        else:
-            sure = self.confirmed_count >= CONFIRMED_BACKENDS_RATIO * self.up_count and not self.is_in_doubt
-            self._transition(Trigger.MOSTLY_CONFIRMED if sure else Trigger.MOSTLY_RESTORED)
+    def _start_without_state(self, event: ProcessStarted) -> None:
+        self.persisted_state = PersistedState.LOST if event.fault else PersistedState.NONE
+        if event.fault:
+            self._log(f"what was kept is lost: {event.fault:.300}", is_warning=True)
+        self._raise_incarnation(max(0, event.min_incarnation - 1))
+
+    def _start_with_state(self, event: ProcessStarted, persisted: PersistedIncarnation) -> None:
+        self.persisted_age_ms, fault = persisted_state_age(
+            persisted.saved_wall_ms, event.wall_ms, self.max_persisted_age_ms
+        )
+        if not fault and persisted.is_outdated:
+            fault = "something newer was kept and cannot be believed"
+        self.persisted_state = PersistedState.OUTDATED if fault else PersistedState.INTACT
+        if fault:
+            self._log(fault, is_warning=True)
+        last_seen = persisted.incarnation
+        if 0 <= last_seen < INCARNATION_LIMIT:
+            last_seen = max(last_seen, event.min_incarnation - 1)
+        self._raise_incarnation(last_seen)
 
     def _on_process_stalled(self, stall_ms: float) -> None:
-        """What it knows is as old as the pause, and others may have taken its roles over meanwhile."""
+        """What it knows is as old as the stall, and peers may have taken over its roles."""
         self.is_in_doubt = self._has_stalled = True
         self._mark_outdated()
         self.persisted_age_ms = min(self.max_persisted_age_ms, max(0.0, stall_ms))
@@ -462,42 +394,61 @@
         self._bar_roles(self.role_hold_off_ms)
         self._transition(Trigger.PROCESS_STALLED)
 
-    def _mark_outdated(self) -> None:
-        self.persisted_state = (
-            PersistedState.LOST if self.persisted_state is PersistedState.LOST else PersistedState.OUTDATED
-        )
-
     def _on_peers_reported_incarnation(self, incarnation: int) -> None:
-        """The others' word is the one thing that tells a first start from a lost memory."""
+        """Only peers can tell a first start from lost state."""
         if not 0 <= incarnation < INCARNATION_LIMIT:
-            self._actions.append(
-                WriteLog(f"others call this node's incarnation {incarnation!r:.40}: not believed")
-            )
+            self._log(f"others call this node's incarnation {incarnation!r:.40}: not believed")
             return
         if incarnation < self.incarnation:
             self._lift_role_bar("the others have seen no later life of it")
             return
         if incarnation == self.incarnation and self._is_incarnation_announced:
-            return  # this life: it was told to them
-        self.persisted_state = (
-            PersistedState.OUTDATED
-            if self.persisted_state in (PersistedState.INTACT, PersistedState.OUTDATED)
-            else PersistedState.LOST
-        )
+            return  # an echo of this process
+        had_state = self.persisted_state in (PersistedState.INTACT, PersistedState.OUTDATED)
+        self.persisted_state = PersistedState.OUTDATED if had_state else PersistedState.LOST
         self._raise_incarnation(incarnation)
         self._bar_roles(self.role_hold_off_ms)
         self._restart_meter()
         self._transition(Trigger.LATER_INCARNATION_SEEN)
 
-    def mark_incarnation_announced(self) -> None:
-        """This life's incarnation is kept durably and is now told to the others."""
-        self._is_incarnation_announced = True
+    def _on_incarnation_raised(self, incarnation: int) -> None:
+        if self.incarnation < incarnation < INCARNATION_LIMIT:
+            self.incarnation = incarnation
+            self._actions.append(PersistIncarnation(incarnation))
+
+    # --- state
+
+    def _evaluate_view(self) -> None:
+        if not self.up_count:
+            self._transition(Trigger.NO_BACKEND)
+        elif self.is_in_doubt or self.confirmed_count < CONFIRMED_BACKENDS_RATIO * self.up_count:
+            self._transition(Trigger.MOSTLY_RESTORED)
+        else:
+            self._transition(Trigger.MOSTLY_CONFIRMED)
+
+    def _transition(self, trigger: Trigger) -> None:
+        next_state = TRANSITIONS[self.state][trigger]
+        if next_state is self.state:
+            return
+        self.state, self.since_ms, self.reason = next_state, self._now_ms, trigger.value
+        self._actions.append(ReportState(next_state, trigger.value))
+        if next_state is RecoveryState.FULL:
+            self._log_full_service()
+
+    def _log_full_service(self) -> None:
+        full_ms, requests = self.meter.phases_ms["full"], self.meter.full_service_requests
+        text = f"full service {full_ms / 1000:.1f} s after the start, by {requests} requests"
+        text += f"; memory {self.persisted_state.value}, life {self.incarnation}"
+        phases = ", ".join(f"{name} {ms:.0f} ms" for name, ms in self.startup_phases_ms.items())
+        self._log(f"{text}; {phases}" if phases else text)
+
+    def _mark_outdated(self) -> None:
+        if self.persisted_state is not PersistedState.LOST:
+            self.persisted_state = PersistedState.OUTDATED
 
     def _raise_incarnation(self, last_seen: int) -> None:
         if not 0 <= last_seen < INCARNATION_LIMIT:
-            self._actions.append(
-                WriteLog(f"incarnation {last_seen!r:.40} is none: it begins at 1", is_warning=True)
-            )
+            self._log(f"incarnation {last_seen!r:.40} is none: it begins at 1", is_warning=True)
             self.persisted_state, last_seen = PersistedState.LOST, 0
         self.incarnation, self._is_incarnation_announced = max(self.incarnation, last_seen + 1), False
         self._actions.append(PersistIncarnation(self.incarnation))
@@ -509,47 +460,35 @@
     def _lift_role_bar(self, reason: str) -> None:
         if self._now_ms < self.roles_barred_until_ms:
             self.roles_barred_until_ms = self._now_ms
-            self._actions.append(WriteLog(f"roles that rest on memory may be taken: {reason}"))
+            self._log(f"roles that rest on memory may be taken: {reason}")
 
     def _restart_meter(self) -> None:
         self.meter, self.startup_phases_ms = ServiceMeter(self._now_ms), {}
 
-    def _transition(self, trigger: Trigger) -> None:
-        next_state = TRANSITIONS[self.state][trigger]
-        if next_state is self.state:
-            return
-        self.state, self.since_ms, self.reason = next_state, self._now_ms, trigger.value
-        self._actions.append(ReportState(next_state, trigger.value))
-        if next_state is RecoveryState.FULL:
-            full, count = self.meter.phases_ms["full"], self.meter.full_service_requests
-            text = f"full service {full / 1000:.1f} s after the start, by {count} requests"
-            text += f"; memory {self.persisted_state.value}, life {self.incarnation}"
-            parts = ", ".join(f"{name} {ms:.0f} ms" for name, ms in self.startup_phases_ms.items())
-            self._actions.append(WriteLog(f"{text}; {parts}" if parts else text))
+    def _log(self, text: str, is_warning: bool = False) -> None:
+        self._actions.append(WriteLog(text, is_warning))
+
+    # --- status
 
     def pending_conditions(self, now_ms: float) -> list[str]:
-        """In plain words; empty where there is nothing left to wait for."""
-        out = []
+        """What the node waits for, in words; empty if nothing."""
+        pending = []
         if self.state is RecoveryState.BLANK:
-            out.append("a list of servers")
+            pending.append("a list of servers")
         elif self.state is RecoveryState.PROVISIONAL:
-            out.append(
-                "a source" if self.is_in_doubt else f"a source, or answers of half of {self.up_count} servers"
-            )
+            answers = "" if self.is_in_doubt else f", or answers of half of {self.up_count} servers"
+            pending.append(f"a source{answers}")
         if self.state is not RecoveryState.FULL and not self.meter.is_full:
-            out.append(
-                f"{FULL_SERVICE_RATIO:.0%} of the requests served for {FULL_SERVICE_WINDOW_MS / 1000:.0f} s"
-            )
-        if (left := self.roles_barred_until_ms - now_ms) > 0:
-            out.append(f"the others' word, or {left / 1000:.0f} s, before roles that rest on memory")
-        return out
+            window_s = FULL_SERVICE_WINDOW_MS / 1000
+            pending.append(f"{FULL_SERVICE_RATIO:.0%} of the requests served for {window_s:.0f} s")
+        if (left_ms := self.roles_barred_until_ms - now_ms) > 0:
+            pending.append(f"the others' word, or {left_ms / 1000:.0f} s, before roles that rest on memory")
+        return pending
 
     def status(self, now_ms: float) -> dict[str, Any]:
-        """For operators. `since` is a clock time in ms; parts of the start come before the phases."""
-        phases = [
-            *self.startup_phases_ms.items(),
-            *sorted(self.meter.phases_ms.items(), key=lambda item: item[1]),
-        ]
+        """JSON of the `recovery` command; `since` is a clock time in ms, startup phases come first."""
+        reached = sorted(self.meter.phases_ms.items(), key=lambda phase: phase[1])
+        phases = [*self.startup_phases_ms.items(), *reached]
         return {
             "state": self.state.value,
             "since": self.since_ms,
--- a/balancer/net/recovery.py
+++ b/balancer/net/recovery.py
@@ -15,6 +15,7 @@
 from balancer import interface as api
 from balancer.core import recovery as r
 from balancer.core.discovery import endpoint_merger as membership
+from balancer.core.service_meter import RequestOutcome
 from balancer.core.stall_detector import STALL_THRESHOLD_MS
 from balancer.net.component import PEERS_SOURCE, RunningNode
 from balancer.operator_settings import OperatorSettings
@@ -107,7 +108,7 @@
                 self._record_phase("first connects")
             if event.request in self._open_requests:
                 if event.status is api.AttemptStatus.OK:
-                    self._finish_request(event.request, r.RequestOutcome.SERVED)
+                    self._finish_request(event.request, RequestOutcome.SERVED)
                 elif event.status is api.AttemptStatus.REJECTED:
                     self._rejected_requests.add(event.request)
         elif (
@@ -115,7 +116,7 @@
             and (found := self._open_requests.get(event.request)) is not None
         ):
             if now_ms >= found[1] - DEADLINE_TOLERANCE_MS:
-                self._finish_request(event.request, r.RequestOutcome.FAILED)
+                self._finish_request(event.request, RequestOutcome.FAILED)
             else:
                 self._forget_request(event.request)
         for action in actions:
@@ -128,10 +129,10 @@
                     and action.reason is not api.DecisionReason.BACKEND_OVERLOADED
                 )
                 self._finish_request(
-                    action.request, r.RequestOutcome.FAILED if room else r.RequestOutcome.REJECTED_BY_BACKENDS
+                    action.request, RequestOutcome.FAILED if room else RequestOutcome.REJECTED_BY_BACKENDS
                 )
 
-    def _finish_request(self, request: str, outcome: r.RequestOutcome) -> None:
+    def _finish_request(self, request: str, outcome: RequestOutcome) -> None:
         name = self._open_requests[request][0]
         self._forget_request(request)
         self.handle(r.RequestFinished(name, outcome))
--- a/benchmarks/restart_recovery.py
+++ b/benchmarks/restart_recovery.py
@@ -31,7 +31,7 @@
 from balancer.core.discovery import etcd_watcher as ef
 from balancer.core.discovery import platform_watcher as pf
 from balancer.core.discovery.endpoint_merger import EndpointsListed
-from balancer.core.recovery import RequestOutcome, ServiceMeter
+from balancer.core.service_meter import RequestOutcome, ServiceMeter
 from balancer.core.staggering import StaggeredSchedule
 from balancer.policy.balancer import Balancer
 from balancer.testbed.simulation import Scenario, World
--- a/tests/compatibility/exported_names.py
+++ b/tests/compatibility/exported_names.py
@@ -18,7 +18,7 @@
 
 from balancer import cli
 from balancer import interface as api
-from balancer.core import recovery
+from balancer.core import recovery, service_meter
 from balancer.core.anomaly_detection import events
 from balancer.core.cluster import failure_detector as peers
 from balancer.core.cluster import partition_detector as cuts
@@ -74,7 +74,7 @@
         "event_scope": _values(events.Scope),
         "event_signal": _values(events.Signal),
         "recovery_state": _values(recovery.RecoveryState),
-        "recovery_end": _values(recovery.RequestOutcome),
+        "recovery_end": _values(service_meter.RequestOutcome),
         "recovery_memory": _values(recovery.PersistedState),
         "membership_state": _values(membership.SourceState),
         "peer_state": [member.name.lower() for member in peers.PeerState],
--- a/tests/core/test_recovery.py
+++ b/tests/core/test_recovery.py
@@ -1,10 +1,10 @@
-"""A node's way back: each pair of state and event, all short stories, and views against a plain model."""
+"""Recovery: each pair of state and event, all short histories, and views against a simple model."""
 
 from __future__ import annotations
 
 import itertools
 import math
-from collections.abc import Callable, Iterator
+from collections.abc import Callable, Iterable, Iterator
 from dataclasses import dataclass, field
 
 import pytest
@@ -12,339 +12,342 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from balancer.core import recovery as r
-from balancer.core.discovery import endpoint_merger as m
+from balancer.core import recovery
+from balancer.core.discovery import endpoint_merger
 from balancer.core.discovery.endpoint_merger import EndpointMerger, Source
 from balancer.core.recovery import (
     PersistedState,
     Recovery,
     RecoveryState,
-    RequestOutcome,
-    ServiceMeter,
     Trigger,
 )
+from balancer.core.service_meter import RequestOutcome, ServiceMeter
 from balancer.endpoints import EndpointList, EndpointRecord
 from balancer.interface import EndpointUpdateKind, Phase
 from tests.core.discovery.test_endpoint_merger import make_record, make_snapshot
 
 B, P, C, F = RecoveryState.BLANK, RecoveryState.PROVISIONAL, RecoveryState.CONFIRMED, RecoveryState.FULL
-DAY = 86_400_000.0
-KEPT = r.PersistedIncarnation(7, 1_000_000.0)
+DAY_MS = 86_400_000.0
+PERSISTED = recovery.PersistedIncarnation(7, 1_000_000.0)
 
 
-def begun(
-    kept: r.PersistedIncarnation | None = KEPT, wall_ms: float = 1_001_000.0, fault: str = ""
+def started(
+    persisted: recovery.PersistedIncarnation | None = PERSISTED, wall_ms: float = 1_001_000.0, fault: str = ""
 ) -> Recovery:
-    out = Recovery(0.0)
-    out.handle(0.0, r.ProcessStarted(kept, wall_ms, fault))
-    return out
+    """A node whose process has started, by default with intact persisted state."""
+    node = Recovery(0.0)
+    node.handle(0.0, recovery.ProcessStarted(persisted, wall_ms, fault))
+    return node
 
 
-def served(
-    recovery: Recovery, from_ms: float, for_ms: float = 2_200.0, end: RequestOutcome = RequestOutcome.SERVED
-) -> None:
-    """Forty requests a second."""
-    for number in range(int(for_ms / 25)):
-        recovery.handle(from_ms + 25.0 * number, r.RequestFinished("read", end))
+def serve(node: Recovery, from_ms: float) -> None:
+    """Serve forty requests a second for 2.2 s."""
+    for number in range(88):
+        node.handle(from_ms + 25.0 * number, recovery.RequestFinished("read", RequestOutcome.SERVED))
 
 
-def brought(state: RecoveryState) -> Recovery:
-    """A node with its memory in that state at 10 s."""
-    out = begun()
+def node_in_state(state: RecoveryState) -> Recovery:
+    """A node with intact persisted state that is in that state at 10 s."""
+    node = started()
     if state is not B:
-        out.handle(1.0, r.EndpointViewChanged(10, 0 if state is P else 10))
+        node.handle(1.0, recovery.EndpointViewChanged(10, 0 if state is P else 10))
     if state is F:
-        served(out, 5_000.0)
-    assert out.state is state
-    return out
-
-
-def test_a_life_rises_by_a_refutation_and_is_the_same_life() -> None:
-    """A later life that others saw is another thing: that bars roles."""
-    node = brought(F)
-    life = node.incarnation
-    assert (
-        node.handle(10_000.0, r.IncarnationRaised(life + 1)) == [r.PersistIncarnation(life + 1)]
-        and node.incarnation == life + 1
-    )
+        serve(node, 5_000.0)
+    assert node.state is state
+    return node
+
+
+def test_recovery_incarnation_raised_by_a_refutation_keeps_state_and_roles() -> None:
+    """Unlike a later incarnation that peers have seen, which bars roles."""
+    node = node_in_state(F)
+    incarnation = node.incarnation
+    actions = node.handle(10_000.0, recovery.IncarnationRaised(incarnation + 1))
+    assert actions == [recovery.PersistIncarnation(incarnation + 1)] and node.incarnation == incarnation + 1
     assert node.persisted_state is PersistedState.INTACT and node.state is F and node.may_take_roles(10_000.0)
-    assert node.handle(10_001.0, r.IncarnationRaised(life)) == [] and node.incarnation == life + 1
-    node.handle(10_002.0, r.PeersReportedIncarnation(life + 5))
-    assert (node.persisted_state.value, node.incarnation) == ("older", life + 6)
+    assert node.handle(10_001.0, recovery.IncarnationRaised(incarnation)) == []
+    assert node.incarnation == incarnation + 1
+    node.handle(10_002.0, recovery.PeersReportedIncarnation(incarnation + 5))
+    assert (node.persisted_state.value, node.incarnation) == ("older", incarnation + 6)
     assert not node.may_take_roles(10_003.0)
 
 
-EVENTS: dict[str, tuple[r.Event, tuple[RecoveryState, RecoveryState, RecoveryState, RecoveryState]]] = {
+EVENTS: dict[
+    str, tuple[recovery.Event, tuple[RecoveryState, RecoveryState, RecoveryState, RecoveryState]]
+] = {
     # after which states come blank, provisional, confirmed, full
-    "no server is left": (r.EndpointViewChanged(0, 0), (B, B, B, B)),
-    "all by memory": (r.EndpointViewChanged(10, 0), (P, P, P, P)),
-    "fewer than half vouched for": (r.EndpointViewChanged(10, 4), (P, P, P, P)),
-    "half vouched for": (r.EndpointViewChanged(10, 5), (C, C, C, F)),
-    "more vouched for than there are": (r.EndpointViewChanged(-1, 5), (B, B, B, B)),
-    "a source spoke": (r.SourceResponded(), (B, P, C, F)),
-    "it stood still": (r.ProcessStalled(60_000.0), (B, P, P, P)),
-    "others saw an earlier life": (r.PeersReportedIncarnation(7), (B, P, C, F)),
-    "others never saw it": (r.PeersReportedIncarnation(0), (B, P, C, F)),
-    "others saw a later life": (r.PeersReportedIncarnation(9), (B, P, P, P)),
-    "others saw this life before it was told": (r.PeersReportedIncarnation(8), (B, P, P, P)),
-    "others say nonsense": (r.PeersReportedIncarnation(-3), (B, P, C, F)),
-    "others reminded it": (r.PeersReturnedState(), (B, P, C, F)),
-    "a request was served": (r.RequestFinished("read", RequestOutcome.SERVED), (B, P, C, F)),
-    "a request failed": (r.RequestFinished("read", RequestOutcome.FAILED), (B, P, C, F)),
-    "a wait is over": (r.TimerFired(), (B, P, C, F)),
-    "it started": (r.ProcessStarted(KEPT, 1_001_000.0), (B, P, C, F)),
+    "no backend is left": (recovery.EndpointViewChanged(0, 0), (B, B, B, B)),
+    "all restored": (recovery.EndpointViewChanged(10, 0), (P, P, P, P)),
+    "fewer than half confirmed": (recovery.EndpointViewChanged(10, 4), (P, P, P, P)),
+    "half confirmed": (recovery.EndpointViewChanged(10, 5), (C, C, C, F)),
+    "more confirmed than there are": (recovery.EndpointViewChanged(-1, 5), (B, B, B, B)),
+    "a source responded": (recovery.SourceResponded(), (B, P, C, F)),
+    "the process stalled": (recovery.ProcessStalled(60_000.0), (B, P, P, P)),
+    "peers saw an earlier incarnation": (recovery.PeersReportedIncarnation(7), (B, P, C, F)),
+    "peers never saw it": (recovery.PeersReportedIncarnation(0), (B, P, C, F)),
+    "peers saw a later incarnation": (recovery.PeersReportedIncarnation(9), (B, P, P, P)),
+    "peers saw this incarnation before it was announced": (
+        recovery.PeersReportedIncarnation(8),
+        (B, P, P, P),
+    ),
+    "peers report an invalid incarnation": (recovery.PeersReportedIncarnation(-3), (B, P, C, F)),
+    "peers returned its state": (recovery.PeersReturnedState(), (B, P, C, F)),
+    "a request was served": (recovery.RequestFinished("read", RequestOutcome.SERVED), (B, P, C, F)),
+    "a request failed": (recovery.RequestFinished("read", RequestOutcome.FAILED), (B, P, C, F)),
+    "a timer fired": (recovery.TimerFired(), (B, P, C, F)),
+    "the process started": (recovery.ProcessStarted(PERSISTED, 1_001_000.0), (B, P, C, F)),
 }
 
 
 @pytest.mark.parametrize("name", EVENTS)
 @pytest.mark.parametrize("state", RecoveryState)
-def test_each_pair_of_state_and_event(state: RecoveryState, name: str) -> None:
+def test_recovery_each_state_and_event_leads_to_the_next_state(state: RecoveryState, name: str) -> None:
     event, after = EVENTS[name]
-    node = brought(state)
-    acts = node.handle(10_000.0, event)
+    node = node_in_state(state)
+    actions = node.handle(10_000.0, event)
     assert node.state is after[list(RecoveryState).index(state)]
-    became = [a for a in acts if isinstance(a, r.ReportState)]
-    assert bool(became) == (node.state is not state) and all(a.reason for a in became)
-    assert node.since_ms == (10_000.0 if became else node.since_ms)
+    reports = [action for action in actions if isinstance(action, recovery.ReportState)]
+    assert bool(reports) == (node.state is not state) and all(report.reason for report in reports)
+    assert node.since_ms == (10_000.0 if reports else node.since_ms)
     assert set(node.status(10_000.0)) == {"state", "since", "incarnation", "memory", "waits_for", "phases"}
 
 
-def test_the_table_knows_each_pair() -> None:
-    assert set(r.TRANSITIONS) == set(RecoveryState) and all(
-        set(row) == set(Trigger) for row in r.TRANSITIONS.values()
-    )
-    assert (
-        set(r.PERMISSIONS) == set(RecoveryState)
-        and not r.PERMISSIONS[B].may_hold_roles
-        and not r.PERMISSIONS[P].may_hold_roles
-    )
+def test_recovery_tables_are_complete() -> None:
+    assert set(recovery.TRANSITIONS) == set(RecoveryState) == set(recovery.PERMISSIONS)
+    assert all(set(row) == set(Trigger) for row in recovery.TRANSITIONS.values())
+    assert not recovery.PERMISSIONS[B].may_hold_roles and not recovery.PERMISSIONS[P].may_hold_roles
 
 
 @pytest.mark.parametrize(
-    ("kept", "wall_ms", "fault", "memory", "life", "barred"),
+    ("persisted", "wall_ms", "fault", "memory", "incarnation", "barred"),
     [
         (None, 1e12, "", PersistedState.NONE, 1, True),
         (None, 1e12, "a checksum is wrong", PersistedState.LOST, 1, True),
-        (KEPT, 1_001_000.0, "", PersistedState.INTACT, 8, False),
-        (
-            KEPT,
-            1_000_000.0 + 2 * DAY,
-            "",
-            PersistedState.OUTDATED,
-            8,
-            True,
-        ),  # a clock a day ahead, or a backup
-        (KEPT, 1_000_000.0 - DAY, "", PersistedState.OUTDATED, 8, True),  # a day back
-        (KEPT, 1_000_000.0 - 500.0, "", PersistedState.INTACT, 8, False),  # as clocks are set
-        (KEPT, math.nan, "", PersistedState.OUTDATED, 8, True),
-        (r.PersistedIncarnation(-4, 1.0), 2.0, "", PersistedState.LOST, 1, True),
-        (r.PersistedIncarnation(1 << 60, 1.0), 2.0, "", PersistedState.LOST, 1, True),
+        (PERSISTED, 1_001_000.0, "", PersistedState.INTACT, 8, False),
+        # a clock a day ahead, or a backup
+        (PERSISTED, 1_000_000.0 + 2 * DAY_MS, "", PersistedState.OUTDATED, 8, True),
+        (PERSISTED, 1_000_000.0 - DAY_MS, "", PersistedState.OUTDATED, 8, True),  # a day back
+        (PERSISTED, 1_000_000.0 - 500.0, "", PersistedState.INTACT, 8, False),  # as clocks are set
+        (PERSISTED, math.nan, "", PersistedState.OUTDATED, 8, True),
+        (recovery.PersistedIncarnation(-4, 1.0), 2.0, "", PersistedState.LOST, 1, True),
+        (recovery.PersistedIncarnation(1 << 60, 1.0), 2.0, "", PersistedState.LOST, 1, True),
     ],
 )
-def test_three_kinds_of_start(
-    kept: r.PersistedIncarnation | None,
+def test_recovery_process_started_judges_the_persisted_state(
+    persisted: recovery.PersistedIncarnation | None,
     wall_ms: float,
     fault: str,
     memory: PersistedState,
-    life: int,
+    incarnation: int,
     barred: bool,
 ) -> None:
-    node = begun(kept, wall_ms, fault)
-    node.handle(1.0, r.EndpointViewChanged(3, 3))
-    assert (node.persisted_state, node.incarnation, node.may_take_roles(2.0)) == (memory, life, not barred)
-    assert 0.0 <= node.persisted_age_ms <= DAY and node.may_take_roles(r.ROLE_HOLD_OFF_MS)
+    node = started(persisted, wall_ms, fault)
+    node.handle(1.0, recovery.EndpointViewChanged(3, 3))
+    assert (node.persisted_state, node.incarnation, node.may_take_roles(2.0)) == (
+        memory,
+        incarnation,
+        not barred,
+    )
+    assert 0.0 <= node.persisted_age_ms <= DAY_MS and node.may_take_roles(recovery.ROLE_HOLD_OFF_MS)
     assert any("roles" in text for text in node.pending_conditions(2.0)) == barred
 
 
-def test_one_that_was_wiped_takes_its_life_up_where_the_others_saw_it() -> None:
-    node = begun(None)
-    node.handle(1.0, r.EndpointViewChanged(3, 3))
-    assert (
-        r.PersistIncarnation(6) in node.handle(20_000.0, r.PeersReportedIncarnation(5))
-        and node.persisted_state is PersistedState.LOST
-    )
-    node.handle(20_001.0, r.EndpointViewChanged(3, 3))
-    assert not node.may_take_roles(r.ROLE_HOLD_OFF_MS + 1) and node.may_take_roles(
-        20_000.0 + r.ROLE_HOLD_OFF_MS
-    )
-    node.handle(20_002.0, r.PeersReturnedState())
+def test_recovery_lost_state_continues_the_incarnation_that_peers_saw() -> None:
+    node = started(None)
+    node.handle(1.0, recovery.EndpointViewChanged(3, 3))
+    assert recovery.PersistIncarnation(6) in node.handle(20_000.0, recovery.PeersReportedIncarnation(5))
+    assert node.persisted_state is PersistedState.LOST
+    node.handle(20_001.0, recovery.EndpointViewChanged(3, 3))
+    assert not node.may_take_roles(recovery.ROLE_HOLD_OFF_MS + 1)
+    assert node.may_take_roles(20_000.0 + recovery.ROLE_HOLD_OFF_MS)
+    node.handle(20_002.0, recovery.PeersReturnedState())
     assert node.may_take_roles(20_003.0)
 
 
-def test_a_first_start_may_act_once_the_others_never_saw_it() -> None:
-    node = begun(None)
-    node.handle(1.0, r.EndpointViewChanged(3, 3))
-    node.handle(2.0, r.PeersReportedIncarnation(0))
+def test_recovery_first_start_may_take_roles_once_peers_never_saw_it() -> None:
+    node = started(None)
+    node.handle(1.0, recovery.EndpointViewChanged(3, 3))
+    node.handle(2.0, recovery.PeersReportedIncarnation(0))
     assert node.may_take_roles(3.0) and node.persisted_state is PersistedState.NONE
 
 
-def test_an_echo_of_its_own_word_says_nothing() -> None:
-    node = brought(C)
+def test_recovery_echo_of_the_announced_incarnation_changes_nothing() -> None:
+    node = node_in_state(C)
     node.mark_incarnation_announced()
-    assert node.handle(10_000.0, r.PeersReportedIncarnation(8)) == [] and node.incarnation == 8
+    assert node.handle(10_000.0, recovery.PeersReportedIncarnation(8)) == [] and node.incarnation == 8
 
 
 @pytest.mark.parametrize(
-    ("kept", "fault", "memory"),
+    ("persisted", "fault", "memory"),
     [
-        (KEPT, "", PersistedState.OUTDATED),
+        (PERSISTED, "", PersistedState.OUTDATED),
         (None, "", PersistedState.OUTDATED),
         (None, "spoiled", PersistedState.LOST),
     ],
 )
-def test_a_pause_counts_whether_it_comes_before_or_after_what_was_kept_is_read(
-    kept: r.PersistedIncarnation | None, fault: str, memory: PersistedState
+def test_recovery_stall_before_or_after_persisted_state_is_read_bars_roles(
+    persisted: recovery.PersistedIncarnation | None, fault: str, memory: PersistedState
 ) -> None:
-    """A disk may take longer than the process runs before it is stopped."""
-    told: list[r.Event] = [r.ProcessStarted(kept, 1_001_000.0, fault), r.ProcessStalled(3_000.0)]
-    for events in (told, told[::-1]):
+    """A disk may take longer than the process runs before it is stalled."""
+    order: list[recovery.Event] = [
+        recovery.ProcessStarted(persisted, 1_001_000.0, fault),
+        recovery.ProcessStalled(3_000.0),
+    ]
+    for events in (order, order[::-1]):
         node = Recovery(0.0)
         for event in events:
             node.handle(5_000.0, event)
-        assert (node.persisted_state, node.roles_barred_until_ms) == (
-            memory,
-            5_000.0 + r.ROLE_HOLD_OFF_MS,
-        ) and node.is_in_doubt
+        assert node.persisted_state is memory and node.is_in_doubt
+        assert node.roles_barred_until_ms == 5_000.0 + recovery.ROLE_HOLD_OFF_MS
 
 
-def test_one_that_stood_still_waits_for_a_source_and_for_its_roles() -> None:
-    node = brought(F)
+def test_recovery_stalled_process_waits_for_a_source_and_for_its_roles() -> None:
+    node = node_in_state(F)
     assert node.may_take_roles(9_000.0)
-    node.handle(70_000.0, r.ProcessStalled(60_000.0))
-    node.handle(70_001.0, r.EndpointViewChanged(10, 10))  # the same list as before it stood: it says nothing
+    node.handle(70_000.0, recovery.ProcessStalled(60_000.0))
+    node.handle(70_001.0, recovery.EndpointViewChanged(10, 10))  # as before the stall: it proves nothing
     assert node.state is P and node.persisted_state is PersistedState.OUTDATED
-    node.handle(70_002.0, r.SourceResponded())
+    node.handle(70_002.0, recovery.SourceResponded())
     assert node.state is C and not node.may_take_roles(80_000.0) and node.may_take_roles(100_000.0)
 
 
-def test_a_clock_that_goes_back_stands_still() -> None:
-    node = brought(C)
-    node.handle(10_000.0, r.EndpointViewChanged(0, 0))
-    node.handle(5_000.0, r.EndpointViewChanged(9, 9))
+def test_recovery_clock_set_back_stands_still() -> None:
+    node = node_in_state(C)
+    node.handle(10_000.0, recovery.EndpointViewChanged(0, 0))
+    node.handle(5_000.0, recovery.EndpointViewChanged(9, 9))
     assert node.since_ms == 10_000.0
 
 
-# --- how long it took
+# --- full service
 
 
-def meter(ends: Iterator[tuple[float, RequestOutcome]]) -> dict[str, float]:
-    out = ServiceMeter(0.0)
-    for at_ms, end in ends:
-        out.record_outcome(at_ms, "read", end)
-    return out.phases_ms
+def phases_of(outcomes: Iterable[tuple[float, RequestOutcome]]) -> dict[str, float]:
+    """The phases that these outcomes, by time, reach."""
+    meter = ServiceMeter(0.0)
+    for at_ms, outcome in outcomes:
+        meter.record_outcome(at_ms, "read", outcome)
+    return meter.phases_ms
 
 
-def steady(
-    every_ms: float, until_ms: float, end: Callable[[float], RequestOutcome]
+def outcomes_every(
+    interval_ms: float, until_ms: float, outcome_at: Callable[[float], RequestOutcome]
 ) -> Iterator[tuple[float, RequestOutcome]]:
-    return ((every_ms * n, end(every_ms * n)) for n in range(1, int(until_ms / every_ms)))
+    """An outcome at each interval."""
+    times = (interval_ms * number for number in range(1, int(until_ms / interval_ms)))
+    return ((at_ms, outcome_at(at_ms)) for at_ms in times)
 
 
-@pytest.mark.parametrize("every_ms", [1.0, 10.0, 90.0])
-def test_full_service_begins_where_its_two_seconds_do(every_ms: float) -> None:
-    phases = meter(
-        steady(every_ms, 10_000.0, lambda at: RequestOutcome.FAILED if at < 3_000 else RequestOutcome.SERVED)
+@pytest.mark.parametrize("interval_ms", [1.0, 10.0, 90.0])
+def test_meter_full_service_counts_from_the_beginning_of_its_window(interval_ms: float) -> None:
+    phases = phases_of(
+        outcomes_every(
+            interval_ms, 10_000.0, lambda at: RequestOutcome.FAILED if at < 3_000 else RequestOutcome.SERVED
+        )
     )
     assert 2_800.0 <= phases["full"] <= 3_100.0 and phases["half"] < phases["full"]
     assert 3_000.0 <= phases["first answer"] == phases["first answer: read"] < 3_100.0
 
 
-def test_what_servers_turned_away_is_not_asked_of_this_node() -> None:
-    ends = [
+def test_meter_rejections_by_backends_do_not_count() -> None:
+    outcomes = [
         (10.0 * n, RequestOutcome.REJECTED_BY_BACKENDS if n % 3 else RequestOutcome.SERVED)
         for n in range(1, 1_000)
     ]
-    assert "full" in meter(iter(ends))
-    assert "full" not in meter(
-        (at, RequestOutcome.FAILED if end is RequestOutcome.REJECTED_BY_BACKENDS else end) for at, end in ends
+    assert "full" in phases_of(outcomes)
+    assert "full" not in phases_of(
+        (at, RequestOutcome.FAILED if outcome is RequestOutcome.REJECTED_BY_BACKENDS else outcome)
+        for at, outcome in outcomes
     )
 
 
-def test_ten_in_a_hundred_that_fail_are_no_full_service() -> None:
-    assert "full" not in meter(
-        steady(10.0, 60_000.0, lambda at: RequestOutcome.FAILED if at % 100 == 0 else RequestOutcome.SERVED)
+def test_meter_ten_percent_of_failures_is_no_full_service() -> None:
+    assert "full" not in phases_of(
+        outcomes_every(
+            10.0, 60_000.0, lambda at: RequestOutcome.FAILED if at % 100 == 0 else RequestOutcome.SERVED
+        )
     )
 
 
-def test_a_node_that_sees_few_is_judged_by_a_longer_stretch() -> None:
-    slow = meter(steady(5_000.0, 29_000.0, lambda at: RequestOutcome.SERVED))
+def test_meter_few_requests_are_judged_by_the_longest_window() -> None:
+    slow = phases_of(outcomes_every(5_000.0, 29_000.0, lambda at: RequestOutcome.SERVED))
     assert "full" not in slow and "first answer" in slow
-    assert meter(steady(5_000.0, 40_000.0, lambda at: RequestOutcome.SERVED))["full"] <= 5_000.0
-    one_of_six = meter(
-        steady(5_000.0, 40_000.0, lambda at: RequestOutcome.FAILED if at == 25_000 else RequestOutcome.SERVED)
+    assert phases_of(outcomes_every(5_000.0, 40_000.0, lambda at: RequestOutcome.SERVED))["full"] <= 5_000.0
+    one_of_six = phases_of(
+        outcomes_every(
+            5_000.0, 40_000.0, lambda at: RequestOutcome.FAILED if at == 25_000 else RequestOutcome.SERVED
+        )
     )
     assert "full" not in one_of_six
-    assert meter(iter(())) == {}
+    assert phases_of(()) == {}
 
 
-def test_parts_of_the_start_come_first() -> None:
+def test_recovery_status_lists_startup_phases_first() -> None:
     node = Recovery(0.0)
     node.handle(
         0.0,
-        r.ProcessStarted(
+        recovery.ProcessStarted(
             None, 0.0, startup_phases_ms={"imports": 90.0, "files": math.nan, "first list": -1.0}
         ),
     )
-    node.handle(1.0, r.EndpointViewChanged(1, 1))
-    served(node, 10.0)
+    node.handle(1.0, recovery.EndpointViewChanged(1, 1))
+    serve(node, 10.0)
     names = [row["name"] for row in node.status(5_000.0)["phases"]]
     assert names[0] == "imports" and "full" in names and "files" not in names and node.state is F
 
 
-# --- all stories of four events, of each kind of start
-
-STARTS = [(None, ""), (None, "torn"), (KEPT, ""), (r.PersistedIncarnation(7, -9 * DAY), "")]
-STORY: list[r.Event] = [
-    r.EndpointViewChanged(0, 0),
-    r.EndpointViewChanged(4, 0),
-    r.EndpointViewChanged(4, 4),
-    r.SourceResponded(),
-    r.ProcessStalled(5_000.0),
-    r.PeersReportedIncarnation(0),
-    r.PeersReportedIncarnation(7),
-    r.PeersReportedIncarnation(8),
-    r.PeersReportedIncarnation(20),
-    r.PeersReturnedState(),
-    r.TimerFired(),
-    r.RequestFinished("read", RequestOutcome.SERVED),
+# --- all histories of four events, after each kind of start
+
+STARTS = [(None, ""), (None, "torn"), (PERSISTED, ""), (recovery.PersistedIncarnation(7, -9 * DAY_MS), "")]
+HISTORY_EVENTS: list[recovery.Event] = [
+    recovery.EndpointViewChanged(0, 0),
+    recovery.EndpointViewChanged(4, 0),
+    recovery.EndpointViewChanged(4, 4),
+    recovery.SourceResponded(),
+    recovery.ProcessStalled(5_000.0),
+    recovery.PeersReportedIncarnation(0),
+    recovery.PeersReportedIncarnation(7),
+    recovery.PeersReportedIncarnation(8),
+    recovery.PeersReportedIncarnation(20),
+    recovery.PeersReturnedState(),
+    recovery.TimerFired(),
+    recovery.RequestFinished("read", RequestOutcome.SERVED),
 ]
 
 
-def test_no_story_of_four_events_breaks_what_must_always_hold() -> None:
-    for kept, fault in STARTS:
-        for story in itertools.product(STORY, repeat=4):
+def test_recovery_invariants_hold_in_all_histories_of_four_events() -> None:
+    for persisted, fault in STARTS:
+        for history in itertools.product(HISTORY_EVENTS, repeat=4):
             node = Recovery(0.0)
-            node.handle(0.0, r.ProcessStarted(kept, 1_000_500.0, fault))
-            up, seen, sure, quiet, now = 0, 0, kept is KEPT, False, 0.0
-            for event in story:
+            node.handle(0.0, recovery.ProcessStarted(persisted, 1_000_500.0, fault))
+            up, seen, sure, quiet, now = 0, 0, persisted is PERSISTED, False, 0.0
+            for event in history:
                 now += 1_000.0
-                life, known = node.incarnation, node.incarnation
+                incarnation, known = node.incarnation, node.incarnation
                 node.handle(now, event)
                 match event:
-                    case r.EndpointViewChanged():
+                    case recovery.EndpointViewChanged():
                         up = event.up_count
-                    case r.ProcessStalled():
+                    case recovery.ProcessStalled():
                         sure, quiet = False, True
-                    case r.SourceResponded():
+                    case recovery.SourceResponded():
                         quiet = False
-                    case r.PeersReturnedState():
+                    case recovery.PeersReturnedState():
                         sure = True
-                    case r.PeersReportedIncarnation():
+                    case recovery.PeersReportedIncarnation():
                         seen = max(seen, event.incarnation)
                         sure = event.incarnation < known
-                assert node.incarnation >= life and node.incarnation > seen, story
-                assert not node.may_take_roles(now) or (sure and up), story
-                assert (node.state is B) == (not up), story
-                assert not quiet or node.state in (B, P), story
-                assert node.state is not F, "nobody serves as usual after four requests"
+                assert node.incarnation >= incarnation and node.incarnation > seen, history
+                assert not node.may_take_roles(now) or (sure and up), history
+                assert (node.state is B) == (not up), history
+                assert not quiet or node.state in (B, P), history
+                assert node.state is not F, "four requests are too few for full service"
 
 
 # --- views
 
 
 @dataclass
-class Truth:
-    """A source as it is: what it lists now, and whether it can be heard."""
+class SourceModel:
+    """A source as it is: what it lists now, and what it listed before."""
 
     cluster: str = "1"
     revision: int = 1
@@ -356,43 +359,47 @@
 SOURCES = "abc"
 
 
-class ComingBack(RuleBasedStateMachine):
+class RecoveringNode(RuleBasedStateMachine):
     """A node that crashes and restarts from what its store had synced, with three sources that go back."""
 
     @initialize()
     def begin(self) -> None:
-        self.truth = {name: Truth() for name in SOURCES}
+        self.truth = {name: SourceModel() for name in SOURCES}
         self.synced: dict[str, tuple[str, EndpointList]] = {}
         self.written: dict[str, tuple[str, EndpointList]] = {}
-        self.life, self.now = 0, 0.0
+        self.incarnation, self.now = 0, 0.0
         self.start()
 
     def start(self) -> None:
         """What the store has comes first; its revisions count as seen."""
         self.merge = EndpointMerger([Source(name) for name in SOURCES])
         self.node = Recovery(self.now)
-        kept = r.PersistedIncarnation(self.life, self.now) if self.life else None
-        acts = self.node.handle(self.now, r.ProcessStarted(kept, self.now + 5.0))
-        self.life = next(a.incarnation for a in acts if isinstance(a, r.PersistIncarnation))
+        persisted = recovery.PersistedIncarnation(self.incarnation, self.now) if self.incarnation else None
+        actions = self.node.handle(self.now, recovery.ProcessStarted(persisted, self.now + 5.0))
+        self.incarnation = next(a.incarnation for a in actions if isinstance(a, recovery.PersistIncarnation))
         self.written, self.told = dict(self.synced), dict[str, EndpointRecord]()
         for name, (cluster, listing) in self.synced.items():
-            self.hand(m.EndpointsListed(name, cluster, listing, is_cached=True, cached_age_ms=5.0))
+            self.hand(
+                endpoint_merger.EndpointsListed(name, cluster, listing, is_cached=True, cached_age_ms=5.0)
+            )
 
-    def hand(self, event: m.Event) -> None:
+    def hand(self, event: endpoint_merger.Event) -> None:
         self.now += 1.0
         work = [event]
         while work:
             for act in self.merge.handle(self.now, work.pop()):
-                if isinstance(act, m.ScheduleNextSlice):
-                    work.append(m.NextSliceDue())
-                elif isinstance(act, m.ApplyEndpoints):  # as the module takes it
+                if isinstance(act, endpoint_merger.ScheduleNextSlice):
+                    work.append(endpoint_merger.NextSliceDue())
+                elif isinstance(act, endpoint_merger.ApplyEndpoints):  # as the module takes it
                     if act.kind is not EndpointUpdateKind.INCREMENTAL:
                         self.told = {}
                     self.told |= {one.id: one for one in act.records}
                     for one in act.removed_records:
                         self.told.pop(one.id, None)
         up = [held.endpoint for held in self.merge.view.values() if held.endpoint.phase is Phase.UP]
-        self.node.handle(self.now, r.EndpointViewChanged(len(up), sum(e.cached_age_ms is None for e in up)))
+        self.node.handle(
+            self.now, recovery.EndpointViewChanged(len(up), sum(e.cached_age_ms is None for e in up))
+        )
 
     @rule(name=st.sampled_from(SOURCES), change=st.sampled_from(NAMES))
     def a_source_changes(self, name: str, change: str) -> None:
@@ -405,7 +412,7 @@
     def a_source_is_heard(self, name: str) -> None:
         one = self.truth[name]
         self.hand(
-            m.EndpointsListed(
+            endpoint_merger.EndpointsListed(
                 name, one.cluster, make_snapshot(one.revision, *map(make_record, sorted(one.names)))
             )
         )
@@ -416,17 +423,17 @@
         if len(one.past) > back:
             revision, names = one.past[-1 - back]
             listing = make_snapshot(revision, *map(make_record, sorted(names)))
-            self.hand(m.EndpointsListed(name, one.cluster, listing, is_from_watch=watched))
+            self.hand(endpoint_merger.EndpointsListed(name, one.cluster, listing, is_from_watch=watched))
 
     @rule(name=st.sampled_from(SOURCES))
     def a_source_shows_that_it_lives(self, name: str) -> None:
         if (seen := self.merge.sources[name].revision) == self.truth[name].revision and seen is not None:
-            self.hand(m.SourceConfirmedCurrent(name))
+            self.hand(endpoint_merger.SourceConfirmedCurrent(name))
 
     @rule(name=st.sampled_from(SOURCES))
     def a_source_is_set_up_anew(self, name: str) -> None:
         one = self.truth[name]
-        self.truth[name] = Truth(str(int(one.cluster) + 1), 1, {NAMES[0]})
+        self.truth[name] = SourceModel(str(int(one.cluster) + 1), 1, {NAMES[0]})
 
     @rule(synced=st.booleans())
     def the_view_is_written(self, synced: bool) -> None:
@@ -441,9 +448,9 @@
 
     @rule()
     def it_crashes(self) -> None:
-        before = self.life
+        before = self.incarnation
         self.start()
-        assert self.life > before and self.node.persisted_state is PersistedState.INTACT
+        assert self.incarnation > before and self.node.persisted_state is PersistedState.INTACT
 
     @invariant()
     def no_view_is_older_than_what_was_durably_seen(self) -> None:
@@ -473,5 +480,5 @@
             assert (held.endpoint.cached_age_ms is None) == (None in ages)
 
 
-ComingBack.TestCase.settings = settings(max_examples=400, stateful_step_count=40, deadline=None)
-TestComingBack = ComingBack.TestCase
+RecoveringNode.TestCase.settings = settings(max_examples=400, stateful_step_count=40, deadline=None)
+TestRecoveringNode = RecoveringNode.TestCase
--- a/tests/observability/test_metrics.py
+++ b/tests/observability/test_metrics.py
@@ -12,8 +12,8 @@
     ProcessStarted,
     Recovery,
     RequestFinished,
-    RequestOutcome,
 )
+from balancer.core.service_meter import RequestOutcome
 from balancer.interface import AttemptStatus, DecisionReason
 from balancer.observability.metrics import SERVERS, Metrics
 from balancer.timeline.monitor import TimelineMonitor
