--- a/balancer/core/backoff.py
+++ b/balancer/core/backoff.py
@@ -1,4 +1,4 @@
-"""When to try again: exponential back-off with full jitter."""
+"""Exponential backoff with jitter."""
 
 from __future__ import annotations
 
@@ -6,21 +6,24 @@
 
 
 class Backoff:
-    """Waits that double from `first_ms` to `most_ms`, each drawn evenly from half to one and a half of it.
+    """Delays that double from `initial_ms` to `max_ms`, each drawn evenly from 0.5 to 1.5 of that.
 
-    Guards against a thousand nodes that lost the same peer at the same moment and come back together.
+    The jitter guards against nodes that lose the same server at the same moment and come back together.
     """
 
     def __init__(self, initial_ms: float, max_ms: float, rng: random.Random) -> None:
         self.initial_ms, self.max_ms, self.rng = initial_ms, max_ms, rng
         self.next_ms = initial_ms
 
+    def __repr__(self) -> str:
+        return f"<Backoff about {self.next_ms:.0f} ms next>"
+
     def next_delay_ms(self) -> float:
-        """How long to wait before the next try; the one after it waits longer."""
+        """The delay before the next attempt; the one after it is longer."""
         delay_ms = self.next_ms * self.rng.uniform(0.5, 1.5)
         self.next_ms = min(2 * self.next_ms, self.max_ms)
         return delay_ms
 
     def reset(self) -> None:
-        """It worked."""
+        """An attempt succeeded: begin with `initial_ms` again."""
         self.next_ms = self.initial_ms
--- a/tests/core/test_connection_admission.py
+++ b/tests/core/test_connection_admission.py
@@ -1,4 +1,4 @@
-"""Unread answers: the sum, who is ended for a stall, who where the budget is gone."""
+"""Quotas of descriptors, the budget of large bodies, and connections closed for unread responses."""
 
 from __future__ import annotations
 
@@ -23,93 +23,93 @@
 
 
 @given(st.integers(MIN_DESCRIPTORS, 100_000))
-def test_the_shares_and_what_is_kept_make_the_whole(sockets: int) -> None:
-    clients, servers = descriptor_quotas(sockets)
-    cap, over = connection_limits(clients)
-    assert clients + servers + RESERVED_DESCRIPTORS == sockets and min(cap, servers) >= 1
-    assert cap + over == clients and 0 <= over <= cap
+def test_descriptor_quotas_and_limits_add_up_to_all_descriptors(descriptors: int) -> None:
+    clients, backends = descriptor_quotas(descriptors)
+    served, overload = connection_limits(clients)
+    assert clients + backends + RESERVED_DESCRIPTORS == descriptors and min(served, backends) >= 1
+    assert served + overload == clients and 0 <= overload <= served
 
 
-def test_the_budget_is_an_eighth_of_the_memory_and_never_tiny() -> None:
+def test_unread_budget_is_an_eighth_of_the_memory_and_never_tiny() -> None:
     assert unread_budget_bytes(192) == 24 * 1024 * 1024
     assert unread_budget_bytes(1) == MIN_UNREAD_BUDGET_BYTES
 
 
-def test_a_stalled_connection_goes_after_its_time_and_its_deadline() -> None:
-    held = UnreadResponses[str](1000)
-    held.update("a", 10, 0.0)
-    held.update("late", 10, 0.0, keep_until_ms=READ_STALL_TIMEOUT_MS + 500)
-    assert held.stalled(READ_STALL_TIMEOUT_MS) == []
-    assert held.stalled(READ_STALL_TIMEOUT_MS + 1) == ["a"]
-    assert held.stalled(READ_STALL_TIMEOUT_MS + 501) == ["a", "late"]
+def test_unread_responses_stalled_connection_is_closed_after_timeout_and_deadline() -> None:
+    unread = UnreadResponses[str](1000)
+    unread.update("a", 10, 0.0)
+    unread.update("late", 10, 0.0, keep_until_ms=READ_STALL_TIMEOUT_MS + 500)
+    assert unread.stalled(READ_STALL_TIMEOUT_MS) == []
+    assert unread.stalled(READ_STALL_TIMEOUT_MS + 1) == ["a"]
+    assert unread.stalled(READ_STALL_TIMEOUT_MS + 501) == ["a", "late"]
 
 
-def test_progress_starts_the_time_anew_and_more_bytes_do_not() -> None:
-    held = UnreadResponses[str](1000)
-    held.update("reads", 10, 0.0)
-    held.update("asks", 10, 0.0)
-    held.update("reads", 9, READ_STALL_TIMEOUT_MS)
-    held.update("asks", 11, READ_STALL_TIMEOUT_MS)
-    assert held.stalled(READ_STALL_TIMEOUT_MS + 1) == ["asks"]
+def test_unread_responses_progress_restarts_the_timeout_and_more_bytes_do_not() -> None:
+    unread = UnreadResponses[str](1000)
+    unread.update("reads", 10, 0.0)
+    unread.update("asks", 10, 0.0)
+    unread.update("reads", 9, READ_STALL_TIMEOUT_MS)
+    unread.update("asks", 11, READ_STALL_TIMEOUT_MS)
+    assert unread.stalled(READ_STALL_TIMEOUT_MS + 1) == ["asks"]
 
 
-def test_over_the_budget_the_largest_without_progress_go_first() -> None:
-    held = UnreadResponses[str](100)
-    held.update("small", 10, 0.0)
-    held.update("large", 60, 0.0)
-    held.update("reads", 80, 0.0)
-    held.update("reads", 70, READ_PROGRESS_GRACE_MS)
-    assert held.is_over_budget
-    assert held.excess(READ_PROGRESS_GRACE_MS + 1) == ["large"]  # 80 are left, which fits
-    held.discard("large")
-    assert not held.is_over_budget and held.excess(READ_PROGRESS_GRACE_MS + 1) == []
+def test_unread_responses_over_budget_close_the_largest_without_progress() -> None:
+    unread = UnreadResponses[str](100)
+    unread.update("small", 10, 0.0)
+    unread.update("large", 60, 0.0)
+    unread.update("reads", 80, 0.0)
+    unread.update("reads", 70, READ_PROGRESS_GRACE_MS)
+    assert unread.is_over_budget
+    assert unread.excess(READ_PROGRESS_GRACE_MS + 1) == ["large"]  # 80 are left, which fits
+    unread.discard("large")
+    assert not unread.is_over_budget and unread.excess(READ_PROGRESS_GRACE_MS + 1) == []
 
 
-def test_those_that_read_go_only_over_twice_the_budget() -> None:
-    held = UnreadResponses[str](100)
-    held.update("one", 90, 0.0)
-    held.update("two", 110, 0.0)
-    assert held.excess(0.0) == []
-    held.update("three", 1, 0.0)
-    assert held.excess(0.0) == ["two"]
+def test_unread_responses_connections_with_progress_close_only_over_twice_the_budget() -> None:
+    unread = UnreadResponses[str](100)
+    unread.update("one", 90, 0.0)
+    unread.update("two", 110, 0.0)
+    assert unread.excess(0.0) == []
+    unread.update("three", 1, 0.0)
+    assert unread.excess(0.0) == ["two"]
 
 
-STEPS = st.lists(st.tuples(st.integers(0, 5), st.integers(0, 300), st.floats(0, 500), st.floats(0, 9e3)))
+UPDATES = st.lists(st.tuples(st.integers(0, 5), st.integers(0, 300), st.floats(0, 500), st.floats(0, 9e3)))
 
 
-@given(STEPS)
-def test_whatever_comes_twice_the_budget_holds_and_the_sum_is_right(
-    steps: list[tuple[int, int, float, float]],
+@given(UPDATES)
+def test_unread_responses_any_updates_stay_under_twice_the_budget(
+    updates: list[tuple[int, int, float, float]],
 ) -> None:
-    held, now, model = UnreadResponses[int](400), 0.0, dict[int, int]()
-    for key, size, passed, until in steps:
-        now += passed
-        held.update(key, size, now, now + until)
-        model[key] = size
-        for other in [*held.excess(now), *held.stalled(now)]:
-            held.discard(other)
+    unread, now_ms, model = UnreadResponses[int](400), 0.0, dict[int, int]()
+    for key, unread_bytes, passed_ms, until_ms in updates:
+        now_ms += passed_ms
+        unread.update(key, unread_bytes, now_ms, now_ms + until_ms)
+        model[key] = unread_bytes
+        for other in [*unread.excess(now_ms), *unread.stalled(now_ms)]:
+            unread.discard(other)
             model[other] = 0
-        assert held.total_bytes == sum(model.values()) <= 800
-        assert set(held) == {k for k, v in model.items() if v}
+        assert unread.total_bytes == sum(model.values()) <= 800
+        assert set(unread) == {key for key, unread_bytes in model.items() if unread_bytes}
     for key in list(model):
-        held.discard(key)
-    assert held.total_bytes == 0 and len(held) == 0
+        unread.discard(key)
+    assert unread.total_bytes == 0 and len(unread) == 0
 
 
-def test_long_bodies_get_what_is_there_and_give_it_back() -> None:
-    long = LargeBodyBudget(100)
-    assert long.reserve(0, UNBUDGETED_BODY_BYTES) == 0  # a usual one needs nothing
-    first = long.reserve(0, UNBUDGETED_BODY_BYTES + 60)
+def test_large_body_budget_reserves_what_is_left_and_takes_it_back() -> None:
+    budget = LargeBodyBudget(100)
+    assert budget.reserve(0, UNBUDGETED_BODY_BYTES) == 0  # needs nothing
+    first = budget.reserve(0, UNBUDGETED_BODY_BYTES + 60)
     assert first == 60
-    more = long.reserve(first, UNBUDGETED_BODY_BYTES + 90)
+    more = budget.reserve(first, UNBUDGETED_BODY_BYTES + 90)
     assert more == 90
-    assert long.reserve(0, UNBUDGETED_BODY_BYTES + 11) is None  # and takes nothing
-    assert long.reserve(0, UNBUDGETED_BODY_BYTES) == 0  # a usual one is never kept out
-    assert long.reserve(more, UNBUDGETED_BODY_BYTES + 101) is None and long.reserved_bytes == 90
-    long.release(more)
-    assert long.reserved_bytes == 0
+    assert budget.reserve(0, UNBUDGETED_BODY_BYTES + 11) is None  # and reserves nothing
+    assert budget.reserve(0, UNBUDGETED_BODY_BYTES) == 0  # is never rejected
+    assert budget.reserve(more, UNBUDGETED_BODY_BYTES + 101) is None and budget.reserved_bytes == 90
+    budget.release(more)
+    assert budget.reserved_bytes == 0
 
 
-def test_the_budget_of_long_bodies_is_a_sixteenth_of_the_memory_and_holds_two() -> None:
+def test_large_body_budget_is_a_sixteenth_of_the_memory_and_holds_two_bodies() -> None:
     assert large_body_budget_bytes(192) == 12 * 1024 * 1024
     assert large_body_budget_bytes(1) == MIN_LARGE_BODY_BUDGET_BYTES
--- a/tests/core/test_shutdown_deadlines.py
+++ b/tests/core/test_shutdown_deadlines.py
@@ -1,4 +1,4 @@
-"""The end of a node, in numbers: nothing is open when SIGKILL may come."""
+"""Deadlines of a graceful shutdown: all is answered before SIGKILL may come."""
 
 from __future__ import annotations
 
@@ -9,28 +9,29 @@
 from balancer.core.shutdown_deadlines import ShutdownDeadlines, deadlines_after_signal
 from tests.helpers import BASE, SAFE
 
-COME_MS = 400.0  # after SIGTERM, the terms' last new connection
+LAST_CONNECTION_MS = 400.0  # after SIGTERM, by the platform's protocol
 
 
-@pytest.mark.parametrize("longest", [60.0, 100.0, 300.0, 1_000.0, 3_000.0, 4_000.0])
-def test_all_is_answered_well_before_sigkill(longest: float) -> None:
-    short = replace(SAFE, deadline_ms=longest / 2, latency_objective_ms=longest / 4)
-    settings = replace(BASE, classes=(short, replace(SAFE, name="long", deadline_ms=longest)))
-    kill = 1_000.0 + min(longest, 3_000.0) + 700.0
-    told = deadlines_after_signal(settings, 1_000.0)
-    assert 1_000.0 + COME_MS < told.accept_until_ms < 1_000.0 + 700.0
-    assert told.accept_until_ms < told.respond_until_ms <= kill - 150.0
-    # One that is taken while connections are accepted has its whole time, unless that is over 3 s.
-    assert told.accept_until_ms + min(longest, 3_000.0) <= told.respond_until_ms
+@pytest.mark.parametrize("longest_ms", [60.0, 100.0, 300.0, 1_000.0, 3_000.0, 4_000.0])
+def test_deadlines_any_request_deadline_end_well_before_sigkill(longest_ms: float) -> None:
+    short = replace(SAFE, deadline_ms=longest_ms / 2, latency_objective_ms=longest_ms / 4)
+    settings = replace(BASE, classes=(short, replace(SAFE, name="long", deadline_ms=longest_ms)))
+    sigkill_ms = 1_000.0 + min(longest_ms, 3_000.0) + 700.0
+    deadlines = deadlines_after_signal(settings, 1_000.0)
+    assert 1_000.0 + LAST_CONNECTION_MS < deadlines.accept_until_ms < 1_000.0 + 700.0
+    assert deadlines.accept_until_ms < deadlines.respond_until_ms <= sigkill_ms - 150.0
+    # A request on the last accepted connection has its whole deadline, up to 3 s.
+    assert deadlines.accept_until_ms + min(longest_ms, 3_000.0) <= deadlines.respond_until_ms
 
 
-@pytest.mark.parametrize("age", [0.0, 200.0, 1_500.0, 20_000.0])
-def test_a_signal_that_met_a_process_that_stood_still_is_as_old_as_that(age: float) -> None:
+@pytest.mark.parametrize("age_ms", [0.0, 200.0, 1_500.0, 20_000.0])
+def test_deadlines_signal_seen_after_a_stall_count_from_its_arrival(age_ms: float) -> None:
     settings = replace(BASE, classes=(replace(SAFE, deadline_ms=3_000.0),))
-    told = deadlines_after_signal(settings, 50_000.0, age)
-    assert told.respond_until_ms == max(53_500.0 - age, 50_120.0)  # what lies in the sockets is read first
-    assert 50_000.0 < told.accept_until_ms <= 50_500.0 and told.accept_until_ms < told.respond_until_ms
+    deadlines = deadlines_after_signal(settings, 50_000.0, age_ms)
+    assert deadlines.respond_until_ms == max(53_500.0 - age_ms, 50_120.0)  # the sockets are read first
+    assert 50_000.0 < deadlines.accept_until_ms <= 50_500.0
+    assert deadlines.accept_until_ms < deadlines.respond_until_ms
 
 
-def test_without_a_class_there_is_an_end() -> None:
+def test_deadlines_without_a_class_are_the_longest() -> None:
     assert deadlines_after_signal(replace(BASE, classes=()), 0.0) == ShutdownDeadlines(500.0, 3_500.0)
--- a/tests/core/test_staggering.py
+++ b/tests/core/test_staggering.py
@@ -1,4 +1,4 @@
-"""Turns: evenly laid whatever the number of nodes, a refusal honoured, retries out of step."""
+"""Staggered schedules: even for any number of nodes, also of retries, and never before `Retry-After`."""
 
 from __future__ import annotations
 
@@ -12,55 +12,63 @@
 from balancer.core.staggering import MAX_PERIOD_MS, StaggeredSchedule
 
 
-def most(moments: list[float], within_ms: float) -> int:
-    ordered = sorted(moments)
+def peak(calls_ms: list[float], within_ms: float) -> int:
+    """The most calls in any interval of this length."""
+    ordered = sorted(calls_ms)
     return max(bisect_left(ordered, at + within_ms) - n for n, at in enumerate(ordered))
 
 
-@pytest.mark.parametrize("nodes", [2, 7, 20, 50, 333, 1_000, 5_000])
-def test_first_calls_are_laid_evenly(nodes: int) -> None:
-    fleet = [StaggeredSchedule(me, nodes, 50.0) for me in range(nodes)]
-    part = fleet[0].period_ms / 20
-    assert (
-        most([one.first_delay_ms() for one in fleet], part) <= 1.6 * nodes / 20 + 2
-    )  # chance: 3x at 20 a part
-
-
-def test_retries_are_laid_as_evenly_and_never_before_the_advice() -> None:
-    fleet = [StaggeredSchedule(me, 1_000, 50.0) for me in range(1_000)]
-    calls = [one.first_delay_ms() for one in fleet]
-    for advice in (0.0, 40_000.0):
-        waits = [one.retry_delay_ms(False, advice) for one in fleet]
-        assert min(waits) >= max(advice, 0.999 * fleet[0].period_ms)  # one call a node in a stretch
-        calls = [at + wait for at, wait in zip(calls, waits, strict=True)]
-        assert most(calls, 1_000.0) <= 1.6 * 40 + 2
-
-
-def test_a_refusal_doubles_the_stretch_and_one_that_is_away_does_not() -> None:
-    one = StaggeredSchedule(3, 1_000, 50.0)
-    first = one.period_ms
-    one.retry_delay_ms(False)
-    assert one.period_ms == first
-    one.retry_delay_ms(True)
-    assert one.period_ms == 2 * first
-    one.reset()
-    assert one.period_ms == first
+@pytest.mark.parametrize("node_count", [2, 7, 20, 50, 333, 1_000, 5_000])
+def test_schedule_first_calls_are_spread_evenly(node_count: int) -> None:
+    fleet = [StaggeredSchedule(node_index, node_count, 50.0) for node_index in range(node_count)]
+    interval_ms = fleet[0].period_ms / 20
+    calls_ms = [schedule.first_delay_ms() for schedule in fleet]
+    assert peak(calls_ms, interval_ms) <= 1.6 * node_count / 20 + 2  # random delays: 3 times the mean at 20
+
+
+def test_schedule_retries_are_spread_evenly_and_never_before_retry_after() -> None:
+    fleet = [StaggeredSchedule(node_index, 1_000, 50.0) for node_index in range(1_000)]
+    calls = [schedule.first_delay_ms() for schedule in fleet]
+    for retry_after_ms in (0.0, 40_000.0):
+        delays = [schedule.retry_delay_ms(False, retry_after_ms) for schedule in fleet]
+        assert min(delays) >= max(retry_after_ms, 0.999 * fleet[0].period_ms)  # one call a node in a period
+        calls = [at + delay for at, delay in zip(calls, delays, strict=True)]
+        assert peak(calls, 1_000.0) <= 1.6 * 40 + 2
+
+
+def test_schedule_rejection_doubles_the_period_and_unreachable_server_does_not() -> None:
+    schedule = StaggeredSchedule(3, 1_000, 50.0)
+    base_ms = schedule.period_ms
+    schedule.retry_delay_ms(False)
+    assert schedule.period_ms == base_ms
+    schedule.retry_delay_ms(True)
+    assert schedule.period_ms == 2 * base_ms
+    schedule.reset()
+    assert schedule.period_ms == base_ms
     for _ in range(100):
-        one.retry_delay_ms(True)
-    assert one.period_ms == MAX_PERIOD_MS
+        schedule.retry_delay_ms(True)
+    assert schedule.period_ms == MAX_PERIOD_MS
 
 
-REFUSED = st.lists(st.booleans(), max_size=9)
+REJECTIONS = st.lists(st.booleans(), max_size=9)
 
 
-@given(st.integers(0, 10**9), st.integers(1, 10**6), st.floats(0.001, 1e6), REFUSED)
-def test_a_wait_is_finite_and_bounded(me: int, nodes: int, bears: float, refused: list[bool]) -> None:
-    one = StaggeredSchedule(me, nodes, bears)
-    assert 0.0 <= one.first_delay_ms() < MAX_PERIOD_MS
-    assert all(0.0 < one.retry_delay_ms(no) <= 2 * MAX_PERIOD_MS for no in refused)
+@given(st.integers(0, 10**9), st.integers(1, 10**6), st.floats(0.001, 1e6), REJECTIONS)
+def test_schedule_any_delay_is_finite_and_bounded(
+    node_index: int, node_count: int, capacity_per_s: float, rejections: list[bool]
+) -> None:
+    schedule = StaggeredSchedule(node_index, node_count, capacity_per_s)
+    assert 0.0 <= schedule.first_delay_ms() < MAX_PERIOD_MS
+    assert all(
+        0.0 < schedule.retry_delay_ms(was_rejected) <= 2 * MAX_PERIOD_MS for was_rejected in rejections
+    )
 
 
-@pytest.mark.parametrize(("nodes", "bears"), [(0, 50.0), (5, 0.0), (5, -1.0), (5, math.inf), (5, math.nan)])
-def test_what_makes_no_sense_is_named(nodes: int, bears: float) -> None:
+@pytest.mark.parametrize(
+    ("node_count", "capacity_per_s"), [(0, 50.0), (5, 0.0), (5, -1.0), (5, math.inf), (5, math.nan)]
+)
+def test_schedule_without_nodes_or_capacity_raises_value_error(
+    node_count: int, capacity_per_s: float
+) -> None:
     with pytest.raises(ValueError, match="both have to be over 0"):
-        StaggeredSchedule(0, nodes, bears)
+        StaggeredSchedule(0, node_count, capacity_per_s)
