--- a/balancer/core/persistence/restoration.py
+++ b/balancer/core/persistence/restoration.py
@@ -71,7 +71,7 @@
     the tables, also those that are too old to be used.
     """
 
-    memory: RestoreOutcome
+    outcome: RestoreOutcome
     identity: NodeIdentity | None = None
     is_foreign: bool = False
     clock_behind_ms: float = 0.0
@@ -121,10 +121,10 @@
                 "nothing of what was kept can be believed: this start has lost its memory"
             )
         return restored
-    restored.memory = RestoreOutcome.OUTDATED if is_outdated else RestoreOutcome.RESTORED
+    restored.outcome = RestoreOutcome.OUTDATED if is_outdated else RestoreOutcome.RESTORED
     identity = _read_identity(tables.get("self", {}), restored)
     if identity is None:
-        restored.memory = RestoreOutcome.LOST
+        restored.outcome = RestoreOutcome.LOST
         return restored
     if identity.name != node_name:
         owner = f"that of node {identity.name!r:.80}, not of {node_name!r:.80}"
--- a/balancer/net/persistence.py
+++ b/balancer/net/persistence.py
@@ -384,11 +384,11 @@
         if (recovery_component := self.running.recovery) is not None:
             previous_run, fault = None, ""
             if restored.identity is not None:
-                older = restored.memory is RestoreOutcome.OUTDATED
+                older = restored.outcome is RestoreOutcome.OUTDATED
                 previous_run = recovery.PersistedIncarnation(
                     restored.identity.incarnation, float(opened.committed_at_ms), older
                 )
-            elif restored.memory is RestoreOutcome.LOST:
+            elif restored.outcome is RestoreOutcome.LOST:
                 fault = "; ".join(str(one) for one in opened.faults) or restored.messages[-1]
             recovery_component.begin(previous_run, fault, incarnation, float(_wall_clock_ms()))
         for source_name, position in restored.sources.items():
--- a/balancer/store/inspect.py
+++ b/balancer/store/inspect.py
@@ -250,7 +250,7 @@
         "incarnation": identity.incarnation,
         "first_ms": identity.first_started_at_ms,
     }
-    return {"memory": persisted.memory, "node": node, "faults": persisted.messages}
+    return {"memory": persisted.outcome, "node": node, "faults": persisted.messages}
 
 
 def _inspect_journal(copy_directory: str, names: list[str], journal: str) -> tuple[dict[str, Any], list[str]]:
--- a/tests/compatibility/stored_data.py
+++ b/tests/compatibility/stored_data.py
@@ -108,7 +108,7 @@
 def canonical_recalled(found: RestoredState) -> dict[str, Any]:
     """What a start would believe, with names of its own."""
     return {
-        "memory": found.memory,
+        "memory": found.outcome,
         "self": _plain(found.identity),
         "foreign": found.is_foreign,
         "clock_behind_ms": found.clock_behind_ms,
--- a/tests/core/persistence/test_write_behind.py
+++ b/tests/core/persistence/test_write_behind.py
@@ -280,12 +280,12 @@
 
 
 def test_the_kinds_of_memory() -> None:
-    assert restore({}, 0, False, 0, "n0", NOW, 1).memory == "none"
-    assert restore({}, 0, True, 0, "n0", NOW, 1).memory == "lost"
-    assert recalled({}).memory == "kept" and recalled({}, is_outdated=True).memory == "older"
-    assert restore(packed({("view", "a"): server()}), 1, False, NOW, "n0", NOW, DAY_MS).memory == "lost"
+    assert restore({}, 0, False, 0, "n0", NOW, 1).outcome == "none"
+    assert restore({}, 0, True, 0, "n0", NOW, 1).outcome == "lost"
+    assert recalled({}).outcome == "kept" and recalled({}, is_outdated=True).outcome == "older"
+    assert restore(packed({("view", "a"): server()}), 1, False, NOW, "n0", NOW, DAY_MS).outcome == "lost"
     other = recalled({("view", "a"): server()}, node_name="n1")
-    assert other.is_foreign and other.memory == "lost" and not other.endpoints and "'n0'" in other.messages[0]
+    assert other.is_foreign and other.outcome == "lost" and not other.endpoints and "'n0'" in other.messages[0]
 
 
 def test_an_end_is_the_later_word_by_its_order() -> None:
