--- a/balancer/net/components.py
+++ b/balancer/net/components.py
@@ -39,7 +39,7 @@
 
 
 def _state() -> ComponentFactory:
-    from balancer.net.persistence import PersistenceComponent
+    from balancer.net.persistence.component import PersistenceComponent
 
     return PersistenceComponent
 
--- a/benchmarks/list_processing_stalls.py
+++ b/benchmarks/list_processing_stalls.py
@@ -18,7 +18,6 @@
 from typing import Any
 
 from balancer.core.discovery.endpoint_merger import EndpointMerger, EndpointsListed, Source
-from balancer.net import persistence as state
 from balancer.net.admin_socket import AdminSocket
 from balancer.net.backend_pool import BackendPool
 from balancer.net.component import RunningNode
@@ -26,7 +25,8 @@
 from balancer.net.discovery import platform
 from balancer.net.discovery.platform import DiscoveryCall, PlatformSource
 from balancer.net.endpoint_view import EndpointView
-from balancer.net.persistence import PersistenceComponent
+from balancer.net.persistence import session, view_scanner
+from balancer.net.persistence.component import PersistenceComponent
 from balancer.net.recovery import RecoveryComponent
 from balancer.net.request_dispatcher import RequestDispatcher
 from balancer.operator_settings import OperatorSettings, StateSettings
@@ -41,7 +41,8 @@
     "merge": (EndpointMerger, ("handle",)),
     "pool": (BackendPool, ("update",)),
     "module": (Balancer, ("handle",)),
-    "keeping": (state.PersistenceSession, ("_heard", "_work", "_sync", "_begin", "_tell")),
+    "keeping": (view_scanner.ViewScanner, ("on_merge", "scan", "queue_differences")),
+    "writing": (session.PersistenceSession, ("_restore_lists", "_handle")),
     "learned": (Balancer, ("learned",)),
 }
 
@@ -176,7 +177,9 @@
             if self.state is None:
                 return
             if memory and not (
-                memory._changed_ids or memory.write_behind.state.dirty or memory.write_behind.state.in_flight
+                memory.scanner.changed_ids
+                or memory.write_behind.state.dirty
+                or memory.write_behind.state.in_flight
             ):
                 return
 
--- a/tests/core/persistence/test_write_behind.py
+++ b/tests/core/persistence/test_write_behind.py
@@ -285,7 +285,9 @@
     assert recalled({}).outcome == "kept" and recalled({}, is_outdated=True).outcome == "older"
     assert restore(packed({("view", "a"): server()}), 1, False, NOW, "n0", NOW, DAY_MS).outcome == "lost"
     other = recalled({("view", "a"): server()}, node_name="n1")
-    assert other.is_foreign and other.outcome == "lost" and not other.endpoints and "'n0'" in other.messages[0]
+    assert (
+        other.is_foreign and other.outcome == "lost" and not other.endpoints and "'n0'" in other.messages[0]
+    )
 
 
 def test_an_end_is_the_later_word_by_its_order() -> None:
--- a/tests/net/test_persistence.py
+++ b/tests/net/test_persistence.py
@@ -26,17 +26,16 @@
     SourcesConfigured,
     SourceState,
 )
-from balancer.core.persistence import persisted_state as kept
-from balancer.core.persistence import write_behind as k
+from balancer.core.persistence import persisted_state, write_behind
 from balancer.endpoints import EndpointList, EndpointRecord
 from balancer.net import clock
-from balancer.net import persistence as state
 from balancer.net import request_dispatcher as node_module
 from balancer.net.admin_socket import AdminSocket
 from balancer.net.component import RunningNode
 from balancer.net.config import load
 from balancer.net.endpoint_view import EndpointView
-from balancer.net.persistence import PersistenceComponent
+from balancer.net.persistence import component, session, view_scanner
+from balancer.net.persistence.component import PersistenceComponent
 from balancer.net.recovery import RecoveryComponent
 from balancer.net.request_dispatcher import RequestClient, RequestDispatcher
 from balancer.operator_settings import OperatorSettings, StateSettings
@@ -94,7 +93,7 @@
         return self.fleet.merger.view
 
     @property
-    def memory(self) -> state.PersistenceSession:
+    def memory(self) -> session.PersistenceSession:
         assert self.part.session is not None
         return self.part.session
 
@@ -107,7 +106,12 @@
         keeping = self.memory.write_behind.state
         await until(
             lambda: (
-                not (self.memory._changed_ids or keeping.dirty or keeping.urgent_dirty or keeping.in_flight)
+                not (
+                    self.memory.scanner.changed_ids
+                    or keeping.dirty
+                    or keeping.urgent_dirty
+                    or keeping.in_flight
+                )
             )
         )
 
@@ -128,17 +132,17 @@
             files.close()
 
 
-def changes(memory: state.PersistenceSession) -> list[k.EndpointsChanged]:
+def changes(memory: session.PersistenceSession) -> list[write_behind.EndpointsChanged]:
     """All that its decider is told of the view from now on."""
-    out: list[k.EndpointsChanged] = []
-    tell = memory._handle
+    out: list[write_behind.EndpointsChanged] = []
+    tell = memory.scanner.handle
 
-    def noted(event: k.Event) -> None:
-        if isinstance(event, k.EndpointsChanged):
+    def noted(event: write_behind.Event) -> None:
+        if isinstance(event, write_behind.EndpointsChanged):
             out.append(event)
         tell(event)
 
-    memory._handle = noted  # type: ignore[method-assign]
+    memory.scanner.handle = noted
     return out
 
 
@@ -407,15 +411,15 @@
 
 def test_a_disk_that_says_nothing_holds_up_nobody(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """Opening takes its time; what changes meanwhile is kept, and goes before what was kept."""
-    disk, go, load_it = SimulatedDisk(), threading.Event(), state.PersistenceSession._read_store
+    disk, go, load_it = SimulatedDisk(), threading.Event(), session.PersistenceSession._read_store
 
-    def slow(memory: state.PersistenceSession) -> Any:
+    def slow(memory: session.PersistenceSession) -> Any:
         go.wait(LIMIT_S)
         return load_it(memory)
 
     async def test() -> None:
         await life(tmp_path, disk, listed(5, "s1", "s2"))
-        monkeypatch.setattr(state.PersistenceSession, "_read_store", slow)
+        monkeypatch.setattr(session.PersistenceSession, "_read_store", slow)
         async with rig(tmp_path, disk) as one:
             one.part.apply(ON)
             moved = EndpointList(3, True, (member("s1"), member("s3")))
@@ -452,7 +456,7 @@
 
     def last() -> tuple[int, set[str]]:
         """What a start would find if the process were killed now: the number of a life, the servers."""
-        me = msgspec.msgpack.decode(rows(disk, "self")["node"], type=kept.NodeIdentity)
+        me = msgspec.msgpack.decode(rows(disk, "self")["node"], type=persisted_state.NodeIdentity)
         return me.incarnation, set(rows(disk, "view"))
 
     async def test() -> None:
@@ -483,7 +487,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     disk = SimulatedDisk()
-    monkeypatch.setattr(state, "STORE_STATE_POLL_INTERVAL_S", 0.02)
+    monkeypatch.setattr(session, "STORE_STATE_POLL_INTERVAL_S", 0.02)
     caplog.set_level(logging.WARNING)
 
     def full(number: int, name: str) -> None:
@@ -535,7 +539,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     disk = SimulatedDisk()
-    monkeypatch.setattr(state, "OPEN_RETRY_INTERVAL_S", 0.05)
+    monkeypatch.setattr(component, "OPEN_RETRY_INTERVAL_S", 0.05)
     monkeypatch.setattr("balancer.store.store.LOCK_WAIT_TIMEOUT_S", 0.01)
 
     async def test() -> None:
@@ -599,10 +603,10 @@
             await one.kept()
             assert sum(len(event.endpoints) for event in told) == len(names) - 1
             assert all(event.revision < 6 for event in told[:-1]), "a crash here would lose the rest"
-            assert all(len(event.endpoints) <= state.ENDPOINTS_PER_TURN for event in told)
+            assert all(len(event.endpoints) <= view_scanner.ENDPOINTS_PER_TURN for event in told)
             await asyncio.sleep(0.2)
             one.fleet.handle(SourceConfirmedCurrent("platform"))
-            assert one.memory._complete_positions["platform"] == ("here", 6), "and from then on it is seen"
+            assert one.memory.scanner.positions["platform"] == ("here", 6), "and from then on it is seen"
 
     async def both() -> None:
         await test()
@@ -622,7 +626,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards a node that is killed right after it against an older list in which that server is up."""
-    monkeypatch.setattr(state, "MAX_ENDPOINTS_CHECKED_EACH_CHANGE", 0)
+    monkeypatch.setattr(view_scanner, "MAX_ENDPOINTS_CHECKED_EACH_CHANGE", 0)
     disk, names = SimulatedDisk(), [f"s{n}" for n in range(200)]
 
     async def test() -> None:
@@ -648,7 +652,7 @@
     async def test() -> None:
         listing = EndpointList(5, True, (member("s1"), odd))
         await life(tmp_path, disk, EndpointsListed("platform", "here", listing))
-        found = msgspec.msgpack.decode(rows(disk, "sources")["platform"], type=kept.SourcePosition)
+        found = msgspec.msgpack.decode(rows(disk, "sources")["platform"], type=persisted_state.SourcePosition)
         assert (found.identity, found.revision) == ("", -1) and set(rows(disk, "view")) == {"s1"}
 
     run(test)
@@ -717,17 +721,17 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, answers: str
 ) -> None:
     """The configuration may name whom the node saw the end of. A disk that hangs holds it up shortly."""
-    disk, go, load_it = SimulatedDisk(), threading.Event(), state.PersistenceSession._read_store
+    disk, go, load_it = SimulatedDisk(), threading.Event(), session.PersistenceSession._read_store
     decided: list[set[str]] = []  # whom the node knew
 
-    def slow(memory: state.PersistenceSession) -> Any:
+    def slow(memory: session.PersistenceSession) -> Any:
         go.wait(LIMIT_S)
         return load_it(memory)
 
     async def test() -> None:
         await life(tmp_path, disk, listed(50, "s1", "s2"), listed(51, complete=False, removed_ids=("s2",)))
-        monkeypatch.setattr(state.PersistenceSession, "_read_store", slow)
-        monkeypatch.setattr(state, "MAX_REQUEST_HOLD_S", 0.2 if answers == "nobody" else LIMIT_S)
+        monkeypatch.setattr(session.PersistenceSession, "_read_store", slow)
+        monkeypatch.setattr(component, "MAX_REQUEST_HOLD_S", 0.2 if answers == "nobody" else LIMIT_S)
         async with rig(tmp_path, disk, known="s1 s2") as one:  # of revision 41
             saw = one.recovery.on_decision
 
@@ -759,9 +763,9 @@
 def test_a_request_whose_time_is_up_while_it_waits_is_answered_once(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    go, ends, load_it = threading.Event(), list[str](), state.PersistenceSession._read_store
+    go, ends, load_it = threading.Event(), list[str](), session.PersistenceSession._read_store
 
-    def slow(memory: state.PersistenceSession) -> Any:
+    def slow(memory: session.PersistenceSession) -> Any:
         go.wait(LIMIT_S)
         return load_it(memory)
 
@@ -773,8 +777,8 @@
             ends.append("refused")
 
     async def test() -> None:
-        monkeypatch.setattr(state.PersistenceSession, "_read_store", slow)
-        monkeypatch.setattr(state, "MAX_REQUEST_HOLD_S", LIMIT_S)
+        monkeypatch.setattr(session.PersistenceSession, "_read_store", slow)
+        monkeypatch.setattr(component, "MAX_REQUEST_HOLD_S", LIMIT_S)
         async with rig(tmp_path, SimulatedDisk(), known="s1 s2") as one:
             one.part.apply(ON)
             arrival = api.RequestArrived("r", "read", one.node.now() + 150)
