--- a/balancer/core/persistence/restoration.py
+++ b/balancer/core/persistence/restoration.py
@@ -32,7 +32,6 @@
 """Invalid rows with a message of their own; the others are counted."""
 MAX_RESTORED_EJECTION_MS = 600_000
 """The longest that a restored ejection goes on, whatever the wall clock did."""
-DAY_MS = 86_400_000
 
 _ROW_TYPES: dict[TableName, type[PersistedRow]] = {
     "ends": Withdrawal,
--- /dev/null
+++ b/tests/core/persistence/stored_rows.py
@@ -0,0 +1,28 @@
+"""Rows and their encoding, for the tests of persistence."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import msgspec
+
+from balancer.core.persistence.persisted_state import NodeIdentity, PersistedEndpoint, PersistedRow
+
+IDENTITY = NodeIdentity("id-1", "n0", 3, 0)
+NOW_MS = 1_000_000_000_000
+"""Wall clock."""
+DAY_MS = 86_400_000
+Tables = dict[str, dict[str, bytes]]
+
+
+def endpoint_row(**fields: Any) -> PersistedEndpoint:
+    """An endpoint of the source `platform`, confirmed now."""
+    return PersistedEndpoint("127.0.0.1", 80, sources=("platform",), confirmed_at_ms=NOW_MS, **fields)
+
+
+def encoded_tables(rows: dict[tuple[str, str], PersistedRow]) -> Tables:
+    """The rows as a store returns them."""
+    tables: Tables = {}
+    for (table, key), row in rows.items():
+        tables.setdefault(table, {})[key] = msgspec.msgpack.encode(row)
+    return tables
--- a/tests/net/test_persistence.py
+++ b/tests/net/test_persistence.py
@@ -1,4 +1,4 @@
-"""The memory of a running node: handed on, written, and what a bad disk costs it (nothing but the memory)."""
+"""Persistence of a running node: restored, written, and with disks that fail (the node serves on)."""
 
 from __future__ import annotations
 
@@ -44,11 +44,11 @@
 from tests.sockets import configuration
 
 ON = OperatorSettings(state=StateSettings(directory=Path("/d"), every=1))
-LIMIT_S = 40.0  # for what hangs, not for what is slow
+TEST_TIMEOUT_S = 40.0  # for what hangs, not for what is slow
 
 
 def run(test: Callable[[], Coroutine[Any, Any, None]]) -> None:
-    asyncio.run(asyncio.wait_for(test(), LIMIT_S))
+    asyncio.run(asyncio.wait_for(test(), TEST_TIMEOUT_S))
 
 
 async def until(met: Callable[[], object]) -> None:
@@ -56,19 +56,19 @@
         await asyncio.sleep(0.005)
 
 
-def member(name: str, phase: api.Phase = api.Phase.UP) -> EndpointRecord:
-    """One at an address of its own, with a start time of today's."""
+def endpoint_record(name: str, phase: api.Phase = api.Phase.UP) -> EndpointRecord:
+    """An endpoint at an address of its own, with a recent start time."""
     host = f"127.0.{sum(name.encode()) % 250}.{len(name)}"
     return EndpointRecord(api.Endpoint(name, "a", 0, 1.0, phase, 1.8e12), (host, 1000 + int(name[1:] or 0)))
 
 
 def listed(revision: int, *names: str, complete: bool = True, **more: Any) -> EndpointsListed:
-    found = tuple(member(name) for name in names)
+    found = tuple(endpoint_record(name) for name in names)
     return EndpointsListed("platform", "here", EndpointList(revision, complete, found, **more))
 
 
 class Rig:
-    """A node with the two parts, on simulated disks in the order in which it opens them."""
+    """A node with recovery and persistence, on simulated disks in the order in which it opens them."""
 
     def __init__(self, path: Path, disks: list[SimulatedDisk], name: str = "n0", known: str = "") -> None:
         file = path / "config.json"
@@ -77,7 +77,7 @@
         self.node = RequestDispatcher(load({"PROXY_CONFIG": str(file)}))
         self.fleet = EndpointView(self.node, [Source("platform")])
         names = known.split()
-        empty = EndpointList(41 if names else 0, True, tuple(map(member, names)))
+        empty = EndpointList(41 if names else 0, True, tuple(map(endpoint_record, names)))
         self.fleet.handle(EndpointsListed("platform", "here", empty, is_cached=True))
         self.files = [SimulatedFileSystem(disk) for disk in disks]
         left = iter(self.files)
@@ -93,7 +93,7 @@
         return self.fleet.merger.view
 
     @property
-    def memory(self) -> session.PersistenceSession:
+    def session(self) -> session.PersistenceSession:
         assert self.part.session is not None
         return self.part.session
 
@@ -101,13 +101,13 @@
         self.part.apply(on)
         await until(lambda: self.part.session)
 
-    async def kept(self) -> None:
-        """All that was told is durable."""
-        keeping = self.memory.write_behind.state
+    async def until_durable(self) -> None:
+        """Wait until all changes are durable."""
+        keeping = self.session.write_behind.state
         await until(
             lambda: (
                 not (
-                    self.memory.scanner.changed_ids
+                    self.session.scanner.changed_ids
                     or keeping.dirty
                     or keeping.urgent_dirty
                     or keeping.in_flight
@@ -133,21 +133,21 @@
 
 
 def changes(memory: session.PersistenceSession) -> list[write_behind.EndpointsChanged]:
-    """All that its decider is told of the view from now on."""
+    """The changes of the view that its scanner sends from now on."""
     out: list[write_behind.EndpointsChanged] = []
-    tell = memory.scanner.handle
+    handle = memory.scanner.handle
 
-    def noted(event: write_behind.Event) -> None:
+    def record(event: write_behind.Event) -> None:
         if isinstance(event, write_behind.EndpointsChanged):
             out.append(event)
-        tell(event)
+        handle(event)
 
-    memory.scanner.handle = noted
+    memory.scanner.handle = record
     return out
 
 
 def rows(disk: SimulatedDisk, table: str, directory: str = "/d") -> dict[str, bytes]:
-    """What is durable in a directory that nobody holds."""
+    """The durable rows of a table in a directory that is not open."""
     files = SimulatedFileSystem(disk.copy())
     engine = Engine(files, directory, lambda: 0)
     engine.open()
@@ -157,16 +157,18 @@
     return found
 
 
-async def life(path: Path, disk: SimulatedDisk, *events: EndpointsListed, on: OperatorSettings = ON) -> None:
-    """One life of the node that ends in order."""
+async def run_node(
+    path: Path, disk: SimulatedDisk, *events: EndpointsListed, on: OperatorSettings = ON
+) -> None:
+    """One run of the node with a graceful shutdown."""
     async with rig(path, disk) as one:
         await one.opened(on)
         for event in events:
             one.fleet.handle(event)
-        await one.kept()
+        await one.until_durable()
 
 
-def test_what_was_kept_is_handed_on_and_no_older_view_comes_back(tmp_path: Path) -> None:
+def test_persistence_after_restart_restores_state_and_rejects_older_lists(tmp_path: Path) -> None:
     disk = SimulatedDisk()
 
     async def test() -> None:
@@ -180,7 +182,7 @@
                 )
             one.fleet.handle(listed(5, "s1", "s2", "s3"))
             one.fleet.handle(listed(6, complete=False, removed_ids=("s2",)))
-            await one.kept()
+            await one.until_durable()
             assert one.recovery.report()["memory"] == "none"
         async with rig(tmp_path, disk) as one:
             await one.opened()
@@ -191,7 +193,7 @@
             assert set(one.view) == {"s1", "s3"}
             assert (
                 one.view["s1"].endpoint.cached_age_ms is not None
-                and one.view["s1"].address == member("s1").address
+                and one.view["s1"].address == endpoint_record("s1").address
             )
             assert 60 < one.node.balancer.concurrency_limit <= 77.0, (
                 "what was learned fades, from what it was"
@@ -213,56 +215,56 @@
 
 
 @pytest.mark.parametrize("news", [None, listed(6, "s1", "s2"), SourceConfirmedCurrent("platform")])
-def test_a_kept_list_in_slices_is_not_taken_for_one_whose_servers_are_gone(
+def test_persistence_with_list_restored_in_slices_removes_no_endpoint(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, news: EndpointsListed | SourceConfirmedCurrent | None
 ) -> None:
-    """Whatever comes before the last slice; what was learned is for all of it."""
+    """Whichever event comes before the last slice; learned state applies to the complete list."""
     disk, names = SimulatedDisk(), [f"s{n}" for n in range(1, 10)]
     left = names[:2] if isinstance(news, EndpointsListed) else names
 
     async def test() -> None:
-        await life(tmp_path, disk, listed(5, *names))
+        await run_node(tmp_path, disk, listed(5, *names))
         monkeypatch.setattr(membership, "LARGE_SNAPSHOT_ENTRIES", 4)
         monkeypatch.setattr(membership, "CHANGE_SLICE_ENTRIES", 1)
         monkeypatch.setattr(node_module, "LARGE_LIST_ENDPOINTS", 4)
         async with rig(tmp_path, disk) as one:
             source, seen = one.fleet.merger.sources["platform"], list[int]()
 
-            def heard(event: membership.Event, actions: list[membership.Action]) -> None:
+            def on_merge(event: membership.Event, actions: list[membership.Action]) -> None:
                 seen.append(len(source.pending_records))
                 if len(seen) == 4 and news is not None:
                     asyncio.get_running_loop().call_soon(one.fleet.handle, news)
 
-            one.fleet.listeners.append(heard)
+            one.fleet.listeners.append(on_merge)
             await one.opened()
             assert seen[:4] == [9, 8, 7, 6] and not source.pending_records
             await until(lambda: set(one.node.balancer.order) == set(left))
             assert {held.endpoint.cached_age_ms is None for held in one.view.values()} == {news is not None}
-            await one.kept()
+            await one.until_durable()
         assert set(rows(disk, "view")) == set(left) and set(rows(disk, "ends")) == set(names) - set(left)
 
     run(test)
 
 
-def test_what_it_has_to_go_by_is_kept_also_from_before_the_directory_was_had(tmp_path: Path) -> None:
-    """By a refutation, or by what others held of it: the next life goes on above that."""
+def test_persistence_on_raised_incarnation_writes_it_also_when_opened_later(tmp_path: Path) -> None:
+    """By a refutation, or by what peers had seen: the next run has a greater incarnation."""
     disk = SimulatedDisk()
 
     async def test() -> None:
         async with rig(tmp_path, disk) as one:
             await one.opened()
             one.recovery.handle(recovery.IncarnationRaised(5))
-            await one.kept()
+            await one.until_durable()
         async with rig(tmp_path, disk) as one:
             await one.opened()
             assert one.recovery.report()["incarnation"] == 6
             one.recovery.handle(recovery.PeersReportedIncarnation(8))
-            await one.kept()
+            await one.until_durable()
         async with rig(tmp_path, disk) as one:
             one.recovery.begin(None, "it cannot be had")
             one.recovery.handle(recovery.IncarnationRaised(30))
             await one.opened()
-            await one.kept()
+            await one.until_durable()
         async with rig(tmp_path, disk) as one:
             await one.opened()
             assert one.recovery.report()["incarnation"] == 31
@@ -270,19 +272,19 @@
     run(test)
 
 
-def test_a_drain_is_kept_with_the_source_that_told_it(tmp_path: Path) -> None:
+def test_persistence_after_drain_restores_it_until_its_source_lists_the_endpoint(tmp_path: Path) -> None:
     disk = SimulatedDisk()
-    drains = EndpointList(6, False, (member("s2", api.Phase.DRAINING),))
+    drains = EndpointList(6, False, (endpoint_record("s2", api.Phase.DRAINING),))
 
     async def test() -> None:
-        await life(tmp_path, disk, listed(5, "s1", "s2"), EndpointsListed("platform", "here", drains))
+        await run_node(tmp_path, disk, listed(5, "s1", "s2"), EndpointsListed("platform", "here", drains))
         async with rig(tmp_path, disk) as one:
             await one.opened()
             assert one.view["s2"].endpoint.phase is api.Phase.DRAINING
             assert one.view["s1"].endpoint.phase is api.Phase.UP
             one.fleet.handle(listed(8, "s1", "s2"))
             await until(lambda: one.view["s2"].endpoint.phase is api.Phase.UP)
-            await one.kept()
+            await one.until_durable()
         async with rig(tmp_path, disk) as one:
             await one.opened()
             assert one.view["s2"].endpoint.phase is api.Phase.UP
@@ -291,12 +293,12 @@
 
 
 @pytest.mark.parametrize("own", [True, False], ids=["and by its source", "by peers alone"])
-def test_a_drain_that_peers_told_first_is_believed_until_the_source_lists_the_server(
+def test_persistence_after_gossiped_drain_restores_it_until_the_source_lists_the_endpoint(
     own: bool, tmp_path: Path
 ) -> None:
-    """The source's word changes nothing in the view then, so the end stays theirs."""
+    """The source's own drain changes nothing in the view then, so the withdrawal stays that of the peers."""
     disk = SimulatedDisk()
-    drains = member("s2", api.Phase.DRAINING)
+    drains = endpoint_record("s2", api.Phase.DRAINING)
 
     async def test() -> None:
         async with rig(tmp_path, disk) as one:
@@ -307,7 +309,7 @@
                 one.fleet.handle(EndpointsListed("peers", "peers", listing))
             if own:
                 one.fleet.handle(EndpointsListed("platform", "here", EndpointList(6, False, (drains,))))
-            await one.kept()
+            await one.until_durable()
         async with rig(tmp_path, disk) as one:
             await one.opened()
             assert one.view["s2"].endpoint.phase is api.Phase.DRAINING
@@ -319,10 +321,10 @@
 
 @pytest.mark.parametrize("sources", [("platform",), ("platform", "etcd")], ids=["alone", "beside etcd"])
 @pytest.mark.parametrize("said", [False, True], ids=["discovery silent", "discovery spoke"])
-def test_an_end_outlives_a_view_that_a_wrong_clock_makes_too_old(
+def test_persistence_with_clock_a_day_ahead_still_applies_withdrawals(
     said: bool, sources: tuple[str, ...], tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It has no age, and a machine may start with any clock after a power cut. What is not ended goes on."""
+    """A withdrawal has no age, and a machine may start with any clock after a power cut; the others go on."""
     disk = SimulatedDisk()
 
     def by_etcd(listing: EndpointList) -> EndpointsListed | SourcesConfigured:
@@ -337,11 +339,11 @@
             await one.opened()
             one.fleet.handle(SourcesConfigured(tuple(map(Source, sources))))
             one.fleet.handle(listed(42, "s1", "s2", "s3", "s4"))
-            one.fleet.handle(by_etcd(EndpointList(3, True, (member("s2"), member("s4")))))
+            one.fleet.handle(by_etcd(EndpointList(3, True, (endpoint_record("s2"), endpoint_record("s4")))))
             one.fleet.handle(listed(43, complete=False, removed_ids=("s1",)))
             one.fleet.handle(by_etcd(EndpointList(4, False, (), ("s4",))))
             await until(lambda: "s1" not in one.view and len(one.view) == 4 - len(sources))
-            await one.kept()
+            await one.until_durable()
         left = {"s2", "s4"} if len(sources) == 1 else {"s2"}
         monkeypatch.setattr(clock, "_offset_ms", 86_400_000.0)
         async with rig(tmp_path, disk, known="s1 s2 s4") as one:  # as of revision 41
@@ -354,7 +356,7 @@
             if said:
                 one.fleet.handle(listed(43, "s2", "s3", "s4"))
                 await until(lambda: set(one.view) == left | {"s3"})
-            await one.kept()
+            await one.until_durable()
         monkeypatch.setattr(clock, "_offset_ms", 0.0)
         async with rig(tmp_path, disk, known="s1 s2 s4") as one:
             one.fleet.handle(SourcesConfigured(tuple(map(Source, sources))))
@@ -364,7 +366,7 @@
     run(test)
 
 
-def test_who_ended_before_the_store_was_read_is_not_in_an_aged_view_either(
+def test_persistence_with_expired_view_omits_endpoints_removed_before_the_store_was_read(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     disk = SimulatedDisk()
@@ -374,7 +376,7 @@
             one.fleet.handle(listed(42, complete=False, removed_ids=("s1",)))
             one.fleet.handle(listed(43, "s2"))
             await one.opened()
-            await one.kept()
+            await one.until_durable()
         monkeypatch.setattr(clock, "_offset_ms", 86_400_000.0)
         async with rig(tmp_path, disk, known="s1 s2") as one:
             await one.opened()
@@ -383,7 +385,7 @@
     run(test)
 
 
-def test_what_another_source_took_away_stays_away(tmp_path: Path) -> None:
+def test_persistence_after_removal_by_another_source_keeps_the_endpoint_removed(tmp_path: Path) -> None:
     """The platform lists it still: only the memory of the other source's removal keeps it off."""
     disk = SimulatedDisk()
     sources = (Source("platform"), Source("etcd"))
@@ -393,36 +395,43 @@
             await one.opened()
             one.fleet.handle(SourcesConfigured(sources))
             one.fleet.handle(listed(5, "s1", "s2"))
-            for listing in (EndpointList(3, True, (member("s2"),)), EndpointList(4, False, (), ("s2",))):
+            for listing in (
+                EndpointList(3, True, (endpoint_record("s2"),)),
+                EndpointList(4, False, (), ("s2",)),
+            ):
                 one.fleet.handle(EndpointsListed("etcd", "cluster", listing))
             await until(lambda: set(one.view) == {"s1"})
-            await one.kept()
+            await one.until_durable()
         async with rig(tmp_path, disk) as one:
             one.fleet.handle(SourcesConfigured((Source("platform"), Source("etcd"))))
             await one.opened()
             one.fleet.handle(listed(6, "s1", "s2"))
             await until(lambda: one.view["s1"].endpoint.cached_age_ms is None)
             assert set(one.view) == {"s1"}, "etcd has not listed it anew"
-            one.fleet.handle(EndpointsListed("etcd", "cluster", EndpointList(9, True, (member("s2"),))))
+            one.fleet.handle(
+                EndpointsListed("etcd", "cluster", EndpointList(9, True, (endpoint_record("s2"),)))
+            )
             await until(lambda: set(one.view) == {"s1", "s2"})
 
     run(test)
 
 
-def test_a_disk_that_says_nothing_holds_up_nobody(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Opening takes its time; what changes meanwhile is kept, and goes before what was kept."""
-    disk, go, load_it = SimulatedDisk(), threading.Event(), session.PersistenceSession._read_store
+def test_persistence_with_hanging_disk_lets_the_node_serve(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Changes during a slow opening are persisted, and take precedence over the restored state."""
+    disk, go, read_store = SimulatedDisk(), threading.Event(), session.PersistenceSession._read_store
 
     def slow(memory: session.PersistenceSession) -> Any:
-        go.wait(LIMIT_S)
-        return load_it(memory)
+        go.wait(TEST_TIMEOUT_S)
+        return read_store(memory)
 
     async def test() -> None:
-        await life(tmp_path, disk, listed(5, "s1", "s2"))
+        await run_node(tmp_path, disk, listed(5, "s1", "s2"))
         monkeypatch.setattr(session.PersistenceSession, "_read_store", slow)
         async with rig(tmp_path, disk) as one:
             one.part.apply(ON)
-            moved = EndpointList(3, True, (member("s1"), member("s3")))
+            moved = EndpointList(3, True, (endpoint_record("s1"), endpoint_record("s3")))
             one.fleet.handle(EndpointsListed("platform", "there", moved))
             await until(lambda: set(one.view) == {"s1", "s3"})
             assert one.node.ready and one.part.session is None, "it serves before the disk is there"
@@ -433,7 +442,7 @@
             await until(lambda: one.part.session)
             assert set(one.view) == {"s1", "s3"}, "the source's word is the later one"
             assert one.fleet.merger.sources["platform"].state is SourceState.IN_SYNC
-            await one.kept()
+            await one.until_durable()
         assert set(rows(disk, "view")) == {"s1", "s3"} and "s2" in rows(disk, "ends")
 
     try:
@@ -443,24 +452,24 @@
 
 
 @pytest.mark.parametrize("fails", [False, True])
-def test_what_was_kept_counts_before_the_new_generation_is_synced(tmp_path: Path, fails: bool) -> None:
-    """Its rows are there and requests go on; this life's number is durable later, or never."""
+def test_persistence_before_first_sync_uses_the_restored_state(tmp_path: Path, fails: bool) -> None:
+    """Its rows are used and requests are served; the new incarnation is durable later, or never."""
     disk, reached, go, well = SimulatedDisk(), threading.Event(), threading.Event(), threading.Event()
 
     def plan(call: int, name: str) -> None:
         if name.startswith("sync "):
             reached.set()
-            go.wait(LIMIT_S)
+            go.wait(TEST_TIMEOUT_S)
             if fails and not well.is_set():
                 raise InjectedError(errno.ENOSPC)
 
     def last() -> tuple[int, set[str]]:
-        """What a start would find if the process were killed now: the number of a life, the servers."""
+        """What a start would find if the process were killed now: the incarnation, the endpoints."""
         me = msgspec.msgpack.decode(rows(disk, "self")["node"], type=persisted_state.NodeIdentity)
         return me.incarnation, set(rows(disk, "view"))
 
     async def test() -> None:
-        await life(tmp_path, disk, listed(50, "s1", "s2"), listed(51, "s1"))
+        await run_node(tmp_path, disk, listed(50, "s1", "s2"), listed(51, "s1"))
         disk.fault_plan = plan
         async with rig(tmp_path, disk, known="s1 s2") as one:  # of revision 41
             await one.opened()
@@ -483,7 +492,7 @@
         go.set()
 
 
-def test_a_disk_that_is_full_is_said_once_and_written_again(
+def test_persistence_with_full_disk_logs_once_and_writes_again_later(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     disk = SimulatedDisk()
@@ -496,7 +505,7 @@
     async def test() -> None:
         async with rig(tmp_path, disk) as one:
             await one.opened()
-            await one.kept()
+            await one.until_durable()
             disk.fault_plan = full
             one.fleet.handle(listed(5, "s1", "s2"))
             await until(lambda: "nothing new is kept" in caplog.text)
@@ -506,7 +515,7 @@
             await asyncio.sleep(0.1)
             disk.fault_plan = lambda number, name: None
             await until(lambda: "it is written again" in caplog.text)
-            await one.kept()
+            await one.until_durable()
             assert caplog.text.count("nothing new is kept") == 1
             assert one.recovery.report()["store"]["trouble"] is None
         assert set(rows(disk, "view")) == {"s1", "s2"}
@@ -514,11 +523,13 @@
     run(test)
 
 
-def test_a_directory_of_another_node_is_left_alone(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
+def test_persistence_with_directory_of_another_node_leaves_it_unchanged(
+    tmp_path: Path, caplog: pytest.LogCaptureFixture
+) -> None:
     disk = SimulatedDisk()
 
     async def test() -> None:
-        await life(tmp_path, disk, listed(5, "s1", "s2"))
+        await run_node(tmp_path, disk, listed(5, "s1", "s2"))
         before = rows(disk, "self")
         async with rig(tmp_path, disk, name="n1") as one:
             one.part.apply(ON)
@@ -535,7 +546,7 @@
     run(test)
 
 
-def test_a_directory_that_another_holds_is_tried_again(
+def test_persistence_with_locked_directory_retries_until_it_is_free(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     disk = SimulatedDisk()
@@ -543,7 +554,7 @@
     monkeypatch.setattr("balancer.store.store.LOCK_WAIT_TIMEOUT_S", 0.01)
 
     async def test() -> None:
-        await life(tmp_path, disk, listed(5, "s1", "s2"))
+        await run_node(tmp_path, disk, listed(5, "s1", "s2"))
         disk.is_locked = True
         async with rig(tmp_path, *[disk] * 40) as one:
             one.part.apply(ON)
@@ -558,25 +569,25 @@
     run(test)
 
 
-def test_a_hangup_moves_to_another_directory_whose_past_is_not_this_ones(tmp_path: Path) -> None:
+def test_persistence_on_reload_switches_directory_without_restoring_it(tmp_path: Path) -> None:
     first, second = SimulatedDisk(), SimulatedDisk()
     there = OperatorSettings(state=StateSettings(directory=Path("/e"), every=3))
 
     async def test() -> None:
-        await life(tmp_path, second, listed(99, "s7"), on=there)
+        await run_node(tmp_path, second, listed(99, "s7"), on=there)
         async with rig(tmp_path, first, second) as one:
             await one.opened()
             one.fleet.handle(listed(5, "s1", "s2"))
-            memory = one.memory
-            await one.kept()
+            memory = one.session
+            await one.until_durable()
             one.part.apply(there)
             await until(lambda: one.part.session not in (memory, None))
             assert not first.is_locked and set(one.view) == {"s1", "s2"}, "s7 is nobody's word of today"
-            assert one.memory.write_behind.collection_interval_ms == 3_000
-            await one.kept()
+            assert one.session.write_behind.collection_interval_ms == 3_000
+            await one.until_durable()
             other = StateSettings(directory=Path("/e"), every=2)
             one.part.apply(OperatorSettings(state=other))
-            assert one.memory.write_behind.collection_interval_ms == 2_000
+            assert one.session.write_behind.collection_interval_ms == 2_000
             one.part.apply(OperatorSettings())
             await until(lambda: one.part.session is None and not second.is_locked)
             one.fleet.handle(listed(6, "s1"))
@@ -586,8 +597,8 @@
     run(test)
 
 
-def test_a_revision_is_kept_behind_all_that_it_brought(tmp_path: Path) -> None:
-    """A start that took it as seen without some of its servers would never be told of them again."""
+def test_persistence_with_large_list_writes_its_revision_last(tmp_path: Path) -> None:
+    """A start that took it as seen without some of its endpoints would never receive them again."""
     disk = SimulatedDisk()
     names = [f"s{n}" for n in range(1, 1_400)]
 
@@ -595,37 +606,37 @@
         async with rig(tmp_path, disk) as one:
             await one.opened()
             one.fleet.handle(listed(5, "s0", "s1"))
-            await one.kept()
-            told = changes(one.memory)
+            await one.until_durable()
+            told = changes(one.session)
             one.fleet.handle(listed(6, *names))
             assert told and "s0" in told[0].removed_ids, "whoever leaves is written first, and at once"
             await until(lambda: len(one.view) == len(names))
-            await one.kept()
+            await one.until_durable()
             assert sum(len(event.endpoints) for event in told) == len(names) - 1
             assert all(event.revision < 6 for event in told[:-1]), "a crash here would lose the rest"
             assert all(len(event.endpoints) <= view_scanner.ENDPOINTS_PER_TURN for event in told)
             await asyncio.sleep(0.2)
             one.fleet.handle(SourceConfirmedCurrent("platform"))
-            assert one.memory.scanner.positions["platform"] == ("here", 6), "and from then on it is seen"
+            assert one.session.scanner.positions["platform"] == ("here", 6), "and from then on it is seen"
 
     async def both() -> None:
         await test()
-        await life(tmp_path, disk, listed(8, "s1", "s0"))
+        await run_node(tmp_path, disk, listed(8, "s1", "s0"))
         async with rig(tmp_path, disk) as one:  # remembered: the source's word comes in smaller slices
             await one.opened()
-            told = changes(one.memory)
+            told = changes(one.session)
             one.fleet.handle(listed(9, *names))
             await until(lambda: len(one.view) == len(names))
-            await one.kept()
+            await one.until_durable()
             assert len(told) > 8 and all(event.revision < 9 for event in told[:-1])
 
     run(both)
 
 
-def test_a_removal_is_kept_with_its_own_revision_among_many(
+def test_persistence_on_removal_from_large_list_writes_its_revision(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards a node that is killed right after it against an older list in which that server is up."""
+    """Guards a node that is killed right after it against an older list in which that endpoint is up."""
     monkeypatch.setattr(view_scanner, "MAX_ENDPOINTS_CHECKED_EACH_CHANGE", 0)
     disk, names = SimulatedDisk(), [f"s{n}" for n in range(200)]
 
@@ -634,8 +645,8 @@
             await one.opened()
             one.fleet.handle(listed(5, *names))
             await until(lambda: len(one.view) == len(names))
-            await one.kept()
-            told = changes(one.memory)
+            await one.until_durable()
+            told = changes(one.session)
             for revision, gone in ((6, "s1"), (7, "s2"), (8, "s3")):
                 one.fleet.handle(listed(revision, complete=False, removed_ids=(gone,)))
             await until(lambda: sum(len(event.removed_ids) for event in told) == 3)
@@ -644,21 +655,21 @@
     run(test)
 
 
-def test_a_source_some_of_whose_servers_cannot_be_kept_has_no_order_to_go_on_from(tmp_path: Path) -> None:
+def test_persistence_with_invalid_endpoint_name_writes_no_position(tmp_path: Path) -> None:
     disk = SimulatedDisk()
-    odd = EndpointRecord(member("s2").endpoint, ("127.0.0.9", 9))
+    odd = EndpointRecord(endpoint_record("s2").endpoint, ("127.0.0.9", 9))
     odd.endpoint.id = "s\0"
 
     async def test() -> None:
-        listing = EndpointList(5, True, (member("s1"), odd))
-        await life(tmp_path, disk, EndpointsListed("platform", "here", listing))
+        listing = EndpointList(5, True, (endpoint_record("s1"), odd))
+        await run_node(tmp_path, disk, EndpointsListed("platform", "here", listing))
         found = msgspec.msgpack.decode(rows(disk, "sources")["platform"], type=persisted_state.SourcePosition)
         assert (found.identity, found.revision) == ("", -1) and set(rows(disk, "view")) == {"s1"}
 
     run(test)
 
 
-def test_a_process_that_stood_still_says_so_until_a_source_speaks(tmp_path: Path) -> None:
+def test_recovery_after_stall_is_provisional_until_a_source_confirms(tmp_path: Path) -> None:
     disk = SimulatedDisk()
 
     async def test() -> None:
@@ -682,8 +693,8 @@
     run(test)
 
 
-def test_requests_are_seen_until_it_is_full_and_then_no_more(tmp_path: Path) -> None:
-    """Who was turned away by a server without room, or left early, was not failed by the node."""
+def test_recovery_observes_requests_until_full_and_then_no_more(tmp_path: Path) -> None:
+    """Requests that a backend rejected for capacity, or whose client left, are no failures of the node."""
 
     async def test() -> None:
         async with rig(tmp_path) as one:
@@ -717,21 +728,23 @@
 
 
 @pytest.mark.parametrize("answers", ["the disk", "discovery", "nobody"])
-def test_no_request_is_decided_before_what_was_kept_is_read(
+def test_persistence_at_start_holds_requests_until_state_is_read_or_the_limit(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, answers: str
 ) -> None:
-    """The configuration may name whom the node saw the end of. A disk that hangs holds it up shortly."""
-    disk, go, load_it = SimulatedDisk(), threading.Event(), session.PersistenceSession._read_store
+    """The configured list may name endpoints that were removed. A disk that hangs delays requests briefly."""
+    disk, go, read_store = SimulatedDisk(), threading.Event(), session.PersistenceSession._read_store
     decided: list[set[str]] = []  # whom the node knew
 
     def slow(memory: session.PersistenceSession) -> Any:
-        go.wait(LIMIT_S)
-        return load_it(memory)
+        go.wait(TEST_TIMEOUT_S)
+        return read_store(memory)
 
     async def test() -> None:
-        await life(tmp_path, disk, listed(50, "s1", "s2"), listed(51, complete=False, removed_ids=("s2",)))
+        await run_node(
+            tmp_path, disk, listed(50, "s1", "s2"), listed(51, complete=False, removed_ids=("s2",))
+        )
         monkeypatch.setattr(session.PersistenceSession, "_read_store", slow)
-        monkeypatch.setattr(component, "MAX_REQUEST_HOLD_S", 0.2 if answers == "nobody" else LIMIT_S)
+        monkeypatch.setattr(component, "MAX_REQUEST_HOLD_S", 0.2 if answers == "nobody" else TEST_TIMEOUT_S)
         async with rig(tmp_path, disk, known="s1 s2") as one:  # of revision 41
             saw = one.recovery.on_decision
 
@@ -760,14 +773,14 @@
         go.set()
 
 
-def test_a_request_whose_time_is_up_while_it_waits_is_answered_once(
+def test_persistence_with_held_request_past_its_deadline_answers_it_once(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    go, ends, load_it = threading.Event(), list[str](), session.PersistenceSession._read_store
+    go, ends, read_store = threading.Event(), list[str](), session.PersistenceSession._read_store
 
     def slow(memory: session.PersistenceSession) -> Any:
-        go.wait(LIMIT_S)
-        return load_it(memory)
+        go.wait(TEST_TIMEOUT_S)
+        return read_store(memory)
 
     class Caller:
         def failed(self) -> None:
@@ -778,7 +791,7 @@
 
     async def test() -> None:
         monkeypatch.setattr(session.PersistenceSession, "_read_store", slow)
-        monkeypatch.setattr(component, "MAX_REQUEST_HOLD_S", LIMIT_S)
+        monkeypatch.setattr(component, "MAX_REQUEST_HOLD_S", TEST_TIMEOUT_S)
         async with rig(tmp_path, SimulatedDisk(), known="s1 s2") as one:
             one.part.apply(ON)
             arrival = api.RequestArrived("r", "read", one.node.now() + 150)
