--- a/balancer/net/persistence/component.py
+++ b/balancer/net/persistence/component.py
@@ -7,11 +7,12 @@
 from collections.abc import Callable
 from typing import NotRequired, TypedDict
 
-from balancer.core.discovery import endpoint_merger
+from balancer.core.discovery import endpoint_merger, source_state
 from balancer.net.component import RunningNode
 from balancer.net.persistence.session import PersistenceSession, slow_commit_text
 from balancer.operator_settings import OperatorSettings, StateSettings
-from balancer.store.files import FaultKind, FileSystem, StoreFileError
+from balancer.store.errors import FaultKind, StoreFileError
+from balancer.store.files import FileSystem
 
 log = logging.getLogger(__name__)
 
@@ -77,7 +78,7 @@
         """Release the requests once all sources have listed: nothing persisted is needed then."""
         if isinstance(event, endpoint_merger.EndpointsListed) and event.is_cached:
             return
-        in_sync = endpoint_merger.SourceState.IN_SYNC
+        in_sync = source_state.SourceState.IN_SYNC
         sources = self.running.fleet.merger.sources.values()
         if all(source.state is in_sync and not source.has_cached_records for source in sources):
             self._release_requests()
--- a/balancer/net/persistence/restored_lists.py
+++ b/balancer/net/persistence/restored_lists.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple
 
-from balancer.core.discovery import endpoint_merger
+from balancer.core.discovery import endpoint_merger, source_state
 from balancer.core.persistence import restoration
 from balancer.core.persistence.persisted_state import SourcePosition
 from balancer.endpoints import EndpointList, EndpointRecord
@@ -39,7 +39,7 @@
         self._records.clear()
 
     def snapshot(
-        self, position: SourcePosition, source: endpoint_merger.Source, has_other_sources: bool
+        self, position: SourcePosition, source: source_state.Source, has_other_sources: bool
     ) -> RestoredSnapshot | None:
         """The list for the merger, or None where the source has listed as much by now."""
         identity, revision = position.identity, position.revision
@@ -72,7 +72,7 @@
         )
 
     def _without_withdrawn(
-        self, source: endpoint_merger.Source, identity: str, revision: int
+        self, source: source_state.Source, identity: str, revision: int
     ) -> RestoredSnapshot | None:
         """The list that the source has in the merger, less the endpoints that were withdrawn later.
 
--- a/balancer/net/persistence/rows.py
+++ b/balancer/net/persistence/rows.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from balancer import interface as api
-from balancer.core.discovery import endpoint_merger
+from balancer.core.discovery import source_state
 from balancer.core.persistence import persisted_state
 from balancer.endpoints import EndpointRecord
 from balancer.net import clock
@@ -32,7 +32,7 @@
 
 
 def persisted_endpoint(
-    record: EndpointRecord, sources: Mapping[str, endpoint_merger.Source], wall_ms: int
+    record: EndpointRecord, sources: Mapping[str, source_state.Source], wall_ms: int
 ) -> persisted_state.PersistedEndpoint:
     """The row of an endpoint; figures out of the row's bounds are clamped to them."""
     endpoint = record.endpoint
--- a/balancer/net/persistence/session.py
+++ b/balancer/net/persistence/session.py
@@ -19,8 +19,9 @@
 from balancer.net.persistence.view_scanner import Position, ViewScanner
 from balancer.operator_settings import StateSettings
 from balancer.store.engine import OpenResult
-from balancer.store.files import FaultKind, FileSystem, StoreFileError
-from balancer.store.store import Store, StoreStatus, WriteQueueFull
+from balancer.store.errors import FaultKind, StoreFileError, WriteQueueFull
+from balancer.store.files import FileSystem
+from balancer.store.store import Store, StoreStatus
 
 log = logging.getLogger(__name__)
 
--- a/balancer/net/persistence/view_scanner.py
+++ b/balancer/net/persistence/view_scanner.py
@@ -8,7 +8,7 @@
 from typing import NamedTuple
 
 from balancer import interface as api
-from balancer.core.discovery import endpoint_merger
+from balancer.core.discovery import endpoint_merger, source_state
 from balancer.core.persistence import restoration, write_behind
 from balancer.core.persistence.persisted_state import PersistedEndpoint
 from balancer.net.component import PEERS_SOURCE, RunningNode
@@ -73,7 +73,7 @@
             listing = self.persisted[endpoint_id].sources
             if listing and (restored is None or endpoint_id in restored.endpoints):
                 source = merger.sources.get(listing[0])
-                if source is not None and source.state is not endpoint_merger.SourceState.NO_CONTACT_YET:
+                if source is not None and source.state is not source_state.SourceState.NO_CONTACT_YET:
                     source_name = source.name
             self.withdrawn_ids[endpoint_id] = source_name
         self.changed_ids |= dict.fromkeys(merger.view, rows.UNKNOWN_SOURCE)
@@ -112,9 +112,9 @@
         for source in self.fleet.merger.sources.values():
             self._confirm_source(source)
 
-    def _confirm_source(self, source: endpoint_merger.Source) -> None:
+    def _confirm_source(self, source: source_state.Source) -> None:
         """Send `SourceConfirmed` if it is current and all that it listed is handed over."""
-        in_sync = source.state is endpoint_merger.SourceState.IN_SYNC
+        in_sync = source.state is source_state.SourceState.IN_SYNC
         if in_sync and not source.has_regressed and self._is_settled(source):
             position = self._position(source.name)
             self.handle(write_behind.SourceConfirmed(source.name, *position, rows.wall_clock_ms()))
@@ -188,7 +188,7 @@
             log.warning("state: %r is not kept: a name of 1 to %d characters is", name[:80], limit)
         return is_valid
 
-    def _is_settled(self, source: endpoint_merger.Source) -> bool:
+    def _is_settled(self, source: source_state.Source) -> bool:
         """Whether the view holds its complete list, and all of it was examined."""
         has_pending = source.pending_records or self.withdrawn_ids or self.changed_ids
         return source.revision is not None and not has_pending and not source.needs_snapshot
--- a/tests/net/test_persistence.py
+++ b/tests/net/test_persistence.py
@@ -17,19 +17,13 @@
 
 from balancer import interface as api
 from balancer.core import recovery
-from balancer.core.cluster import gossiped_removals as hearsay
-from balancer.core.discovery import endpoint_merger as membership
-from balancer.core.discovery.endpoint_merger import (
-    EndpointsListed,
-    Source,
-    SourceConfirmedCurrent,
-    SourcesConfigured,
-    SourceState,
-)
+from balancer.core.cluster import gossiped_removals
+from balancer.core.discovery import endpoint_merger, snapshot_slices
+from balancer.core.discovery.endpoint_merger import EndpointsListed, SourceConfirmedCurrent, SourcesConfigured
+from balancer.core.discovery.source_state import Source, SourceState
 from balancer.core.persistence import persisted_state, write_behind
 from balancer.endpoints import EndpointList, EndpointRecord
-from balancer.net import clock
-from balancer.net import request_dispatcher as node_module
+from balancer.net import clock, request_dispatcher
 from balancer.net.admin_socket import AdminSocket
 from balancer.net.component import RunningNode
 from balancer.net.config import load
@@ -224,13 +218,13 @@
 
     async def test() -> None:
         await run_node(tmp_path, disk, listed(5, *names))
-        monkeypatch.setattr(membership, "LARGE_SNAPSHOT_ENTRIES", 4)
-        monkeypatch.setattr(membership, "CHANGE_SLICE_ENTRIES", 1)
-        monkeypatch.setattr(node_module, "LARGE_LIST_ENDPOINTS", 4)
+        monkeypatch.setattr(snapshot_slices, "LARGE_SNAPSHOT_ENTRIES", 4)
+        monkeypatch.setattr(snapshot_slices, "CHANGE_SLICE_ENTRIES", 1)
+        monkeypatch.setattr(request_dispatcher, "LARGE_LIST_ENDPOINTS", 4)
         async with rig(tmp_path, disk) as one:
             source, seen = one.fleet.merger.sources["platform"], list[int]()
 
-            def on_merge(event: membership.Event, actions: list[membership.Action]) -> None:
+            def on_merge(event: endpoint_merger.Event, actions: list[endpoint_merger.Action]) -> None:
                 seen.append(len(source.pending_records))
                 if len(seen) == 4 and news is not None:
                     asyncio.get_running_loop().call_soon(one.fleet.handle, news)
@@ -304,7 +298,9 @@
         async with rig(tmp_path, disk) as one:
             await one.opened()
             one.fleet.handle(listed(5, "s1", "s2"))
-            one.fleet.handle(SourcesConfigured((*one.fleet.merger.sources.values(), hearsay.gossip_source())))
+            one.fleet.handle(
+                SourcesConfigured((*one.fleet.merger.sources.values(), gossiped_removals.gossip_source()))
+            )
             for listing in (EndpointList(1, True, ()), EndpointList(2, False, (drains,))):
                 one.fleet.handle(EndpointsListed("peers", "peers", listing))
             if own:
@@ -684,7 +680,9 @@
             await until(lambda: one.recovery.recovery.state.value == "provisional")
             told = one.recovery.report()
             assert told["memory"] == "older" and "a source" in told["waits_for"], told
-            one.fleet.handle(SourcesConfigured((*one.fleet.merger.sources.values(), hearsay.gossip_source())))
+            one.fleet.handle(
+                SourcesConfigured((*one.fleet.merger.sources.values(), gossiped_removals.gossip_source()))
+            )
             one.fleet.handle(EndpointsListed("peers", "peers", EndpointList(1, True, ())))
             assert one.recovery.recovery.state.value == "provisional", "other nodes are no source"
             one.fleet.handle(SourceConfirmedCurrent("platform"))
