--- a/balancer/store/inspect.py
+++ b/balancer/store/inspect.py
@@ -289,7 +289,7 @@
     wrote_ms = generation.committed_at_ms
     restored = restore(values, number, report["older"], wrote_ms, identity.name, wrote_ms, math.inf)
     report["faults"] += restored.messages
-    report["memory"] = restored.memory
+    report["memory"] = restored.outcome
     report["node"] = {
         "id": identity.id,
         "name": identity.name,
