--- a/balancer/store/inspect.py
+++ b/balancer/store/inspect.py
@@ -83,7 +83,21 @@
     state that it would report.
     """
     owner_pid, names = _owner_pid(directory), _store_file_names(directory)
-    report: dict[str, Any] = {
+    report = _empty_report(directory, owner_pid)
+    if owner_pid is not None:
+        report["memory"] = "in use"
+        _add_file_sizes(report, directory, names)
+        return report
+    with _copied_files(directory, names) as copied:
+        report["faults"] = [str(error) for error in copied.errors]
+        _add_generations(report, directory, copied.directory, names)
+        _add_journals(report, directory, copied.directory, names)
+    report["faults"] = [line.replace(copied.directory.path, directory) for line in report["faults"]]
+    return report
+
+
+def _empty_report(directory: str, owner_pid: int | None) -> dict[str, Any]:
+    return {
         "directory": directory,
         "owner": owner_pid,
         "format": FORMAT_VERSION,
@@ -96,23 +110,18 @@
         "journals": [],
         "faults": [],
     }
-    if owner_pid is not None:
-        report["memory"] = "in use"
-        report["generations"] = [
-            GenerationReport(number=number, bytes=_generation_size_bytes(directory, number))
-            for number in generation_numbers(names)
-        ]
-        report["journals"] = [
-            JournalReport(name=name, bytes=_journal_size_bytes(directory, name, first_positions))
-            for name, first_positions in segment_positions(names).items()
-        ]
-        return report
-    with _copied_files(directory, names) as copied:
-        report["faults"] = [str(error) for error in copied.errors]
-        _add_generations(report, directory, copied.directory, names)
-        _add_journals(report, directory, copied.directory, names)
-    report["faults"] = [line.replace(copied.directory.path, directory) for line in report["faults"]]
-    return report
+
+
+def _add_file_sizes(report: dict[str, Any], directory: str, names: Sequence[str]) -> None:
+    """Adds what can be told while a node has the directory."""
+    report["generations"] = [
+        GenerationReport(number=number, bytes=_generation_size_bytes(directory, number))
+        for number in generation_numbers(names)
+    ]
+    report["journals"] = [
+        JournalReport(name=name, bytes=_journal_size_bytes(directory, name, first_positions))
+        for name, first_positions in segment_positions(names).items()
+    ]
 
 
 def verify(directory: str) -> list[str]:
