--- a/balancer/core/cluster/advertised_sources.py
+++ b/balancer/core/cluster/advertised_sources.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 from balancer.core.cluster.node_state import GOSSIP_SOURCE_NAME
-from balancer.core.discovery.endpoint_merger import Source, SourceState
+from balancer.core.discovery.source_state import Source, SourceState
 
 
 class SourcePosition(NamedTuple):
--- a/balancer/core/cluster/gossip_coordinator.py
+++ b/balancer/core/cluster/gossip_coordinator.py
@@ -23,9 +23,11 @@
     partition_detector,
     quota_allocation,
 )
-from balancer.core.cluster.failure_detector import FailureDetector, PeerState
+from balancer.core.cluster.failure_detector.detector import FailureDetector
+from balancer.core.cluster.failure_detector.member_records import PeerState
 from balancer.core.cluster.section_codec import SectionCodec
-from balancer.core.discovery.endpoint_merger import ApplyEndpoints, EndpointsListed, Source, SourceState
+from balancer.core.discovery.endpoint_merger import ApplyEndpoints, EndpointsListed
+from balancer.core.discovery.source_state import Source, SourceState
 from balancer.core.staggering import StaggeredSchedule
 from balancer.endpoints import EndpointRecord
 from balancer.interface import Phase
--- a/balancer/core/cluster/node_state.py
+++ b/balancer/core/cluster/node_state.py
@@ -21,7 +21,8 @@
 from random import Random
 from typing import NamedTuple
 
-from balancer.core.cluster.failure_detector import MAX_INCARNATION, MAX_PEERS, PendingBroadcasts
+from balancer.core.cluster.failure_detector.broadcasts import PendingBroadcasts
+from balancer.core.cluster.failure_detector.parameters import MAX_INCARNATION, MAX_PEERS
 from balancer.core.hysteresis import Hysteresis
 
 GOSSIP_INTERVAL_MS = 200.0
--- a/balancer/net/cluster_gossip.py
+++ b/balancer/net/cluster_gossip.py
@@ -26,7 +26,7 @@
     quota_allocation,
     report,
 )
-from balancer.core.cluster.failure_detector import FailureDetector
+from balancer.core.cluster.failure_detector.detector import FailureDetector
 from balancer.core.cluster.partition_detector import BackendCounts
 from balancer.core.discovery import endpoint_merger
 from balancer.core.staggering import StaggeredSchedule
--- a/balancer/net/components.py
+++ b/balancer/net/components.py
@@ -17,7 +17,7 @@
 from balancer.operator_settings import OperatorSettings
 
 if TYPE_CHECKING:
-    from balancer.core.discovery.etcd_watcher import EtcdConfig
+    from balancer.core.discovery.etcd_watcher.config import EtcdConfig
 
 log = logging.getLogger(__name__)
 
@@ -39,7 +39,7 @@
 
 
 def _state() -> ComponentFactory:
-    from balancer.net.persistence import PersistenceComponent
+    from balancer.net.persistence.component import PersistenceComponent
 
     return PersistenceComponent
 
