--- a/balancer/net/discovery/__init__.py
+++ b/balancer/net/discovery/__init__.py
@@ -1,2 +1,4 @@
-"""Where the list of backends comes from, one module a source: connections and clocks; what to do is decided
-in `balancer.core`, what bytes mean in `balancer.protocol`."""
+"""Sources of the endpoint list, one module a source: connections and clocks.
+
+What to do next is decided in `balancer.core.discovery`, what bytes mean in `balancer.protocol`.
+"""
--- a/balancer/net/http_server.py
+++ b/balancer/net/http_server.py
@@ -78,7 +78,7 @@
 TIMEOUT_PATTERN = re.compile(rb"(\d{1,12}(?:\.\d{1,6})?)([mu])")
 
 
-class BadRequest(ValueError):
+class BadRequestError(ValueError):
     """What a client sent cannot be served."""
 
     def __init__(self, code: int, why: str) -> None:
@@ -90,7 +90,7 @@
     """A `Request-Timeout` in milliseconds."""
     found = TIMEOUT_PATTERN.fullmatch(value.strip())
     if found is None or not (number := float(found[1])):
-        raise BadRequest(400, "bad Request-Timeout")
+        raise BadRequestError(400, "bad Request-Timeout")
     return number if found[2] == b"m" else number / 1000
 
 
@@ -216,7 +216,7 @@
             self._end_here()
         except httptools.HttpParserError as err:
             cause = err.__context__
-            if isinstance(cause, BadRequest):
+            if isinstance(cause, BadRequestError):
                 self._reject(cause.code, str(cause))
             elif isinstance(err, httptools.HttpParserCallbackError):
                 log.exception("request failed")
@@ -310,18 +310,18 @@
         key = name.lower()
         if key in SINGLE_VALUE_HEADERS and key in self.headers:
             # Guards against a request that is one thing to this node and another to a backend.
-            raise BadRequest(400, "header given twice")
+            raise BadRequestError(400, "header given twice")
         if key == b"content-length" and (
             len(value) > 9 or int(value) > MAX_FORWARDED_BODY_BYTES
         ):  # zeros may be thousands
-            raise BadRequest(413, "body too large")
+            raise BadRequestError(413, "body too large")
         self.headers[key] = value
 
     def on_headers_complete(self) -> None:
         """The head is whole; from here on the size is the body's."""
         if not self.close_after:
             if self.size + len(self.target) > MAX_HEAD_BYTES:
-                raise BadRequest(431, "headers too long")
+                raise BadRequestError(431, "headers too long")
             self.in_body, self.size = True, 0
 
     def on_body(self, body: bytes) -> None:
@@ -330,9 +330,9 @@
             return
         self.size += len(body)
         if self.size > MAX_FORWARDED_BODY_BYTES:
-            raise BadRequest(413, "body too large")
+            raise BadRequestError(413, "body too large")
         if (long := self.node.long.reserve(self.long, self.size)) is None:
-            raise BadRequest(503, "too many long requests")  # nothing ran: turning it away is harmless
+            raise BadRequestError(503, "too many long requests")  # nothing ran: turning it away is harmless
         self.long = long
         self.body.append(body)
 
@@ -346,7 +346,7 @@
         self.keep_alive = self.parser.should_keep_alive()
         try:
             self._take()
-        except BadRequest as err:
+        except BadRequestError as err:
             self._reject(err.code, str(err))
         self.raw = b""
 
@@ -359,7 +359,7 @@
         try:
             url = httptools.parse_url(self.target)
         except httptools.HttpParserInvalidURLError:
-            raise BadRequest(400, "bad target") from None
+            raise BadRequestError(400, "bad target") from None
         path, query = url.path or b"/", url.query or b""
         cls = node.class_paths.find(path)
         # Where a class is called `up` the headers tell its requests from the question. Guards against serving
@@ -369,16 +369,16 @@
             self._write(200 if up else 503, b"up\n" if up else b"not up\n")
             return
         if cls is None:
-            raise BadRequest(404, "unknown class")
+            raise BadRequestError(404, "unknown class")
         if method != (b"GET" if cls.idempotency is Idempotency.IDEMPOTENT else b"POST"):
-            raise BadRequest(405, "the method does not go with the class")
+            raise BadRequestError(405, "the method does not go with the class")
         if cls.idempotency is Idempotency.KEYED and not headers.get(b"idempotency-key"):
-            raise BadRequest(400, "no Idempotency-Key")
+            raise BadRequestError(400, "no Idempotency-Key")
         name = headers.get(b"request-id", b"").decode("latin-1")
         if not name:
-            raise BadRequest(400, "no Request-Id")
+            raise BadRequestError(400, "no Request-Id")
         if name in node.open or name in node.named:
-            raise BadRequest(409, "Request-Id is in use")
+            raise BadRequestError(409, "Request-Id is in use")
         wait = cls.deadline_ms
         if b"request-timeout" in headers:
             wait = min(wait, parse_timeout(headers[b"request-timeout"]))
--- a/balancer/net/persistence/session.py
+++ b/balancer/net/persistence/session.py
@@ -19,7 +19,7 @@
 from balancer.net.persistence.view_scanner import Position, ViewScanner
 from balancer.operator_settings import StateSettings
 from balancer.store.engine import OpenResult
-from balancer.store.errors import FaultKind, StoreFileError, WriteQueueFull
+from balancer.store.errors import FaultKind, StoreFileError, WriteQueueFullError
 from balancer.store.files import FileSystem
 from balancer.store.store import Store, StoreStatus
 
@@ -216,7 +216,7 @@
                 case write_behind.CollectLearnedState():
                     self._collect_learned_state()
                 case write_behind.BeginGeneration():
-                    with contextlib.suppress(WriteQueueFull):
+                    with contextlib.suppress(WriteQueueFullError):
                         self.store.begin_generation()
                 case write_behind.WriteLog():
                     log.warning("state: %s", action.text)
@@ -238,7 +238,7 @@
 
         try:
             self.store.write(changes, on_durable)
-        except WriteQueueFull:
+        except WriteQueueFullError:
             self.loop.call_soon(self._handle, write_behind.WriteRejected(write_number))
         except ValueError as error:  # guards against one invalid change that would hold up all others
             log.error("state: %d changes are not kept: %s", len(changes), error)
@@ -298,7 +298,7 @@
                 timer.cancel()
         for dirty in (self.write_behind.state.urgent_dirty, self.write_behind.state.dirty):
             changes = [rows.store_change(key, row) for key, row in dirty.items()]
-            with contextlib.suppress(WriteQueueFull, ValueError):
+            with contextlib.suppress(WriteQueueFullError, ValueError):
                 if changes:
                     self.store.write(changes)
         closing = BlockingCall(lambda: self.store.close(CLOSE_TIMEOUT_S))
--- a/balancer/operator_settings/faults.py
+++ b/balancer/operator_settings/faults.py
@@ -48,9 +48,11 @@
         self.left_out = 0
 
     def full(self) -> bool:
+        """Whether no more faults are recorded; further ones are counted."""
         return len(self.found) >= MAX_FAULTS
 
     def add(self, path: str, found: str, allowed: str) -> None:
+        """Record a fault of the key at `path`."""
         if self.full():
             self.left_out += 1
         else:
--- a/balancer/operator_settings/table.py
+++ b/balancer/operator_settings/table.py
@@ -98,6 +98,7 @@
 
 
 def tables_of(found: Table, path: str) -> Iterator[tuple[str, Table]]:
+    """A table and all tables within it, each with its path."""
     yield path, found
     for spec in fields(cast(Any, found)):
         inner = getattr(found, spec.name)
--- a/balancer/store/errors.py
+++ b/balancer/store/errors.py
@@ -55,7 +55,7 @@
         super().__init__(f"{path}: {kind.value}: {detail}")
 
 
-class WriteQueueFull(StoreError):
+class WriteQueueFullError(StoreError):
     """A lane of the write queue is full, or the store is closing; nothing of the request was queued."""
 
     def __init__(self, queued_changes: int, is_closing: bool) -> None:
--- a/balancer/store/files.py
+++ b/balancer/store/files.py
@@ -107,7 +107,7 @@
         return os.lstat(path).st_size
 
     def rename(self, old: str, new: str) -> None:
-        """By rename(2)."""
+        """Rename a file; atomic, as rename(2) is."""
         os.rename(old, new)
 
     def remove(self, path: str) -> None:
--- a/balancer/store/store.py
+++ b/balancer/store/store.py
@@ -23,7 +23,7 @@
 
 from balancer.store.directory import TABLE_NAME_PATTERN
 from balancer.store.engine import Change, Delete, Engine, OpenResult, Put
-from balancer.store.errors import FaultKind, StoreFileError, WriteQueueFull
+from balancer.store.errors import FaultKind, StoreFileError, WriteQueueFullError
 from balancer.store.files import FileSystem, LocalFileSystem
 from balancer.store.sqlite_file import JournalRecord
 
@@ -257,7 +257,7 @@
         with self._condition:
             if self._is_closing or not lane.has_capacity_for(work):
                 self._rejected_changes += work.change_count
-                raise WriteQueueFull(lane.change_count, self._is_closing)
+                raise WriteQueueFullError(lane.change_count, self._is_closing)
             lane.push(work)
             self._condition.notify()
 
--- a/balancer/testbed/etcd/gateway.py
+++ b/balancer/testbed/etcd/gateway.py
@@ -19,8 +19,8 @@
 from balancer.testbed.etcd.http import (
     MAX_HEAD,
     Asked,
-    Closed,
     Connection,
+    ConnectionClosedError,
     chunk,
 )
 from balancer.testbed.etcd.shared import (
@@ -386,7 +386,7 @@
                 connection.refuse(str(err), 2, asked.last, parsed=False)
                 return
             await stream.run()
-            raise Closed  # the client went away
+            raise ConnectionClosedError  # the client went away
         except EndedError:
             return
         finally:
--- a/balancer/testbed/etcd/http.py
+++ b/balancer/testbed/etcd/http.py
@@ -45,7 +45,7 @@
         return self.headers.get("connection", "").lower() == "close"
 
 
-class Closed(Exception):
+class ConnectionClosedError(Exception):
     """The connection is over: the client went away, or the member ended. No error."""
 
 
@@ -66,7 +66,7 @@
 
     async def run(self, respond: Callable[[Connection, Asked], Awaitable[None]]) -> None:
         """Until one side ends it."""
-        errors = (OSError, EOFError, asyncio.LimitOverrunError, ValueError, IndexError, Closed)
+        errors = (OSError, EOFError, asyncio.LimitOverrunError, ValueError, IndexError, ConnectionClosedError)
         try:
             with contextlib.suppress(*errors):
                 while True:
@@ -88,7 +88,7 @@
         else:
             size = int(headers.get("content-length", "0"))
             if size > MAX_BODY:
-                raise Closed
+                raise ConnectionClosedError
             body = await self.reader.readexactly(size)
         return Asked(method, path, headers, body)
 
@@ -96,7 +96,7 @@
         out = bytearray()
         while size := int((await self.reader.readuntil(b"\r\n")).split(b";")[0], 16):
             if len(out) + size > MAX_BODY:
-                raise Closed
+                raise ConnectionClosedError
             out += (await self.reader.readexactly(size + 2))[:-2]
         while (await self.reader.readuntil(b"\r\n")).strip():
             pass
--- a/balancer/testbed/etcd/shared.py
+++ b/balancer/testbed/etcd/shared.py
@@ -51,7 +51,8 @@
 @dataclass(slots=True)
 class Shared:
     """What the endpoints of a cluster have in common. `lists`: whole ones that were asked for, when, at which
-    endpoint, and whether it was let in."""
+    endpoint, and whether it was let in.
+    """
 
     store: Store
     auth: Auth
--- a/balancer/testbed/load_generator.py
+++ b/balancer/testbed/load_generator.py
@@ -220,7 +220,8 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Guards against calling lost what crossed a close between two requests: a node that read a request
-        ends with a plain end, one that had it unread (or was gone before it came) with a reset."""
+        ends with a plain end, one that had it unread (or was gone before it came) with a reset.
+        """
         self.owner.forget(self)
         if self.done is None or self.done.done():
             return
--- a/benchmarks/proxy_fleet.py
+++ b/benchmarks/proxy_fleet.py
@@ -129,7 +129,8 @@
 
     def check(self, count: int, lighter: int = 0) -> None:
         """Raise RuntimeError unless the process that was told all this has it: it is asked by its operators'
-        socket. So many servers weigh less than at first."""
+        socket. So many servers weigh less than at first.
+        """
         members = ask(self.directory / "control", "members")["members"]
         assert isinstance(members, list)
         up = [m for m in members if m["phase"] == "up"]
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -38,7 +38,7 @@
 )
 from balancer.core.persistence.restoration import restore
 from balancer.store.engine import Delete, Put
-from balancer.store.errors import WriteQueueFull
+from balancer.store.errors import WriteQueueFullError
 from balancer.store.store import Store
 from balancer.testbed.simulated_disk import SimulatedDisk, SimulatedFileSystem
 from benchmarks.result_table import (
@@ -161,7 +161,7 @@
                 number = action.write_number
                 try:
                     self.store.write(changes, lambda stamp, n=number: self.tell(k.WriteCommitted(n)))  # type: ignore[misc]
-                except WriteQueueFull:
+                except WriteQueueFullError:
                     loop.call_soon(self.tell, k.WriteRejected(number))
             elif isinstance(action, k.BeginGeneration):
                 self.store.begin_generation()
--- a/tests/net/test_application.py
+++ b/tests/net/test_application.py
@@ -21,7 +21,7 @@
 from tests.sockets import configuration
 
 
-class Reached(Exception):
+class ReachedError(Exception):
     """The start has come as far as the test wants it."""
 
 
@@ -35,11 +35,11 @@
 
     def hand(self: EndpointView, event: object) -> None:
         found.append(signal.getsignal(signal.SIGHUP))
-        raise Reached
+        raise ReachedError
 
     monkeypatch.setattr(EndpointView, "handle", hand)
     before = signal.getsignal(signal.SIGHUP)
-    with pytest.raises(Reached):
+    with pytest.raises(ReachedError):
         asyncio.run(assemble.serve(config))
     assert found[0] not in (before, signal.SIG_DFL)
 
--- a/tests/net/test_backend_pool.py
+++ b/tests/net/test_backend_pool.py
@@ -39,7 +39,6 @@
 
 def run(test: Callable[[], Awaitable[None]], new_loop: NewLoop = uvloop.new_event_loop) -> None:
     """Run a test's coroutine, with an end to it."""
-
     faults: list[Any] = []
 
     async def bounded() -> None:
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -16,7 +16,7 @@
 from balancer.core.persistence.persisted_state import URGENT_TABLES
 from balancer.store import store as store_module
 from balancer.store.engine import Delete, Put
-from balancer.store.errors import FaultKind, WriteQueueFull
+from balancer.store.errors import FaultKind, WriteQueueFullError
 from balancer.store.inspect import show
 from balancer.store.sqlite_file import JournalRecord
 from balancer.store.store import Store
@@ -147,7 +147,7 @@
     store.append("log", 0)
     assert gate.sync_reached.wait(WAIT)
     queued_count = 0
-    with pytest.raises(WriteQueueFull):
+    with pytest.raises(WriteQueueFullError):
         for _ in range(store_module.MAX_LANE_CHANGES + 1):
             store.append("log", 0)
             queued_count += 1
@@ -161,7 +161,7 @@
     gate.block_syncs()
     store.put("view", "k", 0)
     assert gate.sync_reached.wait(WAIT)
-    with pytest.raises(WriteQueueFull):
+    with pytest.raises(WriteQueueFullError):
         for _ in range(1_000):
             store.append("log", b"x" * 60_000)
     status = store.status()
@@ -227,7 +227,7 @@
     store.put("view", "a", 1)
     store.put("view", "b", 1)
     assert store.close(WAIT) == 2
-    with pytest.raises(WriteQueueFull, match="closing"):
+    with pytest.raises(WriteQueueFullError, match="closing"):
         store.put("view", "c", 1)
     gate.file_system.close()
 
--- a/tests/testbed/test_jut_model.py
+++ b/tests/testbed/test_jut_model.py
@@ -1,5 +1,6 @@
 """The paper's setting with the module as its dispatcher, short; benchmarks/jut_paper.py has the whole
-tables."""
+tables.
+"""
 
 from __future__ import annotations
 
