--- a/tests/net/test_cluster.py
+++ b/tests/net/test_cluster.py
@@ -1,4 +1,4 @@
-"""`[peers]` on real sockets: who is there, what bad datagrams cost, keys, addresses, lives."""
+"""`[peers]` on real sockets: membership, bad datagrams, keys, addresses, incarnations."""
 
 from __future__ import annotations
 
@@ -40,12 +40,12 @@
 
 @pytest.fixture(autouse=True)
 def short_incarnation_wait(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The first one waits for an answer that nobody can give."""
+    """The first node waits for an answer that nobody can give."""
     monkeypatch.setattr(parameters, "NO_ANSWER_WAIT_MS", 400.0)
 
 
 class NodeStub:
-    """As much of a node as peers see: also its discovery, and its servers."""
+    """What the cluster component sees of a node: also its discovery and its backends."""
 
     def __init__(self, me: int) -> None:
         self.settings = api.Settings((), me, 3)
@@ -63,7 +63,7 @@
 
 
 class ClusterNode(ClusterComponent):
-    """A part on a node of its own, which remembers what was told to the time line."""
+    """A cluster component on a node of its own that notes the events of the time line."""
 
     def __init__(self, name: str) -> None:
         self.events: list[tuple[str, str]] = []
@@ -91,7 +91,7 @@
     def list_endpoints(
         self, revision: int, *members: EndpointRecord, whole: bool = True, gone: tuple[str, ...] = ()
     ) -> None:
-        """Its discovery says so, an agent of its own that has servers at other addresses."""
+        """Its discovery lists these, an agent of its own that has backends at other addresses."""
         host = f"127.0.1.{self.node_stub.settings.node_index}"
         at = tuple(replace(one, address=(host, one.address[1])) for one in members)
         self.fleet.handle(
@@ -114,7 +114,7 @@
 
 @contextlib.asynccontextmanager
 async def cluster_of(count: int) -> AsyncIterator[list[ClusterNode]]:
-    """That many, who know each other by the first."""
+    """That many nodes, which know each other by the first one."""
     them = [ClusterNode(f"n{number}") for number in range(count)]
     try:
         for one in them:
@@ -152,7 +152,7 @@
     return messages.Message(kind, seq, target, "", words)
 
 
-def test_they_find_each_other_and_one_that_is_switched_off_has_left() -> None:
+def test_nodes_find_each_other_and_one_switched_off_has_left() -> None:
     async def test() -> None:
         async with cluster_of(3) as (one, other, third):
             assert one.report()["self"] == "n0" and one.report()["incarnation"] >= 1
@@ -160,15 +160,15 @@
             await wait_until(lambda: one.states_by_name()["n2"] == other.states_by_name()["n2"] == "left")
             assert ("peer_failed", "n2") not in one.events + other.events
             assert third.running.control._answers == {} and third.transport.socket is None
-            third.switch_on(one)  # again, as a greater incarnation
+            third.switch_on(one)  # again, in a greater incarnation
             await wait_until(lambda: one.sees_alive(other, third) and other.sees_alive(one, third))
             assert ("peer_returned", "n2") in one.events
 
     run(test)
 
 
-def test_what_is_forged_cut_short_sent_again_or_noise_changes_nothing() -> None:
-    """One that says by each of them, with the right words, that another has failed."""
+def test_forged_truncated_replayed_or_random_datagrams_change_nothing() -> None:
+    """Each of them claims, in the right form, that another node has failed."""
 
     async def test() -> None:
         async with cluster_of(3) as (one, other, _):
@@ -201,8 +201,8 @@
     run(test)
 
 
-def test_a_turn_of_the_loop_reads_so_many_datagrams_and_no_more() -> None:
-    """Requests go on between two turns, whatever comes."""
+def test_turn_of_the_loop_reads_a_bounded_number_of_datagrams() -> None:
+    """Requests go on between two turns, however many datagrams come."""
 
     async def test() -> None:
         async with cluster_of(1) as (one,):
@@ -218,8 +218,8 @@
     run(test)
 
 
-def test_an_answer_that_lies_there_came_before_the_time_that_ran_out() -> None:
-    """A loop that was held up for less than a stand must not accuse whoever answered meanwhile."""
+def test_answer_waiting_in_the_socket_is_read_before_a_timeout() -> None:
+    """A loop that was delayed for less than a stall must not accuse a peer that answered meanwhile."""
 
     async def test() -> None:
         async with cluster_of(1) as (one,):
@@ -249,8 +249,8 @@
     run(test)
 
 
-def test_a_stand_is_told_before_what_time_has_brought() -> None:
-    """Else whoever stood still would call those failed whose answers it did not read."""
+def test_stall_is_handled_before_overdue_timers() -> None:
+    """Otherwise a stalled node would fail peers whose answers it did not read."""
 
     async def test() -> None:
         async with cluster_of(3) as (one, *_):
@@ -266,7 +266,9 @@
     run(test)
 
 
-def test_what_cannot_be_sent_is_counted_and_the_others_are_found(caplog: pytest.LogCaptureFixture) -> None:
+def test_datagram_that_cannot_be_sent_is_counted_and_peers_are_found(
+    caplog: pytest.LogCaptureFixture,
+) -> None:
     async def test() -> None:
         async with cluster_of(2) as (one, other):
             third = ClusterNode("n3")
@@ -296,11 +298,11 @@
         ("10.0.0.1:0", socket.AF_INET, None),
     ],
 )
-def test_a_name_is_never_looked_up(text: str, family: int, found: object) -> None:
+def test_socket_address_of_a_host_name_is_none(text: str, family: int, found: object) -> None:
     assert gossip_transport.socket_address(text, family) == found
 
 
-def test_an_address_that_is_taken_is_named_and_had_later(
+def test_address_in_use_is_reported_and_bound_later(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     monkeypatch.setattr(net, "LISTEN_RETRY_INTERVAL_S", 0.02)
@@ -320,7 +322,7 @@
     assert caplog.text.count("Address already in use") == 1
 
 
-def test_a_key_is_rotated_with_no_gap_and_in_no_log(caplog: pytest.LogCaptureFixture) -> None:
+def test_key_rotation_has_no_gap_and_logs_no_key(caplog: pytest.LogCaptureFixture) -> None:
     caplog.set_level(logging.DEBUG)
 
     async def test() -> None:
@@ -335,14 +337,14 @@
                         await asyncio.sleep(0.01)
                     assert not any(o.events for o in them), [o.events for o in them]
                     assert not any(o.report()["refused"] for o in them)
-            them[0].switch_on(keys=KEY)  # a step left out: it is unheard, and that is seen
+            them[0].switch_on(keys=KEY)  # a step left out: it is not heard any more, which is counted
             await wait_until(lambda: them[1].report()["refused"].get("key"))
 
     run(test)
     assert KEY not in caplog.text and OLD_KEY not in caplog.text
 
 
-def test_at_another_address_it_is_who_it_was() -> None:
+def test_node_at_another_address_keeps_its_identity() -> None:
     async def test() -> None:
         async with cluster_of(3) as (one, other, third):
             before, life = one.address, one.report()["incarnation"]
@@ -359,7 +361,7 @@
     run(test)
 
 
-def test_a_node_without_a_name_is_told_so(tmp_path: Path) -> None:
+def test_node_without_a_name_raises(tmp_path: Path) -> None:
     async def test() -> None:
         one = ClusterNode("")
         with pytest.raises(ValueError, match="no name"):
@@ -370,7 +372,7 @@
 
 
 class RecoveryStub:
-    """As much of `net/recovery` as peers see, around the decider itself."""
+    """What the cluster component sees of `net/recovery`, around the real state machine."""
 
     def __init__(self) -> None:
         self.recovery, self.has_begun = r.Recovery(0.0), False
@@ -394,7 +396,7 @@
 
 
 async def gossip_about(one: ClusterNode, state: int, incarnation: int) -> None:
-    """Somebody with the right key says that of the node."""
+    """A node with the right key claims that of this one."""
     with udp_socket() as sock:
         word = (one.running.name, state, incarnation, written(one.address), 1)
         sock.sendto(
@@ -403,8 +405,8 @@
         )
 
 
-def test_a_whole_memory_speaks_at_once_and_keeps_what_it_has_to_go_by() -> None:
-    """One more than its own is a refutation, a greater number a later life that it forgot."""
+def test_node_with_intact_state_speaks_at_once_and_persists_its_incarnation() -> None:
+    """One above its own incarnation is a refutation, a greater one a later life that it forgot."""
 
     async def test() -> None:
         async with cluster_of(1) as (other,):
@@ -430,7 +432,7 @@
 
 
 @pytest.mark.parametrize("held", [5, 0])
-def test_without_a_memory_it_goes_by_what_the_others_hold_and_says_that_it_forgot(held: int) -> None:
+def test_node_without_state_takes_the_incarnation_that_peers_hold(held: int) -> None:
     async def test() -> None:
         async with cluster_of(1) as (other,):
             one, meter = ClusterNode("n1"), RecoveryStub()
@@ -458,8 +460,8 @@
     return EndpointRecord(api.Endpoint(f"s{number}", "z", 0, 1.0, phase, 0.0), ("127.0.0.1", 9_000 + number))
 
 
-def test_what_each_goes_by_is_told_and_who_differs_is_named() -> None:
-    """By all, the odd one too, and the end of it; who is cut off from discovery, and by whose word."""
+def test_node_states_are_gossiped_and_the_divergent_node_is_named() -> None:
+    """By all nodes, the divergent one too, and its end; also who is partitioned from discovery."""
 
     async def test() -> None:
         async with cluster_of(3) as (*others, odd):
@@ -494,8 +496,8 @@
 
 
 @pytest.mark.parametrize("ends", [False, True])
-def test_a_drain_that_only_the_others_hear_of_is_taken_from_them(ends: bool) -> None:
-    """The source is asked at once. Its own word ends that; so does switching `[peers]` off."""
+def test_drain_that_only_peers_have_heard_of_is_accepted_from_them(ends: bool) -> None:
+    """The source is polled at once. Its own list ends the drain; so does switching `[peers]` off."""
 
     async def test() -> None:
         async with cluster_of(3) as (*others, last):
