--- a/balancer/core/cluster/failure_detector/events.py
+++ b/balancer/core/cluster/failure_detector/events.py
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ProcessStalled:
-    """The own event loop stood still (`core/stall_detector`)."""
+    """The own event loop stalled (`core/stall_detector`)."""
 
     stall_ms: float
 
