--- a/balancer/core/persistence/__init__.py
+++ b/balancer/core/persistence/__init__.py
@@ -1,1 +1,6 @@
-"""What a node keeps over a restart: rows and their validation, and what is written when."""
+"""The state that a node persists over a restart.
+
+- `persisted_state`: the rows, as they are stored.
+- `restoration`: what a start restores of them.
+- `write_behind`: what is written when.
+"""
--- a/balancer/core/persistence/restoration.py
+++ b/balancer/core/persistence/restoration.py
@@ -130,17 +130,23 @@
         message = f"the directory is {owner}: nothing is recalled"
         return RestoredState(RestoreOutcome.LOST, is_foreign=True, messages=[message])
     restored.identity = identity
-    if now_ms < committed_at_ms:
-        restored.clock_behind_ms = committed_at_ms - now_ms
-        behind = f"the clock is {restored.clock_behind_ms / 1000:.0f} s behind what was written"
-        restored.messages.append(f"{behind}: ages are taken as of then, and may be more")
-        now_ms = committed_at_ms
+    now_ms = _clamped_clock_ms(now_ms, committed_at_ms, restored)
     _read_rows(tables, restored)
     _restore_view(restored, committed_at_ms, now_ms, max_age_ms)
     _restore_learned_state(restored, now_ms, max_age_ms)
     return restored
 
 
+def _clamped_clock_ms(now_ms: int, committed_at_ms: int, restored: RestoredState) -> int:
+    """The wall clock, or the time of the last commit for a clock that is behind it."""
+    if now_ms >= committed_at_ms:
+        return now_ms
+    restored.clock_behind_ms = committed_at_ms - now_ms
+    behind = f"the clock is {restored.clock_behind_ms / 1000:.0f} s behind what was written"
+    restored.messages.append(f"{behind}: ages are taken as of then, and may be more")
+    return committed_at_ms
+
+
 def _read_identity(rows: Mapping[str, bytes], restored: RestoredState) -> NodeIdentity | None:
     try:
         return msgspec.msgpack.decode(rows[NODE_KEY], type=NodeIdentity)
