--- a/balancer/protocol/etcd_watch/requests.py
+++ b/balancer/protocol/etcd_watch/requests.py
@@ -10,7 +10,7 @@
 
 
 def prefix_range_end(prefix: bytes) -> bytes:
-    """The end of the range of all keys that begin with `prefix` (etcd's docs); b"\\0" stands for all keys."""
+    r"""The end of the range of all keys that begin with `prefix` (etcd's docs); b"\0" stands for all keys."""
     incrementable = prefix.rstrip(b"\xff")
     return incrementable[:-1] + bytes([incrementable[-1] + 1]) if incrementable else b"\0"
 
--- a/balancer/store/files.py
+++ b/balancer/store/files.py
@@ -107,7 +107,7 @@
         return os.lstat(path).st_size
 
     def rename(self, old: str, new: str) -> None:
-        """Rename a file; atomic, as rename(2) is."""
+        """Give a file another name, in one step as POSIX has it."""
         os.rename(old, new)
 
     def remove(self, path: str) -> None:
--- a/balancer/testbed/etcd/store.py
+++ b/balancer/testbed/etcd/store.py
@@ -88,7 +88,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Delete:
-    """Delete a key, or all from it to before `end` (b"\\0": all from it on)."""
+    r"""Delete a key, or all from it to before `end` (b"\0": all from it on)."""
 
     key: bytes
     end: bytes = b""
--- a/balancer/testbed/etcd/wire.py
+++ b/balancer/testbed/etcd/wire.py
@@ -241,7 +241,7 @@
 
 
 def watch(fields: Fields) -> WatchRequest:
-    """A WatchCreateRequest; without a key it is the key b"\\0", as in etcd."""
+    r"""A WatchCreateRequest; without a key it is the key b"\0", as in etcd."""
     filters = fields.get("filters")
     return WatchRequest(
         fields.data("key") or b"\0",
--- a/tests/core/cluster/test_gossip_coordinator.py
+++ b/tests/core/cluster/test_gossip_coordinator.py
@@ -9,7 +9,6 @@
 import pytest
 
 from balancer.core.cluster import (
-    failure_detector,
     gossip_coordinator,
     gossiped_removals,
     node_state,
