--- a/tests/net/test_platform_recovery.py
+++ b/tests/net/test_platform_recovery.py
@@ -585,7 +585,7 @@
         await agent.watched()
         await until(lambda: not fleet.merger.sources[platform.SOURCE_NAME].has_cached_records)
         agent.refuse()
-        await until(lambda: node.balancer.failed_polls >= 3)
+        await until(lambda: node.balancer.state.failed_polls >= 3)
         agent.body = {
             "a beat": b"\n",
             "an old change": listed(1, b0="in_service") + b"\n",
@@ -594,7 +594,7 @@
         await agent.start()
         await agent.watched()
         await until(lambda: source.watcher.consecutive_failures == 0)
-        assert node.balancer.failed_polls == 0
+        assert node.balancer.state.failed_polls == 0
         source.watch(False)
 
     run(test)
