--- a/balancer/core/cluster/gossip_coordinator.py
+++ b/balancer/core/cluster/gossip_coordinator.py
@@ -269,8 +269,10 @@
             self._last_difference_ms = now_ms
             shown = (f"{name:.{MAX_LOGGED_NAME_LENGTH}}" for name in difference.names[:MAX_LOGGED_NAMES])
             names = ", ".join(shown) or "none"
-            missing = f"{difference.missing_count} not here"
-            self._actions.append(WriteLog(f"not as {event.sender} has them: {names}; {missing}"))
+            missing_count = difference.missing_count
+            self._actions.append(
+                WriteLog(f"not as {event.sender} has them: {names}; {missing_count} not here")
+            )
 
     def _send_answer(self, address: str, kind: int, data: bytes) -> None:
         self._answer_count += 1
--- a/balancer/net/bulk_update.py
+++ b/balancer/net/bulk_update.py
@@ -85,7 +85,7 @@
         for start in range(0, len(change.records), BACKENDS_PER_STEP):
             node.update(change.records[start : start + BACKENDS_PER_STEP], ())
             yield
-        balancer.now_ms = node.now()
+        balancer.state.now_ms = node.now()
         note_actions = yield from apply_first_list(balancer, endpoints)
         for start in range(0, len(endpoints), BACKENDS_PER_STEP):
             end = start + BACKENDS_PER_STEP
--- a/tests/net/test_persistence.py
+++ b/tests/net/test_persistence.py
@@ -168,7 +168,7 @@
     async def test() -> None:
         async with rig(tmp_path, disk) as one:
             await one.opened()
-            one.node.balancer.concurrency_limit = 77.0
+            one.node.balancer.state.concurrency_limit = 77.0
             for cls in one.node.balancer.classes.values():
                 cls.expected_latency_ms, cls.mean_deviation_ms = (
                     cls.request_class.latency_objective_ms / 3,
