--- a/balancer/core/cluster/gossiped_removals.py
+++ b/balancer/core/cluster/gossiped_removals.py
@@ -340,8 +340,8 @@
             if len(self.accepted) < self._max_accepted(key.source, len(reports), hearing_count, up_count):
                 removal = min(reports.values(), key=lambda removal: (removal.is_gone, removal.revision))
                 self.accepted[key] = removal
-                description, reporters = _describe_removal(removal), _reporter_names(reports)
-                self._actions.append(WriteLog(f"{key.endpoint_id!r:.120} {description}, by {reporters}"))
+                description = f"{_describe_removal(removal)}, by {_reporter_names(reports)}"
+                self._actions.append(WriteLog(f"{key.endpoint_id!r:.120} {description}"))
 
     def _has_enough_reporters(self, source: str, reporter_count: int, hearing_count: int) -> bool:
         is_silent = not self.sources[source].is_in_sync
