--- a/tests/test_on_call.py
+++ b/tests/test_on_call.py
@@ -12,6 +12,7 @@
 LOGGERS = frozenset({"log", "logging"})
 LOG_METHODS = frozenset({"debug", "info", "warning", "error", "exception", "log"})
 LOG_ACTIONS = frozenset({"WriteLog", "write_log", "_log"})
+POLICY_LOG = ("state", "log")
 PLACEHOLDER = "…"
 
 
@@ -32,8 +33,9 @@
     """Whether a call writes a line to the log, or asks for it by an action."""
     function = call.func
     if isinstance(function, ast.Attribute):
-        is_logger = isinstance(function.value, ast.Name) and function.value.id in LOGGERS
-        return (is_logger and function.attr in LOG_METHODS) or function.attr in LOG_ACTIONS
+        owner = function.value.id if isinstance(function.value, ast.Name) else ""
+        is_logger = owner in LOGGERS and function.attr in LOG_METHODS
+        return is_logger or function.attr in LOG_ACTIONS or (owner, function.attr) == POLICY_LOG
     return isinstance(function, ast.Name) and function.id in LOG_ACTIONS
 
 
