--- a/balancer/net/bulk_update.py
+++ b/balancer/net/bulk_update.py
@@ -60,7 +60,7 @@
         for offset in range(0, len(change.records), BACKENDS_PER_STEP):
             node.update(change.records[offset : offset + BACKENDS_PER_STEP], ())
             yield
-        balancer.now_ms = node.now()
+        balancer.state.now_ms = node.now()
         note_actions = yield from apply_first_list(balancer, endpoints)
         for offset in range(0, len(endpoints), BACKENDS_PER_STEP):
             event = api.EndpointsUpdated(
--- a/benchmarks/cap_guidance.py
+++ b/benchmarks/cap_guidance.py
@@ -11,13 +11,16 @@
 import argparse
 import math
 import multiprocessing
+from collections.abc import Callable
 from dataclasses import replace
+from unittest import mock
 
 from balancer import interface as api
-from balancer.policy.balancer import EWMA_WEIGHT, NODES_PER_BACKEND, Balancer
-from balancer.policy.records import Backend, Request
+from balancer.policy import selection
+from balancer.policy.records import EWMA_WEIGHT, Backend, Request
+from balancer.policy.state import NodeState
+from balancer.policy.subsetting import NODES_PER_BACKEND
 from balancer.testbed.simulation import Report, Scenario, play
-from balancer.testbed.simulation.policies import Policy
 from balancer.testbed.simulation.scenario import SITE
 
 SIZES = ((10, 1), (10, 10), (100, 1), (100, 10), (100, 100), (1_000, 10))
@@ -25,67 +28,66 @@
 FIXED = (1, 2, 4, 8, 32)
 
 
-class Fixed(Balancer):
-    """m is what it is told, whatever the class and the group."""
+OWN_CAP, OWN_APPLY_LOAD_REPORT = selection.queue_cap, selection.apply_load_report
+Cap = Callable[[NodeState, Request], int]
 
-    told = 1
 
-    def _cap(self, req: Request) -> int:
-        return self.told * self.settings.node_count  # the dispatcher's share of it is the whole again
+def fixed(cap: int) -> Cap:
+    """m is what it is told, whatever the class and the group."""
+    # The dispatcher's share of it is the whole again; the same holds for the guides below.
+    return lambda state, request: cap * state.settings.node_count
 
 
-class Told(Balancer):
-    """A common part of the guides: idle signs an own answer, and the spread of answers' times."""
+class IdleReports:
+    """The paper's best m for a load near 1, which needs no other figure than idle reports an attempt."""
 
-    def __init__(self, settings: api.Settings, seed: int) -> None:
-        super().__init__(settings, seed)
-        self.signs, self.square = 0.1, 2.0
+    def __init__(self) -> None:
+        self.rates: dict[NodeState, float] = {}
+        self.square = 2.0  # spread of answers' times
 
-    def _report(self, b: Backend, report: api.LoadReport | None, fresh: bool) -> None:
-        idle = report is not None and report.in_flight is not None and report.in_flight < 0.5
-        self.signs += EWMA_WEIGHT / 10 * (idle - self.signs)
-        super()._report(b, report, fresh)
+    def apply_load_report(
+        self, state: NodeState, backend: Backend, report: api.LoadReport | None, is_fresh: bool
+    ) -> None:
+        """Learn how many reports are idle ones, and go on."""
+        is_idle = report is not None and report.in_flight is not None and report.in_flight < 0.5
+        rate = self.rates.get(state, 0.1)
+        self.rates[state] = rate + EWMA_WEIGHT / 10 * (is_idle - rate)
+        OWN_APPLY_LOAD_REPORT(state, backend, report, is_fresh)
 
-    def _guide(self, delta: float) -> int:
-        """The paper's best m for a load near 1, which needs no other figure than idle signs a send."""
-        delta = max(delta, 1e-3)
+    def cap(self, state: NodeState, request: Request) -> int:
+        """m."""
+        delta = max(self.rates.get(state, 0.1), 1e-3)
         best = math.ceil(math.sqrt(0.25 + self.square / delta) - 0.5)
-        return max(1, min(best, math.floor(1 / delta)))
+        return max(1, min(best, math.floor(1 / delta))) * state.settings.node_count
 
-    def _cap(self, req: Request) -> int:
-        return self._guide(self.signs) * self.settings.node_count
 
-
-class Feeders(Balancer):
+def by_feeders(state: NodeState, request: Request) -> int:
     """The module's m, shared by those that feed a server and not by the whole group."""
-
-    def _cap(self, req: Request) -> int:
-        sharing = min(NODES_PER_BACKEND, self.settings.node_count)
-        return max(1, super()._cap(req) // sharing) * self.settings.node_count
+    sharing = min(NODES_PER_BACKEND, state.settings.node_count)
+    return max(1, OWN_CAP(state, request) // sharing) * state.settings.node_count
 
 
-class Whole(Balancer):
+def unshared(state: NodeState, request: Request) -> int:
     """The module's m, not shared."""
+    return OWN_CAP(state, request) * state.settings.node_count
 
-    def _cap(self, req: Request) -> int:
-        return super()._cap(req) * self.settings.node_count
 
-
-GUIDES: dict[str, type[Balancer]] = {"own": Balancer, "by feeders": Feeders, "unshared": Whole, "paper": Told}
+GUIDES: dict[str, Cap] = {"own": OWN_CAP, "by feeders": by_feeders, "unshared": unshared}
+PAPER = "paper"
 
 
 def one(what: tuple[Scenario, str]) -> Report:
-    """One run with one guide."""
+    """One run with one guide in place of the module's."""
     scenario, guide = what
-
-    def maker(name: str, settings: api.Settings, seed: int) -> Policy:
-        if guide in GUIDES:
-            return GUIDES[guide](settings, seed)
-        node = Fixed(settings, seed)
-        node.told = int(guide)
-        return node
-
-    return play(scenario, maker)
+    cap, apply_load_report = GUIDES.get(guide), OWN_APPLY_LOAD_REPORT
+    if guide == PAPER:
+        learned = IdleReports()
+        cap, apply_load_report = learned.cap, learned.apply_load_report
+    with (
+        mock.patch.object(selection, "queue_cap", cap or fixed(int(guide))),
+        mock.patch.object(selection, "apply_load_report", apply_load_report),
+    ):
+        return play(scenario)
 
 
 def main() -> None:
@@ -95,8 +97,8 @@
     words.add_argument("--noise", type=float, default=0.0, help="chance of a report that is off by one")
     words.add_argument("--jobs", type=int, default=2, help="processes")
     args = words.parse_args()
-    names = [*GUIDES, *map(str, FIXED)]
-    head = ("servers", "nodes", "load", "spread", *(n if n in GUIDES else f"m {n}" for n in names))
+    names = [*GUIDES, PAPER, *map(str, FIXED)]
+    head = ("servers", "nodes", "load", "spread", *(f"m {n}" if n.isdigit() else n for n in names))
     print("\n".join(f"| {' | '.join(line)} |" for line in (head, ("---",) * len(head))), flush=True)
     with multiprocessing.Pool(args.jobs) as pool:
         for servers, nodes in SIZES:
--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -77,7 +77,7 @@
             self._arrive()
 
     def _arrive(self) -> None:
-        self.node.concurrency_limit = self.node.min_concurrency_limit = (
+        self.node.state.concurrency_limit = self.node.state.min_concurrency_limit = (
             1e9  # what is out is set by the measurement
         )
         rid = f"r{next(self.ids)}"
--- a/benchmarks/sparse_traffic.py
+++ b/benchmarks/sparse_traffic.py
@@ -15,9 +15,17 @@
 from contextlib import contextmanager
 from dataclasses import dataclass, replace
 from statistics import mean
+from types import ModuleType
 
 from balancer.interface import Idempotency
-from balancer.policy import balancer as policy
+from balancer.policy import (
+    concurrency_limit,
+    load_shedding,
+    outlier_ejection,
+    routing,
+    slow_start,
+    subsetting,
+)
 from balancer.testbed.service_profile import RequestClass
 from balancer.testbed.simulation.report import Report
 from balancer.testbed.simulation.scenario import (
@@ -68,44 +76,69 @@
 
 @dataclass(slots=True, frozen=True)
 class Question:
-    """What is weighed: a constant of the module, its values beside today's, and the days that it is for."""
+    """What is weighed: a constant and its module, its values beside today's, and the days that it is for."""
 
     asks: str
+    module: ModuleType
     name: str
     values: tuple[object, ...]
     days: tuple[str, ...]
 
 
 QUESTIONS = {
-    "subset": Question("how many nodes feed a server", "FEEDERS", (8, 16), ("calm", "burst", "failing")),
-    "limit": Question("least requests out at a node", "LIMIT_LEAST", (2.0, 3.0, 6.0), ("calm", "burst")),
-    "hold": Question("usual times held for room", "HOLD", (0.5, 2.0, 3.0), ("calm", "burst")),
+    "subset": Question(
+        "how many nodes feed a server", subsetting, "NODES_PER_BACKEND", (8, 16), ("calm", "burst", "failing")
+    ),
+    "limit": Question(
+        "least requests out at a node",
+        concurrency_limit,
+        "MIN_LIMIT_PER_BACKEND",
+        (2.0, 3.0, 6.0),
+        ("calm", "burst"),
+    ),
+    "hold": Question(
+        "usual times held for room", routing, "MAX_QUEUE_TIME_LATENCIES", (0.5, 2.0, 3.0), ("calm", "burst")
+    ),
     "spare": Question(
         "requests a core from which a server is spared",
-        "SPARE",
+        load_shedding,
+        "OVERLOAD_REQUESTS_PER_CORE",
         ((1.0, 2.5), (2.0, 3.0), (1e8, 1e9)),
         ("calm", "burst", "restarts", "silence"),
     ),
     "eject": Question(
         "failures in a row that chance explains less often eject",
-        "CHANCE",
+        outlier_ejection,
+        "EJECTION_SIGNIFICANCE",
         (0.1, 0.01, 0.0001),
         ("noise", "failing"),
     ),
-    "cold": Question("part of a cold server's room that is used", "COLD_PART", (0.25, 0.75), ("restarts",)),
-    "first": Question("first share of sends that are trusted", "THROTTLE", (1.1, 1.8), ("burst", "restarts")),
+    "cold": Question(
+        "part of a cold server's room that is used",
+        slow_start,
+        "SLOW_START_LOAD_FRACTION",
+        (0.25, 0.75),
+        ("restarts",),
+    ),
+    "first": Question(
+        "first share of sends that are trusted",
+        load_shedding,
+        "ADAPTIVE_THROTTLING_FACTOR",
+        (1.1, 1.8),
+        ("burst", "restarts"),
+    ),
 }
 
 
 @contextmanager
-def other(name: str, value: object) -> Iterator[None]:
+def other(module: ModuleType, name: str, value: object) -> Iterator[None]:
     """A constant of the module with another value for a while."""
-    was = getattr(policy, name)
-    setattr(policy, name, value)
+    was = getattr(module, name)
+    setattr(module, name, value)
     try:
         yield
     finally:
-        setattr(policy, name, was)
+        setattr(module, name, was)
 
 
 def played(day: str, seeds: int, quick: bool) -> list[Report]:
@@ -149,9 +182,9 @@
         print("| day | value | worth in time | refused | failed | turned slow | errors | largest | rules |")
         print("| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
         for day in question.days:
-            print(row(day, f"{getattr(policy, question.name)} (today)", today[day]))
+            print(row(day, f"{getattr(question.module, question.name)} (today)", today[day]))
             for value in question.values:
-                with other(question.name, value):
+                with other(question.module, question.name, value):
                     print(row(day, str(value), played(day, seeds, args.quick)), flush=True)
         print()
 
--- a/tests/compatibility/test_recorded_decisions.py
+++ b/tests/compatibility/test_recorded_decisions.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from balancer.policy import balancer as policy
+from balancer.policy import selection
 from tests.compatibility import decision_streams as streams
 
 FIXTURE = json.loads((Path(__file__).parent / "fixtures" / "decisions.json").read_text())
@@ -41,6 +41,6 @@
 
 
 def test_digest_changes_with_one_constant_of_the_policy(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(policy, "JOB_SIZE_SECOND_MOMENT", policy.JOB_SIZE_SECOND_MOMENT * 1.1)
+    monkeypatch.setattr(selection, "JOB_SIZE_SECOND_MOMENT", selection.JOB_SIZE_SECOND_MOMENT * 1.1)
     stream = streams.stream("live_weights", 24)
     assert stream.play(streams.ARRIVALS) != FIXTURE["live_weights-24"]["digest"]
--- a/tests/net/test_bulk_update.py
+++ b/tests/net/test_bulk_update.py
@@ -186,7 +186,13 @@
         )
         await until(lambda: node.ready)
         assert len(node.balancer.order) == count
-        news = [] if count <= node_module.LARGE_LIST_ENDPOINTS else ["ListUpdate", "Remembered", "ClientGone"]
-        assert handled == (news or ["ClientGone", "Remembered"]), "what was kept goes before all that waited"
+        news = (
+            []
+            if count <= node_module.LARGE_LIST_ENDPOINTS
+            else ["EndpointsUpdated", "LearnedStateRestored", "ClientLeft"]
+        )
+        assert handled == (news or ["ClientLeft", "LearnedStateRestored"]), (
+            "what was kept goes before all that waited"
+        )
 
     run(test)
--- a/tests/net/test_persistence.py
+++ b/tests/net/test_persistence.py
@@ -168,7 +168,7 @@
     async def test() -> None:
         async with rig(tmp_path, disk) as one:
             await one.opened()
-            one.node.balancer.concurrency_limit = 77.0
+            one.node.balancer.state.concurrency_limit = 77.0
             for cls in one.node.balancer.classes.values():
                 cls.expected_latency_ms, cls.mean_deviation_ms = (
                     cls.request_class.latency_objective_ms / 3,
--- a/tests/net/test_platform_recovery.py
+++ b/tests/net/test_platform_recovery.py
@@ -580,7 +580,7 @@
         await agent.watched()
         await until(lambda: not fleet.merger.sources[platform.SOURCE_NAME].has_cached_records)
         agent.refuse()
-        await until(lambda: node.balancer.failed_polls >= 3)
+        await until(lambda: node.balancer.state.failed_polls >= 3)
         agent.body = {
             "a beat": b"\n",
             "an old change": listed(1, b0="in_service") + b"\n",
@@ -589,7 +589,7 @@
         await agent.start()
         await agent.watched()
         await until(lambda: source.watcher.consecutive_failures == 0)
-        assert node.balancer.failed_polls == 0
+        assert node.balancer.state.failed_polls == 0
         source.watch(False)
 
     run(test)
--- a/tests/net/test_request_dispatcher.py
+++ b/tests/net/test_request_dispatcher.py
@@ -910,8 +910,8 @@
         await front.listen(("127.0.0.1", 0))
         decide = node.balancer.handlers[RequestArrived]
 
-        def broken(event: Any) -> None:
-            decide(event)
+        def broken(state: Any, event: Any) -> None:
+            decide(state, event)
             raise RuntimeError("half-way")
 
         node.balancer.handlers[RequestArrived] = broken
--- a/tests/net/test_slow_connections.py
+++ b/tests/net/test_slow_connections.py
@@ -43,7 +43,7 @@
             front.node.observer = seen
             known = front.node.balancer.backends["b0"]
             known.is_confirmed = True  # by discovery, not by memory alone
-            front.node.balancer.failure_rate = 0.3  # as where many connections are late: one is no sign
+            front.node.balancer.state.failure_rate = 0.3  # as where many connections are late: one is no sign
             client = Client(*await asyncio.open_connection(*front.address))
             got = await client.ask("/read", "Request-Timeout: 1200m")
             assert got.code == 503  # nothing ran
--- a/tests/policy/reference_selection.py
+++ b/tests/policy/reference_selection.py
@@ -13,8 +13,7 @@
 from enum import Enum
 
 from balancer import interface as api
-from balancer.policy.balancer import HIGH_REJECTION_RATE
-from balancer.policy.records import Backend
+from balancer.policy.records import HIGH_REJECTION_RATE, Backend
 
 
 class Place(Enum):
--- a/tests/policy/test_any_settings.py
+++ b/tests/policy/test_any_settings.py
@@ -149,7 +149,9 @@
                 assert 0.0 <= act.retry_after_ms <= self.cfg.max_retry_after_ms
             elif isinstance(act, api.NoteBackendDecision):
                 assert math.isfinite(act.duration_ms)
-        assert 0.0 < self.b.min_concurrency_limit < math.inf and 0.0 < self.b.concurrency_limit < math.inf
+        assert (
+            0.0 < self.b.state.min_concurrency_limit < math.inf and 0.0 < self.b.concurrency_limit < math.inf
+        )
         assert all(
             math.isfinite(c.expected_latency_ms) and c.expected_latency_ms > 0
             for c in self.b.classes.values()
@@ -291,7 +293,7 @@
     )
     day.tell(api.EndpointsUpdated(api.EndpointUpdateKind.SNAPSHOT, []))
     assert not (b.backends or b.index.order or b.index.warming_up or b.index.groups or any(b.index.shelves))
-    asked = [call for call, _ in b.timers.values()]
+    asked = [call for call, _ in b.state.timers.values()]
     assert not [call for call in asked if call.__name__ != "_ask"]
 
 
--- a/tests/policy/test_backend_index.py
+++ b/tests/policy/test_backend_index.py
@@ -11,20 +11,25 @@
 from collections import Counter, defaultdict
 from collections.abc import Callable, Mapping, Sequence
 from dataclasses import replace
+from unittest import mock
 
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
 from balancer import interface as api
+from balancer.policy import capacity, selection, slow_start
 from balancer.policy.backend_index import MAX_READMITTED_PER_CALL, BackendIndex
-from balancer.policy.balancer import HIGH_REJECTION_RATE, SLOW_START_LOAD_FRACTION, Balancer
+from balancer.policy.balancer import Balancer
 from balancer.policy.records import (
+    HIGH_REJECTION_RATE,
     INVERSE_WEIGHT_UNIT,
     Backend,
     Level,
     Request,
 )
+from balancer.policy.slow_start import SLOW_START_LOAD_FRACTION
+from balancer.policy.state import NodeState
 from tests.helpers import (
     BASE,
     KEYED,
@@ -55,6 +60,8 @@
 # The 99.9% points of chi-square, by degrees of freedom.
 CRITICAL = {3: 16.27, 5: 20.52, 7: 24.32, 9: 27.88, 11: 31.26, 19: 43.82}
 
+CHOOSE, ADMITTED = selection.choose, slow_start.admitted
+
 
 class Watched(Balancer):
     """A node that compares each choice with the plain one, given the cold backends that were admitted."""
@@ -64,16 +71,23 @@
         self.admitted: list[Backend] = []
         self.choices = self.wary = 0
 
-    def _choose(self, req: Request, crowd: float, m: int) -> Backend | None:
+    def handle(self, now_ms: float, event: api.Event) -> list[api.Action]:
+        with (
+            mock.patch.object(selection, "choose", self._choose),
+            mock.patch.object(slow_start, "admitted", self._admitted),
+        ):
+            return super().handle(now_ms, event)
+
+    def _choose(self, state: NodeState, req: Request, crowd: float, m: int) -> Backend | None:
         members = reference.window(self.backends.values(), self.subset_size, self.in_flight)
         self.admitted = []
         while (
-            self.index.review_heap and self.index.review_heap[0][0] <= self.now_ms
+            self.index.review_heap and self.index.review_heap[0][0] <= self.state.now_ms
         ):  # some at a time, where many are back
-            self.index.readmit_due(self.now_ms)
-        got = super()._choose(req, crowd, m)
+            self.index.readmit_due(self.state.now_ms)
+        got = CHOOSE(state, req, crowd, m)
         pool = reference.eligible(
-            members, self.now_ms, self.settings, crowd, req.is_high_priority, self.admitted
+            members, self.state.now_ms, self.state.settings, crowd, req.is_high_priority, self.admitted
         )
         fair = reference.chances(pool, m) if pool else {}
         assert got.endpoint.id in fair if got else not pool
@@ -81,15 +95,15 @@
         self.wary += req.is_high_priority and any(b.rejection_rate > HIGH_REJECTION_RATE for b in members)
         return got
 
-    def _admitted(self, req: Request, crowd: float) -> list[Backend]:
-        self.admitted = super()._admitted(req, crowd)
+    def _admitted(self, state: NodeState, req: Request, crowd: float) -> list[Backend]:
+        self.admitted = ADMITTED(state, req, crowd)
         assert len(set(self.admitted)) == len(self.admitted)
         for b in self.admitted:
-            assert reference.place(b, self.now_ms, self.settings) is Place.COLD, (
+            assert reference.place(b, self.state.now_ms, self.state.settings) is Place.COLD, (
                 b.ejected_until_ms,
                 b.paused_until_ms,
                 b.review_at_ms,
-                self.now_ms,
+                self.state.now_ms,
             )
         return self.admitted
 
@@ -126,7 +140,10 @@
     assert index.local_count == sum(x.is_local for x in order)
     members = order[: index.window_size]
     assert {x for x in b.backends.values() if x.is_in_window} == set(members)
-    ready, late = shelved(index), {x for due, _, x in index.review_heap if x.review_at_ms == due <= b.now_ms}
+    ready, late = (
+        shelved(index),
+        {x for due, _, x in index.review_heap if x.review_at_ms == due <= b.state.now_ms},
+    )
     waiting = {x for due, _, x in index.review_heap if x.review_at_ms == due}
     assert len(set(index.warming_up)) == len(index.warming_up) and set(index.warming_up) <= set(members)
     assert (
@@ -134,7 +151,7 @@
         and len(index.review_heap) <= 2 * len(waiting) + MAX_READMITTED_PER_CALL
     )
     for x in members:
-        where = reference.place(x, b.now_ms, b.settings)
+        where = reference.place(x, b.state.now_ms, b.state.settings)
         if x in late:
             assert x not in ready  # its time has come, it is taken back with the next choice
             continue
@@ -197,12 +214,12 @@
             n: (x.out, x.estimate) for n, x in self.counts.known.items()
         }
         assert b.in_flight == sum(x.out for x in self.counts.known.values()) == len(self.out)
-        assert not b.settings.has_live_weights or self.same_sums()
+        assert not b.state.settings.has_live_weights or self.same_sums()
 
     def same_sums(self) -> bool:
         """The running sums of live weights are what summing all up comes to."""
         want = reference.sums(self.node.backends.values(), self.largest)
-        rooms = self.node.capacity_by_kind.values()
+        rooms = self.node.state.capacity_by_kind.values()
         held = sum(
             room.idle_weight * room.inverse_weight_sum / INVERSE_WEIGHT_UNIT - room.weighted_count
             for room in rooms
@@ -352,7 +369,7 @@
     got: Counter[str] = Counter()
     for _ in range(n):
         req = Request("r", b.classes[cls], None, 1e9, 1e9, False)
-        found = b._choose(req, crowd, m)
+        found = selection.choose(b.state, req, crowd, m)
         got[found.endpoint.id if found else "nobody"] += 1
     return got
 
@@ -367,7 +384,7 @@
     b = prepared(16)
     for i, x in enumerate(b.backends.values()):
         x.queue_estimate, x.in_flight = (1, i % levels) if i < 12 else (2, levels // 2)
-        b._place(x)
+        capacity.update_backend(b.state, x)
     fair = reference.chances(list(b.backends.values()), 4)
     assert len(fair) == (12 if levels == 1 else 8) and len(set(fair.values())) == 1
     chi_square(drawn(b, 4, 8000), fair, 8000)
@@ -379,7 +396,7 @@
     for i, x in enumerate(b.backends.values()):
         x.endpoint = replace(x.endpoint, weight=(1.0, 0.3, 2.0, 0.75)[i % 4])
         x.slowness, x.queue_estimate, x.in_flight = 1.0 + 0.2 * i, 5 + i, out[i]
-        b._place(x)
+        capacity.update_backend(b.state, x)
     fair = reference.chances(list(b.backends.values()), 3)
     chi_square(drawn(b, 3, 20_000), fair, 20_000)
 
@@ -395,7 +412,7 @@
     n, got = 20_000, Counter[str]()
     for _ in range(n):
         req = Request("r", b.classes["read"], None, 1e9, 1e9, False)
-        got.update(x.endpoint.id for x in b._admitted(req, math.inf))
+        got.update(x.endpoint.id for x in slow_start.admitted(b.state, req, math.inf))
     for i in range(4):
         warm = reference.warmth(
             b.backends[f"b{i}"], now, BASE.slow_start_initial_fraction, BASE.slow_start_duration_ms
--- a/tests/policy/test_bulk_update.py
+++ b/tests/policy/test_bulk_update.py
@@ -21,28 +21,28 @@
 )
 
 FIELDS = (
-    "entry",
-    "estimate",
-    "out",
-    "slow",
-    "fails",
-    "until",
-    "full",
-    "busy",
-    "listed",
-    "near",
-    "vouched",
+    "endpoint",
+    "queue_estimate",
+    "in_flight",
+    "slowness",
+    "consecutive_failures",
+    "ejected_until_ms",
+    "rejection_rate",
+    "paused_until_ms",
+    "is_listed",
+    "is_local",
+    "is_confirmed",
     "rank",
-    "tally",
-    "inside",
-    "apart",
-    "shelved",
-    "row",
-    "grade",
-    "in_row",
-    "in_rack",
-    "in_cold",
-    "due",
+    "capacity_tally",
+    "is_in_window",
+    "shelf_number",
+    "indexed_in_flight",
+    "indexed_estimate",
+    "indexed_weight_grade",
+    "estimate_position",
+    "weight_position",
+    "warming_up_position",
+    "review_at_ms",
 )
 
 
@@ -57,7 +57,18 @@
         for estimate, row in level.by_estimate.items()
     ]
     groups = {key: [b.endpoint.id for b in bag.items] for key, bag in index.groups.items()}
-    own = ("width", "spill", "fleet", "listed", "least", "ease", "limit", "token", "now", "bad")
+    own = (
+        "subset_size",
+        "spillover",
+        "fleet_size",
+        "listed_at_ms",
+        "min_concurrency_limit",
+        "limit_relaxation",
+        "concurrency_limit",
+        "last_timer_token",
+        "now_ms",
+        "miss_rates",
+    )
     return {
         "backends": names,
         "order": balancer.order,
@@ -65,9 +76,9 @@
         "groups": groups,
         "cold": [b.endpoint.id for b in index.warming_up],
         "window": (index.window_size, index.local_count, index.scheduled_reviews),
-        "rooms": repr(balancer.capacity_by_kind),
-        "random": balancer.rng.getstate(),
-        "own": {name: getattr(balancer, name) for name in own},
+        "rooms": repr(balancer.state.capacity_by_kind),
+        "random": balancer.state.rng.getstate(),
+        "own": {name: getattr(balancer.state, name) for name in own},
     }
 
 
@@ -106,7 +117,7 @@
         seen[1] += two.handle(now, api.EndpointsUpdated(kind, [], 2))
     before, laying.BACKENDS_PER_STEP = laying.BACKENDS_PER_STEP, step
     try:
-        two.now_ms, steps = now, laying.apply_first_list(two, entries)
+        two.state.now_ms, steps = now, laying.apply_first_list(two, entries)
         while True:
             try:
                 next(steps)
--- a/tests/policy/test_learned_state.py
+++ b/tests/policy/test_learned_state.py
@@ -10,12 +10,10 @@
 import pytest
 
 from balancer import interface as api
-from balancer.policy.balancer import (
-    CACHED_AGE_SCALE_MS,
-    LEARNED_STATE_HALF_LIVES_MS,
-    MIN_LIMIT_PER_BACKEND,
-    Balancer,
-)
+from balancer.policy import learned_state
+from balancer.policy.balancer import Balancer
+from balancer.policy.concurrency_limit import MIN_LIMIT_PER_BACKEND
+from balancer.policy.routing import CACHED_AGE_SCALE_MS
 from tests.helpers import (
     BASE,
     KEYED,
@@ -52,7 +50,7 @@
 
 def fails(node: Balancer, backend: str, status: api.AttemptStatus, now: float = 1_010.0) -> list[api.Action]:
     """Requests go out until one meets this server, and fails there; the others never end."""
-    node.concurrency_limit = 1e9
+    node.state.concurrency_limit = 1e9
     for number in range(200):
         if ask(node, f"f{number}", now=now) == backend:
             return end(node, f"f{number}", backend, status, now)
@@ -62,10 +60,10 @@
 @pytest.mark.parametrize("cls", ["pay", "once"])
 def test_bookings_go_to_those_that_a_source_vouches_for_or_that_have_answered(cls: str) -> None:
     node = remembers("b2")
-    node.concurrency_limit = 1e9
+    node.state.concurrency_limit = 1e9
     assert {ask(node, f"r{n}", cls) for n in range(20)} == {"b2"}
     node = remembers()
-    node.concurrency_limit = 1e9
+    node.state.concurrency_limit = 1e9
     where = ask(node, "s", now=1_001.0)
     assert end(node, "s", where, api.AttemptStatus.OK) is not None
     assert {ask(node, f"r{n}", cls) for n in range(20)} == {where}
@@ -73,7 +71,7 @@
 
 def test_a_booking_is_not_refused_where_nobody_has_answered() -> None:
     node = remembers()
-    node.concurrency_limit = 1e9
+    node.state.concurrency_limit = 1e9
     acts = [a for n in range(6) for a in node.handle(1_000.0, api.RequestArrived(f"r{n}", "once", 2_000.0))]
     assert {a.backend for a in sends(acts)} == set(NAMES)
     assert api.DecisionReason.PANIC not in {a.reason for a in sends(acts)}
@@ -82,7 +80,7 @@
 def test_one_safe_request_at_a_time_tries_one_of_memory_alone() -> None:
     """With others to go to none gets a second before it has answered; `literal` would fill all up to m."""
     node = remembers("b0", "b1")
-    node.concurrency_limit = 1e9
+    node.state.concurrency_limit = 1e9
     count = Counter(ask(node, f"r{n}") for n in range(30))
     assert all(count[name] == 1 for name in NAMES[2:]) and count["b0"] > 5
 
@@ -129,7 +127,7 @@
 
 def test_a_list_that_vouches_brings_back_the_usual_service_at_once() -> None:
     node = remembers()
-    node.concurrency_limit = 1e9
+    node.state.concurrency_limit = 1e9
     node.handle(1_001.0, api.EndpointsUpdated(api.EndpointUpdateKind.INCREMENTAL, [entry(n) for n in NAMES]))
     assert not node.index.shelves[2] and len({ask(node, f"r{n}", "once") for n in range(30)}) == 6
     fails(node, "b3", api.AttemptStatus.RESET)
@@ -169,7 +167,12 @@
         lambda n: n.classes["read"].expected_latency_ms,
     ]
     figures = (MIN_LIMIT_PER_BACKEND, 64.0), (1.0, 3.0), (SAFE.latency_objective_ms / 4, 50.0)
-    for half, read, (fresh, kept) in zip(LEARNED_STATE_HALF_LIVES_MS, reads, figures, strict=True):
+    half_lives_ms = (
+        learned_state.LIMIT_HALF_LIFE_MS,
+        learned_state.SLOWNESS_HALF_LIFE_MS,
+        learned_state.LATENCY_HALF_LIFE_MS,
+    )
+    for half, read, (fresh, kept) in zip(half_lives_ms, reads, figures, strict=True):
         assert read(recalls(0.0)) == pytest.approx(kept)
         assert read(recalls(half)) == pytest.approx((fresh + kept) / 2)
         assert read(recalls(50 * half)) == pytest.approx(fresh, rel=1e-6)
--- a/tests/policy/test_overload.py
+++ b/tests/policy/test_overload.py
@@ -8,8 +8,9 @@
 
 from balancer import interface as api
 from balancer.interface import Idempotency
-from balancer.policy import balancer as policy
-from balancer.policy.balancer import OVERLOAD_REQUESTS_PER_CORE, Balancer
+from balancer.policy import load_shedding
+from balancer.policy.balancer import Balancer
+from balancer.policy.load_shedding import OVERLOAD_REQUESTS_PER_CORE
 from balancer.testbed.service_profile import RequestClass
 from balancer.testbed.simulation.report import Report
 from balancer.testbed.simulation.scenario import (
@@ -64,7 +65,7 @@
 def test_a_burst_does_not_jam_a_fleet_for_long(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against a fleet that stays slow once the burst is over; it fails where nobody is spared."""
     spared = burst(1)
-    monkeypatch.setattr(policy, "OVERLOAD_REQUESTS_PER_CORE", (1e8, 1e9))
+    monkeypatch.setattr(load_shedding, "OVERLOAD_REQUESTS_PER_CORE", (1e8, 1e9))
     crowded = burst(1)
     assert spared.ok and crowded.ok
     assert crowded.chokes == 20 and crowded.service < 0.4
--- a/tests/policy/test_reasons.py
+++ b/tests/policy/test_reasons.py
@@ -8,6 +8,7 @@
 
 from balancer import interface as api
 from balancer.interface import AttemptStatus, BackendDecision, DecisionReason
+from balancer.policy import capacity, outlier_ejection
 from balancer.policy.balancer import Balancer
 from tests.helpers import (
     BASE,
@@ -86,8 +87,8 @@
 
 def test_panic_when_all_are_ejected() -> None:
     b = node(BASE, "a")
-    b._eject(b.backends["a"], 0)
-    b._place(b.backends["a"])
+    outlier_ejection.eject(b.state, b.backends["a"], 0)
+    capacity.update_backend(b.state, b.backends["a"])
     assert sends(arrive(b))[0].reason is DecisionReason.PANIC
 
 
@@ -96,7 +97,7 @@
     b = Balancer(cfg, 1)
     told = [entry(f"a{n}") for n in range(3)] + [entry(f"z{n}", zone="b") for n in range(3)]
     b.handle(1000.0, api.EndpointsUpdated(api.EndpointUpdateKind.CACHED, told))
-    b.spillover = 1.0
+    b.state.spillover = 1.0
     got = [send for n in range(30) for send in sends(arrive(b, f"r{n}"))]
     assert {send.backend[0] for send in got} == {"a", "z"}  # a draw of six takes in the own zone
     assert all((send.reason is DecisionReason.OTHER_ZONE) == (send.backend[0] == "z") for send in got)
@@ -114,7 +115,7 @@
 
 def test_held_and_released() -> None:
     b = node(BASE, "abc")
-    b.concurrency_limit = 1.0
+    b.state.concurrency_limit = 1.0
     arrive(b)
     assert not sends(arrive(b, "s"))
     (send,) = sends(end(b, AttemptStatus.OK))
@@ -132,13 +133,13 @@
     b = node(BASE, "abc")
     assert why(arrive(b, left=1.0)) is DecisionReason.OBJECTIVE_UNREACHABLE
     assert why(arrive(Balancer(BASE, 1))) is DecisionReason.NO_ELIGIBLE_BACKEND
-    b.success_rate, b.rng.random = 0.0, lambda: 0.99  # type: ignore[method-assign]
+    b.state.success_rate, b.state.rng.random = 0.0, lambda: 0.99  # type: ignore[method-assign]
     assert why(arrive(b, "s")) is DecisionReason.SHED_BY_SUCCESS_RATE
 
 
 def test_a_held_one_whose_time_is_up_found_no_room() -> None:
     b = node(BASE, "abc")
-    b.concurrency_limit = 1.0
+    b.state.concurrency_limit = 1.0
     arrive(b)
     (timer,) = [a for a in arrive(b, "s") if isinstance(a, api.SetTimer)]
     assert why(b.handle(timer.at_ms, api.TimerFired(timer.token))) is DecisionReason.QUEUE_TIMEOUT
@@ -146,9 +147,9 @@
 
 def test_what_ends_repeats_is_named() -> None:
     b = node(BASE, "abc")
-    b.retry_tokens = 0.0
+    b.state.retry_tokens = 0.0
     arrive(b)
-    b.retry_tokens = 0.0
+    b.state.retry_tokens = 0.0
     assert why(end(b, AttemptStatus.ERROR)) is DecisionReason.RETRY_BUDGET_EXHAUSTED
     b = node(replace(BASE, max_attempts=1), "abc")
     arrive(b)
--- a/tests/policy/test_replay.py
+++ b/tests/policy/test_replay.py
@@ -21,7 +21,7 @@
 import pytest
 
 from balancer import interface as api
-from balancer.policy import balancer as policy
+from balancer.policy import concurrency_limit, load_shedding, outlier_ejection
 from balancer.policy.balancer import Balancer
 from tests.helpers import (
     BASE,
@@ -192,10 +192,14 @@
 
 @pytest.mark.parametrize("name", FLEETS)
 def test_the_actions_are_those_from_before_reasons(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(policy, "OVERLOAD_REQUESTS_PER_CORE", (1e9, 2e9))
-    monkeypatch.setattr(policy, "MIN_BACKENDS_PER_NODE", 1.0)
-    monkeypatch.setattr(policy, "CONNECT_EJECTION_SIGNIFICANCE", policy.EJECTION_SIGNIFICANCE)
-    monkeypatch.setattr(policy, "REFUSED_CONNECT_FRACTION", math.inf)  # as if none only came up late
+    monkeypatch.setattr(load_shedding, "OVERLOAD_REQUESTS_PER_CORE", (1e9, 2e9))
+    monkeypatch.setattr(concurrency_limit, "MIN_BACKENDS_PER_NODE", 1.0)
+    monkeypatch.setattr(
+        outlier_ejection, "CONNECT_EJECTION_SIGNIFICANCE", outlier_ejection.EJECTION_SIGNIFICANCE
+    )
+    monkeypatch.setattr(
+        outlier_ejection, "REFUSED_CONNECT_FRACTION", math.inf
+    )  # as if none only came up late
     assert [Run(FLEETS[name], seed).play(1_500) for seed in (1, 2)] == DIGESTS[name]
 
 
@@ -209,10 +213,12 @@
 
 @pytest.mark.parametrize("name", FLEETS)
 def test_the_actions_among_servers_that_do_not_move(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(policy, "OVERLOAD_REQUESTS_PER_CORE", (1e9, 2e9))
-    monkeypatch.setattr(policy, "MIN_BACKENDS_PER_NODE", 1.0)
-    monkeypatch.setattr(policy, "CONNECT_EJECTION_SIGNIFICANCE", policy.EJECTION_SIGNIFICANCE)
-    monkeypatch.setattr(policy, "REFUSED_CONNECT_FRACTION", math.inf)
+    monkeypatch.setattr(load_shedding, "OVERLOAD_REQUESTS_PER_CORE", (1e9, 2e9))
+    monkeypatch.setattr(concurrency_limit, "MIN_BACKENDS_PER_NODE", 1.0)
+    monkeypatch.setattr(
+        outlier_ejection, "CONNECT_EJECTION_SIGNIFICANCE", outlier_ejection.EJECTION_SIGNIFICANCE
+    )
+    monkeypatch.setattr(outlier_ejection, "REFUSED_CONNECT_FRACTION", math.inf)
     assert [SteadyRun(FLEETS[name], seed).play(1_500) for seed in (1, 2)] == STEADY[name]
 
 
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -5,14 +5,17 @@
 import math
 import random
 from dataclasses import replace
+from pathlib import Path
 
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
 from balancer import interface as api
-from balancer.policy import balancer as policy
+from balancer.policy import balancer as balancer_module
+from balancer.policy import retries, routing, slow_start, subsetting
 from balancer.policy.balancer import Balancer
+from balancer.policy.state import NodeState
 from tests.helpers import (
     BASE,
     KEYED,
@@ -153,27 +156,27 @@
 
 
 def test_the_checker_catches_a_lost_repeat_guard(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Balancer, "_legal", lambda self, req, b: True)
+    monkeypatch.setattr(retries, "may_attempt", lambda state, request, backend: True)
     _breaks(BASE, "rule 2")
 
 
 def test_the_checker_catches_a_lost_drain_guard(monkeypatch: pytest.MonkeyPatch) -> None:
-    keep = Balancer._list
+    keep = subsetting.update_endpoints
 
-    def deaf(self: Balancer, ev: api.EndpointsUpdated) -> None:
-        keep(self, api.EndpointsUpdated(ev.kind, [replace(e, phase=api.Phase.UP) for e in ev.endpoints]))
+    def deaf(state: NodeState, ev: api.EndpointsUpdated) -> None:
+        keep(state, api.EndpointsUpdated(ev.kind, [replace(e, phase=api.Phase.UP) for e in ev.endpoints]))
 
-    monkeypatch.setattr(Balancer, "_list", deaf)
+    monkeypatch.setitem(balancer_module.HANDLERS, api.EndpointsUpdated, deaf)
     _breaks(replace(BASE, drain_grace_ms=0.0), "rule 3")
 
 
 def test_the_checker_catches_a_lost_answer(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Balancer, "_again", lambda self, req: None)
+    monkeypatch.setattr(routing, "retry", lambda state, request: None)
     _breaks(BASE, "rule 1")
 
 
 def test_the_checker_catches_a_repeat_that_may_be_written_whenever(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Balancer, "_window", lambda self, req: math.inf)
+    monkeypatch.setattr(retries, "start_before_ms", lambda state, request: math.inf)
     _breaks(BASE, "rule 2")
 
 
@@ -296,7 +299,7 @@
 
 
 def test_the_cold_budget_check_catches_a_lost_slow_start(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(policy, "SLOW_START_LOAD_FRACTION", 50.0)
+    monkeypatch.setattr(slow_start, "SLOW_START_LOAD_FRACTION", 50.0)
     assert over_cold_budget(12, 100, 0.14)
 
 
@@ -363,7 +366,7 @@
 
 
 def test_the_deploy_check_catches_a_lost_slow_start(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Balancer, "_warmth", lambda self, entry: 1.0)
+    monkeypatch.setattr(slow_start, "fraction", lambda state, backend: 1.0)
     cfg = replace(
         BASE,
         slow_start_initial_fraction=0.12,
@@ -412,9 +415,11 @@
         b.handle(1000.0, "hello")  # type: ignore[arg-type]
 
 
-def test_module_limits() -> None:
-    with open(policy.__file__, encoding="utf-8") as source:
-        lines = [line.rstrip("\n") for line in source]
-    assert sum(1 for line in lines if line.strip()) <= 1200
-    assert max(map(len, lines)) <= 110
-    assert any("interface.py" in line for line in lines[:3])
+def test_each_module_is_short_and_the_first_names_the_interface() -> None:
+    sources = sorted(Path(balancer_module.__file__).parent.glob("*.py"))
+    assert len(sources) > 12
+    for path in sources:
+        lines = path.read_text(encoding="utf-8").splitlines()
+        assert sum(1 for line in lines if line.strip()) <= 400, path
+        assert max(map(len, lines), default=0) <= 110, path
+    assert "interface.py" in Path(balancer_module.__file__).read_text(encoding="utf-8").splitlines()[0]
--- a/tests/policy/test_scale.py
+++ b/tests/policy/test_scale.py
@@ -19,9 +19,11 @@
 import pytest
 
 from balancer import interface as api
+from balancer.policy import capacity, retries, selection
 from balancer.policy.backend_index import MAX_READMITTED_PER_CALL
-from balancer.policy.balancer import MAX_DEQUEUED_PER_EVENT, Balancer
+from balancer.policy.balancer import Balancer
 from balancer.policy.records import Attempt, Backend, Request
+from balancer.policy.routing import MAX_DEQUEUED_PER_EVENT
 from tests.helpers import (
     BASE,
     KEYED,
@@ -51,7 +53,7 @@
         50_000.0,
         api.EndpointsUpdated(api.EndpointUpdateKind.SNAPSHOT, [entry(n, **over) for n in names(count)]),
     )
-    b.concurrency_limit = b.min_concurrency_limit = 1e9
+    b.state.concurrency_limit = b.state.min_concurrency_limit = 1e9
     return b
 
 
@@ -139,9 +141,11 @@
         ask = Asker(fleet(replace(ALONE, classes=(KEYED,), max_attempts=2), size))
         total = 0
         for i in range(30):
-            ask.b.retry_tokens, ask.b.success_rate, ask.b.failure_rate = 3.0, 1.0, 0.5
+            ask.b.state.retry_tokens, ask.b.state.success_rate, ask.b.state.failure_rate = 3.0, 1.0, 0.5
             ask.arrive("pay")
-            bound = ask.b._bound(Request("r", ask.b.classes["pay"], None, 0.0, 0.0, False, [attempt(ask.b)]))
+            bound = retries.bound_backends(
+                ask.b.state, Request("r", ask.b.classes["pay"], None, 0.0, 0.0, False, [attempt(ask.b)])
+            )
             assert bound is ask.b.index.groups[api.DeduplicationScope.ZONE, "a"].items and len(bound) == size
             one = ask.out.pop()
             repeat = api.AttemptFinished(one.request, 0, one.backend, api.AttemptStatus.RESET, 5.0, False)
@@ -158,7 +162,7 @@
 def attempt(b: Balancer) -> Attempt:
     """One that may have run."""
     backend = next(iter(b.backends.values()))
-    return Attempt(backend, backend.endpoint, b.now_ms, True, api.AttemptStatus.RESET)
+    return Attempt(backend, backend.endpoint, b.state.now_ms, True, api.AttemptStatus.RESET)
 
 
 def test_a_change_and_a_weight_cost_the_same_at_ten_and_at_ten_thousand() -> None:
@@ -204,7 +208,7 @@
 
 def test_weights_of_all_in_one_batch_leave_what_is_held_alone() -> None:
     b = fleet(LIVE, MANY)
-    b.concurrency_limit = b.min_concurrency_limit = 0.0
+    b.state.concurrency_limit = b.state.min_concurrency_limit = 0.0
     ask = Asker(b)
     for _ in range(500):
         ask.arrive()
@@ -216,7 +220,7 @@
         lambda: small.handle(50_001.0, api.EndpointsUpdated(api.EndpointUpdateKind.INCREMENTAL, told[:10]))
     )
     assert cost / MANY < 1.5 * few / 10
-    assert len(b.queued) == 500 and sum(r.backend_count for r in b.capacity_by_kind.values()) == MANY
+    assert len(b.queued) == 500 and sum(r.backend_count for r in b.state.capacity_by_kind.values()) == MANY
     check(b)
 
 
@@ -251,7 +255,7 @@
     for name, x in b.backends.items():
         if name not in left:
             spoil(x, 50_000.0)
-            b._place(x)
+            capacity.update_backend(b.state, x)
     check(b)
     ask = Asker(b)
     ask.turn()
@@ -260,7 +264,7 @@
         assert {ask.arrive() for _ in range(10)} == left
         while ask.out:
             ask.end(report=IDLE)
-    assert not b.queued and b.logged_at_ms < 0  # no panic
+    assert not b.queued and b.state.logged_at_ms < 0  # no panic
 
 
 @pytest.mark.parametrize("spoil", [ejected, cold])
@@ -270,7 +274,7 @@
     for name, x in b.backends.items():
         if name not in left:
             spoil(x, 50_000.0)
-            b._place(x)
+            capacity.update_backend(b.state, x)
     b.index.decisions.clear()  # as after the event that spoilt them
     ask = Asker(b, 70_000.0)
     usual = mean(Asker(fleet(ALONE, MANY)))
@@ -290,7 +294,7 @@
     for x in b.backends.values():
         ejected(x, 50_000.0)
         cold(x, 50_000.0)
-        b._place(x)
+        capacity.update_backend(b.state, x)
     ask = Asker(b, 51_000.5)
     assert lines(ask.turn) < 16 * MAX_READMITTED_PER_CALL * 60
     assert len(b.index.warming_up) == 16 * MAX_READMITTED_PER_CALL
@@ -300,7 +304,7 @@
 def test_one_left_gets_all_and_none_left_refuses_all() -> None:
     b = fleet(ALONE, MANY)
     b.handle(50_001.0, api.EndpointsUpdated(api.EndpointUpdateKind.SNAPSHOT, [entry(names(MANY)[77])]))
-    b.concurrency_limit = b.min_concurrency_limit = 1e9
+    b.state.concurrency_limit = b.state.min_concurrency_limit = 1e9
     ask = Asker(b)
     assert {ask.arrive() for _ in range(50)} == {names(MANY)[77]}
     assert len(b.backends) == 1
@@ -326,11 +330,11 @@
     for name, x in b.backends.items():
         if name not in left:
             ejected(x, 50_000.0)
-            b._place(x)
+            capacity.update_backend(b.state, x)
     ask = Asker(b)
-    b.concurrency_limit = b.min_concurrency_limit = 1e9
-    b.spillover = 1.0
-    assert {ask.arrive() for _ in range(100)} <= set(left) and b.logged_at_ms < 0
+    b.state.concurrency_limit = b.state.min_concurrency_limit = 1e9
+    b.state.spillover = 1.0
+    assert {ask.arrive() for _ in range(100)} <= set(left) and b.state.logged_at_ms < 0
 
 
 # --- lists
@@ -385,7 +389,7 @@
         b = fleet(ALONE, MANY)
         for x in b.backends.values():
             x.queue_estimate = estimate
-            b._place(x)
+            capacity.update_backend(b.state, x)
         ask = Asker(b)
         usual = mean(Asker(fleet(ALONE, 10)))
         assert mean(ask) < 1.5 * usual
@@ -400,11 +404,11 @@
     for ask in nodes:
         for x in ask.b.backends.values():
             x.queue_estimate = 5
-            ask.b._place(x)
+            capacity.update_backend(ask.b.state, x)
     one = names(200)[42]
     for ask in nodes:
-        ask.b._report(ask.b.backends[one], IDLE, False)
-        ask.b._place(ask.b.backends[one])
+        selection.apply_load_report(ask.b.state, ask.b.backends[one], IDLE, False)
+        capacity.update_backend(ask.b.state, ask.b.backends[one])
     feeders = [ask for ask in nodes if ask.b.backends[one].is_in_window]
     assert 5 <= len(feeders) <= 30
     first = [ask.arrive() for ask in nodes]
@@ -438,7 +442,7 @@
     ask = Asker(b)
     for _ in range(3):
         ask.arrive()
-    b.concurrency_limit = b.min_concurrency_limit = 3.0
+    b.state.concurrency_limit = b.state.min_concurrency_limit = 3.0
     due = []
     for _ in range(50_000):
         ask.arrive()
@@ -453,7 +457,7 @@
     assert refused == MAX_DEQUEUED_PER_EVENT
     for timer in due:
         refused += len(answers(b.handle(timer.at_ms, api.TimerFired(timer.token))))
-    assert refused == 50_001 and not b.queued and len(b.timers) == 1  # of the one that came last
+    assert refused == 50_001 and not b.queued and len(b.state.timers) == 1  # of the one that came last
     while ask.out:
         ask.end()
     assert not b.requests
@@ -461,7 +465,7 @@
 
 def test_no_table_grows_with_arrivals() -> None:
     b = fleet(replace(ALONE, classes=(SAFE, replace(SAFE, name="dear", priority_weight=80.0))), 50)
-    b.concurrency_limit = b.min_concurrency_limit = 60.0
+    b.state.concurrency_limit = b.state.min_concurrency_limit = 60.0
     ask, rng = Asker(b), random.Random(5)
     most: Counter[str] = Counter()
     timers: list[api.SetTimer] = []
@@ -481,7 +485,7 @@
             now = {
                 "requests": len(b.requests),
                 "held": len(b.queued),
-                "timers": len(b.timers),
+                "timers": len(b.state.timers),
                 "heap": max(heaps, default=0),
                 "away": len(b.index.review_heap),
                 "backends": len(b.backends),
@@ -509,12 +513,12 @@
     b.handle(50_000.0, api.EndpointsUpdated(api.EndpointUpdateKind.SNAPSHOT, all_))
     assert b.index.local_count == MANY // zones
     check(b)
-    b.spillover, b.concurrency_limit, b.min_concurrency_limit = 0.0, 1e9, 1e9
+    b.state.spillover, b.state.concurrency_limit, b.state.min_concurrency_limit = 0.0, 1e9, 1e9
     ask = Asker(b)
     assert b.index.window_size == 500  # so a zone of 50 is in it as a whole
     sent = Counter(b.backends[ask.arrive() or ""].endpoint.zone for _ in range(500))
     assert sent["z0"] == min(500, b.index.local_count)
-    b.spillover = 1.0
+    b.state.spillover = 1.0
     far = [b.backends[ask.arrive() or ""].endpoint.zone for _ in range(200)]
     assert far.count("z0") == (0 if zones > 1 else 200)
     assert len(set(far)) > zones / 3 - 1
@@ -527,7 +531,7 @@
     b.handle(
         50_000.0, api.EndpointsUpdated(api.EndpointUpdateKind.SNAPSHOT, [entry("home", zone="z0"), *rest])
     )
-    b.spillover, b.concurrency_limit, b.min_concurrency_limit = 0.0, 1e9, 1e9
+    b.state.spillover, b.state.concurrency_limit, b.state.min_concurrency_limit = 0.0, 1e9, 1e9
     ask = Asker(b)
     assert b.index.local_count == 1 and b.index.order[0][2] == "home" and b.index.window_size == 50
     for phase, home in (
@@ -556,7 +560,7 @@
 
 def test_a_clock_that_stood_still_and_every_timer_at_once() -> None:
     b = fleet(replace(ALONE, max_attempts=3), 300)
-    b.concurrency_limit = b.min_concurrency_limit = 80.0
+    b.state.concurrency_limit = b.state.min_concurrency_limit = 80.0
     ask, rng = Asker(b), random.Random(6)
     timers: list[int] = []
     ended: Counter[str] = Counter()
@@ -594,7 +598,7 @@
         assert not sends(ask.acts)
         told()
     check(b)
-    assert not b.queued and not b.timers
+    assert not b.queued and not b.state.timers
     for one in ask.out:
         tried = len(b.requests[one.request].attempts) - 1
         b.handle(
@@ -623,5 +627,5 @@
         ask.end()
     for x in b.backends.values():
         capped(x, 50_000.0)
-        b._place(x)
+        capacity.update_backend(b.state, x)
     assert {ask.arrive() for _ in range(50)} == set(b.backends)
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -12,6 +12,7 @@
 import pytest
 
 from balancer import interface as api
+from balancer.policy import capacity, selection
 from balancer.policy.balancer import Balancer
 from balancer.policy.records import INVERSE_WEIGHT_UNIT
 from tests.helpers import (
@@ -48,12 +49,12 @@
         api.AttemptStatus.CONNECT_FAILED,
     )
     for i, status in enumerate(kept):
-        b.success_rate = 1.0
+        b.state.success_rate = 1.0
         _arrive(b, f"r{i}")
         before = b.backends["x"].queue_estimate
         b.handle(1001.0, _done(f"r{i}", "x", status))
         assert b.backends["x"].queue_estimate >= before > 0
-    b.success_rate = 1.0
+    b.state.success_rate = 1.0
     _arrive(b, "last", 9000.0)
     b.handle(9002.0, _done("last", "x", report=api.LoadReport(3.0, 1.0)))
     assert b.backends["x"].queue_estimate > 0
@@ -77,7 +78,7 @@
     pool = [b.backends[n] for n in NAMES]
     for x in pool[2:]:
         x.queue_estimate = 1
-    got = Counter(b._pick(pool, 2).endpoint.id for _ in range(400))
+    got = Counter(selection.choose_from(b.state, pool, 2).endpoint.id for _ in range(400))
     assert set(got) == {"b0", "b1"} and min(got.values()) > 100
 
 
@@ -86,7 +87,7 @@
     pool = [b.backends[n] for n in NAMES]
     for i, x in enumerate(pool):
         x.queue_estimate = 2 + i
-    got = Counter(b._pick(pool, 2).endpoint.id for _ in range(800))
+    got = Counter(selection.choose_from(b.state, pool, 2).endpoint.id for _ in range(800))
     assert set(got) == set(NAMES) and min(got.values()) > 50
 
 
@@ -198,7 +199,7 @@
     """Guards against a hot node that crowds the few backends an even share would give it."""
     names = [f"b{i:02d}" for i in range(60)]
     b = node(replace(BASE, node_count=300), names)
-    b.concurrency_limit = 30.0
+    b.state.concurrency_limit = 30.0
     got = [s.backend for i in range(24) for s in sends(_arrive(b, f"r{i}"))]
     assert len(got) == 24 and max(Counter(got).values()) <= 3
     quiet = node(replace(BASE, node_count=300), names)
@@ -275,7 +276,7 @@
     fleet = [entry(f"b{i}", zone="ab"[i % 2]) for i in range(12)]
     b.handle(1000.0, api.EndpointsUpdated(api.EndpointUpdateKind.CACHED, fleet))
     for i in range(300):
-        b.spillover, start, n = 0.5, 1000.0 + 2000.0 * i, 0
+        b.state.spillover, start, n = 0.5, 1000.0 + 2000.0 * i, 0
         acts = b.handle(start, api.RequestArrived(f"r{i}", "pay", start + 1000.0))
         sent, now = sent + bool(sends(acts)), start
         while out := sends(acts):
@@ -297,7 +298,7 @@
     calm, _, _ = _lossy(0.5, 1000)
     assert sends(calm.handle(900_000.0, api.RequestArrived("x", "pay", 901_000.0)))[0].timeout_ms == 0.0
     worthless, _, _ = _lossy(0.0, 3)
-    worthless.success_rate = 1.0
+    worthless.state.success_rate = 1.0
     assert sends(worthless.handle(900_000.0, api.RequestArrived("x", "pay", 901_000.0)))[0].timeout_ms > 390
 
 
@@ -389,7 +390,7 @@
     What is late all the time is ejected in the end, and then no panic brings it back.
     """
     b, rounds = node(replace(BASE, node_count=50, max_attempts=1, connect_timeout_ms=100.0), ["x"]), 0
-    x, b.failure_rate = b.backends["x"], failing
+    x, b.state.failure_rate = b.backends["x"], failing
     while x.ejected_until_ms <= 1000.0:
         (sent,) = sends(_arrive(b, f"r{rounds}"))
         status, rounds = api.AttemptStatus.CONNECT_FAILED, rounds + 1
@@ -420,7 +421,7 @@
 def test_limit_does_not_float_up_while_it_does_not_bind() -> None:
     """Guards against quiet nodes that let their limit grow and flood the fleet when a burst comes."""
     b = node(replace(BASE, node_count=4), NAMES)
-    first = max(b.concurrency_limit, b.min_concurrency_limit)
+    first = max(b.concurrency_limit, b.state.min_concurrency_limit)
     for i in range(300):
         got = sends(_arrive(b, f"r{i}"))
         b.handle(1001.0, _done(f"r{i}", got[0].backend))
@@ -434,7 +435,7 @@
     """
     cls = replace(SAFE, latency_objective_ms=100.0)
     b, live = node(replace(BASE, classes=(cls,)), NAMES), list[str]()
-    first = max(b.concurrency_limit, b.min_concurrency_limit)
+    first = max(b.concurrency_limit, b.state.min_concurrency_limit)
     for i in range(600):
         now = 1000.0 + i
         live += [s.request + " " + s.backend for s in sends(_arrive(b, f"r{i}", now))]
@@ -567,11 +568,11 @@
 def test_held_requests_end_in_time_also_after_a_first_attempt() -> None:
     """Guards against losing a request that is held again after a refused attempt."""
     b = node(replace(BASE, max_attempts=3), ["x"])
-    b.concurrency_limit = 1.0
+    b.state.concurrency_limit = 1.0
     first = sends(_arrive(b, "a"))[0]
     acts = _arrive(b, "b")
     assert first and not sends(acts)
-    b.in_flight = 5  # other requests keep the node at its limit
+    b.state.in_flight = 5  # other requests keep the node at its limit
     again = b.handle(1001.0, api.AttemptFinished("a", 0, "x", api.AttemptStatus.REJECTED, 1.0, False))
     timers = [a for a in [*acts, *again] if isinstance(a, api.SetTimer)]
     ended = [x.request for t in timers for x in answers(b.handle(t.at_ms, api.TimerFired(t.token)))]
@@ -671,7 +672,8 @@
 def test_many_nodes_before_few_backends_have_lower_limits() -> None:
     """Guards against a crowd of which each node holds no more than its least: 200 times 4 for 80 servers."""
     few, even, many = (
-        node(replace(BASE, node_count=size), NAMES).min_concurrency_limit for size in (2, len(NAMES), 200)
+        node(replace(BASE, node_count=size), NAMES).state.min_concurrency_limit
+        for size in (2, len(NAMES), 200)
     )
     assert few > even > many
     assert many == 0.6 * even
@@ -682,25 +684,25 @@
 
     def least(held: float, live: bool = True) -> list[float]:
         b, out = node(replace(BASE, has_weights=True, has_live_weights=live), NAMES), list[float]()
-        b.in_flight = 99  # all comes to be held: the limit binds
+        b.state.in_flight = 99  # all comes to be held: the limit binds
         for i in range(60):
             _arrive(b, f"r{i}", 2000.0 + 100.0 * i)
             weight = 1.0 if i < 30 else 1 / (1 + held)
             entries = [entry(name, weight=weight) for name in NAMES]
             b.handle(2000.0 + 100.0 * i, api.EndpointsUpdated(api.EndpointUpdateKind.INCREMENTAL, entries))
-            out.append(b.min_concurrency_limit)
+            out.append(b.state.min_concurrency_limit)
         return out
 
     def with_idle(full: float) -> float:
         b = node(replace(BASE, has_weights=True, has_live_weights=True), NAMES)
-        b.in_flight = 99
+        b.state.in_flight = 99
         for i in range(30):
             _arrive(b, f"r{i}", 2000.0 + 100.0 * i)
             for x in NAMES[:6]:
                 b.backends[x].rejection_rate = full
             entries = [entry(x, weight=1.0 if x in NAMES[:6] else 0.3) for x in NAMES]
             b.handle(2000.0 + 100.0 * i, api.EndpointsUpdated(api.EndpointUpdateKind.INCREMENTAL, entries))
-        return b.limit_relaxation
+        return b.state.limit_relaxation
 
     # Those that turn away and stand idle are no room for what crowds the rest.
     assert with_idle(0.0) > 1.2 and with_idle(0.5) == 1.0
@@ -713,7 +715,7 @@
 def test_what_is_held_and_expired_is_forgotten() -> None:
     """Guards against a list of held requests that grows for as long as an overload lasts."""
     b = node(BASE, NAMES)
-    b.in_flight = 99
+    b.state.in_flight = 99
     for i in range(50):
         acts = _arrive(b, f"r{i}", 1000.0 + 1000.0 * i)
         for t in [a for a in acts if isinstance(a, api.SetTimer)]:
@@ -737,7 +739,7 @@
 def test_what_is_held_is_refused_while_its_client_can_still_ask_elsewhere() -> None:
     """Guards against a pile of held requests that nothing serves any more and that clients wait for."""
     b = node(BASE, NAMES)
-    b.in_flight = 99
+    b.state.in_flight = 99
     acts = _arrive(b, "r")
     timer = next(a for a in acts if isinstance(a, api.SetTimer))
     assert timer.at_ms <= 1000.0 + SAFE.latency_objective_ms / 2
@@ -768,7 +770,7 @@
         b.handle(1001.0, api.EndpointsUpdated(api.EndpointUpdateKind.INCREMENTAL, [entry("b3", weight=odd)]))
         for x in b.backends.values():
             x.queue_estimate = 99
-            b._place(x)
+            capacity.update_backend(b.state, x)
         assert sends(_arrive(b, f"r{odd}", 1001.0))
     b.handle(
         1002.0,
@@ -777,18 +779,18 @@
         ),
     )
     assert (
-        b.capacity_by_kind[""].backend_count
-        == b.capacity_by_kind[""].inverse_weight_sum
-        == b.capacity_by_kind[""].weighted_count
+        b.state.capacity_by_kind[""].backend_count
+        == b.state.capacity_by_kind[""].inverse_weight_sum
+        == b.state.capacity_by_kind[""].weighted_count
         == 0
     )
-    assert b.capacity_by_kind["new"].inverse_weight_sum == 2 * INVERSE_WEIGHT_UNIT * len(NAMES)
+    assert b.state.capacity_by_kind["new"].inverse_weight_sum == 2 * INVERSE_WEIGHT_UNIT * len(NAMES)
 
 
 def test_an_idle_backend_that_restarts_is_cold_at_once() -> None:
     """Guards against its whole share sent to a backend whose counts did not tell of the restart."""
     b = node(replace(BASE, overload_multiple=0.0), NAMES)
-    b.concurrency_limit = 99.0
+    b.state.concurrency_limit = 99.0
     b.handle(
         20_000.0,
         api.EndpointsUpdated(api.EndpointUpdateKind.INCREMENTAL, [entry("b3", started_at_ms=20_000.0)]),
--- a/tests/test_benchmarks.py
+++ b/tests/test_benchmarks.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from balancer.policy import balancer as policy
+from balancer.policy import load_shedding
 from balancer.testbed.scenario import Row as ScriptRow
 from balancer.testbed.scenario import Script
 from balancer.testbed.simulation import Scenario
@@ -82,12 +82,12 @@
 
 
 def test_a_constant_is_set_for_one_play_alone() -> None:
-    was = policy.OVERLOAD_REQUESTS_PER_CORE
-    with other("SPARE", (1e8, 1e9)):
-        assert policy.OVERLOAD_REQUESTS_PER_CORE == (1e8, 1e9)
-    assert was == policy.OVERLOAD_REQUESTS_PER_CORE
+    was = load_shedding.OVERLOAD_REQUESTS_PER_CORE
+    with other(load_shedding, "OVERLOAD_REQUESTS_PER_CORE", (1e8, 1e9)):
+        assert load_shedding.OVERLOAD_REQUESTS_PER_CORE == (1e8, 1e9)
+    assert was == load_shedding.OVERLOAD_REQUESTS_PER_CORE
     for question in QUESTIONS.values():
-        assert hasattr(policy, question.name) and set(question.days) <= set(DAYS)
+        assert hasattr(question.module, question.name) and set(question.days) <= set(DAYS)
 
 
 def test_a_failing_server_answers_what_it_should() -> None:
@@ -100,8 +100,8 @@
     subject = Subject(20, 1, 8)
     subject.requests()
     assert len(subject.spent) == 1 and len(subject.live) == 8
-    subject.node.success_rate = -1.0
-    subject.node.rng.random = lambda: 0.99  # type: ignore[method-assign]
+    subject.node.state.success_rate = -1.0
+    subject.node.state.rng.random = lambda: 0.99  # type: ignore[method-assign]
     with pytest.raises((RuntimeError, IndexError)):
         subject.requests()
 
