--- a/balancer/net/recovery.py
+++ b/balancer/net/recovery.py
@@ -1,8 +1,8 @@
-"""How far a running node is back, measured: on wherever there is an operators' file.
+"""Runs the recovery state machine of a node that has an operators' file.
 
-`RecoveryPart` feeds `core/recovery` from what passes through the node (arrivals, ends, news of the list,
-pauses), answers `recovery` on the control socket and tells the log and the time line. Once the node is full
-it sees requests no more, until the process has stood still. It is bounded by the open requests.
+`RecoveryComponent` feeds `core/recovery` from what passes through the node (requests, endpoint lists,
+stalls), answers `recovery` on the admin socket, and writes to the log and the time line. In full service it
+does not observe requests, until the process has stalled. Bound: the open requests.
 """
 
 from __future__ import annotations
@@ -81,7 +81,7 @@
         min_incarnation: int = 1,
         wall_ms: float = 0.0,
     ) -> None:
-        """What was kept, once: `fault` says why it cannot be used, `least` see `recovery.Started`."""
+        """What was kept, once: `fault` says why it cannot be used, the rest see `recovery.ProcessStarted`."""
         if not self.has_begun:
             self.has_begun = True
             self.handle(r.ProcessStarted(persisted, wall_ms, fault, self._startup_phases_ms, min_incarnation))
--- a/balancer/timeline/monitor.py
+++ b/balancer/timeline/monitor.py
@@ -1,7 +1,7 @@
-"""`Watch`: the recorder and the detection of departures as one observer, with what operators may ask of them.
+"""The time line of a node: the recorder and the anomaly detection behind one observer.
 
-The caller gives it a second now and then (`begin`, then `step` until it returns False); it holds no clock.
-Bounds: `EVENTS` past events kept.
+The caller hands in each second (`begin`, then `step` until it returns False); it reads no clock.
+Bounds: `MAX_PAST_EVENTS` past events.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 )
 
 MAX_PAST_EVENTS = 2_000
-POST_SLOW_START_MS = 10_000.0  # from the end of its slow start on a server's answer times count
+POST_SLOW_START_MS = 10_000.0  # after its slow start a server's response times are not tested for so long
 
 Listener = Callable[[Sequence[TimelineEvent]], None]
 
