--- a/tests/system/test_peers.py
+++ b/tests/system/test_peers.py
@@ -11,6 +11,7 @@
 import time
 from collections.abc import Awaitable, Callable, Coroutine
 from dataclasses import replace
+from functools import partial
 from pathlib import Path
 from typing import Any, cast
 
@@ -91,6 +92,10 @@
         """By which incarnation all of these know it, at the least."""
         return min([int((await self.held(node))[whom.name]["incarnation"]) for node in at])
 
+    async def advertised(self, at: list[Node], whom: Node) -> bool:
+        """Whether all of these have the node's advertised state."""
+        return all([(await self.held(node))[whom.name].get("goes_by") for node in at])
+
     async def said(self, at: list[Node], event: str, whom: list[Node] | str) -> None:
         """Wait until the time line of all of these tells it of all of those."""
         subjects = {whom} if isinstance(whom, str) else {other.name for other in whom}
@@ -155,6 +160,8 @@
         nodes, (*others, last) = fleet.world.nodes, fleet.world.nodes
         life = 0
         for end, state in ((last.kill, "failed"), (last.terminate, "left")):
+            # Its advertised state comes by gossip after its membership, and the table below shows it.
+            await fleet.until("its advertised state at all others", partial(fleet.advertised, others, last))
             before, life = life, await fleet.life(others, last)
             assert life > before
             end()
