--- a/balancer/core/discovery/__init__.py
+++ b/balancer/core/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Where the endpoint list comes from: the watchers of each source and the merge of what they report."""
+"""Service discovery: a watcher for each source of endpoints, and the merge of their lists into one view."""
--- a/balancer/core/discovery/etcd_watcher/config.py
+++ b/balancer/core/discovery/etcd_watcher/config.py
@@ -1,4 +1,4 @@
-"""What the operators configure about their etcd cluster, and the parsing of an endpoint's URL."""
+"""The settings of the operators' etcd cluster, and the parsing of an endpoint's URL."""
 
 from __future__ import annotations
 
@@ -9,10 +9,11 @@
 
 @dataclass(slots=True, frozen=True)
 class EtcdConfig:
-    """The operators' etcd settings, with the names of the TOML table.
+    """The operators' etcd settings; the fields have the names of the TOML keys.
 
-    `ca`, `cert` and `key` are file paths. Raising `epoch` makes the watcher accept a revision lower than the
-    last one. `bears` is how many snapshots per second etcd can serve to all nodes together, None if unknown.
+    `ca`, `cert` and `key` are file paths. Raising `epoch` makes the watcher accept a lower revision than the
+    last one. `bears` is the number of snapshots per second that etcd can serve to all nodes together, None
+    if unknown.
     """
 
     endpoints: tuple[str, ...]
@@ -28,7 +29,7 @@
 
 
 class EndpointAddress(NamedTuple):
-    """Where an etcd endpoint listens; `host` is an address or a DNS name."""
+    """The address of an etcd endpoint; `host` is an IP address or a DNS name."""
 
     host: str
     port: int
@@ -38,7 +39,7 @@
 def parse_endpoint_url(url: str) -> EndpointAddress:
     """Parse `http://HOST:PORT` or `https://HOST:PORT`; raises ValueError.
 
-    A URL with a user or password is rejected, because URLs are logged.
+    A URL with a user or a password is rejected, because URLs are logged.
     """
     expected_form = "not http://HOST:PORT or https://HOST:PORT"
     try:
--- a/balancer/core/discovery/etcd_watcher/entry_list.py
+++ b/balancer/core/discovery/etcd_watcher/entry_list.py
@@ -1,4 +1,4 @@
-"""Updates of keys as a list of endpoints for the merger, and the log line of a mass removal."""
+"""Builds endpoint lists for the merger from updates of etcd keys, and logs mass removals."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def key_name(entry: EntryUpdate) -> str:
-    """The name that stands for the entry's key."""
+    """The name that identifies the entry's key."""
     match entry:
         case str():
             return entry
@@ -24,9 +24,9 @@
 
 
 def build_endpoint_list(revision: int, is_complete: bool, entries: Sequence[EntryUpdate]) -> EndpointList:
-    """Combine entries, oldest first, into a list. The last one of an id holds.
+    """Combine entries, oldest first, into a list. For each id the last entry takes effect.
 
-    An invalid entry leaves the record before it in force, as draining if the entry says so.
+    An invalid entry keeps the record before it, which becomes draining if the entry is draining.
     """
     records: dict[str, EndpointRecord] = {}
     removed_ids: dict[str, None] = {}
@@ -62,12 +62,13 @@
     newly_removed_count: int,
     revision: int,
 ) -> None:
-    """Log once that over half of the endpoints were removed at once; the removal is obeyed.
+    """Log once that more than half of the endpoints were removed at once; the removal is still applied.
 
-    An outage of etcd may have ended all leases, but an operator who removes endpoints has to be obeyed.
+    An outage of etcd may have expired all leases, but operators may also have removed the endpoints, and
+    that has to take effect.
     """
     removed_count = already_removed_count + newly_removed_count
     min_removed_count = max(limits.MIN_MASS_REMOVAL_ENDPOINTS, count_before // 2 + 1)
     if already_removed_count < min_removed_count <= removed_count:
-        text = f"{removed_count} of {count_before} members ended at once, by revision {revision}; obeyed"
+        text = f"{removed_count} of {count_before} endpoints removed at once by revision {revision}; applied"
         state.write_log("warning", text)
--- a/balancer/core/discovery/etcd_watcher/messages.py
+++ b/balancer/core/discovery/etcd_watcher/messages.py
@@ -1,6 +1,6 @@
-"""Events that the etcd watcher handles and actions that it returns.
+"""Events that the etcd watcher handles, and actions that it returns.
 
-A `call_id` names a call in the action that makes it and in the events that answer it.
+A `call_id` links the action that makes a call to the events that answer it.
 """
 
 from __future__ import annotations
@@ -12,15 +12,15 @@
 from balancer.endpoints import EndpointRecord, InvalidEntry
 
 EntryUpdate = EndpointRecord | InvalidEntry | str
-"""One key's new state: an endpoint, an entry that cannot be parsed, or the id of a removed endpoint."""
+"""The new state of one key: an endpoint, an entry that cannot be parsed, or the id of a removed endpoint."""
 
 
 class CallFault(Enum):
     """Why a call to etcd failed."""
 
-    FAILED = "failed"  # no connection, no answer, or an error of any other kind
+    FAILED = "failed"  # no connection, no answer, or any other error
     COMPACTED = "compacted"
-    TOKEN_EXPIRED = "stale token"  # the call may be repeated, which logs in again
+    TOKEN_EXPIRED = "stale token"  # repeating the call logs in again
     PERMISSION_DENIED = "denied"
     UNREADABLE = "spoiled"  # the answer cannot be decoded
     TOO_LARGE = "too long"
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Position:
-    """The header of an answer: the cluster, its revision and its raft term."""
+    """The header of an answer: cluster id, revision and raft term."""
 
     cluster_id: str
     revision: int
@@ -43,7 +43,7 @@
 class WatchEvent:
     """A change of one key at a revision.
 
-    `is_key_present`: the key exists, even if its value says that the endpoint is removed.
+    `is_key_present`: the key exists, even if its value marks the endpoint as removed.
     """
 
     revision: int
@@ -53,24 +53,24 @@
 
 @dataclass(slots=True, frozen=True)
 class WatcherStarted:
-    """The watcher is to begin."""
+    """Requests that the watcher starts."""
 
 
 @dataclass(slots=True, frozen=True)
 class WatcherStopped:
-    """The watcher is to close everything and end."""
+    """Requests that the watcher closes all connections and stops."""
 
 
 @dataclass(slots=True, frozen=True)
 class TimerFired:
-    """The time of a `SetTimer` has come."""
+    """A timer set by `SetTimer` expired."""
 
     token: int
 
 
 @dataclass(slots=True, frozen=True)
 class CheckAnswered:
-    """A linearizable read was answered; `key_count` is that of the prefix, if the check asked for it."""
+    """A linearizable read was answered, with the prefix's `key_count` if the check requested it."""
 
     call_id: int
     position: Position
@@ -79,9 +79,9 @@
 
 @dataclass(slots=True, frozen=True)
 class SnapshotPageReceived:
-    """A page of a snapshot arrived; if it `has_more`, the next one begins behind `last_key`.
+    """A page of a snapshot arrived; if it `has_more`, the next page begins after `last_key`.
 
-    `key_count` is the number of keys on this page and all later ones, at the snapshot's revision.
+    `key_count` is the number of keys on this page and all later pages, at the snapshot's revision.
     """
 
     call_id: int
@@ -104,7 +104,7 @@
 class WatchEventsReceived:
     """The watch delivered events, oldest first.
 
-    A fragment may end in the middle of a revision; the rest follows at once.
+    A fragment may end in the middle of a revision; the rest follows immediately.
     """
 
     call_id: int
@@ -115,7 +115,7 @@
 
 @dataclass(slots=True, frozen=True)
 class WatchProgressed:
-    """Progress notification: all events up to the position were delivered."""
+    """A progress notification: all events up to the position were delivered."""
 
     call_id: int
     position: Position
@@ -123,9 +123,9 @@
 
 @dataclass(slots=True, frozen=True)
 class WatchCanceled:
-    """etcd canceled the watch, its stream is still open.
+    """etcd canceled the watch, but its stream is still open.
 
-    `compact_revision` is not 0 if the revision to watch from was compacted.
+    `compact_revision` is nonzero if the start revision of the watch was compacted.
     """
 
     call_id: int
@@ -136,9 +136,9 @@
 
 @dataclass(slots=True, frozen=True)
 class CallFailed:
-    """A check, a page or a watch ended without a (further) answer.
+    """A check, a snapshot page or a watch ended without an answer, or without a further one.
 
-    `retry_after_ms` is how long an overloaded etcd asks to be left alone, 0 if it did not say.
+    `retry_after_ms` is the delay that an overloaded etcd requests before a retry, 0 if it gave none.
     """
 
     call_id: int
@@ -165,7 +165,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CheckEndpoint:
-    """Read one key, linearizable; or count all keys below the prefix."""
+    """Send a linearizable read of one key, or count all keys with the prefix."""
 
     call_id: int
     endpoint_index: int
@@ -174,7 +174,7 @@
 
 @dataclass(slots=True, frozen=True)
 class FetchSnapshotPage:
-    """Read up to `max_keys` keys behind `after_key` as of `revision` (0: the current one), linearizable."""
+    """Read up to `max_keys` keys after `after_key` at `revision` (0: the current one), linearizably."""
 
     call_id: int
     endpoint_index: int
@@ -185,7 +185,7 @@
 
 @dataclass(slots=True, frozen=True)
 class OpenWatch:
-    """Watch the prefix from a revision on."""
+    """Watch the prefix, starting at a revision."""
 
     call_id: int
     endpoint_index: int
@@ -194,7 +194,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CloseWatch:
-    """Close the watch's stream and discard what it may still deliver."""
+    """Close the stream of the watch and discard any further messages."""
 
     endpoint_index: int
 
--- a/balancer/core/discovery/etcd_watcher/snapshot.py
+++ b/balancer/core/discovery/etcd_watcher/snapshot.py
@@ -1,4 +1,4 @@
-"""Fetches a snapshot in pages of one revision and delivers it."""
+"""Fetches a snapshot in pages of the same revision and delivers it."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def begin(state: WatcherState) -> None:
-    """Fetch a snapshot from its first page on, or wait for this node's time slot."""
+    """Fetch the first page of a snapshot, or wait for this node's time slot."""
     if wait_ms := snapshot_schedule.remaining_wait_ms(state):
         _wait_for_slot(state, wait_ms)
         return
@@ -32,32 +32,32 @@
 
 
 def restart(state: WatcherState, reason: str) -> None:
-    """Begin again at the same endpoint, MAX_SNAPSHOT_RESTARTS times at most."""
+    """Start the snapshot again at the same endpoint, at most MAX_SNAPSHOT_RESTARTS times."""
     state.snapshot.restart_count += 1
     if state.snapshot.restart_count > limits.MAX_SNAPSHOT_RESTARTS:
-        text = f"{limits.MAX_SNAPSHOT_RESTARTS} lists begun in vain: {reason}"
-        endpoint_selection.leave(state, EndpointVerdict.UNAVAILABLE, text)
+        text = f"snapshot failed after {limits.MAX_SNAPSHOT_RESTARTS} restarts: {reason}"
+        endpoint_selection.abandon_endpoint(state, EndpointVerdict.UNAVAILABLE, text)
     else:
         begin(state)
 
 
 def _wait_for_slot(state: WatcherState, wait_ms: float) -> None:
-    """Wait for the time slot; until then a watch continues, if one can be of use."""
-    delivered, text = state.delivered, f"has its turn in {wait_ms / 1000:.1f} s"
+    """Wait for the time slot; meanwhile continue or open a watch, if one is usable."""
+    delivered, text = state.delivered, f"is scheduled in {wait_ms / 1000:.1f} s"
     if not delivered.has_snapshot or state.session.cluster_id != delivered.cluster_id:
-        # A new cluster has to be confirmed again after the wait: the present one may be back by then.
+        # A new cluster has to be confirmed again after the wait, as the current one may be back by then.
         endpoint_selection.reset_calls(state)
         state.selection.candidate_cluster_id = ""
         if delivered.has_snapshot:
-            state.report_lost(f"the whole list of cluster {state.session.cluster_id} {text}")
+            state.report_lost(f"the snapshot of cluster {state.session.cluster_id} {text}")
         endpoint_selection.wait(state, wait_ms)
         return
     delivered.needs_snapshot = True
     if not state.watch.call_id and state.phase is not WatcherPhase.CHECKING:
-        endpoint_selection.begin_checking(state)  # its answer tells from which revision on to watch
+        endpoint_selection.begin_checking(state)  # its answer provides the revision to watch from
         return
     if not delivered.has_gap:
-        state.write_log("info", f"the whole list {text}, news goes on")
+        state.write_log("info", f"the snapshot {text}; the watch continues")
     if not state.watch.call_id:
         if not delivered.has_gap:
             delivered.complete_revision = max(delivered.complete_revision, state.session.checked_revision)
@@ -67,7 +67,7 @@
 
 
 def on_slot_reached(state: WatcherState) -> None:
-    """The time slot has come while the watch continued."""
+    """Begin the snapshot, as the time slot was reached while the watch continued."""
     state.snapshot.slot_token = 0
     if state.phase in (WatcherPhase.OPENING_WATCH, WatcherPhase.WATCHING):
         begin(state)
@@ -92,7 +92,7 @@
 
 
 def on_page_received(state: WatcherState, event: messages.SnapshotPageReceived) -> None:
-    """Add a page; fetch the next one, or deliver the complete snapshot."""
+    """Add a page; then fetch the next one, or deliver the complete snapshot."""
     snapshot = state.snapshot
     snapshot.call_id = 0
     if not endpoint_selection.accept_position(state, event.position, state.min_revision):
@@ -103,18 +103,20 @@
     snapshot.page_max_keys = min(2 * snapshot.page_max_keys, limits.MAX_PAGE_KEYS)
     if len(snapshot.entries) > limits.MAX_SNAPSHOT_ENTRIES:
         reason = f"its list has more than {limits.MAX_SNAPSHOT_ENTRIES} entries"
-        endpoint_selection.leave(state, EndpointVerdict.UNAVAILABLE, reason)
+        endpoint_selection.abandon_endpoint(state, EndpointVerdict.UNAVAILABLE, reason)
     elif not event.has_more:
         _deliver(state)
     elif event.last_key <= snapshot.after_key:
-        endpoint_selection.leave(state, EndpointVerdict.UNAVAILABLE, "its pages do not go on")
+        endpoint_selection.abandon_endpoint(
+            state, EndpointVerdict.UNAVAILABLE, "its snapshot pages do not advance"
+        )
     else:
         snapshot.after_key = event.last_key
         _fetch_page(state)
 
 
 def on_page_failed(state: WatcherState, event: messages.CallFailed) -> None:
-    """Repeat the page or the snapshot where that may help, else leave the endpoint."""
+    """Repeat the page or the snapshot if that may help, otherwise abandon the endpoint."""
     snapshot = state.snapshot
     snapshot.call_id = 0
     match event.fault:
@@ -130,17 +132,17 @@
             _fetch_page(state)
         case fault:
             verdict = endpoint_selection.verdict_for_fault(fault)
-            endpoint_selection.leave(state, verdict, f"no list: {event.reason}")
+            endpoint_selection.abandon_endpoint(state, verdict, f"snapshot failed: {event.reason}")
 
 
 def _on_rejected(state: WatcherState, event: messages.CallFailed) -> None:
-    """etcd is overloaded: try another endpoint of the cluster in a later time slot."""
+    """Try another endpoint in a later time slot, because etcd is overloaded."""
     snapshot_schedule.defer(state, True, event.retry_after_ms)
     wait_ms = snapshot_schedule.remaining_wait_ms(state)
-    text = f"{state.endpoint_name} refused the whole list ({event.reason}),"
-    state.write_log("warning", f"{text} its next turn is in {wait_ms / 1000:.1f} s")
+    text = f"{state.endpoint_name} rejected the snapshot request ({event.reason});"
+    state.write_log("warning", f"{text} next attempt in {wait_ms / 1000:.1f} s")
     endpoint_selection.reset_calls(state)
-    endpoint_selection.advance(state)
+    endpoint_selection.select_next_endpoint(state)
     if state.delivered.has_snapshot:
         endpoint_selection.begin_checking(state)
     else:
@@ -151,7 +153,7 @@
 
 
 def _deliver(state: WatcherState) -> None:
-    """Deliver the snapshot and open a watch behind it."""
+    """Deliver the snapshot and open a watch from its revision."""
     delivered, snapshot = state.delivered, state.snapshot
     entries, snapshot.entries = snapshot.entries, []
     endpoint_list = _as_incremental_if_seen(
@@ -173,10 +175,11 @@
 
 
 def _as_incremental_if_seen(state: WatcherState, endpoint_list: EndpointList) -> EndpointList:
-    """The snapshot as an incremental update, if something of its revision was delivered before.
+    """The snapshot as an incremental update, if a part of its revision was delivered before.
 
-    That is so for the rest of a revision that was cut between fragments, and for what a watch lost on its
-    way there. The merger ignores a snapshot of a revision that it has seen, but not incremental updates.
+    This applies to the rest of a revision that was split between fragments, and to events that a watch lost
+    before that revision. The merger ignores a snapshot of a revision that it has seen, but not incremental
+    updates.
     """
     delivered, revision = state.delivered, endpoint_list.revision
     is_same_cluster = state.session.cluster_id == delivered.cluster_id
@@ -194,7 +197,7 @@
 
 
 def _adopt_cluster(state: WatcherState) -> None:
-    """Begin a new order of revisions with the endpoint's cluster."""
+    """Start a new revision order with the cluster of the endpoint."""
     delivered = state.delivered
     if delivered.cluster_id is not None:
         delivered.former_cluster_ids.append(delivered.cluster_id)
@@ -203,7 +206,7 @@
 
 
 def _replace_endpoint_ids(state: WatcherState, endpoint_list: EndpointList) -> None:
-    """Record which endpoints exist: an invalid entry keeps one that was known."""
+    """Record which endpoints exist; a known endpoint whose entry is invalid is kept."""
     delivered = state.delivered
     ids_before = delivered.endpoint_ids
     delivered.endpoint_ids = {record.id for record in endpoint_list.records} | {
@@ -214,10 +217,10 @@
 
 
 def _replace_known_keys(state: WatcherState, entries: list[EntryUpdate]) -> None:
-    """Record which keys exist, and when they are counted next.
+    """Record which keys exist, and schedule the next key count.
 
-    A snapshot that was read again and showed no difference doubles the interval: a gateway that cannot count
-    must not make all nodes fetch snapshots forever.
+    If a snapshot was fetched because of a mismatch and shows no difference, the interval is doubled: a
+    gateway that cannot count must not make all nodes fetch snapshots forever.
     """
     delivered, audit = state.delivered, state.audit
     keys = {entry_list.key_name(entry) for entry in entries}
@@ -226,5 +229,5 @@
     else:
         audit.interval_ms = limits.AUDIT_INTERVAL_MS
     delivered.known_keys = keys
-    delivered.unnamed_key_count = max(0, state.snapshot.key_count - len(keys))
+    delivered.unidentified_key_count = max(0, state.snapshot.key_count - len(keys))
     audit.schedule_next(state.now_ms, state.rng)
--- a/balancer/core/discovery/etcd_watcher/snapshot_schedule.py
+++ b/balancer/core/discovery/etcd_watcher/snapshot_schedule.py
@@ -1,4 +1,4 @@
-"""When this node may fetch a snapshot: its time slot among all nodes, if etcd's capacity is configured."""
+"""Schedules this node's snapshots in a time slot among all nodes, if etcd's capacity is configured."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def remaining_wait_ms(state: WatcherState) -> float:
-    """The time until the snapshot may be fetched, 0 if that is now. Assigns the first slot."""
+    """The time until the snapshot may be fetched, 0 if it may be fetched now. Assigns the first slot."""
     snapshot = state.snapshot
     if snapshot.time_slots is None:
         return 0.0
@@ -19,9 +19,9 @@
 
 
 def defer(state: WatcherState, was_rejected: bool, retry_after_ms: float = 0.0) -> None:
-    """Move to a later slot after a fetch that failed.
+    """Move to a later slot after a failed fetch.
 
-    Counted from the slot that was used, so that the nodes stay evenly distributed.
+    The delay counts from the slot that was used, so that the nodes stay evenly distributed.
     """
     snapshot = state.snapshot
     if snapshot.time_slots is None:
--- a/balancer/core/discovery/etcd_watcher/watch.py
+++ b/balancer/core/discovery/etcd_watcher/watch.py
@@ -1,7 +1,7 @@
-"""Handles what the watch delivers, and its end.
+"""Handles the messages of the watch, and its end.
 
-Nothing that is delivered goes backwards: events of complete revisions are dropped, and the newest revision of
-a fragment counts as seen but not as complete.
+Delivered revisions never decrease: events of complete revisions are dropped, and the newest revision of a
+fragment counts as seen but not as complete.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 def on_created(state: WatcherState, position: messages.Position) -> None:
-    """The watch is open. A lagging endpoint accepts one from a revision that it has not reached: leave it."""
+    """Start watching. A lagging endpoint, which accepts a watch from a future revision, is abandoned."""
     if not endpoint_selection.accept_position(state, position, state.delivered.complete_revision):
         return
     state.phase, state.phase_token = WatcherPhase.WATCHING, 0
@@ -38,9 +38,10 @@
 
 
 def on_progressed(state: WatcherState, position: messages.Position) -> None:
-    """All events up to the position were delivered: a later watch resumes there.
+    """Record that all events up to the position were delivered, so that a later watch resumes there.
 
-    Guards against a wrong revision: none is believed beyond that of a check, nor between fragments.
+    To guard against a wrong revision, the position is capped at the last checked revision, and is ignored
+    between fragments.
     """
     if not endpoint_selection.accept_position(state, position, state.delivered.complete_revision):
         return
@@ -56,15 +57,15 @@
 
 
 def on_events(state: WatcherState, event: messages.WatchEventsReceived) -> None:
-    """Deliver the events that are new, and settle a key count that they reach."""
+    """Deliver the new events, and evaluate a pending key count whose revision they reach."""
     if not endpoint_selection.accept_position(state, event.position, state.delivered.complete_revision):
         return
     state.watch.last_message_at_ms = state.now_ms
     newest_revision = max((watch_event.revision for watch_event in event.watch_events), default=0)
     if newest_revision > event.position.revision:
         state.delivered.needs_snapshot = True
-        reason = f"an event of revision {newest_revision} where etcd is at {event.position.revision}"
-        endpoint_selection.leave(state, EndpointVerdict.UNAVAILABLE, reason)
+        reason = f"an event has revision {newest_revision}, but etcd is at {event.position.revision}"
+        endpoint_selection.abandon_endpoint(state, EndpointVerdict.UNAVAILABLE, reason)
         return
     new_events = _new_events_in_order(state, event.watch_events)
     pending_count = state.audit.pending_count
@@ -84,7 +85,7 @@
 
 
 def _new_events_in_order(state: WatcherState, watch_events: Iterable[WatchEvent]) -> list[WatchEvent]:
-    """The events behind the complete revision, as etcd may replay older ones and out of order."""
+    """The events after the complete revision, sorted; etcd may replay older ones, and out of order."""
     complete_revision = state.delivered.complete_revision
     return sorted(
         (watch_event for watch_event in watch_events if watch_event.revision > complete_revision),
@@ -93,7 +94,7 @@
 
 
 def _record_keys(state: WatcherState, new_events: Sequence[WatchEvent]) -> int:
-    """Record which keys exist; returns how many there were at the revision of a pending count."""
+    """Record which keys exist; returns their number at the revision of a pending count."""
     known_keys, pending_count = state.delivered.known_keys, state.audit.pending_count
     count_at_pending: int | None = None
     for event in new_events:
@@ -124,17 +125,17 @@
 
 
 def _advance_complete_revision(state: WatcherState, revision: int) -> None:
-    """Everything up to the revision was delivered."""
+    """Record that everything up to the revision was delivered."""
     state.delivered.complete_revision = max(state.delivered.complete_revision, revision)
 
 
 def on_canceled(state: WatcherState, event: messages.WatchCanceled) -> None:
-    """etcd canceled the watch: because of a compaction, or of a fault."""
+    """Handle a watch that etcd canceled, because of a compaction or of a fault."""
     on_ended(state, CallFault.COMPACTED if event.compact_revision > 0 else event.fault, event.reason)
 
 
 def on_ended(state: WatcherState, fault: CallFault, reason: str) -> None:
-    """The watch has ended: fetch a snapshot where events may be lost, else resume at another endpoint."""
+    """Fetch a snapshot if the ended watch may have lost events, otherwise resume at another endpoint."""
     watch_stream.close_watch(state)
     match fault:
         case CallFault.COMPACTED:
@@ -147,4 +148,4 @@
             if fault in (CallFault.UNREADABLE, CallFault.TOO_LARGE):
                 state.delivered.needs_snapshot = True
             verdict = endpoint_selection.verdict_for_fault(fault)
-            endpoint_selection.leave(state, verdict, f"the watch ended: {reason}")
+            endpoint_selection.abandon_endpoint(state, verdict, f"the watch ended: {reason}")
--- a/balancer/core/discovery/etcd_watcher/watch_stream.py
+++ b/balancer/core/discovery/etcd_watcher/watch_stream.py
@@ -9,10 +9,10 @@
 def open_watch(state: WatcherState) -> None:
     """Open a watch that resumes at the newest complete revision.
 
-    It starts with that revision, which was delivered, and not with the one behind it: a compaction at the
-    very revision of a deletion drops the deletion, and etcd 3.4 accepts a watch from there all the same. From
-    one revision earlier the watch is canceled. A start revision of 0 would mean the current one; etcd's
-    first is 1.
+    It starts with that revision, although it was delivered, and not with the next one: a compaction at
+    exactly the revision of a deletion drops the deletion, and etcd 3.4 still accepts a watch that starts
+    there. A watch that starts one revision earlier is canceled. A start revision of 0 would mean the current
+    revision; etcd's first revision is 1.
     """
     state.phase = WatcherPhase.OPENING_WATCH
     state.session.check_call_id = state.session.check_token = 0
@@ -24,7 +24,7 @@
 
 
 def close_watch(state: WatcherState) -> None:
-    """Close the watch, if there is one."""
+    """Close the watch, if one is open or being opened."""
     if state.watch.call_id:
         state.watch.call_id = 0
         state.actions.append(messages.CloseWatch(state.endpoint_index))
--- a/balancer/core/discovery/merge_report.py
+++ b/balancer/core/discovery/merge_report.py
@@ -1,4 +1,4 @@
-"""The merge as operators see it: what each source lists, and the view. Loaded when somebody asks for it."""
+"""Builds the operators' report of the merge: each source's list, and the view. Imported on first use."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class SourceRow(TypedDict):
-    """One source, with the key names of `balancer members --json`."""
+    """A source, with the key names of `balancer members --json`."""
 
     name: str
     role: str
@@ -25,11 +25,11 @@
 
 
 class EndpointRow(TypedDict):
-    """One endpoint; `sources` has the phase that each source lists, or "removed"."""
+    """An endpoint; `sources` holds the phase that each source lists, or "removed"."""
 
     id: str
     address: str
-    phase: str  # of the view, or "shadowed" or "gone"
+    phase: str  # in the view, or "shadowed" or "gone"
     zone: str
     weight: float
     started_at_ms: float
@@ -37,7 +37,7 @@
 
 
 class InvalidEntryRow(TypedDict):
-    """One entry that could not be read."""
+    """An entry that could not be parsed."""
 
     source: str
     key: str
@@ -45,7 +45,7 @@
 
 
 class MergeReport(TypedDict):
-    """The whole report."""
+    """The report of the merge."""
 
     revision: int
     sources: list[SourceRow]
@@ -54,7 +54,7 @@
 
 
 def build_report(merger: EndpointMerger) -> MergeReport:
-    """What each source lists and the view, as plain values for a table or JSON."""
+    """Build the report as plain values, for a table or JSON."""
     sources = merger.sources.values()
     endpoint_ids = dict.fromkeys(merger.view)
     for source in sources:
--- a/balancer/core/discovery/merged_view.py
+++ b/balancer/core/discovery/merged_view.py
@@ -1,14 +1,14 @@
-"""One view of the endpoints over all sources: precedence between sources, one endpoint for each address.
+"""Merges the records of all sources into one view, with at most one endpoint that is up at each address.
 
-What holds of one endpoint, over the sources in the order of their precedence:
+Rules for one endpoint, over the sources in order of precedence:
 
-- it is gone if a source that may remove has removed it and has not listed it again;
-- it drains if a source that may drain says so;
-- otherwise it is up if a source that may add lists it. Address, zone, cell, kind and weight are those of the
-  first such source; the start time is the latest that any of them names, since a backend that may be warming
-  up is to be treated as such.
+- it is removed if a source that may remove has removed it and has not listed it again;
+- it drains if a source that may drain lists it as draining;
+- otherwise it is up if a source that may add lists it. Address, zone, cell, kind and weight come from the
+  first such source. The start time is the latest of all such sources, so that a backend that may be warming
+  up is treated as warming up.
 
-Of several endpoints that are up at one address one is in the view; the others are shadowed.
+If several endpoints are up at one address, one of them is in the view and the others are shadowed.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 from balancer.endpoints import Address, EndpointRecord
 from balancer.interface import Phase
 
-Changes = dict[str, EndpointRecord]  # by endpoint id; the phase is REMOVED for one that left the view
+Changes = dict[str, EndpointRecord]  # by endpoint id; the phase is REMOVED for an endpoint that left the view
 
 
 def merge_records(sources: Mapping[str, Source], endpoint_id: str) -> EndpointRecord | None:
-    """What holds of one endpoint over all sources, or None if it must not be used."""
+    """Merge the records of one endpoint over all sources; None if it must not be used."""
     first: EndpointRecord | None = None
     is_draining, started_at_ms, cached_ages_ms = False, 0.0, list[float | None]()
     for source in sources.values():
@@ -48,7 +48,7 @@
 
 
 def _youngest_age_ms(cached_ages_ms: list[float | None]) -> float | None:
-    """None if any source confirms the endpoint."""
+    """The lowest age, or None if any source confirms the endpoint."""
     if None in cached_ages_ms:
         return None
     return min(age_ms for age_ms in cached_ages_ms if age_ms is not None)
@@ -69,16 +69,16 @@
 
 
 class MergedView:
-    """The view in force. Updates note in `changes` what they changed; nothing here announces it."""
+    """The current view. Updates record what they changed in `changes`; the caller announces it."""
 
     def __init__(self) -> None:
         self.records: dict[str, EndpointRecord] = {}  # up or draining
-        self.shadowed_ids: set[str] = set()  # listed as up, left out: another is up at the same address
-        # Who is listed as up at an address, in the order in which they came, and the inverse.
+        self.shadowed_ids: set[str] = set()  # listed as up, but another endpoint is up at the same address
+        # The endpoints listed as up at an address, in order of arrival, and the inverse.
         self._up_ids_by_address: dict[Address, dict[str, None]] = {}
         self._address_by_up_id: dict[str, Address] = {}
-        # Addresses at which that changed since the last `settle_contested` and that several share or
-        # shared.
+        # Addresses that several endpoints share or shared, and whose endpoints changed since the last
+        # `resolve_contested`.
         self._contested_addresses: dict[Address, None] = {}
 
     @property
@@ -87,23 +87,23 @@
         return bool(self._address_by_up_id)
 
     def update(self, endpoint_id: str, sources: Mapping[str, Source], changes: Changes) -> None:
-        """Bring one endpoint up to date; `settle_contested` has to follow once all are."""
+        """Update one endpoint; `resolve_contested` has to be called after the last update."""
         merged = merge_records(sources, endpoint_id)
         address = None
         if merged is not None and merged.endpoint.phase is Phase.UP:
             address = merged.address
         previous_address = self._address_by_up_id.get(endpoint_id)
         if previous_address is not None and previous_address != address:
-            self._leave_address(endpoint_id, previous_address)
+            self._withdraw_from_address(endpoint_id, previous_address)
         if address is not None:
             up_ids = self._up_ids_by_address.setdefault(address, {})
             up_ids[endpoint_id], self._address_by_up_id[endpoint_id] = None, address
             if len(up_ids) > 1:
                 self._contested_addresses[address] = None
                 return
-        self._set(endpoint_id, merged, changes)
+        self._set_record(endpoint_id, merged, changes)
 
-    def _leave_address(self, endpoint_id: str, address: Address) -> None:
+    def _withdraw_from_address(self, endpoint_id: str, address: Address) -> None:
         del self._address_by_up_id[endpoint_id]
         self.shadowed_ids.discard(endpoint_id)
         up_ids = self._up_ids_by_address[address]
@@ -113,12 +113,12 @@
         else:
             del self._up_ids_by_address[address]
 
-    def settle_contested(self, sources: Mapping[str, Source], changes: Changes) -> list[str]:
-        """Choose one endpoint for each contested address; returns log lines on those that are left out.
+    def resolve_contested(self, sources: Mapping[str, Source], changes: Changes) -> list[str]:
+        """Choose one endpoint for each contested address; returns log lines on the shadowed ones.
 
-        One process listens there and would otherwise get the work and the slow start's budget of each of
-        its ids. Done once for all updates: weighing each endpoint against each would cost the square of
-        their number where a whole list names one address.
+        A single process listens at the address and would otherwise receive the load and the slow-start
+        budget of each of its ids. This is done once for all updates, because comparing endpoints pairwise
+        takes quadratic time if a whole list has a single address.
         """
         contested, self._contested_addresses = self._contested_addresses, {}
         log_lines: list[str] = []
@@ -129,27 +129,27 @@
                 if (merged := merge_records(sources, endpoint_id)) is not None
             }
             if candidates:
-                self._settle_address(address, candidates, changes, log_lines)
+                self._resolve_address(address, candidates, changes, log_lines)
         return log_lines
 
-    def _settle_address(
+    def _resolve_address(
         self, address: Address, candidates: Changes, changes: Changes, log_lines: list[str]
     ) -> None:
-        """Use the endpoint that started last, or of those that started together whoever came last."""
-        # Reversed, as `max` returns the first of equals.
+        """Use the endpoint that started last; if several started at the same time, the last to arrive."""
+        # Reversed, because `max` returns the first of several equal items.
         winner = max(reversed(candidates), key=lambda one: candidates[one].endpoint.started_at_ms)
         for endpoint_id, merged in candidates.items():
             if endpoint_id == winner:
                 self.shadowed_ids.discard(endpoint_id)
-                self._set(endpoint_id, merged, changes)
+                self._set_record(endpoint_id, merged, changes)
                 continue
             if endpoint_id not in self.shadowed_ids:
                 self.shadowed_ids.add(endpoint_id)
                 text = f"{endpoint_id!r:.300} left out: {winner!r:.300} is up at the same address"
                 log_lines.append(f"{text} {address[0]}:{address[1]}")
-            self._set(endpoint_id, None, changes)
+            self._set_record(endpoint_id, None, changes)
 
-    def _set(self, endpoint_id: str, record: EndpointRecord | None, changes: Changes) -> None:
+    def _set_record(self, endpoint_id: str, record: EndpointRecord | None, changes: Changes) -> None:
         previous = self.records.get(endpoint_id)
         if record is not None:
             if previous != record:
--- a/balancer/core/discovery/platform_watcher.py
+++ b/balancer/core/discovery/platform_watcher.py
@@ -1,12 +1,12 @@
-"""What to request of the platform's discovery next: a snapshot, a watch from a revision, or nothing yet.
+"""Decides what to request from the platform's discovery next: a snapshot, a watch, or nothing yet.
 
-Where the settings let nodes poll (`must_poll`), the request policy says when to poll again after a failure,
-and timeouts are long: discovery is one service for all nodes, and calls queue there.
+If nodes poll (`must_poll`), the request policy decides when to poll again after a failure, and timeouts are
+long: discovery is one service shared by all nodes, and calls queue there.
 
-Where lists are pushed, discovery is an agent on the node's own machine that answers at once, and what it
-holds counts as notified at once. A call that stays silent was opened while discovery was down. That call
-and the wait after it have to end well within the drain grace (the time in which draining has to be
-obeyed), counted from discovery's return.
+If lists are pushed, discovery is an agent on the node's own machine. It answers immediately, and the node
+counts as notified of everything that the agent knows. A call without any answer was opened while discovery
+was down. That call and the wait after it have to end well within the drain grace (the time within which
+draining has to take effect), measured from the moment when discovery is back.
 """
 
 from __future__ import annotations
@@ -16,43 +16,44 @@
 
 from balancer.core.backoff import Backoff
 
-# The wait before a retry: doubled with each failure, jittered.
+# The wait before a retry doubles with each failure and is jittered.
 INITIAL_RETRY_WAIT_MS = 100.0
 MAX_RETRY_WAIT_MS = 2000.0
-# Shares of the drain grace, where lists are pushed. The longest wait is drawn up to 1.5 times its limit,
-# so at most 0.45 + 1.5 * 0.4 / 3 = 0.65 of the grace passes from discovery's return to the next call.
+# Fractions of the drain grace, for pushed lists. Jitter extends the longest wait to at most 1.5 times its
+# limit, so at most 0.45 + 1.5 * 0.4 / 3 = 0.65 of the grace passes between discovery's recovery and the next
+# call.
 PROGRESS_TIMEOUT_PER_DRAIN_GRACE = 0.45
 RETRY_WAIT_PER_DRAIN_GRACE = 0.4 / 3
-# However short the grace is: each attempt costs processor time.
+# Lower bounds for a very short grace, because each attempt costs CPU time.
 MIN_PROGRESS_TIMEOUT_MS = 100.0
 MIN_RETRY_WAIT_LIMIT_MS = 40.0
-MAX_PROGRESS_TIMEOUT_MS = 2000.0  # at a node that is starved, or whose discovery stutters
-# A timeout that has to grow stays within the drain grace by this factor, until so many failures in a row;
-# then it goes on growing, since no list at all is worse than a late one.
+MAX_PROGRESS_TIMEOUT_MS = 2000.0  # for a node short of CPU time, or with a discovery that stalls
+# A growing timeout exceeds its initial value at most by this factor, which keeps it within the drain grace.
+# After LONG_OUTAGE_FAILURES failures in a row it grows further, since no list is worse than a late one.
 PROGRESS_TIMEOUT_GROWTH_FACTOR = 1.5
 LONG_OUTAGE_FAILURES = 256
 MAX_CONNECT_TIMEOUT_MS = 2000.0
-HEARTBEAT_INTERVAL_MS = 2000.0  # of the empty lines that discovery sends on a watch where nothing changes
+HEARTBEAT_INTERVAL_MS = 2000.0  # interval of discovery's empty lines on an idle watch
 HEARTBEATS_PER_IDLE_TIMEOUT = 1.75
 POLL_TIMEOUT_MS = 5000.0
 
 
 @dataclass(slots=True, frozen=True)
 class CallTimeouts:
-    """How long to wait for a call, in milliseconds."""
+    """Timeouts of a call, in milliseconds."""
 
-    progress_timeout_ms: float  # for an answer to begin, and for the next part of an incomplete message
-    answer_timeout_ms: float  # for an answer to begin, once the call is connected, if that is later
+    progress_timeout_ms: float  # until an answer begins, and until the next part of an incomplete message
+    answer_timeout_ms: float  # from connecting until an answer begins, if that is later
     watch_idle_timeout_ms: float  # between two messages of a watch
-    message_timeout_ms: float  # for a line or a snapshot, from its first part to its last
-    max_retry_wait_ms: float  # before it is jittered
+    message_timeout_ms: float  # from the first part of a line or snapshot to its last
+    max_retry_wait_ms: float  # before jitter
 
 
 def call_timeouts(must_poll: bool, drain_grace_ms: float) -> CallTimeouts:
-    """The timeouts that the settings allow.
+    """The timeouts that follow from the settings.
 
-    A watch that falls silent is given up 3.5 s after its last line. What it missed counts as notified 6 s
-    after it fell silent: that leaves 2.5 s, and the drain grace, for further calls.
+    A silent watch is canceled 3.5 s after its last line. The node counts as notified of missed changes 6 s
+    after the watch fell silent, which leaves 2.5 s and the drain grace for further calls.
     """
     watch_idle_timeout_ms = HEARTBEATS_PER_IDLE_TIMEOUT * HEARTBEAT_INTERVAL_MS
     if must_poll:
@@ -72,35 +73,35 @@
 
 
 class CallDeadline:
-    """The time up to which one call may go on. Complete messages extend it, bytes alone do not.
+    """The deadline of one call. Complete messages extend it, partial ones do not.
 
-    Guards against a watch that falls silent in the middle of a line, and one that sends a line byte by byte
-    without end.
+    This ends a watch that falls silent in the middle of a line, and a watch that sends an endless line byte
+    by byte.
     """
 
     def __init__(self, now_ms: float, timeouts: CallTimeouts, progress_timeout_ms: float) -> None:
         self.timeouts, self.progress_timeout_ms = timeouts, progress_timeout_ms
         self.deadline_ms = now_ms + min(progress_timeout_ms, MAX_CONNECT_TIMEOUT_MS)
-        self.last_message_ms = now_ms  # when the last message was complete, or the answer began
-        self.has_only_head = False  # nothing followed the answer's head: another call may be due beside it
-        self.incomplete_since_ms: float | None = None  # when the message began that is still incomplete
+        self.last_message_ms = now_ms  # when the last message was completed, or the answer began
+        self.has_only_head = False  # only the answer's head arrived; an additional call may be due
+        self.incomplete_since_ms: float | None = None  # when the incomplete message began
 
     def note_connected(self, now_ms: float) -> None:
-        """The call is connected and sent."""
+        """Record that the call is connected and its request is sent."""
         self.deadline_ms = max(self.deadline_ms, now_ms + self.timeouts.answer_timeout_ms)
 
     def note_received(
         self, now_ms: float, has_message: bool, is_incomplete: bool, is_head_alone: bool = False
     ) -> None:
-        """A part of the answer came.
+        """Record that a part of the answer was received.
 
-        `has_message`: it completed the head or a line; `is_incomplete`: it ended within a message;
-        `is_head_alone`: it was nothing but the head, and the calls before it failed.
+        `has_message`: the part completed the head or a line. `is_incomplete`: it ended within a message.
+        `is_head_alone`: it consisted of the head only, and the previous calls failed.
         """
         if has_message:
             self.last_message_ms, self.incomplete_since_ms = now_ms, None
-        is_short_of_idle_timeout = self.progress_timeout_ms < self.timeouts.watch_idle_timeout_ms
-        self.has_only_head = is_head_alone and not is_incomplete and is_short_of_idle_timeout
+        is_below_idle_timeout = self.progress_timeout_ms < self.timeouts.watch_idle_timeout_ms
+        self.has_only_head = is_head_alone and not is_incomplete and is_below_idle_timeout
         if is_incomplete:
             if self.incomplete_since_ms is None:
                 self.incomplete_since_ms = now_ms
@@ -114,9 +115,9 @@
             )
 
     def may_need_longer_timeout(self, now_ms: float) -> bool:
-        """Whether a longer timeout may help a call that is past its deadline.
+        """Whether a longer timeout might help a call that is past its deadline.
 
-        True if an answer had begun, or if this node is late itself.
+        True if an answer had begun, or if this node itself runs late.
         """
         is_node_late = now_ms - self.deadline_ms > self.progress_timeout_ms / 2
         return self.incomplete_since_ms is not None or is_node_late
@@ -127,27 +128,27 @@
 
 @dataclass(slots=True, frozen=True)
 class SubscriptionChanged:
-    """The list is to be followed from now on, or no longer."""
+    """The node subscribed to the list, or unsubscribed from it."""
 
     is_enabled: bool
 
 
 @dataclass(slots=True, frozen=True)
 class AddressChanged:
-    """Discovery has another address."""
+    """The address of discovery changed."""
 
 
 @dataclass(slots=True, frozen=True)
 class DiscoveryAnswered:
-    """Discovery sent something readable, or showed that nothing has changed."""
+    """Discovery sent a valid message, or showed that nothing has changed."""
 
 
 @dataclass(slots=True, frozen=True)
 class CallEnded:
     """A call has ended.
 
-    `is_complete`: it brought a complete snapshot. `is_additional`: it is not the call that follows the
-    list. `was_slow`: it was given up, and a longer timeout might have helped.
+    `is_complete`: it returned a complete snapshot. `is_additional`: it is not the call that follows the
+    list. `was_slow`: it was canceled, and a longer timeout might have helped.
     """
 
     is_complete: bool
@@ -157,7 +158,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RetryTimerFired:
-    """The time that `SetRetryTimer` named has come."""
+    """The timer set by `SetRetryTimer` expired."""
 
 
 Event = SubscriptionChanged | AddressChanged | DiscoveryAnswered | CallEnded | RetryTimerFired
@@ -167,12 +168,12 @@
 
 @dataclass(slots=True, frozen=True)
 class FetchSnapshot:
-    """Request a snapshot; a watch follows from it."""
+    """Request a snapshot; a watch from its revision follows."""
 
 
 @dataclass(slots=True, frozen=True)
 class StartWatch:
-    """Watch the changes after this revision."""
+    """Watch for changes after this revision."""
 
     revision: int
 
@@ -184,21 +185,21 @@
 
 @dataclass(slots=True, frozen=True)
 class SetRetryTimer:
-    """Hand in `RetryTimerFired` at this clock time."""
+    """Send `RetryTimerFired` at this clock time."""
 
     at_ms: float
 
 
 @dataclass(slots=True, frozen=True)
 class NotifyCallFailed:
-    """Notify the request policy that a call failed: it says when to poll again."""
+    """Notify the request policy, which decides when to poll again, that a call failed."""
 
 
 Action = FetchSnapshot | StartWatch | CancelCalls | SetRetryTimer | NotifyCallFailed
 
 
 class PlatformWatcher:
-    """Follows the platform's list. At most one call that follows it is active, or one retry timer is set."""
+    """Follows the platform's list, with either one active call or one retry timer at any time."""
 
     def __init__(self, rng: random.Random, must_poll: bool, drain_grace_ms: float) -> None:
         self.must_poll = must_poll
@@ -211,11 +212,11 @@
         self.backoff = Backoff(min(INITIAL_RETRY_WAIT_MS, max_retry_wait_ms), max_retry_wait_ms, rng)
 
     def start_deadline(self, now_ms: float) -> CallDeadline:
-        """The deadline of a call that begins now."""
+        """Create the deadline of a call that begins now."""
         return CallDeadline(now_ms, self.timeouts, self.progress_timeout_ms)
 
     def handle(self, now_ms: float, event: Event, revision: int | None) -> list[Action]:
-        """Decide on one event. `revision` is that of the list held, None where only a snapshot will do."""
+        """Handle one event. `revision` is that of the known list, None if a snapshot is needed."""
         match event:
             case SubscriptionChanged(is_enabled=False):
                 self.is_subscribed = self.has_active_call = self.is_waiting = False
@@ -244,15 +245,15 @@
     def _adjust_progress_timeout(self, was_slow: bool) -> None:
         """Count a failure, and lengthen or shorten the timeout of the next call.
 
-        Guards a starved node against giving up each call too soon; a silent discovery gets no longer
-        timeout.
+        A node short of CPU time would otherwise cancel each call too early. A silent discovery does not get
+        a longer timeout.
         """
         self.consecutive_failures += 1
         min_timeout_ms = self.timeouts.progress_timeout_ms
         is_long_outage = self.consecutive_failures >= LONG_OUTAGE_FAILURES
         is_step_of_outage = self.consecutive_failures % LONG_OUTAGE_FAILURES == 0
         if (was_slow and self.last_failure_was_slow) or is_step_of_outage:
-            # An outage may also stall calls half-way, so the limit of short outages is tight.
+            # An outage may also stall calls midway, so the limit for short outages is tight.
             limit_ms = PROGRESS_TIMEOUT_GROWTH_FACTOR * min_timeout_ms
             max_timeout_ms = MAX_PROGRESS_TIMEOUT_MS if is_long_outage else limit_ms
             grown_ms = PROGRESS_TIMEOUT_GROWTH_FACTOR * self.progress_timeout_ms
@@ -278,7 +279,7 @@
         if event.is_complete and revision is not None and not event.is_additional:
             return self._start_call(revision)
         if self.must_poll:
-            # A snapshot that was not applied leaves no revision to watch from: it has to be fetched again.
+            # After a snapshot that was not applied there is no revision to watch from: fetch it again.
             return [] if event.is_complete and event.is_additional else [NotifyCallFailed()]
         if event.is_additional:
             return []
--- a/tests/core/discovery/etcd_watcher/test_audit.py
+++ b/tests/core/discovery/etcd_watcher/test_audit.py
@@ -22,7 +22,7 @@
     driver.answer_key_count(9, key_count=2)
     assert driver.is_in(WatcherPhase.FETCHING_SNAPSHOT)
     assert "a" in driver.view
-    assert "2 keys are there and 3" in driver.log_texts[-1]
+    assert "2 keys in etcd, 3 known" in driver.log_texts[-1]
     driver.answer_page(9, B, C)
     # The merger would ignore a snapshot of a revision that it has seen.
     assert not driver.last_list.is_complete
--- a/tests/core/discovery/etcd_watcher/test_snapshot.py
+++ b/tests/core/discovery/etcd_watcher/test_snapshot.py
@@ -94,7 +94,7 @@
     driver.answer_page(5, A, last_key=b"a", has_more=True)
     driver.answer_page(5, A, last_key=b"a", has_more=True)
     assert driver.is_in(WatcherPhase.WAITING)
-    assert "do not go on" in str(driver.updates[-1])
+    assert "do not advance" in str(driver.updates[-1])
     driver.fire_next_timer()
     driver.answer_check(5)
     driver.answer_page(5, *[A] * (limits.MAX_SNAPSHOT_ENTRIES + 1), last_key=b"a", has_more=True)
--- a/tests/core/discovery/etcd_watcher/test_snapshot_schedule.py
+++ b/tests/core/discovery/etcd_watcher/test_snapshot_schedule.py
@@ -139,7 +139,7 @@
     driver.answer_check(5)
     assert driver.page_call_count == 2
     assert driver.state.endpoint_index != rejected_index
-    assert "refused the whole list" in driver.log_texts[-1]
+    assert "rejected the snapshot request" in driver.log_texts[-1]
     driver.answer_page(5, A)
     assert driver.time_slots.period_ms == PERIOD_MS
 
--- a/tests/core/discovery/etcd_watcher/test_watch.py
+++ b/tests/core/discovery/etcd_watcher/test_watch.py
@@ -136,4 +136,4 @@
     driver.send_watch_events((7, records[8].id), is_fragment=True)
     driver.send_watch_events((7, records[9].id))
     assert driver.view == {}
-    assert ["4 of 5 members ended at once" in text for text in driver.log_texts] == [True]
+    assert ["4 of 5 endpoints removed at once" in text for text in driver.log_texts] == [True]
--- a/tests/core/discovery/etcd_watcher/test_watcher.py
+++ b/tests/core/discovery/etcd_watcher/test_watcher.py
@@ -138,4 +138,4 @@
     driver.fail(messages.CheckEndpoint, CallFault.PERMISSION_DENIED)
     driver.fail(messages.CheckEndpoint, CallFault.PERMISSION_DENIED)
     assert isinstance(driver.updates[-1], endpoint_merger.SourceRejected)
-    assert "lets this node in" in driver.updates[-1].reason
+    assert "all endpoints deny access" in driver.updates[-1].reason
--- a/tests/core/discovery/test_endpoint_merger.py
+++ b/tests/core/discovery/test_endpoint_merger.py
@@ -242,7 +242,7 @@
 
 
 def test_two_sources_of_one_name_raise_value_error() -> None:
-    with pytest.raises(ValueError, match="two sources"):
+    with pytest.raises(ValueError, match="two sources have the same name"):
         EndpointMerger([Source("etcd"), Source("etcd")])
 
 
--- a/tests/net/test_etcd_discovery.py
+++ b/tests/net/test_etcd_discovery.py
@@ -243,7 +243,7 @@
         assert (await rig.next(EndpointsListed)).endpoint_list.removed_ids == ()
         listing = (await rig.next(EndpointsListed)).endpoint_list
         assert listing.removed_ids == ("a",) and not listing.is_complete and listing.revision == 12
-        assert "1 keys are there and 2 were told of" in caplog.text
+        assert "key count mismatch: 1 keys in etcd, 2 known" in caplog.text
         rig.source.stop()
         gateway.stop()
 
@@ -324,7 +324,7 @@
         begun = asyncio.get_running_loop().time()
         assert (await rig.next(EndpointsListed)).endpoint_list.records[0].id == "a"
         assert asyncio.get_running_loop().time() - begun < 5
-        assert "is left: no answer in 3000 ms while listing" in caplog.text and slow.url in caplog.text
+        assert "abandoned: no answer in 3000 ms while listing" in caplog.text and slow.url in caplog.text
         await until(lambda: not slow.writers)
         rig.source.stop()
         for gateway in (slow, good):
--- a/tests/net/test_request_dispatcher.py
+++ b/tests/net/test_request_dispatcher.py
@@ -638,7 +638,7 @@
             assert await rig.discovery.asked.get() == "/discovery/hosts?watch=1&from=41"
             rig.discovery.news(60, new.member(), complete=True)
             rig.discovery.news(50, old.member(), complete=True)
-            await rig.logged("WARNING platform is refused: its whole list is of revision 50, older than 60")
+            await rig.logged("WARNING platform is refused: its snapshot has revision 50, older than 60")
             rig.discovery.news(55, new.member(phase="terminating"))
             rig.discovery.news(61, new.member(size=2.0))
             client = await rig.client()
--- a/tests/system/test_etcd_conformance.py
+++ b/tests/system/test_etcd_conformance.py
@@ -375,7 +375,7 @@
                 await follower.names(*(f"long-{i}" for i in range(5)))
                 await cluster.revoke(long)
                 await follower.names()
-        assert "5 of 5 members ended at once" in caplog.text
+        assert "5 of 5 endpoints removed at once" in caplog.text
 
     run(test)
 
--- a/tests/system/test_membership.py
+++ b/tests/system/test_membership.py
@@ -268,7 +268,7 @@
         for name, phase in (("s2", "gone"), ("s3", "draining")):
             assert told(world, name, phase)[0].at_ms - cut_ms < LEFT_MS
         assert not sent(world, "s2 s3", 5.5)
-        assert said(world, "is left: no answer to a read")
+        assert said(world, "abandoned: no answer to a read")
 
 
 @scenario
@@ -308,7 +308,7 @@
         assert told(world, "s2")[0].at_ms - frozen_ms < LEFT_MS
         assert sent(world, "s2", 0.4, 2.5) > 2  # the view stays
         (source,) = [s for s in (await world.report(world.nodes[0]))["sources"] if s["name"] == "etcd"]
-        assert source["state"] == "in sync" and said(world, "is left")
+        assert source["state"] == "in sync" and said(world, "abandoned: ")
 
 
 @scenario
@@ -366,7 +366,7 @@
         judged(world)
         epoch_s = (raised[0] - world.started_at_ms) / 1000
         assert 10.0 < epoch_s < 18.5  # etcd was given the time to come back, and a wait of back-off
-        assert said(world, "gone back for good") and said(world, "raise `epoch`")
+        assert said(world, "went back permanently") and said(world, "raise `epoch`")
         assert sent(world, "s2", 2.0, epoch_s) > 5 and sent(world, "s4", 2.0, epoch_s) > 5  # the view stayed
         assert not sent(world, "s3", 0.0, epoch_s)
         assert told(world, "s2")[-1].identity.endswith("/1") and told(world, "s3", "up")
@@ -407,8 +407,8 @@
         judged(world)
         assert not sent(world, "s2", 0.4, 1.4)  # nor was it taken from the stranger, which has it
         assert sent(world, "s2", 2.0, 3.9) and not sent(world, "s3", 3.9)
-        assert said(world, "a new order begins: 77/0") and told(world, "s3")[0].identity == "77/0"
-        assert sum("a new order begins" in line for line in world.nodes[0].log) == 1  # not back again
+        assert said(world, "new revision order: 77/0") and told(world, "s3")[0].identity == "77/0"
+        assert sum("new revision order" in line for line in world.nodes[0].log) == 1  # not back again
         await world.state(world.nodes[0], "silent")
 
 
@@ -438,7 +438,7 @@
         await world.play(RATE, 4.8, script)
         judged(world)
         ended = at_s(world, told(world, "s6")[0])
-        assert 1.4 <= ended < 3.3 and said(world, "6 of 6 members ended at once")
+        assert 1.4 <= ended < 3.3 and said(world, "6 of 6 endpoints removed at once")
         status, after, took = by_hand[0]
         assert status == 503 and after is not None and float(after) > 0 and took < 1_000
         assert not sent(world, "s1 s2 s3 s4 s5 s6", ended + 0.3, 3.8)
@@ -467,7 +467,7 @@
         assert got.classes["all"].in_time > 0.9 * got.classes["all"].asked
         assert told(world, "s6") and sent(world, "s4 s5 s6", 0.0, 0.8) and not sent(world, "s4 s5 s6", 1.3)
         assert all(sent(world, name, 1.2) > 0 for name in few)
-        assert said(world, "6 of 6 members ended at once")
+        assert said(world, "6 of 6 endpoints removed at once")
 
 
 async def lease(world: FleetWorld, *names: str) -> None:
