--- a/tests/core/discovery/merger_harness.py
+++ b/tests/core/discovery/merger_harness.py
@@ -1,4 +1,4 @@
-"""Records, lists and a harness that applies the actions of an `EndpointMerger`, for its tests."""
+"""Builders of records and lists, and a harness that applies the actions of an `EndpointMerger`."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def make_record(name: str, phase: Phase = UP, port: int = 0, **overrides: Any) -> EndpointRecord:
-    """A record whose port follows from its name, unless one is given."""
+    """A record whose port is derived from its name unless it is given."""
     fields: dict[str, Any] = {
         "id": name,
         "zone": "a",
@@ -27,19 +27,19 @@
 
 
 def make_snapshot(revision: int, *records: EndpointRecord, **overrides: Any) -> EndpointList:
-    """A snapshot."""
+    """A snapshot with these records."""
     return EndpointList(revision, True, records, **overrides)
 
 
 def make_incremental(
     revision: int, *records: EndpointRecord, removed_ids: tuple[str, ...] = (), **overrides: Any
 ) -> EndpointList:
-    """Incremental changes."""
+    """An incremental list with these records and removals."""
     return EndpointList(revision, False, records, removed_ids, **overrides)
 
 
 class MergerHarness:
-    """An `EndpointMerger`, and the view as built from the changes that it announces."""
+    """An `EndpointMerger`, and the view that follows from the changes it announces."""
 
     def __init__(self, *sources: Source) -> None:
         self.merger = EndpointMerger(
@@ -53,7 +53,7 @@
         self.revision = 0
 
     def handle(self, event: endpoint_merger.Event) -> None:
-        """Hand in one event and apply the actions."""
+        """Handle one event and apply the resulting actions."""
         self.now_ms += 1.0
         for action in self.merger.handle(self.now_ms, event):
             match action:
@@ -72,16 +72,16 @@
                     self.log_lines.append(action)
 
     def run_slices(self) -> None:
-        """Hand in `NextSliceDue` until no slice is scheduled."""
+        """Send `NextSliceDue` until no slice is scheduled."""
         while self.slice_scheduled:
             self.slice_scheduled = False
             self.handle(endpoint_merger.NextSliceDue())
 
     def list_endpoints(
-        self, source: str, endpoint_list: EndpointList, identity: str = "one", **over: Any
+        self, source: str, endpoint_list: EndpointList, identity: str = "one", **overrides: Any
     ) -> None:
-        """Hand in a list of a source and run all its slices."""
-        self.handle(endpoint_merger.EndpointsListed(source, identity, endpoint_list, **over))
+        """Handle a list of a source and run all its slices."""
+        self.handle(endpoint_merger.EndpointsListed(source, identity, endpoint_list, **overrides))
         self.run_slices()
 
     def state(self, name: str) -> SourceState:
@@ -90,6 +90,6 @@
 
     @property
     def view(self) -> dict[str, str]:
-        """The phase of each announced endpoint; fails if that differs from the merger's own view."""
+        """The phase of each announced endpoint; fails if the announced view differs from the merger's."""
         assert self.announced == self.merger.view
         return {name: record.endpoint.phase.value for name, record in self.announced.items()}
--- a/tests/core/discovery/test_cached_lists.py
+++ b/tests/core/discovery/test_cached_lists.py
@@ -1,4 +1,4 @@
-"""Cached lists: the age of their records in the view, and what confirms them."""
+"""Tests of cached lists: the age of their records in the view, and how they are confirmed."""
 
 from __future__ import annotations
 
@@ -25,16 +25,16 @@
 
 
 def test_large_incremental_list_after_a_cached_one_is_confirmed_from_its_first_slice() -> None:
-    """Guards against a first slice that was announced with the age of the cached list before it."""
+    """Guards against a first slice that is announced with the age of the preceding cached list."""
     harness = MergerHarness()
-    kept = make_snapshot(1, *(make_record(f"s{n}", port=n + 1) for n in range(600)))
-    harness.handle(endpoint_merger.EndpointsListed("platform", "p", kept, is_cached=True))
+    cached_list = make_snapshot(1, *(make_record(f"s{n}", port=n + 1) for n in range(600)))
+    harness.handle(endpoint_merger.EndpointsListed("platform", "p", cached_list, is_cached=True))
     assert all(one.endpoint.cached_age_ms is not None for one in harness.announced.values())
-    news = make_incremental(2, *(make_record(f"s{n}", port=n + 1, weight=2.0) for n in range(600)))
-    harness.handle(endpoint_merger.EndpointsListed("platform", "p", news))
-    told = [one for one in harness.announced.values() if one.endpoint.weight == 2.0]
-    assert len(told) == snapshot_slices.SNAPSHOT_SLICE_ENTRIES and all(
-        one.endpoint.cached_age_ms is None for one in told
+    changes = make_incremental(2, *(make_record(f"s{n}", port=n + 1, weight=2.0) for n in range(600)))
+    harness.handle(endpoint_merger.EndpointsListed("platform", "p", changes))
+    announced = [one for one in harness.announced.values() if one.endpoint.weight == 2.0]
+    assert len(announced) == snapshot_slices.SNAPSHOT_SLICE_ENTRIES and all(
+        one.endpoint.cached_age_ms is None for one in announced
     )
 
 
@@ -51,28 +51,28 @@
 
 
 def merger_with_cached_list(*names: str) -> EndpointMerger:
-    """Sources of which the first has a cached list of x and y at revision 7, five seconds old."""
+    """A merger with a cached list from source a: x and y at revision 7, five seconds old."""
     merger = EndpointMerger([Source(name) for name in names or ("a",)])
-    said = endpoint_merger.EndpointsListed(
+    cached_list = endpoint_merger.EndpointsListed(
         "a",
         "one",
         make_snapshot(7, make_record("x"), make_record("y")),
         is_cached=True,
         cached_age_ms=5_000.0,
     )
-    merger.handle(0.0, said)
+    merger.handle(0.0, cached_list)
     return merger
 
 
 def cached_ages(merger: EndpointMerger) -> dict[str, float | None]:
-    return {name: held.endpoint.cached_age_ms for name, held in merger.view.items()}
+    return {name: record.endpoint.cached_age_ms for name, record in merger.view.items()}
 
 
-BOTH, NONE = {"x": 5_000.0, "y": 5_000.0}, {"x": None, "y": None}
+CACHED_AGES, CONFIRMED_AGES = {"x": 5_000.0, "y": 5_000.0}, {"x": None, "y": None}
 
 
 def test_cached_list_is_in_the_view_with_its_age() -> None:
-    assert cached_ages(merger_with_cached_list()) == BOTH
+    assert cached_ages(merger_with_cached_list()) == CACHED_AGES
 
 
 def test_source_that_shows_no_change_confirms_all_cached_records() -> None:
@@ -82,7 +82,7 @@
         for a in merger.handle(1.0, endpoint_merger.SourceConfirmedCurrent("a"))
         if isinstance(a, endpoint_merger.ApplyEndpoints)
     )
-    assert {one.id for one in applied.records} == {"x", "y"} and cached_ages(merger) == NONE
+    assert {one.id for one in applied.records} == {"x", "y"} and cached_ages(merger) == CONFIRMED_AGES
     assert not [
         a
         for a in merger.handle(2.0, endpoint_merger.SourceConfirmedCurrent("a"))
@@ -94,7 +94,7 @@
     merger = merger_with_cached_list()
     merger.handle(1.0, endpoint_merger.UpdateUnreadable("a", "a line was lost"))
     merger.handle(2.0, endpoint_merger.SourceConfirmedCurrent("a"))
-    assert cached_ages(merger) == BOTH
+    assert cached_ages(merger) == CACHED_AGES
 
 
 def test_snapshot_of_the_cached_revision_confirms_all_cached_records() -> None:
@@ -102,7 +102,7 @@
     merger.handle(
         1.0, endpoint_merger.EndpointsListed("a", "one", make_snapshot(7, make_record("x"), make_record("y")))
     )
-    assert cached_ages(merger) == NONE
+    assert cached_ages(merger) == CONFIRMED_AGES
 
 
 def test_incremental_list_confirms_cached_records_that_it_does_not_name() -> None:
@@ -119,8 +119,8 @@
     )
     merger.handle(
         2.0, endpoint_merger.SourceConfirmedCurrent("a")
-    )  # contact shows nothing: its revision went back
-    assert cached_ages(merger) == BOTH and merger.sources["a"].state is SourceState.REJECTED
+    )  # contact proves nothing, because its revision went back
+    assert cached_ages(merger) == CACHED_AGES and merger.sources["a"].state is SourceState.REJECTED
 
 
 def test_another_source_confirms_only_what_it_lists() -> None:
@@ -130,28 +130,28 @@
 
 
 @pytest.mark.parametrize(
-    ("age", "taken"),
+    ("age_ms", "expected_age_ms"),
     [(-86_400_000.0, 0.0), (float("nan"), 0.0), (float("inf"), endpoint_merger.MAX_CACHED_AGE_MS)],
 )
-def test_cached_age_out_of_range_is_clamped(age: float, taken: float) -> None:
+def test_cached_age_out_of_range_is_clamped(age_ms: float, expected_age_ms: float) -> None:
     merger = EndpointMerger([Source("a")])
     merger.handle(
         0.0,
         endpoint_merger.EndpointsListed(
-            "a", "one", make_snapshot(1, make_record("x")), is_cached=True, cached_age_ms=age
+            "a", "one", make_snapshot(1, make_record("x")), is_cached=True, cached_age_ms=age_ms
         ),
     )
-    assert cached_ages(merger) == {"x": taken}
+    assert cached_ages(merger) == {"x": expected_age_ms}
 
 
 def test_cached_lists_of_several_sources_are_one_view() -> None:
     merger = merger_with_cached_list("a", "b")
-    said = endpoint_merger.EndpointsListed(
+    event = endpoint_merger.EndpointsListed(
         "b", "two", make_snapshot(3, make_record("z"), removed_ids=("x",)), is_cached=True, cached_age_ms=9.0
     )
-    (applied,) = (a for a in merger.handle(1.0, said) if isinstance(a, endpoint_merger.ApplyEndpoints))
+    (applied,) = (a for a in merger.handle(1.0, event) if isinstance(a, endpoint_merger.ApplyEndpoints))
     assert applied.kind is EndpointUpdateKind.INCREMENTAL, (
-        "a whole list would take away what the first one listed"
+        "a snapshot would remove the endpoints of the first list"
     )
     assert [one.id for one in applied.removed_records] == ["x"] and cached_ages(merger) == {
         "y": 5_000.0,
@@ -159,18 +159,20 @@
     }
 
 
-def test_long_cached_list_is_confirmed_in_slices() -> None:
-    """Guards against a turn of the event loop in which the policy applies thousands of changes."""
+def test_large_cached_list_is_confirmed_in_slices() -> None:
+    """Guards against a single turn of the event loop in which the policy applies thousands of changes."""
     merger, names = EndpointMerger([Source("a")]), [f"s{n}" for n in range(1_000)]
-    said = make_snapshot(7, *(make_record(name, port=1 + n) for n, name in enumerate(names)))
-    merger.handle(0.0, endpoint_merger.EndpointsListed("a", "one", said, is_cached=True))
-    sizes, acts = [], merger.handle(1.0, endpoint_merger.SourceConfirmedCurrent("a"))
-    while acts:
-        sizes += [len(one.records) for one in acts if isinstance(one, endpoint_merger.ApplyEndpoints)]
-        more = any(isinstance(one, endpoint_merger.ScheduleNextSlice) for one in acts)
-        acts = merger.handle(1.0, endpoint_merger.NextSliceDue()) if more else []
+    cached_list = make_snapshot(7, *(make_record(name, port=1 + n) for n, name in enumerate(names)))
+    merger.handle(0.0, endpoint_merger.EndpointsListed("a", "one", cached_list, is_cached=True))
+    batch_sizes, actions = [], merger.handle(1.0, endpoint_merger.SourceConfirmedCurrent("a"))
+    while actions:
+        batch_sizes += [
+            len(one.records) for one in actions if isinstance(one, endpoint_merger.ApplyEndpoints)
+        ]
+        has_next_slice = any(isinstance(one, endpoint_merger.ScheduleNextSlice) for one in actions)
+        actions = merger.handle(1.0, endpoint_merger.NextSliceDue()) if has_next_slice else []
     assert (
-        sum(sizes) == 1_000
-        and max(sizes) <= snapshot_slices.CHANGE_SLICE_ENTRIES
+        sum(batch_sizes) == 1_000
+        and max(batch_sizes) <= snapshot_slices.CHANGE_SLICE_ENTRIES
         and set(cached_ages(merger).values()) == {None}
     )
--- a/tests/core/discovery/test_endpoint_merger.py
+++ b/tests/core/discovery/test_endpoint_merger.py
@@ -1,4 +1,4 @@
-"""The merge of sources: the order of each, what is never applied, invalid entries, bounds and log lines."""
+"""Tests of the merge: revision orders, lists that are not applied, invalid entries, limits, log lines."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def test_snapshot_of_older_revision_is_not_applied() -> None:
-    """Guards against a fault that was measured: revision 50 {A} after 60 {B} moved all traffic to A."""
+    """Guards against a fault in which revision 50 {A} after revision 60 {B} moved all traffic to A."""
     harness = MergerHarness(Source("platform"))
     harness.list_endpoints("platform", make_snapshot(60, make_record("b")))
     harness.list_endpoints("platform", make_snapshot(50, make_record("a")))
@@ -69,7 +69,7 @@
 
 
 def test_snapshot_of_equal_revision_is_applied_where_revisions_are_partial() -> None:
-    """It is requested where something may have been lost, or a backup has this very revision."""
+    """Such a snapshot is fetched if events may be lost, or if a restored backup has the same revision."""
     harness = MergerHarness(Source("etcd", has_partial_revisions=True))
     harness.list_endpoints("etcd", make_snapshot(5, make_record("a"), make_record("b")))
     harness.list_endpoints("etcd", make_snapshot(5, make_record("b", DRAINING), make_record("c")))
@@ -80,7 +80,7 @@
     )
 
 
-def test_source_identity_change_begins_a_new_order_by_a_snapshot_only() -> None:
+def test_source_identity_change_needs_a_snapshot_for_a_new_order() -> None:
     harness = MergerHarness(Source("platform"))
     harness.list_endpoints("platform", make_snapshot(60, make_record("a")), "10.0.0.1:1")
     harness.handle(endpoint_merger.SourceIdentityChanged("platform", "10.0.0.2:1"))
@@ -95,7 +95,7 @@
     assert harness.merger.watch_revision("platform") == 3
 
 
-def test_snapshot_of_another_identity_begins_a_new_order_with_a_warning() -> None:
+def test_snapshot_of_another_identity_starts_a_new_order_with_a_warning() -> None:
     harness = MergerHarness(Source("etcd"))
     harness.list_endpoints("etcd", make_snapshot(900, make_record("a"), make_record("b")), "7/0")
     harness.list_endpoints("etcd", make_incremental(901, removed_ids=("a",)), "8/0")
@@ -105,7 +105,7 @@
     assert any(line.is_warning and "8/0" in line.text for line in harness.log_lines)
 
 
-def test_unavailable_source_withdraws_nothing_and_is_logged_once() -> None:
+def test_source_unavailable_keeps_its_endpoints_and_is_logged_once() -> None:
     harness = MergerHarness()
     harness.list_endpoints("etcd", make_snapshot(5, make_record("a")))
     for event in (
@@ -121,7 +121,7 @@
     assert harness.state("etcd") is SourceState.IN_SYNC
 
 
-def test_source_that_operators_remove_is_as_if_it_had_never_listed_anything() -> None:
+def test_source_removed_from_the_settings_no_longer_affects_the_view() -> None:
     harness = MergerHarness()
     harness.list_endpoints("platform", make_snapshot(4, make_record("a"), make_record("b"), make_record("c")))
     harness.list_endpoints(
@@ -139,7 +139,7 @@
 
 
 def test_events_of_an_unknown_source_are_ignored() -> None:
-    """Guards against a call that was in flight when operators removed its source."""
+    """Guards against the answer to a call that was in flight when the operators removed its source."""
     harness = MergerHarness(Source("platform"))
     listed = endpoint_merger.EndpointsListed("etcd", "7/0", make_snapshot(1, make_record("a")))
     for event in (
@@ -180,18 +180,18 @@
     assert harness.view == {"b": "up"}
 
 
-@pytest.mark.parametrize(("phases", "found"), [((DRAINING, UP), "up"), ((UP, DRAINING), "draining")])
-def test_endpoint_listed_twice_has_its_later_record(phases: tuple[Phase, Phase], found: str) -> None:
+@pytest.mark.parametrize(("phases", "expected_phase"), [((DRAINING, UP), "up"), ((UP, DRAINING), "draining")])
+def test_endpoint_listed_twice_has_its_later_record(phases: tuple[Phase, Phase], expected_phase: str) -> None:
     harness = MergerHarness(Source("platform"))
     harness.handle(
         endpoint_merger.EndpointsListed(
             "platform", "one", make_snapshot(1, *(make_record("a", phase) for phase in phases))
         )
     )
-    assert harness.view == {"a": found} and len(harness.kinds) == 1 + (found == "draining")
+    assert harness.view == {"a": expected_phase} and len(harness.kinds) == 1 + (expected_phase == "draining")
 
 
-def test_invalid_entry_that_drains_is_obeyed() -> None:
+def test_invalid_entry_that_drains_takes_effect() -> None:
     harness = MergerHarness()
     harness.list_endpoints("platform", make_snapshot(1, make_record("a"), make_record("b")))
     harness.list_endpoints("etcd", make_snapshot(1, make_record("a")))
@@ -201,7 +201,7 @@
     assert harness.view == {"a": "draining", "b": "up"}
     harness.list_endpoints(
         "etcd", make_incremental(2, invalid_entries=(InvalidEntry("b", "no port", is_draining=True),))
-    )  # though etcd never listed b
+    )  # although etcd never listed b
     assert harness.view == {"a": "draining"}
 
 
@@ -213,7 +213,7 @@
     assert any(line.is_warning and "6 of 6" in line.text for line in harness.log_lines)
 
 
-def test_removed_ids_are_bounded_but_for_those_that_another_source_lists(
+def test_removed_ids_are_bounded_except_for_those_that_another_source_lists(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(source_state, "MAX_REMOVED_IDS_PER_SOURCE", 3)
@@ -225,10 +225,10 @@
     harness.list_endpoints("platform", make_snapshot(2))
     harness.list_endpoints("etcd", make_incremental(3, removed_ids=("s5", "s6")))
     assert list(harness.merger.sources["etcd"].removed_ids) == ["s4", "s5", "s6"]
-    alone = MergerHarness(Source("platform"))
-    alone.list_endpoints("platform", make_snapshot(1, make_record("a")))
-    alone.list_endpoints("platform", make_snapshot(2))
-    assert not alone.merger.sources["platform"].removed_ids  # no other source could list it
+    single_source_harness = MergerHarness(Source("platform"))
+    single_source_harness.list_endpoints("platform", make_snapshot(1, make_record("a")))
+    single_source_harness.list_endpoints("platform", make_snapshot(2))
+    assert not single_source_harness.merger.sources["platform"].removed_ids  # no other source could list it
 
 
 def test_invalid_entries_kept_are_bounded_and_all_are_counted(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -241,13 +241,13 @@
     assert harness.merger.sources["platform"].invalid_entry_count == 9
 
 
-def test_two_sources_of_one_name_raise_value_error() -> None:
+def test_merger_with_two_sources_of_the_same_name_raises_value_error() -> None:
     with pytest.raises(ValueError, match="two sources have the same name"):
         EndpointMerger([Source("etcd"), Source("etcd")])
 
 
 def test_source_whose_revision_went_back_is_rejected_until_it_lists_a_newer_one() -> None:
-    """Guards against a source that is ignored for good and yet called in sync, without a line in the log."""
+    """Guards against a source that is ignored permanently, but reported as in sync and not logged."""
     harness = MergerHarness(Source("platform"))
     harness.list_endpoints("platform", make_snapshot(60, make_record("a")))
     harness.handle(endpoint_merger.SourceConfirmedCurrent("platform"))
@@ -260,12 +260,14 @@
     assert harness.view == {"a": "up"}
     harness.list_endpoints("platform", make_incremental(61, make_record("c")))
     assert harness.state("platform") is SourceState.IN_SYNC and harness.view == {"a": "up", "c": "up"}
-    harness.list_endpoints("platform", make_snapshot(60))  # the answer to a poll, overtaken by the watch
+    harness.list_endpoints(
+        "platform", make_snapshot(60)
+    )  # a poll's answer that arrives after the watch's events
     assert harness.state("platform") is SourceState.IN_SYNC
 
 
 def test_log_lines_on_omitted_entries_are_bounded() -> None:
-    """Guards the lines that matter: the log is bounded, and each omitted entry had a line in it."""
+    """Guards against losing important lines: the log is bounded, and each omitted entry used to be logged."""
     harness = MergerHarness(Source("platform"))
     harness.list_endpoints(
         "platform", make_snapshot(1, invalid_entries=tuple(InvalidEntry(f"f{i}", "odd") for i in range(500)))
--- a/tests/core/discovery/test_endpoint_merger_model.py
+++ b/tests/core/discovery/test_endpoint_merger_model.py
@@ -1,4 +1,4 @@
-"""The merge against a naive model of the same rules, over drawn sequences of events."""
+"""Property tests that compare the merge with a naive model of the same rules."""
 
 from __future__ import annotations
 
@@ -44,41 +44,41 @@
 
 
 class NaiveSource:
-    """What one source has listed, kept in the most obvious way."""
+    """A naive model of the lists of one source."""
 
     def __init__(self) -> None:
         self.identity = self.revision = 0
         self.known = self.needs_snapshot = False
         self.listed: dict[str, EndpointRecord | None] = {}  # None: removed
 
-    def whole(self, revision: int, members: list[EndpointRecord]) -> None:
-        """Take a snapshot."""
+    def whole(self, revision: int, records: list[EndpointRecord]) -> None:
+        """Apply a snapshot."""
         if not self.known or revision > self.revision or (revision == self.revision and self.needs_snapshot):
-            named = {one.endpoint.id: one for one in members}
+            record_by_id = {one.endpoint.id: one for one in records}
             self.listed |= dict.fromkeys(name for name, last in self.listed.items() if last is not None)
-            self.listed |= named
+            self.listed |= record_by_id
             self.known, self.revision, self.needs_snapshot = True, revision, False
 
-    def changes(self, revision: int, members: list[EndpointRecord], removed: list[str]) -> None:
-        """Take incremental changes; removals come first."""
+    def changes(self, revision: int, records: list[EndpointRecord], removed: list[str]) -> None:
+        """Apply incremental changes, removals first."""
         if self.known and not self.needs_snapshot and revision > self.revision:
             self.listed |= dict.fromkeys(removed)
-            self.listed |= {one.endpoint.id: one for one in members}
+            self.listed |= {one.endpoint.id: one for one in records}
             self.revision = revision
 
 
 def expected_view(first: NaiveSource, second: NaiveSource) -> dict[str, tuple[Phase, int, float]]:
-    """The view by the rules of docs/design/membership.md; shared addresses are not compared."""
-    out = {}
+    """The view by the rules of docs/design/membership.md, without the rule for shared addresses."""
+    view = {}
     for name in IDS:
         listed_records = [source.listed[name] for source in (first, second) if name in source.listed]
         if not listed_records or None in listed_records:
             continue
         entries = [record for record in listed_records if record is not None]
-        drains = any(one.endpoint.phase is DRAINING for one in entries)
-        start = max(one.endpoint.started_at_ms for one in entries)
-        out[name] = (DRAINING if drains else UP, entries[0].address[1], start)
-    return out
+        is_draining = any(one.endpoint.phase is DRAINING for one in entries)
+        started_at_ms = max(one.endpoint.started_at_ms for one in entries)
+        view[name] = (DRAINING if is_draining else UP, entries[0].address[1], started_at_ms)
+    return view
 
 
 CASES = (STEPS, st.sampled_from([1, 2, 1000]), st.sampled_from([0, 2, 1000]))
--- a/tests/core/discovery/test_merge_report.py
+++ b/tests/core/discovery/test_merge_report.py
@@ -1,4 +1,4 @@
-"""What operators see of the merge."""
+"""Tests of the operators' report of the merge."""
 
 from __future__ import annotations
 
--- a/tests/core/discovery/test_merged_view.py
+++ b/tests/core/discovery/test_merged_view.py
@@ -1,4 +1,4 @@
-"""The merged view: precedence between two sources, and endpoints that share an address."""
+"""Tests of the merged view: precedence between two sources, and endpoints that share an address."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 LISTED_PHASES = ("nothing", "up", "draining", "removed")
 
 
-# The phase in the view by what the first and the second source list, for each role of the second one; the
-# first has the full role.
+# The expected phase in the view by the phases that the first and the second source list, for each role of
+# the second source. The first source has the full role.
 EXPECTED_PHASE = {
     SourceRole.FULL: {
         ("nothing", "nothing"): None,
@@ -88,17 +88,17 @@
 def test_precedence_of_two_sources_follows_the_table(
     role: SourceRole, first: str, second: str, order: tuple[str, str]
 ) -> None:
-    """Whichever of the two lists last."""
+    """The result does not depend on which source lists last."""
     harness = MergerHarness(Source("platform"), Source("etcd", role))
-    said = {"platform": first, "etcd": second}
+    listed_phases = {"platform": first, "etcd": second}
     for name in order:
         harness.list_endpoints(
-            name, make_snapshot(1, *([] if said[name] == "nothing" else [make_record("x")]))
+            name, make_snapshot(1, *([] if listed_phases[name] == "nothing" else [make_record("x")]))
         )
     for name in order:
-        if said[name] == "removed":
+        if listed_phases[name] == "removed":
             harness.list_endpoints(name, make_incremental(2, removed_ids=("x",)))
-        elif said[name] == "draining":
+        elif listed_phases[name] == "draining":
             harness.list_endpoints(name, make_incremental(2, make_record("x", DRAINING)))
     assert harness.view.get("x") == EXPECTED_PHASE[role][first, second]
 
@@ -118,7 +118,7 @@
     assert harness.view == {"x": "up", "y": "up"}
 
 
-def test_removal_of_an_endpoint_that_only_another_source_listed_is_obeyed() -> None:
+def test_removal_of_an_endpoint_that_only_another_source_listed_is_applied() -> None:
     harness = MergerHarness()
     harness.list_endpoints("platform", make_snapshot(1, make_record("x")))
     harness.list_endpoints("etcd", make_snapshot(1))
@@ -128,17 +128,19 @@
 
 def test_endpoint_of_two_sources_has_the_fields_of_the_first_and_the_latest_start() -> None:
     harness = MergerHarness()
-    one = make_record("x", port=1, weight=0.4, zone="a", kind="m2", started_at_ms=50.0)
-    two = make_record("x", port=2, weight=3.0, zone="b", kind="m9", started_at_ms=90.0)
-    harness.list_endpoints("etcd", make_snapshot(1, two))
-    assert harness.announced["x"] == two
-    harness.list_endpoints("platform", make_snapshot(1, one))
-    assert harness.announced["x"] == EndpointRecord(replace(one.endpoint, started_at_ms=90.0), one.address)
+    platform_record = make_record("x", port=1, weight=0.4, zone="a", kind="m2", started_at_ms=50.0)
+    etcd_record = make_record("x", port=2, weight=3.0, zone="b", kind="m9", started_at_ms=90.0)
+    harness.list_endpoints("etcd", make_snapshot(1, etcd_record))
+    assert harness.announced["x"] == etcd_record
+    harness.list_endpoints("platform", make_snapshot(1, platform_record))
+    assert harness.announced["x"] == EndpointRecord(
+        replace(platform_record.endpoint, started_at_ms=90.0), platform_record.address
+    )
     harness.list_endpoints("platform", make_snapshot(2))
     assert harness.view == {}
-    harness.list_endpoints("platform", make_incremental(3, one))
+    harness.list_endpoints("platform", make_incremental(3, platform_record))
     harness.list_endpoints("etcd", make_snapshot(2, make_record("x", port=2, started_at_ms=10.0)))
-    assert harness.announced["x"] == one
+    assert harness.announced["x"] == platform_record
 
 
 def test_shared_address_is_used_by_the_endpoint_that_started_last() -> None:
@@ -165,15 +167,15 @@
 def test_many_endpoints_at_one_address_cost_as_little_as_many_addresses(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards the loop against a list whose endpoints all have one address: each was weighed against each."""
+    """Guards against quadratic time for a list with a single address, from comparing endpoints pairwise."""
     merged_ids: list[str] = []
     merge_records = merged_view.merge_records
 
-    def counted(sources: Mapping[str, Source], endpoint_id: str) -> EndpointRecord | None:
+    def record_call(sources: Mapping[str, Source], endpoint_id: str) -> EndpointRecord | None:
         merged_ids.append(endpoint_id)
         return merge_records(sources, endpoint_id)
 
-    monkeypatch.setattr(merged_view, "merge_records", counted)
+    monkeypatch.setattr(merged_view, "merge_records", record_call)
     harness, count = MergerHarness(Source("platform")), 2000
     names = [f"s{i:04}" for i in range(count)]
     harness.list_endpoints("platform", make_snapshot(1, *(make_record(name, port=7) for name in names)))
--- a/tests/core/discovery/test_snapshot_slices.py
+++ b/tests/core/discovery/test_snapshot_slices.py
@@ -1,4 +1,4 @@
-"""Lists that are applied in slices: what is announced when, and what another event does in between."""
+"""Tests of lists applied in slices: when changes are announced, and the effect of events in between."""
 
 from __future__ import annotations
 
@@ -18,21 +18,25 @@
 )
 
 
-def test_long_snapshot_is_applied_in_slices_after_removals(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_snapshot_longer_than_a_slice_is_applied_in_slices_after_removals(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(snapshot_slices, "SNAPSHOT_SLICE_ENTRIES", 10)
     harness = MergerHarness(Source("platform"))
     harness.list_endpoints(
         "platform", make_snapshot(1, *(make_record(f"s{i}", port=i + 1) for i in range(95)))
     )
     assert len(harness.view) == 95
-    rest = [make_record(f"s{i}", DRAINING if i == 94 else UP, port=i + 1, weight=2.0) for i in range(5, 95)]
-    harness.handle(endpoint_merger.EndpointsListed("platform", "one", make_snapshot(2, *rest)))
+    changed_records = [
+        make_record(f"s{i}", DRAINING if i == 94 else UP, port=i + 1, weight=2.0) for i in range(5, 95)
+    ]
+    harness.handle(endpoint_merger.EndpointsListed("platform", "one", make_snapshot(2, *changed_records)))
     assert (
         len(harness.announced) == 90 and harness.announced["s94"].endpoint.phase is DRAINING
-    )  # before anything else
+    )  # before any other change
     assert harness.slice_scheduled and harness.announced["s50"].endpoint.weight == 1.0
-    seen = [one.endpoint.weight for one in harness.announced.values()].count(2.0)
-    assert seen == 11  # the first slice, and the draining endpoint
+    updated_count = [one.endpoint.weight for one in harness.announced.values()].count(2.0)
+    assert updated_count == 11  # the first slice, and the draining endpoint
     harness.handle(
         endpoint_merger.EndpointsListed(
             "platform",
@@ -44,25 +48,27 @@
     harness.slice_scheduled = False
     harness.handle(endpoint_merger.NextSliceDue())
     weights = [one.endpoint.weight for one in harness.announced.values()]
-    assert weights.count(2.0) == seen + 10  # each slice is announced by itself
+    assert weights.count(2.0) == updated_count + 10  # each slice is announced separately
     harness.run_slices()
     assert (
         harness.announced["s60"].endpoint.weight == 5.0 and "s61" not in harness.announced
-    )  # the newer list holds
+    )  # the newer list takes effect
     assert harness.announced["s50"].endpoint.weight == 2.0 and len(harness.view) == 89
 
 
-def test_long_incremental_list_is_applied_in_slices(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards the event loop against live weights of a whole fleet in one piece; draining does not wait."""
+def test_incremental_list_longer_than_a_slice_is_applied_in_slices(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against applying live weights of a whole fleet in one turn; draining is not delayed."""
     monkeypatch.setattr(snapshot_slices, "SNAPSHOT_SLICE_ENTRIES", 10)
     harness = MergerHarness(Source("platform"))
     harness.list_endpoints(
         "platform", make_snapshot(1, *(make_record(f"s{i}", port=i + 1) for i in range(50)))
     )
-    rest = [make_record(f"s{i}", DRAINING if i == 40 else UP, port=i + 1, weight=2.0) for i in range(2, 50)]
+    changed_records = [
+        make_record(f"s{i}", DRAINING if i == 40 else UP, port=i + 1, weight=2.0) for i in range(2, 50)
+    ]
     harness.handle(
         endpoint_merger.EndpointsListed(
-            "platform", "one", make_incremental(2, *rest, removed_ids=("s0", "s1"))
+            "platform", "one", make_incremental(2, *changed_records, removed_ids=("s0", "s1"))
         )
     )
     assert "s0" not in harness.announced and harness.announced["s40"].endpoint.phase is DRAINING
@@ -77,8 +83,8 @@
     assert weights.count(2.0) == 47 and harness.announced["s49"].endpoint.weight == 3.0
 
 
-def test_first_snapshot_is_announced_in_one_piece(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against a policy that lays its subset out over the first slice alone."""
+def test_first_snapshot_is_announced_as_a_whole(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against a policy that computes its subset over the first slice only."""
     monkeypatch.setattr(snapshot_slices, "SNAPSHOT_SLICE_ENTRIES", 10)
     harness = MergerHarness(Source("platform"))
     harness.handle(
@@ -110,7 +116,7 @@
 def test_pending_endpoint_that_a_newer_snapshot_omits_counts_as_removed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against a removal that is lost because the list before it was still pending."""
+    """Guards against a lost removal, when the list before it is still pending."""
     monkeypatch.setattr(snapshot_slices, "SNAPSHOT_SLICE_ENTRIES", 1)
     harness = MergerHarness()
     harness.handle(
@@ -127,32 +133,34 @@
     """Guards against announcing an older state of a shadowed endpoint after a newer one."""
     monkeypatch.setattr(snapshot_slices, "SNAPSHOT_SLICE_ENTRIES", 1)
     harness = MergerHarness(Source("platform"))
-    both = make_record("b", port=1), make_record("a", port=1)
-    harness.handle(endpoint_merger.EndpointsListed("platform", "one", make_snapshot(1, *both)))
-    harness.list_endpoints("platform", make_incremental(2, *reversed(both)))
+    records = make_record("b", port=1), make_record("a", port=1)
+    harness.handle(endpoint_merger.EndpointsListed("platform", "one", make_snapshot(1, *records)))
+    harness.list_endpoints("platform", make_incremental(2, *reversed(records)))
     assert len(harness.view) == 1
 
 
 @pytest.fixture
 def small_limits(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Lists of over four endpoints are large, and slices have two."""
+    """Sets small limits: lists of more than four endpoints are large, and slices have two."""
     monkeypatch.setattr(snapshot_slices, "LARGE_SNAPSHOT_ENTRIES", 4)
     monkeypatch.setattr(snapshot_slices, "CHANGE_SLICE_ENTRIES", 2)
 
 
 @pytest.mark.usefixtures("small_limits")
-@pytest.mark.parametrize("saved", [False, True])
-def test_large_first_snapshot_announces_no_endpoint_as_up_before_its_end(saved: bool) -> None:
-    """Guards against a policy that lays its subset out over what came in between."""
+@pytest.mark.parametrize("is_cached", [False, True])
+def test_large_first_snapshot_announces_no_endpoint_as_up_before_its_end(is_cached: bool) -> None:
+    """Guards against a policy that computes its subset over endpoints that came up in between."""
     harness = MergerHarness(Source("platform"))
-    names = [make_record(f"s{i}", DRAINING if i == 3 else UP, port=i + 1) for i in range(9)]
+    records = [make_record(f"s{i}", DRAINING if i == 3 else UP, port=i + 1) for i in range(9)]
     harness.handle(
         endpoint_merger.EndpointsListed(
-            "platform", "one", make_snapshot(1, *names), is_cached=saved, cached_age_ms=7.0
+            "platform", "one", make_snapshot(1, *records), is_cached=is_cached, cached_age_ms=7.0
         )
     )
-    assert harness.slice_scheduled and [*harness.announced] == ["s3"], "who drains goes first"
-    assert (harness.kinds[0] is EndpointUpdateKind.CACHED) == saved
+    assert harness.slice_scheduled and [*harness.announced] == ["s3"], (
+        "draining endpoints are announced first"
+    )
+    assert (harness.kinds[0] is EndpointUpdateKind.CACHED) == is_cached
     harness.handle(endpoint_merger.NextSliceDue())
     harness.handle(
         endpoint_merger.EndpointsListed(
@@ -162,9 +170,9 @@
         )
     )
     assert [*harness.announced] == ["s3"]
-    before = len(harness.kinds)
+    announcement_count = len(harness.kinds)
     harness.run_slices()
-    assert len(harness.kinds) == before + 1, "in one piece"
+    assert len(harness.kinds) == announcement_count + 1, "announced as a whole"
     assert harness.announced.keys() == {f"s{i}" for i in range(9)} - {"s1", "s8"}
     assert harness.announced["s0"].endpoint.weight == 5.0 and {
         one.endpoint.cached_age_ms for one in harness.announced.values()
@@ -172,15 +180,17 @@
 
 
 @pytest.mark.usefixtures("small_limits")
-@pytest.mark.parametrize("seen", range(6))
-def test_newer_snapshot_during_a_large_one_replaces_it(seen: int) -> None:
+@pytest.mark.parametrize("slice_count", range(6))
+def test_newer_snapshot_during_a_large_one_replaces_it(slice_count: int) -> None:
     harness = MergerHarness(Source("platform"))
     for revision, size, weight in ((1, 9, 1.0), (2, 9, 2.0), (3, 6, 3.0)):
-        rows = [make_record(f"s{i}", port=i + 1, weight=weight) for i in range(size)]
-        harness.handle(endpoint_merger.EndpointsListed("platform", "one", make_snapshot(revision, *rows)))
-        for _ in range(seen):
+        records = [make_record(f"s{i}", port=i + 1, weight=weight) for i in range(size)]
+        harness.handle(endpoint_merger.EndpointsListed("platform", "one", make_snapshot(revision, *records)))
+        for _ in range(slice_count):
             harness.handle(endpoint_merger.NextSliceDue())
-    assert harness.announced.keys() <= {f"s{i}" for i in range(6)}, "who is not in it is gone at once"
+    assert harness.announced.keys() <= {f"s{i}" for i in range(6)}, (
+        "unlisted endpoints are removed immediately"
+    )
     harness.run_slices()
     assert {name: one.endpoint.weight for name, one in harness.announced.items()} == {
         f"s{i}": 3.0 for i in range(6)
@@ -188,30 +198,30 @@
 
 
 @pytest.mark.usefixtures("small_limits")
-@pytest.mark.parametrize("seen", range(6))
-def test_large_cached_snapshot_ends_in_the_view_of_a_small_one(
-    seen: int, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("slice_count", range(6))
+def test_large_cached_snapshot_leads_to_the_same_view_as_a_small_one(
+    slice_count: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     views = []
-    for large in (4, 1000):
-        monkeypatch.setattr(snapshot_slices, "LARGE_SNAPSHOT_ENTRIES", large)
-        for news in (
+    for large_snapshot_entries in (4, 1000):
+        monkeypatch.setattr(snapshot_slices, "LARGE_SNAPSHOT_ENTRIES", large_snapshot_entries)
+        for event in (
             None,
             endpoint_merger.SourceConfirmedCurrent("platform"),
             endpoint_merger.SourceIdentityChanged("platform", "two"),
             endpoint_merger.SourceLost("platform", "away"),
         ):
             harness = MergerHarness(Source("platform"))
-            rows = [make_record(f"s{i}", DRAINING if i == 3 else UP, port=i + 1) for i in range(9)]
+            records = [make_record(f"s{i}", DRAINING if i == 3 else UP, port=i + 1) for i in range(9)]
             harness.handle(
                 endpoint_merger.EndpointsListed(
-                    "platform", "one", make_snapshot(7, *rows), is_cached=True, cached_age_ms=5.0
+                    "platform", "one", make_snapshot(7, *records), is_cached=True, cached_age_ms=5.0
                 )
             )
-            for _ in range(seen):
+            for _ in range(slice_count):
                 harness.handle(endpoint_merger.NextSliceDue())
-            if news is not None:
-                harness.handle(news)
+            if event is not None:
+                harness.handle(event)
             harness.run_slices()
             assert harness.view
             views.append(
