--- a/tests/core/discovery/etcd_watcher/driver.py
+++ b/tests/core/discovery/etcd_watcher/driver.py
@@ -1,4 +1,4 @@
-"""Drives an etcd watcher in tests: a clock, and answers to the calls that the watcher made last."""
+"""A driver for tests of the etcd watcher, with a clock and answers to the watcher's last calls."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def endpoint(name: str, weight: float = 1.0, phase: api.Phase = api.Phase.UP) -> EndpointRecord:
-    """An endpoint as a list names it."""
+    """An endpoint record."""
     return EndpointRecord(api.Endpoint(name, "", -1, weight, phase, 0.0, ""), ("127.0.0.1", 80))
 
 
@@ -26,7 +26,7 @@
 
 
 class WatcherDriver:
-    """A watcher and a clock, with the calls it made, the updates it delivered and its log."""
+    """A watcher and a clock, with the calls it made, the updates it delivered and its log lines."""
 
     def __init__(self, endpoint_count: int = 1, seed: int = 1, **options: object) -> None:
         self.watcher = EtcdWatcher("etcd", endpoint_count, random.Random(seed), **options)  # type: ignore[arg-type]
@@ -57,7 +57,7 @@
         return actions
 
     def last_call(self, kind: type[CallT]) -> CallT:
-        """The last action of a type."""
+        """The last call of a type."""
         return next(action for action in reversed(self.calls) if isinstance(action, kind))
 
     def last_call_id(self, kind: type[CallT]) -> int:
@@ -65,13 +65,17 @@
         return self.last_call(kind).call_id
 
     def fire_next_timer(self) -> None:
-        """Advance the clock to the next timer that the watcher still waits for."""
-        live = {self.state.session.check_token, self.state.phase_token, self.state.snapshot.slot_token} - {0}
-        token = min(live, key=lambda token: self.timers[token])
+        """Advance the clock to the next timer that is still in use, and fire it."""
+        active_tokens = {
+            self.state.session.check_token,
+            self.state.phase_token,
+            self.state.snapshot.slot_token,
+        } - {0}
+        token = min(active_tokens, key=lambda token: self.timers[token])
         self.now_ms = max(self.now_ms, self.timers[token])
         self.send(messages.TimerFired(token))
 
-    # --- what etcd may answer
+    # --- answers of etcd
 
     def answer_check(self, revision: int, cluster_id: str = "1", raft_term: int = 2) -> None:
         """Answer the last check."""
@@ -106,7 +110,7 @@
                 self.send(messages.CheckAnswered(check.call_id, Position("1", revision, 2), key_count))
                 return
             self.answer_check(revision)
-        raise AssertionError("no check counts")
+        raise AssertionError("no check counts the keys")
 
     def confirm_watch(self, revision: int, cluster_id: str = "1") -> None:
         """Confirm the last watch."""
@@ -140,7 +144,7 @@
     def start_watching(
         self, revision: int, *entries: messages.EntryUpdate, cluster_id: str = "1"
     ) -> WatcherDriver:
-        """Bring the watcher from its start to an open watch behind a snapshot."""
+        """Start the watcher and bring it to an open watch after a snapshot."""
         self.send(messages.WatcherStarted())
         self.answer_check(revision, cluster_id)
         self.answer_page(revision, *entries, cluster_id=cluster_id)
@@ -148,11 +152,11 @@
         return self
 
     def prove_endpoint(self) -> None:
-        """Answer a check while the watch is open, which proves the endpoint useful."""
+        """Answer a check while the watch is open, which proves that the endpoint is usable."""
         self.fire_next_timer()
         self.answer_check(self.state.delivered.seen_revision, self.state.session.cluster_id)
 
-    # --- what the watcher did
+    # --- results of the watcher
 
     def is_in(self, *phases: WatcherPhase) -> bool:
         """Whether the watcher is in one of the phases."""
@@ -170,7 +174,7 @@
 
     @property
     def view(self) -> dict[str, EndpointRecord]:
-        """What was delivered, applied as the endpoint merger does."""
+        """The view that the endpoint merger would build from the delivered lists."""
         view: dict[str, EndpointRecord] = {}
         for update in self.delivered_lists:
             if update.endpoint_list.is_complete:
@@ -182,7 +186,7 @@
 
     @property
     def watch_start_revision(self) -> int:
-        """The revision that the last watch begins with."""
+        """The start revision of the last watch."""
         return self.last_call(messages.OpenWatch).start_revision
 
 
@@ -206,18 +210,18 @@
 
 
 NODE_COUNT, SNAPSHOTS_PER_S = 100, 50.0
-PERIOD_MS = 2_500.0  # over which the snapshots of so many nodes are staggered at that rate
+PERIOD_MS = 2_500.0  # the period over which that many nodes are staggered at that rate
 
 
 class StaggeredDriver(WatcherDriver):
-    """Drives a watcher that has time slots for its snapshots."""
+    """A driver of a watcher that has time slots for its snapshots."""
 
     def __init__(self, endpoint_count: int = 1, node_index: int = 1, **options: object) -> None:
         self.time_slots = StaggeredSchedule(node_index, NODE_COUNT, SNAPSHOTS_PER_S)
         super().__init__(endpoint_count, 1, time_slots=self.time_slots, **options)
 
     def watch_after_first_slot(self) -> StaggeredDriver:
-        """Bring the watcher to a watch behind a snapshot of a and b at revision 5."""
+        """Bring the watcher to an open watch after a snapshot of a and b at revision 5."""
         self.send(messages.WatcherStarted())
         self.fire_next_timer()
         self.answer_check(5)
@@ -228,20 +232,20 @@
 
     @property
     def page_call_count(self) -> int:
-        """How many pages were fetched; each snapshot here has one."""
+        """The number of fetched pages, which is one for each snapshot here."""
         return sum(isinstance(call, messages.FetchSnapshotPage) for call in self.calls)
 
     def compact(self, revision: int) -> None:
-        """Cancel the watch, because the events that it was to deliver were compacted."""
+        """Cancel the watch, because events that it has not delivered were compacted."""
         self.cancel_watch(revision, reason="compacted")
 
     def answer_checks_until_snapshot(self, revision: int) -> float:
-        """Answer checks until a snapshot is fetched; returns the time in ms that this takes."""
-        begun_at_ms = self.now_ms
+        """Answer checks until a snapshot is fetched; returns the elapsed time in ms."""
+        started_at_ms = self.now_ms
         while not self.is_in(WatcherPhase.FETCHING_SNAPSHOT):
             self.fire_next_timer()
             if self.state.session.check_call_id:
                 check = self.last_call(messages.CheckEndpoint)
-                assert not check.counts_keys, "a gap makes every count wrong"
+                assert not check.counts_keys, "after a gap every key count would differ"
                 self.answer_check(revision)
-        return self.now_ms - begun_at_ms
+        return self.now_ms - started_at_ms
--- a/tests/core/discovery/etcd_watcher/simulated_etcd.py
+++ b/tests/core/discovery/etcd_watcher/simulated_etcd.py
@@ -1,6 +1,6 @@
-"""A simulated etcd with several endpoints and faults, which carries out a watcher's actions.
+"""A simulated etcd with several endpoints and faults, which executes a watcher's actions.
 
-It checks each delivered list: the view has to be a state that etcd had, and no order of revisions goes back.
+It checks each delivered list: the view has to be a state that etcd had, and no revision order goes back.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class Fault(IntEnum):
-    """What happens to a random endpoint or its cluster. Other numbers only write keys."""
+    """A fault of a random endpoint or of its cluster. Other numbers only write keys."""
 
     ENDPOINT_UP = 0
     ENDPOINT_DOWN = 1
@@ -36,7 +36,7 @@
 
 
 class Cluster:
-    """Revisions and what changed in each; one key changes at most once in a revision, as in etcd."""
+    """The changes of each revision. A key changes at most once in a revision, as in etcd."""
 
     def __init__(self, cluster_id: str) -> None:
         self.cluster_id = cluster_id
@@ -51,7 +51,7 @@
         return len(self.changes) - 1
 
     def commit(self, changes: dict[str, EndpointRecord | None]) -> None:
-        """Write keys, or delete those of None, in one revision."""
+        """Write keys, or delete those with value None, in one revision."""
         state = dict(self.states[-1])
         for key, value in changes.items():
             if value is None:
@@ -64,7 +64,7 @@
 
 @dataclass
 class Endpoint:
-    """One member of a cluster; it may lag by some revisions."""
+    """An endpoint of a cluster, which may lag by some revisions."""
 
     cluster: Cluster
     mode: str = "up"  # up, down (refuses), frozen (does not answer)
@@ -72,7 +72,7 @@
 
     @property
     def revision(self) -> int:
-        """The revision that it has reached."""
+        """The revision that this endpoint has reached."""
         return max(1, self.cluster.revision - self.lag_revisions)
 
     @property
@@ -83,7 +83,7 @@
 
 @dataclass
 class WatchStream:
-    """An open watch, and how far its events were sent."""
+    """An open watch, and the position up to which its events were sent."""
 
     call_id: int
     endpoint: Endpoint
@@ -96,7 +96,7 @@
 
 
 class SimulatedEtcd:
-    """Carries out a watcher's actions on simulated endpoints, some simulated milliseconds later."""
+    """Executes a watcher's actions on simulated endpoints, with some simulated milliseconds of delay."""
 
     def __init__(self, seed: int, endpoint_count: int, time_slots: StaggeredSchedule | None = None) -> None:
         self.rng = random.Random(seed)
@@ -108,27 +108,27 @@
         self.queued_count = 0
         self.stream: WatchStream | None = None
         self.is_healthy = False
-        # What was delivered.
+        # The delivered state.
         self.view: dict[str, EndpointRecord] = {}
         self.latest_revisions: dict[str, int] = {}  # by identity
         self.identity = ""
-        self.swallowed: dict[str, EndpointRecord] = {}  # in view when the watch dropped its deletion
+        self.lost_deletions: dict[str, EndpointRecord] = {}  # in view when etcd dropped the deletion
 
-    def call_later(self, delay_ms: float, make: Callable[[], messages.Event | None]) -> None:
-        """Make an event, if any, after a delay, and have the watcher handle it."""
+    def call_later(self, delay_ms: float, create_event: Callable[[], messages.Event | None]) -> None:
+        """After a delay, create an event and have the watcher handle it, if it is not None."""
         self.queued_count += 1
-        heapq.heappush(self.queue, (self.now_ms + delay_ms, self.queued_count, make))
+        heapq.heappush(self.queue, (self.now_ms + delay_ms, self.queued_count, create_event))
 
     def run(self, until_ms: float) -> None:
-        """Advance the clock."""
+        """Advance the clock and handle all events that are due."""
         while self.queue and self.queue[0][0] <= until_ms:
-            self.now_ms, _, make = heapq.heappop(self.queue)
-            if (event := make()) is not None:
+            self.now_ms, _, create_event = heapq.heappop(self.queue)
+            if (event := create_event()) is not None:
                 self.handle(event)
         self.now_ms = until_ms
 
     def handle(self, event: messages.Event) -> None:
-        """Have the watcher handle an event now, and carry out its actions."""
+        """Have the watcher handle an event now, and execute its actions."""
         for action in self.watcher.handle(self.now_ms, event):
             match action:
                 case messages.SetTimer():
@@ -162,7 +162,7 @@
         if endpoint.mode == "down":
             self._refuse(action.call_id, delay_ms)
         elif endpoint.mode == "up":
-            # The answer is of some moment between the call and its arrival.
+            # The answer reflects some moment between the call and the answer's arrival.
             self.call_later(delay_ms, lambda: self._answer(action, endpoint))
 
     def _refuse(self, call_id: int, delay_ms: float) -> None:
@@ -210,7 +210,7 @@
         return messages.WatchCreated(stream.call_id, stream.endpoint.position)
 
     def _send_on_watch(self, stream: WatchStream) -> messages.Event | None:
-        """What a watch sends next: events, cut anywhere, and whatever the faults make of them."""
+        """The next message of a watch: events, split at any point and possibly affected by faults."""
         endpoint, rng = stream.endpoint, self.rng
         if stream is not self.stream:
             return None
@@ -246,7 +246,7 @@
         ]
 
     def _new_events(self, stream: WatchStream) -> list[messages.WatchEvent]:
-        """The events that were not sent, but for deletions that a compaction dropped, as in etcd 3.4."""
+        """The unsent events, except deletions that a compaction dropped, as in etcd 3.4."""
         events = []
         for revision in range(stream.next_revision, stream.endpoint.revision + 1):
             changes = stream.cluster.changes[revision]
@@ -256,13 +256,13 @@
                 if revision > stream.cluster.compact_revision or value is not None:
                     events.append(messages.WatchEvent(revision, value or key))
                 elif key in self.view:
-                    self.swallowed[key] = self.view[key]
+                    self.lost_deletions[key] = self.view[key]
         return events
 
     def _advance(
         self, stream: WatchStream, sent: list[messages.WatchEvent], rest: list[messages.WatchEvent]
     ) -> None:
-        """Record how far the stream is, with the rest of its events still to be sent."""
+        """Record the position of the stream, given the events that are still to be sent."""
         if not rest:
             stream.next_revision, stream.sent_count = stream.endpoint.revision + 1, 0
             return
@@ -271,38 +271,40 @@
         sent_now = sum(1 for event in sent if event.revision == revision)
         stream.next_revision, stream.sent_count = revision, sent_before + sent_now
 
-    # --- what was delivered
+    # --- checks of the delivered lists
 
     def _check_delivered(self, update: endpoint_merger.EndpointsListed) -> None:
-        """Apply a list to the view; at each complete revision it has to be etcd's state."""
+        """Apply a list to the view, which has to equal etcd's state at each complete revision."""
         self._apply(update)
         endpoint_list, delivered = update.endpoint_list, self.watcher.state.delivered
         cluster = next(c for c in reversed(self.clusters) if f"{c.cluster_id}/0" == update.identity)
         state = cluster.states[endpoint_list.revision]
         state_before = cluster.states[endpoint_list.revision - 1]
-        # A deletion that etcd itself dropped stays in view until the next key count shows it. A key that was
-        # written again is delivered, by the last fragment of its revision at the latest.
-        self.swallowed = {
+        # An endpoint whose deletion etcd dropped stays in view until the next key count reveals it. A key
+        # that was written again is delivered, at the latest with the last fragment of its revision.
+        self.lost_deletions = {
             key: value
-            for key, value in self.swallowed.items()
+            for key, value in self.lost_deletions.items()
             if self.view.get(key) is value and state.get(key) is not value
         }
         if delivered.has_gap:
-            return  # what fell into it comes with the snapshot
-        view = {key: value for key, value in self.view.items() if key not in self.swallowed}
+            return  # the events in the gap follow with the snapshot
+        view = {key: value for key, value in self.view.items() if key not in self.lost_deletions}
         if delivered.complete_revision >= endpoint_list.revision or endpoint_list.is_complete:
-            assert view == state and not (endpoint_list.is_complete and self.swallowed)
+            assert view == state and not (endpoint_list.is_complete and self.lost_deletions)
         for key in view.keys() | state.keys():
             assert view.get(key) in (state.get(key), state_before.get(key))
 
     def _apply(self, update: endpoint_merger.EndpointsListed) -> None:
         endpoint_list = update.endpoint_list
-        assert endpoint_list.revision >= self.latest_revisions.get(update.identity, 0), "an order went back"
+        assert endpoint_list.revision >= self.latest_revisions.get(update.identity, 0), (
+            "the revision went back within an order"
+        )
         self.latest_revisions[update.identity] = endpoint_list.revision
         if endpoint_list.is_complete:
             self.view = {}
         else:
-            assert update.identity == self.identity, "incremental update of an order that has not begun"
+            assert update.identity == self.identity, "incremental update before the snapshot of its order"
         self.identity = update.identity
         for key in endpoint_list.removed_ids:
             self.view.pop(key, None)
@@ -311,7 +313,7 @@
     # --- faults
 
     def write(self) -> None:
-        """Write or delete some random keys in one revision."""
+        """Write or delete random keys in one revision."""
         cluster = self.endpoints[0].cluster
         keys = self.rng.sample(KEYS, self.rng.randint(1, 5))
         changes = {
@@ -322,7 +324,7 @@
         cluster.commit({key: value for key, value in changes.items() if value is not None or key in existing})
 
     def inject(self, fault: int) -> None:
-        """Have a fault occur, and some writes."""
+        """Inject a fault, followed by some writes."""
         endpoint = self.rng.choice(self.endpoints)
         cluster = endpoint.cluster
         match fault:
--- a/tests/core/discovery/etcd_watcher/test_audit.py
+++ b/tests/core/discovery/etcd_watcher/test_audit.py
@@ -1,4 +1,4 @@
-"""Key counts, which find deletions that the etcd watch lost."""
+"""Tests of key counts, which detect deletions that the etcd watch lost."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 )
 
 
-def test_audit_deletion_dropped_by_a_compaction_is_found() -> None:
+def test_audit_deletion_dropped_by_a_compaction_is_detected() -> None:
     driver = WatcherDriver().start_watching(5, A, B, C)
     driver.send_watch_events((9, C))  # "a" was deleted at 7, which was compacted before the watch reached it
     driver.answer_key_count(9, key_count=2)
@@ -56,7 +56,7 @@
 @pytest.mark.parametrize(
     ("key_count", "phase"), [(2, WatcherPhase.WATCHING), (1, WatcherPhase.FETCHING_SNAPSHOT)]
 )
-def test_audit_pending_count_is_settled_by_progress(key_count: int, phase: WatcherPhase) -> None:
+def test_audit_pending_count_is_evaluated_on_progress(key_count: int, phase: WatcherPhase) -> None:
     driver = WatcherDriver().start_watching(5, A, B)
     driver.answer_key_count(8, key_count=3)
     driver.send_watch_events((7, C), header_revision=7)
@@ -98,7 +98,7 @@
     assert set(driver.view) == {"b"}
 
 
-def test_audit_counts_that_are_always_wrong_grow_rare() -> None:
+def test_audit_counts_that_always_differ_become_less_frequent() -> None:
     """Guards against a gateway that cannot count, which must not make all nodes fetch snapshots forever."""
     driver, snapshot_count = WatcherDriver().start_watching(5, A, B), 0
     while driver.now_ms < 3_600_000:
--- a/tests/core/discovery/etcd_watcher/test_delivery_properties.py
+++ b/tests/core/discovery/etcd_watcher/test_delivery_properties.py
@@ -1,4 +1,4 @@
-"""Drawn cases against a simulated etcd: what is delivered is always a state that etcd had."""
+"""Property tests against a simulated etcd: the delivered view is always a state that etcd had."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
 
 
 def check_faults_and_recovery(etcd: SimulatedEtcd, steps: list[tuple[int, int]]) -> None:
-    """Each delivered list is checked; when the faults end the view becomes etcd's state."""
+    """Check each delivered list during the faults, and that the view equals etcd's state after them."""
     etcd.handle(messages.WatcherStarted())
     for fault, duration_ms in steps:
         etcd.inject(fault)
--- a/tests/core/discovery/etcd_watcher/test_endpoint_check.py
+++ b/tests/core/discovery/etcd_watcher/test_endpoint_check.py
@@ -1,4 +1,4 @@
-"""Checks of the etcd endpoint in use, while it answers and when it does not."""
+"""Tests of the checks of the etcd endpoint in use."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 )
 
 
-def seconds_until_left(driver: WatcherDriver) -> float:
-    """How long the watcher uses an endpoint that answers nothing and closes nothing."""
-    begun_at_ms, used_index = driver.now_ms, driver.state.endpoint_index
+def seconds_until_abandoned(driver: WatcherDriver) -> float:
+    """How long the watcher uses an endpoint that neither answers nor closes connections."""
+    started_at_ms, used_index = driver.now_ms, driver.state.endpoint_index
     while not driver.is_in(WatcherPhase.WAITING) and driver.state.endpoint_index == used_index:
         driver.fire_next_timer()
-    return (driver.now_ms - begun_at_ms) / 1000
+    return (driver.now_ms - started_at_ms) / 1000
 
 
 @pytest.mark.parametrize(
@@ -32,8 +32,8 @@
         WatcherPhase.WATCHING,
     ],
 )
-def test_endpoint_unresponsive_is_left_within_five_seconds(phase: WatcherPhase) -> None:
-    assert seconds_until_left(driver_in_phase(phase)) < 5
+def test_endpoint_unresponsive_is_abandoned_within_five_seconds(phase: WatcherPhase) -> None:
+    assert seconds_until_abandoned(driver_in_phase(phase)) < 5
 
 
 def test_watch_silent_while_checks_are_answered_stays_open() -> None:
@@ -57,7 +57,7 @@
     assert driver.now_ms >= limits.SILENT_WATCH_TIMEOUT_MS / 2
 
 
-def test_endpoint_with_two_failed_checks_is_left_and_the_watch_resumed_elsewhere() -> None:
+def test_endpoint_with_two_failed_checks_is_abandoned_and_the_watch_resumed_elsewhere() -> None:
     driver = WatcherDriver(2).start_watching(5, A)
     used_index = driver.state.endpoint_index
     driver.fire_next_timer()
@@ -77,9 +77,9 @@
     )  # resumed without a snapshot
 
 
-def test_check_overtaken_by_the_watch_does_not_lag() -> None:
+def test_check_older_than_the_watch_does_not_count_as_lagging() -> None:
     driver = WatcherDriver(2).start_watching(60, A)
     driver.fire_next_timer()
     driver.send_watch_events((61, B))
-    driver.answer_check(60)  # read at etcd before revision 61 existed
+    driver.answer_check(60)  # etcd executed the read before revision 61 existed
     assert driver.is_in(WatcherPhase.WATCHING)
--- a/tests/core/discovery/etcd_watcher/test_endpoint_selection.py
+++ b/tests/core/discovery/etcd_watcher/test_endpoint_selection.py
@@ -1,4 +1,4 @@
-"""The choice of an etcd endpoint: rounds, lagging endpoints, restored backups and other clusters."""
+"""Tests of the endpoint selection: rounds, lagging endpoints, restored backups and other clusters."""
 
 from __future__ import annotations
 
@@ -54,13 +54,13 @@
     assert call_count < 40
 
 
-def test_selection_thousand_nodes_return_spread_over_time() -> None:
+def test_selection_of_a_thousand_nodes_after_an_outage_is_spread_over_time() -> None:
     return_times_ms = []
     for seed in range(1000):
         driver = WatcherDriver(3, seed).start_watching(5, A)
         driver.now_ms = 10_000.0
         driver.fail(messages.OpenWatch)
-        while driver.now_ms < 70_000:  # for a minute every endpoint refuses
+        while driver.now_ms < 70_000:  # every endpoint refuses calls for a minute
             driver.fire_next_timer()
             if driver.now_ms < 70_000 and driver.is_in(WatcherPhase.CHECKING):
                 for _ in range(3):
@@ -77,7 +77,7 @@
     assert return_times_ms[-1] - return_times_ms[0] > 3000
 
 
-def test_endpoint_lagging_at_its_first_check_is_left() -> None:
+def test_endpoint_lagging_at_its_first_check_is_abandoned() -> None:
     driver = WatcherDriver(2).start_watching(60, A)
     driver.prove_endpoint()
     driver.fail(messages.OpenWatch)
@@ -91,7 +91,7 @@
 
 
 @pytest.mark.parametrize("answer", ["page", "watch created", "watch events", "progress", "check"])
-def test_endpoint_lagging_in_a_later_answer_is_left(answer: str) -> None:
+def test_endpoint_lagging_in_a_later_answer_is_abandoned(answer: str) -> None:
     driver = WatcherDriver(2).start_watching(60, A)
     if answer == "page":
         driver.cancel_watch(60)
@@ -132,7 +132,7 @@
         driver.fire_next_timer()
         while driver.is_in(WatcherPhase.CHECKING):
             driver.answer_check(20)
-    # reported once
+    # The rejection is reported once.
     assert len(driver.updates) == 3
     assert driver.view == {"a": A}
     restarted = WatcherDriver(2, epoch=1, resume_from=("1/0", 60)).start_watching(20, B)
@@ -165,7 +165,7 @@
     assert driver.view == {"b": B}
 
 
-def test_source_with_a_lower_raft_term_is_read_by_snapshot() -> None:
+def test_source_with_a_lower_raft_term_delivers_a_snapshot() -> None:
     driver = WatcherDriver().start_watching(60, A)
     driver.fire_next_timer()
     driver.answer_check(60, raft_term=7)
@@ -176,7 +176,7 @@
     assert "restored" in driver.log_texts[-1]
 
 
-def test_endpoint_behind_the_resumed_revision_is_left() -> None:
+def test_endpoint_behind_the_resumed_revision_is_abandoned() -> None:
     driver = WatcherDriver(1, resume_from=("1/0", 60))
     driver.send(messages.WatcherStarted())
     driver.answer_check(59)
@@ -201,7 +201,7 @@
     assert driver.watch_start_revision == 3
 
 
-def test_cluster_left_behind_is_never_returned_to() -> None:
+def test_cluster_replaced_is_never_adopted_again() -> None:
     driver = WatcherDriver(2).start_watching(60, A)
     old_index, new_index = driver.state.endpoint_index, 1 - driver.state.endpoint_index
     cluster_ids = {old_index: "1", new_index: "2"}
@@ -212,21 +212,21 @@
     driver.prove_endpoint()
     driver.fail(messages.OpenWatch)
     driver.fire_next_timer()
-    answer()  # of another cluster, while the present one still answers
+    answer()  # from another cluster, while the current one still answers
     answer()
     assert driver.is_in(WatcherPhase.OPENING_WATCH)
     assert driver.state.endpoint_index == old_index
-    driver.fail(messages.OpenWatch)  # the watch fails, but the present cluster still answered
+    driver.fail(messages.OpenWatch)  # the watch fails, but the current cluster still answered
     assert driver.is_in(WatcherPhase.WAITING)
     assert not driver.state.selection.candidate_cluster_id
     driver.fire_next_timer()
     answer()
-    driver.fail(messages.CheckEndpoint)  # the present cluster is unavailable
+    driver.fail(messages.CheckEndpoint)  # the current cluster is unavailable
     answer()
     driver.answer_page(60, B, cluster_id="2")
     driver.confirm_watch(60, cluster_id="2")
     assert driver.view == {"b": B}
-    driver.fail(messages.OpenWatch)  # from here on the old cluster must not return
+    driver.fail(messages.OpenWatch)  # from here on the old cluster must not be adopted
     for _ in range(20):
         if driver.is_in(WatcherPhase.WAITING):
             driver.fire_next_timer()
@@ -240,7 +240,7 @@
 
 
 @pytest.mark.parametrize("answer", ["page", "watch created", "check"])
-def test_endpoint_that_changes_its_cluster_is_left(answer: str) -> None:
+def test_endpoint_that_changes_its_cluster_is_abandoned(answer: str) -> None:
     driver = WatcherDriver(2).start_watching(60, A)
     driver.cancel_watch(60)
     if answer == "page":
--- a/tests/core/discovery/etcd_watcher/test_snapshot.py
+++ b/tests/core/discovery/etcd_watcher/test_snapshot.py
@@ -1,4 +1,4 @@
-"""Snapshots of etcd: paging, restarts, and their delivery."""
+"""Tests of etcd snapshots: paging, restarts and delivery."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 )
 
 
-def test_snapshot_of_two_pages_is_of_the_first_page_revision() -> None:
+def test_snapshot_of_two_pages_has_the_revision_of_the_first_page() -> None:
     driver = WatcherDriver()
     driver.send(messages.WatcherStarted())
     driver.answer_check(40)
@@ -23,7 +23,7 @@
         driver.last_call_id(messages.FetchSnapshotPage), 0, b"a", 41, limits.MAX_PAGE_KEYS
     )
     assert driver.updates == []
-    driver.answer_page(44, B, last_key=b"b")  # a later page: its header is not of the snapshot's revision
+    driver.answer_page(44, B, last_key=b"b")  # a later page may have a newer header revision
     (listed,) = driver.delivered_lists
     assert listed.identity == "1/0"
     assert listed.endpoint_list.is_complete
@@ -87,7 +87,7 @@
     assert driver.is_in(WatcherPhase.WAITING)
 
 
-def test_snapshot_without_progress_or_end_leaves_the_endpoint() -> None:
+def test_snapshot_without_progress_or_end_abandons_the_endpoint() -> None:
     driver = WatcherDriver()
     driver.send(messages.WatcherStarted())
     driver.answer_check(5)
--- a/tests/core/discovery/etcd_watcher/test_snapshot_schedule.py
+++ b/tests/core/discovery/etcd_watcher/test_snapshot_schedule.py
@@ -1,4 +1,4 @@
-"""Time slots of snapshots, when the capacity of etcd is configured."""
+"""Tests of the snapshots' time slots, which apply if the capacity of etcd is configured."""
 
 from __future__ import annotations
 
@@ -34,14 +34,14 @@
 def test_schedule_watcher_that_resumes_fetches_its_snapshot_at_once() -> None:
     driver, other = StaggeredDriver(resume_from=("1/0", 5)), StaggeredDriver(resume_from=("1/0", 5), epoch=1)
     other.send(messages.WatcherStarted())
-    assert other.is_in(WatcherPhase.WAITING), "in another order there is nothing to resume"
+    assert other.is_in(WatcherPhase.WAITING), "with another epoch there is nothing to resume"
     driver.send(messages.WatcherStarted())
     driver.answer_check(5)
     assert driver.is_in(WatcherPhase.FETCHING_SNAPSHOT)
     assert driver.now_ms == 0.0
     driver.now_ms = 60_000.0
     driver.fail(messages.FetchSnapshotPage, CallFault.OVERLOADED)
-    # from then on in its time slots
+    # Later snapshots wait for their time slots.
     assert driver.state.snapshot.due_at_ms is not None
     assert driver.state.snapshot.due_at_ms > driver.now_ms
 
@@ -49,7 +49,7 @@
 def test_schedule_compacted_watch_continues_until_the_time_slot() -> None:
     driver = StaggeredDriver().watch_after_first_slot()
     driver.compact(30)
-    driver.answer_check(40)  # nothing is known of b, which was removed at 20
+    driver.answer_check(40)  # the removal of b at revision 20 is not known
     assert driver.watch_start_revision == 40
     assert driver.page_call_count == 1
     driver.confirm_watch(40)
@@ -57,9 +57,9 @@
     assert driver.view == {"b": B}, "a removal while waiting takes effect at once"
     update_count = len(driver.updates)
     assert driver.answer_checks_until_snapshot(41) == pytest.approx(driver.time_slots.first_delay_ms())
-    assert len(driver.updates) == update_count, "no confirmation while there is a gap"
+    assert len(driver.updates) == update_count, "nothing is confirmed during a gap"
     driver.answer_page(41, C)
-    # The snapshot is of a seen revision, so it is delivered as an incremental update.
+    # The snapshot has a seen revision, so it is delivered as an incremental update.
     assert driver.view == {"c": C}
     assert not driver.last_list.is_complete
     assert driver.is_in(WatcherPhase.OPENING_WATCH)
@@ -82,7 +82,7 @@
     assert driver.answer_checks_until_snapshot(6) == pytest.approx(driver.time_slots.first_delay_ms())
     driver.answer_page(6, A, C)
     assert driver.view == {"a": A, "c": C}
-    # A count that the watch does not reach until the next check: checks continue, but count no more.
+    # The watch does not reach a count until the next check: checks continue, but no longer count keys.
     driver = StaggeredDriver().watch_after_first_slot()
     driver.answer_key_count(9, 3)
     driver.fire_next_timer()
@@ -94,7 +94,7 @@
     driver.answer_checks_until_snapshot(9)
 
 
-def test_schedule_watch_broken_behind_a_gap_is_resumed() -> None:
+def test_schedule_watch_broken_after_a_gap_is_resumed() -> None:
     driver = StaggeredDriver(2).watch_after_first_slot()
     driver.compact(30)
     driver.answer_check(40)
@@ -109,7 +109,7 @@
         1,
         1,
     )
-    driver.compact(45)  # if that is compacted as well, from the current revision on
+    driver.compact(45)  # revision 41 is compacted too, so the watch starts at the current revision
     driver.answer_check(52)
     assert (driver.watch_start_revision, driver.page_call_count) == (52, 1)
 
@@ -144,7 +144,7 @@
     assert driver.time_slots.period_ms == PERIOD_MS
 
 
-def test_schedule_rejected_snapshot_behind_a_gap_keeps_watching() -> None:
+def test_schedule_rejected_snapshot_after_a_gap_keeps_watching() -> None:
     driver = StaggeredDriver(3).watch_after_first_slot()
     driver.compact(30)
     driver.answer_check(40)
@@ -156,28 +156,28 @@
     assert (driver.watch_start_revision, driver.page_call_count) == (40, 2)
 
 
-def test_schedule_unavailable_etcd_is_called_slot_by_slot() -> None:
+def test_schedule_unavailable_etcd_is_called_once_per_time_slot() -> None:
     driver, waits_ms = StaggeredDriver(2), list[float]()
     driver.send(messages.WatcherStarted())
     driver.fire_next_timer()
     for _ in range(8):
-        begun_at_ms = driver.now_ms
+        started_at_ms = driver.now_ms
         driver.fail(messages.CheckEndpoint)
         driver.fail(messages.CheckEndpoint)
         driver.fire_next_timer()
-        waits_ms.append(driver.now_ms - begun_at_ms)
+        waits_ms.append(driver.now_ms - started_at_ms)
     assert min(waits_ms) >= 0.99 * PERIOD_MS
     assert PERIOD_MS < max(waits_ms) <= 1.5 * limits.MAX_BACKOFF_MS + PERIOD_MS
-    # A snapshot that fails is fetched from the next endpoint, but in the next time slot; a check that is
-    # rejected defers it as much as a snapshot that is.
-    begun_at_ms = driver.now_ms
+    # A failed snapshot is fetched from the next endpoint, but in the next time slot. A rejected check defers
+    # it as much as a rejected snapshot.
+    started_at_ms = driver.now_ms
     driver.answer_check(5)
     driver.fail(messages.FetchSnapshotPage)
     driver.answer_check(5)
     assert driver.is_in(WatcherPhase.WAITING)
     assert driver.page_call_count == 1
     driver.fire_next_timer()
-    assert driver.now_ms - begun_at_ms >= 0.99 * PERIOD_MS
+    assert driver.now_ms - started_at_ms >= 0.99 * PERIOD_MS
     driver.fail(messages.CheckEndpoint, CallFault.OVERLOADED)
     assert driver.time_slots.rejections == 1
     driver.answer_check(5)
@@ -185,20 +185,20 @@
     assert driver.page_call_count == 1
 
 
-@pytest.mark.parametrize("returns", [False, True])
-def test_schedule_new_cluster_is_adopted_at_the_time_slot(returns: bool) -> None:
+@pytest.mark.parametrize("old_cluster_returns", [False, True])
+def test_schedule_new_cluster_is_adopted_at_the_time_slot(old_cluster_returns: bool) -> None:
     driver = StaggeredDriver(2).watch_after_first_slot()
     driver.fail(messages.OpenWatch)
     driver.fire_next_timer()
-    for _ in range(3):  # both endpoints are of another cluster, which becomes the candidate
+    for _ in range(3):  # both endpoints belong to another cluster, which becomes the candidate
         driver.answer_check(1, cluster_id="2")
     assert driver.is_in(WatcherPhase.WAITING)
     assert driver.page_call_count == 1
     assert isinstance(driver.updates[-1], endpoint_merger.SourceLost)
     driver.fire_next_timer()
     driver.answer_check(1, cluster_id="2")
-    driver.answer_check(6 if returns else 1, cluster_id="1" if returns else "2")
-    if returns:
+    driver.answer_check(6 if old_cluster_returns else 1, cluster_id="1" if old_cluster_returns else "2")
+    if old_cluster_returns:
         assert driver.is_in(WatcherPhase.OPENING_WATCH)
         assert driver.watch_start_revision == 5
         return
--- a/tests/core/discovery/etcd_watcher/test_watch.py
+++ b/tests/core/discovery/etcd_watcher/test_watch.py
@@ -1,4 +1,4 @@
-"""The etcd watch: events, fragments, progress and resumption."""
+"""Tests of the etcd watch: events, fragments, progress and resumption."""
 
 from __future__ import annotations
 
@@ -25,9 +25,8 @@
     driver.send_watch_events((6, B), (7, "a"), (4, A))
     assert driver.view == {"b": B}
     assert len(driver.delivered_lists) == 2
-    driver.send_watch_events(
-        (7, "a"), (8, A), (6, "b"), header_revision=9
-    )  # old events among new ones, out of order
+    # Old events among new ones, out of order.
+    driver.send_watch_events((7, "a"), (8, A), (6, "b"), header_revision=9)
     assert driver.view == {"a": A, "b": B}
     assert driver.last_list.revision == 8
 
@@ -35,13 +34,13 @@
 def test_watch_revision_in_two_fragments_is_delivered_completely() -> None:
     driver = WatcherDriver().start_watching(5, A, B, C)
     driver.send_watch_events((6, C), (7, "a"), is_fragment=True)
-    # a removal does not wait for the rest of its revision
+    # A removal takes effect before the rest of its revision arrives.
     assert "a" not in driver.view
     assert driver.last_list.revision == 7
     driver.send_watch_events((7, "b"), header_revision=7)
     assert set(driver.view) == {"c"}
     assert driver.last_list.revision == 7
-    driver.send_watch_events((7, "c"), header_revision=7)  # replayed: the revision is complete now
+    driver.send_watch_events((7, "c"), header_revision=7)  # replayed, but the revision is complete now
     assert set(driver.view) == {"c"}
     assert driver.state.delivered.complete_revision == 7
 
@@ -82,9 +81,8 @@
     endpoint_list = driver.last_list
     assert endpoint_list.removed_ids == ("a",)
     assert [entry.key for entry in endpoint_list.invalid_entries] == ["b", "a"]
-    assert endpoint_list.records == (
-        endpoint("b", phase=api.Phase.DRAINING),
-    )  # invalid, but its draining state is obeyed
+    # The entry is invalid, but its draining state takes effect.
+    assert endpoint_list.records == (endpoint("b", phase=api.Phase.DRAINING),)
 
 
 def test_watch_progress_advances_the_resume_revision_up_to_the_checked_one() -> None:
@@ -127,7 +125,7 @@
     assert driver.is_in(WatcherPhase.FETCHING_SNAPSHOT)
 
 
-def test_watch_mass_removal_is_obeyed_and_logged_once() -> None:
+def test_watch_mass_removal_is_applied_and_logged_once() -> None:
     records = [endpoint(f"s-{i}") for i in range(10)]
     driver = WatcherDriver().start_watching(5, *records)
     driver.send_watch_events(*[(6, record.id) for record in records[:5]])
--- a/tests/core/discovery/etcd_watcher/test_watcher.py
+++ b/tests/core/discovery/etcd_watcher/test_watcher.py
@@ -1,4 +1,4 @@
-"""The etcd watcher: every event in every phase, and what concerns all calls."""
+"""Tests of the etcd watcher: every event in every phase, token renewal and denied access."""
 
 from __future__ import annotations
 
@@ -43,46 +43,49 @@
     ),
     "watch failed": lambda state: messages.CallFailed(state.watch.call_id or -1, CallFault.FAILED, "x"),
 }
-# The next phase and the actions of each event that has an effect. `CloseConnections` is of the endpoint that
-# is left, `CheckEndpoint` of the next one.
-LEFT_WITH_LOG = (WatcherPhase.CHECKING, "WriteLog CloseConnections CheckEndpoint SetTimer")
-LEFT = (WatcherPhase.CHECKING, "CloseConnections CheckEndpoint SetTimer")
-WATCH_LEFT = (WatcherPhase.CHECKING, "CloseWatch WriteLog CloseConnections CheckEndpoint SetTimer")
+# The next phase and the actions for each event that has an effect. `CloseConnections` refers to the abandoned
+# endpoint, `CheckEndpoint` to the next one.
+ABANDONED_WITH_LOG = (WatcherPhase.CHECKING, "WriteLog CloseConnections CheckEndpoint SetTimer")
+ABANDONED = (WatcherPhase.CHECKING, "CloseConnections CheckEndpoint SetTimer")
+WATCH_CLOSED_AND_ABANDONED = (
+    WatcherPhase.CHECKING,
+    "CloseWatch WriteLog CloseConnections CheckEndpoint SetTimer",
+)
 STOPPED = (WatcherPhase.STOPPED, "CloseConnections")
 TABLE: dict[tuple[WatcherPhase, str], tuple[WatcherPhase, str]] = {
     (WatcherPhase.STOPPED, "started"): (WatcherPhase.CHECKING, "CheckEndpoint SetTimer"),
-    (WatcherPhase.CHECKING, "timer"): LEFT,
+    (WatcherPhase.CHECKING, "timer"): ABANDONED,
     (WatcherPhase.CHECKING, "check"): (WatcherPhase.FETCHING_SNAPSHOT, "FetchSnapshotPage SetTimer"),
-    (WatcherPhase.CHECKING, "check failed"): LEFT,
-    (WatcherPhase.FETCHING_SNAPSHOT, "timer"): LEFT_WITH_LOG,
+    (WatcherPhase.CHECKING, "check failed"): ABANDONED,
+    (WatcherPhase.FETCHING_SNAPSHOT, "timer"): ABANDONED_WITH_LOG,
     (WatcherPhase.FETCHING_SNAPSHOT, "page"): (
         WatcherPhase.OPENING_WATCH,
         "DeliverUpdate OpenWatch SetTimer",
     ),
-    (WatcherPhase.FETCHING_SNAPSHOT, "page failed"): LEFT_WITH_LOG,
+    (WatcherPhase.FETCHING_SNAPSHOT, "page failed"): ABANDONED_WITH_LOG,
     (WatcherPhase.FETCHING_SNAPSHOT, "page compacted"): (
         WatcherPhase.FETCHING_SNAPSHOT,
         "FetchSnapshotPage SetTimer",
     ),
-    (WatcherPhase.OPENING_WATCH, "timer"): LEFT_WITH_LOG,
+    (WatcherPhase.OPENING_WATCH, "timer"): ABANDONED_WITH_LOG,
     (WatcherPhase.OPENING_WATCH, "watch created"): (WatcherPhase.WATCHING, "SetTimer"),
-    (WatcherPhase.OPENING_WATCH, "watch events"): LEFT_WITH_LOG,
-    (WatcherPhase.OPENING_WATCH, "progress"): LEFT_WITH_LOG,
-    (WatcherPhase.OPENING_WATCH, "canceled"): WATCH_LEFT,
+    (WatcherPhase.OPENING_WATCH, "watch events"): ABANDONED_WITH_LOG,
+    (WatcherPhase.OPENING_WATCH, "progress"): ABANDONED_WITH_LOG,
+    (WatcherPhase.OPENING_WATCH, "canceled"): WATCH_CLOSED_AND_ABANDONED,
     (WatcherPhase.OPENING_WATCH, "compacted"): (
         WatcherPhase.FETCHING_SNAPSHOT,
         "CloseWatch FetchSnapshotPage SetTimer",
     ),
-    (WatcherPhase.OPENING_WATCH, "watch failed"): WATCH_LEFT,
+    (WatcherPhase.OPENING_WATCH, "watch failed"): WATCH_CLOSED_AND_ABANDONED,
     (WatcherPhase.WATCHING, "timer"): (WatcherPhase.WATCHING, "CheckEndpoint SetTimer"),
     (WatcherPhase.WATCHING, "watch events"): (WatcherPhase.WATCHING, "DeliverUpdate"),
     (WatcherPhase.WATCHING, "progress"): (WatcherPhase.WATCHING, "DeliverUpdate"),
-    (WatcherPhase.WATCHING, "canceled"): WATCH_LEFT,
+    (WatcherPhase.WATCHING, "canceled"): WATCH_CLOSED_AND_ABANDONED,
     (WatcherPhase.WATCHING, "compacted"): (
         WatcherPhase.FETCHING_SNAPSHOT,
         "CloseWatch FetchSnapshotPage SetTimer",
     ),
-    (WatcherPhase.WATCHING, "watch failed"): WATCH_LEFT,
+    (WatcherPhase.WATCHING, "watch failed"): WATCH_CLOSED_AND_ABANDONED,
     (WatcherPhase.WAITING, "timer"): (WatcherPhase.CHECKING, "CheckEndpoint SetTimer"),
     (WatcherPhase.WAITING, "stopped"): (WatcherPhase.STOPPED, ""),
     (WatcherPhase.CHECKING, "stopped"): STOPPED,
--- a/tests/core/discovery/test_cached_lists.py
+++ b/tests/core/discovery/test_cached_lists.py
@@ -117,9 +117,8 @@
         1.0,
         endpoint_merger.EndpointsListed("a", "one", make_snapshot(6, make_record("x")), is_from_watch=True),
     )
-    merger.handle(
-        2.0, endpoint_merger.SourceConfirmedCurrent("a")
-    )  # contact proves nothing, because its revision went back
+    # Contact proves nothing, because the source's revision went back.
+    merger.handle(2.0, endpoint_merger.SourceConfirmedCurrent("a"))
     assert cached_ages(merger) == CACHED_AGES and merger.sources["a"].state is SourceState.REJECTED
 
 
--- a/tests/core/discovery/test_endpoint_merger.py
+++ b/tests/core/discovery/test_endpoint_merger.py
@@ -89,9 +89,8 @@
     assert harness.view == {"a": "up"}
     harness.list_endpoints("platform", make_snapshot(3, make_record("b")), "10.0.0.2:1")
     assert harness.view == {"b": "up"} and harness.merger.watch_revision("platform") == 3
-    harness.handle(
-        endpoint_merger.SourceIdentityChanged("platform", "10.0.0.2:1")
-    )  # the same identity: no change
+    # The same identity again changes nothing.
+    harness.handle(endpoint_merger.SourceIdentityChanged("platform", "10.0.0.2:1"))
     assert harness.merger.watch_revision("platform") == 3
 
 
@@ -199,9 +198,10 @@
         "platform", make_incremental(2, invalid_entries=(InvalidEntry("a", "no port", is_draining=True),))
     )
     assert harness.view == {"a": "draining", "b": "up"}
+    # The draining state takes effect although etcd never listed b.
     harness.list_endpoints(
         "etcd", make_incremental(2, invalid_entries=(InvalidEntry("b", "no port", is_draining=True),))
-    )  # although etcd never listed b
+    )
     assert harness.view == {"a": "draining"}
 
 
@@ -260,9 +260,8 @@
     assert harness.view == {"a": "up"}
     harness.list_endpoints("platform", make_incremental(61, make_record("c")))
     assert harness.state("platform") is SourceState.IN_SYNC and harness.view == {"a": "up", "c": "up"}
-    harness.list_endpoints(
-        "platform", make_snapshot(60)
-    )  # a poll's answer that arrives after the watch's events
+    # A poll's answer that arrives after newer events of the watch.
+    harness.list_endpoints("platform", make_snapshot(60))
     assert harness.state("platform") is SourceState.IN_SYNC
 
 
--- a/tests/core/discovery/test_merged_view.py
+++ b/tests/core/discovery/test_merged_view.py
@@ -109,9 +109,8 @@
     harness.list_endpoints("etcd", make_snapshot(1, make_record("x")))
     harness.list_endpoints("etcd", make_snapshot(2))
     assert harness.view == {"y": "up"}
-    harness.list_endpoints(
-        "platform", make_incremental(2, make_record("x"))
-    )  # another source does not override the removal
+    # Another source does not override the removal.
+    harness.list_endpoints("platform", make_incremental(2, make_record("x")))
     harness.list_endpoints("platform", make_snapshot(3, make_record("x"), make_record("y")))
     assert harness.view == {"y": "up"}
     harness.list_endpoints("etcd", make_incremental(3, make_record("x")))
--- a/tests/core/discovery/test_platform_watcher.py
+++ b/tests/core/discovery/test_platform_watcher.py
@@ -74,10 +74,8 @@
     ("event", "expected_actions"),
     [
         (platform_watcher.CallEnded(False), [platform_watcher.NotifyCallFailed()]),
-        (
-            platform_watcher.CallEnded(True),
-            [platform_watcher.NotifyCallFailed()],
-        ),  # its snapshot was not applied, so no watch can follow
+        # A complete snapshot that was not applied: no watch can follow.
+        (platform_watcher.CallEnded(True), [platform_watcher.NotifyCallFailed()]),
         (platform_watcher.CallEnded(False, is_additional=True), [platform_watcher.NotifyCallFailed()]),
         (platform_watcher.CallEnded(True, is_additional=True), []),
     ],
--- a/tests/core/discovery/test_snapshot_slices.py
+++ b/tests/core/discovery/test_snapshot_slices.py
@@ -31,9 +31,8 @@
         make_record(f"s{i}", DRAINING if i == 94 else UP, port=i + 1, weight=2.0) for i in range(5, 95)
     ]
     harness.handle(endpoint_merger.EndpointsListed("platform", "one", make_snapshot(2, *changed_records)))
-    assert (
-        len(harness.announced) == 90 and harness.announced["s94"].endpoint.phase is DRAINING
-    )  # before any other change
+    # Removals and draining come before any other change.
+    assert len(harness.announced) == 90 and harness.announced["s94"].endpoint.phase is DRAINING
     assert harness.slice_scheduled and harness.announced["s50"].endpoint.weight == 1.0
     updated_count = [one.endpoint.weight for one in harness.announced.values()].count(2.0)
     assert updated_count == 11  # the first slice, and the draining endpoint
@@ -50,9 +49,8 @@
     weights = [one.endpoint.weight for one in harness.announced.values()]
     assert weights.count(2.0) == updated_count + 10  # each slice is announced separately
     harness.run_slices()
-    assert (
-        harness.announced["s60"].endpoint.weight == 5.0 and "s61" not in harness.announced
-    )  # the newer list takes effect
+    # The newer list takes effect.
+    assert harness.announced["s60"].endpoint.weight == 5.0 and "s61" not in harness.announced
     assert harness.announced["s50"].endpoint.weight == 2.0 and len(harness.view) == 89
 
 
