--- a/balancer/core/discovery/endpoint_merger.py
+++ b/balancer/core/discovery/endpoint_merger.py
@@ -277,7 +277,7 @@
         source.set_state(SourceState.IN_SYNC)
 
     def _mark_unavailable(self, source: Source, state: SourceState, reason: str) -> None:
-        """Change only the state; the source's endpoints stay in the view, as it has not removed them."""
+        """Set and log the state; the source's endpoints stay in the view, as it has not removed them."""
         if (source.state, source.state_reason) != (state, reason):
             self._actions.append(merge_log.source_unavailable(source, state, reason))
         source.set_state(state, reason)
--- a/balancer/core/discovery/etcd_watcher/state.py
+++ b/balancer/core/discovery/etcd_watcher/state.py
@@ -81,9 +81,7 @@
     has_gap: bool = False  # the watch resumed after events that may be lost; a snapshot is due
     is_rereading_snapshot: bool = False  # the due snapshot may have a revision that was delivered
     endpoint_ids: set[str] = field(default_factory=set)
-    known_keys: set[str] = field(
-        default_factory=set
-    )  # with the prefix, whether their values are valid or not
+    known_keys: set[str] = field(default_factory=set)  # with the prefix, even if the value is invalid
     unidentified_key_count: int = 0  # further keys of the snapshot, which have no distinct name
     former_cluster_ids: deque[str] = field(default_factory=lambda: deque(maxlen=limits.MAX_FORMER_CLUSTERS))
     reported_status: ReportedStatus = ReportedStatus.AVAILABLE
--- a/balancer/core/discovery/etcd_watcher/watch.py
+++ b/balancer/core/discovery/etcd_watcher/watch.py
@@ -28,7 +28,7 @@
 
 
 def on_created(state: WatcherState, position: messages.Position) -> None:
-    """Start watching. A lagging endpoint, which accepts a watch from a future revision, is abandoned."""
+    """Start watching; abandon a lagging endpoint, which accepts a watch even from a future revision."""
     if not endpoint_selection.accept_position(state, position, state.delivered.complete_revision):
         return
     state.phase, state.phase_token = WatcherPhase.WATCHING, 0
--- a/balancer/core/discovery/platform_watcher.py
+++ b/balancer/core/discovery/platform_watcher.py
@@ -199,7 +199,7 @@
 
 
 class PlatformWatcher:
-    """Follows the platform's list, with either one active call or one retry timer at any time."""
+    """Follows the platform's list, with at most one active following call or one retry timer."""
 
     def __init__(self, rng: random.Random, must_poll: bool, drain_grace_ms: float) -> None:
         self.must_poll = must_poll
--- a/tests/core/discovery/etcd_watcher/test_endpoint_check.py
+++ b/tests/core/discovery/etcd_watcher/test_endpoint_check.py
@@ -72,9 +72,10 @@
     assert messages.CloseConnections(used_index) in driver.calls
     driver.fire_next_timer()
     driver.answer_check(8)
+    # The watch is resumed without a snapshot.
     assert driver.last_call(messages.OpenWatch) == messages.OpenWatch(
         driver.last_call_id(messages.OpenWatch), 1 - used_index, 5
-    )  # resumed without a snapshot
+    )
 
 
 def test_check_older_than_the_watch_does_not_count_as_lagging() -> None:
--- a/tests/core/discovery/test_endpoint_merger_model.py
+++ b/tests/core/discovery/test_endpoint_merger_model.py
@@ -139,7 +139,7 @@
                     harness.handle(endpoint_merger.SourceLost(source, "away"))
                 case _:
                     harness.run_slices()
-            for model in naive.values():  # at once, however long a pending list is
+            for model in naive.values():  # immediately, even while a list is pending
                 for name, record in model.listed.items():
                     held = harness.announced.get(name)
                     if held is not None:
--- a/tests/core/discovery/test_platform_watcher.py
+++ b/tests/core/discovery/test_platform_watcher.py
@@ -9,9 +9,8 @@
 from balancer.core.discovery import platform_watcher
 from balancer.core.discovery.platform_watcher import PlatformWatcher
 
-LONG_DRAIN_GRACE_MS = (
-    platform_watcher.MAX_RETRY_WAIT_MS / platform_watcher.RETRY_WAIT_PER_DRAIN_GRACE
-)  # long enough that the longest retry wait is not shortened
+# Long enough that the longest retry wait is not shortened.
+LONG_DRAIN_GRACE_MS = platform_watcher.MAX_RETRY_WAIT_MS / platform_watcher.RETRY_WAIT_PER_DRAIN_GRACE
 
 
 def make_watcher(must_poll: bool = False, state: str = "idle") -> PlatformWatcher:
@@ -297,9 +296,8 @@
     while agent.watcher.progress_timeout_ms == agent.watcher.timeouts.progress_timeout_ms:
         agent.call(float("inf"))
     assert agent.now_ms > 60_000.0
-    assert (
-        agent.watcher.progress_timeout_ms + 1.5 * agent.watcher.timeouts.max_retry_wait_ms < grace_ms
-    )  # also for a while after the minute
+    # The delay stays below the grace for a while after the minute as well.
+    assert agent.watcher.progress_timeout_ms + 1.5 * agent.watcher.timeouts.max_retry_wait_ms < grace_ms
     while agent.watcher.progress_timeout_ms < platform_watcher.MAX_PROGRESS_TIMEOUT_MS:
         agent.call(float("inf"))
     for _ in range(1000):
