--- a/balancer/core/cluster/__init__.py
+++ b/balancer/core/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""What nodes know of each other: failure detection, advertised node state, partitions, gossiped removals."""
+"""The cluster of nodes: failure detection, advertised node state, partition detection, gossiped removals."""
--- a/balancer/core/cluster/advertised_sources.py
+++ b/balancer/core/cluster/advertised_sources.py
@@ -1,4 +1,4 @@
-"""What a node advertises of its own sources: positions that peers can compare with theirs."""
+"""Computes the source positions that a node advertises, so that peers can compare them with their own."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class SourcePosition(NamedTuple):
-    """How far a node has followed a source; `state` is an index into `endpoint_merger.SourceState`."""
+    """A node's position in a source's revisions; `state` is an index into `endpoint_merger.SourceState`."""
 
     source: str
     identity_hash: int
@@ -20,15 +20,15 @@
 
 
 def identity_hash(identity: str | None) -> int:
-    """A source's identity in 32 bits; 0: there is none yet."""
+    """Returns a 32-bit hash of a source's identity, or 0 if it has none yet."""
     return zlib.crc32(identity.encode()) or 1 if identity is not None else 0
 
 
 def source_identity_hash(source: Source, sources_with_local_agents: Collection[str] = ()) -> int:
-    """The hash of the identity within which a source's revisions are ordered.
+    """Returns the hash of the identity within which a source's revisions are ordered.
 
-    Sources with local agents are those that each node hears through an agent at an address of its own. Their
-    revisions belong to one list, though the identities differ, so the name stands for the identity.
+    Each node reaches a source with local agents through its own agent, at an address of its own. The
+    identities therefore differ although the revisions belong to one list, so the name is hashed instead.
     """
     has_local_agent = source.identity is not None and source.name in sources_with_local_agents
     return identity_hash(source.name if has_local_agent else source.identity)
@@ -37,7 +37,7 @@
 def advertised_sources(
     sources: Iterable[Source], sources_with_local_agents: Collection[str] = ()
 ) -> tuple[SourcePosition, ...]:
-    """The positions of a node's own sources; what peers reported is not among them."""
+    """Returns the positions of a node's own sources, without the gossip source."""
     states = tuple(SourceState)
     return tuple(
         SourcePosition(
@@ -52,7 +52,7 @@
 
 
 def is_comparable(sources: Iterable[Source]) -> bool:
-    """Whether the view consists of complete lists of the own sources, so that its digest may be compared."""
+    """Whether the view consists only of complete lists from own sources, so that digests are comparable."""
     return not any(
         source.pending_records
         or source.has_cached_records
--- a/balancer/core/cluster/anti_entropy.py
+++ b/balancer/core/cluster/anti_entropy.py
@@ -1,10 +1,11 @@
-"""Finds the entries in which two endpoint lists differ, by a hash tree; the lists themselves are not sent.
-
-Entries are placed in the LEAF_COUNT leaves of a binary tree by a hash of their names (a Merkle tree, as in
-Amazon Dynamo). A node of the tree holds the exclusive or of the digests of the entries below it, so a change
-costs one step per level, and equal sets have equal digests whatever the order of their changes. Where a tree
-node differs, the answer carries the digests LEVELS_PER_ANSWER levels below it, or the entries of the leaf.
-Neither side keeps state of a search: what is lost on the way or exceeds a bound is found by the next one.
+"""Finds the entries in which two endpoint lists differ with a hash tree, without sending the lists.
+
+The tree is a binary Merkle tree, as in Amazon Dynamo. A hash of an entry's name places it in one of the
+LEAF_COUNT leaves. A tree node holds the exclusive or of the digests of the entries below it, so updating an
+entry costs one step per level, and equal sets have equal digests regardless of the order of their changes.
+If a tree node differs, the answer carries the digests LEVELS_PER_ANSWER levels below it, or the entries of
+the leaf. Searches are stateless on both sides: the next search finds entries that were missed because of a
+lost datagram or a bound.
 """
 
 from __future__ import annotations
@@ -17,27 +18,27 @@
 from balancer.endpoints import EndpointRecord
 
 TREE_DEPTH = 12  # levels below the root
-LEAF_COUNT = 1 << TREE_DEPTH  # two or three of 10,000 entries to a leaf
+LEAF_COUNT = 1 << TREE_DEPTH  # with 10,000 entries, two or three per leaf
 LEVELS_PER_ANSWER = 3  # benchmarks/node_state_gossip.py compares 1 to 4
 KEY_BITS = 64
-DIGEST_MASK = (1 << 48) - 1  # of the digests that are sent
-LIST_DIGEST_MASK = (1 << 32) - 1  # of the root's digest, as nodes advertise it
-# What fits a datagram of 256 bytes beside node names of 16 bytes.
+DIGEST_MASK = (1 << 48) - 1  # applied to digests in datagrams
+LIST_DIGEST_MASK = (1 << 32) - 1  # applied to the root's digest in `AdvertisedState`
+# The numbers that fit in a datagram of 256 bytes with node names of 16 bytes.
 MAX_DIGESTS_PER_DATAGRAM = 23
 MAX_ENTRIES_PER_DATAGRAM = 13
-MAX_ANSWER_DATAGRAMS = 16  # to one datagram
-MAX_DIFFERING_NAMES = 64  # reported at once
+MAX_ANSWER_DATAGRAMS = 16  # for each received datagram
+MAX_DIFFERING_NAMES = 64  # in each `Difference`
 
 
 class TreeDigest(NamedTuple):
-    """The digest of a tree node. The root has the index 1, the children of node n are 2n and 2n + 1."""
+    """The digest of a tree node; the root has index 1, and node n has the children 2n and 2n + 1."""
 
     tree_index: int
     digest: int
 
 
 class LeafEntry(NamedTuple):
-    """The hash of an entry's name and the digest of its content."""
+    """The hash of an entry's name (`entry_key`) and the digest of its content."""
 
     key: int
     digest: int
@@ -45,14 +46,14 @@
 
 @dataclass(slots=True, frozen=True)
 class TreeDigests:
-    """A datagram: digests of tree nodes."""
+    """A message with digests of tree nodes."""
 
     digests: tuple[TreeDigest, ...]
 
 
 @dataclass(slots=True, frozen=True)
 class LeafEntries:
-    """A datagram: the entries of a leaf, the first MAX_ENTRIES_PER_DATAGRAM if there are more."""
+    """A message with the first MAX_ENTRIES_PER_DATAGRAM entries of a leaf."""
 
     tree_index: int
     entries: tuple[LeafEntry, ...]
@@ -63,26 +64,26 @@
 
 @dataclass(slots=True, frozen=True)
 class Difference:
-    """Own entries that differ or that the other side lacks, and the number that this side lacks."""
+    """The own entries that differ or that the peer lacks, and the number of entries missing on this side."""
 
     names: tuple[str, ...]
     missing_count: int
 
 
 class Reply(NamedTuple):
-    """What follows from a message: at most MAX_ANSWER_DATAGRAMS answers, and what was found."""
+    """The result of a message: at most MAX_ANSWER_DATAGRAMS answers, and the difference found, if any."""
 
     answers: list[Message]
     difference: Difference | None
 
 
 def entry_key(name: str) -> int:
-    """The hash that places an entry, KEY_BITS wide."""
+    """Returns the hash of a name, KEY_BITS wide, which determines the entry's leaf."""
     return int.from_bytes(blake2b(name.encode(), digest_size=8).digest())
 
 
 def entry_digest(record: EndpointRecord) -> int:
-    """The digest of an entry's content, but for its age and its address, which may be each node's own."""
+    """Returns the digest of an entry's content without its age and address, which may differ by node."""
     endpoint = record.endpoint
     content = (
         endpoint.id,
@@ -97,7 +98,7 @@
 
 
 class DigestTree:
-    """The hash tree of one node's view, updated by what `endpoint_merger` applies to that view."""
+    """The hash tree of one node's view, updated with the changes that `endpoint_merger` applies to it."""
 
     def __init__(self, levels_per_answer: int = LEVELS_PER_ANSWER) -> None:
         self._levels_per_answer = levels_per_answer
@@ -109,11 +110,11 @@
 
     @property
     def digest(self) -> int:
-        """The digest of the whole list in 32 bits (`AdvertisedState.endpoints_digest`); 0: it is empty."""
+        """The 32-bit digest of the whole list (`AdvertisedState.endpoints_digest`); 0 if it is empty."""
         return self._tree[1] & LIST_DIGEST_MASK
 
     def apply(self, records: Iterable[EndpointRecord], removed: Iterable[EndpointRecord]) -> None:
-        """Add or replace `records`, and drop `removed`."""
+        """Adds or replaces the entries of `records` and deletes those of `removed`."""
         for record in records:
             self._set_entry(record.id, entry_digest(record))
         for record in removed:
@@ -134,11 +135,11 @@
             tree_index >>= 1
 
     def start_search(self) -> TreeDigests:
-        """The first message of a search: the digests below the root."""
+        """Returns the first message of a search, with the digests below the root."""
         return TreeDigests(tuple(self._descendant_digests(1)))
 
     def receive(self, message: Message) -> Reply:
-        """Compare a peer's message with this tree."""
+        """Compares a peer's message with this tree."""
         match message:
             case LeafEntries():
                 return Reply([], self._compare_leaf(message))
@@ -146,7 +147,7 @@
                 return Reply(self._answer_digests(message), None)
 
     def _answer_digests(self, message: TreeDigests) -> list[Message]:
-        """Leaves first, then the digests below the other nodes that differ."""
+        """Answers with the entries of differing leaves, then with digests below other differing nodes."""
         answers: list[Message] = []
         digests: list[TreeDigest] = []
         for tree_index, digest in message.digests[:MAX_DIGESTS_PER_DATAGRAM]:
@@ -161,7 +162,7 @@
         return answers[:MAX_ANSWER_DATAGRAMS]
 
     def _descendant_digests(self, tree_index: int) -> list[TreeDigest]:
-        """Digests `levels_per_answer` below a tree node, or those of the leaves if these are nearer."""
+        """Returns the digests `levels_per_answer` levels below a tree node, but not below the leaves."""
         levels = min(self._levels_per_answer, TREE_DEPTH - tree_index.bit_length() + 1)
         descendants = range(tree_index << levels, (tree_index + 1) << levels)
         return [TreeDigest(index, self._tree[index] & DIGEST_MASK) for index in descendants]
@@ -174,16 +175,17 @@
         return LeafEntries(tree_index, tuple(entries[:MAX_ENTRIES_PER_DATAGRAM]))
 
     def _compare_leaf(self, message: LeafEntries) -> Difference | None:
-        theirs = dict(message.entries[:MAX_ENTRIES_PER_DATAGRAM])
-        own = self._leaves.get(message.tree_index) or {}
-        # A full message may omit entries that the other side has.
+        received_digests = dict(message.entries[:MAX_ENTRIES_PER_DATAGRAM])
+        own_entries = self._leaves.get(message.tree_index) or {}
+        # A full message may omit entries that the peer has.
         may_be_truncated = len(message.entries) >= MAX_ENTRIES_PER_DATAGRAM
         names = [
             name
-            for name, (key, digest) in own.items()
-            if (not may_be_truncated or key in theirs) and theirs.get(key) != digest & DIGEST_MASK
+            for name, (key, digest) in own_entries.items()
+            if (not may_be_truncated or key in received_digests)
+            and received_digests.get(key) != digest & DIGEST_MASK
         ]
-        missing_count = len(theirs.keys() - {key for key, _ in own.values()})
+        missing_count = len(received_digests.keys() - {key for key, _ in own_entries.values()})
         if not names and not missing_count:
             return None
         return Difference(tuple(names[:MAX_DIFFERING_NAMES]), missing_count)
--- a/balancer/core/cluster/configuration_digest.py
+++ b/balancer/core/cluster/configuration_digest.py
@@ -1,10 +1,8 @@
-"""A digest of a node's settings, which nodes advertise to each other to find a configuration divergence.
+"""Computes the digest of a node's settings that nodes advertise to detect configuration divergence.
 
-The digest is part of the datagrams between nodes, and nodes of several versions compare theirs. It is
-taken over
-names of fields and enums, so these names are wire format: they are listed here as the first version wrote
-them, and
-do not follow a renaming in the code.
+Nodes of different program versions compare their digests. The digest covers the names of fields and enum
+members, which makes these names part of the wire format. The tables below list them as the first version
+wrote them; they must not change when the code is renamed.
 """
 
 from __future__ import annotations
@@ -66,7 +64,7 @@
         "max_open_requests": "max_open",
     },
 }
-"""By class: names of fields in the digest, where they differ from the code's."""
+"""Names of fields in the digest, by class, where they differ from those in the code."""
 
 ENUM_NAMES: dict[str, str] = {
     "safe": "Effect.SAFE",
@@ -82,25 +80,25 @@
     "add": "Role.ADD",
     "remove": "Role.REMOVE",
 }
-"""By value: names of the enum members that settings may hold."""
+"""Names in the digest of the enum members that settings may hold, by value."""
 
 NODE_FIELDS = frozenset({"node_index", "zone"})
-"""Fields of the platform's settings that are each node's own."""
+"""Fields of the platform's settings that differ by node."""
 OPERATOR_NODE_FIELDS = frozenset({"address", "seeds"})
-"""Fields of the operators' settings that are each node's own."""
+"""Fields of the operators' settings that differ by node."""
 
 
 def configuration_digest(settings: object, excluded: Collection[str]) -> int:
-    """The CRC-32 of what ought to be equal at all nodes, never 0.
+    """Returns the CRC-32 of the settings that should be equal on all nodes; never 0.
 
-    Left out are the fields named in `excluded` and what is each node's own or secret: addresses, paths, and
-    fields without a repr.
+    It excludes the fields named in `excluded`, and values that differ by node or are secret: addresses,
+    paths, and fields without a repr.
     """
     return zlib.crc32(repr(_comparable(settings, excluded)).encode()) or 1
 
 
 class _Literal:
-    """Text that stands in the digest as it is."""
+    """Text that enters the digest without quotes."""
 
     def __init__(self, text: str) -> None:
         self._text = text
@@ -112,14 +110,14 @@
 def _comparable(value: object, excluded: Collection[str]) -> object:
     if is_dataclass(value):
         names = FIELD_NAMES.get(type(value).__name__, {})
-        compared = [one.name for one in fields(value) if one.repr and one.name not in excluded]
+        compared = [item.name for item in fields(value) if item.repr and item.name not in excluded]
         return [(names.get(name, name), _comparable(getattr(value, name), excluded)) for name in compared]
     if isinstance(value, Mapping):
-        return sorted((str(key), repr(_comparable(one, excluded))) for key, one in value.items())
+        return sorted((str(key), repr(_comparable(item, excluded))) for key, item in value.items())
     if isinstance(value, tuple):
         if len(value) == 2 and isinstance(value[0], str) and isinstance(value[1], int):
             return "an address"
-        return [_comparable(one, excluded) for one in value]
+        return [_comparable(item, excluded) for item in value]
     if isinstance(value, Enum):
         name = ENUM_NAMES.get(value.value, f"{type(value).__name__}.{value.name}")
         return _Literal(f"<{name}: {value.value!r}>")
--- a/balancer/core/cluster/failure_detector/__init__.py
+++ b/balancer/core/cluster/failure_detector/__init__.py
@@ -1,24 +1,29 @@
-"""SWIM failure detector: which nodes are alive, suspect, failed or left.
+"""SWIM failure detector, which determines whether peers are alive, suspect, failed or left.
 
-It has no clock, no sockets and no randomness of its own.
+It has no clock, sockets or source of randomness of its own.
 
 `detector.FailureDetector` takes events and returns actions (`events`). In each protocol period it probes one
-peer of a shuffled ring, through other peers if that one does not answer (`probing`), and piggybacks
-membership changes on the datagrams that it sends anyway (`dissemination`; Das, Gupta, Motivala: "SWIM",
-2002).
+peer of a shuffled ring, indirectly through other peers if that peer does not answer (`probing`), and
+piggybacks membership changes on the datagrams that it sends anyway (`dissemination`; Das, Gupta, Motivala:
+"SWIM", 2002).
 
-From "Lifeguard" (Dadgar, Phillips, Currey, 2018): a node that is slow itself waits longer (`local_health`); a
-suspicion ends sooner the more peers confirm it (`suspicion`, "dogpile"); a peer that is written to is told
-first what is claimed against it ("buddy system"). `benchmarks/failure_detection.py` measures each.
+These extensions come from "Lifeguard" (Dadgar, Phillips, Currey, 2018): a node that is slow itself uses
+longer timeouts (`local_health`); the more peers confirm a suspicion, the sooner it ends (`suspicion`,
+"dogpile"); a datagram to a suspect peer starts with the claim against it ("buddy system").
+`benchmarks/failure_detection.py` measures each of them.
 
-Beyond the papers: the rest of each datagram is filled with other members, so that an update that was lost
-everywhere is sent again; each period one failed peer or unheard seed is contacted, so that partitions heal
-(`member_walk`); a failure gossiped of a peer that was heard just now begins a suspicion only; a node that
-stalled fails nobody before it has heard others again; two nodes with one name are detected and one of them
-yields (`own_node`).
+These extensions go beyond the papers:
 
-What is held of a name is the greatest record by (incarnation, state, address), see `member_records`: merging
-is a maximum, so the order, duplication and delay of datagrams do not matter, and a failed incarnation stays
-failed until a greater one is seen. The cost of a period is a constant number of datagrams, records and heap
-operations, however many peers there are.
+- Unused space in each datagram is filled with other members, so that an update that was lost everywhere is
+  sent again.
+- In each period one failed peer, or one seed outside of the ring, is contacted, so that partitions heal
+  (`member_walk`).
+- A gossiped failure of a peer that this node heard a moment ago only starts a suspicion.
+- A node that stalled declares no peer failed before it has heard from other nodes again.
+- Two nodes with the same name are detected, and one of them yields it (`own_node`).
+
+For each name the detector keeps the greatest record by (incarnation, state, address), see `member_records`.
+Merging takes a maximum, so reordered, duplicated and delayed datagrams do no harm, and a failed incarnation
+stays failed until a greater one is seen. A period costs a constant number of datagrams, records and heap
+operations, regardless of the number of peers.
 """
--- a/balancer/core/cluster/failure_detector/detector.py
+++ b/balancer/core/cluster/failure_detector/detector.py
@@ -1,4 +1,4 @@
-"""The failure detector: dispatches events, timers and datagrams to its parts."""
+"""Implements the failure detector, which dispatches events, timers and datagrams to its components."""
 
 from __future__ import annotations
 
@@ -43,13 +43,14 @@
 
 
 class FailureDetector:
-    """SWIM with Lifeguard: `handle` takes an event and returns actions; others read the properties.
+    """SWIM with Lifeguard: `handle` takes an event and returns actions; callers read the properties.
 
-    `address`: as others see this node. `incarnation`: the last one persisted, None if there is none.
-    `record_size_bytes` and `record_space_bytes`: the codec's, see `Dissemination`. `ask_for_incarnation`: ask
-    others before it speaks also where one is persisted, as it may not be the last.
+    `address` is the address at which other nodes reach this node. `incarnation` is the last persisted one, or
+    None if there is none. `record_size_bytes` and `record_space_bytes` come from the codec, see
+    `Dissemination`. With `ask_for_incarnation`, the node asks other nodes for its incarnation even if one is
+    persisted, because that one may be outdated.
 
-    Raises ValueError if the name or the address is empty or there are over MAX_SEEDS seeds.
+    Raises ValueError if the name or the address is empty or if there are more than MAX_SEEDS seeds.
     """
 
     def __init__(
@@ -66,7 +67,8 @@
     ) -> None:
         if not name or not address or len(seeds) > parameters.MAX_SEEDS:
             raise ValueError(
-                f"peers: a name, an address and at most {parameters.MAX_SEEDS} seeds, not {len(seeds)}"
+                f"peers: a name, an address and at most {parameters.MAX_SEEDS} seeds are required, "
+                f"got {len(seeds)} seeds"
             )
         options = options or Options()
         self._random = random
@@ -101,56 +103,56 @@
             f"{len(members.tombstones)} gone>"
         )
 
-    # --- state, for others to read
+    # --- state, read by callers
 
     @property
     def name(self) -> str:
-        """Of this node."""
+        """The name of this node."""
         return self.own_node.name
 
     @property
     def address(self) -> str:
-        """Of this node, as others see it."""
+        """The address at which other nodes reach this node."""
         return self.own_node.address
 
     @property
     def incarnation(self) -> int:
-        """Of this node."""
+        """The incarnation of this node."""
         return self.own_node.incarnation
 
     @property
     def is_asking_for_incarnation(self) -> bool:
-        """Whether this node asks others for its incarnation before it speaks."""
+        """Whether this node is still asking other nodes for its incarnation before it takes part."""
         return self.own_node.is_asking_for_incarnation
 
     @property
     def reported_incarnation(self) -> int | None:
-        """The greatest incarnation that others reported before this node spoke; None: nobody answered."""
+        """The greatest incarnation that other nodes reported before this node took part; None if none did."""
         return self.own_node.reported_incarnation
 
     @property
     def has_yielded_name(self) -> bool:
-        """Whether this node is silent, as another one has its name."""
+        """Whether this node is silent because another node has its name."""
         return self.own_node.has_yielded_name
 
     @property
     def has_left(self) -> bool:
-        """Whether this node said that it leaves."""
+        """Whether this node has announced its departure."""
         return self.own_node.has_left
 
     @property
     def conflicting_address(self) -> str:
-        """The address of another node with this name; empty: there is none."""
+        """The address of another node with this node's name, or empty if there is none."""
         return self.own_node.conflicting_address
 
     @property
     def local_health(self) -> int:
-        """0 if this node is well; see `LocalHealth`."""
+        """The health score of this node, 0 if it is healthy; see `LocalHealth`."""
         return self._local_health.score
 
     @property
     def heard_since_stall(self) -> set[str] | None:
-        """The peers heard since this node stalled, while they are too few to call any failed; else None."""
+        """The peers heard since this node stalled, or None once enough were heard to declare failures."""
         return self.suspicion.heard_since_stall
 
     @property
@@ -159,18 +161,18 @@
         return self.members.peers
 
     def state_of(self, name: str) -> PeerState | None:
-        """What is held of a peer; None: nothing."""
+        """Returns the state of a peer, or None if the peer is unknown."""
         peer = self.peers.get(name)
         return PeerState(peer.record.state) if peer else None
 
     # --- events
 
     def set_seeds(self, seeds: Sequence[str]) -> None:
-        """Contact these addresses at the start and now and then."""
+        """Sets the addresses that are contacted at the start and periodically after it."""
         self.walk.set_seeds(seeds)
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
-        """Take an event; returns what is to be done, in order. The last `SetTimer` holds."""
+        """Applies an event; returns the actions in the order to perform them; the last `SetTimer` applies."""
         actions: list[Action] = []
         self.own_node.actions = actions
         match event:
@@ -191,7 +193,7 @@
     def _start(self, now_ms: float) -> None:
         self.own_node.start(now_ms)
         self.walk.start()
-        # A random part of a period: nodes that start together do not probe together.
+        # A random fraction of a period keeps nodes that start together from probing at the same time.
         self._timers.set(now_ms + self._random.random() * parameters.PROBE_INTERVAL_MS, PeriodEnded())
 
     def _on_stall(self, now_ms: float, event: ProcessStalled) -> None:
@@ -201,7 +203,7 @@
 
     def _leave(self) -> None:
         if not self.has_left and not self.own_node.is_silent:
-            self._dissemination.say_goodbye()
+            self._dissemination.announce_departure()
             self._timers.clear()
         self.own_node.has_left = True
 
@@ -225,8 +227,8 @@
 
     def _begin_period(self, now_ms: float) -> None:
         self._timers.set(now_ms + parameters.PROBE_INTERVAL_MS * self._local_health.factor, PeriodEnded())
-        if (unanswering := self.prober.conclude()) is not None:
-            self.record_merger.accuse(now_ms, unanswering, PeerState.SUSPECT, "no answer to probes")
+        if (unresponsive_peer := self.prober.finish_probe()) is not None:
+            self.record_merger.accuse(now_ms, unresponsive_peer, PeerState.SUSPECT, "no answer to probes")
         self._dissemination.begin_period()
         self.members.forget_expired(now_ms)
         self.own_node.end_asking_when_due(now_ms)
@@ -260,9 +262,9 @@
         self._answer(now_ms, event)
 
     def _answer_stale_sender(self, now_ms: float, event: DatagramReceived) -> None:
-        """Tell a node that forgot its incarnation what is held of it.
+        """Sends a node that forgot its incarnation the record of it.
 
-        The datagram may be a replay, so that is done once a period at most.
+        The datagram may be a replay, so this happens at most once per period.
         """
         if now_ms - self._last_stale_answer_ms >= parameters.PROBE_INTERVAL_MS:
             self._last_stale_answer_ms = now_ms
@@ -271,9 +273,9 @@
             )
 
     def _on_sender(self, now_ms: float, event: DatagramReceived) -> None:
-        """The sender is alive, at the address that the datagram came from."""
+        """Records that the sender is alive at the address that the datagram came from."""
         sender = event.sender
-        self.record_merger.suspect_other_at(now_ms, event.source, sender)
+        self.record_merger.suspect_previous_holder(now_ms, event.source, sender)
         self.record_merger.merge(now_ms, _sender_record(event), "heard")
         peer = self.peers.get(sender)
         if peer is not None and peer.record.incarnation <= event.incarnation:
@@ -284,7 +286,7 @@
     def _on_gossiped(self, now_ms: float, gossiped: PlainRecord, sender: str) -> None:
         peer = self.peers.get(gossiped[0])
         if peer is not None and peer.record == gossiped:
-            return  # as most are: no record has to be made
+            return  # the common case, which avoids creating a record
         record = MemberRecord(*gossiped)
         is_valid_state = PeerState.ALIVE <= record.state <= PeerState.LEFT
         if not record.name or not 0 < record.incarnation < parameters.MAX_INCARNATION or not is_valid_state:
@@ -307,7 +309,7 @@
         if message.kind == MessageKind.MEMBERS_REQUEST:
             send(event.source, MessageKind.MEMBERS_PAGE, message.sequence, recipient=sender)
         elif message.kind == MessageKind.MEMBERS_PAGE:
-            if event.incarnation:  # a node that asks itself is no answer
+            if event.incarnation:  # a page from a node that is itself asking does not count as an answer
                 self.own_node.on_answer(now_ms)
             self.walk.on_page(now_ms, event)
         if self.own_node.is_silent:
@@ -315,7 +317,7 @@
         match message.kind:
             case MessageKind.PING if message.target == self.name:
                 send(event.source, MessageKind.ACK, message.sequence, self.name, recipient=sender)
-            case MessageKind.PING:  # for a node that was here before: whoever asks learns who answers
+            case MessageKind.PING:  # meant for an earlier node at this address: identify this node instead
                 send(event.source, MessageKind.MEMBERS_PAGE, 0, recipient=sender)
             case MessageKind.PING_REQ if message.target != self.name:
                 self.prober.relay(now_ms, event)
--- a/balancer/core/cluster/failure_detector/dissemination.py
+++ b/balancer/core/cluster/failure_detector/dissemination.py
@@ -1,4 +1,4 @@
-"""Dissemination: which records go with each datagram."""
+"""Composes datagrams and selects the membership records that are piggybacked on each of them."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class _RecordPacker:
-    """Records for one datagram, each name once, as long as they fit."""
+    """Collects distinct records for one datagram as long as they fit."""
 
     def __init__(
         self, space_bytes: int, record_size_bytes: RecordSizeBytes, record_of: Callable[[str], MemberRecord]
@@ -31,7 +31,7 @@
         self._record_of = record_of
 
     def try_add(self, name: str) -> bool:
-        """Add what is held of a name; False if it does not fit. True if it is in the datagram already."""
+        """Adds the record of a name; returns False if it does not fit, and True if it is already included."""
         if name in self._names:
             return True
         record = self._record_of(name)
@@ -47,8 +47,8 @@
 class Dissemination:
     """Composes datagrams and adds them to the own node's actions.
 
-    `record_size_bytes`: of a record in a datagram; `record_space_bytes`: for records in a datagram of a
-    sender with such a message. Both are the codec's.
+    `record_size_bytes` returns the size of a record in a datagram, and `record_space_bytes` the space for
+    records in a datagram with the given sender and message. Both come from the codec.
     """
 
     def __init__(
@@ -71,7 +71,7 @@
         self._immediate_gossip_count = 0  # in this period
 
     def begin_period(self) -> None:
-        """Let the next datagrams be sent at once."""
+        """Resets the limit on immediate gossip for a new protocol period."""
         self._immediate_gossip_count = 0
 
     def send(
@@ -83,17 +83,19 @@
         target_address: str = "",
         recipient: str | None = None,
     ) -> None:
-        """Send a message with records: of the recipient, then pending broadcasts, then others.
+        """Sends a message with records: the recipient's, then pending broadcasts, then other members.
 
-        `recipient`: the name of whom it goes to; None if only the address is known.
+        `recipient` is the name of the receiver, or None if only the address is known.
         """
         incarnation = self._own_node.sent_incarnation
         empty = Message(kind, sequence, target, target_address, ())
         space_bytes = self._record_space_bytes(self._own_node.name, empty)
         packer = _RecordPacker(space_bytes, self._record_size_bytes, self._record_of)
-        first = self._members.peers.get(self._first_name(address, kind, target, recipient))
-        if first is not None and (first.record.state != PeerState.ALIVE or kind == MessageKind.MEMBERS_PAGE):
-            packer.try_add(first.record.name)
+        first_peer = self._members.peers.get(self._first_record_name(address, kind, target, recipient))
+        if first_peer is not None and (
+            first_peer.record.state != PeerState.ALIVE or kind == MessageKind.MEMBERS_PAGE
+        ):
+            packer.try_add(first_peer.record.name)
         if incarnation:
             # Each node sends each change RETRANSMIT_MULTIPLIER * log10(n + 1) times (SWIM, section 4.1).
             transmit_limit = ceil(parameters.RETRANSMIT_MULTIPLIER * log10(len(self._members.ring) + 2))
@@ -105,8 +107,8 @@
         message = Message(kind, sequence, target, target_address, packer.records)
         self._own_node.actions.append(SendDatagram(address, incarnation, message))
 
-    def gossip_at_once(self, record: MemberRecord) -> None:
-        """Tell a few peers of a suspicion or failure, and a suspect itself, so that it refutes in time."""
+    def gossip_immediately(self, record: MemberRecord) -> None:
+        """Sends a suspicion or failure to a few peers at once, and to a suspect so that it can refute it."""
         names = self._members.sample(parameters.IMMEDIATE_GOSSIP_FANOUT)
         if record.state == PeerState.SUSPECT:
             names = [record.name, *(name for name in names if name != record.name)]
@@ -117,8 +119,8 @@
                 self._immediate_gossip_count += 1
                 self.send(self._members.peers[name].record.address, MessageKind.GOSSIP, 0)
 
-    def say_goodbye(self) -> None:
-        """Tell several peers that this node leaves."""
+    def announce_departure(self) -> None:
+        """Announces to several peers that this node is leaving."""
         own_node = self._own_node
         records = [own_node.record._replace(state=PeerState.LEFT)]
         for name in self._members.sample(2 * parameters.INDIRECT_PROBE_COUNT + 2):
@@ -126,8 +128,11 @@
             address = self._members.peers[name].record.address
             own_node.actions.append(SendDatagram(address, own_node.incarnation, message))
 
-    def _first_name(self, address: str, kind: MessageKind, target: str, recipient: str | None) -> str:
-        """Whose record goes first, as the recipient is to know what is claimed against it (buddy system)."""
+    def _first_record_name(self, address: str, kind: MessageKind, target: str, recipient: str | None) -> str:
+        """Returns the name whose record goes first, or "": the recipient's, so that it can refute a claim.
+
+        This is Lifeguard's buddy system.
+        """
         name = recipient
         if not self._options.buddy_system and kind != MessageKind.MEMBERS_PAGE:
             name = ""
@@ -146,7 +151,7 @@
         return self._members.peers[name].record
 
     def _add_page(self, packer: _RecordPacker, position: int) -> int:
-        """Add members from a position on; returns where the next page begins, 0 after the last."""
+        """Adds members starting at a position; returns the position of the next page, or 0 after the last."""
         ring = self._members.ring
         for index in range(position, len(ring)):
             if not packer.try_add(ring[index]):
@@ -154,7 +159,10 @@
         return 0
 
     def _add_random_members(self, packer: _RecordPacker) -> None:
-        """Fill the rest in turn from a random place on: an update that was lost everywhere is sent again."""
+        """Fills the remaining space with members in ring order, starting at a random position.
+
+        This sends an update again that was lost everywhere.
+        """
         ring = self._members.ring
         start = self._random.randrange(len(ring))
         for step in range(min(parameters.MAX_FILL_RECORDS, len(ring))):
--- a/balancer/core/cluster/failure_detector/events.py
+++ b/balancer/core/cluster/failure_detector/events.py
@@ -1,4 +1,4 @@
-"""Events that the failure detector takes, actions that it returns, and its options."""
+"""Defines the events that the failure detector takes, the actions that it returns, and its options."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 
 @dataclass(slots=True, frozen=True)
 class Started:
-    """The node may send. Where no incarnation was persisted it begins by asking others for it."""
+    """The node may send; if no incarnation was persisted, it first asks other nodes for it."""
 
 
 @dataclass(slots=True, frozen=True)
 class TimerFired:
-    """The time of the last `SetTimer` has come; too early is harmless."""
+    """The time of the last `SetTimer` has been reached; firing too early is harmless."""
 
 
 @dataclass(slots=True, frozen=True)
 class DatagramReceived:
-    """An authentic datagram came.
+    """An authentic datagram was received.
 
-    `is_current` is False if the sender was heard in a greater incarnation before.
+    `is_current` is False if a greater incarnation of the sender was heard earlier.
     """
 
     sender: str
@@ -34,14 +34,14 @@
 
 @dataclass(slots=True, frozen=True)
 class ProcessStalled:
-    """The own event loop stalled (`core/stall_detector`)."""
+    """The event loop of this process stalled (`core/stall_detector`)."""
 
     stall_ms: float
 
 
 @dataclass(slots=True, frozen=True)
 class ShutdownStarted:
-    """The process was told to end."""
+    """The process was asked to shut down."""
 
 
 Event = Started | TimerFired | DatagramReceived | ProcessStalled | ShutdownStarted
@@ -49,7 +49,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SendDatagram:
-    """Send `message` to `address`, as `incarnation` of this node; 0 while it asks for its incarnation."""
+    """Send `message` to `address` with this node's `incarnation`, which is 0 while the node is silent."""
 
     address: str
     incarnation: int
@@ -58,36 +58,36 @@
 
 @dataclass(slots=True, frozen=True)
 class SetTimer:
-    """Ask for a `TimerFired` at that time; replaces the one before."""
+    """Request a `TimerFired` at the given time, in place of any earlier request."""
 
     at_ms: float
 
 
 @dataclass(slots=True, frozen=True)
 class PersistIncarnation:
-    """Persist the incarnation, before the datagrams behind it are sent where that is possible."""
+    """Persist the incarnation, if possible before the datagrams of later actions are sent."""
 
     incarnation: int
 
 
 class PeerChange(StrEnum):
-    """What changed in the membership; the values are part of event names on the time line and of metrics."""
+    """A change in the membership; the values are part of timeline event names and of metrics."""
 
     JOINED = "joined"
     SUSPECTED = "suspected"
     FAILED = "failed"
     LEFT = "left"
-    RETURNED = "returned"  # alive again, by a greater incarnation
+    RETURNED = "returned"  # alive again with a greater incarnation
     MOVED = "moved"  # to another address
-    DOUBLED = "doubled"  # two nodes have one name
-    YIELDED = "yielded"  # this node stopped speaking, as another one has its name
-    RESUMED = "resumed"  # this node speaks again, as that one is gone
-    FULL = "full"  # a peer was not taken in, as the table is full
+    NAME_CONFLICT = "doubled"  # two nodes have the same name
+    NAME_YIELDED = "yielded"  # this node stopped taking part because another node has its name
+    NAME_RESUMED = "resumed"  # this node takes part again because that other node is gone
+    TABLE_FULL = "full"  # a peer was rejected because the member table is full
 
 
 @dataclass(slots=True, frozen=True)
 class NotifyPeerChange:
-    """Tell the node of a change in the membership; `name` is whom it is about, which may be this node."""
+    """Notify the caller of a membership change; `name` is the node that changed, possibly this one."""
 
     change: PeerChange
     name: str
@@ -99,7 +99,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Options:
-    """Parts of the protocol that a benchmark switches off, one at a time, to measure what each is worth."""
+    """Parts of the protocol that a benchmark disables one at a time to measure the effect of each."""
 
     local_health: bool = True
     dogpile_suspicion: bool = True
--- a/balancer/core/cluster/failure_detector/local_health.py
+++ b/balancer/core/cluster/failure_detector/local_health.py
@@ -1,4 +1,4 @@
-"""Local health: how far this node doubts itself (Lifeguard's local health multiplier)."""
+"""Estimates whether this node itself is slow (Lifeguard's local health multiplier)."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 @dataclass(slots=True)
 class LocalHealth:
-    """`score` is 0 if this node is well and at most `MAX_LOCAL_HEALTH`.
+    """The health score of this node: 0 if it is healthy, up to `MAX_LOCAL_HEALTH` if it may be slow.
 
-    A node that may be slow itself waits longer for others.
+    A node that may be slow itself waits longer for other nodes.
     """
 
     is_enabled: bool = True
@@ -19,10 +19,10 @@
 
     @property
     def factor(self) -> int:
-        """By how much periods and timeouts are longer."""
+        """The multiplier for periods and timeouts."""
         return self.score + 1
 
     def adjust(self, change: int) -> None:
-        """Note signs that this node is slow (above 0) or well (below)."""
+        """Adjusts the score; `change` is positive if this node seems slow, negative if it seems healthy."""
         if self.is_enabled:
             self.score = min(parameters.MAX_LOCAL_HEALTH, max(0, self.score + change))
--- a/balancer/core/cluster/failure_detector/member_records.py
+++ b/balancer/core/cluster/failure_detector/member_records.py
@@ -1,4 +1,4 @@
-"""Membership records: what one node claims of another, and which of two claims holds."""
+"""Defines membership records, the claims of one node about another, and the precedence between them."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class PeerState(IntEnum):
-    """State of a member; within one incarnation the greater outweighs the lesser."""
+    """The state of a member; within an incarnation, a greater state takes precedence."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -17,7 +17,7 @@
 
 
 class MemberRecord(NamedTuple):
-    """A claim about a node; `accuser_id`: see `accuser_id`, of whom suspects it, else 0."""
+    """A claim about a node; the field `accuser_id` identifies the node that suspects it, or is 0."""
 
     name: str
     state: int
@@ -27,14 +27,14 @@
 
     @property
     def is_present(self) -> bool:
-        """Whether the node is alive or suspect, so that it is probed and written to."""
+        """Whether the node is alive or suspect, and therefore probed and sent datagrams."""
         return self.state <= PeerState.SUSPECT
 
 
 def newer_record(held: MemberRecord | None, gossiped: MemberRecord) -> MemberRecord:
-    """Merge two records of one node.
+    """Returns the record that takes precedence of two records of a node.
 
-    As a maximum of a total order, this is associative, commutative and idempotent.
+    This is the maximum of a total order, so the merge is associative, commutative and idempotent.
     """
     return gossiped if held is None or _precedence(gossiped) > _precedence(held) else held
 
@@ -44,8 +44,8 @@
 
 
 def accuser_id(name: str) -> int:
-    """16 bits of a node's name, never 0.
+    """Returns a 16-bit hash of a node's name; never 0.
 
-    Two nodes with equal ones count as one accuser, which only delays the end of a suspicion.
+    Two nodes with equal hashes count as one accuser, which only delays the end of a suspicion.
     """
     return zlib.crc32(name.encode()) % 65_535 + 1
--- a/balancer/core/cluster/failure_detector/member_walk.py
+++ b/balancer/core/cluster/failure_detector/member_walk.py
@@ -1,4 +1,4 @@
-"""Member walk: anti-entropy with nodes outside of the ring, so that joins succeed and partitions heal."""
+"""Contacts nodes outside of the ring and fetches their members, so that joins succeed and partitions heal."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 from balancer.core.cluster.failure_detector.messages import MessageKind
 from balancer.core.cluster.failure_detector.own_node import OwnNode
 
-_CONTACTS_PER_SEED = 4  # of so many contacts one goes to a seed, the others to tombstones
+_CONTACTS_PER_SEED = 4  # one in this many contacts goes to a seed, the others to tombstones
 
 
 class _Page(NamedTuple):
-    """A page of a peer's members that was asked for and has not come."""
+    """A page of a peer's members that was requested and has not arrived."""
 
     address: str
     position: int
 
 
 class MemberWalk:
-    """Contacts seeds and tombstones, and walks through the members of whoever answers, one page at a time."""
+    """Contacts seeds and tombstones, and fetches the members of nodes that answer, one page at a time."""
 
     def __init__(
         self, seeds: Sequence[str], own_node: OwnNode, members: MemberTable, dissemination: Dissemination
@@ -38,17 +38,17 @@
         self.set_seeds(seeds)
 
     def set_seeds(self, seeds: Sequence[str]) -> None:
-        """Contact these addresses at the start and now and then; the own address is left out."""
+        """Sets the addresses that are contacted at the start and periodically, without the own address."""
         self.seeds = [seed for seed in dict.fromkeys(seeds) if seed != self._own_node.address]
         self._seed_index = 0
 
     def start(self) -> None:
-        """Contact all seeds."""
+        """Contacts all seeds."""
         for seed in self.seeds:
             self._request(seed, 0)
 
     def contact_next(self) -> None:
-        """Contact one node outside of the ring, in turn: for a page that was lost, a tombstone or a seed."""
+        """Requests the awaited page again, or else contacts the next tombstone or seed."""
         self._contact_count += 1
         if self._awaited_page is not None:
             self._page_attempts += 1
@@ -66,26 +66,26 @@
         self._contact_seed()
 
     def on_page(self, now_ms: float, event: DatagramReceived) -> None:
-        """Ask for the page after one that came.
+        """Requests the page that follows a received one.
 
-        There is one walk at a time, and positions only grow, so that it ends.
+        There is only one walk at a time, and it terminates because positions only increase.
         """
-        position, awaited = event.message.sequence, self._awaited_page
-        if awaited is None or awaited.address != event.source:
-            may_follow = now_ms - self._last_page_ms > parameters.WALK_INTERVAL_MS
+        position, awaited_page = event.message.sequence, self._awaited_page
+        if awaited_page is None or awaited_page.address != event.source:
+            may_request_next = now_ms - self._last_page_ms > parameters.WALK_INTERVAL_MS
         elif not position:
             self._awaited_page = None
             return
         else:
-            may_follow = position > awaited.position
-        if position and may_follow:
+            may_request_next = position > awaited_page.position
+        if position and may_request_next:
             self._last_page_ms = now_ms
             self._awaited_page = _Page(event.source, position)
             self._page_attempts = 0
             self._request(event.source, position)
 
     def _contact_seed(self) -> None:
-        """Contact the next seed; a node that takes part as a member leaves out those that are in the ring."""
+        """Contacts the next seed; unless this node is silent, seeds that are in the ring are skipped."""
         for _ in range(len(self.seeds)):
             self._seed_index = (self._seed_index + 1) % len(self.seeds)
             seed = self.seeds[self._seed_index]
--- a/balancer/core/cluster/failure_detector/messages.py
+++ b/balancer/core/cluster/failure_detector/messages.py
@@ -1,4 +1,4 @@
-"""Messages between failure detectors, as `protocol/gossip` writes and reads them."""
+"""Defines the messages between failure detectors, which `protocol/gossip` encodes and decodes."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 
 
 class MessageKind(IntEnum):
-    """PING, ACK, PING_REQ and NACK are SWIM's; the others carry membership."""
+    """The kind of a message; PING, ACK, PING_REQ and NACK are SWIM's probes, and the others carry members."""
 
-    PING = 1  # answer with an ACK if you are `target`
+    PING = 1  # requests an ACK from `target`
     ACK = 2  # `target` is alive
-    PING_REQ = 3  # send a PING to `target` at `address` for me: an indirect probe
-    NACK = 4  # the peer that was asked for an indirect probe is well, its target has not answered
-    MEMBERS_REQUEST = 5  # send a page of your members, from the position in `sequence` on
-    MEMBERS_PAGE = 6  # some members; `sequence` is the position of the next page, 0 after the last
-    GOSSIP = 7  # records alone, sent at once
+    PING_REQ = 3  # requests an indirect probe: a PING to `target` at `address`
+    NACK = 4  # the helper of an indirect probe is reachable, but the target has not answered it
+    MEMBERS_REQUEST = 5  # requests a page of members, starting at the position in `sequence`
+    MEMBERS_PAGE = 6  # a page of members; `sequence` is the position of the next page, 0 after the last
+    GOSSIP = 7  # records only, sent immediately
 
 
 class Message(NamedTuple):
-    """What a datagram says; `records` are plain tuples, as most are known already and need no conversion."""
+    """The content of a datagram; `records` are plain tuples, since most are known and need no conversion."""
 
     kind: int
     sequence: int
--- a/balancer/core/cluster/failure_detector/own_node.py
+++ b/balancer/core/cluster/failure_detector/own_node.py
@@ -1,4 +1,4 @@
-"""The own node: its incarnation, what others claim of it, and another node that has its name."""
+"""Tracks this node's incarnation, refutes claims against it, and resolves name conflicts."""
 
 from __future__ import annotations
 
@@ -15,13 +15,14 @@
 
 
 class OwnNode:
-    """This node among the members; `actions` collects what it wants done until the detector takes it.
-
-    - While `is_asking_for_incarnation`, as the persisted one is lost or may not be the last, it sends with
-      incarnation 0, for which nobody holds it to be a member, and notes the greatest incarnation that others
-      hold of it.
-    - `conflicting_address`: of another node with this name, else empty.
-    - While `has_yielded_name` it sends with incarnation 0, too, and waits for that node to go.
+    """This node as a member; `actions` collects the actions of the event that the detector is handling.
+
+    - `is_asking_for_incarnation` is set while the persisted incarnation is lost or may be outdated. The node
+      then sends with incarnation 0, so that no other node regards it as a member, and records the greatest
+      incarnation that other nodes know of it.
+    - `conflicting_address` is the address of another node with this name, or empty.
+    - `has_yielded_name` is set while this node waits for that other node to leave or fail. It also sends with
+      incarnation 0 then.
     """
 
     def __init__(
@@ -51,36 +52,39 @@
 
     @property
     def is_silent(self) -> bool:
-        """Whether it takes no part as a member: it probes nobody and answers no probe."""
+        """Whether this node does not take part as a member: it neither probes peers nor answers probes."""
         return self.is_asking_for_incarnation or self.has_yielded_name
 
     @property
     def sent_incarnation(self) -> int:
-        """The incarnation that its datagrams carry."""
+        """The incarnation carried by this node's datagrams."""
         return 0 if self.is_silent else self.incarnation
 
     @property
     def record(self) -> MemberRecord:
-        """What it claims of itself."""
+        """This node's claim about itself."""
         return MemberRecord(self.name, PeerState.ALIVE, self.incarnation, self.address)
 
     @property
     def reported_incarnation(self) -> int | None:
-        """The greatest incarnation that others reported before it spoke; None: nobody answered."""
+        """The greatest incarnation that other nodes reported before this node took part; None if none did."""
         return self._greatest_reported_incarnation if self._first_answer_ms < float("inf") else None
 
     def start(self, now_ms: float) -> None:
-        """Begin to speak, or to ask."""
+        """Starts to take part, or to ask for the incarnation."""
         self._started_ms = now_ms
         if not self.is_asking_for_incarnation:
             self.actions.append(PersistIncarnation(self.incarnation))
 
     def on_answer(self, now_ms: float) -> None:
-        """A member answered the question for this node's incarnation."""
+        """Records that a member answered the request for this node's incarnation."""
         self._first_answer_ms = min(self._first_answer_ms, now_ms)
 
     def end_asking_when_due(self, now_ms: float) -> None:
-        """Go on above what others reported, once the answers had time to come, or alone if there are none."""
+        """Stops asking once answers had time to arrive, or after NO_ANSWER_WAIT_MS without any.
+
+        The node then uses an incarnation above the greatest reported one.
+        """
         if self.is_asking_for_incarnation and (
             now_ms - self._first_answer_ms >= parameters.INCARNATION_ANSWERS_WAIT_MS
             or now_ms - self._started_ms >= parameters.NO_ANSWER_WAIT_MS
@@ -89,7 +93,7 @@
             self._raise_incarnation(self._greatest_reported_incarnation + 1)
 
     def on_record(self, now_ms: float, record: MemberRecord) -> None:
-        """Somebody claims something of this node: refuted by a greater incarnation (SWIM, section 4.2)."""
+        """Handles a claim about this node; a greater incarnation refutes it (SWIM, section 4.2)."""
         if self.is_asking_for_incarnation:
             self._greatest_reported_incarnation = max(self._greatest_reported_incarnation, record.incarnation)
             return
@@ -100,7 +104,7 @@
         elif self.has_yielded_name and record.state >= PeerState.FAILED:
             self.has_yielded_name = False
             self.conflicting_address = ""
-            self._notify(PeerChange.RESUMED, f"the one at {record.address} is gone")
+            self._notify(PeerChange.NAME_RESUMED, f"the node at {record.address} is gone")
             self._raise_incarnation(record.incarnation + 1)
         elif not self.has_yielded_name and (
             record.state != PeerState.ALIVE or record.incarnation > self.incarnation
@@ -110,12 +114,12 @@
             self._raise_incarnation(record.incarnation + 1)
 
     def _on_name_conflict(self, now_ms: float, record: MemberRecord) -> None:
-        """Another address has this name: this node before it moved, or a second node.
+        """Handles a record of another address with this name: this node before it moved, or a second node.
 
-        Of two nodes the one with the lesser address keeps the name.
+        Of two nodes, the one with the lesser address keeps the name.
         """
         if self.has_yielded_name:
-            self.incarnation = record.incarnation  # above which it comes back
+            self.incarnation = record.incarnation  # this node resumes above it
             return
         times_ms = self._conflict_times_ms
         if times_ms and now_ms - times_ms[-1] > parameters.NAME_CONFLICT_WINDOW_MS:
@@ -123,12 +127,12 @@
         times_ms.append(now_ms)
         if len(times_ms) == parameters.NAME_CONFLICTS_TO_YIELD - 1:
             self.conflicting_address = record.address
-            self._notify(PeerChange.DOUBLED, f"here at {self.address} and at {record.address}")
+            self._notify(PeerChange.NAME_CONFLICT, f"here at {self.address} and at {record.address}")
         if len(times_ms) >= parameters.NAME_CONFLICTS_TO_YIELD:
             del times_ms[: -parameters.NAME_CONFLICTS_TO_YIELD]
             if self.address > record.address:
                 self.has_yielded_name = True
-                self._notify(PeerChange.YIELDED, f"to the one at {record.address}")
+                self._notify(PeerChange.NAME_YIELDED, f"to the node at {record.address}")
                 return
         self._raise_incarnation(record.incarnation + 1)
 
--- a/balancer/core/cluster/failure_detector/probing.py
+++ b/balancer/core/cluster/failure_detector/probing.py
@@ -1,4 +1,4 @@
-"""Probing: direct and indirect probes of the own period, and indirect probes for other nodes."""
+"""Sends this node's direct and indirect probes, and relays indirect probes for other nodes."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 
 @dataclass(slots=True)
 class Probe:
-    """The probe of the current period."""
+    """The probe of the current protocol period."""
 
     sequence: int
     target: str
-    helpers: tuple[str, ...] = ()  # peers that were asked for an indirect probe
+    helpers: tuple[str, ...] = ()  # peers asked for an indirect probe
     nack_count: int = 0
     is_answered: bool = False
 
 
 class RelayedProbe(NamedTuple):
-    """An indirect probe for another node: who asked, with which sequence number, and the target's name."""
+    """An indirect probe for another node: its requester and sequence number, and the target's name."""
 
     requester: str  # an address
     sequence: int
@@ -36,7 +36,7 @@
 
 
 class Prober:
-    """Probes one peer a period. `relayed` holds the probes for others that have no answer yet."""
+    """Probes one peer per period; `relayed` holds the unanswered probes for other nodes."""
 
     def __init__(
         self, members: MemberTable, dissemination: Dissemination, timers: TimerHeap, local_health: LocalHealth
@@ -50,7 +50,7 @@
         self._local_health = local_health
 
     def probe_next(self, now_ms: float) -> None:
-        """Probe the next peer of the ring, which must not be empty."""
+        """Probes the next peer of the ring, which must not be empty."""
         target = self._members.next_probe_target()
         sequence = self._next_sequence()
         self.current = Probe(sequence, target)
@@ -60,7 +60,7 @@
         self._dissemination.send(address, MessageKind.PING, sequence, target)
 
     def probe_indirectly(self, sequence: int) -> None:
-        """Have other peers probe the target, as it has not answered the direct probe in time."""
+        """Asks other peers to probe the target, which has not answered the direct probe in time."""
         probe = self.current
         if probe is None or probe.sequence != sequence or probe.is_answered:
             return
@@ -68,7 +68,7 @@
         if peer is None or not peer.is_in_ring:
             return
         candidates = self._members.sample(2 * parameters.INDIRECT_PROBE_COUNT)
-        # One that is suspect may not answer, which would look like a fault of this node.
+        # A suspect helper may not answer, which would look like a fault of this node.
         helpers = [name for name in candidates if name != probe.target and self._is_alive(name)]
         probe.helpers = tuple(helpers[: parameters.INDIRECT_PROBE_COUNT])
         for name in probe.helpers:
@@ -77,29 +77,29 @@
                 helper_address, MessageKind.PING_REQ, probe.sequence, probe.target, peer.record.address
             )
 
-    def conclude(self) -> Peer | None:
-        """End the probe of this period; returns the target if it is in the ring and has not answered."""
+    def finish_probe(self) -> Peer | None:
+        """Ends the probe of this period; returns the target if it is present and has not answered."""
         probe, self.current = self.current, None
         if probe is None or probe.is_answered:
             return None
-        # No answer from the helpers either: the fault may be here. A NACK says that it is not (Lifeguard,
-        # section IV-A).
+        # If the helpers did not answer either, this node may be at fault. A NACK shows that it is not
+        # (Lifeguard, section IV-A).
         missing_nacks = len(probe.helpers) - probe.nack_count
         self._local_health.adjust(missing_nacks if probe.helpers else 1)
         peer = self._members.peers.get(probe.target)
         return peer if peer is not None and peer.record.is_present else None
 
     def cancel(self) -> None:
-        """Drop the probe of this period, whatever came of it."""
+        """Discards the probe of this period regardless of its result."""
         self.current = None
 
     def cancel_all(self) -> None:
-        """Drop all probes, also those for other nodes."""
+        """Discards all probes, including those for other nodes."""
         self.current = None
         self.relayed.clear()
 
     def on_ack(self, sender: str, message: Message) -> None:
-        """The own target has answered, directly or through a helper, or that of a probe for another node."""
+        """Handles an answer from the own target, directly or through a helper, or from a relayed target."""
         probe = self.current
         if (
             probe is not None
@@ -117,13 +117,13 @@
             self._dissemination.send(relayed.requester, MessageKind.ACK, relayed.sequence, sender)
 
     def on_nack(self, sender: str, message: Message) -> None:
-        """A helper is well, but its target has not answered."""
+        """Counts a helper that is reachable although the target has not answered it."""
         probe = self.current
         if probe is not None and message.sequence == probe.sequence and sender in probe.helpers:
             probe.nack_count += 1
 
     def relay(self, now_ms: float, request: DatagramReceived) -> None:
-        """Probe the target of a PING_REQ for whoever sent it."""
+        """Probes the target of a PING_REQ on behalf of its sender."""
         message = request.message
         sequence = self._next_sequence()
         self.relayed[sequence] = RelayedProbe(request.source, message.sequence, message.target)
@@ -133,7 +133,7 @@
         self._dissemination.send(message.address, MessageKind.PING, sequence, message.target)
 
     def send_nack(self, sequence: int) -> None:
-        """Tell who asked for an indirect probe that there is no answer yet, if that is so."""
+        """Sends a NACK to the requester of an indirect probe if the target has not answered yet."""
         relayed = self.relayed.get(sequence)
         if relayed is not None:
             self._dissemination.send(relayed.requester, MessageKind.NACK, relayed.sequence, relayed.target)
--- a/balancer/core/cluster/failure_detector/record_merger.py
+++ b/balancer/core/cluster/failure_detector/record_merger.py
@@ -1,4 +1,4 @@
-"""Merging of records: what a claim about a peer changes, and what follows from that."""
+"""Merges claims about peers into the member table and triggers the resulting notifications and gossip."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class RecordMerger:
-    """Merges claims about peers into the member table; the actions go to the own node's."""
+    """Merges claims about peers into the member table; adds the resulting actions to the own node's."""
 
     def __init__(
         self,
@@ -31,21 +31,21 @@
         self._has_reported_full = False
 
     def accuse(self, now_ms: float, peer: Peer, state: PeerState, reason: str) -> None:
-        """This node itself holds a peer to be suspect or failed."""
+        """Records this node's own claim that a peer is suspect or failed."""
         record = peer.record._replace(state=state, accuser_id=self._own_node.accuser_id)
         self.merge(now_ms, record, reason)
 
-    def suspect_other_at(self, now_ms: float, address: str, name: str) -> None:
-        """Suspect whoever was held to be at an address that `name` has now, as it may have moved."""
-        other = self._members.names_by_address.get(address)
-        if other is None or other == name:
+    def suspect_previous_holder(self, now_ms: float, address: str, name: str) -> None:
+        """Suspects another alive peer recorded at the address that `name` has now, as it may have moved."""
+        other_name = self._members.names_by_address.get(address)
+        if other_name is None or other_name == name:
             return
-        peer = self._members.peers[other]
+        peer = self._members.peers[other_name]
         if peer.record.address == address and peer.record.state == PeerState.ALIVE:
             self.accuse(now_ms, peer, PeerState.SUSPECT, f"{name} is at its address {address}")
 
     def merge(self, now_ms: float, record: MemberRecord, reason: str) -> None:
-        """Merge a claim about a peer, and act on what it changed."""
+        """Merges a claim about a peer and handles the resulting changes."""
         peer = self._members.peers.get(record.name)
         if peer is None:
             self._add(now_ms, record, reason)
@@ -63,13 +63,15 @@
             self._on_state_changed(now_ms, peer, held, reason)
 
     def _add(self, now_ms: float, record: MemberRecord, reason: str) -> None:
-        """Take in a node that was not known."""
+        """Adds a node that was unknown."""
         if not record.is_present:
             self._members.add_tombstone(now_ms, record)
             return
         if len(self._members.ring) >= parameters.MAX_PEERS:
             if not self._has_reported_full:
-                self._notify(PeerChange.FULL, record.name, f"at most {parameters.MAX_PEERS} peers are held")
+                self._notify(
+                    PeerChange.TABLE_FULL, record.name, f"limit of {parameters.MAX_PEERS} peers reached"
+                )
             self._has_reported_full = True
             return
         peer = self._members.peers[record.name] = Peer(record, now_ms)
@@ -82,7 +84,7 @@
     def _on_address_changed(self, peer: Peer, held: MemberRecord) -> None:
         record = peer.record
         if record.is_present and held.is_present and record.incarnation == held.incarnation:
-            self._notify(PeerChange.DOUBLED, record.name, f"at {held.address} and at {record.address}")
+            self._notify(PeerChange.NAME_CONFLICT, record.name, f"at {held.address} and at {record.address}")
         self._members.change_address(peer, held.address, record.address)
         self._notify(PeerChange.MOVED, record.name, f"{held.address} to {record.address}")
 
@@ -91,9 +93,9 @@
         peer.state_since_ms = now_ms
         peer.accuser_ids = set()
         if record.is_present and not peer.is_in_ring:
-            self._members.revive(peer)
+            self._members.return_to_ring(peer)
         if held.is_present and not record.is_present:
-            self._members.bury(now_ms, peer)
+            self._members.move_to_tombstones(now_ms, peer)
         match record.state:
             case PeerState.ALIVE:
                 reason = f"{reason}, incarnation {record.incarnation}"
@@ -106,7 +108,7 @@
             case PeerState.LEFT:
                 self._notify(PeerChange.LEFT, record.name, reason)
         if record.state in (PeerState.SUSPECT, PeerState.FAILED):
-            self._dissemination.gossip_at_once(record)
+            self._dissemination.gossip_immediately(record)
 
     def _notify(self, change: PeerChange, name: str, reason: str) -> None:
         self._own_node.actions.append(NotifyPeerChange(change, name, reason))
--- a/balancer/core/cluster/failure_detector/suspicion.py
+++ b/balancer/core/cluster/failure_detector/suspicion.py
@@ -1,4 +1,4 @@
-"""Suspicion: how long a suspect peer has to refute, and when nobody may be called failed."""
+"""Manages suspicions: how long a suspect peer has to refute one, and when no peer may be declared failed."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from balancer.core.cluster.failure_detector.members import MemberTable, Peer
 from balancer.core.cluster.failure_detector.timers import SuspicionTimedOut, TimerHeap
 
-_CLOCK_TOLERANCE_MS = 1e-6  # sums of the same times in another order differ by less
+_CLOCK_TOLERANCE_MS = 1e-6  # above the rounding error of adding the same times in another order
 
 
 class Suspicion:
-    """Begins, shortens and ends suspicions.
+    """Starts, shortens and ends suspicions.
 
-    `heard_since_stall`: the peers heard since this node stalled, until they are enough; None: it is not in
-    doubt. Meanwhile no suspicion ends: timers ran out while nobody could answer.
+    `heard_since_stall` holds the peers heard since this node stalled, or None if it has not stalled or has
+    heard enough of them. Until then no suspicion ends, because timers expired while no answer could be read.
     """
 
     def __init__(
@@ -39,7 +39,7 @@
         self._options = options
 
     def timeout_ms(self, confirmations: int) -> float:
-        """How long a suspicion lasts with so many other accusers (Lifeguard, section IV-B)."""
+        """Returns the duration of a suspicion for a number of other accusers (Lifeguard, section IV-B)."""
         node_count = len(self._members.ring) + 1
         min_periods = parameters.SUSPICION_MULTIPLIER * max(1.0, log10(node_count))
         min_timeout_ms = min_periods * parameters.PROBE_INTERVAL_MS
@@ -52,12 +52,13 @@
         return max(min_timeout_ms, multiplier * min_timeout_ms - shortening_ms)
 
     def confirm(self, now_ms: float, peer: Peer, record: MemberRecord) -> None:
-        """Begin a suspicion or count one more accuser.
+        """Starts a suspicion or counts another accuser.
 
-        Each new one shortens the suspicion, and is gossiped while there are few (Lifeguard, section IV-B).
+        Each new accuser shortens the suspicion and is gossiped as long as there are few of them (Lifeguard,
+        section IV-B).
         """
-        is_enough = len(peer.accuser_ids) > parameters.MAX_SUSPICION_CONFIRMATIONS
-        if record.accuser_id in peer.accuser_ids or is_enough:
+        has_enough_accusers = len(peer.accuser_ids) > parameters.MAX_SUSPICION_CONFIRMATIONS
+        if record.accuser_id in peer.accuser_ids or has_enough_accusers:
             return
         if peer.accuser_ids and not self._options.dogpile_suspicion:
             return
@@ -68,9 +69,9 @@
         self._timers.set(max(now_ms, end_ms), SuspicionTimedOut(record.name))
 
     def on_timeout(self, now_ms: float, peer: Peer) -> bool:
-        """Whether a suspicion whose timer fired is over; the timer is set again if it lasts longer by now."""
+        """Returns whether a suspicion whose timer fired is over; restarts the timer if it was prolonged."""
         if peer.record.state != PeerState.SUSPECT or self.heard_since_stall is not None:
-            return False  # after a stall: it is begun anew once others were heard
+            return False  # after a stall, it restarts once enough peers were heard
         end_ms = peer.state_since_ms + self._peer_timeout_ms(peer)
         if end_ms > now_ms + _CLOCK_TOLERANCE_MS:
             self._timers.set(end_ms, SuspicionTimedOut(peer.record.name))
@@ -78,7 +79,7 @@
         return True
 
     def on_stall(self, now_ms: float, stall_ms: float) -> None:
-        """This node stalled: what its timers say does not count until it has heard others."""
+        """Handles a stall of this node: no suspicion ends until it has heard from enough peers."""
         self._last_stall_ms = now_ms
         if self._members.ring:
             self.heard_since_stall = set()
@@ -86,7 +87,7 @@
             peer.state_since_ms += stall_ms
 
     def on_heard(self, now_ms: float, sender: str) -> None:
-        """A peer was heard. Once enough were since a stall, all suspicions begin anew."""
+        """Records that a peer was heard; once enough were heard since a stall, restarts all suspicions."""
         if self.heard_since_stall is None or now_ms - self._last_stall_ms <= parameters.STALL_SETTLE_MS:
             return
         self.heard_since_stall.add(sender)
--- a/balancer/core/cluster/failure_detector/timers.py
+++ b/balancer/core/cluster/failure_detector/timers.py
@@ -1,4 +1,4 @@
-"""Timers of the failure detector: one heap, of which the node keeps the earliest time."""
+"""Keeps the failure detector's timers in a heap, so that the caller only tracks the earliest time."""
 
 from __future__ import annotations
 
@@ -8,26 +8,26 @@
 
 @dataclass(slots=True, frozen=True)
 class PeriodEnded:
-    """The next protocol period begins."""
+    """The protocol period has ended and the next one begins."""
 
 
 @dataclass(slots=True, frozen=True)
 class ProbeTimedOut:
-    """The target has not answered the direct probe in time; `sequence` is of that probe's PING."""
+    """The time for an answer to a direct probe has elapsed; `sequence` is that of its PING."""
 
     sequence: int
 
 
 @dataclass(slots=True, frozen=True)
 class RelayTimedOut:
-    """The target of a probe for another node has not answered in time; `sequence`: of the PING to it."""
+    """The time for an answer to a relayed probe has elapsed; `sequence` is that of its PING."""
 
     sequence: int
 
 
 @dataclass(slots=True, frozen=True)
 class SuspicionTimedOut:
-    """A suspicion of the peer may have lasted long enough."""
+    """The suspicion of the peer `name` may have lasted long enough."""
 
     name: str
 
@@ -36,28 +36,28 @@
 
 
 class TimerHeap:
-    """Timers by time; those of one time in the order in which they were set."""
+    """Timers ordered by time; timers with equal times fire in the order in which they were set."""
 
     def __init__(self) -> None:
         self._heap: list[tuple[float, int, Timer]] = []
-        self._count = 0  # set so far: keeps the order of equal times
+        self._count = 0  # timers set so far, which keeps the order of equal times
 
     @property
     def next_at_ms(self) -> float | None:
-        """The time of the earliest timer; None: there is none."""
+        """The time of the earliest timer, or None if there is none."""
         return self._heap[0][0] if self._heap else None
 
     def set(self, at_ms: float, timer: Timer) -> None:
-        """Have a timer fire at that time."""
+        """Sets a timer that fires at the given time."""
         self._count += 1
         heappush(self._heap, (at_ms, self._count, timer))
 
     def pop_due(self, now_ms: float) -> Timer | None:
-        """Take out the earliest timer whose time has come; None: there is none."""
+        """Removes and returns the earliest timer that is due, or None if there is none."""
         if self._heap and self._heap[0][0] <= now_ms:
             return heappop(self._heap)[2]
         return None
 
     def clear(self) -> None:
-        """Drop all timers."""
+        """Removes all timers."""
         self._heap.clear()
--- a/balancer/core/cluster/gossip_coordinator.py
+++ b/balancer/core/cluster/gossip_coordinator.py
@@ -1,10 +1,11 @@
-"""Runs the state machines that are fed by gossip beside `failure_detector`, as one.
+"""Combines the state machines that use gossip sections, other than `failure_detector`, into one.
 
 These are `node_state`, `partition_detector`, `gossiped_removals`, `quota_allocation` and `anti_entropy`. The
-owner of the sockets hands in the sections of each valid datagram (`SectionsReceived`), the status of the node
-in each gossip interval (`GossipIntervalElapsed`), and what the endpoint merger applied (`on_source_applied`).
-Sections are encoded by the codec given, `protocol/gossip_sections`. A datagram counts only if its sender is
-present, at the address that it came from. Answers are limited to MAX_ANSWERS_PER_ROUND in each interval.
+owner of the sockets passes in the sections of each valid datagram (`SectionsReceived`), the status of the
+node in each gossip interval (`GossipIntervalElapsed`), and the changes that the endpoint merger applied
+(`on_source_applied`). The given codec, `protocol/gossip_sections`, encodes the sections. A datagram is
+ignored unless its sender is a present peer at the datagram's source address. At most MAX_ANSWERS_PER_ROUND
+answers are sent in each interval.
 """
 
 from __future__ import annotations
@@ -33,9 +34,8 @@
 from balancer.interface import Phase
 
 MAX_ANSWERS_PER_ROUND = 64  # datagrams in a gossip interval
-DIFFERENCE_SEARCH_INTERVAL_MS = (
-    2_000.0  # between searches for differing entries, and between log lines of them
-)
+# Minimum time between searches for differing entries, and between log lines about them.
+DIFFERENCE_SEARCH_INTERVAL_MS = 2_000.0
 MAX_LOGGED_NAMES = 8
 MAX_LOGGED_NAME_LENGTH = 60
 SECTION_HEADER_BYTES = 2  # kind and length
@@ -53,7 +53,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SectionsReceived:
-    """The sections of a valid datagram of the sender's current incarnation."""
+    """The sections of a valid datagram from the sender's current incarnation."""
 
     sender: str
     source_address: str
@@ -62,10 +62,10 @@
 
 @dataclass(slots=True, frozen=True)
 class GossipIntervalElapsed:
-    """The status of this node.
+    """A gossip interval has elapsed; carries the status of this node.
 
     `recovery_state` is an index into `recovery.RecoveryState`. `settings_digests` are those of the platform's
-    settings and of the operators' file. `sources` and `endpoints` are the merger's.
+    settings and of the operators' file. `sources` and `endpoints` come from the endpoint merger.
     """
 
     recovery_state: int
@@ -84,14 +84,14 @@
 
 @dataclass(slots=True, frozen=True)
 class SendGossip:
-    """Send one datagram without records, under the incarnation of the failure detector."""
+    """Send one datagram without membership records, under the failure detector's incarnation."""
 
     address: str
     sections: tuple[tuple[int, bytes], ...]  # fields of `Section`
 
 
 class TimelineEventName(StrEnum):
-    """Names of the events that are recorded on the time line."""
+    """Names of the events recorded on the timeline."""
 
     PARTITION_BEGAN = "cut_began"
     PARTITION_HEALED = "cut_ended"
@@ -101,7 +101,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RecordEvent:
-    """Record an event on the time line."""
+    """Record an event on the timeline."""
 
     name: TimelineEventName
     subject: str
@@ -129,10 +129,10 @@
 
 
 class GossipCoordinator:
-    """Passes events to the state machines and their actions out, in the order in which to perform them.
+    """Dispatches events to the state machines and returns their actions in the order to perform them.
 
-    `node_index` and `node_count` are the settings'. `capacity_bytes` is the space for sections in a datagram.
-    `sources_with_local_agents` is explained at `advertised_sources.source_identity_hash`.
+    `node_index` and `node_count` come from the settings. `capacity_bytes` is the space for sections in a
+    datagram. `advertised_sources.source_identity_hash` explains `sources_with_local_agents`.
     """
 
     def __init__(
@@ -167,29 +167,29 @@
         self._actions: list[Action] = []
 
     def on_source_applied(self, now_ms: float, source: Source, applied: ApplyEndpoints) -> None:
-        """Note what the merger applied because of a source, so that removals can be reported to peers.
+        """Records the changes that the merger applied for a source, so that peers can query its removals.
 
-        Removals by the gossip source are not reported, nor is what peers said of an endpoint before this
-        source listed it anew: an echo would count as one more reporter.
+        Removals by the gossip source are not reported, and neither are removals that peers reported for an
+        endpoint before this source listed it again: an echoed report would count as one more reporter.
         """
         self.digest_tree.apply(applied.records, applied.removed_records)
         if source.name == node_state.GOSSIP_SOURCE_NAME or source.revision is None:
             return
-        own = source.records
+        own_records = source.records
         removals = [
             gossiped_removals.ReportedRemoval(record.id, source.revision, is_gone=True)
             for record in applied.removed_records
-            if record.id not in own
+            if record.id not in own_records
         ]
         removals += [
             gossiped_removals.ReportedRemoval(record.id, source.revision, is_gone=False)
             for record in applied.records
-            if record.id in own and own[record.id].endpoint.phase is Phase.DRAINING
+            if record.id in own_records and own_records[record.id].endpoint.phase is Phase.DRAINING
         ]
         self.gossiped_removals.handle(now_ms, self._source_advanced(source, tuple(removals)))
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
-        """Apply an event; returns what to do, in this order."""
+        """Applies an event; returns the actions in the order to perform them."""
         self._actions = []
         match event:
             case SectionsReceived():
@@ -212,7 +212,7 @@
     # --- received sections
 
     def _receive_section(self, now_ms: float, event: SectionsReceived, kind: int, data: bytes) -> None:
-        """Sections of an unknown kind, and malformed ones, are ignored."""
+        """Dispatches a section; ignores malformed sections and those of an unknown kind."""
         codec = self._codec
         if kind == codec.NODE_STATE:
             if state := codec.decode_node_state(data):
@@ -225,9 +225,9 @@
             digests = (anti_entropy.TreeDigest(*digest) for digest in codec.decode_tree_digests(data))
             self._compare_digests(now_ms, event, anti_entropy.TreeDigests(tuple(digests)))
         elif kind == codec.LEAF_ENTRIES:
-            if leaf := codec.decode_leaf_entries(data):
-                entries = tuple(anti_entropy.LeafEntry(*entry) for entry in leaf[1])
-                self._compare_digests(now_ms, event, anti_entropy.LeafEntries(leaf[0], entries))
+            if decoded_leaf := codec.decode_leaf_entries(data):
+                entries = tuple(anti_entropy.LeafEntry(*entry) for entry in decoded_leaf[1])
+                self._compare_digests(now_ms, event, anti_entropy.LeafEntries(decoded_leaf[0], entries))
         elif kind == codec.REMOVALS:
             self._receive_removals(now_ms, event, data)
         elif kind == codec.REMOVALS_QUERY and (query := codec.decode_removals_query(data)):
@@ -239,7 +239,7 @@
     ) -> None:
         self._update_quota(now_ms, report)
         if report.wants_reply and self.quota:
-            # The answer asks for none: two nodes that both ask would answer each other for ever.
+            # The answer requests no reply: two nodes that both did would answer each other forever.
             data = self._encode_quota_report(self.quota.report_for(report.node_index), wants_reply=False)
             self._send_answer(event.source_address, self._codec.QUOTA_REPORT, data)
 
@@ -267,11 +267,15 @@
                     self._send_answer(event.source_address, codec.TREE_DIGESTS, data)
         if difference and now_ms - self._last_difference_ms >= DIFFERENCE_SEARCH_INTERVAL_MS:
             self._last_difference_ms = now_ms
-            shown = (f"{name:.{MAX_LOGGED_NAME_LENGTH}}" for name in difference.names[:MAX_LOGGED_NAMES])
-            names = ", ".join(shown) or "none"
+            logged_names = (
+                f"{name:.{MAX_LOGGED_NAME_LENGTH}}" for name in difference.names[:MAX_LOGGED_NAMES]
+            )
+            names = ", ".join(logged_names) or "none"
             missing_count = difference.missing_count
             self._actions.append(
-                WriteLog(f"not as {event.sender} has them: {names}; {missing_count} not here")
+                WriteLog(
+                    f"endpoint list differs from {event.sender}'s: {names}; {missing_count} missing here"
+                )
             )
 
     def _send_answer(self, address: str, kind: int, data: bytes) -> None:
@@ -299,8 +303,8 @@
         self._advertise(now_ms, event, addresses, has_discovery)
         for source in own_sources:
             self.gossiped_removals.handle(now_ms, self._source_advanced(source))
-        elapsed = gossiped_removals.GossipIntervalElapsed(states, addresses, event.endpoints)
-        self._apply_removal_actions(self.gossiped_removals.handle(now_ms, elapsed))
+        interval_elapsed = gossiped_removals.GossipIntervalElapsed(states, addresses, event.endpoints)
+        self._apply_removal_actions(self.gossiped_removals.handle(now_ms, interval_elapsed))
         self._search_difference(now_ms, addresses, states)
         self._allocate_quota(now_ms, addresses, states)
 
@@ -327,13 +331,13 @@
                         f"{change.verdict.value}; {change.reason}",
                     )
                 case partition_detector.PartitionHealed():
-                    name, reason = TimelineEventName.PARTITION_HEALED, _duration(change.duration_ms)
+                    name, reason = TimelineEventName.PARTITION_HEALED, _format_duration(change.duration_ms)
             self._actions.append(RecordEvent(name, subject, (), reason))
 
     def _advertise(
         self, now_ms: float, event: GossipIntervalElapsed, addresses: Mapping[str, str], has_discovery: bool
     ) -> None:
-        """Advertise the own state, unless this node has no incarnation yet or has yielded its name."""
+        """Advertises the own state unless this node has no incarnation yet or has yielded its name."""
         if self.quota is None or self.failure_detector.has_yielded_name:
             return
         state = self._own_state(event, self.quota.divisor, has_discovery)
@@ -347,12 +351,12 @@
                     )
                     self._actions.append(SendGossip(action.address, tuple(sections)))
                 case node_state.DivergenceBegan():
-                    reason = f"{action.reason}; {action.node_count} of them"
+                    reason = f"{action.reason}; affected nodes: {action.node_count}"
                     self._record_divergence(
                         TimelineEventName.DIVERGENCE_BEGAN, action, action.node_names, reason
                     )
                 case node_state.DivergenceEnded():
-                    reason = _duration(action.duration_ms)
+                    reason = _format_duration(action.duration_ms)
                     self._record_divergence(TimelineEventName.DIVERGENCE_ENDED, action, (), reason)
 
     def _own_state(
@@ -363,7 +367,7 @@
         return node_state.AdvertisedState(
             name=self.failure_detector.name,
             incarnation=self.failure_detector.incarnation,
-            sequence_number=0,  # set by the table
+            sequence_number=0,  # set by `NodeStateTable`
             node_index=self.node_index,
             recovery_state=event.recovery_state,
             flags=0 if has_discovery else node_state.FLAG_NO_DISCOVERY,
@@ -391,7 +395,7 @@
     def _search_difference(
         self, now_ms: float, addresses: Mapping[str, str], states: Sequence[node_state.AdvertisedState]
     ) -> None:
-        """While lists differ at the same revisions, search for the entries with a node of another digest."""
+        """Starts a search with a node whose digest differs, while lists differ at the same revisions."""
         own = self.node_states.states.get(self.failure_detector.name)
         key = node_state.DivergenceKey(node_state.DivergenceKind.ENDPOINT_LIST)
         is_diverging = key in self.node_states.divergence_hysteresis.active_since_ms
@@ -415,8 +419,8 @@
     ) -> None:
         for name, peer in self.failure_detector.peers.items():
             if peer.record.state == PeerState.LEFT and (state := self.node_states.states.get(name)):
-                left = quota_allocation.NodeLeft(state.node_index, peer.record.incarnation)
-                self._update_quota(now_ms, left)
+                departure = quota_allocation.NodeLeft(state.node_index, peer.record.incarnation)
+                self._update_quota(now_ms, departure)
         self._update_quota(now_ms, quota_allocation.TimeAdvanced())
         if self.quota is None:
             return
@@ -478,7 +482,7 @@
         return self._codec.encode_removals(source, identity_hash, fields)
 
     def _fitting_count(self, source: str, removals: Sequence[gossiped_removals.ReportedRemoval]) -> int:
-        """How many of the removals, from the first on, fit one datagram."""
+        """Returns how many of the first removals fit in one datagram."""
         count = 0
         while count < len(removals):
             data = self._encode_removals(source, 0, removals[: count + 1])
@@ -488,5 +492,5 @@
         return count
 
 
-def _duration(duration_ms: float) -> str:
+def _format_duration(duration_ms: float) -> str:
     return f"after {duration_ms / 1000:.1f} s"
--- a/balancer/core/cluster/gossiped_removals.py
+++ b/balancer/core/cluster/gossiped_removals.py
@@ -1,22 +1,25 @@
 """Accepts drains and removals that peers report, for a node whose own source is late or silent.
 
-A node that sees peers advertise a newer revision than its own fetches its source's list (`FetchSnapshot`, in
-staggered time slots) and asks a few of those peers what has been drained or removed since (`QueryRemovals`).
-A peer answers with what its own source said, with the revision, never with what it was told itself. So two
-reports are two observations. A reported removal is accepted
-
-- for endpoints in the view only, and only to drain or remove: gossip adds nothing and brings nothing back;
-- if its revision is above this node's own, within the same source identity;
-- by two reporters, or by one where that one alone hears discovery and the own source is silent;
-- for a limited part of the endpoints: SINGLE_REPORTER_MAX_RATIO by one reporter, MINORITY_REPORTERS_MAX_RATIO
-  by two or more, without limit by more than half of the nodes that hear discovery.
-
-It ends with the own source: a revision at or above a report's outweighs that report. A report is refuted, and
-its content not accepted again, if the own source was in sync below it for REFUTED_AFTER_MS and no more than
-half of the nodes that hear discovery stand by it. If more do, the own source is the late one.
-
-Accepted removals go to `core/discovery/endpoint_merger` as changes of one more source, with the role
-"remove". A withdrawn one is listed there as up, which adds nothing in that role.
+When peers advertise a newer revision than this node has, the node fetches its source's list (`FetchSnapshot`,
+in staggered time slots) and queries a few of those peers for the endpoints drained or removed since then
+(`QueryRemovals`). A peer answers only with removals from its own source and their revisions, never with
+removals that other peers reported to it, so two reports are two independent observations. A reported removal
+is accepted under these conditions:
+
+- The endpoint is in the view. Gossip only drains or removes endpoints; it never adds or restores any.
+- The report has the same source identity and a higher revision than this node.
+- Two peers report it, or one peer if it alone is connected to discovery and the own source is silent.
+- The accepted removals stay within a share of the endpoints: SINGLE_REPORTER_MAX_RATIO for one reporter and
+  MINORITY_REPORTERS_MAX_RATIO for two or more. There is no limit if more than half of the nodes that are
+  connected to discovery report it.
+
+An accepted removal ends once the own source reaches the revision of the report, which the source then
+overrides. A report is refuted, and not accepted again, if the own source was in sync below its revision for
+REFUTED_AFTER_MS and no more than half of the nodes that are connected to discovery report it. If more do, the
+own source is the one that is late.
+
+Accepted removals are passed to `core/discovery/endpoint_merger` as changes of an additional source with the
+role "remove". A withdrawn removal is listed there as up, which adds nothing in that role.
 """
 
 from __future__ import annotations
@@ -37,27 +40,27 @@
 from balancer.interface import Phase
 
 NEWER_REVISION_GRACE_MS = 300.0  # the own source usually delivers a new revision within this time
-MAX_PEERS_QUERIED = 3  # at once
+MAX_PEERS_QUERIED = 3  # in each query round
 QUERY_INTERVAL_MS = 400.0
-MAX_FETCHES_BEFORE_PAUSE = 5  # fetches that brought nothing newer
+MAX_FETCHES_BEFORE_PAUSE = 5  # fetches that returned nothing newer
 FETCH_PAUSE_MS = 60_000.0
 REFUTED_AFTER_MS = 5_000.0
-# Accepted removals in all, as a part of the endpoints that are up; one is always allowed.
+# Maximum share of the endpoints that are up, for all accepted removals together; one is always allowed.
 SINGLE_REPORTER_MAX_RATIO = 0.1
 MINORITY_REPORTERS_MAX_RATIO = 0.25
 # Bounds of the tables.
-MAX_RECENT_REMOVALS = 1_024  # of each own source, to answer queries with
+MAX_RECENT_REMOVALS = 1_024  # kept for each own source to answer queries
 RECENT_REMOVAL_TTL_MS = 600_000.0
 MAX_CLAIMS = 1_024
 MAX_REPORTERS_PER_CLAIM = 8
 MAX_REFUTED_CLAIMS = 4_096
-MAX_WITHDRAWN_REMOVALS = 1_024  # that the merger still lists; beyond it the merger's source is reset
-MAX_ANSWER_DATAGRAMS = 4  # to one query
+MAX_WITHDRAWN_REMOVALS = 1_024  # still listed by the merger; beyond this, the merger's source is reset
+MAX_ANSWER_DATAGRAMS = 4  # for each query
 MAX_LOGGED_REPORTERS = 3
 
 
 class AcceptanceRule(Enum):
-    """Whose report is sufficient; benchmarks/gossiped_removals.py compares them."""
+    """Which reporters suffice to accept a removal; benchmarks/gossiped_removals.py compares the rules."""
 
     NEVER = "nobody"
     ONE_REPORTER = "any one"
@@ -68,7 +71,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ReportedRemoval:
-    """A source has drained an endpoint, or removed it (`is_gone`), at a revision."""
+    """A source drained an endpoint, or removed it if `is_gone`, at a revision."""
 
     endpoint_id: str
     revision: int
@@ -77,7 +80,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SourceAdvanced:
-    """The position of an own source, and the drains and removals that it has just reported.
+    """The current position of an own source, and the drains and removals that it has just reported.
 
     `revision` is -1 before the first list.
     """
@@ -91,7 +94,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RemovalsReceived:
-    """A peer's answer to a query. The caller has checked that the peer is present, at that address."""
+    """A peer's answer to a query; the caller has checked that the peer is present at the source address."""
 
     sender: str
     source: str
@@ -101,7 +104,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RemovalsQueried:
-    """A peer asks for removals above `since_revision`."""
+    """A peer has queried the removals above `since_revision`."""
 
     address: str
     source: str
@@ -111,7 +114,7 @@
 
 @dataclass(slots=True, frozen=True)
 class GossipIntervalElapsed:
-    """States and addresses of the reachable peers, and the merged view of endpoints up or draining."""
+    """The states and addresses of the reachable peers, and the merged view of up and draining endpoints."""
 
     peer_states: Sequence[AdvertisedState]
     peer_addresses: Mapping[str, str]
@@ -123,7 +126,7 @@
 
 @dataclass(slots=True, frozen=True)
 class FetchSnapshot:
-    """Fetch the list of an own source now: a peer has seen `revision` of it."""
+    """Fetch the list of an own source now, because a peer has seen `revision` of it."""
 
     source: str
     revision: int
@@ -131,7 +134,7 @@
 
 @dataclass(slots=True, frozen=True)
 class QueryRemovals:
-    """Ask a peer for removals above `since_revision`."""
+    """Query a peer for the removals above `since_revision`."""
 
     address: str
     source: str
@@ -151,12 +154,12 @@
 
 @dataclass(slots=True, frozen=True)
 class ResetGossipSource:
-    """Remove the gossip source from the merger and add it again, so that withdrawn removals are forgotten."""
+    """Remove the gossip source from the merger and add it again, to discard the withdrawn removals."""
 
 
 @dataclass(slots=True, frozen=True)
 class WriteLog:
-    """Log an accepted or a refuted removal."""
+    """Write a log line about an accepted or refuted removal."""
 
     message: str
 
@@ -165,14 +168,14 @@
 
 
 class RemovalKey(NamedTuple):
-    """Identifies a claim."""
+    """Identifies a claim: all reports of the removal of an endpoint from a source."""
 
     source: str
     endpoint_id: str
 
 
 class RefutedClaim(NamedTuple):
-    """A claim at a revision, which is not accepted again."""
+    """A claim that was refuted at a revision and is not accepted again."""
 
     source: str
     endpoint_id: str
@@ -180,7 +183,7 @@
 
 
 def gossip_source() -> Source:
-    """The merger's source for accepted removals; it belongs behind all others."""
+    """Returns the merger's source for accepted removals, which must come after all other sources."""
     return Source(GOSSIP_SOURCE_NAME, SourceRole.REMOVE, has_partial_revisions=True)
 
 
@@ -191,24 +194,24 @@
 
 @dataclass(slots=True)
 class _SourceProgress:
-    """An own source: its position, and how far it is behind the peers. Times are infinite where not set."""
+    """The position of an own source and its lag behind the peers; a time that is not set is infinite."""
 
     identity_hash: int = 0
     revision: int = -1
     is_in_sync: bool = False
-    sync_changed_ms: float = 0.0  # when `is_in_sync` changed last
+    sync_changed_ms: float = 0.0  # when `is_in_sync` last changed
     behind_since_ms: float = math.inf
     next_fetch_ms: float = math.inf
-    fetch_count: int = 0  # since the revision rose last
+    fetch_count: int = 0  # since the revision last rose
     last_query_ms: float = -math.inf
-    recent_removals: OrderedDict[str, _RecentRemoval] = field(default_factory=OrderedDict)  # by endpoint
+    recent_removals: OrderedDict[str, _RecentRemoval] = field(default_factory=OrderedDict)  # by endpoint id
 
 
 class GossipedRemovals:
-    """Removals that peers report, as claims by reporter, and those of them that are accepted.
+    """Tracks the removals that peers report, by claim and reporter, and accepts those that meet the rule.
 
-    `fitting_count` gives how many of a source's removals, from the first on, fit one datagram; it comes from
-    the codec.
+    `fitting_count` returns how many of the first removals of a source fit in one datagram; it comes from the
+    codec.
     """
 
     def __init__(
@@ -223,8 +226,8 @@
         self.claims: OrderedDict[RemovalKey, dict[str, ReportedRemoval]] = OrderedDict()  # by reporter
         self._refuted: OrderedDict[RefutedClaim, None] = OrderedDict()
         self._claimed_since_ms: dict[RemovalKey, float] = {}
-        self._withdrawn: set[str] = set()
-        self._listed: dict[str, EndpointRecord] = {}  # in the gossip source, as they were when accepted
+        self._withdrawn_ids: set[str] = set()
+        self._listed_records: dict[str, EndpointRecord] = {}  # by the gossip source, as of their acceptance
         self._endpoints: Mapping[str, EndpointRecord] = {}
         self._time_slots, self._random = time_slots, random
         self._fitting_count, self._rule = fitting_count, rule
@@ -235,7 +238,7 @@
         return f"<GossipedRemovals: {len(self.accepted)} accepted of {len(self.claims)} claims>"
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
-        """Apply an event; returns what to do, in this order."""
+        """Applies an event; returns the actions in the order to perform them."""
         self._actions = []
         match event:
             case SourceAdvanced():
@@ -250,7 +253,7 @@
 
     def _update_source(self, now_ms: float, event: SourceAdvanced) -> None:
         progress = self.sources.setdefault(event.source, _SourceProgress(sync_changed_ms=now_ms))
-        # Within an identity the merger lets no revision fall, so a lower one begins a new order as well.
+        # The merger never lets the revision of an identity fall, so a lower one also starts a new sequence.
         if event.identity_hash != progress.identity_hash or event.revision < progress.revision:
             progress.identity_hash, progress.revision = event.identity_hash, -1
             progress.recent_removals.clear()
@@ -263,7 +266,7 @@
             progress.behind_since_ms = progress.next_fetch_ms = math.inf
             self._time_slots.reset()
         for removal in event.removals:
-            progress.recent_removals.pop(removal.endpoint_id, None)  # to the end of the order
+            progress.recent_removals.pop(removal.endpoint_id, None)  # reinserted below as the newest
             progress.recent_removals[removal.endpoint_id] = _RecentRemoval(removal, now_ms)
             if len(progress.recent_removals) > MAX_RECENT_REMOVALS:
                 progress.recent_removals.popitem(last=False)
@@ -303,13 +306,13 @@
     def _add_claim(self, now_ms: float, key: RemovalKey, sender: str, removal: ReportedRemoval) -> None:
         if key not in self.claims:
             self.claims[key], self._claimed_since_ms[key] = {}, now_ms
-            if len(self.claims) > MAX_CLAIMS:  # the oldest that is not accepted, or this one
+            if len(self.claims) > MAX_CLAIMS:  # drops the oldest one that is not accepted, or this one
                 self._drop_claim(next(old for old in self.claims if old not in self.accepted or old == key))
         reports = self.claims.get(key, {})
         if sender not in reports and len(reports) >= MAX_REPORTERS_PER_CLAIM:
             return
-        held = reports.get(sender)
-        if held is None or (removal.revision, removal.is_gone) > (held.revision, held.is_gone):
+        known = reports.get(sender)
+        if known is None or (removal.revision, removal.is_gone) > (known.revision, known.is_gone):
             reports[sender] = removal
 
     def _drop_claim(self, key: RemovalKey) -> None:
@@ -322,55 +325,58 @@
         self._endpoints = event.endpoints
         for name, progress in self.sources.items():
             self._catch_up(now_ms, event, name, progress)
-        hearing_count = sum(not state.flags & FLAG_NO_DISCOVERY for state in event.peer_states)
+        synced_peer_count = sum(not state.flags & FLAG_NO_DISCOVERY for state in event.peer_states)
         for key in list(self.claims):
-            self._reconsider_claim(now_ms, key, hearing_count)
-        self._accept_claims(hearing_count)
+            self._reevaluate_claim(now_ms, key, synced_peer_count)
+        self._accept_claims(synced_peer_count)
         self._update_gossip_source()
 
-    def _accept_claims(self, hearing_count: int) -> None:
+    def _accept_claims(self, synced_peer_count: int) -> None:
         up_count = len(self.accepted)
-        if len(self.claims) > up_count:  # only then is the number needed
+        if len(self.claims) > up_count:  # otherwise every claim is accepted and the count is not needed
             up_count += sum(record.endpoint.phase is Phase.UP for record in self._endpoints.values())
         for key, reports in self.claims.items():
             if key in self.accepted or key.endpoint_id not in self._endpoints:
                 continue
-            if not self._has_enough_reporters(key.source, len(reports), hearing_count):
+            if not self._has_enough_reporters(key.source, len(reports), synced_peer_count):
                 continue
-            if len(self.accepted) < self._max_accepted(key.source, len(reports), hearing_count, up_count):
+            if len(self.accepted) < self._max_accepted(key.source, len(reports), synced_peer_count, up_count):
                 removal = min(reports.values(), key=lambda removal: (removal.is_gone, removal.revision))
                 self.accepted[key] = removal
-                description = f"{_describe_removal(removal)}, by {_reporter_names(reports)}"
-                self._actions.append(WriteLog(f"{key.endpoint_id!r:.120} {description}"))
+                description = f"{_describe_removal(removal)}, reported by {_reporter_names(reports)}"
+                self._actions.append(WriteLog(f"removal accepted: {key.endpoint_id!r:.120} {description}"))
 
-    def _has_enough_reporters(self, source: str, reporter_count: int, hearing_count: int) -> bool:
-        is_silent = not self.sources[source].is_in_sync
+    def _has_enough_reporters(self, source: str, reporter_count: int, synced_peer_count: int) -> bool:
+        is_source_silent = not self.sources[source].is_in_sync
         match self._rule:
             case AcceptanceRule.ONE_REPORTER:
                 return reporter_count >= 1
             case AcceptanceRule.ONE_REPORTER_IF_SILENT:
-                return reporter_count >= 2 or (reporter_count == 1 and is_silent)
+                return reporter_count >= 2 or (reporter_count == 1 and is_source_silent)
             case AcceptanceRule.TWO_REPORTERS:
                 return reporter_count >= 2
-        return reporter_count >= 2 or (reporter_count == 1 and is_silent and hearing_count <= 1)
+        return reporter_count >= 2 or (reporter_count == 1 and is_source_silent and synced_peer_count <= 1)
 
-    def _max_accepted(self, source: str, reporter_count: int, hearing_count: int, up_count: int) -> float:
-        """How many removals may be accepted in all, so that one more by these reporters is."""
-        if self._has_majority(source, reporter_count, hearing_count):
+    def _max_accepted(self, source: str, reporter_count: int, synced_peer_count: int, up_count: int) -> float:
+        """Returns the number of accepted removals below which one more by these reporters is accepted."""
+        if self._has_majority(source, reporter_count, synced_peer_count):
             return math.inf
         ratio = SINGLE_REPORTER_MAX_RATIO if reporter_count == 1 else MINORITY_REPORTERS_MAX_RATIO
         return max(1.0, ratio * up_count)
 
-    def _has_majority(self, source: str, reporter_count: int, hearing_count: int) -> bool:
-        """Whether more than half of the nodes that hear discovery report it, this node among them.
+    def _has_majority(self, source: str, reporter_count: int, synced_peer_count: int) -> bool:
+        """Whether more than half of the nodes that are connected to discovery report a removal.
 
-        At least two must. MAX_REPORTERS_PER_CLAIM are enough, as no more are recorded.
+        This node is included in the number of nodes. At least two reporters are required, and
+        MAX_REPORTERS_PER_CLAIM suffice, since no more are recorded.
         """
-        node_count = hearing_count + self.sources[source].is_in_sync
-        return reporter_count >= 2 and 2 * reporter_count > min(node_count, 2 * MAX_REPORTERS_PER_CLAIM - 1)
+        synced_node_count = synced_peer_count + self.sources[source].is_in_sync
+        return reporter_count >= 2 and 2 * reporter_count > min(
+            synced_node_count, 2 * MAX_REPORTERS_PER_CLAIM - 1
+        )
 
-    def _reconsider_claim(self, now_ms: float, key: RemovalKey, hearing_count: int) -> None:
-        """Drop the reports that the own source has caught up with, and the claim if too few remain."""
+    def _reevaluate_claim(self, now_ms: float, key: RemovalKey, synced_peer_count: int) -> None:
+        """Drops reports that the own source has reached, and the claim if it is refuted or too few remain."""
         progress, reports = self.sources[key.source], self.claims[key]
         outdated = [sender for sender, removal in reports.items() if removal.revision <= progress.revision]
         for sender in outdated:
@@ -379,17 +385,19 @@
         is_refuted = (
             progress.is_in_sync
             and contradicted_ms > REFUTED_AFTER_MS
-            and not self._has_majority(key.source, len(reports), hearing_count)
+            and not self._has_majority(key.source, len(reports), synced_peer_count)
         )
         if is_refuted and reports:
             self._refute(key, reports.values())
-        is_weakened = outdated and not self._has_enough_reporters(key.source, len(reports), hearing_count)
-        if is_refuted or not reports or is_weakened:
+        has_too_few_reporters = outdated and not self._has_enough_reporters(
+            key.source, len(reports), synced_peer_count
+        )
+        if is_refuted or not reports or has_too_few_reporters:
             self._drop_claim(key)
 
     def _refute(self, key: RemovalKey, removals: Iterable[ReportedRemoval]) -> None:
         self._actions.append(
-            WriteLog(f"{key.endpoint_id!r:.120} is not out: the own source knows nothing of it")
+            WriteLog(f"removal refuted: {key.endpoint_id!r:.120} is not reported by the own source")
         )
         for removal in removals:
             self._refuted[RefutedClaim(*key, removal.revision)] = None
@@ -397,40 +405,40 @@
                 self._refuted.popitem(last=False)
 
     def _update_gossip_source(self) -> None:
-        """Pass on to the merger what has been accepted or withdrawn."""
+        """Passes newly accepted and withdrawn removals to the merger."""
         removals = {key.endpoint_id: removal for key, removal in self.accepted.items()}
-        added = [endpoint_id for endpoint_id in removals if endpoint_id not in self._listed]
-        withdrawn = [endpoint_id for endpoint_id in self._listed if endpoint_id not in removals]
+        added = [endpoint_id for endpoint_id in removals if endpoint_id not in self._listed_records]
+        withdrawn = [endpoint_id for endpoint_id in self._listed_records if endpoint_id not in removals]
         if not added and not withdrawn:
             return
         if not self._revision:
             self._revision = 1
             self._list_endpoints(EndpointList(1, True, ()))
         self._revision += 1
-        self._listed |= {endpoint_id: self._endpoints[endpoint_id] for endpoint_id in added}
+        self._listed_records |= {endpoint_id: self._endpoints[endpoint_id] for endpoint_id in added}
         records = [
-            _with_phase(self._listed[endpoint_id], Phase.DRAINING)
+            _with_phase(self._listed_records[endpoint_id], Phase.DRAINING)
             for endpoint_id in added
             if not removals[endpoint_id].is_gone
         ]
-        records += [_with_phase(self._listed.pop(endpoint_id), Phase.UP) for endpoint_id in withdrawn]
-        gone = tuple(endpoint_id for endpoint_id in added if removals[endpoint_id].is_gone)
-        self._list_endpoints(EndpointList(self._revision, False, tuple(records), gone))
-        self._withdrawn.update(withdrawn)
-        if len(self._withdrawn) > MAX_WITHDRAWN_REMOVALS and not self.accepted:
-            self._withdrawn.clear()
+        records += [_with_phase(self._listed_records.pop(endpoint_id), Phase.UP) for endpoint_id in withdrawn]
+        removed_ids = tuple(endpoint_id for endpoint_id in added if removals[endpoint_id].is_gone)
+        self._list_endpoints(EndpointList(self._revision, False, tuple(records), removed_ids))
+        self._withdrawn_ids.update(withdrawn)
+        if len(self._withdrawn_ids) > MAX_WITHDRAWN_REMOVALS and not self.accepted:
+            self._withdrawn_ids.clear()
             self._revision = 0
             self._actions.append(ResetGossipSource())
 
     def _list_endpoints(self, endpoint_list: EndpointList) -> None:
         self._actions.append(EndpointsListed(GOSSIP_SOURCE_NAME, GOSSIP_SOURCE_NAME, endpoint_list))
 
-    # --- an own source that is behind
+    # --- catching up with a newer revision
 
     def _catch_up(
         self, now_ms: float, event: GossipIntervalElapsed, source: str, progress: _SourceProgress
     ) -> None:
-        """Fetch the own source's list and query peers, while peers advertise a newer revision."""
+        """Fetches the own source's list and queries peers while they advertise a newer revision."""
         revisions = {
             state.name: revision
             for state in event.peer_states
@@ -477,7 +485,7 @@
 
 
 def _describe_removal(removal: ReportedRemoval) -> str:
-    return f"{'is gone' if removal.is_gone else 'drains'} at revision {removal.revision}"
+    return f"{'removed' if removal.is_gone else 'draining'} at revision {removal.revision}"
 
 
 def _reporter_names(reporters: Iterable[str]) -> str:
--- a/balancer/core/cluster/node_state.py
+++ b/balancer/core/cluster/node_state.py
@@ -1,14 +1,16 @@
-"""Exchanges what each node advertises of itself, and detects where the nodes' configurations diverge.
-
-A node advertises its state in about 65 bytes (`AdvertisedState`). Of each node the greatest state by
-(incarnation, sequence number) is held, so the order, duplication and delay of datagrams do not matter. In
-each gossip interval a node sends what has changed, the least transmitted first, and then all states in turn,
-to GOSSIP_FANOUT peers: a constant number of datagrams.
-
-From the states of the present nodes follow the divergences, each with the nodes concerned (`DivergenceKind`).
-The nodes concerned are those that differ from the most frequent value; if two values are equally frequent,
-all nodes. A revision counts as published once two nodes advertise it, if there are three: a single node that
-advertises a false one makes no other look behind. `hysteresis` delays the begin and end of each divergence.
+"""Gossips the state that each node advertises about itself and detects divergent configurations.
+
+An encoded `AdvertisedState` takes about 65 bytes. For each node, the table keeps the state with the greatest
+(incarnation, sequence number), so reordered, duplicated and delayed datagrams do no harm. In each gossip
+interval a node sends one datagram to each of GOSSIP_FANOUT peers, which makes the number of datagrams
+constant. A datagram holds changed states first, the least transmitted ones leading, and then all states in
+round-robin order.
+
+Divergences (`DivergenceKind`) are derived from the states of the present nodes. Each one names the nodes
+that differ from the most frequent value, or all nodes if two values are equally frequent. If three or more
+nodes advertise a source, a revision counts as published once two of them advertise it, so that a single
+node with a false revision cannot make the others look behind. `hysteresis` delays the begin and the end of
+each divergence.
 """
 
 from __future__ import annotations
@@ -26,37 +28,37 @@
 from balancer.core.hysteresis import Hysteresis
 
 GOSSIP_INTERVAL_MS = 200.0
-GOSSIP_FANOUT = 2  # peers that are sent to in each interval
-MAX_TRANSMISSIONS = 6  # of a changed state by each node; after these it is sent in turn only
+GOSSIP_FANOUT = 2  # peers that receive a datagram in each interval
+MAX_TRANSMISSIONS = 6  # priority transmissions of a changed state by each node; then round-robin only
 TYPICAL_STATES_PER_DATAGRAM = 3
-MAX_NAMES_PER_DATAGRAM = 16  # examined for one datagram; more states never fit
+MAX_NAMES_PER_DATAGRAM = 16  # names examined to fill one datagram; more states never fit
 DIVERGENCE_BEGIN_MS = 1_000.0
 DIVERGENCE_END_MS = 2_000.0
-MAX_REVISION_LAG_MS = 2_000.0  # a node that is behind by less still applies a drain in time
+MAX_REVISION_LAG_MS = 2_000.0  # a node that lags by less still applies a drain in time
 MAX_REVISION_SAMPLES = 64  # published revisions remembered for each source
-MAX_SAMPLED_SOURCES = 8  # (source, identity) pairs that revisions are remembered for
+MAX_SAMPLED_SOURCES = 8  # (source, identity) pairs with remembered revisions
 MAX_EVENT_NAMES = 8
-ABSENT_STATES_KEPT = 64  # beyond twice the present ones: a node that returns is soon known again
-GOSSIP_SOURCE_NAME = (
-    "peers"  # the endpoint merger's source for removals that peers report (`gossiped_removals`)
-)
+# States kept in addition to twice the number of present nodes, so that a returning node is known at once.
+ABSENT_STATES_KEPT = 64
+# The endpoint merger's source for removals that peers report (`gossiped_removals`).
+GOSSIP_SOURCE_NAME = "peers"
 
 # Bits of `AdvertisedState.flags`.
 FLAG_NO_DISCOVERY = 1  # no source of this node is in sync
-FLAG_BEHIND = 2  # this node has found itself behind the published revision
+FLAG_BEHIND = 2  # this node has detected that it is behind the published revision
 
 
 class DivergenceKind(StrEnum):
-    """In what respect nodes diverge."""
+    """The respect in which nodes diverge."""
 
-    BEHIND = "behind"  # a revision below one published MAX_REVISION_LAG_MS ago; each node judges itself
-    SOURCE_IDENTITY = "order"  # another identity of a source: another cluster, or an older epoch of it
-    ENDPOINT_LIST = "list"  # another list at the same revisions of all sources: a bug in this program
-    SETTINGS = "settings"  # another digest of the platform's settings, or of the operators' file
-    VERSION = "version"  # another version of this program: an upgrade is under way
+    BEHIND = "behind"  # older than a revision published MAX_REVISION_LAG_MS ago, as the node itself detects
+    SOURCE_IDENTITY = "order"  # a different source identity: another cluster, or an older epoch of it
+    ENDPOINT_LIST = "list"  # a different list at the same revisions of all sources: a bug in this program
+    SETTINGS = "settings"  # a different digest of the platform's settings or of the operators' file
+    VERSION = "version"  # a different program version, as during an upgrade
 
 
-# After a change on all nodes, states that are still on their way look like a divergence of these kinds.
+# After a change on all nodes, states that are still being propagated look like a divergence of these kinds.
 PROPAGATION_SENSITIVE_KINDS = (
     DivergenceKind.SETTINGS,
     DivergenceKind.VERSION,
@@ -66,12 +68,12 @@
 
 
 class AdvertisedState(NamedTuple):
-    """What a node advertises of itself, in the field order of `protocol/gossip_sections`.
+    """The state that a node advertises about itself, in the field order of `protocol/gossip_sections`.
 
     `sequence_number` rises with each change within an incarnation. `recovery_state` is an index into
-    `recovery.RecoveryState`. `partitioned_zone_id` is `partition_detector.zone_id` of a zone that the node
-    cannot reach, or 0. `endpoints_digest` is 0 where the list is not
-    comparable (`advertised_sources.is_comparable`).
+    `recovery.RecoveryState`. `partitioned_zone_id` is the `partition_detector.zone_id` of a zone that the
+    node cannot reach, or 0. `endpoints_digest` is 0 if the list is not comparable
+    (`advertised_sources.is_comparable`).
     """
 
     name: str
@@ -90,30 +92,30 @@
 
 
 def latest(held: AdvertisedState | None, received: AdvertisedState) -> AdvertisedState:
-    """Merge two states of a node.
+    """Returns the later of two states of a node.
 
-    The maximum of a total order: associative, commutative and idempotent.
+    This is the maximum of a total order, so the merge is associative, commutative and idempotent.
     """
     return received if held is None or received[1:] > held[1:] else held
 
 
 @dataclass(slots=True, frozen=True)
 class OwnStateChanged:
-    """The state that this node advertises; its sequence number is set here."""
+    """The state that this node is to advertise; the table sets its sequence number."""
 
     state: AdvertisedState
 
 
 @dataclass(slots=True, frozen=True)
 class StatesReceived:
-    """The states of a datagram, of any nodes."""
+    """The states of any nodes that a datagram carried."""
 
     states: Sequence[AdvertisedState]
 
 
 @dataclass(slots=True, frozen=True)
 class GossipIntervalElapsed:
-    """GOSSIP_INTERVAL_MS have passed. `peer_addresses` are those of the peers that are alive or suspect."""
+    """GOSSIP_INTERVAL_MS have passed; `peer_addresses` maps each alive or suspect peer to its address."""
 
     peer_addresses: Mapping[str, str]
 
@@ -131,7 +133,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DivergenceBegan:
-    """`node_names` are the first MAX_EVENT_NAMES of the `node_count` nodes concerned."""
+    """A divergence has begun; `node_names` are the first MAX_EVENT_NAMES of `node_count` affected nodes."""
 
     kind: str
     subject: str
@@ -142,7 +144,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DivergenceEnded:
-    """A divergence has not been seen for DIVERGENCE_END_MS."""
+    """A divergence has not been observed for DIVERGENCE_END_MS."""
 
     kind: str
     subject: str
@@ -153,7 +155,7 @@
 
 
 class DivergenceKey(NamedTuple):
-    """Identifies a divergence; `subject` is the source or the settings file, empty for other kinds."""
+    """Identifies a divergence; `subject` is the source or the settings file, or empty for other kinds."""
 
     kind: str
     subject: str = ""
@@ -161,7 +163,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Divergence:
-    """The nodes concerned, and in what they differ."""
+    """The affected nodes and the difference between them and the others."""
 
     node_names: frozenset[str]
     reason: str
@@ -171,14 +173,14 @@
 
 
 class RevisionSample(NamedTuple):
-    """When a revision was first seen published."""
+    """The time at which a revision was first observed as published."""
 
     seen_ms: float
     revision: int
 
 
 def minority(values: Iterable[tuple[str, object]]) -> frozenset[str]:
-    """The names whose value is not the most frequent one; all names if two values are equally frequent."""
+    """Returns the names whose value is not the most frequent one, or all names if there is a tie."""
     pairs = list(values)
     counts = Counter(value for _, value in pairs).most_common(2)
     if len(counts) < 2:
@@ -190,9 +192,10 @@
 class NodeStateTable:
     """The states of all nodes as this node knows them, and their divergences.
 
-    `encoded_bytes` gives the size of a state's section, and `capacity_bytes` the space for sections in a
-    datagram; both come from the codec. `divergences` are those of the last interval, whether or not they have
-    lasted long enough to begin; those that have begun are in `divergence_hysteresis.active_since_ms`.
+    `encoded_bytes` returns the size of a state's section, and `capacity_bytes` is the space for sections in a
+    datagram; both come from the codec. `divergences` holds those found in the last interval, including ones
+    that have not lasted long enough to begin; `divergence_hysteresis.active_since_ms` holds those that have
+    begun.
     """
 
     def __init__(
@@ -203,7 +206,7 @@
         capacity_bytes: int,
     ) -> None:
         self.name = name
-        self.states: dict[str, AdvertisedState] = {}  # this node's own state too
+        self.states: dict[str, AdvertisedState] = {}  # includes this node's own state
         self.peer_addresses: Mapping[str, str] = {}
         self.divergences: dict[DivergenceKey, Divergence] = {}
         self.divergence_hysteresis: Hysteresis[DivergenceKey] = Hysteresis(
@@ -211,7 +214,9 @@
         )
         self._random, self._encoded_bytes, self._capacity_bytes = random, encoded_bytes, capacity_bytes
         self._pending_broadcasts = PendingBroadcasts()
-        self._revision_samples: dict[tuple[str, int], deque[RevisionSample]] = {}  # by source, identity hash
+        self._revision_samples: dict[
+            tuple[str, int], deque[RevisionSample]
+        ] = {}  # by source and identity hash
         self._divergent_since_ms: dict[DivergenceKey, float] = {}
         self._is_behind = False
         self._round_robin_position = 0
@@ -222,7 +227,7 @@
 
     @property
     def own_divergences(self) -> list[DivergenceKey]:
-        """The divergences that have begun and concern this node."""
+        """The divergences that have begun and affect this node."""
         return sorted(
             key
             for key in self.divergence_hysteresis.active_since_ms
@@ -231,12 +236,12 @@
 
     @property
     def propagation_ms(self) -> float:
-        """About how long it takes until all states are known everywhere after all have changed at once."""
+        """Estimated time to propagate all states to all nodes after all of them changed at once."""
         states_per_interval = GOSSIP_FANOUT * TYPICAL_STATES_PER_DATAGRAM
         return GOSSIP_INTERVAL_MS * MAX_TRANSMISSIONS * len(self.peer_addresses) / states_per_interval
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
-        """Apply an event; returns divergences that ended or began, and what to send."""
+        """Applies an event; returns the divergences that ended or began, and the datagrams to send."""
         match event:
             case OwnStateChanged():
                 self._set_own_state(event.state)
@@ -264,7 +269,7 @@
         if not state.name or not is_plausible:
             return
         if state.name == self.name:
-            self._outnumber(held, state)
+            self._supersede_reported_state(held, state)
             return
         if held is None and len(self.states) > MAX_PEERS:
             return
@@ -272,8 +277,8 @@
             self.states[state.name] = state
             self._pending_broadcasts.add(state.name)
 
-    def _outnumber(self, held: AdvertisedState | None, state: AdvertisedState) -> None:
-        """Advertise the own state above a greater one that a peer holds: an older or a false one."""
+    def _supersede_reported_state(self, held: AdvertisedState | None, state: AdvertisedState) -> None:
+        """Raises the own sequence number above that of an outdated or false own state held by a peer."""
         if held is None or state == held or state.incarnation != held.incarnation:
             return
         if state.sequence_number >= held.sequence_number:
@@ -298,7 +303,7 @@
         return [SendStates(self.peer_addresses[peer], self._fill_datagram(names)) for peer in chosen]
 
     def _fill_datagram(self, peer_names: Sequence[str]) -> tuple[AdvertisedState, ...]:
-        """Changed states first, then the states of all present nodes in turn, as far as they fit."""
+        """Selects changed states first, then the states of all present nodes in turn, as far as they fit."""
         chosen: dict[str, AdvertisedState] = {}
         free_bytes = self._capacity_bytes
 
@@ -314,23 +319,23 @@
             return True
 
         self._pending_broadcasts.take(try_add, MAX_TRANSMISSIONS, MAX_NAMES_PER_DATAGRAM)
-        ring = [*peer_names, self.name]
-        for _ in range(min(MAX_NAMES_PER_DATAGRAM, len(ring))):
-            self._round_robin_position = (self._round_robin_position + 1) % len(ring)
-            if not try_add(ring[self._round_robin_position]):
+        names_in_turn = [*peer_names, self.name]
+        for _ in range(min(MAX_NAMES_PER_DATAGRAM, len(names_in_turn))):
+            self._round_robin_position = (self._round_robin_position + 1) % len(names_in_turn)
+            if not try_add(names_in_turn[self._round_robin_position]):
                 break
         return tuple(chosen.values())
 
     # --- divergences
 
     def present_states(self) -> list[AdvertisedState]:
-        """The states of the reachable peers and of this node."""
+        """Returns the states of the reachable peers and of this node."""
         return [
             state for name, state in self.states.items() if name in self.peer_addresses or name == self.name
         ]
 
     def confirmed_revision(self, source: str, identity: int) -> int:
-        """The newest revision that two nodes advertise, or that one does if there are fewer than three."""
+        """Returns the newest revision advertised by two nodes, or by one if fewer than three do."""
         revisions = sorted(self._revisions_by_node(source, identity).values())
         if len(revisions) > 2:
             return revisions[-2]
@@ -357,9 +362,9 @@
         self._set_own_state(own)
         self.divergences = found
         self._divergent_since_ms = {key: self._divergent_since_ms.get(key, now_ms) for key in found}
-        lasting = [key for key in found if self._has_outlasted_propagation(now_ms, key)]
+        lasting_keys = [key for key in found if self._has_outlasted_propagation(now_ms, key)]
         active_since_ms = dict(self.divergence_hysteresis.active_since_ms)
-        began, ended = self.divergence_hysteresis.update(now_ms, lasting)
+        began, ended = self.divergence_hysteresis.update(now_ms, lasting_keys)
         return [
             *(DivergenceEnded(*key, now_ms - active_since_ms[key]) for key in ended),
             *(self._divergence_began(key) for key in began),
@@ -377,16 +382,16 @@
 
         for index, file in enumerate(SETTINGS_FILES):
             digests = ((state.name, state.settings_digests[index]) for state in states)
-            compare(DivergenceKind.SETTINGS, file, digests, "another digest of the file")
+            compare(DivergenceKind.SETTINGS, file, digests, "different digests of the file")
         versions = ((state.name, state.program_version) for state in states)
-        compare(DivergenceKind.VERSION, "", versions, "another program")
+        compare(DivergenceKind.VERSION, "", versions, "different program versions")
         own_revisions = _revisions(own)
         lists = (
             (state.name, state.endpoints_digest)
             for state in states
             if state.endpoints_digest and _revisions(state) == own_revisions
         )
-        compare(DivergenceKind.ENDPOINT_LIST, "", lists, "another list at the same revisions")
+        compare(DivergenceKind.ENDPOINT_LIST, "", lists, "different lists at the same revisions")
         for source, identity, _, _ in own.sources:
             identities = (
                 (state.name, other_identity)
@@ -394,13 +399,13 @@
                 for other_source, other_identity, _, _ in state.sources
                 if other_source == source and other_identity
             )
-            compare(DivergenceKind.SOURCE_IDENTITY, source, identities, "another identity of the source")
+            compare(DivergenceKind.SOURCE_IDENTITY, source, identities, "different identities of the source")
             if behind := self._find_behind(now_ms, source, identity):
                 found[DivergenceKey(DivergenceKind.BEHIND, source)] = behind
         return found
 
     def _has_outlasted_propagation(self, now_ms: float, key: DivergenceKey) -> bool:
-        """Whether a divergence is more than states that are still on their way."""
+        """Whether a divergence has lasted longer than states that are still being propagated explain."""
         if key.kind not in PROPAGATION_SENSITIVE_KINDS or self.propagation_ms <= DIVERGENCE_BEGIN_MS:
             return True
         return now_ms - self._divergent_since_ms[key] >= self.propagation_ms
@@ -411,20 +416,22 @@
         return DivergenceBegan(*key, names, len(divergence.node_names), divergence.reason)
 
     def _find_behind(self, now_ms: float, source: str, identity: int) -> Divergence | None:
-        """Nodes below the revision that was published MAX_REVISION_LAG_MS ago.
+        """Returns the nodes below the revision that was published MAX_REVISION_LAG_MS ago, if there are any.
 
-        The comparison with a past revision keeps a list that changes all the time from making anybody look
-        behind. Peers count by their own FLAG_BEHIND only, since what is held of them may be out of date.
+        Comparing with a past revision keeps nodes from looking behind while the list changes continuously.
+        A peer counts only if it has set FLAG_BEHIND itself, since this node's copy of its state may be out
+        of date.
         """
         published = self.confirmed_revision(source, identity)
         samples = self._sample_revision(now_ms, source, identity, published)
-        due = [sample for sample in samples if now_ms - sample.seen_ms >= MAX_REVISION_LAG_MS]
-        if not due:
+        old_samples = [sample for sample in samples if now_ms - sample.seen_ms >= MAX_REVISION_LAG_MS]
+        if not old_samples:
             return None
         behind = {
             name: revision
             for name, revision in self._revisions_by_node(source, identity).items()
-            if revision < due[-1].revision and (name == self.name or self.states[name].flags & FLAG_BEHIND)
+            if revision < old_samples[-1].revision
+            and (name == self.name or self.states[name].flags & FLAG_BEHIND)
         }
         if not behind:
             return None
@@ -437,11 +444,11 @@
     def _sample_revision(
         self, now_ms: float, source: str, identity: int, published: int
     ) -> deque[RevisionSample]:
-        """Note the published revision if it has risen; returns the samples, oldest first."""
+        """Records the published revision if it has risen; returns the samples, oldest first."""
         samples = self._revision_samples.setdefault((source, identity), deque(maxlen=MAX_REVISION_SAMPLES))
         if len(self._revision_samples) > MAX_SAMPLED_SOURCES:
             del self._revision_samples[next(iter(self._revision_samples))]
-        if samples and published < samples[-1].revision:  # who advertised it has left, or took it back
+        if samples and published < samples[-1].revision:  # its advertisers have left or withdrawn it
             samples.clear()
         if published and (not samples or published > samples[-1].revision):
             samples.append(RevisionSample(now_ms, published))
@@ -449,5 +456,5 @@
 
 
 def _revisions(state: AdvertisedState) -> tuple[tuple[str | int, ...], ...]:
-    """Sources, identities and revisions, without the states."""
+    """Returns the sources with their identities and revisions, without the source states."""
     return tuple(position[:3] for position in state.sources)
--- a/balancer/core/cluster/partition_detector.py
+++ b/balancer/core/cluster/partition_detector.py
@@ -1,13 +1,13 @@
-"""Detects network partitions: what this node cannot reach, whether others can, and what follows from it.
+"""Detects network partitions from targets that this node cannot reach and the states of reachable peers.
 
-Silence alone does not tell a partition from a failure. What the reachable peers advertise does: if they reach
-discovery or a zone that this node cannot, the network path is at fault (`Verdict.PARTITIONED`), else the
-target is (`TARGET_DOWN`). Without reachable peers, or where the peers themselves are silent, the verdict is
-`UNKNOWN`.
+Silence alone does not distinguish a partition from a failure, but the states that reachable peers advertise
+do. If peers reach discovery or a zone that this node cannot reach, the network path is at fault
+(`Verdict.PARTITIONED`); otherwise the target is (`TARGET_DOWN`). If no peers are reachable, or if the peers
+themselves are silent, the verdict is `UNKNOWN`.
 
-`CONSEQUENCES` lists what each scope means for leases and for gossiped removals. Serving goes on in all of
-them, and none of them raises a quota (`quota_allocation`). Hysteresis makes one partition of one that comes
-and goes.
+`CONSEQUENCES` lists the effect of each scope on leases and on gossiped removals. The node continues to serve
+requests in every scope, and no scope raises a quota (`quota_allocation`). Hysteresis treats an intermittent
+partition as a single one.
 """
 
 from __future__ import annotations
@@ -25,17 +25,17 @@
 
 PARTITION_BEGIN_MS = 500.0
 PARTITION_END_MS = 1_500.0
-LOST_AFTER_SUSPECT_MS = 1_500.0  # in large clusters a suspicion takes longer than this to become a failure
+LOST_AFTER_SUSPECT_MS = 1_500.0  # shorter than the time from suspicion to failure in large clusters
 SILENT_ZONE_RATIO = 0.8  # of a zone's backends, for the zone to count as silent
 SILENT_ZONE_MIN_BACKENDS = 2  # one silent backend is no evidence against its zone
-MAX_REASON_NAMES = 8  # peers named in a reason
-MAX_ZONES = 64  # examined, in order of their names
+MAX_REASON_NAMES = 8  # peers listed in a reason
+MAX_ZONES = 64  # zones examined, in order of their names
 
 
 class PartitionScope(Enum):
-    """What a node is partitioned from.
+    """The targets that a node is partitioned from.
 
-    EVERYTHING is reported in addition to ALL_PEERS, DISCOVERY and ALL_BACKENDS where these hold together.
+    EVERYTHING is reported in addition to ALL_PEERS, DISCOVERY and ALL_BACKENDS when all three hold.
     """
 
     SOME_PEERS = "some peers"
@@ -47,7 +47,7 @@
 
 
 class Verdict(Enum):
-    """Whether the network path or the target is at fault, by what the peers advertise."""
+    """Whether the network path or the target is at fault, according to the states of the peers."""
 
     PARTITIONED = "cut off: others reach it"
     TARGET_DOWN = "away: no peer reaches it either"
@@ -55,7 +55,7 @@
 
 
 class LeasePolicy(Enum):
-    """What becomes of a lease or leadership that this node holds, in order of strictness."""
+    """The effect of a partition on a lease or leadership that this node holds, in order of strictness."""
 
     KEEP = "goes on"
     REQUIRE_MAJORITY = "goes on where more than half of those known are here"
@@ -66,7 +66,7 @@
 
 
 class PartitionConsequences(NamedTuple):
-    """What a partition means for this node."""
+    """The effects of a partition on this node."""
 
     lease_policy: LeasePolicy
     accepts_gossiped_removals: bool  # drains and removals that peers report (`gossiped_removals`)
@@ -84,14 +84,14 @@
 
 
 class BackendCounts(NamedTuple):
-    """Backends of a zone that discovery lists as up, and how many of them do not respond to this node."""
+    """The number of a zone's backends that discovery lists as up, and how many of them do not respond."""
 
     up: int
     silent: int
 
 
 class PeerReachability(NamedTuple):
-    """How many peers are reachable, and the names of those that are lost."""
+    """The number of reachable peers, and the names of the lost ones."""
 
     reachable_count: int
     lost: tuple[str, ...]
@@ -99,10 +99,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Evidence:
-    """What this node observes in one gossip interval.
+    """The observations of this node in one gossip interval.
 
-    `is_discovery_in_sync` holds if any own source is in sync. `peer_states` are those of the reachable peers.
-    While `is_in_doubt`, this node has stalled and not yet heard from its peers again: silence means nothing.
+    `is_discovery_in_sync` is set if any own source is in sync. `peer_states` are those of the reachable
+    peers. `is_in_doubt` is set after this node has stalled and until it has heard from its peers again;
+    until then, silence is no evidence.
     """
 
     reachable_peer_count: int
@@ -125,7 +126,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PartitionHealed:
-    """A partition has not been seen for PARTITION_END_MS."""
+    """A partition has not been observed for PARTITION_END_MS."""
 
     scope: PartitionScope
     zone: str
@@ -133,26 +134,26 @@
 
 
 class PartitionKey(NamedTuple):
-    """Identifies a partition; `zone` is empty but for BACKEND_ZONE."""
+    """Identifies a partition; `zone` is empty except for BACKEND_ZONE."""
 
     scope: PartitionScope
     zone: str = ""
 
 
 class Finding(NamedTuple):
-    """What the last evidence says of a partition."""
+    """The verdict on a partition by the latest evidence, and its reason."""
 
     verdict: Verdict
     reason: str
 
 
 def zone_id(zone: str) -> int:
-    """The 16-bit number by which a node advertises the zone that it cannot reach; never 0."""
+    """Returns the 16-bit number by which a node advertises a zone that it cannot reach; never 0."""
     return zlib.crc32(zone.encode()) % 65_535 + 1
 
 
 class PartitionDetector:
-    """`partitions` holds those that have begun and not healed, with the finding of the last evidence."""
+    """Tracks partitions; `partitions` maps those that have begun and not healed to their latest finding."""
 
     def __init__(self) -> None:
         self.partitions: dict[PartitionKey, Finding] = {}
@@ -165,7 +166,10 @@
 
     @property
     def consequences(self) -> PartitionConsequences:
-        """Of all partitions together: the strictest lease policy; gossip only if a peer is reachable."""
+        """The combined effects of all partitions.
+
+        The strictest lease policy applies, and gossiped removals are accepted only if a peer is reachable.
+        """
         rows = [CONSEQUENCES[scope] for scope, _ in self.partitions] or [NOT_PARTITIONED]
         is_isolated = (
             PartitionKey(PartitionScope.ALL_PEERS) in self.partitions
@@ -178,7 +182,7 @@
 
     @property
     def may_hold_leases(self) -> bool:
-        """Whether this node may go on as leader or lease holder; to be checked before each action."""
+        """Whether this node may remain leader or lease holder; callers check it before each action."""
         match self.consequences.lease_policy:
             case LeasePolicy.KEEP:
                 return True
@@ -188,11 +192,11 @@
                 return False
 
     def handle(self, now_ms: float, evidence: Evidence) -> list[PartitionBegan | PartitionHealed]:
-        """Update the partitions; returns those that healed, then those that began."""
+        """Updates the partitions; returns those that healed, then those that began."""
         if evidence.is_in_doubt:
             return []
-        here_count = evidence.reachable_peer_count + 1
-        self.has_majority = 2 * here_count > here_count + len(evidence.lost_peers)
+        reachable_node_count = evidence.reachable_peer_count + 1
+        self.has_majority = 2 * reachable_node_count > reachable_node_count + len(evidence.lost_peers)
         found = _find_partitions(evidence)
         active_since_ms = dict(self._hysteresis.active_since_ms)
         began, ended = self._hysteresis.update(now_ms, found)
@@ -205,7 +209,10 @@
 
 
 def classify_peers(detector: FailureDetector, now_ms: float) -> PeerReachability:
-    """Which peers are lost: failed, or suspect for LOST_AFTER_SUSPECT_MS. Those that left do not count."""
+    """Classifies peers as lost if they failed or were suspect for LOST_AFTER_SUSPECT_MS.
+
+    Peers that left count neither as reachable nor as lost.
+    """
     lost = tuple(
         name
         for name, peer in detector.peers.items()
@@ -227,18 +234,18 @@
             reaching_count, len(evidence.peer_states), "no source in sync"
         )
     found |= _find_backend_partitions(evidence)
-    parts = [
+    component_keys = [
         PartitionKey(scope)
         for scope in (PartitionScope.ALL_PEERS, PartitionScope.DISCOVERY, PartitionScope.ALL_BACKENDS)
     ]
-    if all(key in found for key in parts):
-        reason = "; ".join(found[key].reason for key in parts)
+    if all(key in found for key in component_keys):
+        reason = "; ".join(found[key].reason for key in component_keys)
         found[PartitionKey(PartitionScope.EVERYTHING)] = Finding(Verdict.UNKNOWN, reason)
     return found
 
 
 def _find_backend_partitions(evidence: Evidence) -> dict[PartitionKey, Finding]:
-    """All backends if every zone that has any is silent, else each silent zone."""
+    """Returns ALL_BACKENDS if every zone with backends is silent, otherwise each silent zone."""
     peer_count = len(evidence.peer_states)
     silent_zones = [
         zone
@@ -264,11 +271,11 @@
     lost = evidence.lost_peers
     names = ", ".join(lost[:MAX_REASON_NAMES]) + (" and others" if len(lost) > MAX_REASON_NAMES else "")
     peer_count = len(lost) + evidence.reachable_peer_count
-    return f"{len(lost)} of {peer_count} peers silent ({names}): ended, or cut off from here"
+    return f"{len(lost)} of {peer_count} peers silent ({names}): failed, or unreachable from here"
 
 
-def _finding(reaching_count: int, asked_count: int, observation: str) -> Finding:
-    if not asked_count:
+def _finding(reaching_count: int, peer_count: int, observation: str) -> Finding:
+    if not peer_count:
         return Finding(Verdict.UNKNOWN, f"{observation}; no peer to ask")
     verdict = Verdict.PARTITIONED if reaching_count else Verdict.TARGET_DOWN
-    return Finding(verdict, f"{observation}; {reaching_count} of {asked_count} peers reach it")
+    return Finding(verdict, f"{observation}; {reaching_count} of {peer_count} peers reach it")
--- a/balancer/core/cluster/report.py
+++ b/balancer/core/cluster/report.py
@@ -1,8 +1,8 @@
-"""Reports of the cluster: the answer to `balancer peers` and what of it is gossiped.
+"""Builds the report of the cluster that answers `balancer peers`.
 
-The keys and values of the answer are read by operators' programs, so the words of the field differ from some
-of them: `goes_by` is the advertised node state, `cut` the network partitions, `disagreements` the divergences
-of configuration, `taken` the accepted removals, `nodes` the quota.
+Operators' programs read the keys and values of the report, so they keep these names: `goes_by` holds the
+advertised node state, `cut` the network partitions, `disagreements` the configuration divergences, `taken`
+the accepted removals, and `nodes` the quota.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
 from balancer.core.discovery.source_state import SourceState
 from balancer.core.recovery import RecoveryState
 
-MAX_REPORTED_REMOVALS = 64  # more would not fit an operator's screen
-# States are gossiped as their places in these lists.
+MAX_REPORTED_REMOVALS = 64  # more would not fit on an operator's screen
+# States are gossiped as indices into these lists.
 RECOVERY_STATE_NAMES = [state.value for state in RecoveryState]
 SOURCE_STATE_NAMES = [state.value for state in SourceState]
 
 
 class PeerReport(TypedDict):
-    """One peer; `since` is the time of its state in ms."""
+    """One peer; `since` is the time in ms since when it has been in its state."""
 
     name: str
     address: str
@@ -38,7 +38,7 @@
 
 
 class PartitionReport(TypedDict):
-    """What this node is partitioned from."""
+    """A partition of this node from other nodes, discovery or backends."""
 
     of: str
     zone: str
@@ -47,7 +47,7 @@
 
 
 class DivergenceReport(TypedDict):
-    """A configuration in which nodes differ; `names` are of the minority."""
+    """A configuration divergence; `names` are those of the nodes in the minority."""
 
     what: str
     of: str
@@ -56,7 +56,7 @@
 
 
 class RemovalReport(TypedDict):
-    """An endpoint that is drained or removed by the gossip of peers."""
+    """An endpoint that is drained or removed because peers reported it by gossip."""
 
     source: str
     server: str
@@ -67,10 +67,10 @@
 def peers_report(
     detector: FailureDetector | None, name: str, gossiped: Mapping[str, Any] | None = None
 ) -> dict[str, Any]:
-    """This node and all known peers by name.
+    """Returns the report of this node and of all known peers, sorted by name.
 
-    `detector` is None while this node does not speak yet, `gossiped` (`gossip_report`) while it takes no part
-    in the gossip.
+    `detector` is None until the failure detector has started. `gossiped` is the result of `gossip_report`,
+    or None while this node does not take part in the gossip.
     """
     states_by_name = {} if gossiped is None else gossiped["goes_by"]
     peers = {} if detector is None else detector.peers
@@ -119,7 +119,7 @@
 
 
 def gossip_report(coordinator: GossipCoordinator, quota: SetQuota | None) -> dict[str, Any]:
-    """What `peers_report` needs of the gossip; `quota` is what limits would be divided by."""
+    """Returns the gossiped data for `peers_report`; `quota` holds the divisor of global limits."""
     states = coordinator.node_states.states
     return {
         "goes_by": {name: node_state_report(state) for name, state in states.items()},
@@ -143,8 +143,8 @@
     for key in coordinator.node_states.divergence_hysteresis.active_since_ms:
         kind, subject = key
         divergence = divergences.get(key)
-        if divergence is None:  # over, but not for long enough yet
-            names, reason = [], "not seen any more"
+        if divergence is None:  # no longer observed, but not yet long enough to end
+            names, reason = [], "no longer observed"
         else:
             names, reason = sorted(divergence.node_names), divergence.reason
         reports.append({"what": kind, "of": subject, "names": names, "why": reason})
@@ -160,7 +160,7 @@
 
 
 def node_state_report(state: AdvertisedState) -> dict[str, Any]:
-    """What a node advertises of itself; revisions by source, digests in hexadecimal."""
+    """Returns a node's advertised state, with revisions by source and digests in hexadecimal."""
     settings_digest, operators_digest = state.settings_digests
     return {
         "number": state.node_index,
@@ -181,7 +181,7 @@
 
 
 def _name_at(names: list[str], index: int) -> str:
-    """The name of a gossiped state; its number if only a later version knows it."""
+    """Returns the name of a gossiped state, or its number if only a later program version knows it."""
     return names[index] if index < len(names) else str(index)
 
 
@@ -190,7 +190,7 @@
 
 
 def count_by_state(detector: FailureDetector | None) -> dict[str, float]:
-    """How many peers are in each state."""
+    """Returns the number of peers in each state."""
     counts = {state.name.lower(): 0.0 for state in PeerState}
     if detector is not None:
         for peer in detector.peers.values():
@@ -199,5 +199,5 @@
 
 
 def printable(text: str) -> str:
-    """Text from other nodes without control characters, which a terminal would obey."""
+    """Replaces unprintable characters in text from other nodes, which a terminal could interpret."""
     return "".join(character if character.isprintable() else "?" for character in text)
--- a/balancer/core/cluster/section_codec.py
+++ b/balancer/core/cluster/section_codec.py
@@ -1,4 +1,4 @@
-"""The interface of the codec for gossip sections, which the core receives from its caller."""
+"""Defines the interface of the gossip section codec, which the caller passes to the core."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 class SectionCodec(Protocol):
-    """The functions of `protocol/gossip_sections`, which this package may not import.
+    """The functions of `protocol/gossip_sections`, which this package must not import.
 
-    A decoder returns None for data that is malformed.
+    A decoder returns None if the data is malformed.
     """
 
     NODE_STATE: int
--- a/balancer/net/cluster.py
+++ b/balancer/net/cluster.py
@@ -40,7 +40,9 @@
 
 ROUND_INTERVAL_S = GOSSIP_INTERVAL_MS / 1000  # between two rounds of gossip
 LISTEN_RETRY_INTERVAL_S = 2.0  # until an address in use is tried again
-WARNING_CHANGES = frozenset({PeerChange.FAILED, PeerChange.DOUBLED, PeerChange.YIELDED, PeerChange.FULL})
+WARNING_CHANGES = frozenset(
+    {PeerChange.FAILED, PeerChange.NAME_CONFLICT, PeerChange.NAME_YIELDED, PeerChange.TABLE_FULL}
+)
 # Only on the time line at the default level: the log has a bound for all of the node.
 DEBUG_CHANGES = frozenset({PeerChange.JOINED, PeerChange.SUSPECTED})
 MIN_STALL_MS = 0.001  # has the stall detector use its least: a suspicion may last 0.6 s
--- a/tests/core/cluster/failure_detector/test_virtual_clusters.py
+++ b/tests/core/cluster/failure_detector/test_virtual_clusters.py
@@ -61,7 +61,7 @@
     net.run(1_000)
     left_out = net.nodes[net.address("n5")]
     peer = left_out.peers["n9"]
-    left_out.members.bury(0, peer)
+    left_out.members.move_to_tombstones(0, peer)
     left_out.members.forget("n9")
     left_out.broadcasts.clear()
     for other in net.nodes.values():
--- a/tests/core/cluster/test_gossiped_removals.py
+++ b/tests/core/cluster/test_gossiped_removals.py
@@ -250,7 +250,7 @@
         report(removals, turn, "bc", f"server-{turn}", revision=9 + turn)
         removals.handle(turn, SourceAdvanced("platform", ORDER, 9 + turn, False))
         resets += [a for a in removals.handle(turn, INTERVAL) if isinstance(a, ResetGossipSource)]
-    assert len(resets) == 2 and not removals._listed
+    assert len(resets) == 2 and not removals._listed_records
     report(removals, 9, "bc", "server-1", revision=99)
     (first, *_) = (action for action in removals._actions if isinstance(action, EndpointsListed))
     assert first.endpoint_list.is_complete  # the source begins anew
