--- a/tests/core/cluster/failure_detector/support.py
+++ b/tests/core/cluster/failure_detector/support.py
@@ -1,4 +1,4 @@
-"""Set-up of the tests of the failure detector: a detector, its events and its timers."""
+"""Helpers for the failure detector tests: creates a detector, delivers datagrams and fires timers."""
 
 from __future__ import annotations
 
@@ -58,13 +58,13 @@
 
 
 def run_timers(detector: FailureDetector, start_ms: float, end_ms: float) -> list[events.Action]:
-    """Fire each timer that the detector sets; returns all actions."""
-    done, now_ms = [], start_ms
+    """Fires each timer that the detector sets; returns all actions."""
+    all_actions, now_ms = [], start_ms
     while now_ms <= end_ms:
         actions = detector.handle(now_ms, TimerFired())
-        done += actions
+        all_actions += actions
         now_ms = max(now_ms + 0.001, next(a.at_ms for a in reversed(actions) if isinstance(a, SetTimer)))
-    return done
+    return all_actions
 
 
 def changes(actions: list[events.Action]) -> list[tuple[str, str]]:
--- a/tests/core/cluster/failure_detector/test_record_merger.py
+++ b/tests/core/cluster/failure_detector/test_record_merger.py
@@ -1,4 +1,4 @@
-"""Merging of records: laws of the order, and what any message may do to the tables."""
+"""Tests of merging records: the laws of the order, and the bounds that hold for any message."""
 
 from __future__ import annotations
 
@@ -92,13 +92,21 @@
     st.booleans(),
 )
 def test_any_message_raises_nothing_and_every_answer_fits_a_datagram(
-    kind: int, seq: int, target: str, address: str, words: list[MemberRecord], its: int, fresh: bool
+    kind: int,
+    sequence: int,
+    target: str,
+    address: str,
+    records: list[MemberRecord],
+    incarnation: int,
+    is_current: bool,
 ) -> None:
     detector, writer = detector_of(), gossip.Writer("a", [gossip.Key(bytes(32))])
     detector.handle(0, Started())
     for sender, source in (("b", B), ("c", B), ("a", D)):
-        said = DatagramReceived(sender, its, source, Message(kind, seq, target, address, words), fresh)
-        for action in detector.handle(1, said) + run_timers(detector, 1, 500):
+        datagram = DatagramReceived(
+            sender, incarnation, source, Message(kind, sequence, target, address, records), is_current
+        )
+        for action in detector.handle(1, datagram) + run_timers(detector, 1, 500):
             if isinstance(action, SendDatagram):
                 assert len(writer.write(action.incarnation, action.message)) <= gossip.MAX_DATAGRAM_BYTES
 
@@ -106,17 +114,17 @@
 def test_many_peers_failures_and_relayed_probes_keep_tables_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     for name in ("MAX_PEERS", "MAX_TOMBSTONES", "MAX_RELAYED_PROBES"):
         monkeypatch.setattr(parameters, name, 5)
-    detector, seen = detector_of(), []
+    detector, actions = detector_of(), []
     for number in range(40):
-        word = MemberRecord(f"x{number}", number % 2 * 2, 1, f"10.1.0.{number}:1")
-        seen += receive(detector, 0, "b", B, word)
+        record = MemberRecord(f"x{number}", number % 2 * 2, 1, f"10.1.0.{number}:1")
+        actions += receive(detector, 0, "b", B, record)
         detector.handle(0, DatagramReceived("b", 1, B, Message(MessageKind.PING_REQ, number, "c", C, ())))
     assert (
         len(detector.members.ring) == 5
         and len(detector.members.tombstones) == 5
         and len(detector.prober.relayed) == 5
     )
-    assert len(detector.peers) == 10 and changes(seen).count(("full", "x8")) == 1
+    assert len(detector.peers) == 10 and changes(actions).count(("full", "x8")) == 1
     detector.handle(0, Started())
     run_timers(detector, 0, parameters.TOMBSTONE_RETENTION_MS + 60_000)
-    assert not detector.peers  # forgotten in the end
+    assert not detector.peers  # all tombstones have expired
--- a/tests/core/cluster/failure_detector/test_suspicion.py
+++ b/tests/core/cluster/failure_detector/test_suspicion.py
@@ -1,4 +1,4 @@
-"""Suspicion and its dissemination, stalls and local health."""
+"""Tests of suspicions and their dissemination, stalls and local health."""
 
 from __future__ import annotations
 
@@ -39,23 +39,23 @@
     )
 
 
-def test_stalled_node_fails_nobody_before_it_heard_others() -> None:
+def test_stalled_node_declares_no_peer_failed_before_it_heard_others() -> None:
     detector = detector_of()
     detector.handle(0, Started())
-    for name, at in (("b", B), ("c", C), ("d", D)):
-        receive(detector, 0, name, at)
+    for name, address in (("b", B), ("c", C), ("d", D)):
+        receive(detector, 0, name, address)
     receive(detector, 0, "d", D, MemberRecord("b", PeerState.SUSPECT, 1, B, 5))
     detector.handle(60_000, ProcessStalled(60_000))
-    for name, at in (("b", B), ("c", C), ("d", D)):
-        receive(detector, 60_001, name, at)  # waited in the socket
-    assert not [tell for tell in changes(run_timers(detector, 60_002, 90_000)) if tell[0] == "failed"]
-    for name, at in (("b", B), ("c", C), ("d", D)):
-        receive(detector, 90_000, name, at, incarnation=2)
+    for name, address in (("b", B), ("c", C), ("d", D)):
+        receive(detector, 60_001, name, address)  # these datagrams waited in the socket
+    assert not [change for change in changes(run_timers(detector, 60_002, 90_000)) if change[0] == "failed"]
+    for name, address in (("b", B), ("c", C), ("d", D)):
+        receive(detector, 90_000, name, address, incarnation=2)
     assert detector.heard_since_stall is None
     assert ("failed", "c") in changes(run_timers(detector, 90_000, 100_000))
 
 
-def test_gossiped_failure_of_peer_heard_just_now_is_a_suspicion() -> None:
+def test_gossiped_failure_of_recently_heard_peer_is_a_suspicion() -> None:
     detector = detector_of()
     receive(detector, 0, "b", B)
     receive(detector, 100, "c", C, MemberRecord("b", PeerState.FAILED, 1, B))
@@ -64,10 +64,10 @@
     assert detector.state_of("b") is PeerState.FAILED
 
 
-def test_datagram_begins_with_the_claim_against_its_recipient() -> None:
+def test_datagram_to_a_suspect_starts_with_the_claim_against_it() -> None:
     detector = detector_of()
-    words = [MemberRecord(f"x{number}", PeerState.ALIVE, 1, f"10.1.0.{number}:1") for number in range(30)]
-    receive(detector, 0, "b", B, *words, MemberRecord("c", PeerState.SUSPECT, 1, C, 4))
+    records = [MemberRecord(f"x{number}", PeerState.ALIVE, 1, f"10.1.0.{number}:1") for number in range(30)]
+    receive(detector, 0, "b", B, *records, MemberRecord("c", PeerState.SUSPECT, 1, C, 4))
     for kind in (MessageKind.PING, MessageKind.MEMBERS_REQUEST):
         target = "a" if kind == MessageKind.PING else ""
         actions = detector.handle(1, DatagramReceived("c", 1, C, Message(kind, 0, target, "", ())))
@@ -75,52 +75,63 @@
         assert sent[0].message.records[0][:3] == ("c", PeerState.SUSPECT, 1)
 
 
-def test_suspicion_is_gossiped_at_once_to_the_suspect_and_few_others() -> None:
+def test_suspicion_is_gossiped_immediately_to_the_suspect_and_few_others() -> None:
     detector = detector_of()
     for number in range(30):
         receive(detector, 0, f"x{number}", f"10.1.0.{number}:1")
     sent = []
     for number in range(20):
-        word = MemberRecord(f"x{number}", PeerState.SUSPECT, 1, f"10.1.0.{number}:1", 5)
-        actions = (a for a in receive(detector, 1, "b", B, word) if isinstance(a, SendDatagram))
-        told = [action for action in actions if action.message.kind == MessageKind.GOSSIP]
-        assert number or {"10.1.0.0:1"} < {action.address for action in told}
-        sent += told
+        record = MemberRecord(f"x{number}", PeerState.SUSPECT, 1, f"10.1.0.{number}:1", 5)
+        actions = (a for a in receive(detector, 1, "b", B, record) if isinstance(a, SendDatagram))
+        gossiped = [action for action in actions if action.message.kind == MessageKind.GOSSIP]
+        assert number or {"10.1.0.0:1"} < {action.address for action in gossiped}
+        sent += gossiped
     assert len(sent) == parameters.MAX_IMMEDIATE_GOSSIP_PER_INTERVAL  # until the next period
 
 
 def test_suspicion_with_more_accusers_ends_sooner() -> None:
-    """The same accuser does not count twice."""
-    ends = []
+    """Repeated claims by the same accuser count once."""
+    end_times_ms = []
     for accusers in ((5,), (5, 5, 5, 5), (5, 6), (5, 6, 7, 8)):
         detector = detector_of()
         detector.handle(0, Started())
         for number in range(9):
             receive(detector, 0, f"x{number}", f"10.1.0.{number}:1")
-        for by in accusers:
+        for accuser_id in accusers:
             receive(
-                detector, 0, "x1", "10.1.0.1:1", MemberRecord("x0", PeerState.SUSPECT, 1, "10.1.0.0:1", by)
+                detector,
+                0,
+                "x1",
+                "10.1.0.1:1",
+                MemberRecord("x0", PeerState.SUSPECT, 1, "10.1.0.0:1", accuser_id),
             )
-        wake = 0.0
+        timer_ms = 0.0
         while detector.state_of("x0") is PeerState.SUSPECT:
-            actions = detector.handle(wake, TimerFired())
-            wake = max(wake + 1, next(a.at_ms for a in reversed(actions) if isinstance(a, SetTimer)))
-        ends.append(wake)
-    assert ends[0] == pytest.approx(ends[1], abs=5) and ends[1] > ends[2] + 50 > ends[3] + 100
+            actions = detector.handle(timer_ms, TimerFired())
+            timer_ms = max(timer_ms + 1, next(a.at_ms for a in reversed(actions) if isinstance(a, SetTimer)))
+        end_times_ms.append(timer_ms)
+    assert (
+        end_times_ms[0] == pytest.approx(end_times_ms[1], abs=5)
+        and end_times_ms[1] > end_times_ms[2] + 50 > end_times_ms[3] + 100
+    )
 
 
 def test_missing_nacks_lower_local_health_and_nacks_restore_it() -> None:
-    health = []
-    for well in (False, True):
+    scores = []
+    for has_nacks in (False, True):
         detector = detector_of()
         detector.handle(0, Started())
         for number in range(9):
             receive(detector, 0, f"x{number}", f"10.1.0.{number}:1")
         for turn in range(1, 30):
             for action in detector.handle(turn * 40, TimerFired()):
-                if isinstance(action, SendDatagram) and action.message.kind == MessageKind.PING_REQ and well:
+                if (
+                    isinstance(action, SendDatagram)
+                    and action.message.kind == MessageKind.PING_REQ
+                    and has_nacks
+                ):
                     helper = f"x{action.address.split('.')[3].split(':')[0]}"
                     nack = Message(MessageKind.NACK, action.message.sequence, "", "", ())
                     detector.handle(turn * 40 + 20, DatagramReceived(helper, 1, action.address, nack))
-        health.append(detector.local_health)
-    assert health == [parameters.MAX_LOCAL_HEALTH, 0]
+        scores.append(detector.local_health)
+    assert scores == [parameters.MAX_LOCAL_HEALTH, 0]
--- a/tests/core/cluster/failure_detector/test_virtual_clusters.py
+++ b/tests/core/cluster/failure_detector/test_virtual_clusters.py
@@ -1,4 +1,4 @@
-"""Clusters in virtual time: failures, partitions, loss and cost."""
+"""Tests of clusters in virtual time: failures, partitions, datagram loss and cost."""
 
 from __future__ import annotations
 
@@ -17,34 +17,34 @@
 
 
 @pytest.mark.parametrize("loss", [0.0, 0.3])
-def test_dead_node_is_failed_at_all_others_and_nobody_else_is(loss: float) -> None:
+def test_dead_node_is_the_only_one_declared_failed_by_all_others(loss: float) -> None:
     net = Net(20, 2, loss)
     net.run(3_000)
     del net.nodes[net.address("n7")]
     net.run(12_000)
-    assert {n.state_of("n7") for n in net.nodes.values()} == {PeerState.FAILED}
-    assert {tell.name for _, _, tell in net.told if tell.change == "failed"} <= {"n7"}
+    assert {node.state_of("n7") for node in net.nodes.values()} == {PeerState.FAILED}
+    assert {action.name for _, _, action in net.told if action.change == "failed"} <= {"n7"}
     assert net.largest <= gossip.MAX_DATAGRAM_BYTES
 
 
 def test_partition_heals_and_dead_seeds_do_not_prevent_a_join() -> None:
     net = Net(10, 3)
     for node in net.nodes.values():
-        node.set_seeds([])  # seeds on the other side would heal the partition, too
-    side = {address: number < 4 for number, address in enumerate(net.nodes)}
-    net.cut = lambda one, other: side.get(one) != side.get(other)
+        node.set_seeds([])  # seeds on the other side would also heal the partition
+    is_on_first_side = {address: number < 4 for number, address in enumerate(net.nodes)}
+    net.cut = lambda sender, receiver: is_on_first_side.get(sender) != is_on_first_side.get(receiver)
     net.run(20_000)
     assert not is_complete(net)
     net.add("n10", ["10.0.7.7:1", "10.0.7.8:1", net.address("n2")], None)
-    side[net.address("n10")] = True
+    is_on_first_side[net.address("n10")] = True
     net.do(net.address("n10"), Started())
     net.run(25_000)
-    net.cut = lambda one, other: False
+    net.cut = lambda sender, receiver: False
     net.run(30_000)
     assert is_complete(net)
 
 
-def test_datagrams_a_period_do_not_grow_with_the_cluster() -> None:
+def test_datagrams_per_period_do_not_grow_with_the_cluster() -> None:
     rates = []
     for size in (20, 80):
         net = Net(size, 1)
@@ -56,7 +56,10 @@
 
 
 def test_record_lost_everywhere_is_gossiped_again() -> None:
-    """All nodes have sent the record often enough, and one has never received it."""
+    """Guards against a node that never learns of a peer.
+
+    All nodes have reached the transmit limit of the peer's record, and one node has not received it.
+    """
     net = Net(12, 4)
     net.run(1_000)
     left_out = net.nodes[net.address("n5")]
@@ -66,11 +69,11 @@
     left_out.broadcasts.clear()
     for other in net.nodes.values():
         other.broadcasts.clear()
-    del net.nodes[net.address("n9")].peers["n5"]  # n9 itself is not to tell it
+    del net.nodes[net.address("n9")].peers["n5"]  # n9 must not contact n5 itself
     net.nodes[net.address("n9")].members.ring.remove("n5")
     net.nodes[net.address("n9")].members.probed_count = 0
-    for at, name in enumerate(net.nodes[net.address("n9")].members.ring):
-        net.nodes[net.address("n9")].peers[name].ring_index = at
-    net.cut = lambda one, other: {one, other} == {net.address("n5"), net.address("n9")}
+    for index, name in enumerate(net.nodes[net.address("n9")].members.ring):
+        net.nodes[net.address("n9")].peers[name].ring_index = index
+    net.cut = lambda sender, receiver: {sender, receiver} == {net.address("n5"), net.address("n9")}
     net.run(5_000)
     assert left_out.state_of("n9") is not None
