--- a/balancer/core/cluster/failure_detector/members.py
+++ b/balancer/core/cluster/failure_detector/members.py
@@ -20,7 +20,7 @@
         self.record = record
         self.state_since_ms = now_ms
         self.last_heard_ms = float("-inf")
-        self.ring_index = -1  # -1: not in the ring
+        self.ring_index = -1  # not in the ring
         self.accuser_ids: set[int] = set()  # at most MAX_SUSPICION_CONFIRMATIONS + 1
 
     @property
--- a/balancer/core/cluster/failure_detector/own_node.py
+++ b/balancer/core/cluster/failure_detector/own_node.py
@@ -121,15 +121,15 @@
         if self.has_yielded_name:
             self.incarnation = record.incarnation  # this node resumes above it
             return
-        times_ms = self._conflict_times_ms
-        if times_ms and now_ms - times_ms[-1] > parameters.NAME_CONFLICT_WINDOW_MS:
-            times_ms.clear()
-        times_ms.append(now_ms)
-        if len(times_ms) == parameters.NAME_CONFLICTS_TO_YIELD - 1:
+        conflict_times_ms = self._conflict_times_ms
+        if conflict_times_ms and now_ms - conflict_times_ms[-1] > parameters.NAME_CONFLICT_WINDOW_MS:
+            conflict_times_ms.clear()
+        conflict_times_ms.append(now_ms)
+        if len(conflict_times_ms) == parameters.NAME_CONFLICTS_TO_YIELD - 1:
             self.conflicting_address = record.address
             self._notify(PeerChange.NAME_CONFLICT, f"here at {self.address} and at {record.address}")
-        if len(times_ms) >= parameters.NAME_CONFLICTS_TO_YIELD:
-            del times_ms[: -parameters.NAME_CONFLICTS_TO_YIELD]
+        if len(conflict_times_ms) >= parameters.NAME_CONFLICTS_TO_YIELD:
+            del conflict_times_ms[: -parameters.NAME_CONFLICTS_TO_YIELD]
             if self.address > record.address:
                 self.has_yielded_name = True
                 self._notify(PeerChange.NAME_YIELDED, f"to the node at {record.address}")
--- a/balancer/core/cluster/failure_detector/suspicion.py
+++ b/balancer/core/cluster/failure_detector/suspicion.py
@@ -38,7 +38,7 @@
         self._local_health = local_health
         self._options = options
 
-    def timeout_ms(self, confirmations: int) -> float:
+    def timeout_ms(self, confirmation_count: int) -> float:
         """Returns the duration of a suspicion for a number of other accusers (Lifeguard, section IV-B)."""
         node_count = len(self._members.ring) + 1
         min_periods = parameters.SUSPICION_MULTIPLIER * max(1.0, log10(node_count))
@@ -48,7 +48,7 @@
             return min_timeout_ms
         multiplier = parameters.MAX_SUSPICION_MULTIPLIER
         range_ms = (multiplier - 1) * min_timeout_ms
-        shortening_ms = range_ms * log(confirmations + 1) / log(max_confirmations + 1)
+        shortening_ms = range_ms * log(confirmation_count + 1) / log(max_confirmations + 1)
         return max(min_timeout_ms, multiplier * min_timeout_ms - shortening_ms)
 
     def confirm(self, now_ms: float, peer: Peer, record: MemberRecord) -> None:
--- a/balancer/core/cluster/failure_detector/timers.py
+++ b/balancer/core/cluster/failure_detector/timers.py
@@ -40,7 +40,7 @@
 
     def __init__(self) -> None:
         self._heap: list[tuple[float, int, Timer]] = []
-        self._count = 0  # timers set so far, which keeps the order of equal times
+        self._set_count = 0  # timers set so far, which keeps the order of equal times
 
     @property
     def next_at_ms(self) -> float | None:
@@ -49,8 +49,8 @@
 
     def set(self, at_ms: float, timer: Timer) -> None:
         """Sets a timer that fires at the given time."""
-        self._count += 1
-        heappush(self._heap, (at_ms, self._count, timer))
+        self._set_count += 1
+        heappush(self._heap, (at_ms, self._set_count, timer))
 
     def pop_due(self, now_ms: float) -> Timer | None:
         """Removes and returns the earliest timer that is due, or None if there is none."""
--- a/balancer/core/cluster/gossiped_removals.py
+++ b/balancer/core/cluster/gossiped_removals.py
@@ -333,7 +333,7 @@
 
     def _accept_claims(self, synced_peer_count: int) -> None:
         up_count = len(self.accepted)
-        if len(self.claims) > up_count:  # otherwise every claim is accepted and the count is not needed
+        if len(self.claims) > up_count:  # otherwise all claims are accepted already
             up_count += sum(record.endpoint.phase is Phase.UP for record in self._endpoints.values())
         for key, reports in self.claims.items():
             if key in self.accepted or key.endpoint_id not in self._endpoints:
@@ -367,8 +367,8 @@
     def _has_majority(self, source: str, reporter_count: int, synced_peer_count: int) -> bool:
         """Whether more than half of the nodes that are connected to discovery report a removal.
 
-        This node is included in the number of nodes. At least two reporters are required, and
-        MAX_REPORTERS_PER_CLAIM suffice, since no more are recorded.
+        This node counts as one of these nodes if its own source is in sync. At least two reporters are
+        required, and MAX_REPORTERS_PER_CLAIM suffice, since no more are recorded.
         """
         synced_node_count = synced_peer_count + self.sources[source].is_in_sync
         return reporter_count >= 2 and 2 * reporter_count > min(
--- a/balancer/core/cluster/partition_detector.py
+++ b/balancer/core/cluster/partition_detector.py
@@ -170,14 +170,14 @@
 
         The strictest lease policy applies, and gossiped removals are accepted only if a peer is reachable.
         """
-        rows = [CONSEQUENCES[scope] for scope, _ in self.partitions] or [NOT_PARTITIONED]
+        all_consequences = [CONSEQUENCES[scope] for scope, _ in self.partitions] or [NOT_PARTITIONED]
         is_isolated = (
             PartitionKey(PartitionScope.ALL_PEERS) in self.partitions
             or PartitionKey(PartitionScope.EVERYTHING) in self.partitions
         )
         return PartitionConsequences(
-            max((row.lease_policy for row in rows), key=LEASE_POLICIES_BY_STRICTNESS.index),
-            any(row.accepts_gossiped_removals for row in rows) and not is_isolated,
+            max((item.lease_policy for item in all_consequences), key=LEASE_POLICIES_BY_STRICTNESS.index),
+            any(item.accepts_gossiped_removals for item in all_consequences) and not is_isolated,
         )
 
     @property
--- a/tests/core/cluster/test_anti_entropy.py
+++ b/tests/core/cluster/test_anti_entropy.py
@@ -1,4 +1,4 @@
-"""The search for differing entries: what it finds, and its bounds."""
+"""Tests of the search for differing entries: its results and its bounds."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def tree_with_history(weights: dict[int, int], levels_per_answer: int) -> DigestTree:
-    """A tree in which all entries have been present before, some of them with another weight."""
+    """Returns a tree in which all entries were present earlier, some of them with another weight."""
     tree = DigestTree(levels_per_answer)
     tree.apply((member(number, 9.0) for number in range(ENTRY_COUNT)), ())
     tree.apply((), [member(number) for number in range(ENTRY_COUNT) if number not in weights])
--- a/tests/core/cluster/test_gossip_coordinator.py
+++ b/tests/core/cluster/test_gossip_coordinator.py
@@ -1,4 +1,4 @@
-"""The gossip coordinators of several nodes, which exchange encoded datagrams only."""
+"""Tests of the gossip coordinators of several nodes that exchange encoded datagrams."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 
 
 class Cluster(Net):
-    """Nodes with an endpoint merger each. `node_count` of them are configured, those after are newcomers."""
+    """Nodes with an endpoint merger each; the first `node_count` are configured, the others are newcomers."""
 
     def __init__(self, size: int, node_count: int) -> None:
         super().__init__(size, 5)
@@ -75,7 +75,7 @@
             self.merge(address, EndpointsListed("platform", "p", EndpointList(1, True, SERVERS)))
 
     def merge(self, address: str, event: EndpointsListed | SourceLost) -> None:
-        """Pass an event, and the slices that follow from it, to a node's merger."""
+        """Passes an event and the slices that follow from it to a node's merger."""
         merger = self.mergers[address]
         pending: list[EndpointsListed | SourceLost | NextSliceDue] = [event]
         while pending:
@@ -88,7 +88,7 @@
                     self.coordinators[address].on_source_applied(self.now, source, action)
 
     def drain(self, *numbers: int) -> None:
-        """Discovery lists servers as draining, to the nodes that hear it."""
+        """Lists servers as draining to the nodes that are connected to discovery."""
         self.revision += 1
         listed = EndpointList(self.revision, False, tuple(map(draining, numbers)))
         for address in self.nodes.keys() - self.without_discovery:
@@ -118,7 +118,7 @@
                         self.events.append((address, action))
 
     def deliver(self, sender: str, action: SendGossip) -> list[tuple[str, gossip_coordinator.Action]]:
-        """Encode, sign, verify and decode a datagram; returns what its receiver does."""
+        """Encodes, signs, verifies and decodes a datagram; returns the receiver's actions."""
         message = gossip.Message(gossip_sections.MESSAGE_KIND, 0, "", "", ())
         writer = gossip.Writer(self.nodes[sender].name, [KEY])
         datagram = writer.write(1, message, action.sections)
@@ -139,7 +139,7 @@
         return [node.quota.quota for node in self.coordinators.values() if node.quota]
 
 
-def test_node_without_discovery_detects_it_and_drains_by_its_peers_until_discovery_returns() -> None:
+def test_node_without_discovery_applies_drains_of_its_peers_until_discovery_returns() -> None:
     cluster = Cluster(5, 5)
     cluster.run_for(3_000)
     last = cluster.address("n4")
@@ -179,7 +179,7 @@
     assert {event.node_names for event in recorded} == {("n2",)}
 
 
-def test_nodes_at_their_first_start_and_a_newcomer_arrive_at_their_quotas() -> None:
+def test_nodes_at_their_first_start_and_a_newcomer_reach_their_quotas() -> None:
     cluster = Cluster(5, 4)
     for _ in range(int(ROLE_HOLD_OFF_MS / 1_000) + 15):
         cluster.run_for(1_000)
@@ -214,7 +214,7 @@
     assert not coordinator.gossiped_removals.claims
 
 
-def test_answers_in_an_interval_are_bounded_and_ask_for_no_reply() -> None:
+def test_answers_in_an_interval_are_bounded_and_request_no_reply() -> None:
     cluster = Cluster(3, 3)
     cluster.run_for(2_000)
     address = cluster.address("n0")
@@ -231,16 +231,20 @@
 
 
 def test_only_removals_by_the_own_source_are_reported_to_peers() -> None:
-    """Neither what peers said of an endpoint that the source lists anew, nor the loss of an address."""
+    """Guards against echoed reports.
+
+    A removal that peers reported for an endpoint that the source lists again is not reported, and neither is
+    an endpoint that lost its address to another one.
+    """
     cluster = Cluster(1, 1)
     [(address, coordinator)] = cluster.coordinators.items()
     source_name = node_state.GOSSIP_SOURCE_NAME
     cluster.merge(address, EndpointsListed(source_name, source_name, EndpointList(1, True, ())))
     removals = EndpointList(2, False, (draining(3),))
     cluster.merge(address, EndpointsListed(source_name, source_name, removals))
-    usurper = replace(member(40), address=member(4).address)
+    new_owner = replace(member(40), address=member(4).address)
     cluster.revision = 2
-    listed = EndpointList(2, False, (member(3, 2.0), usurper))
+    listed = EndpointList(2, False, (member(3, 2.0), new_owner))
     cluster.merge(address, EndpointsListed("platform", "p", listed))
     view = cluster.mergers[address].view
     assert view["server-3"].endpoint.weight == 2.0 and "server-4" not in view
@@ -249,8 +253,8 @@
     assert [*coordinator.gossiped_removals.sources["platform"].recent_removals] == ["server-5"]
 
 
-def test_restarted_discovery_is_no_divergence_and_removals_go_on_where_nodes_have_local_agents() -> None:
-    """Revisions begin anew, and each node hears another identity of one list."""
+def test_restarted_discovery_with_local_agents_is_no_divergence_and_removals_are_still_gossiped() -> None:
+    """Revisions restart, and each node sees a different identity of the same list."""
     cluster = Cluster(4, 4)
     last = cluster.address("n3")
     for index, (address, coordinator) in enumerate(cluster.coordinators.items()):
--- a/tests/core/cluster/test_gossiped_removals.py
+++ b/tests/core/cluster/test_gossiped_removals.py
@@ -1,4 +1,4 @@
-"""Gossiped removals: what is accepted, what never is, and what a false report can do."""
+"""Tests of gossiped removals: which reports are accepted, and the limits on the effect of false reports."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 def removals_at(revision: int = 1, in_sync: bool = True) -> GossipedRemovals:
-    """The state machine of a node whose own source is at that revision."""
+    """Returns the state machine of a node whose own source is at `revision`."""
     removals = GossipedRemovals(StaggeredSchedule(3, 5, 50), Random(1), fits)
     removals.handle(0, SourceAdvanced("platform", ORDER, revision, in_sync))
     removals.handle(0, INTERVAL)
@@ -59,18 +59,18 @@
     reporters: str,
     *endpoint_ids: str,
     revision: int = 9,
-    hearing_count: int = 10,
+    synced_peer_count: int = 10,
 ) -> set[str]:
-    """Each reporter, a letter, reports the endpoints as gone; returns what is accepted after an interval."""
+    """Lets each reporter, a letter, report the endpoints as removed; returns the accepted ones."""
     reported = [ReportedRemoval(endpoint_id, revision, True) for endpoint_id in endpoint_ids]
     for reporter in reporters:
         removals.handle(now_ms, RemovalsReceived(reporter, "platform", ORDER, reported))
-    removals.handle(now_ms, GossipIntervalElapsed(STATES[:hearing_count], ADDRESSES, ENDPOINTS))
+    removals.handle(now_ms, GossipIntervalElapsed(STATES[:synced_peer_count], ADDRESSES, ENDPOINTS))
     return {key.endpoint_id for key in removals.accepted}
 
 
 @pytest.mark.parametrize(
-    ("in_sync", "reporters", "hearing_count", "accepted_count"),
+    ("in_sync", "reporters", "synced_peer_count", "accepted_count"),
     [
         (True, "b", 10, 0),
         (True, "bb", 10, 0),
@@ -85,10 +85,10 @@
     ],
 )
 def test_number_of_accepted_removals_depends_on_their_reporters(
-    in_sync: bool, reporters: str, hearing_count: int, accepted_count: int
+    in_sync: bool, reporters: str, synced_peer_count: int, accepted_count: int
 ) -> None:
     removals = removals_at(1, in_sync)
-    accepted = report(removals, 0, reporters, *ENDPOINTS, hearing_count=hearing_count)
+    accepted = report(removals, 0, reporters, *ENDPOINTS, synced_peer_count=synced_peer_count)
     assert len(accepted) == accepted_count
 
 
@@ -120,7 +120,7 @@
 
 
 def test_false_removal_is_refuted_while_the_source_is_in_sync_and_not_accepted_again() -> None:
-    """Also while the list changes all the time, below the false revision."""
+    """The list meanwhile changes continuously, at revisions below the false one."""
     removals = removals_at()
     assert report(removals, 0, "bc", "server-1", revision=2**60)
     for now_ms in range(0, 6_000, 200):
@@ -130,7 +130,7 @@
     assert not report(removals, 6_000, "bc", "server-1", revision=2**60)
 
 
-def test_removal_by_most_nodes_that_hear_discovery_is_not_refuted() -> None:
+def test_removal_reported_by_most_nodes_connected_to_discovery_is_not_refuted() -> None:
     removals = removals_at()
     assert report(removals, 0, "bcdefg", "server-1")
     for now_ms in range(0, 60_000, 1_000):
@@ -151,12 +151,12 @@
         report(removals, now_ms, "bc", *endpoint_ids, revision=10 + now_ms // 10_000)
         assert len(removals.claims) <= 6 and len(removals._refuted) <= 4
         assert removals._claimed_since_ms.keys() == removals.claims.keys()
-        own = tuple(ReportedRemoval(f"x{number}", 1, True) for number in range(9))
-        removals.handle(now_ms, SourceAdvanced("platform", ORDER, 1, True, own))
+        own_removals = tuple(ReportedRemoval(f"x{number}", 1, True) for number in range(9))
+        removals.handle(now_ms, SourceAdvanced("platform", ORDER, 1, True, own_removals))
     assert len(removals._refuted) == 4 == len(removals.sources["platform"].recent_removals)
 
 
-def test_source_that_is_behind_is_fetched_in_its_time_slot_and_less_and_less_often() -> None:
+def test_source_that_is_behind_is_fetched_in_its_time_slot_with_pauses() -> None:
     removals, fetched_ms, query_count = removals_at(), [], 0
     for now_ms in range(0, 120_000, 100):
         actions = removals.handle(now_ms, INTERVAL)
@@ -171,7 +171,7 @@
     assert not removals.handle(120_100, INTERVAL)
 
 
-def test_gossiped_removals_are_not_passed_on() -> None:
+def test_gossiped_removals_are_not_reported_to_other_peers() -> None:
     removals = removals_at(1, False)
     assert report(removals, 0, "bc", "server-1")
     assert not removals.handle(0, RemovalsQueried("x", "platform", ORDER, 0))
@@ -180,8 +180,8 @@
 def test_query_is_answered_with_the_own_sources_recent_removals_in_bounded_datagrams() -> None:
     removals = removals_at(1, False)
     assert report(removals, 0, "bc", "server-1")
-    own = tuple(ReportedRemoval(f"server-{number}", 2 + number, True) for number in range(60))
-    removals.handle(0, SourceAdvanced("platform", ORDER, 70, True, own))
+    own_removals = tuple(ReportedRemoval(f"server-{number}", 2 + number, True) for number in range(60))
+    removals.handle(0, SourceAdvanced("platform", ORDER, 70, True, own_removals))
     queried = RemovalsQueried("x", "platform", ORDER, 50)
     answers = [a for a in removals.handle(0, queried) if isinstance(a, SendRemovals)]
     revisions = [removal.revision for answer in answers for removal in answer.removals]
@@ -192,7 +192,7 @@
     assert not removals.handle(gossiped_removals.RECENT_REMOVAL_TTL_MS + 1, queried_all)
 
 
-def test_query_is_decoded_as_encoded() -> None:
+def test_encoded_query_is_decoded_to_the_same_values() -> None:
     data = gossip_sections.encode_removals_query("platform", ORDER, 9)
     assert gossip_sections.decode_removals_query(data) == ("platform", ORDER, 9)
 
@@ -200,16 +200,16 @@
 REPORT = st.tuples(
     st.sampled_from("bcdx"), st.integers(0, 25), st.integers(1, 30), st.booleans(), st.integers(5, 6)
 )  # reporter, endpoint number, revision, is gone, identity hash
-# A report, a revision of the own source, whether it is in sync, or a time that passes.
+# A report, a revision of the own source, whether the source is in sync, or a duration in ms.
 STEP = st.one_of(REPORT, st.integers(1, 20), st.booleans(), st.floats(0, 6_000))
 
 
 @settings(max_examples=200, deadline=None)
 @given(st.lists(STEP, max_size=30), st.integers(0, 10))
 def test_gossip_adds_no_endpoint_and_removes_none_at_the_own_revision_or_below(
-    steps: list[tuple[str, int, int, bool, int] | int | bool | float], hearing_count: int
+    steps: list[tuple[str, int, int, bool, int] | int | bool | float], synced_peer_count: int
 ) -> None:
-    """With the real merger: peers only take endpoints away."""
+    """Uses the real endpoint merger; gossip must only drain or remove endpoints."""
     removals, now_ms = removals_at(), 0.0
     merger = EndpointMerger([Source("platform"), gossiped_removals.gossip_source()])
     complete = EndpointList(1, True, tuple(ENDPOINTS.values()))
@@ -232,7 +232,7 @@
         else:
             now_ms += step
         removals.handle(now_ms, SourceAdvanced("platform", ORDER, revision, in_sync))
-        interval = GossipIntervalElapsed(STATES[:hearing_count], ADDRESSES, merger.view)
+        interval = GossipIntervalElapsed(STATES[:synced_peer_count], ADDRESSES, merger.view)
         for action in removals.handle(now_ms, interval):
             if isinstance(action, EndpointsListed):
                 merger.handle(now_ms, action)
@@ -253,48 +253,50 @@
     assert len(resets) == 2 and not removals._listed_records
     report(removals, 9, "bc", "server-1", revision=99)
     (first, *_) = (action for action in removals._actions if isinstance(action, EndpointsListed))
-    assert first.endpoint_list.is_complete  # the source begins anew
+    assert first.endpoint_list.is_complete  # the source restarts with a complete list
 
 
 # --- between nodes
 
 
 @pytest.mark.parametrize(
-    ("hearing_count", "rule", "is_accepted"),
+    ("synced_peer_count", "rule", "is_accepted"),
     [
         (9, AcceptanceRule.TWO_REPORTERS_OR_ONLY_SOURCE, True),
         (1, AcceptanceRule.TWO_REPORTERS_OR_ONLY_SOURCE, True),
         (9, AcceptanceRule.NEVER, False),
     ],
 )
-def test_nodes_without_discovery_learn_of_a_drain_and_a_removal_from_peers(
-    hearing_count: int, rule: AcceptanceRule, is_accepted: bool
+def test_nodes_without_discovery_apply_a_drain_and_a_removal_reported_by_peers(
+    synced_peer_count: int, rule: AcceptanceRule, is_accepted: bool
 ) -> None:
-    town = Town(10, 1, 0.0, rule)
-    town.rounds(4_000)
-    isolated = list(town.nodes)[hearing_count:]
-    town.hush(*isolated)
-    town.rounds(6_000)
-    town.out(3)
-    town.out(4, gone=True)
-    took_ms = town.rounds(6_000, lambda: all(town.missing(address) == 2 for address in isolated))
-    assert (took_ms < 2_000) is is_accepted
-    town.deaf.clear()
-    town.silent_at = dict.fromkeys(town.nodes, NEVER_MS)
-    for address in isolated:  # the source returns, and lists both endpoints as up
+    cluster = Town(10, 1, 0.0, rule)
+    cluster.rounds(4_000)
+    isolated = list(cluster.nodes)[synced_peer_count:]
+    cluster.hush(*isolated)
+    cluster.rounds(6_000)
+    cluster.out(3)
+    cluster.out(4, gone=True)
+    duration_ms = cluster.rounds(6_000, lambda: all(cluster.missing(address) == 2 for address in isolated))
+    assert (duration_ms < 2_000) is is_accepted
+    cluster.deaf.clear()
+    cluster.silent_at = dict.fromkeys(cluster.nodes, NEVER_MS)
+    for address in isolated:  # the source returns and lists both endpoints as up
         records = tuple(map(member, range(SERVERS)))
-        town.held[address] = town.revision = town.revision + 1
-        town.listed(address, EndpointsListed("platform", "p", EndpointList(town.revision, True, records)))
-    town.rounds(1_000)
-    assert not any(map(town.missing, isolated))
-
-
-def test_node_that_reports_false_removals_to_all_removes_nothing_if_two_hear_discovery() -> None:
-    town = Town(8, 1)
-    town.rounds(4_000)
-    town.hush(*list(town.nodes)[4:])
-    town.rounds(4_000)
+        cluster.held[address] = cluster.revision = cluster.revision + 1
+        cluster.listed(
+            address, EndpointsListed("platform", "p", EndpointList(cluster.revision, True, records))
+        )
+    cluster.rounds(1_000)
+    assert not any(map(cluster.missing, isolated))
+
+
+def test_false_removals_by_one_node_have_no_effect_if_two_nodes_are_connected_to_discovery() -> None:
+    cluster = Town(8, 1)
+    cluster.rounds(4_000)
+    cluster.hush(*list(cluster.nodes)[4:])
+    cluster.rounds(4_000)
     for _ in range(30):
-        town.lie(["n1"], range(SERVERS))
-        town.rounds(200)
-        assert not any(map(town.missing, town.nodes))
+        cluster.lie(["n1"], range(SERVERS))
+        cluster.rounds(200)
+        assert not any(map(cluster.missing, cluster.nodes))
--- a/tests/core/cluster/test_node_state.py
+++ b/tests/core/cluster/test_node_state.py
@@ -1,4 +1,4 @@
-"""Advertised node states: merging, dissemination, and divergences."""
+"""Tests of advertised node states: merging, dissemination and divergences."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 def table_with(*others: AdvertisedState, own: AdvertisedState | None = None) -> NodeStateTable:
-    """The table of node "a", which has received the others' states."""
+    """Returns the table of node "a" after it has received the others' states."""
     table = NodeStateTable("a", Random(1), cost, room("a"))
     table.handle(0, OwnStateChanged(own or goes("a")))
     table.handle(0, StatesReceived(others))
@@ -52,7 +52,7 @@
 
 
 def run_for(table: NodeStateTable, duration_ms: float, start_ms: float = 0.0) -> list[node_state.Action]:
-    """Actions of the gossip intervals in that time, with all known nodes reachable."""
+    """Returns the actions of the gossip intervals in that time, with all known nodes reachable."""
     addresses = {
         name: f"10.0.0.{number}:1" for number, name in enumerate(sorted(table.states)) if name != table.name
     }
@@ -62,7 +62,7 @@
     ]
 
 
-def begun(actions: list[node_state.Action]) -> list[DivergenceBegan]:
+def begun_divergences(actions: list[node_state.Action]) -> list[DivergenceBegan]:
     return [action for action in actions if isinstance(action, DivergenceBegan)]
 
 
@@ -105,10 +105,10 @@
     assert table.states.keys() == {"a", "x1"}
 
 
-# --- what is advertised of the own sources
+# --- advertised sources
 
 
-def test_advertised_sources_are_the_own_ones_and_their_digest_needs_complete_lists() -> None:
+def test_advertised_sources_exclude_gossip_and_are_comparable_with_complete_lists_only() -> None:
     merger = EndpointMerger([Source("platform"), gossiped_removals.gossip_source()])
     sources = merger.sources.values()
     assert advertised_sources.advertised_sources(sources) == (("platform", 0, 0, 0),)
@@ -146,14 +146,14 @@
         ("order", "platform", {"sources": (("platform", 9, 1, 2), ("etcd", 6, 1, 2))}),
     ],
 )
-def test_divergent_node_is_named_by_itself_and_by_others(
+def test_divergent_node_is_detected_by_itself_and_by_others(
     kind: str, subject: str, fields: dict[str, object]
 ) -> None:
     divergent = goes("b", **fields)  # type: ignore[arg-type]
     others_table = table_with(divergent, goes("c"))
     own_table = table_with(goes("b"), goes("c"), own=divergent._replace(name="a"))
     for table in (others_table, own_table):
-        began = begun(run_for(table, 3_000))
+        began = begun_divergences(run_for(table, 3_000))
         assert [(event.kind, event.subject, event.node_count) for event in began] == [(kind, subject, 1)]
         assert table.own_divergences == ([(kind, subject)] if began[0].node_names == ("a",) else [])
         table.handle(3_000, StatesReceived([goes("b", sequence_number=5)]))
@@ -175,14 +175,14 @@
 
 
 def test_divergence_between_equally_frequent_values_names_all_nodes() -> None:
-    (began,) = begun(run_for(table_with(goes("b", digest=9)), 3_000))
+    (began,) = begun_divergences(run_for(table_with(goes("b", digest=9)), 3_000))
     assert began.node_names == ("a", "b")
 
 
-def test_node_behind_is_named_after_the_allowed_lag_until_it_catches_up() -> None:
+def test_node_behind_is_reported_after_the_allowed_lag_until_it_catches_up() -> None:
     table = table_with(goes("b", 1, 5), goes("c", 2, 5))  # node a has revision 1
-    assert not begun(run_for(table, node_state.MAX_REVISION_LAG_MS))
-    (began,) = begun(run_for(table, 3_000, node_state.MAX_REVISION_LAG_MS))
+    assert not begun_divergences(run_for(table, node_state.MAX_REVISION_LAG_MS))
+    (began,) = begun_divergences(run_for(table, 3_000, node_state.MAX_REVISION_LAG_MS))
     assert began.node_names == ("a",) and "4 revisions" in began.reason
     assert table.states["a"].flags == node_state.FLAG_BEHIND
     table.handle(5_000, OwnStateChanged(goes("a", 0, 5)))
@@ -191,41 +191,41 @@
 
 
 @pytest.mark.parametrize("flags", [0, node_state.FLAG_BEHIND])
-def test_peer_is_named_behind_by_its_own_flag_only(flags: int) -> None:
-    """What this node holds of a peer may be out of date."""
+def test_peer_is_reported_behind_by_its_own_flag_only(flags: int) -> None:
+    """This node's copy of a peer's state may be out of date."""
     table = table_with(goes("b", 1, 1, flags=flags), goes("c", 2, 5), own=goes("a", 0, 5))
-    assert bool(begun(run_for(table, 9_000))) is bool(flags)
+    assert bool(begun_divergences(run_for(table, 9_000))) is bool(flags)
 
 
-def test_divergence_ends_when_the_newer_revision_is_taken_back() -> None:
+def test_divergence_ends_when_the_newer_revision_is_withdrawn() -> None:
     table = table_with(goes("b", 1, 2**60), goes("c", 2, 2**60))
-    assert begun(run_for(table, 5_000))
+    assert begun_divergences(run_for(table, 5_000))
     table.handle(5_000, StatesReceived([goes("b", sequence_number=2), goes("c", sequence_number=2)]))
     run_for(table, 3_000, 5_000)
     assert not table.divergence_hysteresis.active_since_ms
 
 
-def test_revision_that_one_of_three_nodes_advertises_makes_none_behind() -> None:
-    assert not begun(run_for(table_with(goes("b", 1, 2**60), goes("c")), 9_000))
+def test_revision_advertised_by_one_of_three_nodes_makes_no_node_behind() -> None:
+    assert not begun_divergences(run_for(table_with(goes("b", 1, 2**60), goes("c")), 9_000))
 
 
-def test_states_under_way_are_no_divergence_during_the_propagation_time() -> None:
+def test_states_being_propagated_are_no_divergence_during_the_propagation_time() -> None:
     states = (goes(f"x{number}", settings_digests=(1, number % 2)) for number in range(60))
     table = table_with(*states)
     run_for(table, 200)
-    began = begun(run_for(table, table.propagation_ms - 600, 200))
+    began = begun_divergences(run_for(table, table.propagation_ms - 600, 200))
     assert not began and table.propagation_ms > 10_000
-    assert begun(run_for(table, 3_000, table.propagation_ms))
+    assert begun_divergences(run_for(table, 3_000, table.propagation_ms))
 
 
-def test_list_that_changes_all_the_time_makes_no_node_behind() -> None:
+def test_continuously_changing_list_makes_no_node_behind() -> None:
     table = table_with(goes("b"), goes("c"))
     for turn in range(200):
         now_ms = turn * INTERVAL_MS
         for index, name in enumerate("abc"):  # up to two intervals behind
             state = goes(name, index, 2 + turn - index, sequence_number=turn + 2)
             table.handle(now_ms, OwnStateChanged(state) if name == "a" else StatesReceived([state]))
-        assert not begun(run_for(table, INTERVAL_MS, now_ms)), turn
+        assert not begun_divergences(run_for(table, INTERVAL_MS, now_ms)), turn
 
 
 @given(st.lists(st.booleans(), max_size=40))
--- a/tests/core/cluster/test_partition_detector.py
+++ b/tests/core/cluster/test_partition_detector.py
@@ -1,4 +1,4 @@
-"""Partition detection: verdicts, consequences, hysteresis, and a partition of ten nodes."""
+"""Tests of partition detection: verdicts, consequences, hysteresis and a partition of ten nodes."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class Case(NamedTuple):
-    """Evidence, and what it means."""
+    """Evidence and the expected verdicts and consequences."""
 
     evidence: Evidence
     verdicts: dict[PartitionScope, Verdict]
@@ -109,7 +109,7 @@
 def handle_during(
     detector: PartitionDetector, evidence: Evidence, start_ms: int, end_ms: int
 ) -> list[PartitionBegan | partition_detector.PartitionHealed]:
-    """What begins and heals while the evidence stands."""
+    """Returns the partitions that begin and heal while the evidence stays the same."""
     times_ms = range(start_ms, end_ms, INTERVAL_MS)
     return [change for now_ms in times_ms for change in detector.handle(now_ms, evidence)]
 
@@ -150,23 +150,23 @@
 
 
 def test_partition_of_nodes_is_reported_once_by_both_sides_and_states_converge_after_it() -> None:
-    """One of the nodes advertises nothing, as an older version would."""
+    """One of the nodes advertises nothing, like a node of an older program version."""
     world = World(10, 3, 0.1)
-    old = world.address("n9")
-    silent, world.views[old] = (
-        world.views[old],
+    old_version_address = world.address("n9")
+    replaced_table, world.views[old_version_address] = (
+        world.views[old_version_address],
         node_state.NodeStateTable("n9", Random(1), cost, room("n9")),
     )
-    assert silent.states
+    assert replaced_table.states
     world.rounds(4_000)
     one_side = set(list(world.nodes)[:4])
     world.events.clear()
-    world.cut = lambda one, other: (one in one_side) != (other in one_side)
+    world.cut = lambda sender, receiver: (sender in one_side) != (receiver in one_side)
     world.rounds(8_000)
     began = [(name, change.scope) for _, name, change in world.events if isinstance(change, PartitionBegan)]
     assert sorted(began) == sorted((node.name, PartitionScope.SOME_PEERS) for node in world.nodes.values())
     world.say(world.address("n1"), goes("n1", 1, zone="moved"))
-    world.cut = lambda one, other: False
+    world.cut = lambda sender, receiver: False
     world.rounds(20_000)
     assert not any(detector.partitions for detector in world.cuts.values())
     assert {table.states["n1"].zone for table in world.views.values()} == {"moved"}
--- a/tests/core/cluster/test_quota_allocation.py
+++ b/tests/core/cluster/test_quota_allocation.py
@@ -1,4 +1,4 @@
-"""Quota allocation: the sum of the quotas never exceeds the limit, whatever is partitioned, lost or late."""
+"""Tests that the sum of quotas never exceeds the limit despite partitions, lost and late datagrams."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class Cluster:
-    """Nodes 0, 1, ..., of which `node_count` are configured. What each node persists is kept."""
+    """Nodes 0 to `size` - 1, of which the first `node_count` are configured, with their persisted state."""
 
     def __init__(self, size: int, node_count: int, persisted: PersistedQuota | None = CERTAIN) -> None:
         self.node_count, self.now_ms = node_count, 0.0
@@ -63,13 +63,13 @@
             self.handle(receiver, report)
 
     def deliver_delayed(self, position: int) -> None:
-        """Deliver a delayed report, possibly once more, if it is not too late."""
+        """Delivers a delayed report, possibly again, if it is not too late."""
         for receiver, report, sent_ms in self.delayed[position : position + 1]:
             if self.now_ms - sent_ms <= ACKNOWLEDGEMENT_TTL_MS and receiver not in self.left:
                 self.handle(receiver, report)
 
     def exchange(self, indices: list[int], rounds: int = 3) -> None:
-        """All of these nodes report to each other."""
+        """Lets all of these nodes report to each other."""
         for _ in range(rounds):
             for sender in indices:
                 for receiver in indices:
@@ -88,12 +88,12 @@
         )
         self.left.discard(index)
 
-    def leave(self, index: int, hearing: list[int]) -> None:
+    def leave(self, index: int, notified_indices: list[int]) -> None:
         if index not in self.left:
             self.handle(index, ShutdownStarted())
             self.left.add(index)
-            for other in set(hearing) - self.left:
-                self.handle(other, NodeLeft(index, self.incarnations[index]))
+            for notified_index in set(notified_indices) - self.left:
+                self.handle(notified_index, NodeLeft(index, self.incarnations[index]))
 
     def divisors(self, count: int | None = None) -> set[int]:
         return {node.divisor for node in self.nodes[:count]}
@@ -103,7 +103,7 @@
 
     @property
     def quota_sum(self) -> Fraction:
-        """The sum of the quotas of all running nodes, 1 at most."""
+        """The sum of the quotas of all running nodes, which must not exceed 1."""
         return sum((Fraction(1, node.divisor) for node in self.nodes if node.has_quota), Fraction())
 
 
@@ -117,7 +117,7 @@
     assert cluster.nodes[0].divisor == 6 and cluster.nodes[1].divisor == 5
     cluster.wait(ROLE_HOLD_OFF_MS)
     cluster.exchange([0, 1, 2, 3, 5])
-    assert not cluster.has_quota(5)  # node 4 may not know of it
+    assert not cluster.has_quota(5)  # node 4 has not acknowledged it
     cluster.exchange([4, 5])
     assert cluster.has_quota(5) and cluster.quota_sum == 1
     cluster.wait(10 * DIVISOR_DECREASE_DELAY_MS)
@@ -146,7 +146,7 @@
     assert cluster.quota_sum == 1
 
 
-def test_node_that_lost_its_state_is_certain_by_a_certain_configured_node() -> None:
+def test_node_that_lost_its_state_is_certain_after_the_report_of_a_certain_configured_node() -> None:
     cluster = Cluster(3, 2)
     cluster.wait(ROLE_HOLD_OFF_MS)
     cluster.exchange([0, 1, 2])
@@ -162,7 +162,7 @@
 
 
 @pytest.mark.parametrize(("index", "persisted"), [(150, None), (5, None), (150, CERTAIN)])
-def test_unsettled_node_queries_all_that_matter_within_half_the_acknowledgement_time(
+def test_uncertain_or_unacknowledged_node_queries_relevant_nodes_within_half_the_acknowledgement_ttl(
     index: int, persisted: PersistedQuota | None
 ) -> None:
     node, queried = QuotaAllocator(index, 1, 100, persisted, 0.0), set[int]()
@@ -171,7 +171,7 @@
     assert queried == set(range(max(100, index)))
 
 
-def test_settled_node_queries_nobody() -> None:
+def test_certain_and_acknowledged_node_queries_no_node() -> None:
     assert not QuotaAllocator(5, 1, 100, CERTAIN, 0.0).next_queried(range(200), 200.0)
 
 
@@ -188,7 +188,11 @@
 
 
 def test_newcomer_is_not_acknowledged_by_a_report_from_before_a_node_lost_its_state() -> None:
-    """Node 1 recorded it, lost its state, and is certain again by node 0, which did not know the newcomer."""
+    """Guards against a quota that rests on an outdated acknowledgement.
+
+    Node 1 records the newcomer, loses its state and becomes certain again by a report of node 0, which does
+    not know the newcomer.
+    """
     cluster = Cluster(3, 2)
     cluster.wait(ROLE_HOLD_OFF_MS)
     cluster.report(2, 1)
@@ -205,7 +209,7 @@
 
 
 def test_newcomer_that_returns_is_counted_although_its_departure_is_heard_late() -> None:
-    """The departure is heard once before the newcomer is heard again, and once after."""
+    """The old departure arrives once before the newcomer is heard again, and once after."""
     cluster = Cluster(2, 1)
     cluster.wait(ROLE_HOLD_OFF_MS)
     cluster.exchange([0, 1])
@@ -332,7 +336,7 @@
 
 
 def successor(cluster: Cluster, faults: Faults, step: Step) -> Faults:
-    """Apply a step to the cluster; returns the faults after it."""
+    """Applies a step to the cluster; returns the faults after it."""
     kind, one, other = step
     match kind:
         case "report":
