--- a/balancer/cli/__init__.py
+++ b/balancer/cli/__init__.py
@@ -29,7 +29,7 @@
 import balancer
 from balancer.cli.common import CommandError, settings_option
 from balancer.net.config import CONFIG
-from balancer.net.startup import SETTINGS
+from balancer.net.startup import SETTINGS_VAR
 
 COMMAND_MODULES = {  # of each word, in the order of the help
     "run": "node",
@@ -53,7 +53,7 @@
                       run and check
   PROXY_NAME, PROXY_LISTEN, PROXY_DISCOVERY
                       go before the file's own name, listen and discovery
-  {SETTINGS}   the operators' settings where --settings is not given; without
+  {SETTINGS_VAR}   the operators' settings where --settings is not given; without
                       either, all that they could switch on is off
 
 \b
@@ -160,4 +160,4 @@
         return balancer.__version__
 
 
-__all__ = ["SETTINGS", "main"]
+__all__ = ["SETTINGS_VAR", "main"]
--- a/balancer/cli/common.py
+++ b/balancer/cli/common.py
@@ -9,7 +9,7 @@
 import click
 
 from balancer.endpoints import Address
-from balancer.net.startup import SETTINGS
+from balancer.net.startup import SETTINGS_VAR
 
 PATH_TYPE: click.Path = click.Path(path_type=Path)
 
@@ -39,7 +39,7 @@
         metavar="FILE",
         type=PATH_TYPE,
         callback=_settings_or_inherited,
-        help=f"The operators' settings, a TOML file (or {SETTINGS}).",
+        help=f"The operators' settings, a TOML file (or {SETTINGS_VAR}).",
     )(command)
 
 
--- a/balancer/cli/members.py
+++ b/balancer/cli/members.py
@@ -20,7 +20,7 @@
     settings_option,
 )
 from balancer.net.config import read
-from balancer.net.startup import read_operators
+from balancer.net.startup import read_operator_settings
 
 MEMBERS = "Show which servers the sources list, as a running node sees it."
 
@@ -56,7 +56,7 @@
             return ask(control, "members")
         except AdminSocketError as err:
             raise CommandError(1, str(err)) from None
-    _, operators, wrong = read_operators(settings)
+    _, operators, wrong = read_operator_settings(settings)
     if wrong:
         raise CommandError(2, *wrong)
     if operators.control is not None:
--- a/balancer/cli/node.py
+++ b/balancer/cli/node.py
@@ -15,7 +15,7 @@
     settings_option,
 )
 from balancer.net.config import CONFIG, read
-from balancer.net.startup import SETTINGS, read_operators, start_with_operator_settings
+from balancer.net.startup import SETTINGS_VAR, read_operator_settings, start_with_operator_settings
 
 RUN = "Run one node until SIGTERM or SIGINT."
 CHECK = "Check the settings and the configuration, and say what is on."
@@ -40,7 +40,7 @@
 @settings_option
 def check(settings: Path | None) -> int:
     """The word."""
-    path, operators, wrong = read_operators(settings)
+    path, operators, wrong = read_operator_settings(settings)
     config, faults = read(os.environ)
     if config is not None:
         print(f"configuration {os.environ[CONFIG]}: no fault")
@@ -58,7 +58,7 @@
                 f" {format_cell(fault.reason)}"
             )
     if path is None:
-        print(f"settings: none (neither --settings nor {SETTINGS}): all that they could switch on is off")
+        print(f"settings: none (neither --settings nor {SETTINGS_VAR}): all that they could switch on is off")
     elif not wrong:
         print(f"settings {path}: no fault")
         for line in operators.enabled_tables() or ["nothing is on"]:
--- a/balancer/cli/peers.py
+++ b/balancer/cli/peers.py
@@ -19,7 +19,7 @@
     print_columns,
     settings_option,
 )
-from balancer.net.startup import read_operators
+from balancer.net.startup import read_operator_settings
 
 WATCH_S = 1.0  # between two looks of `--watch`
 PEERS = "Show which other nodes are there, as a running node sees it."
@@ -40,7 +40,7 @@
     from balancer.net.admin_socket import AdminSocketError, ask
 
     if control is None:
-        _, operators, wrong = read_operators(settings)
+        _, operators, wrong = read_operator_settings(settings)
         if wrong:
             raise CommandError(2, *wrong)
         if operators.control is None:
--- a/balancer/cli/state.py
+++ b/balancer/cli/state.py
@@ -19,7 +19,7 @@
     print_columns,
     settings_option,
 )
-from balancer.net.startup import read_operators
+from balancer.net.startup import read_operator_settings
 
 if TYPE_CHECKING:
     from balancer.store.errors import StoreFileError
@@ -128,7 +128,7 @@
     from balancer.net.admin_socket import AdminSocketError, ask
 
     if control is None:
-        _, operators, faults = read_operators(settings)
+        _, operators, faults = read_operator_settings(settings)
         if faults:
             raise CommandError(2, *faults)
         if operators.control is None:
@@ -154,7 +154,7 @@
         )
     if directory is not None:
         return str(directory)
-    _, operators, faults = read_operators(settings)
+    _, operators, faults = read_operator_settings(settings)
     if faults:
         raise CommandError(2, *faults)
     if operators.state is None:
--- a/balancer/cli/timeline.py
+++ b/balancer/cli/timeline.py
@@ -28,7 +28,7 @@
     settings_option,
 )
 from balancer.net.admin_socket import AdminSocketError, ask
-from balancer.net.startup import read_operators
+from balancer.net.startup import read_operator_settings
 
 FOLLOW_S = 0.5  # between two questions of `events --follow`
 
@@ -139,7 +139,7 @@
 def _ask_node(settings: Path | None, control: Path | None, tell: Callable[[Path], None]) -> int:
     """Ask the node at the control socket that the words or the settings name."""
     if control is None:
-        _, operators, wrong = read_operators(settings)
+        _, operators, wrong = read_operator_settings(settings)
         if wrong:
             raise CommandError(2, *wrong)
         if operators.control is None:
--- a/balancer/net/persistence/blocking_call.py
+++ b/balancer/net/persistence/blocking_call.py
@@ -1,4 +1,4 @@
-"""A blocking call on a daemon thread of its own, with its result in the event loop."""
+"""Runs a blocking call on a dedicated daemon thread and delivers its result to the event loop."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 from collections.abc import Callable
 from typing import Generic, TypeVar
 
-T = TypeVar("T")
+ResultT = TypeVar("ResultT")
 ArgumentT = TypeVar("ArgumentT")
 
 
-class BlockingCall(Generic[T]):
-    """Runs `work` on a thread that holds up neither the event loop nor the end of the process.
+class BlockingCall(Generic[ResultT]):
+    """Runs `work` on a thread that blocks neither the event loop nor the exit of the process.
 
-    `result` is done when the work is. Unlike that of an executor, the thread is not joined at the end of the
-    process: a disk may hang for ever.
+    `result` is done when the work is. Unlike an executor's thread, this one is not joined at exit, because a
+    disk may hang forever.
     """
 
-    def __init__(self, work: Callable[[], T]) -> None:
+    def __init__(self, work: Callable[[], ResultT]) -> None:
         """Start the thread; the running event loop receives the result."""
         self._work, self._loop = work, asyncio.get_running_loop()
-        self.result: asyncio.Future[T] = self._loop.create_future()
+        self.result: asyncio.Future[ResultT] = self._loop.create_future()
         threading.Thread(target=self._run, name="state", daemon=True).start()
 
     def _run(self) -> None:
@@ -34,10 +34,10 @@
             self._complete(self._set_result, value)
 
     def _complete(self, callback: Callable[[ArgumentT], None], argument: ArgumentT) -> None:
-        with contextlib.suppress(RuntimeError):  # the event loop is closed: nobody waits any more
+        with contextlib.suppress(RuntimeError):  # the event loop is closed: no one waits for the result
             self._loop.call_soon_threadsafe(callback, argument)
 
-    def _set_result(self, value: T) -> None:
+    def _set_result(self, value: ResultT) -> None:
         if not self.result.cancelled():
             self.result.set_result(value)
 
--- a/balancer/net/persistence/component.py
+++ b/balancer/net/persistence/component.py
@@ -1,4 +1,4 @@
-"""The component that the table `[state]` switches on, off and over while the node runs."""
+"""The component that applies the settings table `[state]` while the node runs."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 log = logging.getLogger(__name__)
 
 OPEN_RETRY_INTERVAL_S = 5.0
-"""Between two attempts to open a directory that cannot be had."""
+"""Interval between attempts to open a directory that cannot be opened."""
 MAX_REQUEST_HOLD_S = 1.5
-"""How long requests wait at the start for what was persisted: less than the grace period of draining."""
+"""How long requests wait at startup for the persisted state: less than the drain grace period."""
 
 
 class StoreReport(TypedDict):
-    """The field `store` of `balancer recovery`; the figures are there while the store is open."""
+    """The field `store` of `balancer recovery`; the counters are present while the store is open."""
 
     directory: str | None
     open: bool
@@ -35,22 +35,22 @@
 
 
 class PersistenceComponent:
-    """Keeps a session open for the directory that the settings name, and retries where it cannot be opened.
+    """Keeps a session open for the configured directory, and retries if it cannot be opened.
 
-    At the start requests wait until the directory is read, `MAX_REQUEST_HOLD_S` at most: the configured list
-    may name endpoints that this node had seen removed. Health checks never wait for a disk.
+    At startup requests wait until the directory is read, for at most `MAX_REQUEST_HOLD_S`: the configured
+    list may contain endpoints whose removal this node had already seen. Health checks never wait for a disk.
     """
 
     def __init__(
         self, running: RunningNode, file_system_factory: Callable[[], FileSystem] | None = None
     ) -> None:
-        """`file_system_factory` makes the store's file system; None for the machine's own."""
+        """`file_system_factory` creates the store's file system; None stands for the local one."""
         self.running, self.file_system_factory = running, file_system_factory
         self.session: PersistenceSession | None = None
-        self.fault = ""  # why there is no session
+        self.fault = ""  # why no session is open
         self._settings: StateSettings | None = None
         self._switch_task: asyncio.Task[None] | None = None
-        self._is_first_directory = True  # until one was opened: what it holds is this node's own past
+        self._is_first_directory = True  # until one was opened: only the first is restored
         self.loop = asyncio.get_running_loop()
         if running.recovery is not None:
             running.recovery.store_status = lambda: {**self.status()}
@@ -61,21 +61,21 @@
                 self.loop.call_later(MAX_REQUEST_HOLD_S, self._release_requests)
 
     def apply(self, settings: OperatorSettings) -> None:
-        """Switch to the directory of these settings, or to none, in the event loop's next turns."""
-        previous, wanted = self._settings, settings.state
-        self._settings = wanted
-        if previous is not None and wanted is not None and previous.directory == wanted.directory:
+        """Switch to the directory of these settings, or to none, in later turns of the event loop."""
+        previous, current = self._settings, settings.state
+        self._settings = current
+        if previous is not None and current is not None and previous.directory == current.directory:
             if self.session is not None:
-                self.session.apply_settings(wanted)
-        elif previous is not wanted:
-            self.fault = "" if wanted is None else "being opened"
+                self.session.apply_settings(current)
+        elif previous is not current:
+            self.fault = "" if current is None else "being opened"
             previous_task = self._switch_task
             self._switch_task = self.loop.create_task(self._switch_directory(previous_task))
             if previous_task is not None:
-                previous_task.cancel()  # it may wait for a disk that does not answer
+                previous_task.cancel()  # it may be waiting for a disk that hangs
 
     def _on_merge(self, event: endpoint_merger.Event, actions: list[endpoint_merger.Action]) -> None:
-        """Release the requests once all sources have listed: nothing persisted is needed then."""
+        """Release the requests once all sources have listed; persisted lists are not needed then."""
         if isinstance(event, endpoint_merger.EndpointsListed) and event.is_cached:
             return
         in_sync = source_state.SourceState.IN_SYNC
@@ -86,7 +86,7 @@
     def _release_requests(self) -> None:
         self.running.node.wait(False)
         if self._on_merge in self.running.fleet.listeners:
-            # Not now: the listeners may be in the middle of a notification.
+            # Deferred, because the merger may be iterating over its listeners.
             self.loop.call_soon(self._stop_listening)
 
     def _stop_listening(self) -> None:
@@ -98,7 +98,7 @@
             self.session.raise_incarnation(incarnation)
 
     async def close(self) -> None:
-        """Write what is dirty, for a bounded time, and close the store."""
+        """Write dirty rows for a bounded time, and close the store."""
         self._settings = None
         self._stop_listening()
         if self._switch_task is not None:
@@ -128,7 +128,7 @@
             await session.close()
 
     async def _switch_directory(self, previous_task: asyncio.Task[None] | None) -> None:
-        """Close the session and open one for the wanted directory; retry until it is open."""
+        """Close the session and open one for the configured directory; retry until it is open."""
         if previous_task is not None:
             await asyncio.gather(previous_task, return_exceptions=True)
         await self._close_session()
@@ -140,18 +140,18 @@
             except StoreFileError as error:
                 self._on_open_failed(error, reported_fault)
                 reported_fault = self.fault
-                if error.kind is FaultKind.FOREIGN:  # another node's: it is not touched again
+                if error.kind is FaultKind.FOREIGN:  # the directory of another node: it is not opened again
                     return
                 await asyncio.sleep(OPEN_RETRY_INTERVAL_S)
                 continue
-            except Exception as error:  # guards the node against a fault of this program
+            except Exception as error:  # a defect here must not end the node
                 self._release_requests()
-                log.exception("state: failed; the node serves without memory")
+                log.exception("state: unexpected error; the node serves without persistence")
                 self.fault = repr(error)
                 self._report_no_persistence(self.fault)
                 return
             if reported_fault:
-                log.warning("state: %s is had now", settings.directory)
+                log.warning("state: opened after a failure: %s", settings.directory)
             self._on_opened(session)
             return
 
@@ -160,17 +160,19 @@
         self.fault = str(error)
         if reported_fault != self.fault:
             is_retried = error.kind is not FaultKind.FOREIGN
-            retry_note = f", it is tried again every {OPEN_RETRY_INTERVAL_S:g} s" if is_retried else ""
-            log.error("state: %s; the node serves without memory%s", error, retry_note)
+            retry_note = f", retried every {OPEN_RETRY_INTERVAL_S:g} s" if is_retried else ""
+            log.error("state: not opened: %s; the node serves without persistence%s", error, retry_note)
         self._report_no_persistence(self.fault)
 
     def _on_opened(self, session: PersistenceSession) -> None:
         self.session, self.fault, self._is_first_directory = session, "", False
-        if self.running.recovery is not None:  # it may have been raised before the directory was open
+        if (
+            self.running.recovery is not None
+        ):  # the incarnation may have been raised before the directory was open
             self._persist_incarnation(self.running.recovery.recovery.incarnation)
         self._release_requests()
         if self._settings is not None:
-            session.apply_settings(self._settings)  # intervals may have changed meanwhile
+            session.apply_settings(self._settings)  # the intervals may have changed meanwhile
 
     def _report_no_persistence(self, fault: str) -> None:
         if self.running.recovery is not None:
--- a/balancer/net/persistence/restored_lists.py
+++ b/balancer/net/persistence/restored_lists.py
@@ -1,4 +1,4 @@
-"""The endpoint lists of the sources as they were persisted, for the merger."""
+"""Builds the persisted endpoint lists of the sources for the merger."""
 
 from __future__ import annotations
 
@@ -12,39 +12,43 @@
 
 
 class RestoredSnapshot(NamedTuple):
-    """A restored list as an event for the merger. `is_persisted_list`: it is all that was persisted."""
+    """A restored list as an event for the merger. `is_persisted_list`: it is the complete persisted list."""
 
     event: endpoint_merger.EndpointsListed
     is_persisted_list: bool
 
 
 class RestoredLists:
-    """A list a source, built off the event loop: it may be long.
+    """One list per source, built off the event loop because it may be long.
 
-    A snapshot is made where the source itself has not listed as much by now; each source is asked for once.
+    A snapshot is made only if the source itself has not yet listed as much; it is requested once per source.
     """
 
     def __init__(self, restored: restoration.RestoredState) -> None:
         self.restored = restored
         self._records: dict[str, list[EndpointRecord]] = {name: [] for name in restored.sources}
         self._max_age_ms: dict[str, float] = {}
-        for key, found in restored.endpoints.items():
+        for key, restored_endpoint in restored.endpoints.items():
             withdrawal = restored.withdrawals.get(key)
-            for name in self._records.keys() & found.endpoint.sources:
-                self._records[name].append(rows.restored_record(key, found.endpoint, name, withdrawal))
-                self._max_age_ms[name] = max(self._max_age_ms.get(name, 0.0), found.age_ms)
+            for name in self._records.keys() & restored_endpoint.endpoint.sources:
+                self._records[name].append(
+                    rows.restored_record(key, restored_endpoint.endpoint, name, withdrawal)
+                )
+                self._max_age_ms[name] = max(self._max_age_ms.get(name, 0.0), restored_endpoint.age_ms)
 
     def clear(self) -> None:
-        """Let go of the records."""
+        """Release the records."""
         self._records.clear()
 
     def snapshot(
         self, position: SourcePosition, source: source_state.Source, has_other_sources: bool
     ) -> RestoredSnapshot | None:
-        """The list for the merger, or None where the source has listed as much by now."""
+        """The list for the merger, or None if the source has already listed as much."""
         identity, revision = position.identity, position.revision
         if source.revision is None:
-            if source.identity is not None and source.identity != identity:  # it has moved since
+            if (
+                source.identity is not None and source.identity != identity
+            ):  # it has changed its identity since
                 identity, revision = source.identity, -1
         elif source.identity != identity or revision <= source.revision:
             return self._without_withdrawn(source, identity, revision)
@@ -52,9 +56,9 @@
         records = tuple(self._records.pop(source.name))
         if not records and (not removed_ids or self._has_expired_endpoints(source.name)):
             return self._without_withdrawn(source, identity, revision)
-        listed = EndpointList(revision, True, records, removed_ids)
+        endpoint_list = EndpointList(revision, True, records, removed_ids)
         age_ms = self._max_age_ms.get(source.name, 0.0)
-        event = endpoint_merger.EndpointsListed(source.name, identity, listed, True, age_ms)
+        event = endpoint_merger.EndpointsListed(source.name, identity, endpoint_list, True, age_ms)
         return RestoredSnapshot(event, True)
 
     def _removed_ids(self, source_name: str) -> tuple[str, ...]:
@@ -65,7 +69,7 @@
         )
 
     def _has_expired_endpoints(self, source_name: str) -> bool:
-        """Whether the source listed endpoints that are not restored."""
+        """Whether the source listed endpoints that are not restored because they have expired."""
         return any(
             source_name in row.sources and key not in self.restored.endpoints
             for key, row in self.restored.persisted_endpoints().items()
@@ -74,9 +78,9 @@
     def _without_withdrawn(
         self, source: source_state.Source, identity: str, revision: int
     ) -> RestoredSnapshot | None:
-        """The list that the source has in the merger, less the endpoints that were withdrawn later.
+        """The source's list in the merger without the endpoints that were withdrawn later.
 
-        For where the persisted list cannot be used.
+        Used if the persisted list cannot be used; None if the merger's list needs no change.
         """
         known_identity = source.identity or identity
         if not known_identity or identity not in ("", known_identity):
--- a/balancer/net/persistence/rows.py
+++ b/balancer/net/persistence/rows.py
@@ -15,28 +15,28 @@
 from balancer.store.engine import Change, Delete, Put
 
 UNKNOWN_SOURCE = "?"
-"""The source of a withdrawal that no source reported."""
+"""Source name of a withdrawal that no source reported."""
 MAX_NAME_LENGTH = 256
 MAX_CELL = 1 << 61
 MAX_LISTING_SOURCES = 16
 
 
 def wall_clock_ms() -> int:
-    """Unix time in whole milliseconds; it may jump."""
+    """Unix time in whole milliseconds; the clock may jump."""
     return int(clock.wall_ms())
 
 
 def is_valid_name(name: str) -> bool:
-    """Whether the store accepts it as a key."""
+    """Whether the store accepts the name as a key."""
     return 0 < len(name) <= MAX_NAME_LENGTH and "\0" not in name
 
 
 def persisted_endpoint(
     record: EndpointRecord, sources: Mapping[str, source_state.Source], wall_ms: int
 ) -> persisted_state.PersistedEndpoint:
-    """The row of an endpoint; figures out of the row's bounds are clamped to them."""
+    """The row of an endpoint; values outside the row's bounds are clamped."""
     endpoint = record.endpoint
-    listing = [
+    listing_sources = [
         name for name, source in sources.items() if record.id in source.records and name != PEERS_SOURCE
     ]
     age_ms = 0 if endpoint.cached_age_ms is None else int(endpoint.cached_age_ms)
@@ -49,7 +49,7 @@
         endpoint.phase is not api.Phase.UP,
         min(1e15, endpoint.started_at_ms),
         endpoint.kind[:MAX_NAME_LENGTH],
-        tuple(listing[:MAX_LISTING_SOURCES]),
+        tuple(listing_sources[:MAX_LISTING_SOURCES]),
         max(0, wall_ms - age_ms),
     )
 
@@ -65,7 +65,7 @@
     source_name: str,
     withdrawal: persisted_state.Withdrawal | None,
 ) -> EndpointRecord:
-    """What a source had listed; an endpoint is draining only for the source that reported the drain."""
+    """The record that a source had listed; it is draining only for the source that reported the drain."""
     is_draining = row.is_draining and (
         withdrawal is None or withdrawal.is_removed or withdrawal.source in (source_name, UNKNOWN_SOURCE)
     )
@@ -75,5 +75,5 @@
 
 
 def store_change(key: persisted_state.RowKey, row: persisted_state.PersistedRow | None) -> Change:
-    """The store's change that writes a row, or deletes it (None)."""
+    """The store change that writes a row, or deletes it if `row` is None."""
     return Delete(*key) if row is None else Put(*key, msgspec.msgpack.encode(row))
--- a/balancer/net/persistence/session.py
+++ b/balancer/net/persistence/session.py
@@ -1,4 +1,4 @@
-"""One store directory, from opening to closing: restores what it holds, then writes what changes."""
+"""A session on one store directory: restores its content, then writes changes until it is closed."""
 
 from __future__ import annotations
 
@@ -26,16 +26,16 @@
 log = logging.getLogger(__name__)
 
 LEARNED_STATE_RESTORE_WINDOW_MS = 1_000.0
-"""From the start on: later, what the node has learned itself counts for more than what was persisted."""
+"""Time since the start after which the node's own learned state takes precedence over persisted state."""
 CLOSE_TIMEOUT_S = 2.0
-"""How long the end of a node waits for its disk."""
+"""How long a node's shutdown waits for its disk."""
 STORE_STATE_POLL_INTERVAL_S = 1.0
 MIN_TIMER_DELAY_S = 0.001
-"""Guards the event loop against a timer that is due again and again."""
+"""Prevents a timer that is due repeatedly from occupying the event loop."""
 
 
 class _StoreContents(NamedTuple):
-    """What the store's thread hands to the event loop."""
+    """Result of reading the store, passed from its thread to the event loop."""
 
     opened: OpenResult
     restored: restoration.RestoredState
@@ -51,7 +51,7 @@
         settings: StateSettings,
         file_system_factory: Callable[[], FileSystem] | None = None,
     ) -> None:
-        """`file_system_factory` makes the store's file system; None for the machine's own."""
+        """`file_system_factory` creates the store's file system; None stands for the local one."""
         self.running, self.node, self.fleet = running, running.node, running.fleet
         self.max_age_ms = 1000.0 * settings.max_age
         self.write_behind = write_behind.WriteBehind(1000.0 * settings.every, self.max_age_ms)
@@ -76,21 +76,22 @@
         self.write_behind.collection_interval_ms = 1000.0 * settings.every
 
     def raise_incarnation(self, incarnation: int) -> None:
-        """Persist the node's incarnation if it is greater than the persisted one."""
+        """Persist the node's incarnation if it exceeds the persisted one."""
         self._handle(write_behind.IncarnationRaised(incarnation))
 
     # --- opening
 
     async def open(self, is_first_directory: bool) -> None:
-        """Open the directory, read it and restore it; raises StoreFileError.
+        """Open the directory, read it and restore its content; raises StoreFileError.
 
-        `is_first_directory`: it holds this node's own past; that of another is only written over.
+        `is_first_directory`: this is the first directory since the start. The content of a later one is not
+        restored, only overwritten.
         """
         opening = BlockingCall(self._read_store)
         try:
             opened, restored, lists = await opening.result
         except asyncio.CancelledError:
-            # Runs once it is open, if ever: otherwise the lock is released with the process.
+            # Runs once the store is open; if it never opens, the lock is released when the process ends.
             BlockingCall(self.store.close)
             raise
         await self._check_restored(opened, restored)
@@ -101,12 +102,12 @@
         last_number = restored.last_sequence_number
         self._handle(write_behind.StoreOpened(identity, restored.rows, last_number, rows.wall_clock_ms()))
         try:
-            await asyncio.sleep(0)  # thousands of rows have used this turn
+            await asyncio.sleep(0)  # thousands of rows may have used up this turn
             if is_first_directory:
                 self._report_to_recovery(opened, restored, identity.incarnation)
                 self._restore_lists(restored, lists)
             lists.clear()
-            # Guards against taking endpoints that the merger has not applied yet for removed ones.
+            # Endpoints that the merger has not applied yet would be taken for removed ones.
             while any(source.pending_records for source in self.fleet.merger.sources.values()):
                 await asyncio.sleep(0)
         except asyncio.CancelledError:
@@ -120,7 +121,7 @@
         self._poll_store_state()
 
     def _read_store(self) -> _StoreContents:
-        """Blocks: what takes long for a large list is done here and not on the event loop."""
+        """Blocks: work that takes long for a large list is done here and not on the event loop."""
         opened = self.store.open()
         try:
             tables: dict[str, dict[str, bytes]] = {
@@ -143,20 +144,20 @@
         return _StoreContents(opened, restored, lists)
 
     async def _check_restored(self, opened: OpenResult, restored: restoration.RestoredState) -> None:
-        """Log what was not restored; raises StoreFileError for the directory of another node."""
+        """Log what was not restored; raises StoreFileError if the directory belongs to another node."""
         for message in restored.messages:
             log.warning("state: %s", message)
         if restored.is_foreign:
             await BlockingCall(self.store.close).result
             raise StoreFileError(FaultKind.FOREIGN, self.store.engine.directory, restored.messages[-1])
         for fault in opened.faults:
-            log.warning("state: not believed: %s", fault)
+            log.warning("state: file ignored: %s", fault)
 
     def _report_to_recovery(
         self, opened: OpenResult, restored: restoration.RestoredState, incarnation: int
     ) -> None:
-        component = self.running.recovery
-        if component is None:
+        recovery_component = self.running.recovery
+        if recovery_component is None:
             return
         previous_run, fault = None, ""
         if restored.identity is not None:
@@ -165,11 +166,11 @@
                 restored.identity.incarnation, float(opened.committed_at_ms), is_outdated
             )
         elif restored.outcome is restoration.RestoreOutcome.LOST:
-            fault = "; ".join(str(one) for one in opened.faults) or restored.messages[-1]
-        component.begin(previous_run, fault, incarnation, float(rows.wall_clock_ms()))
+            fault = "; ".join(str(error) for error in opened.faults) or restored.messages[-1]
+        recovery_component.begin(previous_run, fault, incarnation, float(rows.wall_clock_ms()))
 
     def _restore_lists(self, restored: restoration.RestoredState, lists: RestoredLists) -> None:
-        """Hand the persisted list of each source to the merger."""
+        """Pass the persisted list of each source to the merger."""
         sources = self.fleet.merger.sources
         for source_name, position in restored.sources.items():
             source = sources.get(source_name)
@@ -179,11 +180,13 @@
             if snapshot is None:
                 continue
             event = snapshot.event
-            listed = event.endpoint_list
+            endpoint_list = event.endpoint_list
             if snapshot.is_persisted_list:
-                self.scanner.positions[source_name] = Position(event.identity, listed.revision)
+                self.scanner.positions[source_name] = Position(event.identity, endpoint_list.revision)
             age_s = event.cached_age_ms / 1000
-            log.info("state: %s listed %d servers %.0f s ago", source_name, len(listed.records), age_s)
+            log.info(
+                "state: %s listed %d endpoints %.0f s ago", source_name, len(endpoint_list.records), age_s
+            )
             self.fleet.handle(event)
 
     def _restore_learned_state(self, restored: restoration.RestoredState) -> None:
@@ -199,7 +202,7 @@
             {name: (row.expected_latency_ms, row.mean_deviation_ms) for name, row in latencies.items()},
             self.node.balancer.concurrency_limit if limit is None else limit.limit,
             {name: row.slowness for name, row in restored.slowness.items()},
-            {name: left_ms + age_ms for name, left_ms in restored.ejection_left_ms.items()},
+            {name: remaining_ms + age_ms for name, remaining_ms in restored.ejection_left_ms.items()},
         )
         self.node.event(api.LearnedStateRestored(learned, age_ms))
 
@@ -233,19 +236,19 @@
         write_number = action.write_number
         changes = [rows.store_change(key, row) for key, row in action.changes]
 
-        def on_durable(stamp: int) -> None:
+        def on_durable(sequence_number: int) -> None:
             self._handle(write_behind.WriteCommitted(write_number))
 
         try:
             self.store.write(changes, on_durable)
         except WriteQueueFullError:
             self.loop.call_soon(self._handle, write_behind.WriteRejected(write_number))
-        except ValueError as error:  # guards against one invalid change that would hold up all others
-            log.error("state: %d changes are not kept: %s", len(changes), error)
+        except ValueError as error:  # one invalid change must not block all others
+            log.error("state: %d changes are not persisted: %s", len(changes), error)
             self.loop.call_soon(self._handle, write_behind.WriteCommitted(write_number))
 
     def _collect_learned_state(self) -> None:
-        """Send the learned state as rows; those that the decision module no longer has are deleted."""
+        """Send the learned state as rows; rows that the decision module no longer has are deleted."""
         balancer = self.node.balancer
         learned, wall_ms = balancer.learned(self.node.now()), rows.wall_clock_ms()
         collected: dict[persisted_state.RowKey, persisted_state.PersistedRow | None] = {
@@ -261,11 +264,11 @@
             )
         for name, slowness in learned.slowness.items():
             collected["weights", name] = persisted_state.BackendSlowness(min(1e9, slowness), wall_ms)
-        for name, left_ms in learned.ejection_left_ms.items():
+        for name, remaining_ms in learned.ejection_left_ms.items():
             backend = balancer.backends.get(name)
             consecutive_failures = 0 if backend is None else backend.consecutive_failures
             collected["ejections", name] = persisted_state.BackendEjection(
-                wall_ms + int(left_ms), consecutive_failures, wall_ms
+                wall_ms + int(remaining_ms), consecutive_failures, wall_ms
             )
         for key in [key for key in collected if not self.scanner.check_name(key[1])]:
             del collected[key]
@@ -277,9 +280,9 @@
         status = self.store.status()
         fault = status.reason or slow_commit_text(status)
         if fault and not self._reported_fault:
-            log.error("state: %s; nothing new is kept meanwhile, the node serves on", fault)
+            log.error("state: not writing: %s; new changes are not persisted, the node serves on", fault)
         elif self._reported_fault and not fault:
-            log.warning("state: it is written again")
+            log.warning("state: writing again")
         self._reported_fault = fault
 
     # --- closing
@@ -288,7 +291,7 @@
         self._is_closed = self.scanner.is_closed = True
 
     async def close(self) -> None:
-        """Hand over what is dirty, write it for a bounded time, and close the store."""
+        """Queue dirty rows, write them for a bounded time, and close the store."""
         self._collect_learned_state()
         self._set_closed()
         if self.scanner.on_merge in self.fleet.listeners:
@@ -306,11 +309,11 @@
         with contextlib.suppress(TimeoutError):
             unwritten_count = await asyncio.wait_for(closing.result, CLOSE_TIMEOUT_S + 0.5)
         if unwritten_count:
-            log.error("state: %d changes were not written by the end", unwritten_count)
+            log.error("state: %d changes were not written before shutdown", unwritten_count)
 
 
 def slow_commit_text(status: StoreStatus) -> str:
-    """What is said of a commit that takes too long; empty where none does."""
+    """Describes a commit that takes too long; empty if there is none."""
     if not status.slow_commit_ms:
         return ""
     return f"a write has taken {status.slow_commit_ms / 1000:.0f} s so far"
--- a/balancer/store/__init__.py
+++ b/balancer/store/__init__.py
@@ -1,14 +1,14 @@
-"""What a node persists over crashes: tables (last value by key) and journals (append, read from a position).
+"""Crash-safe storage of a node: tables (last value by key) and journals (append, read from a position).
 
-- `errors`: the errors, and what is wrong with a file as a kind.
-- `files`: the file system as a port: the machine's own, or through SQLite's VFS whatever a test provides.
+- `errors`: the exceptions and the kinds of faults.
+- `files`: the file-system interface: the local file system, or a simulated one behind a SQLite VFS in tests.
 - `sqlite_file`: one SQLite file with a checksum of each record and a seal over all of them.
-- `directory`: names of the files; creating, sweeping and removing them.
+- `directory`: file names; creating and removing files, and sweeping unfinished ones.
 - `journal`: one journal over its segment files.
-- `engine`: a directory with one owner: generations of the tables, and the journals. No thread.
-- `store`: the engine on a writer thread, which commits in groups; the event loop never waits for a disk.
-- `inspect`: what `balancer state show|verify|clear` does, as data.
+- `engine`: a directory with one owner: generations of the tables, and the journals. It starts no thread.
+- `store`: the engine on a writer thread with group commits; the event loop never waits for a disk.
+- `inspect`: the operations behind `balancer state show|verify|clear`; the results are plain data.
 
-Nothing of it is loaded unless the operators' file has a `[state]` table. `docs/design/store.md` tells what
-each kind of fault does to each kind of data.
+The package is imported only if the operators' file has a `[state]` table. `docs/design/store.md` describes
+the effect of each kind of fault on each kind of data.
 """
--- a/balancer/store/directory.py
+++ b/balancer/store/directory.py
@@ -1,9 +1,9 @@
-"""Names of the files in a store's directory, and creating, sweeping and removing them.
+"""File names of a store's directory; creating and removing files, and sweeping unfinished ones.
 
 owner                        the lock file, see `files`
 tables-00000007.db           a generation of the tables, by its number
 journal-NAME-000000000001.db a segment of a journal, by the position of its first record
-new.db                       a file that is being created; left behind by a crash, it is removed
+new.db                       a file that is being created; one left behind by a crash is removed
 """
 
 from __future__ import annotations
@@ -47,7 +47,7 @@
 
 
 def segment_positions(names: Iterable[str]) -> dict[str, list[int]]:
-    """First positions of the segments among file names, rising, by journal in the order of the names."""
+    """First positions of the segments among file names, ascending, by journal in the order of the names."""
     positions: dict[str, list[int]] = {}
     for name in names:
         if match := SEGMENT_NAME_PATTERN.fullmatch(name):
@@ -64,7 +64,7 @@
         self.file_system, self.path = file_system, os.path.realpath(path)
 
     def file_path(self, name: str) -> str:
-        """Path of a file of the directory."""
+        """Path of a file in the directory."""
         return os.path.join(self.path, name)
 
     def open_file(self, name: str) -> SealedFile:
@@ -72,10 +72,10 @@
         return SealedFile(self.file_system, self.file_path(name))
 
     def create_file(self, name: str, seal: Seal, rows: Iterable[RowChange] = ()) -> SealedFile:
-        """Creates a file, complete and durable under its name on return, and opens it.
+        """Creates a file and opens it; on return it is complete and durable under its name.
 
         It is written under another name, synced and renamed, and the directory is synced. Raises
-        StoreFileError; then nothing is left of it.
+        StoreFileError, after which no part of the file is left.
         """
         temporary_path = self.file_path(UNFINISHED_FILE_NAME)
         with translate_os_errors(self.path):
@@ -86,7 +86,9 @@
             sealed_file.commit(seal, rows)
             sealed_file.checkpoint_and_close()
             with translate_os_errors(self.path):
-                self.remove_file(name)  # guards against the log of an invalid file of this name
+                self.remove_file(
+                    name
+                )  # the log of an invalid file of this name would be applied to the new one
                 self.file_system.rename(temporary_path, self.file_path(name))
                 self.file_system.sync_directory(self.path)
             sealed_file = self.open_file(name)
@@ -95,22 +97,23 @@
         except BaseException:
             if sealed_file is not None:
                 sealed_file.abandon()
-            with contextlib.suppress(OSError):  # it may be what fills the disk
+            with contextlib.suppress(OSError):  # the unfinished file may be what fills the disk
                 self.remove_file(UNFINISHED_FILE_NAME)
             raise
 
     def remove_file(self, name: str) -> None:
         """Removes a file and its logs; raises OSError.
 
-        The file goes first: a log alone is swept, while a file without its log would look complete.
+        The main file goes first: a log alone is swept at the next start, while a file without its log would
+        look complete.
         """
         for suffix in ("", WAL_SUFFIX, ROLLBACK_JOURNAL_SUFFIX):
             self.file_system.remove(self.file_path(name + suffix))
 
     def sweep_unfinished_files(self) -> list[str]:
-        """Removes unfinished files and logs without a file; returns the names of the store's files.
+        """Removes unfinished files and logs without a main file; returns the names of the store's files.
 
-        The names are those before the sweep. Raises StoreFileError.
+        The names are those from before the sweep. Raises StoreFileError.
         """
         with translate_os_errors(self.path):
             names = self.file_system.list_names(self.path)
--- a/balancer/store/engine.py
+++ b/balancer/store/engine.py
@@ -1,19 +1,20 @@
-"""The storage engine of one directory: one owner, generations of the tables, journals. No thread.
+"""The storage engine of one directory: exclusive ownership, generations of the tables, journals.
 
 *A generation* is a file with all tables. It is written completely under another name, synced and renamed, and
-the directory is synced, before an older one is removed; from then on changes are added to it. Each start
-begins one with its first write, so a file whose structure was damaged is never written to again, and the
-number, which only rises, is known even if a file cannot be read. `open` itself writes no record and waits for
-no sync: the restored tables are available at once, and their file stays until the new one is durable.
-
-*A write or sync that fails* ends the use of its file: what the kernel still shows of it may never reach the
-disk, and a second fsync would report success (Rebello et al., "Can Applications Recover from fsync
-Failures?", ATC 2020). Nothing that was written to the file since the last successful sync counts: the tables
-continue in a new generation, made of what is known to be durable and of what was to be written; a journal
+the directory is synced, before an older generation is removed; later changes are added to it. The first write
+after each start begins a new generation, so a file with a damaged structure is never written to again. The
+generation number only increases and is part of the file name, so it is known even if the file cannot be read.
+`open` itself writes no record and waits for no sync: the restored tables are available at once, and their
+file stays until the new one is durable.
+
+*A failed write or sync* ends the use of its file: data in the page cache may never reach the disk, and a
+second fsync would report success (Rebello et al., "Can Applications Recover from fsync Failures?", ATC 2020).
+All writes to the file since the last successful sync are disregarded: the tables continue in a new
+generation, which consists of the rows known to be durable and of the changes to be written; a journal
 continues in a new segment (see `journal`).
 
-`Engine` is called by one thread at a time and blocks. Bounds: MAX_ROWS rows, RETAINED_GENERATION_COUNT valid
-generations and as many invalid ones; `store` bounds keys and values.
+`Engine` starts no thread, is called by one thread at a time and blocks. Bounds: MAX_ROWS rows,
+RETAINED_GENERATION_COUNT valid generations and as many invalid ones; `store` bounds keys and values.
 """
 
 from __future__ import annotations
@@ -48,13 +49,13 @@
 
 MAX_ROWS = 200_000
 RETAINED_GENERATION_COUNT = 2
-"""Valid generations that stay, and as many that are not valid, for inspection."""
+"""Valid generations that are kept; as many invalid ones are kept for inspection."""
 
 PlainTables = dict[str, dict[str, bytes]]
 """Values by table and key."""
 Migration = Callable[[PlainTables], PlainTables]
 MIGRATIONS: tuple[Migration, ...] = ()
-"""The n-th converts the tables of format version n + 1 to those of n + 2."""
+"""The migration at index n converts tables of format version n + 1 to version n + 2."""
 
 
 class Put(NamedTuple):
@@ -66,7 +67,7 @@
 
 
 class Delete(NamedTuple):
-    """Removes a key from a table; one that does not exist is no error."""
+    """Removes a key from a table; a missing key is not an error."""
 
     table: str
     key: str
@@ -76,32 +77,32 @@
 
 
 class TableKey(NamedTuple):
-    """A key of a table."""
+    """A key and the table it belongs to."""
 
     table: str
     key: str
 
 
 class _PlannedCommit(NamedTuple):
-    """The last row of each changed key, and the seal of the tables after the commit."""
+    """The final row of each changed key, and the seal of the tables after the commit."""
 
     rows: list[RowChange]
     seal: Seal
 
 
 class OpenResult(msgspec.Struct):
-    """What `Engine.open` found."""
+    """The outcome of `Engine.open`."""
 
     next_generation: int = 0
     """The generation that the first write begins."""
     restored_generation: int = 0
-    """The generation that was loaded; 0: none."""
+    """The generation that was loaded; 0 if none was."""
     is_outdated: bool = False
-    """A newer generation exists that is not valid: what was durable may be missing."""
+    """A newer generation exists but is invalid: durable changes may be missing."""
     committed_at_ms: int = 0
     """Wall clock of the last commit of the loaded generation."""
     faults: list[StoreFileError] = []
-    """One for each file that is not valid."""
+    """One error for each invalid file."""
 
 
 class Engine:
@@ -118,14 +119,14 @@
         self._directory = StoreDirectory(file_system, directory)
         self.file_system, self.wall_clock_ms = file_system, wall_clock_ms
         self.migrations, self.segment_size_bytes = migrations, segment_size_bytes
-        self.tables: Tables = {}  # what is durable
+        self.tables: Tables = {}  # durable rows only
         self.generation = 0  # number of the newest generation
         self._lock: DirectoryLock | None = None
         self._generation_file: SealedFile | None = None
         self._generation_inode = 0
         self._seal = Seal()
         self._journals: dict[str, Journal] = {}
-        # Generations to remove once this start has begun its own; None: it has.
+        # Generations to remove once this start has begun its own; None after that.
         self._surplus_generations: list[int] | None = None
 
     @property
@@ -157,7 +158,7 @@
                 except StoreFileError as error:
                     result.faults.append(error)
             invalid_numbers = [number for number in numbers if number not in valid_numbers]
-            # The generation that this start will begin counts among the valid ones.
+            # The generation that this start will begin counts towards the valid ones that are kept.
             surplus = valid_numbers[RETAINED_GENERATION_COUNT - 1 :]
             self._surplus_generations = surplus + invalid_numbers[RETAINED_GENERATION_COUNT:]
         except BaseException:
@@ -178,7 +179,7 @@
         return Journal(self._directory, name, self.wall_clock_ms, self.segment_size_bytes, first_positions)
 
     def _load_newest_valid(self, numbers: Sequence[int], result: OpenResult) -> list[int]:
-        """Loads the first valid one of these generations; returns the numbers of all that are valid."""
+        """Loads the first valid generation of `numbers`; returns the numbers of all valid ones."""
         valid_numbers: list[int] = []
         for number in numbers:
             generation_file = None
@@ -207,7 +208,7 @@
         )
 
     def _migrate(self, rows: Tables, version: int) -> Tables:
-        """Converts rows of an older format version; the older file is left as it is."""
+        """Converts rows of an older format version; the file itself is left unchanged."""
         if version >= FORMAT_VERSION:
             return rows
         values = {name: {key: row.value for key, row in table.items()} for name, table in rows.items()}
@@ -221,10 +222,10 @@
     # --- tables ---
 
     def commit(self, changes: Sequence[Change]) -> int:
-        """Makes the changes durable, all or none; returns the sequence number of the last.
+        """Makes all changes durable or none of them; returns the sequence number of the last one.
 
-        Raises ValueError if there would be more than MAX_ROWS rows, and StoreFileError; after the latter the
-        file in use no longer counts, and the next `commit` begins a generation.
+        Raises ValueError if there would be more than MAX_ROWS rows, and StoreFileError; after a
+        StoreFileError the file in use is abandoned, and the next `commit` begins a generation.
         """
         planned = self._plan_commit(changes)
         try:
@@ -251,24 +252,24 @@
         for change in changes:
             sequence_number += 1
             table, key = change.table, change.key
-            place = TableKey(table, key)
-            replaced = planned[place] if place in planned else self.tables.get(table, {}).get(key)
+            table_key = TableKey(table, key)
+            replaced = planned[table_key] if table_key in planned else self.tables.get(table, {}).get(key)
             if replaced is not None:
                 row_count, checksum_xor = row_count - 1, checksum_xor ^ replaced.checksum
-            planned[place] = None
+            planned[table_key] = None
             if isinstance(change, Put):
                 checksum = record_checksum(table, key, sequence_number, change.value)
-                planned[place] = Row(sequence_number, change.value, checksum)
+                planned[table_key] = Row(sequence_number, change.value, checksum)
                 row_count, checksum_xor = row_count + 1, checksum_xor ^ checksum
         if row_count > MAX_ROWS:
-            raise ValueError(f"over {MAX_ROWS} rows")
+            raise ValueError(f"more than {MAX_ROWS} rows")
         seal = Seal(row_count, checksum_xor, sequence_number, self.wall_clock_ms())
-        return _PlannedCommit([RowChange(*place, row) for place, row in planned.items()], seal)
+        return _PlannedCommit([RowChange(*table_key, row) for table_key, row in planned.items()], seal)
 
     def begin_generation(self, changed_rows: Sequence[RowChange] = (), seal: Seal | None = None) -> None:
         """Writes all tables, with `changed_rows` applied, to a new file that replaces the one in use.
 
-        `seal` is that of the tables with the changes; the current one by default. Raises StoreFileError.
+        `seal` describes the tables with the changes; it defaults to the current seal. Raises StoreFileError.
         """
         seal = seal or msgspec.structs.replace(self._seal, committed_at_ms=self.wall_clock_ms())
         number = self.generation + 1
@@ -283,14 +284,14 @@
                 self._remove_older_generations()
         surplus, self._surplus_generations = self._surplus_generations or [], None
         for surplus_number in surplus:
-            with contextlib.suppress(OSError):  # a directory of that name is harmless
+            with contextlib.suppress(OSError):  # a directory with this name does no harm
                 self._directory.remove_file(generation_file_name(surplus_number))
 
     def _rows_with(self, changed_rows: Sequence[RowChange]) -> Iterator[RowChange]:
-        """All rows as they are after these changes.
+        """Yields all rows as they are after these changes.
 
-        A generator: the interpreter's lock is released at each row, while building a long list would stall
-        the event loop.
+        This is a generator because the interpreter's lock can be released at each row, while building a long
+        list would stall the event loop.
         """
         changed = {TableKey(change.table, change.key) for change in changed_rows}
         for name, table in self.tables.items():
@@ -307,11 +308,11 @@
             self._directory.remove_file(generation_file_name(number))
 
     def _check_generation_file(self) -> None:
-        """Guards against a directory that was moved away: writes to an open file would still succeed."""
+        """Detects that the directory was moved away: writes to an open file would still succeed."""
         path = self._directory.file_path(generation_file_name(self.generation))
         with translate_os_errors(path):
             if self.file_system.inode(path) != self._generation_inode:
-                detail = "the file in use is another one by now"
+                detail = "the file in use was replaced"
                 raise StoreFileError(FaultKind.MISSING, self.directory, detail)
 
     def _abandon_generation_file(self) -> None:
@@ -328,7 +329,9 @@
         """
         if not values:
             return self._journals[name].next_position if name in self._journals else 1
-        if self._surplus_generations is not None:  # `_check_generation_file` needs a file of this start
+        if (
+            self._surplus_generations is not None
+        ):  # `_check_generation_file` needs a file created by this start
             self.begin_generation()
         journal = self._journals.get(name)
         if journal is None:
@@ -336,23 +339,23 @@
         return journal.append(values, self._check_generation_file)
 
     def read_journal(self, name: str, position: int, count: int) -> list[JournalRecord]:
-        """Up to `count` durable records of a journal from `position` on, see `Journal.read`."""
+        """Reads up to `count` durable records of a journal from `position` on, see `Journal.read`."""
         journal = self._journals.get(name)
         return [] if journal is None else journal.read(position, count)
 
     def trim_journal(self, name: str, before_ms: int = 0, max_bytes: int | None = None) -> int:
-        """Removes old segments of a journal, see `Journal.trim`; returns how many."""
+        """Removes old segments of a journal and returns their number, see `Journal.trim`."""
         journal = self._journals.get(name)
         return 0 if journal is None else journal.trim(before_ms, max_bytes)
 
     def journal_ranges(self) -> Mapping[str, JournalRange]:
-        """The positions that each journal covers."""
+        """The range of positions that each journal covers."""
         return {name: journal.position_range for name, journal in self._journals.items()}
 
     # --- closing ---
 
     def close(self) -> None:
-        """Closes all files without writing and releases the directory."""
+        """Closes all files without writing, and releases the directory's lock."""
         for journal in self._journals.values():
             journal.abandon()
         self._abandon_generation_file()
--- a/balancer/store/errors.py
+++ b/balancer/store/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the store: one base class, what is wrong with a file as a kind and a path."""
+"""Errors of the store: a common base class; an error about a file carries a fault kind and the path."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 
 
 class FaultKind(Enum):
-    """What is wrong with the store, or with a part of it. The values are exported."""
+    """What is wrong with the store or one of its files. The values are exported."""
 
     LOCKED = "owned"
-    """Another living process has the directory."""
+    """Another running process owns the directory."""
     MISSING = "gone"
-    """The directory or the file in use does not exist (any more)."""
+    """The directory or the file in use does not exist, or no longer exists."""
     DISK_FULL = "full"
     READ_ONLY = "read-only"
     FOREIGN = "foreign"
-    """A directory, a symbolic link or another program's file is where a file of the store should be."""
+    """A directory, a symbolic link or another program's file is in the place of a store file."""
     UNSUPPORTED_FORMAT = "format"
     """The file has a format version that this program cannot read."""
     CORRUPT = "spoiled"
-    """A checksum, a seal or SQLite's own structure is wrong."""
+    """A checksum, a seal or SQLite's own structure is invalid."""
     IO_ERROR = "failed"
     """A read, write or sync returned an error."""
 
@@ -47,7 +47,7 @@
 class StoreFileError(StoreError):
     """A file or the directory of the store cannot be used.
 
-    `path` names it, `detail` is the message of the system or of SQLite.
+    `path` is the file or directory, `detail` the message of the operating system or of SQLite.
     """
 
     def __init__(self, kind: FaultKind, path: str, detail: str) -> None:
@@ -56,22 +56,22 @@
 
 
 class WriteQueueFullError(StoreError):
-    """A lane of the write queue is full, or the store is closing; nothing of the request was queued."""
+    """A lane of the write queue is full, or the store is closing; no part of the request was queued."""
 
     def __init__(self, queued_changes: int, is_closing: bool) -> None:
         self.queued_changes, self.is_closing = queued_changes, is_closing
-        super().__init__("the store is closing" if is_closing else f"{queued_changes} changes wait")
+        super().__init__("the store is closing" if is_closing else f"{queued_changes} changes are queued")
 
 
 def store_error_from_os(error: OSError, path: str) -> StoreFileError:
-    """Converts an error of the system, by its errno."""
+    """Converts an error of the operating system; its errno determines the fault kind."""
     kind = _FAULT_KIND_BY_ERRNO.get(error.errno or 0, FaultKind.IO_ERROR)
     return StoreFileError(kind, path, error.strerror or str(error))
 
 
 @contextlib.contextmanager
 def translate_os_errors(path: str) -> Iterator[None]:
-    """Raises each OSError of the block as a StoreFileError about `path`."""
+    """Raises an OSError of the `with` block as a StoreFileError about `path`."""
     try:
         yield
     except OSError as error:
--- a/balancer/store/files.py
+++ b/balancer/store/files.py
@@ -1,7 +1,7 @@
-"""The file-system port: what the store needs of a directory, and the SQLite VFS of its files.
+"""The file-system interface of the store: directory operations, and the SQLite VFS of its files.
 
-`LocalFileSystem` is the machine's own. Tests pass another one, whose calls fail at the n-th, tear or lose
-what was not synced, or block (`balancer/testbed/simulated_disk.py`).
+`LocalFileSystem` is the local file system. Tests pass a simulated one, which fails at the n-th call, tears or
+loses unsynced writes, or blocks (`balancer/testbed/simulated_disk.py`).
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from typing import Protocol
 
 LOCK_FILE_NAME = "owner"
-"""Locked by the process that has the directory; it holds the process id, for operators."""
+"""Locked by the process that owns the directory; contains its process id, for operators."""
 
 
 class DirectoryLock(Protocol):
@@ -25,7 +25,7 @@
 
 
 class FileSystem(Protocol):
-    """What the store needs of the disk besides SQLite's own calls, which go to the VFS `vfs_name`.
+    """Disk operations of the store besides SQLite's own calls, which go to the VFS `vfs_name`.
 
     All methods raise OSError.
     """
@@ -33,16 +33,16 @@
     vfs_name: str
 
     def lock(self, directory: str) -> DirectoryLock:
-        """Locks a directory; raises BlockingIOError while another living process has it."""
+        """Locks a directory; raises BlockingIOError while another running process holds the lock."""
 
     def list_names(self, directory: str) -> list[str]:
         """Names in a directory, in no particular order."""
 
     def is_regular_file(self, path: str) -> bool:
-        """Whether the path is a regular file: no directory and no symbolic link."""
+        """Whether the path is a regular file, not a directory or a symbolic link."""
 
     def inode(self, path: str) -> int:
-        """A number that tells a file from another one of the same name."""
+        """A number that distinguishes a file from a later one with the same name."""
 
     def size_bytes(self, path: str) -> int:
         """Size of a file."""
@@ -51,10 +51,10 @@
         """Renames a file; durable after `sync_directory`."""
 
     def remove(self, path: str) -> None:
-        """Removes a file; one that does not exist is no error. Durable after `sync_directory`."""
+        """Removes a file; a missing file is not an error. Durable after `sync_directory`."""
 
     def sync_directory(self, directory: str) -> None:
-        """Makes the directory's entries, as they are now, durable."""
+        """Makes the directory's current entries durable."""
 
 
 class _FlockLock:
@@ -69,7 +69,7 @@
 
 
 class LocalFileSystem:
-    """The machine's own file system."""
+    """The local file system."""
 
     vfs_name = "unix"
 
@@ -80,9 +80,9 @@
         file_descriptor = os.open(path, flags, 0o600)
         try:
             fcntl.flock(file_descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
-            # Guards against a lock file that was removed: another process would lock a new file of that name.
+            # If the lock file was removed, another process could lock a new file of the same name.
             if os.stat(path).st_ino != os.fstat(file_descriptor).st_ino:
-                raise BlockingIOError(errno.EAGAIN, "the lock's file was replaced")
+                raise BlockingIOError(errno.EAGAIN, "the lock file was replaced")
             os.ftruncate(file_descriptor, 0)
             os.pwrite(file_descriptor, f"{os.getpid()}\n".encode(), 0)
         except BaseException:
@@ -107,7 +107,7 @@
         return os.lstat(path).st_size
 
     def rename(self, old: str, new: str) -> None:
-        """Give a file another name, in one step as POSIX has it."""
+        """Renames a file atomically, as POSIX guarantees."""
         os.rename(old, new)
 
     def remove(self, path: str) -> None:
--- a/balancer/store/inspect.py
+++ b/balancer/store/inspect.py
@@ -1,7 +1,7 @@
-"""What is in a store's directory, without a node: `balancer state show|verify|clear`, as data.
+"""Inspects a store's directory without a node: `balancer state show|verify|clear`, as data.
 
-Everything is read from a copy, so that nothing in the directory changes, not even by SQLite's own recovery.
-While a node has the directory only its files can be listed: ask the node.
+Files are read from a copy, so that the directory does not change, not even by SQLite's own recovery. While a
+node owns the directory, only its files can be listed; the node itself reports their content.
 """
 
 from __future__ import annotations
@@ -36,11 +36,11 @@
 
 RECORDS_PER_READ = 1_000
 MAX_JOURNAL_FAULTS = 20
-"""Faults of one journal that are listed; the others are counted."""
+"""Faults of one journal that are listed; further ones are counted."""
 
 
 class GenerationReport(TypedDict):
-    """One generation of the tables; the last three are missing while a node has the directory."""
+    """One generation of the tables; the last three fields are missing while a node owns the directory."""
 
     number: int
     bytes: int
@@ -50,7 +50,7 @@
 
 
 class JournalReport(TypedDict):
-    """One journal; all but the first two are missing while a node has the directory."""
+    """One journal; all fields but the first two are missing while a node owns the directory."""
 
     name: str
     bytes: int
@@ -76,11 +76,11 @@
 
 
 def show(directory: str) -> dict[str, Any]:
-    """What is in the directory, as JSON values; raises StoreFileError if it is no directory.
+    """Reports the content of the directory as JSON values; raises StoreFileError if it is not a directory.
 
-    `owner` is the process that has it, or None; if there is one, the generations and journals are listed by
-    name and size only. `believed` is the generation that a start would load, None for none, and `memory` the
-    state that it would report.
+    `owner` is the id of the process that owns it, or None; if there is one, the generations and journals are
+    listed by name and size only. `believed` is the generation that a starting node would load, None if there
+    is none, and `memory` the state of persistence that the node would report.
     """
     owner_pid, names = _owner_pid(directory), _store_file_names(directory)
     report = _empty_report(directory, owner_pid)
@@ -113,7 +113,7 @@
 
 
 def _add_file_sizes(report: dict[str, Any], directory: str, names: Sequence[str]) -> None:
-    """Adds what can be told while a node has the directory."""
+    """Adds the sizes, which is all that can be read while a node owns the directory."""
     report["generations"] = [
         GenerationReport(number=number, bytes=_generation_size_bytes(directory, number))
         for number in generation_numbers(names)
@@ -125,9 +125,9 @@
 
 
 def verify(directory: str) -> list[str]:
-    """Every fault of every file, a line each; empty if all files are valid.
+    """Lists each fault of each file on one line; empty if all files are valid.
 
-    Raises StoreFileError if a node has the directory, or it is no directory.
+    Raises StoreFileError if a node owns the directory, or if it is not a directory.
     """
     owner_pid = _owner_pid(directory)
     if owner_pid is not None:
@@ -147,9 +147,9 @@
 
 
 def clear(directory: str) -> list[str]:
-    """Removes all files of the store; returns their names. Other files, links and directories stay.
+    """Removes all files of the store and returns their names. Other files, links and directories stay.
 
-    The node's identity is removed with them: its next start is a first one. Raises StoreFileError.
+    The node's identity is removed as well: the node next starts as a new one. Raises StoreFileError.
     """
     file_system = LocalFileSystem()
     try:
@@ -161,7 +161,7 @@
     try:
         names = _store_file_names(directory)
         removed = [name for name in names if file_system.is_regular_file(os.path.join(directory, name))]
-        # The newest generation last: if this is interrupted, a complete one is left, or none.
+        # The newest generation goes last: an interruption leaves a complete generation or none.
         removed.sort(key=lambda name: (name.startswith("tables-"), name.removesuffix(WAL_SUFFIX)))
         for name in removed:
             file_system.remove(os.path.join(directory, name))
@@ -184,7 +184,7 @@
 
 
 def _owner_pid(directory: str) -> int | None:
-    """The process that has the directory; 0 if its lock file does not tell."""
+    """The id of the process that owns the directory; 0 if the lock file contains no process id."""
     path = os.path.join(directory, LOCK_FILE_NAME)
     if not os.path.lexists(path):
         return None
@@ -200,7 +200,7 @@
 
 
 def _size_with_log_bytes(directory: str, name: str) -> int:
-    """Size of a file and its log; what does not exist counts 0."""
+    """Size of a file and its write-ahead log; a missing file counts as 0."""
     size_bytes = 0
     for part in (name, name + WAL_SUFFIX):
         with contextlib.suppress(OSError):
@@ -219,7 +219,7 @@
 
 @contextlib.contextmanager
 def _copied_files(directory: str, names: Sequence[str]) -> Iterator[_CopiedFiles]:
-    """A temporary copy of the store's files, made while the directory is locked if it has a lock file."""
+    """Copies the store's files to a temporary directory, under the directory's lock if it has a lock file."""
     errors: list[StoreFileError] = []
     file_system = LocalFileSystem()
     with tempfile.TemporaryDirectory(prefix="balancer-state-") as temporary_path:
@@ -231,7 +231,7 @@
                 path = os.path.join(directory, name)
                 try:
                     if not file_system.is_regular_file(path):
-                        detail = "a folder or a link where a file should be"
+                        detail = "a directory or a link where a file is expected"
                         errors.append(StoreFileError(FaultKind.FOREIGN, path, detail))
                     else:
                         shutil.copyfile(path, copy.file_path(name), follow_symlinks=False)
@@ -249,7 +249,7 @@
 def _add_generations(
     report: dict[str, Any], directory: str, copy: StoreDirectory, names: Sequence[str]
 ) -> None:
-    """Adds the generations, and what a start would restore from the newest valid one."""
+    """Adds the generations, and what a starting node would restore from the newest valid one."""
     for number in generation_numbers(names):
         generation = _inspect_generation(copy, generation_file_name(number))
         report["generations"].append(
@@ -272,7 +272,7 @@
 
 
 def _inspect_generation(copy: StoreDirectory, name: str) -> _InspectedGeneration:
-    if not os.path.exists(copy.file_path(name)):  # reported when it could not be copied
+    if not os.path.exists(copy.file_path(name)):  # `_copied_files` has reported the failed copy
         return _InspectedGeneration()
     generation_file = None
     try:
@@ -288,7 +288,7 @@
 
 
 def _add_restored_state(report: dict[str, Any], number: int, generation: _InspectedGeneration) -> None:
-    """Adds the node's identity and what a start of it would make of the tables."""
+    """Adds the node's identity, and the outcome and messages of restoring the tables."""
     values = {name: {key: row.value for key, row in rows.items()} for name, rows in generation.tables.items()}
     try:
         identity = msgspec.msgpack.decode(values["self"]["node"], type=NodeIdentity)
@@ -333,7 +333,7 @@
 
 @dataclass
 class _JournalInspection:
-    """The records of a journal, segment by segment."""
+    """Checks the records of a journal, segment by segment."""
 
     copy: StoreDirectory
     name: str
@@ -343,7 +343,7 @@
     faults: list[str] = field(default_factory=list)
 
     def inspect_segment(self, first: int, end: int | None) -> None:
-        """Checks the records from `first` to before `end`; None: to the segment's own end."""
+        """Checks the records from `first` up to but excluding `end`; None: up to the segment's own end."""
         segment = None
         try:
             segment = self.copy.open_file(segment_file_name(self.name, first))
@@ -366,11 +366,11 @@
                 missing_count = position - expected + (value is None)
                 if missing_count:
                     self.invalid_count += missing_count
-                    place = expected if position > expected else position
-                    self.faults.append(f"{segment.path}: spoiled: position {place}")
+                    fault_position = expected if position > expected else position
+                    self.faults.append(f"{segment.path}: spoiled: position {fault_position}")
                 expected = position + 1
             if records[-1].position >= end:
                 break
         if expected < end:
             self.invalid_count += end - expected
-            self.faults.append(f"{segment.path}: spoiled: positions {expected} to {end - 1} are not there")
+            self.faults.append(f"{segment.path}: spoiled: positions {expected} to {end - 1} are missing")
--- a/balancer/store/journal.py
+++ b/balancer/store/journal.py
@@ -1,7 +1,7 @@
-"""A journal: records appended to segment files, read by position, trimmed by whole segments. No thread.
+"""A journal: records are appended to segment files, read by position and trimmed by whole segments.
 
 After a failed write the segment in use is abandoned and the journal continues in a new one, whose first
-position tells how many records of the one before are valid.
+position determines how many records of the previous segment are valid.
 """
 
 from __future__ import annotations
@@ -15,20 +15,20 @@
 from balancer.store.sqlite_file import JournalRecord, Seal, SealedFile
 
 SEGMENT_SIZE_BYTES = 8 * 1024 * 1024
-"""Size, with its log, from which the next append begins a new segment."""
+"""Size of a segment with its write-ahead log from which the next append begins a new segment."""
 UNREADABLE_SEGMENT_POSITION_GAP = 1_000_000_000
-"""Positions skipped after a segment that cannot be read, so that no position is assigned twice."""
+"""Positions skipped after an unreadable segment, so that no position is assigned twice."""
 
 
 class JournalRange(NamedTuple):
-    """Positions that a journal covers: from `first` to before `next`."""
+    """Positions that a journal covers: from `first` up to but excluding `next`."""
 
     first: int
     next: int
 
 
 class Journal:
-    """One journal of a directory. Blocks; one thread at a time."""
+    """One journal of a directory. Calls block; one thread at a time may use it."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
         segment_size_bytes: int,
         first_positions: Sequence[int] = (),
     ) -> None:
-        """`first_positions`: of the segments that exist, rising."""
+        """`first_positions` are those of the existing segments, ascending."""
         self.directory, self.name, self.wall_clock_ms = directory, name, wall_clock_ms
         self.segment_size_bytes = segment_size_bytes
         self.first_positions = list(first_positions)
@@ -54,7 +54,7 @@
     def resume(self) -> None:
         """Opens the newest segment to append to it.
 
-        Raises StoreFileError if it cannot be read; the journal then continues after a gap.
+        Raises StoreFileError if the segment cannot be read; the journal then continues after a gap.
         """
         first = self.first_positions[-1]
         segment = None
@@ -65,7 +65,7 @@
             last_positions = [record.position for record in tail]
             is_tail_valid = seal.next_position <= first or last_positions == [seal.next_position - 1]
             if seal.first_position != first or not is_tail_valid:
-                detail = "its last record is not that of its seal"
+                detail = "the last record does not match the seal"
                 raise StoreFileError(FaultKind.CORRUPT, segment.path, detail)
             self._open_segment, self.next_position = segment, seal.next_position
         except StoreFileError:
@@ -77,8 +77,8 @@
     def append(self, values: Sequence[bytes], check_directory: Callable[[], None]) -> int:
         """Appends records, durable on return; returns the position of the first.
 
-        `check_directory` raises StoreFileError if the directory was replaced; it is called before a segment
-        that is open is written to. Raises StoreFileError.
+        `check_directory` raises StoreFileError if the directory was replaced; it is called before writing to
+        a segment that is already open. Raises StoreFileError.
         """
         first, now_ms = self.next_position, self.wall_clock_ms()
         try:
@@ -93,7 +93,7 @@
                 next_position=first + len(values),
                 committed_at_ms=now_ms,
             )
-            records = [JournalRecord(first + n, now_ms, value) for n, value in enumerate(values)]
+            records = [JournalRecord(first + index, now_ms, value) for index, value in enumerate(values)]
             segment.commit(seal, records=records)
         except BaseException:
             self.abandon()
@@ -117,10 +117,10 @@
         return segment
 
     def read(self, position: int, count: int) -> list[JournalRecord]:
-        """Up to `count` durable records from `position` on.
+        """Reads up to `count` durable records from `position` on.
 
-        A missing stretch, and a segment that cannot be read, is one record without a value at its first
-        position. Records that a later segment has written again are skipped.
+        A gap of missing records and an unreadable segment each yield one record without a value at their
+        first position. Records that a later segment contains again are skipped.
         """
         records: list[JournalRecord] = []
         ends = [*self.first_positions[1:], self.next_position]
@@ -140,7 +140,7 @@
         return records[:count]
 
     def _read_segment(self, first: int, position: int, count: int) -> list[JournalRecord]:
-        """Records of one segment; none where it cannot be read."""
+        """Records of one segment; none if it cannot be read."""
         is_newest = first == self.first_positions[-1]
         open_segment = self._open_segment if is_newest else None
         segment = None
@@ -154,10 +154,10 @@
                 segment.abandon()
 
     def trim(self, before_ms: int = 0, max_bytes: int | None = None) -> int:
-        """Removes old segments; returns how many.
+        """Removes the oldest segments and returns their number.
 
-        Removed are those whose last record was written before `before_ms` (wall clock), and those by which
-        the journal exceeds `max_bytes`. The newest segment stays, and one that cannot be read is removed for
+        A segment is removed if its last record was written before `before_ms` (wall clock), or while the
+        journal exceeds `max_bytes`. The newest segment always stays, and an unreadable segment is removed for
         its size only. Raises StoreFileError.
         """
         removed_count = 0
@@ -175,7 +175,7 @@
         return removed_count
 
     def _committed_at_ms(self, first: int) -> float:
-        """When a segment was last written; infinite where it cannot be read."""
+        """Wall clock of the last commit to a segment; infinite if the segment cannot be read."""
         segment = None
         try:
             segment = self._open(first)
--- a/balancer/store/sqlite_file.py
+++ b/balancer/store/sqlite_file.py
@@ -1,12 +1,12 @@
 """One file of the store: SQLite in WAL mode on one connection, with a checksum of each record and a seal.
 
 The *seal* is one record that is written with every commit: the number of rows, the XOR of their checksums,
-the last sequence number and the wall time. A flipped bit, a lost row or a row in another's place breaks the
-row's checksum or the seal. Both checksums are XXH3 of 64 bits over all that makes up the record. SQLite's own
-structure is checked by reading the complete file once, at the start.
+the last sequence number and the wall time. A flipped bit, a lost row or a row in another row's place
+invalidates the row's checksum or the seal. All checksums are 64-bit XXH3 over the complete record. SQLite's
+own structure is checked by reading the complete file once, at the start.
 
-`synchronous=FULL`: each commit is one fsync of the WAL. `locking_mode=EXCLUSIVE`: no shared memory is needed,
-so any VFS will do.
+With `synchronous=FULL` each commit is one fsync of the WAL. With `locking_mode=EXCLUSIVE` no shared memory is
+needed, so any VFS can be used.
 """
 
 from __future__ import annotations
@@ -23,11 +23,11 @@
 from balancer.store.files import FileSystem
 
 APPLICATION_ID = 0x444C5053
-"""SQLite's application_id of the store's files."""
+"""SQLite's application_id in the store's files."""
 FORMAT_VERSION = 1
-"""SQLite's user_version of the files that are written; engine.MIGRATIONS converts older ones."""
+"""SQLite's user_version in files that are written; engine.MIGRATIONS converts older versions."""
 SEAL_TABLE = "seal"
-"""Stands for the table in the checksum of the seal."""
+"""Table name in the checksum of the seal."""
 WAL_CHECKPOINT_PAGES = 1_000
 MAX_STRUCTURE_FAULTS = 20
 _FAULT_KIND_BY_EXCEPTION: dict[type, FaultKind] = {
@@ -58,7 +58,7 @@
 class Row(NamedTuple):
     """A stored value; the fields are the columns of the table, in this order.
 
-    `sequence_number` rises with each change, `checksum` covers all of the row, its table and its key.
+    `sequence_number` increases with each change; `checksum` covers the row, its table and its key.
     """
 
     sequence_number: int
@@ -71,7 +71,7 @@
 
 
 class RowChange(NamedTuple):
-    """The row that a key of a table gets; None removes it."""
+    """The new row of a key of a table; None removes the row."""
 
     table: str
     key: str
@@ -79,7 +79,7 @@
 
 
 class JournalRecord(NamedTuple):
-    """One record of a journal; `value` is None where the record is missing or its checksum is wrong."""
+    """One record of a journal; `value` is None if the record is missing or its checksum is wrong."""
 
     position: int
     written_at_ms: int
@@ -88,7 +88,7 @@
 
 
 class Seal(msgspec.Struct, frozen=True, array_like=True):
-    """What a file states about its own content. The order of the fields is that of the stored array."""
+    """Summary of a file's content, stored in the file. The field order is that of the stored array."""
 
     row_count: int = 0
     checksum_xor: int = 0
@@ -96,13 +96,13 @@
     committed_at_ms: int = 0
     """Wall clock of the last commit."""
     first_position: int = 0
-    """Of a journal's segment: the position of its first record."""
+    """In a journal segment: the position of its first record."""
     next_position: int = 0
-    """Of a journal's segment: the position that the next record gets."""
+    """In a journal segment: the position of the next record to be appended."""
 
 
 def record_checksum(table: str, key: str, sequence_number: int, value: bytes) -> int:
-    """XXH3 (64 bits, signed as SQLite's integers are) over a record and its place."""
+    """XXH3 (64 bits, signed like SQLite's integers) over a record, its table and its key."""
     digest = xxhash.xxh3_64_intdigest(f"{table}\0{key}\0{sequence_number}\0".encode() + value)
     return digest - (1 << 64) if digest >> 63 else digest
 
@@ -117,7 +117,7 @@
 
 @contextlib.contextmanager
 def translate_sqlite_errors(path: str) -> Iterator[None]:
-    """Raises each error of SQLite, the file system or decoding as a StoreFileError about `path`."""
+    """Raises an error of SQLite, of the file system or of decoding as a StoreFileError about `path`."""
     try:
         yield
     except StoreFileError:
@@ -127,12 +127,12 @@
 
 
 class SealedFile:
-    """An open file. One thread at a time; after a StoreFileError of a write it must be abandoned."""
+    """An open file, used by one thread at a time. Once a write has failed it must be abandoned."""
 
     def __init__(self, file_system: FileSystem, path: str, create: bool = False) -> None:
         """Opens or creates the file; raises StoreFileError.
 
-        A file that is being created is not synced before `checkpoint_and_close`.
+        A new file is not synced before `checkpoint_and_close`.
         """
         self.path = path
         self.seal = Seal()
@@ -140,7 +140,9 @@
         flags = apsw.SQLITE_OPEN_READWRITE | apsw.SQLITE_OPEN_NOFOLLOW
         with translate_sqlite_errors(path):
             if not create and not file_system.is_regular_file(path):
-                raise StoreFileError(FaultKind.FOREIGN, path, "a folder or a link where a file should be")
+                raise StoreFileError(
+                    FaultKind.FOREIGN, path, "a directory or a link where a file is expected"
+                )
             flags |= apsw.SQLITE_OPEN_CREATE if create else 0
             self._connection = apsw.Connection(path, flags=flags, vfs=file_system.vfs_name)
         try:
@@ -156,7 +158,7 @@
     def _configure_new(self) -> None:
         execute = self._connection.execute
         self._restrict_connection()
-        # Nothing counts before `checkpoint_and_close`: set this early, it saves eight syncs of what follows.
+        # The file is not used before `checkpoint_and_close`: set first, this saves eight syncs below.
         execute("pragma synchronous=off")
         execute(f"pragma application_id={APPLICATION_ID}")
         execute(f"pragma user_version={FORMAT_VERSION}")
@@ -170,9 +172,9 @@
         application_id = _first_integer(execute("pragma application_id"))
         version = _first_integer(execute("pragma user_version"))
         if application_id != APPLICATION_ID:
-            raise StoreFileError(FaultKind.FOREIGN, self.path, "a file that another program made")
+            raise StoreFileError(FaultKind.FOREIGN, self.path, "the file was created by another program")
         if not 0 < version <= FORMAT_VERSION:
-            detail = f"version {version}, where this program knows 1 to {FORMAT_VERSION}"
+            detail = f"version {version}, but this program reads only versions 1 to {FORMAT_VERSION}"
             raise StoreFileError(FaultKind.UNSUPPORTED_FORMAT, self.path, detail)
         self.format_version = version
         self._enable_wal()
@@ -191,7 +193,7 @@
     def commit(
         self, seal: Seal, rows: Iterable[RowChange] = (), records: Iterable[JournalRecord] = ()
     ) -> None:
-        """One transaction, durable on return; raises StoreFileError. The records have values."""
+        """Writes one transaction, durable on return; raises StoreFileError. Each record must have a value."""
         execute = self._connection.execute
         with translate_sqlite_errors(self.path):
             execute("begin immediate")
@@ -211,17 +213,17 @@
             self.seal = seal
 
     def checkpoint_and_close(self) -> None:
-        """Copies the log into the main file, synced, and closes it; raises StoreFileError."""
+        """Copies the write-ahead log into the main file, synced, and closes it; raises StoreFileError."""
         with translate_sqlite_errors(self.path):
             self._connection.execute("pragma synchronous=full")
             is_busy = _first_integer(self._connection.execute("pragma wal_checkpoint(truncate)"))
             if is_busy:
-                detail = "the log could not be brought into the file"
+                detail = "the write-ahead log could not be checkpointed"
                 raise StoreFileError(FaultKind.IO_ERROR, self.path, detail)
             self._connection.close()
 
     def abandon(self) -> None:
-        """Closes without writing: nothing that was not synced gets any further."""
+        """Closes without a checkpoint: data that was not synced is not copied into the main file."""
         with contextlib.suppress(apsw.Error, OSError):
             self._connection.config(apsw.SQLITE_DBCONFIG_NO_CKPT_ON_CLOSE, 1)
         with contextlib.suppress(apsw.Error, OSError):
@@ -230,18 +232,18 @@
     # --- reading ---
 
     def read_seal(self) -> Seal:
-        """The seal, its checksum verified; raises StoreFileError."""
+        """Reads the seal and verifies its checksum; raises StoreFileError."""
         with translate_sqlite_errors(self.path):
             found = self._connection.execute("select value, sum from seal where id=0").fetchall()
             if len(found) != 1 or not isinstance(value := found[0][0], bytes):
-                raise StoreFileError(FaultKind.CORRUPT, self.path, "it has no seal")
+                raise StoreFileError(FaultKind.CORRUPT, self.path, "the seal is missing")
             if record_checksum(SEAL_TABLE, "", 0, value) != found[0][1]:
-                raise StoreFileError(FaultKind.CORRUPT, self.path, "its seal is broken")
+                raise StoreFileError(FaultKind.CORRUPT, self.path, "the checksum of the seal is wrong")
             self.seal = msgspec.msgpack.decode(value, type=Seal)
             return self.seal
 
     def read_rows(self) -> Tables:
-        """All rows, each checksum verified and the whole against the seal; raises StoreFileError."""
+        """Reads all rows and verifies each checksum, and all rows against the seal; raises StoreFileError."""
         tables: Tables = {}
         row_count = checksum_xor = 0
         with translate_sqlite_errors(self.path):
@@ -257,19 +259,19 @@
                     not has_valid_types
                     or record_checksum(table, key, row.sequence_number, row.value) != row.checksum
                 ):
-                    detail = f"the checksum of {table!r:.40} {key!r:.80}"
+                    detail = f"the checksum of {table!r:.40} {key!r:.80} is wrong"
                     raise StoreFileError(FaultKind.CORRUPT, self.path, detail)
                 tables.setdefault(table, {})[key] = row
                 row_count, checksum_xor = row_count + 1, checksum_xor ^ row.checksum
         if (row_count, checksum_xor) != (seal.row_count, seal.checksum_xor):
-            detail = f"{row_count} rows that are not the {seal.row_count} of its seal"
+            detail = f"{row_count} rows that do not match the seal of {seal.row_count} rows"
             raise StoreFileError(FaultKind.CORRUPT, self.path, detail)
         return tables
 
     def read_records(self, position: int, count: int) -> list[JournalRecord]:
-        """Up to `count` records that exist, from `position` on; raises StoreFileError.
+        """Reads up to `count` existing records from `position` on; raises StoreFileError.
 
-        A record whose checksum is wrong has no value.
+        A record with a wrong checksum has no value.
         """
         records: list[JournalRecord] = []
         found = self._connection.execute(
@@ -286,7 +288,7 @@
         return records
 
     def structure_faults(self) -> list[str]:
-        """What SQLite reports about its own structure, a line a fault; empty if it is sound."""
+        """Faults that SQLite reports in its own structure, one a line; empty if there are none."""
         try:
             with translate_sqlite_errors(self.path):
                 found = self._connection.execute(f"pragma integrity_check({MAX_STRUCTURE_FAULTS})")
--- a/balancer/store/store.py
+++ b/balancer/store/store.py
@@ -1,15 +1,16 @@
-"""The store as the node uses it: one writer thread, which commits in groups; the event loop never waits.
+"""The asynchronous store of a node: one writer thread with group commits; the event loop never waits.
 
-A change is encoded at once and queued in one of two *lanes*: that of the urgent tables (removals and drains),
-which is written first, and that of everything else. A table or journal belongs to one lane, so its own order
-is always kept. A lane is bounded in changes and bytes: what does not fit is rejected at once with
-`WriteQueueFull`, counted, and nothing of it is written.
+A change is encoded at once and queued in one of two *lanes*: the urgent lane holds the urgent tables
+(removals and drains) and is written first, the normal lane holds everything else. A table or journal belongs
+to one lane, so the order of its changes is always kept. A lane is bounded in changes and bytes: a request
+that does not fit is rejected at once with `WriteQueueFullError` and counted, and no part of it is written.
 
-`on_durable` is called once the changes that it came with are durable, through `call_soon_threadsafe` (that of
-the event loop), some hundred in one turn. It is not called earlier, and never for what was not written.
+`on_durable` is called once the changes of its request are durable, through the event loop's
+`call_soon_threadsafe`, at most CALLBACKS_PER_LOOP_TURN in one turn. It is never called for changes that were
+not written.
 
-A commit that fails is retried completely, after a backoff that doubles up to MAX_RETRY_BACKOFF_S, in a new
-file (see `engine`); meanwhile the lanes fill, and `status` gives the reason. The process continues to serve.
+A failed commit is retried completely in a new file (see `engine`), after a backoff that doubles up to
+MAX_RETRY_BACKOFF_S; meanwhile the lanes fill, and `status` gives the reason. The process continues to serve.
 """
 
 from __future__ import annotations
@@ -29,23 +30,23 @@
 
 MAX_VALUE_BYTES = 64 * 1024
 MAX_KEY_LENGTH = 512
-"""Characters of a key."""
+"""In characters."""
 MAX_LANE_CHANGES = 20_000
-"""Changes and records that one lane queues."""
+"""Changes and records queued in one lane."""
 MAX_LANE_BYTES = 8 * 1024 * 1024
 GROUP_COMMIT_CHANGES = 1_000
-"""Changes and records from which a commit takes no further request."""
+"""Number of changes and records from which a commit takes no further request."""
 CALLBACKS_PER_LOOP_TURN = 100
 MIN_RETRY_BACKOFF_S = 0.1
 MAX_RETRY_BACKOFF_S = 10.0
 LOCK_WAIT_TIMEOUT_S = 0.5
-"""How long `open` waits for another owner: a process that is ending, or an inspection of the directory."""
+"""How long `open` waits for another lock owner: a process that is exiting, or an inspection."""
 LOCK_POLL_INTERVAL_S = 0.02
 SLOW_COMMIT_THRESHOLD_S = 1.0
 """Duration of a running commit from which the status reports it as slow."""
 
 DurableCallback = Callable[[int], None]
-"""Gets the position of a journal's record, or the sequence number of the commit's last change."""
+"""Receives the position of a journal record, or the sequence number of the commit's last change."""
 CallSoonThreadsafe = Callable[[Callable[[], None]], object]
 
 
@@ -53,7 +54,7 @@
     """State of the store for reports and logs."""
 
     fault: FaultKind | None
-    """Of the last commit; None if it succeeded."""
+    """Fault of the last commit; None if it succeeded."""
     reason: str
     queued_changes: int
     queued_bytes: int
@@ -61,7 +62,7 @@
     commit_count: int
     failure_count: int
     slow_commit_ms: int
-    """Duration so far of the running commit if it is over SLOW_COMMIT_THRESHOLD_S; else 0."""
+    """Duration so far of the running commit if it exceeds SLOW_COMMIT_THRESHOLD_S; else 0."""
 
 
 class _QueuedCommit(msgspec.Struct):
@@ -80,7 +81,7 @@
 
 
 class _QueuedCall(msgspec.Struct):
-    """A call of the engine, made on the writer thread; what it returns is called on the loop."""
+    """A call of the engine on the writer thread; the callback it returns is called on the event loop."""
 
     engine_call: Callable[[Engine], Callable[[], None] | None]
     size_bytes: int = 0
@@ -96,27 +97,30 @@
     size_bytes: int = 0
 
     def has_capacity_for(self, work: _QueuedWork) -> bool:
-        """Whether the bounds of the lane admit it."""
+        """Whether the bounds of the lane admit the work."""
         return (
             self.change_count + work.change_count <= MAX_LANE_CHANGES
             and self.size_bytes + work.size_bytes <= MAX_LANE_BYTES
         )
 
     def push(self, work: _QueuedWork) -> None:
-        """Queues it as the last."""
+        """Appends work at the end of the queue."""
         self.queue.append(work)
         self.change_count += work.change_count
         self.size_bytes += work.size_bytes
 
     def pop(self) -> None:
-        """Removes the first."""
+        """Removes the work at the head of the queue."""
         work = self.queue.popleft()
         self.change_count -= work.change_count
         self.size_bytes -= work.size_bytes
 
 
 class Store:
-    """One directory, from `open` to `close`. All methods but these two return at once, on any thread."""
+    """One directory, from `open` to `close`.
+
+    All other methods return at once and may be called on any thread.
+    """
 
     def __init__(
         self,
@@ -136,13 +140,13 @@
         self._last_error: StoreFileError | None = None
         self._rejected_changes = self._commit_count = self._failure_count = 0
         self._commit_started_s = 0.0  # monotonic; 0: no commit is running
-        self._commits_singly = False  # one request a commit, to find the one that cannot be carried out
+        self._commits_singly = False  # one request per commit, to find the invalid one
 
     def open(self) -> OpenResult:
-        """Locks the directory and loads it; blocks, so not on the event loop. Raises StoreFileError.
+        """Locks the directory and loads it. Raises StoreFileError.
 
-        It waits for no sync: the first write begins this start's generation, and `status` tells if that
-        fails.
+        It blocks, so it must not be called on the event loop. It waits for no sync: the first write begins
+        this start's generation, and `status` reports a failure of that.
         """
         deadline_s = time.monotonic() + LOCK_WAIT_TIMEOUT_S
         while True:
@@ -158,13 +162,13 @@
         return result
 
     def close(self, timeout_s: float = 2.0) -> int:
-        """Writes what is queued, up to the time-out, and closes; returns the changes not written. Blocks."""
+        """Writes queued changes until the timeout and closes; returns how many are unwritten. Blocks."""
         with self._condition:
             self._is_closing = True
             self._condition.notify()
         if self._thread is not None:
             self._thread.join(timeout_s)
-            if self._thread.is_alive():  # the disk hangs: the kernel releases the lock with the process
+            if self._thread.is_alive():  # the disk hangs: the kernel releases the lock when the process ends
                 return max(1, self._queued_changes())
         self.engine.close()
         return self._queued_changes()
@@ -172,49 +176,49 @@
     # --- requests ---
 
     def put(self, table: str, key: str, value: object, on_durable: DurableCallback | None = None) -> None:
-        """Sets a key; raises WriteQueueFull, ValueError."""
+        """Sets a key; raises WriteQueueFullError, ValueError."""
         self.write([Put(table, key, msgspec.msgpack.encode(value))], on_durable)
 
     def delete(self, table: str, key: str, on_durable: DurableCallback | None = None) -> None:
-        """Removes a key; raises WriteQueueFull, ValueError."""
+        """Removes a key; raises WriteQueueFullError, ValueError."""
         self.write([Delete(table, key)], on_durable)
 
     def write(self, changes: Sequence[Change], on_durable: DurableCallback | None = None) -> None:
-        """Queues changes for one commit, all or none. Raises WriteQueueFull.
+        """Queues changes for one atomic commit. Raises WriteQueueFullError.
 
-        Raises ValueError for a bad key, a value over MAX_VALUE_BYTES, and tables of both lanes.
+        Raises ValueError for an invalid key, a value over MAX_VALUE_BYTES, and tables of both lanes.
         """
         if not changes:
-            raise ValueError("nothing to write")
+            raise ValueError("no changes to write")
         urgencies = {change.table in self._urgent_tables for change in changes}
         if len(urgencies) > 1:
-            raise ValueError("urgent tables and others in one commit")
+            raise ValueError("urgent and normal tables in one commit")
         size_bytes = sum(_checked_change_size_bytes(change) for change in changes)
         lane = self._urgent_lane if urgencies.pop() else self._normal_lane
         self._enqueue(lane, _QueuedCommit(changes, on_durable, size_bytes, len(changes)))
 
     def append(self, journal: str, record: object, on_durable: DurableCallback | None = None) -> None:
-        """Appends a record to a journal; raises WriteQueueFull, ValueError."""
+        """Appends a record to a journal; raises WriteQueueFullError, ValueError."""
         if not TABLE_NAME_PATTERN.fullmatch(journal):
-            raise ValueError(f"no name of a journal: {journal!r:.60}")
+            raise ValueError(f"invalid journal name: {journal!r:.60}")
         packed = msgspec.msgpack.encode(record)
         work = _QueuedAppend(journal, packed, on_durable, _checked_size_bytes(packed))
         self._enqueue(self._normal_lane, work)
 
     def items(self, table: str) -> dict[str, bytes]:
-        """A table as it is durable, each value as MessagePack. Too slow for the event loop if it is long."""
+        """The durable rows of a table, values as MessagePack. Too slow for the event loop if it is long."""
         rows = self.engine.tables.get(table)
         return {} if rows is None else {key: row.value for key, row in rows.copy().items()}
 
     def get(self, table: str, key: str) -> bytes | None:
-        """One value as it is durable."""
+        """The durable value of a key as MessagePack; None if there is none."""
         row = self.engine.tables.get(table, {}).get(key)
         return None if row is None else row.value
 
     def read_journal(
         self, journal: str, position: int, count: int, on_read: Callable[[list[JournalRecord]], None]
     ) -> None:
-        """Reads up to `count` durable records from `position` on; raises WriteQueueFull."""
+        """Reads up to `count` durable records from `position` on; raises WriteQueueFullError."""
 
         def read(engine: Engine) -> Callable[[], None]:
             records = engine.read_journal(journal, position, count)
@@ -223,7 +227,7 @@
         self._enqueue(self._normal_lane, _QueuedCall(read))
 
     def trim_journal(self, journal: str, before_ms: int = 0, max_bytes: int | None = None) -> None:
-        """Removes old segments of a journal, see `Journal.trim`; raises WriteQueueFull."""
+        """Removes old segments of a journal, see `Journal.trim`; raises WriteQueueFullError."""
 
         def trim(engine: Engine) -> None:
             engine.trim_journal(journal, before_ms, max_bytes)
@@ -231,11 +235,11 @@
         self._enqueue(self._normal_lane, _QueuedCall(trim))
 
     def begin_generation(self) -> None:
-        """Writes all tables to a new file, which delays other writes; raises WriteQueueFull."""
+        """Writes all tables to a new file, which delays other writes; raises WriteQueueFullError."""
         self._enqueue(self._normal_lane, _QueuedCall(lambda engine: engine.begin_generation()))
 
     def status(self) -> StoreStatus:
-        """State for reports and logs."""
+        """The current state for reports and logs."""
         commit_started_s, last_error = self._commit_started_s, self._last_error
         commit_duration_s = time.monotonic() - commit_started_s if commit_started_s else 0.0
         is_slow = commit_duration_s > SLOW_COMMIT_THRESHOLD_S
@@ -269,7 +273,7 @@
             try:
                 self._commit_started_s = time.monotonic()
                 callbacks = self._execute_group(group)
-            except Exception as error:  # guards against a writer that ends for good by one unexpected error
+            except Exception as error:  # one unexpected error must not end the writer thread
                 self._record_failure(error)
                 with self._condition:
                     if self._is_closing:
@@ -292,14 +296,14 @@
         self._failure_count += 1
 
     def _isolate_invalid_change(self, group: list[_QueuedWork]) -> None:
-        """Rejects a request that can never be carried out; a group is first retried one by one."""
+        """Rejects an invalid request; a group is first retried one request at a time to find it."""
         if self._commits_singly:
             self._dequeue_group(group)
             self._rejected_changes += group[0].change_count
         self._commits_singly = not self._commits_singly
 
     def _next_group(self) -> list[_QueuedWork]:
-        """Waits for the work of one commit, which stays queued until it is durable; empty at the end."""
+        """Waits for the work of one commit, which stays queued until it is durable; empty when closing."""
         with self._condition:
             while not any(lane.queue for lane in self._lanes):
                 if self._is_closing:
@@ -320,7 +324,7 @@
             return group
 
     def _execute_group(self, group: list[_QueuedWork]) -> list[Callable[[], None]]:
-        """Carries out and dequeues a group; returns what is to be called on the loop."""
+        """Executes and dequeues a group; returns the callbacks for the event loop."""
         match group[0]:
             case _QueuedCall(engine_call=engine_call):
                 callback = engine_call(self.engine)
@@ -329,8 +333,8 @@
                 appends = [work for work in group if isinstance(work, _QueuedAppend)]
                 position = self.engine.append(journal, [work.record for work in appends])
                 callbacks = [
-                    _bind_callback(work.on_durable, position + n)
-                    for n, work in enumerate(appends)
+                    _bind_callback(work.on_durable, position + index)
+                    for index, work in enumerate(appends)
                     if work.on_durable is not None
                 ]
             case _QueuedCommit():
@@ -355,7 +359,7 @@
         try:
             for start in range(0, len(callbacks), CALLBACKS_PER_LOOP_TURN):
                 self._call_soon_threadsafe(_run_all(callbacks[start : start + CALLBACKS_PER_LOOP_TURN]))
-        except RuntimeError:  # the loop is closed: nobody waits for them
+        except RuntimeError:  # the event loop is closed: no one waits for the callbacks
             pass
 
 
@@ -382,14 +386,14 @@
 
 
 def _checked_change_size_bytes(change: Change) -> int:
-    """What a change counts in its lane; raises ValueError for a bad key or a value that is too long."""
+    """Size of a change in its lane; raises ValueError for an invalid key or a value that is too long."""
     is_valid_key = 0 < len(change.key) <= MAX_KEY_LENGTH and "\0" not in change.key
     if not is_valid_key or not TABLE_NAME_PATTERN.fullmatch(change.table):
-        raise ValueError(f"no key of a table: {change.table!r:.60}, {change.key!r:.120}")
+        raise ValueError(f"invalid table or key: {change.table!r:.60}, {change.key!r:.120}")
     return len(change.key) + _checked_size_bytes(change.value) if isinstance(change, Put) else 0
 
 
 def _checked_size_bytes(value: bytes) -> int:
     if len(value) > MAX_VALUE_BYTES:
-        raise ValueError(f"a value of {len(value)} bytes, where {MAX_VALUE_BYTES} are allowed")
+        raise ValueError(f"a value of {len(value)} bytes exceeds the limit of {MAX_VALUE_BYTES} bytes")
     return len(value)
--- a/tests/cli/test_command_line.py
+++ b/tests/cli/test_command_line.py
@@ -21,7 +21,7 @@
 import balancer
 from balancer import __main__ as program
 from balancer import cli
-from balancer.cli import SETTINGS, main
+from balancer.cli import SETTINGS_VAR, main
 from balancer.cli import node as node_word
 from balancer.net.config import CONFIG
 from tests.sockets import (
@@ -79,7 +79,7 @@
 def test_help_starts_nothing_and_names_every_word(config: Path) -> None:
     got = says("--help", PROXY_CONFIG=config)
     assert got.returncode == 0 and got.stderr == ""
-    for word in ("run", "check", "members", "demo", "--version", CONFIG, SETTINGS, "SIGHUP"):
+    for word in ("run", "check", "members", "demo", "--version", CONFIG, SETTINGS_VAR, "SIGHUP"):
         assert word in got.stdout
 
 
@@ -162,7 +162,7 @@
 
         monkeypatch.setattr(node_word, "start_with_operator_settings", start)
         monkeypatch.setattr(program, "record_hangups", list)
-        monkeypatch.delenv(SETTINGS, raising=False)
+        monkeypatch.delenv(SETTINGS_VAR, raising=False)
         assert main(words.split()) == 0 and started == [Path(node) if node else None]
 
 
--- a/tests/net/test_persistence.py
+++ b/tests/net/test_persistence.py
@@ -433,7 +433,7 @@
             assert one.node.ready and one.part.session is None, "it serves before the disk is there"
             told = one.recovery.report()
             assert told["store"]["trouble"] == "being opened", told
-            assert "what was kept to be read" in told["waits_for"]
+            assert "the persisted state to be read" in told["waits_for"]
             go.set()
             await until(lambda: one.part.session)
             assert set(one.view) == {"s1", "s3"}, "the source's word is the later one"
@@ -504,15 +504,15 @@
             await one.until_durable()
             disk.fault_plan = full
             one.fleet.handle(listed(5, "s1", "s2"))
-            await until(lambda: "nothing new is kept" in caplog.text)
+            await until(lambda: "new changes are not persisted" in caplog.text)
             assert one.node.ready and set(one.view) == {"s1", "s2"}
             store = one.recovery.report()["store"]
             assert "full" in store["trouble"] and store["waiting"] and store["failures"]
             await asyncio.sleep(0.1)
             disk.fault_plan = lambda number, name: None
-            await until(lambda: "it is written again" in caplog.text)
+            await until(lambda: "state: writing again" in caplog.text)
             await one.until_durable()
-            assert caplog.text.count("nothing new is kept") == 1
+            assert caplog.text.count("new changes are not persisted") == 1
             assert one.recovery.report()["store"]["trouble"] is None
         assert set(rows(disk, "view")) == {"s1", "s2"}
 
@@ -537,7 +537,7 @@
             assert any("before roles" in line for line in told["waits_for"])
             await asyncio.sleep(0.2)
         assert rows(disk, "self") == before and set(rows(disk, "view")) == {"s1", "s2"}
-        assert caplog.text.count("serves without memory") == 1
+        assert caplog.text.count("serves without persistence") == 1
 
     run(test)
 
@@ -560,7 +560,7 @@
             disk.is_locked = False
             await until(lambda: one.part.session)
             assert set(one.view) == {"s1", "s2"}, "no source had spoken"
-            assert caplog.text.count("it is tried again") == 1
+            assert caplog.text.count("retried every") == 1
 
     run(test)
 
--- a/tests/store/test_engine.py
+++ b/tests/store/test_engine.py
@@ -116,7 +116,7 @@
     found = engine.open()
     kinds = [FaultKind.FOREIGN, FaultKind.CORRUPT, FaultKind.FOREIGN, FaultKind.FOREIGN]
     assert [error.kind for error in found.faults] == kinds and (home / "tables-00000001.db").is_dir()
-    not_regular = [error.path[-4:] for error in found.faults if "a folder or a link" in error.detail]
+    not_regular = [error.path[-4:] for error in found.faults if "a directory or a link" in error.detail]
     assert not_regular == ["2.db", "1.db"] and found.next_generation == 5
     assert (home / "notes.txt").read_text() == "another's" and not outside.exists()
     engine.close()
