--- a/balancer/net/persistence/component.py
+++ b/balancer/net/persistence/component.py
@@ -166,9 +166,8 @@
 
     def _on_opened(self, session: PersistenceSession) -> None:
         self.session, self.fault, self._is_first_directory = session, "", False
-        if (
-            self.running.recovery is not None
-        ):  # the incarnation may have been raised before the directory was open
+        # The incarnation may have been raised before the directory was open.
+        if self.running.recovery is not None:
             self._persist_incarnation(self.running.recovery.recovery.incarnation)
         self._release_requests()
         if self._settings is not None:
--- a/balancer/net/persistence/restored_lists.py
+++ b/balancer/net/persistence/restored_lists.py
@@ -46,9 +46,8 @@
         """The list for the merger, or None if the source has already listed as much."""
         identity, revision = position.identity, position.revision
         if source.revision is None:
-            if (
-                source.identity is not None and source.identity != identity
-            ):  # it has changed its identity since
+            # The source may have changed its identity since the list was persisted.
+            if source.identity is not None and source.identity != identity:
                 identity, revision = source.identity, -1
         elif source.identity != identity or revision <= source.revision:
             return self._without_withdrawn(source, identity, revision)
--- a/balancer/net/persistence/session.py
+++ b/balancer/net/persistence/session.py
@@ -280,7 +280,9 @@
         status = self.store.status()
         fault = status.reason or slow_commit_text(status)
         if fault and not self._reported_fault:
-            log.error("state: not writing: %s; new changes are not persisted, the node serves on", fault)
+            log.error(
+                "state: not writing: %s; new changes are not persisted, the node continues to serve", fault
+            )
         elif self._reported_fault and not fault:
             log.warning("state: writing again")
         self._reported_fault = fault
--- a/balancer/net/persistence/view_scanner.py
+++ b/balancer/net/persistence/view_scanner.py
@@ -62,7 +62,7 @@
     def load(self, restored: restoration.RestoredState) -> None:
         """Load the rows of the store; called off the event loop, before any other method."""
         endpoints = restored.persisted_endpoints()
-        endpoints |= {key: found.endpoint for key, found in restored.endpoints.items()}
+        endpoints |= {key: endpoint.endpoint for key, endpoint in restored.endpoints.items()}
         self.persisted = {key: rows.without_write_times(row) for key, row in endpoints.items()}
 
     def queue_differences(self, restored: restoration.RestoredState | None) -> None:
--- a/balancer/store/directory.py
+++ b/balancer/store/directory.py
@@ -86,9 +86,8 @@
             sealed_file.commit(seal, rows)
             sealed_file.checkpoint_and_close()
             with translate_os_errors(self.path):
-                self.remove_file(
-                    name
-                )  # the log of an invalid file of this name would be applied to the new one
+                # The log of an invalid file of this name would be applied to the new file.
+                self.remove_file(name)
                 self.file_system.rename(temporary_path, self.file_path(name))
                 self.file_system.sync_directory(self.path)
             sealed_file = self.open_file(name)
--- a/balancer/store/engine.py
+++ b/balancer/store/engine.py
@@ -329,9 +329,8 @@
         """
         if not values:
             return self._journals[name].next_position if name in self._journals else 1
-        if (
-            self._surplus_generations is not None
-        ):  # `_check_generation_file` needs a file created by this start
+        # `_check_generation_file` needs a file created by this start.
+        if self._surplus_generations is not None:
             self.begin_generation()
         journal = self._journals.get(name)
         if journal is None:
--- a/tests/net/test_platform_recovery.py
+++ b/tests/net/test_platform_recovery.py
@@ -1,7 +1,7 @@
-"""When a node notices that discovery returned, fell silent or moved, and combinations of these.
+"""How soon a node notices that the platform's discovery returned, fell silent or changed its address.
 
-The agent here stands where the settings say that lists are pushed: it answers at once, and is mute or refuses
-while discovery is down.
+`DiscoveryAgent` pushes lists as the settings declare: it answers at once, and sends nothing or refuses
+connections while discovery is down.
 """
 
 from __future__ import annotations
@@ -36,47 +36,47 @@
 )
 from tests.sockets import Backend, Client, configuration
 
-HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
 def chunk(data: bytes) -> bytes:
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
-def listed(revision: int, complete: bool = False, indent: int | None = None, **phases: str) -> bytes:
-    """The bytes of a list of endpoints, with their phases by name."""
+def encoded_list(revision: int, complete: bool = False, indent: int | None = None, **phases: str) -> bytes:
+    """An encoded list of endpoints, given as phases by name."""
     rows = [
-        {"id": name, "host_port": f"127.0.0.1:{at}", "phase": phase}
-        for at, (name, phase) in enumerate(phases.items(), 1)
+        {"id": name, "host_port": f"127.0.0.1:{port}", "phase": phase}
+        for port, (name, phase) in enumerate(phases.items(), 1)
     ]
     return json.dumps({"revision": revision, "complete": complete, "members": rows}, indent=indent).encode()
 
 
 class DiscoveryAgent:
-    """Answers calls with its list; `asked` has the target and the writer of each call."""
+    """Answers calls with its list; `calls` holds the target and the writer of each call."""
 
     def __init__(self) -> None:
-        self.asked: asyncio.Queue[tuple[str, asyncio.StreamWriter]] = asyncio.Queue()
+        self.calls: asyncio.Queue[tuple[str, asyncio.StreamWriter]] = asyncio.Queue()
         self.writers: list[asyncio.StreamWriter] = []
-        self.mute = False
-        self.bare = False  # calls get a head and nothing behind it
-        self.list = listed(1, True, b0="in_service", b1="in_service")
-        self.body: bytes | None = None  # of a watch, in place of the list
+        self.is_mute = False
+        self.sends_head_only = False  # calls get a response head without a body
+        self.list = encoded_list(1, True, b0="in_service", b1="in_service")
+        self.body: bytes | None = None  # of a response, in place of the list
         self.address = ("127.0.0.1", 0)
         self.server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listen, again at the same address."""
+        """Listen; after a stop again at the same address."""
         self.server = await asyncio.start_server(self._serve, *self.address)
         self.address = self.server.sockets[0].getsockname()
 
-    def refuse(self) -> None:
-        """Reset what is open, and listen no longer."""
+    def stop_listening(self) -> None:
+        """Stop listening, and reset open connections."""
         assert self.server is not None
         self.server.close()
-        self.reset()
+        self.reset_connections()
 
-    def reset(self) -> None:
+    def reset_connections(self) -> None:
         for writer in self.writers:
             writer.transport.abort()
         self.writers.clear()
@@ -84,30 +84,30 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         target = (await reader.readuntil(b"\r\n\r\n")).split(b" ")[1].decode()
         self.writers.append(writer)
-        if self.bare:
-            writer.write(HEAD)
-        elif not self.mute:
-            writer.write(HEAD + chunk(self.list + b"\n" if self.body is None else self.body))
+        if self.sends_head_only:
+            writer.write(RESPONSE_HEAD)
+        elif not self.is_mute:
+            writer.write(RESPONSE_HEAD + chunk(self.list + b"\n" if self.body is None else self.body))
             if "watch" not in target:
                 writer.write(b"0\r\n\r\n")
-        self.asked.put_nowait((target, writer))
+        self.calls.put_nowait((target, writer))
 
-    async def watched(self) -> asyncio.StreamWriter:
-        """The next watch."""
+    async def next_watch(self) -> asyncio.StreamWriter:
+        """Wait for the next watch call; returns its writer."""
         async with asyncio.timeout(WAIT):
             while True:
-                target, writer = await self.asked.get()
+                target, writer = await self.calls.get()
                 if "watch" in target:
                     return writer
 
 
-class FollowingNode:
-    """A platform source and its merge, as in a node."""
+class PlatformSourceHarness:
+    """A platform source and the endpoint view that it feeds, as in a node."""
 
     def __init__(self, agent: DiscoveryAgent, grace_ms: float) -> None:
         self.fleet = EndpointView(self, [Source(platform.SOURCE_NAME)])
-        self.told: list[endpoint_merger.Event] = []
-        self.fleet.listeners.append(lambda event, _: self.told.append(event))
+        self.events: list[endpoint_merger.Event] = []
+        self.fleet.listeners.append(lambda event, _: self.events.append(event))
         self.source = PlatformSource(
             agent.address,
             False,
@@ -122,55 +122,59 @@
         return time.monotonic() * 1000
 
     def apply(self, change: endpoint_merger.ApplyEndpoints) -> None:
-        """The view has it."""
+        """Called by the view, which already holds the change."""
 
-    def drains(self, name: str = "b0") -> bool:
-        member = self.fleet.merger.view.get(name)
-        return member is not None and member.endpoint.phase is not Phase.UP
+    def is_draining(self, name: str = "b0") -> bool:
+        record = self.fleet.merger.view.get(name)
+        return record is not None and record.endpoint.phase is not Phase.UP
 
-    def silenced(self) -> int:
-        return sum(isinstance(event, SourceLost) for event in self.told)
+    def source_lost_count(self) -> int:
+        return sum(isinstance(event, SourceLost) for event in self.events)
 
 
-async def start_followed(grace_ms: float) -> tuple[DiscoveryAgent, FollowingNode, asyncio.StreamWriter]:
-    """A node whose watch is open and has listed its endpoints."""
+async def start_harness(
+    grace_ms: float,
+) -> tuple[DiscoveryAgent, PlatformSourceHarness, asyncio.StreamWriter]:
+    """Start an agent, and a node whose watch is open and has listed its endpoints."""
     agent = DiscoveryAgent()
     await agent.start()
-    node = FollowingNode(agent, grace_ms)
+    node = PlatformSourceHarness(agent, grace_ms)
     node.source.watch(True)
-    watch = await agent.watched()
+    watch = await agent.next_watch()
     await until(lambda: "b0" in node.fleet.merger.view)
     return agent, node, watch
 
 
-DRAINING_LIST = listed(2, True, b0="terminating", b1="in_service")
+DRAINING_LIST = encoded_list(2, True, b0="terminating", b1="in_service")
 
 
 @pytest.mark.parametrize("loop", LOOPS)
 @pytest.mark.parametrize("grace_ms", [500.0, 2000.0])
-@pytest.mark.parametrize("shape", ["refused", "mute", "head", "mid-line", "indented"])
+@pytest.mark.parametrize("outage", ["refused", "mute", "head", "mid-line", "indented"])
 def test_list_at_discovery_return_is_applied_within_the_drain_grace(
-    shape: str, grace_ms: float, loop: Loop
+    outage: str, grace_ms: float, loop: Loop
 ) -> None:
     async def test() -> None:
-        agent, node, watch = await start_followed(grace_ms)
-        if shape == "refused":
-            agent.refuse()
-            await until(lambda: node.silenced() >= 6)  # waits have grown
+        agent, node, watch = await start_harness(grace_ms)
+        if outage == "refused":
+            agent.stop_listening()
+            await until(lambda: node.source_lost_count() >= 6)  # the retry waits have grown
         else:
-            agent.mute, agent.bare = True, shape == "head"
-            if shape in ("mute", "head"):
-                agent.reset()
+            agent.is_mute, agent.sends_head_only = True, outage == "head"
+            if outage in ("mute", "head"):
+                agent.reset_connections()
             else:
-                half = listed(2, indent=2 if shape == "indented" else None, b0="terminating")[:30]
-                watch.write(chunk(half))
-            await agent.watched()  # a new call is out, that is never answered
-        agent.mute, agent.bare, agent.list = False, False, DRAINING_LIST
-        if shape == "refused":
+                partial_list = encoded_list(2, indent=2 if outage == "indented" else None, b0="terminating")[
+                    :30
+                ]
+                watch.write(chunk(partial_list))
+            await agent.next_watch()  # a new call has been made that is never answered
+        agent.is_mute, agent.sends_head_only, agent.list = False, False, DRAINING_LIST
+        if outage == "refused":
             await agent.start()
-        back = node.now()
-        await until(node.drains)
-        assert node.now() - back <= grace_ms
+        returned_ms = node.now()
+        await until(node.is_draining)
+        assert node.now() - returned_ms <= grace_ms
         node.source.watch(False)
 
     run(test, loop)
@@ -178,27 +182,29 @@
 
 @pytest.mark.parametrize("loop", LOOPS)
 def test_answer_in_the_kernel_buffer_is_read_after_its_deadline(loop: Loop) -> None:
-    """Guards a busy node against giving up the one call that was answered: uvloop runs timers first."""
+    """Guards against a busy node that gives up the answered call, because uvloop runs timers first."""
 
     async def test() -> None:
-        agent, node, watch = await start_followed(500.0)
-        agent.mute = True
+        agent, node, watch = await start_harness(500.0)
+        agent.is_mute = True
         watch.transport.abort()
-        mute = await agent.watched()
-        # While another's bytes are read the answer comes, and the call's time is over when the loop goes on.
+        unanswered_watch = await agent.next_watch()
+        # The answer arrives while the loop is blocked in another reader, and the deadline passes meanwhile.
         reading_end, writing_end = socket.socketpair()
 
-        def busy() -> None:
+        def block_loop() -> None:
             running.remove_reader(reading_end)
-            with socket.socket(fileno=socket.dup(mute.get_extra_info("socket").fileno())) as raw:
-                raw.send(HEAD + chunk(DRAINING_LIST + b"\n"))
+            with socket.socket(
+                fileno=socket.dup(unanswered_watch.get_extra_info("socket").fileno())
+            ) as raw_socket:
+                raw_socket.send(RESPONSE_HEAD + chunk(DRAINING_LIST + b"\n"))
             time.sleep(0.5)
 
         running = asyncio.get_running_loop()
-        running.add_reader(reading_end, busy)
+        running.add_reader(reading_end, block_loop)
         writing_end.send(b"x")
-        await until(node.drains)
-        assert agent.asked.empty() and len(agent.writers) == 3  # whole list, first watch, this one
+        await until(node.is_draining)
+        assert agent.calls.empty() and len(agent.writers) == 3  # the snapshot, the first watch and this one
         node.source.watch(False)
         reading_end.close()
         writing_end.close()
@@ -207,20 +213,20 @@
 
 
 def test_watch_that_never_completes_a_line_is_replaced() -> None:
-    """Guards against bytes that count as heartbeats though no line is ever complete."""
+    """Guards against counting bytes as heartbeats although no line is ever complete."""
 
     async def test() -> None:
-        agent, node, watch = await start_followed(500.0)
+        agent, node, watch = await start_harness(500.0)
 
-        async def dribble() -> None:
+        async def send_blanks() -> None:
             while True:
                 watch.write(chunk(b" "))
                 await asyncio.sleep(0.02)
 
-        task = asyncio.create_task(dribble())
+        task = asyncio.create_task(send_blanks())
         agent.list = DRAINING_LIST
-        await agent.watched()
-        await until(node.drains)
+        await agent.next_watch()
+        await until(node.is_draining)
         task.cancel()
         node.source.watch(False)
 
@@ -231,20 +237,20 @@
     async def test() -> None:
         agent = DiscoveryAgent()
         await agent.start()
-        agent.mute = True
-        node = FollowingNode(agent, 500.0)
+        agent.is_mute = True
+        node = PlatformSourceHarness(agent, 500.0)
         node.source.watch(True)
         async with asyncio.timeout(WAIT):
-            _, writer = await agent.asked.get()
-        writer.write(HEAD)
+            _, writer = await agent.calls.get()
+        writer.write(RESPONSE_HEAD)
 
-        async def dribble() -> None:
+        async def send_blanks() -> None:
             while True:
                 writer.write(chunk(b" "))
                 await asyncio.sleep(0.02)
 
-        task = asyncio.create_task(dribble())
-        agent.mute = False
+        task = asyncio.create_task(send_blanks())
+        agent.is_mute = False
         await until(lambda: "b0" in node.fleet.merger.view)
         task.cancel()
         node.source.watch(False)
@@ -253,60 +259,64 @@
 
 
 def test_heartbeat_resets_retry_waits() -> None:
-    """Guards against an idle day with connection resets on which each wait is longer than the one before."""
+    """Guards against retry waits that keep growing over occasional connection resets on an idle day."""
 
     async def test() -> None:
-        agent, node, _watch = await start_followed(2000.0)
+        agent, node, _watch = await start_harness(2000.0)
         backoff = node.source.watcher.backoff
         agent.body = b"\n"
         for _ in range(6):
-            agent.reset()
-            await agent.watched()
+            agent.reset_connections()
+            await agent.next_watch()
             await until(lambda: backoff.next_ms == backoff.initial_ms)
         node.source.watch(False)
 
     run(test)
 
 
-@pytest.mark.parametrize("which", [0, 1, 2])
-@pytest.mark.parametrize("says", ["a beat", "a change", "half a change", "garbage", "its end"])
+@pytest.mark.parametrize("watch_index", [0, 1, 2])
+@pytest.mark.parametrize("message", ["heartbeat", "change", "partial change", "garbage", "end"])
 def test_unconfirmed_watch_that_brings_more_than_its_head_becomes_the_active_call(
-    which: int, says: str
+    watch_index: int, message: str
 ) -> None:
-    """Guards against several watches that stay for good, and against none whose end is noticed."""
+    """Guards against several watches that stay open, and against a watch whose end goes unnoticed."""
 
     async def test() -> None:
-        agent, node, _watch = await start_followed(500.0)
-        agent.bare = True
-        agent.reset()
-        watches = [await agent.watched() for _ in range(3)]
+        agent, node, _watch = await start_harness(500.0)
+        agent.sends_head_only = True
+        agent.reset_connections()
+        watches = [await agent.next_watch() for _ in range(3)]
         await until(lambda: len(node.source.additional_calls) == 2)
-        doubts = sorted(node.source.additional_calls, key=lambda call: call.deadline.last_message_ms)
-        calls = [*doubts, node.source.active_call]
-        speaks, one = watches[which], calls[which]
-        assert one is not None
-        if says == "its end":
-            speaks.transport.abort()
-            await until(lambda: one not in (*node.source.additional_calls, node.source.active_call))
-            agent.bare, agent.list = False, DRAINING_LIST
-            await until(node.drains)
-        elif says == "garbage":
-            agent.bare, agent.list = False, DRAINING_LIST
-            speaks.write(chunk(b"{]}\n"))
-            await until(node.drains)  # the whole list was asked for
+        unconfirmed_calls = sorted(
+            node.source.additional_calls, key=lambda call: call.deadline.last_message_ms
+        )
+        calls = [*unconfirmed_calls, node.source.active_call]
+        writer, call_of_writer = watches[watch_index], calls[watch_index]
+        assert call_of_writer is not None
+        if message == "end":
+            writer.transport.abort()
+            await until(
+                lambda: call_of_writer not in (*node.source.additional_calls, node.source.active_call)
+            )
+            agent.sends_head_only, agent.list = False, DRAINING_LIST
+            await until(node.is_draining)
+        elif message == "garbage":
+            agent.sends_head_only, agent.list = False, DRAINING_LIST
+            writer.write(chunk(b"{]}\n"))
+            await until(node.is_draining)  # the snapshot was requested
         else:
-            line = listed(2, b0="terminating") + b"\n"
-            if says == "half a change":
-                speaks.write(chunk(line[:20]))
-                await until(lambda: one.response_parser.under_way)
+            line = encoded_list(2, b0="terminating") + b"\n"
+            if message == "partial change":
+                writer.write(chunk(line[:20]))
+                await until(lambda: call_of_writer.response_parser.under_way)
                 line = line[20:]
-            speaks.write(chunk(b"\n" if says == "a beat" else line))
+            writer.write(chunk(b"\n" if message == "heartbeat" else line))
             await until(lambda: not node.source.additional_calls)
-            assert node.source.active_call is one
-            assert node.source.retry_timer is None or node.source.retry_timer.cancelled() or which == 2
-            speaks.write(chunk(listed(3, b0="terminating") + b"\n"))
+            assert node.source.active_call is call_of_writer
+            assert node.source.retry_timer is None or node.source.retry_timer.cancelled() or watch_index == 2
+            writer.write(chunk(encoded_list(3, b0="terminating") + b"\n"))
             await until(lambda: node.fleet.watch_revision(platform.SOURCE_NAME) == 3)
-            assert node.drains() and node.source.active_call is one
+            assert node.is_draining() and node.source.active_call is call_of_writer
         await until(lambda: not node.source.additional_calls)
         assert len(node.source.connect_tasks) <= 2
         node.source.watch(False)
@@ -316,11 +326,11 @@
 
 def test_bytes_without_a_line_do_not_reset_retry_waits() -> None:
     async def test() -> None:
-        agent, node, _watch = await start_followed(2000.0)
+        agent, node, _watch = await start_harness(2000.0)
         agent.body = b" "
         for _ in range(4):
-            agent.reset()
-            await agent.watched()
+            agent.reset_connections()
+            await agent.next_watch()
         backoff = node.source.watcher.backoff
         assert backoff.next_ms == node.source.watcher.timeouts.max_retry_wait_ms
         node.source.watch(False)
@@ -330,88 +340,90 @@
 
 def test_indented_object_on_a_watch_is_applied_without_a_snapshot() -> None:
     async def test() -> None:
-        _agent, node, watch = await start_followed(500.0)
-        text = listed(2, indent=2, b0="terminating") + b"\n"
+        _agent, node, watch = await start_harness(500.0)
+        text = encoded_list(2, indent=2, b0="terminating") + b"\n"
         watch.write(chunk(text[:40]) + chunk(text[40:]))
-        await until(node.drains)
-        assert not any(isinstance(event, endpoint_merger.UpdateUnreadable) for event in node.told)
+        await until(node.is_draining)
+        assert not any(isinstance(event, endpoint_merger.UpdateUnreadable) for event in node.events)
         node.source.watch(False)
 
     run(test)
 
 
-# --- a new address: what it has counts as told 4 s later
+# --- a new address: its list must be applied within 4 s
 
-MOVE_LIMIT_S = 2.0  # s: well within that
+MOVE_LIMIT_S = 2.0  # well within these 4 s
 
 
-async def follow_moves(node: FollowingNode, *to: DiscoveryAgent) -> None:
-    """Change the address several times in one turn of the loop; the last one's list is applied in time."""
-    for agent in to:
+async def follow_moves(node: PlatformSourceHarness, *agents: DiscoveryAgent) -> None:
+    """Change the address several times in one turn of the loop; the last list is applied in time."""
+    for agent in agents:
         node.source.set_address(agent.address)
-    at = node.now()
-    await until(node.drains)
-    assert node.now() - at <= 1000 * MOVE_LIMIT_S
-    assert identity_of(node) == platform.source_identity(to[-1].address)
-    await to[-1].watched()
+    started_ms = node.now()
+    await until(node.is_draining)
+    assert node.now() - started_ms <= 1000 * MOVE_LIMIT_S
+    assert identity_of(node) == platform.source_identity(agents[-1].address)
+    await agents[-1].next_watch()
 
 
-def identity_of(node: FollowingNode) -> str | None:
+def identity_of(node: PlatformSourceHarness) -> str | None:
     return node.fleet.merger.sources[platform.SOURCE_NAME].identity
 
 
 async def draining_agent(revision: int = 2) -> DiscoveryAgent:
-    """Another agent, in whose list b0 is draining."""
+    """Another agent whose list has b0 draining."""
     agent = DiscoveryAgent()
-    agent.list = listed(revision, True, b0="terminating", b1="in_service")
+    agent.list = encoded_list(revision, True, b0="terminating", b1="in_service")
     await agent.start()
     return agent
 
 
 @pytest.mark.parametrize("loop", LOOPS)
 @pytest.mark.parametrize("state", ["at rest", "in mid-line", "waiting", "calling", "mute", "refused"])
-@pytest.mark.parametrize("ways", ["one", "two at once", "there and back"])
+@pytest.mark.parametrize("moves", ["one", "two at once", "there and back"])
 def test_new_address_is_followed_whatever_was_in_progress_at_the_old_one(
-    state: str, ways: str, loop: Loop
+    state: str, moves: str, loop: Loop
 ) -> None:
-    """Its revisions are lower than those of the old one."""
+    """The revisions at the new address are lower than those at the old one."""
 
     async def test() -> None:
-        agent, node, watch = await start_followed(500.0)
-        watch.write(chunk(listed(50, b1="in_service") + b"\n"))
+        agent, node, watch = await start_harness(500.0)
+        watch.write(chunk(encoded_list(50, b1="in_service") + b"\n"))
         await until(lambda: node.fleet.watch_revision(platform.SOURCE_NAME) == 50)
-        new, between = await draining_agent(), await draining_agent(70)
-        between.mute = True
+        new_agent, intermediate_agent = await draining_agent(), await draining_agent(70)
+        intermediate_agent.is_mute = True
         if state == "in mid-line":
             watch.write(chunk(b'{"revision": 51, "complete": true, "mem'))
             call = node.source.active_call
             await until(lambda: call is not None and call.response_parser.under_way)
         elif state == "waiting":
-            agent.reset()
+            agent.reset_connections()
             await until(lambda: node.source.watcher.is_waiting)
         elif state == "calling":
-            agent.reset()
+            agent.reset_connections()
             await until(lambda: node.source.watcher.is_waiting)
             await until(lambda: node.source.watcher.has_active_call)  # not connected yet
         elif state == "mute":
-            agent.mute = True
-            agent.reset()
-            await agent.watched()
+            agent.is_mute = True
+            agent.reset_connections()
+            await agent.next_watch()
         elif state == "refused":
-            agent.refuse()
-            await until(lambda: node.silenced() >= 3)
-        if ways == "there and back":
-            node.source.set_address(between.address)
+            agent.stop_listening()
+            await until(lambda: node.source_lost_count() >= 3)
+        if moves == "there and back":
+            node.source.set_address(intermediate_agent.address)
             async with asyncio.timeout(WAIT):
-                await between.asked.get()  # it has been asked, and never answers
+                await intermediate_agent.calls.get()  # it has been called, and never answers
             if state == "refused":
                 await agent.start()
-            agent.mute, agent.list = False, DRAINING_LIST  # its revision is lower than it was, too
-            while not agent.asked.empty():
-                agent.asked.get_nowait()
+            agent.is_mute, agent.list = False, DRAINING_LIST  # its revision is lower than before as well
+            while not agent.calls.empty():
+                agent.calls.get_nowait()
             await follow_moves(node, agent)
         else:
-            await follow_moves(node, *([between, new] if ways == "two at once" else [new]))
+            await follow_moves(
+                node, *([intermediate_agent, new_agent] if moves == "two at once" else [new_agent])
+            )
         assert len(node.source.connect_tasks) <= 2
         node.source.watch(False)
 
@@ -419,38 +431,40 @@
 
 
 @pytest.mark.parametrize("loop", LOOPS)
-@pytest.mark.parametrize("shape", ["dead", "mute", "head"])
-def test_new_address_that_is_unreachable_at_first_is_followed_once_it_answers(shape: str, loop: Loop) -> None:
+@pytest.mark.parametrize("outage", ["refused", "mute", "head"])
+def test_new_address_that_is_unreachable_at_first_is_followed_once_it_answers(
+    outage: str, loop: Loop
+) -> None:
     async def test() -> None:
-        _agent, node, _watch = await start_followed(500.0)
-        new = await draining_agent()
-        if shape == "dead":
-            new.refuse()
-        new.mute, new.bare = True, shape == "head"
-        node.source.set_address(new.address)
-        if shape == "head":  # some calls have begun their answers, and ended none
-            await until(lambda: new.asked.qsize() == 6)
-        elif shape == "dead":
-            await until(lambda: node.silenced() >= 7)
-            await new.start()
+        _agent, node, _watch = await start_harness(500.0)
+        new_agent = await draining_agent()
+        if outage == "refused":
+            new_agent.stop_listening()
+        new_agent.is_mute, new_agent.sends_head_only = True, outage == "head"
+        node.source.set_address(new_agent.address)
+        if outage == "head":  # several answers have begun and none has ended
+            await until(lambda: new_agent.calls.qsize() == 6)
+        elif outage == "refused":
+            await until(lambda: node.source_lost_count() >= 7)
+            await new_agent.start()
         else:
             async with asyncio.timeout(WAIT):
-                await new.asked.get()
-        new.mute, new.bare, back = False, False, node.now()
-        await until(node.drains)
-        assert node.now() - back <= 500.0
+                await new_agent.calls.get()
+        new_agent.is_mute, new_agent.sends_head_only, returned_ms = False, False, node.now()
+        await until(node.is_draining)
+        assert node.now() - returned_ms <= 500.0
         node.source.watch(False)
 
     run(test, loop)
 
 
 def test_outage_is_logged_once(caplog: pytest.LogCaptureFixture) -> None:
-    """Guards against ten lines a second, which crowd the others out of the log."""
+    """Guards against ten log lines a second, which would crowd out other lines."""
 
     async def test() -> None:
-        agent, node, _watch = await start_followed(500.0)
-        agent.refuse()
-        await until(lambda: node.silenced() >= 6)
+        agent, node, _watch = await start_harness(500.0)
+        agent.stop_listening()
+        await until(lambda: node.source_lost_count() >= 6)
         node.source.watch(False)
 
     with caplog.at_level(logging.INFO, platform_call.log.name):
@@ -459,23 +473,23 @@
 
 
 def test_connections_that_never_come_up_are_closed_and_do_not_accumulate() -> None:
-    """Guards against a socket for each attempt: the kernel keeps trying to connect for minutes."""
+    """Guards against one more socket per attempt, as the kernel tries to connect for minutes."""
 
     async def test() -> None:
-        full = socket.socket()
-        full.bind(("127.0.0.1", 0))
-        full.listen(0)
-        fill = [socket.socket() for _ in range(4)]
-        for one in fill:  # nobody accepts: further ones never come up
-            one.setblocking(False)
-            one.connect_ex(full.getsockname())
-        _agent, node, _watch = await start_followed(500.0)
-        node.source.set_address(full.getsockname())
-        await until(lambda: node.silenced() >= 6)
+        full_listener = socket.socket()
+        full_listener.bind(("127.0.0.1", 0))
+        full_listener.listen(0)
+        backlog_sockets = [socket.socket() for _ in range(4)]
+        for sock in backlog_sockets:  # the backlog is full: further connections are never established
+            sock.setblocking(False)
+            sock.connect_ex(full_listener.getsockname())
+        _agent, node, _watch = await start_harness(500.0)
+        node.source.set_address(full_listener.getsockname())
+        await until(lambda: node.source_lost_count() >= 6)
         assert len(node.source.connect_tasks) <= 2
         node.source.watch(False)
-        for one in [full, *fill]:
-            one.close()
+        for sock in [full_listener, *backlog_sockets]:
+            sock.close()
 
     run(test)
 
@@ -486,18 +500,18 @@
 @pytest.mark.parametrize("loop", LOOPS)
 @pytest.mark.parametrize("first", ["drain", "request"])
 @pytest.mark.parametrize("indent", [None, 2])
-@pytest.mark.parametrize("stood", [0.0, 0.7])  # s without a turn, with 0.5 s to obey a drain
+@pytest.mark.parametrize("stall_s", [0.0, 0.7])  # shorter and longer than the drain grace of 0.5 s
 def test_draining_and_request_read_in_one_turn_send_later_requests_elsewhere(
-    stood: float, first: str, indent: int | None, loop: Loop, tmp_path: Path
+    stall_s: float, first: str, indent: int | None, loop: Loop, tmp_path: Path
 ) -> None:
-    """The request is served by either backend; later ones go to the one that is not draining."""
+    """The request may be served by either backend; later ones go to the one that is not draining."""
 
     async def test() -> None:
         backends = [Backend("b0"), Backend("b1")]
         for backend in backends:
             await backend.start()
         agent = DiscoveryAgent()
-        agent.list = listed(41, False)
+        agent.list = encoded_list(41, False)
         await agent.start()
         path = tmp_path / "config.json"
         path.write_text(json.dumps(configuration([backends[0].member()], agent.address[1])))
@@ -521,32 +535,34 @@
             node.list_failed,
         )
         source.watch(True)
-        watch = await agent.watched()
-        front = HttpServer(node, 9)
-        await front.listen(("127.0.0.1", 0))
-        client = Client(*await asyncio.open_connection(*front.address))
+        watch = await agent.next_watch()
+        server = HttpServer(node, 9)
+        await server.listen(("127.0.0.1", 0))
+        client = Client(*await asyncio.open_connection(*server.address))
         assert (await client.ask("/up")).code == 200
         assert (await client.ask("/once", method="POST")).code == 200
-        await asyncio.sleep(0.05)  # a connection to it is there, and has rested
+        await asyncio.sleep(0.05)  # an idle connection to the backend exists
         assert backends[0].got.get_nowait()
         rows = [backends[0].member() | {"phase": "terminating"}, backends[1].member()]
-        line = {"revision": 42, "complete": False, "members": rows}
-        news = (watch, chunk(json.dumps(line, indent=indent).encode() + b"\n"))
-        asks = (client.writer, b"POST /once HTTP/1.1\r\nRequest-Id: 7\r\nContent-Length: 0\r\n\r\n")
-        for writer, data in [news, asks] if first == "drain" else [asks, news]:  # past the loop: both wait
-            with socket.socket(fileno=socket.dup(writer.get_extra_info("socket").fileno())) as raw:
-                raw.send(data)
-        time.sleep(stood)
+        update = {"revision": 42, "complete": False, "members": rows}
+        list_update = (watch, chunk(json.dumps(update, indent=indent).encode() + b"\n"))
+        client_request = (client.writer, b"POST /once HTTP/1.1\r\nRequest-Id: 7\r\nContent-Length: 0\r\n\r\n")
+        for writer, data in (
+            [list_update, client_request] if first == "drain" else [client_request, list_update]
+        ):  # not through the loop, so that both wait to be read
+            with socket.socket(fileno=socket.dup(writer.get_extra_info("socket").fileno())) as raw_socket:
+                raw_socket.send(data)
+        time.sleep(stall_s)
         assert (await client.answer()).code == 200
         await until(lambda: fleet.watch_revision(platform.SOURCE_NAME) == 42)
         assert backends[0].got.qsize() + backends[1].got.qsize() == 1
-        before = backends[0].got.qsize()
-        assert not (stood and before)  # it drains for longer than a request may still be sent there
+        served_by_draining = backends[0].got.qsize()
+        assert not (stall_s and served_by_draining)  # it has been draining for longer than the drain grace
         for _ in range(20):
             assert (await client.ask("/once", method="POST")).code == 200
-        assert backends[0].got.qsize() == before
+        assert backends[0].got.qsize() == served_by_draining
         source.watch(False)
-        front.stop()
+        server.stop()
         client.writer.transport.abort()
         for backend in backends:
             backend.stop()
@@ -554,12 +570,12 @@
     run(test, loop)
 
 
-# --- where nodes ask by themselves, the module says when
+# --- with polling, the decision module schedules the calls
 
 
-@pytest.mark.parametrize("says", ["a beat", "an old change", "the same list"])
-def test_answer_without_changes_resets_poll_waits(says: str, tmp_path: Path) -> None:
-    """Guards against a wait of up to 15 s after a watch that falls silent long after an outage."""
+@pytest.mark.parametrize("message", ["heartbeat", "old change", "same list"])
+def test_answer_without_changes_resets_poll_waits(message: str, tmp_path: Path) -> None:
+    """Guards against a wait of up to 15 s if a watch falls silent long after an outage."""
 
     async def test() -> None:
         agent = DiscoveryAgent()
@@ -571,7 +587,7 @@
         node = request_dispatcher.RequestDispatcher(replace(config, settings=settings))
         fleet = EndpointView(node, [Source(platform.SOURCE_NAME)])
         identity = platform.source_identity(agent.address)
-        known = parse_endpoint_list(json.loads(agent.list))
+        initial_list = parse_endpoint_list(json.loads(agent.list))
         node.discovery = source = PlatformSource(
             agent.address,
             True,
@@ -581,18 +597,20 @@
             lambda: fleet.watch_revision(platform.SOURCE_NAME),
             node.list_failed,
         )
-        fleet.handle(endpoint_merger.EndpointsListed(platform.SOURCE_NAME, identity, known, is_cached=True))
-        await agent.watched()
+        fleet.handle(
+            endpoint_merger.EndpointsListed(platform.SOURCE_NAME, identity, initial_list, is_cached=True)
+        )
+        await agent.next_watch()
         await until(lambda: not fleet.merger.sources[platform.SOURCE_NAME].has_cached_records)
-        agent.refuse()
+        agent.stop_listening()
         await until(lambda: node.balancer.state.failed_polls >= 3)
         agent.body = {
-            "a beat": b"\n",
-            "an old change": listed(1, b0="in_service") + b"\n",
-            "the same list": agent.list + b"\n",
-        }[says]
+            "heartbeat": b"\n",
+            "old change": encoded_list(1, b0="in_service") + b"\n",
+            "same list": agent.list + b"\n",
+        }[message]
         await agent.start()
-        await agent.watched()
+        await agent.next_watch()
         await until(lambda: source.watcher.consecutive_failures == 0)
         assert node.balancer.state.failed_polls == 0
         source.watch(False)
--- a/tests/store/durable_node.py
+++ b/tests/store/durable_node.py
@@ -1,4 +1,4 @@
-"""An engine on a simulated disk that records what it was asked to store and what it acknowledged."""
+"""Test harness: an engine on a simulated disk that records requested and acknowledged changes."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 
 class TwoGenerations(NamedTuple):
-    """A disk with two generations and a journal, and what each generation holds, the newest first."""
+    """A disk with two generations and a journal, and the content of each generation, newest first."""
 
     disk: SimulatedDisk
     states: list[StoredValues]
 
 
 class Reopened(NamedTuple):
-    """What an engine found on a disk."""
+    """An engine reopened on a disk, and the values and records it restored."""
 
     values: StoredValues
     records: list[bytes]
@@ -34,15 +34,15 @@
         self.file_system.close()
 
 
-class Node:
-    """An engine on one disk, what it was asked to store, and what it acknowledged as durable."""
+class EngineHarness:
+    """An engine on one disk, with the requested state after each commit and the acknowledged state."""
 
     def __init__(self, disk: SimulatedDisk | None = None) -> None:
         self.disk = disk or SimulatedDisk()
         self.file_system = SimulatedFileSystem(self.disk)
         self.engine = Engine(self.file_system, "/d", lambda: 1_000, segment_size_bytes=30_000)
-        self.states: list[StoredValues] = [{}]  # after each requested commit
-        self.durable_state_index = 0  # the last of them that was acknowledged
+        self.states: list[StoredValues] = [{}]  # the requested state after each commit
+        self.durable_state_index = 0  # index of the last acknowledged state
         self.records: list[bytes] = []
         self.acknowledged_record_count = 0
 
@@ -70,27 +70,29 @@
     return {(table, key): row.value for table, rows in engine.tables.items() for key, row in rows.items()}
 
 
-def run_workload(node: Node, rounds: int = 3) -> None:
-    """Open, overwritten changes, a journal over two segments, a generation, close."""
-    node.engine.open()
+def run_workload(harness: EngineHarness, rounds: int = 3) -> None:
+    """Opens, overwrites values, fills two journal segments, begins a generation and closes."""
+    harness.engine.open()
     for round_number in range(rounds):
-        node.commit(*(Put("view", f"s{index}", b"%d-%d" % (round_number, index) * 20) for index in range(5)))
-        node.append(b"a%d" % round_number, b"b" * 3000)
-        node.commit(Put("ends", f"s{round_number}", b"gone"), Delete("view", f"s{round_number}"))
+        harness.commit(
+            *(Put("view", f"s{index}", b"%d-%d" % (round_number, index) * 20) for index in range(5))
+        )
+        harness.append(b"a%d" % round_number, b"b" * 3000)
+        harness.commit(Put("ends", f"s{round_number}", b"gone"), Delete("view", f"s{round_number}"))
         if round_number == 1:
-            node.engine.begin_generation()
-    node.engine.close()
+            harness.engine.begin_generation()
+    harness.engine.close()
 
 
 def workload_call_count() -> int:
-    node = Node()
-    run_workload(node)
-    node.close()
-    return node.disk.call_count
+    harness = EngineHarness()
+    run_workload(harness)
+    harness.close()
+    return harness.disk.call_count
 
 
 def reopen_checked(disk: SimulatedDisk) -> Reopened:
-    """Opens an engine on the disk, which must be complete and free of left-over files."""
+    """Opens an engine on the disk, which must be complete and without left-over files."""
     file_system = SimulatedFileSystem(disk)
     engine = Engine(file_system, "/d", lambda: 2_000, segment_size_bytes=30_000)
     result = engine.open()
@@ -98,8 +100,8 @@
     records = engine.read_journal("log", 1, 1000)
     assert [record.position for record in records] == list(range(1, len(records) + 1))
     names = disk.files.keys()
-    logs_without_file = [name for name in names if name.endswith("-wal") and name[:-4] not in names]
-    assert not logs_without_file and not [name for name in names if "/new.db" in name], (
+    orphaned_logs = [name for name in names if name.endswith("-wal") and name[:-4] not in names]
+    assert not orphaned_logs and not [name for name in names if "/new.db" in name], (
         "unfinished files are swept"
     )
     values = [record.value for record in records]
@@ -109,17 +111,21 @@
     )
 
 
-def check_after_power_cut(node: Node, seed: int) -> None:
-    """Cuts the power: what is restored is complete, and no older than what was acknowledged."""
-    node.engine.close()
-    node.file_system.close()
-    node.disk.crash(random.Random(seed))
-    reopened = reopen_checked(node.disk)
+def check_after_power_cut(harness: EngineHarness, seed: int) -> None:
+    """Cuts the power and checks that the restored state is complete and contains all acknowledged changes."""
+    harness.engine.close()
+    harness.file_system.close()
+    harness.disk.crash(random.Random(seed))
+    reopened = reopen_checked(harness.disk)
     values, records = reopened.values, reopened.records
-    assert values in node.states[node.durable_state_index :], (seed, node.durable_state_index, values)
-    acknowledged = node.acknowledged_record_count
-    assert node.records[:acknowledged] == records[:acknowledged]
-    assert records == node.records[: len(records)]
+    assert values in harness.states[harness.durable_state_index :], (
+        seed,
+        harness.durable_state_index,
+        values,
+    )
+    acknowledged = harness.acknowledged_record_count
+    assert harness.records[:acknowledged] == records[:acknowledged]
+    assert records == harness.records[: len(records)]
     reopened.engine.commit([Put("view", "more", b"x")])
     reopened.close()
 
--- a/tests/store/test_damaged_files.py
+++ b/tests/store/test_damaged_files.py
@@ -1,4 +1,4 @@
-"""Truncated files and flipped bits: what is loaded is one of the generations, complete."""
+"""Truncated files and flipped bits: the engine loads one complete generation or none."""
 
 from __future__ import annotations
 
@@ -24,49 +24,52 @@
 )
 
 
-def check_damaged_generation(two_generation_disk: TwoGenerations, change: str, offset: int) -> None:
-    """What is loaded is one of the generations, complete; the older one only with a reported fault."""
+def check_damaged_generation(two_generation_disk: TwoGenerations, damage: str, offset: int) -> None:
+    """Damages the newest generation and checks that a complete one is loaded.
+
+    The older generation may be loaded only if the fault of the newest is reported.
+    """
     disk, states = two_generation_disk.disk.copy(), two_generation_disk.states
     content = disk.files["/d/tables-00000002.db"]
-    if change == "cut":
+    if damage == "cut":
         del content.current[offset:]
     else:
         content.current[offset // 8] ^= 1 << offset % 8
     engine, found = open_engine(disk)
     try:
-        assert stored_values(engine) in states and found.committed_at_ms == 1_000, (change, offset)
+        assert stored_values(engine) in states and found.committed_at_ms == 1_000, (damage, offset)
         if stored_values(engine) != states[0]:
             faulty_paths = [error.path for error in found.faults]
-            assert found.is_outdated and faulty_paths == ["/d/tables-00000002.db"], (change, offset)
+            assert found.is_outdated and faulty_paths == ["/d/tables-00000002.db"], (damage, offset)
             assert found.restored_generation == 1 and found.next_generation == 3
         engine.commit([Put("view", "c", b"on")])
     finally:
         engine.close()
 
 
-def test_generation_truncated_at_each_byte_is_not_loaded_or_complete(
+def test_generation_truncated_at_each_byte_is_complete_or_not_loaded(
     two_generation_disk: TwoGenerations,
 ) -> None:
     size = len(two_generation_disk.disk.files["/d/tables-00000002.db"].current)
     is_exhaustive = os.environ.get("BALANCER_CRASHES")
-    # Each byte at the start and end of a page; each 256th of the blank space between, unless exhaustive.
+    # Each byte at the start and end of a page; each 256th of the unused space between, unless exhaustive.
     for offset in range(size):
         if is_exhaustive or offset % 4096 < 64 or offset % 4096 > 3800 or offset % 256 == 0:
             check_damaged_generation(two_generation_disk, "cut", offset)
 
 
-def test_generation_with_flipped_bit_is_not_loaded_or_complete(
+def test_generation_with_flipped_bit_is_complete_or_not_loaded(
     two_generation_disk: TwoGenerations,
 ) -> None:
     size = len(two_generation_disk.disk.files["/d/tables-00000002.db"].current)
     rng = random.Random(5)
     for offset in range(0, size, 1 if os.environ.get("BALANCER_CRASHES") else 16):
         check_damaged_generation(two_generation_disk, "flip", 8 * offset + rng.randrange(8))
-    files = SimulatedFileSystem(two_generation_disk.disk.copy())
-    seal = SealedFile(files, "/d/tables-00000002.db").read_seal()
+    file_system = SimulatedFileSystem(two_generation_disk.disk.copy())
+    seal = SealedFile(file_system, "/d/tables-00000002.db").read_seal()
     packed = msgspec.msgpack.encode(seal)
-    first = two_generation_disk.disk.files["/d/tables-00000002.db"].current.rindex(packed)
-    for bit in range(8 * first, 8 * (first + len(packed))):
+    seal_offset = two_generation_disk.disk.files["/d/tables-00000002.db"].current.rindex(packed)
+    for bit in range(8 * seal_offset, 8 * (seal_offset + len(packed))):
         check_damaged_generation(two_generation_disk, "flip", bit)
 
 
@@ -83,8 +86,8 @@
     engine.close()
 
 
-def test_sealed_file_missing_row_breaks_the_seal(tmp_path: Path) -> None:
-    """Each row left has a valid checksum: only the one over all rows shows that one is missing."""
+def test_sealed_file_missing_row_does_not_match_the_seal(tmp_path: Path) -> None:
+    """The remaining rows have valid checksums: only the seal's checksum shows that one is missing."""
     checksum = sqlite_file.record_checksum("view", "a", 1, b"1")
     sealed_file = SealedFile(LocalFileSystem(), str(tmp_path / "new.db"), create=True)
     sealed_file.commit(Seal(), [])
--- a/tests/store/test_engine.py
+++ b/tests/store/test_engine.py
@@ -37,9 +37,9 @@
 @pytest.mark.parametrize("version", [0, 99])
 def test_engine_unknown_format_version_is_reported_and_file_stays(version: int, tmp_path: Path) -> None:
     write_generation(tmp_path)
-    db = apsw.Connection(str(tmp_path / "tables-00000001.db"))
-    db.execute(f"pragma user_version={version}")
-    db.close()
+    connection = apsw.Connection(str(tmp_path / "tables-00000001.db"))
+    connection.execute(f"pragma user_version={version}")
+    connection.close()
     engine = local_engine(tmp_path)
     found = engine.open()
     [error] = found.faults
@@ -88,14 +88,14 @@
 
 
 def test_lock_on_replaced_lock_file_is_refused(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    lock = fcntl.flock
+    flock = fcntl.flock
 
-    def replaced(fd: int, how: int) -> None:
+    def replace_lock_file(file_descriptor: int, operation: int) -> None:
         (tmp_path / "owner").unlink()
         (tmp_path / "owner").write_text("")
-        lock(fd, how)
+        flock(file_descriptor, operation)
 
-    monkeypatch.setattr(fcntl, "flock", replaced)
+    monkeypatch.setattr(fcntl, "flock", replace_lock_file)
     with pytest.raises(StoreFileError) as caught:
         local_engine(tmp_path).open()
     assert caught.value.kind is FaultKind.LOCKED
@@ -103,25 +103,25 @@
 
 def test_engine_directories_links_and_foreign_files_are_reported_and_stay(tmp_path: Path) -> None:
     outside = tmp_path / "outside.db"
-    home = tmp_path / "home"
-    home.mkdir()
-    (home / "tables-00000001.db").mkdir()
-    (home / "tables-00000002.db").symlink_to(outside)
-    (home / "tables-00000003.db").write_bytes(b"no database" * 100)
-    other = apsw.Connection(str(home / "tables-00000004.db"))
-    other.execute("create table x(y)")
-    other.close()
-    (home / "notes.txt").write_text("another's")
-    engine = local_engine(home)
+    directory = tmp_path / "home"
+    directory.mkdir()
+    (directory / "tables-00000001.db").mkdir()
+    (directory / "tables-00000002.db").symlink_to(outside)
+    (directory / "tables-00000003.db").write_bytes(b"no database" * 100)
+    foreign_database = apsw.Connection(str(directory / "tables-00000004.db"))
+    foreign_database.execute("create table x(y)")
+    foreign_database.close()
+    (directory / "notes.txt").write_text("another's")
+    engine = local_engine(directory)
     found = engine.open()
     kinds = [FaultKind.FOREIGN, FaultKind.CORRUPT, FaultKind.FOREIGN, FaultKind.FOREIGN]
-    assert [error.kind for error in found.faults] == kinds and (home / "tables-00000001.db").is_dir()
+    assert [error.kind for error in found.faults] == kinds and (directory / "tables-00000001.db").is_dir()
     not_regular = [error.path[-4:] for error in found.faults if "a directory or a link" in error.detail]
     assert not_regular == ["2.db", "1.db"] and found.next_generation == 5
-    assert (home / "notes.txt").read_text() == "another's" and not outside.exists()
+    assert (directory / "notes.txt").read_text() == "another's" and not outside.exists()
     engine.close()
-    (home / "owner").unlink()
-    (home / "owner").symlink_to(outside)
+    (directory / "owner").unlink()
+    (directory / "owner").symlink_to(outside)
     with pytest.raises(StoreFileError) as caught:
         engine.open()
     assert caught.value.kind is FaultKind.FOREIGN and not outside.exists()
@@ -131,16 +131,16 @@
 
 
 def test_engine_moved_directory_fails_the_commit(tmp_path: Path) -> None:
-    home = tmp_path / "home"
-    home.mkdir()
-    engine = local_engine(home)
+    directory = tmp_path / "home"
+    directory.mkdir()
+    engine = local_engine(directory)
     engine.open()
     engine.commit([Put("view", "a", b"1")])
-    home.rename(tmp_path / "away")
+    directory.rename(tmp_path / "away")
     with pytest.raises(StoreFileError) as caught:
         engine.commit([Put("view", "b", b"1")])
     assert caught.value.kind is FaultKind.MISSING
-    (tmp_path / "away").rename(home)
+    (tmp_path / "away").rename(directory)
     engine.commit([Put("view", "b", b"1")])
     assert stored_values(engine) == {("view", "a"): b"1", ("view", "b"): b"1"}
     engine.close()
--- a/tests/store/test_inspect.py
+++ b/tests/store/test_inspect.py
@@ -1,4 +1,4 @@
-"""`state show|verify|clear` as data: what they report, and that they leave a directory as it is."""
+"""`state show|verify|clear` as data: their reports, and that only `clear` changes the directory."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
     for n in range(3):
         engine = Engine(LocalFileSystem(), str(path), lambda: 1_000)
         engine.open()
-        one = msgspec.msgpack.encode(PersistedEndpoint("127.0.0.1", 80))
-        engine.commit([Put("self", "node", NODE_IDENTITY), Put("view", f"s{n}", one)])
+        endpoint_row = msgspec.msgpack.encode(PersistedEndpoint("127.0.0.1", 80))
+        engine.commit([Put("self", "node", NODE_IDENTITY), Put("view", f"s{n}", endpoint_row)])
         engine.append("log", [b"%d" % n])
         engine.close()
 
@@ -39,13 +39,19 @@
     write_generations(tmp_path)
     (tmp_path / "notes.txt").write_text("mine")
     before = file_contents(tmp_path)
-    found = show(str(tmp_path))
-    assert json.loads(json.dumps(found)) == found and not found["faults"] and not verify(str(tmp_path))
-    assert (found["memory"], found["believed"], found["tables"]) == ("kept", 3, {"self": 1, "view": 3})
-    assert [g["number"] for g in found["generations"]] == [3, 2] and found["owner"] is None
-    assert found["node"] == {"id": "id-1", "name": "n0", "incarnation": 3, "first_ms": 0}
-    log = found["journals"][0]
-    assert (log["name"], log["first"], log["next"], log["segments"], log["spoiled"]) == ("log", 1, 4, 1, 0)
+    report = show(str(tmp_path))
+    assert json.loads(json.dumps(report)) == report and not report["faults"] and not verify(str(tmp_path))
+    assert (report["memory"], report["believed"], report["tables"]) == ("kept", 3, {"self": 1, "view": 3})
+    assert [g["number"] for g in report["generations"]] == [3, 2] and report["owner"] is None
+    assert report["node"] == {"id": "id-1", "name": "n0", "incarnation": 3, "first_ms": 0}
+    journal_report = report["journals"][0]
+    assert (
+        journal_report["name"],
+        journal_report["first"],
+        journal_report["next"],
+        journal_report["segments"],
+        journal_report["spoiled"],
+    ) == ("log", 1, 4, 1, 0)
     after = file_contents(tmp_path)
     assert {**after, "owner": b""} == {**before, "owner": b""}
     clear(str(tmp_path))
@@ -58,23 +64,23 @@
     (tmp_path / "tables-00000003.db-wal").unlink()
     (tmp_path / "tables-00000003.db").write_bytes(b"x" * 5_000)
     (tmp_path / "tables-00000009.db").mkdir()
-    found = verify(str(tmp_path))
-    assert any("tables-00000003.db: spoiled" in line for line in found), found
-    assert any("tables-00000009.db: foreign" in line for line in found), found
-    shown = show(str(tmp_path))
-    assert shown["memory"] == "older" and shown["believed"] == 2
-    assert all(line.startswith(str(tmp_path)) for line in found), found
+    faults = verify(str(tmp_path))
+    assert any("tables-00000003.db: spoiled" in line for line in faults), faults
+    assert any("tables-00000009.db: foreign" in line for line in faults), faults
+    report = show(str(tmp_path))
+    assert report["memory"] == "older" and report["believed"] == 2
+    assert all(line.startswith(str(tmp_path)) for line in faults), faults
 
 
 def test_inspect_directory_in_use_is_only_listed(tmp_path: Path) -> None:
     store = Store(str(tmp_path), lambda run: run())
     store.open()
     flush(store)
-    found = show(str(tmp_path))
-    assert found["owner"] == os.getpid() and found["memory"] == "in use" and found["generations"]
-    for act in (verify, clear):
+    report = show(str(tmp_path))
+    assert report["owner"] == os.getpid() and report["memory"] == "in use" and report["generations"]
+    for operation in (verify, clear):
         with pytest.raises(StoreFileError) as caught:
-            act(str(tmp_path))
+            operation(str(tmp_path))
         assert caught.value.kind is FaultKind.LOCKED
     flush(store)
     store.close()
@@ -84,9 +90,9 @@
 
 def test_verify_corrupt_journal_record_is_reported_by_position(tmp_path: Path) -> None:
     write_generations(tmp_path)
-    db = tmp_path / "journal-log-000000000001.db"
-    copy = SealedFile(LocalFileSystem(), str(db))
-    copy._connection.execute("update records set value=x'39' where position=2")
-    copy.checkpoint_and_close()
-    assert verify(str(tmp_path)) == [f"{db}: spoiled: position 2"]
+    path = tmp_path / "journal-log-000000000001.db"
+    segment = SealedFile(LocalFileSystem(), str(path))
+    segment._connection.execute("update records set value=x'39' where position=2")
+    segment.checkpoint_and_close()
+    assert verify(str(tmp_path)) == [f"{path}: spoiled: position 2"]
     assert show(str(tmp_path))["journals"][0]["spoiled"] == 1
--- a/tests/store/test_journal.py
+++ b/tests/store/test_journal.py
@@ -1,4 +1,4 @@
-"""Journals: records that are missing or damaged, segments that cannot be read, trimming."""
+"""Journals: missing or damaged records, unreadable segments, trimming."""
 
 from __future__ import annotations
 
@@ -40,9 +40,9 @@
     engine.open()
     engine.append("log", [b"r1", b"r2", b"r3"])
     engine.close()
-    db = apsw.Connection(str(tmp_path / "journal-log-000000000001.db"))
-    db.execute("delete from records where position=2")
-    db.close()
+    connection = apsw.Connection(str(tmp_path / "journal-log-000000000001.db"))
+    connection.execute("delete from records where position=2")
+    connection.close()
     engine.open()
     assert [(r.position, r.value) for r in engine.read_journal("log", 1, 9)] == [
         (1, b"r1"),
@@ -58,7 +58,7 @@
     disk = two_generation_disk.disk.copy()
     del disk.files["/d/journal-log-000000000001.db"].current[5000:]
     engine, found = open_engine(disk)
-    assert [f.kind for f in found.faults] == [FaultKind.CORRUPT]
+    assert [fault.kind for fault in found.faults] == [FaultKind.CORRUPT]
     assert engine.append("log", [b"on"]) == 1 + UNREADABLE_SEGMENT_POSITION_GAP
     assert [(r.position, r.value) for r in engine.read_journal("log", 1, 9)] == [
         (1, None),
--- a/tests/store/test_state_settings.py
+++ b/tests/store/test_state_settings.py
@@ -1,4 +1,4 @@
-"""The table `[state]` of the operators' file."""
+"""Validation of the settings table `[state]` of the operators' file."""
 
 from __future__ import annotations
 
@@ -12,13 +12,16 @@
 def test_state_settings_several_faults_are_reported_at_once(tmp_path: Path) -> None:
     (tmp_path / "state").mkdir()
     (tmp_path / "file").write_text("")
-    found = parse({"state": {"directory": "state"}}, tmp_path).state
-    assert found == StateSettings(directory=tmp_path / "state") and "believed for 86400 s" in found.summary()
-    for bad in ("none", "file", "", 7, "x" * 5_000, "a\0b"):
+    settings = parse({"state": {"directory": "state"}}, tmp_path).state
+    assert (
+        settings == StateSettings(directory=tmp_path / "state")
+        and "believed for 86400 s" in settings.summary()
+    )
+    for invalid_directory in ("none", "file", "", 7, "x" * 5_000, "a\0b"):
         with pytest.raises(OperatorSettingsError) as caught:
-            parse({"state": {"directory": bad, "max_age": 59, "every": True}}, tmp_path)
+            parse({"state": {"directory": invalid_directory, "max_age": 59, "every": True}}, tmp_path)
         paths = {fault.path for fault in caught.value.faults}
-        assert paths == {"state.directory", "state.max_age", "state.every"}, bad
+        assert paths == {"state.directory", "state.max_age", "state.every"}, invalid_directory
     with pytest.raises(OperatorSettingsError, match=r"state\.every: found 3600 s, over max_age"):
         parse({"state": {"directory": "state", "max_age": 60, "every": 3_600}}, tmp_path)
     with pytest.raises(OperatorSettingsError, match=r"state\.directory: found nothing"):
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -1,4 +1,4 @@
-"""The writer thread: groups, lanes, bounds; disks that are slow, full and back; a killed process."""
+"""The writer thread: group commits, lanes, bounds; slow, full and recovering disks; a killed process."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class SyncGate:
-    """A disk whose syncs block while they are not allowed."""
+    """A disk whose syncs block until they are allowed."""
 
     def __init__(self, disk: SimulatedDisk | None = None) -> None:
         self.disk = disk or SimulatedDisk()
@@ -46,7 +46,7 @@
 
 @pytest.fixture
 def gate() -> Iterator[SyncGate]:
-    """A disk whose syncs are allowed at first."""
+    """A disk whose syncs are initially allowed."""
     gate = SyncGate()
     yield gate
     gate.file_system.close()
@@ -61,7 +61,7 @@
 
 
 def flush(store: Store) -> None:
-    """Waits until everything that was queued before is durable."""
+    """Waits until all changes queued so far are durable."""
     done = threading.Event()
     store.append("flush", 0, lambda position: done.set())
     assert done.wait(WAIT)
@@ -76,7 +76,7 @@
         gate.block_syncs()
         store.append("log", {"a": 1}, done.set_result)
         await asyncio.to_thread(gate.sync_reached.wait, WAIT)
-        for _ in range(1_000):  # the sync is running: turns of the loop, and more work queued
+        for _ in range(1_000):  # during the sync the loop runs and more work is queued
             store.put("view", "k", 1)
             await asyncio.sleep(0)
         assert not done.done() and store.status().queued_changes == 1_001
@@ -90,35 +90,37 @@
     gate.file_system.close()
 
 
-@pytest.mark.parametrize("number", [None, errno.EIO, errno.ENOSPC])
-def test_store_restored_values_are_available_before_first_sync(gate: SyncGate, number: int | None) -> None:
-    """A sync that is slow or fails is reported and acknowledges nothing; restored values stay available."""
+@pytest.mark.parametrize("error_number", [None, errno.EIO, errno.ENOSPC])
+def test_store_restored_values_are_available_before_first_sync(
+    gate: SyncGate, error_number: int | None
+) -> None:
+    """A slow or failing sync is reported and acknowledges nothing; restored values stay available."""
     store = open_store(gate)
     store.put("view", "a", 1)
     assert store.close(WAIT) == 0
     disk, failed = gate.disk.copy(), threading.Event()
-    again = SyncGate(disk)
-    again.block_syncs()
+    second_gate = SyncGate(disk)
+    second_gate.block_syncs()
     acknowledged = list[int]()
-    store = open_store(again)
-    assert store.get("view", "a") == b"\x01" and not again.sync_reached.is_set()
-    if number is not None:
-        again.syncs_allowed.set()
+    store = open_store(second_gate)
+    assert store.get("view", "a") == b"\x01" and not second_gate.sync_reached.is_set()
+    if error_number is not None:
+        second_gate.syncs_allowed.set()
 
         def plan(call: int, name: str) -> None:
             if not failed.is_set() and name.startswith("sync "):
                 failed.set()
-                raise InjectedError(number)
+                raise InjectedError(error_number)
 
         disk.fault_plan = plan
     store.put("self", "node", 2, acknowledged.append)
-    assert (again.sync_reached if number is None else failed).wait(WAIT)
-    assert store.items("view") == {"a": b"\x01"} and (number is not None or not acknowledged)
-    again.syncs_allowed.set()
+    assert (second_gate.sync_reached if error_number is None else failed).wait(WAIT)
+    assert store.items("view") == {"a": b"\x01"} and (error_number is not None or not acknowledged)
+    second_gate.syncs_allowed.set()
     flush(store)
-    assert len(acknowledged) == 1 and store.status().failure_count == (number is not None)
+    assert len(acknowledged) == 1 and store.status().failure_count == (error_number is not None)
     assert store.close(WAIT) == 0
-    again.file_system.close()
+    second_gate.file_system.close()
 
 
 def test_store_urgent_tables_are_written_first_and_lanes_keep_their_order(gate: SyncGate) -> None:
@@ -185,18 +187,18 @@
 }
 
 
-@pytest.mark.parametrize("number", FAULT_KIND_BY_ERRNO)
+@pytest.mark.parametrize("error_number", FAULT_KIND_BY_ERRNO)
 def test_store_failing_disk_is_reported_and_all_is_written_after_it_recovers(
-    gate: SyncGate, number: int
+    gate: SyncGate, error_number: int
 ) -> None:
     failed = threading.Event()
     store = open_store(gate)
-    broken = True
+    is_failing = True
 
     def plan(call: int, name: str) -> None:
-        if broken:
+        if is_failing:
             failed.set()
-            raise InjectedError(number)
+            raise InjectedError(error_number)
 
     gate.disk.fault_plan = plan
     done, acknowledged = threading.Event(), list[int]()
@@ -208,9 +210,9 @@
         if store.status().failure_count:
             break
         threading.Event().wait(0.01)
-    assert store.status().fault is FAULT_KIND_BY_ERRNO[number]
+    assert store.status().fault is FAULT_KIND_BY_ERRNO[error_number]
     assert not acknowledged and not done.is_set() and store.get("view", "a") is None
-    broken = False
+    is_failing = False
     assert done.wait(WAIT) and len(acknowledged) == 2
     assert store.status().fault is None and store.get("ends", "b") == b"\x02"
     store.close()
@@ -251,8 +253,8 @@
 def test_store_read_journal_returns_durable_records_and_trim_removes_them(tmp_path: Path) -> None:
     store = Store(str(tmp_path), lambda run: run())
     store.open()
-    for n in range(5):
-        store.append("log", n)
+    for index in range(5):
+        store.append("log", index)
     found: list[JournalRecord] = []
     done = threading.Event()
 
@@ -287,24 +289,24 @@
 
 
 def test_store_killed_process_leaves_what_it_acknowledged(tmp_path: Path) -> None:
-    """SIGKILL, five times in a row, each start immediately after the one before."""
-    last = 0
+    """Five runs in a row, each ended by SIGKILL and followed immediately by the next."""
+    last_acknowledged = 0
     for run in range(5):
-        command = [sys.executable, "-c", WRITER, str(tmp_path), str(last)]
+        command = [sys.executable, "-c", WRITER, str(tmp_path), str(last_acknowledged)]
         process = subprocess.Popen(command, cwd=ROOT, stdout=subprocess.PIPE, text=True)
         assert process.stdout is not None
-        opened = process.stdout.readline().split()
-        assert opened[:3] == ["open", str(run + 1), "0"], opened
-        while (acknowledged := int(process.stdout.readline().split()[1])) < last + 30 + 40 * run:
+        opening_line = process.stdout.readline().split()
+        assert opening_line[:3] == ["open", str(run + 1), "0"], opening_line
+        while (acknowledged := int(process.stdout.readline().split()[1])) < last_acknowledged + 30 + 40 * run:
             pass
         process.kill()
-        whole = process.stdout.read().split("\n")[:-1]  # the last line may be incomplete
+        complete_lines = process.stdout.read().split("\n")[:-1]  # the last line may be incomplete
         process.wait()
-        last = max([acknowledged, *(int(line.split()[1]) for line in whole)])
-        found = show(str(tmp_path))
-        assert not found["faults"] and found["owner"] is None and found["believed"] == run + 1
+        last_acknowledged = max([acknowledged, *(int(line.split()[1]) for line in complete_lines)])
+        report = show(str(tmp_path))
+        assert not report["faults"] and report["owner"] is None and report["believed"] == run + 1
     store = Store(str(tmp_path), lambda run: run())
     store.open()
     value = store.get("view", "n")
-    assert value is not None and msgspec.msgpack.decode(value) >= last
+    assert value is not None and msgspec.msgpack.decode(value) >= last_acknowledged
     store.close()
