--- a/balancer/store/sqlite_file.py
+++ b/balancer/store/sqlite_file.py
@@ -234,10 +234,10 @@
     def read_seal(self) -> Seal:
         """Reads the seal and verifies its checksum; raises StoreFileError."""
         with translate_sqlite_errors(self.path):
-            found = self._connection.execute("select value, sum from seal where id=0").fetchall()
-            if len(found) != 1 or not isinstance(value := found[0][0], bytes):
+            seal_rows = self._connection.execute("select value, sum from seal where id=0").fetchall()
+            if len(seal_rows) != 1 or not isinstance(value := seal_rows[0][0], bytes):
                 raise StoreFileError(FaultKind.CORRUPT, self.path, "the seal is missing")
-            if record_checksum(SEAL_TABLE, "", 0, value) != found[0][1]:
+            if record_checksum(SEAL_TABLE, "", 0, value) != seal_rows[0][1]:
                 raise StoreFileError(FaultKind.CORRUPT, self.path, "the checksum of the seal is wrong")
             self.seal = msgspec.msgpack.decode(value, type=Seal)
             return self.seal
@@ -274,12 +274,12 @@
         A record with a wrong checksum has no value.
         """
         records: list[JournalRecord] = []
-        found = self._connection.execute(
+        rows = self._connection.execute(
             "select position, at_ms, value, sum from records where position>=? order by position limit ?",
             (position, count),
         )
         with translate_sqlite_errors(self.path):
-            for record_position, written_at_ms, value, checksum in found:
+            for record_position, written_at_ms, value, checksum in rows:
                 is_valid = (
                     isinstance(value, bytes)
                     and record_checksum("", str(record_position), written_at_ms, value) == checksum
@@ -291,8 +291,8 @@
         """Faults that SQLite reports in its own structure, one a line; empty if there are none."""
         try:
             with translate_sqlite_errors(self.path):
-                found = self._connection.execute(f"pragma integrity_check({MAX_STRUCTURE_FAULTS})")
-                lines = [str(row[0]) for row in found]
+                rows = self._connection.execute(f"pragma integrity_check({MAX_STRUCTURE_FAULTS})")
+                lines = [str(row[0]) for row in rows]
         except StoreFileError as error:
             return [error.detail]
         return [] if lines == ["ok"] else lines
--- a/tests/store/test_crash_recovery.py
+++ b/tests/store/test_crash_recovery.py
@@ -81,11 +81,11 @@
                 harness.engine.open()
                 harness.states = [stored_values(harness.engine)]
                 assert harness.states[0] in states[durable:], seed
-                for n in range(4):
+                for index in range(4):
                     harness.commit(
                         *(Put("view", f"s{rng.randrange(6)}", rng.randbytes(50)) for _ in range(3))
                     )
-                    if n == 2:
+                    if index == 2:
                         harness.engine.begin_generation()
             except PowerCut:
                 pass
@@ -159,9 +159,9 @@
         harness.disk.fault_plan = plan
         try:
             retry_once(harness.engine.open)
-            for n in range(6):
-                retry_once(partial(harness.append, b"r%d" % n))
-                retry_once(partial(harness.commit, Put("view", f"s{n}", b"x" * 100)))
+            for index in range(6):
+                retry_once(partial(harness.append, b"r%d" % index))
+                retry_once(partial(harness.commit, Put("view", f"s{index}", b"x" * 100)))
         except PowerCut:
             pass
         check_after_power_cut(harness, seed)
@@ -239,13 +239,13 @@
         is_past_last_call = harness.disk.call_count < failing
         harness.close()
         harness.disk.crash(random.Random(failing))
-        engine, found = open_engine(harness.disk)
+        engine, open_result = open_engine(harness.disk)
         values = stored_values(engine)
         assert values in ([after_commit] if acknowledged else [restored, after_commit]), (
             harness.disk.call_names
         )
-        assert not found.faults and not found.is_outdated
-        assert found.restored_generation == (2 if values == restored else 3)
+        assert not open_result.faults and not open_result.is_outdated
+        assert open_result.restored_generation == (2 if values == restored else 3)
         engine.close()
         if is_past_last_call:
             break
--- a/tests/store/test_damaged_files.py
+++ b/tests/store/test_damaged_files.py
@@ -35,13 +35,13 @@
         del content.current[offset:]
     else:
         content.current[offset // 8] ^= 1 << offset % 8
-    engine, found = open_engine(disk)
+    engine, open_result = open_engine(disk)
     try:
-        assert stored_values(engine) in states and found.committed_at_ms == 1_000, (damage, offset)
+        assert stored_values(engine) in states and open_result.committed_at_ms == 1_000, (damage, offset)
         if stored_values(engine) != states[0]:
-            faulty_paths = [error.path for error in found.faults]
-            assert found.is_outdated and faulty_paths == ["/d/tables-00000002.db"], (damage, offset)
-            assert found.restored_generation == 1 and found.next_generation == 3
+            faulty_paths = [error.path for error in open_result.faults]
+            assert open_result.is_outdated and faulty_paths == ["/d/tables-00000002.db"], (damage, offset)
+            assert open_result.restored_generation == 1 and open_result.next_generation == 3
         engine.commit([Put("view", "c", b"on")])
     finally:
         engine.close()
@@ -79,9 +79,9 @@
     disk = two_generation_disk.disk.copy()
     for number in (1, 2):
         disk.files[f"/d/tables-0000000{number}.db"].current[:100] = bytes(100)
-    engine, found = open_engine(disk)
-    assert stored_values(engine) == {} and found.is_outdated
-    assert found.next_generation == 3 and len(found.faults) == 2
+    engine, open_result = open_engine(disk)
+    assert stored_values(engine) == {} and open_result.is_outdated
+    assert open_result.next_generation == 3 and len(open_result.faults) == 2
     assert "/d/tables-00000002.db" in disk.files, "a corrupt file stays for inspection"
     engine.close()
 
--- a/tests/store/test_engine.py
+++ b/tests/store/test_engine.py
@@ -41,10 +41,12 @@
     connection.execute(f"pragma user_version={version}")
     connection.close()
     engine = local_engine(tmp_path)
-    found = engine.open()
-    [error] = found.faults
+    open_result = engine.open()
+    [error] = open_result.faults
     assert error.kind is FaultKind.UNSUPPORTED_FORMAT and f"version {version}," in error.detail
-    assert found.is_outdated and stored_values(engine) == {} and (tmp_path / "tables-00000001.db").exists()
+    assert (
+        open_result.is_outdated and stored_values(engine) == {} and (tmp_path / "tables-00000001.db").exists()
+    )
     engine.close()
 
 
@@ -60,8 +62,8 @@
     ]
     for _ in range(2):  # the second open finds the new format
         engine = local_engine(tmp_path, migrations)
-        found = engine.open()
-        assert stored_values(engine) == {("seen", "a"): b"123"} and not found.faults
+        open_result = engine.open()
+        assert stored_values(engine) == {("seen", "a"): b"123"} and not open_result.faults
         engine.begin_generation()
         engine.close()
 
@@ -113,11 +115,13 @@
     foreign_database.close()
     (directory / "notes.txt").write_text("another's")
     engine = local_engine(directory)
-    found = engine.open()
+    open_result = engine.open()
     kinds = [FaultKind.FOREIGN, FaultKind.CORRUPT, FaultKind.FOREIGN, FaultKind.FOREIGN]
-    assert [error.kind for error in found.faults] == kinds and (directory / "tables-00000001.db").is_dir()
-    not_regular = [error.path[-4:] for error in found.faults if "a directory or a link" in error.detail]
-    assert not_regular == ["2.db", "1.db"] and found.next_generation == 5
+    assert [error.kind for error in open_result.faults] == kinds and (
+        directory / "tables-00000001.db"
+    ).is_dir()
+    not_regular = [error.path[-4:] for error in open_result.faults if "a directory or a link" in error.detail]
+    assert not_regular == ["2.db", "1.db"] and open_result.next_generation == 5
     assert (directory / "notes.txt").read_text() == "another's" and not outside.exists()
     engine.close()
     (directory / "owner").unlink()
--- a/tests/store/test_inspect.py
+++ b/tests/store/test_inspect.py
@@ -22,12 +22,12 @@
 
 
 def write_generations(path: Path) -> None:
-    for n in range(3):
+    for index in range(3):
         engine = Engine(LocalFileSystem(), str(path), lambda: 1_000)
         engine.open()
         endpoint_row = msgspec.msgpack.encode(PersistedEndpoint("127.0.0.1", 80))
-        engine.commit([Put("self", "node", NODE_IDENTITY), Put("view", f"s{n}", endpoint_row)])
-        engine.append("log", [b"%d" % n])
+        engine.commit([Put("self", "node", NODE_IDENTITY), Put("view", f"s{index}", endpoint_row)])
+        engine.append("log", [b"%d" % index])
         engine.close()
 
 
--- a/tests/store/test_journal.py
+++ b/tests/store/test_journal.py
@@ -25,13 +25,13 @@
     disk = two_generation_disk.disk.copy()
     content = disk.files["/d/journal-log-000000000001.db"]
     content.current[content.current.rindex(b"r2")] ^= 1
-    engine, found = open_engine(disk)
+    engine, open_result = open_engine(disk)
     assert [(r.position, r.value) for r in engine.read_journal("log", 1, 9)] == [
         (1, b"r1"),
         (2, None),
         (3, b"r3"),
     ]
-    assert engine.append("log", [b"r4"]) == 4 and not found.faults
+    assert engine.append("log", [b"r4"]) == 4 and not open_result.faults
     engine.close()
 
 
@@ -57,8 +57,8 @@
 ) -> None:
     disk = two_generation_disk.disk.copy()
     del disk.files["/d/journal-log-000000000001.db"].current[5000:]
-    engine, found = open_engine(disk)
-    assert [fault.kind for fault in found.faults] == [FaultKind.CORRUPT]
+    engine, open_result = open_engine(disk)
+    assert [fault.kind for fault in open_result.faults] == [FaultKind.CORRUPT]
     assert engine.append("log", [b"on"]) == 1 + UNREADABLE_SEGMENT_POSITION_GAP
     assert [(r.position, r.value) for r in engine.read_journal("log", 1, 9)] == [
         (1, None),
@@ -78,8 +78,8 @@
 
 def test_journal_trim_removes_segments_by_age_and_by_size(long_journal_engine: Engine) -> None:
     engine = long_journal_engine
-    for n in range(60):
-        engine.append("log", [b"x" * 2000, b"%d" % n])
+    for index in range(60):
+        engine.append("log", [b"x" * 2000, b"%d" % index])
     names = os.listdir(engine.directory)
     segments = [name for name in names if name.startswith("journal-") and name.endswith(".db")]
     assert len(segments) > 5 and engine.journal_ranges()["log"] == (1, 121)
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -255,17 +255,17 @@
     store.open()
     for index in range(5):
         store.append("log", index)
-    found: list[JournalRecord] = []
+    read_records: list[JournalRecord] = []
     done = threading.Event()
 
     def on_read(records: list[JournalRecord]) -> None:
-        found.extend(records)
+        read_records.extend(records)
         done.set()
 
     store.read_journal("log", 2, 3, on_read)
     store.trim_journal("log", max_bytes=0)
     store.begin_generation()
-    assert done.wait(WAIT) and [r.position for r in found] == [2, 3, 4]
+    assert done.wait(WAIT) and [r.position for r in read_records] == [2, 3, 4]
     flush(store)
     assert store.engine.generation == 2
     store.close()
@@ -275,8 +275,8 @@
 import sys, time
 from balancer.store.store import Store
 store = Store(sys.argv[1], lambda run: run())
-found = store.open()
-print("open", found.next_generation, len(found.faults), flush=True)
+open_result = store.open()
+print("open", open_result.next_generation, len(open_result.faults), flush=True)
 n = int(sys.argv[2])
 while True:
     n += 1
