--- a/tests/store/test_engine.py
+++ b/tests/store/test_engine.py
@@ -37,14 +37,16 @@
 @pytest.mark.parametrize("version", [0, 99])
 def test_engine_unknown_format_version_is_reported_and_file_stays(version: int, tmp_path: Path) -> None:
     write_generation(tmp_path)
-    db = apsw.Connection(str(tmp_path / "tables-00000001.db"))
-    db.execute(f"pragma user_version={version}")
-    db.close()
+    connection = apsw.Connection(str(tmp_path / "tables-00000001.db"))
+    connection.execute(f"pragma user_version={version}")
+    connection.close()
     engine = local_engine(tmp_path)
-    found = engine.open()
-    [error] = found.faults
+    open_result = engine.open()
+    [error] = open_result.faults
     assert error.kind is FaultKind.UNSUPPORTED_FORMAT and f"version {version}," in error.detail
-    assert found.is_outdated and stored_values(engine) == {} and (tmp_path / "tables-00000001.db").exists()
+    assert (
+        open_result.is_outdated and stored_values(engine) == {} and (tmp_path / "tables-00000001.db").exists()
+    )
     engine.close()
 
 
@@ -60,8 +62,8 @@
     ]
     for _ in range(2):  # the second open finds the new format
         engine = local_engine(tmp_path, migrations)
-        found = engine.open()
-        assert stored_values(engine) == {("seen", "a"): b"123"} and not found.faults
+        open_result = engine.open()
+        assert stored_values(engine) == {("seen", "a"): b"123"} and not open_result.faults
         engine.begin_generation()
         engine.close()
 
@@ -88,14 +90,14 @@
 
 
 def test_lock_on_replaced_lock_file_is_refused(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    lock = fcntl.flock
+    flock = fcntl.flock
 
-    def replaced(fd: int, how: int) -> None:
+    def replace_lock_file(file_descriptor: int, operation: int) -> None:
         (tmp_path / "owner").unlink()
         (tmp_path / "owner").write_text("")
-        lock(fd, how)
+        flock(file_descriptor, operation)
 
-    monkeypatch.setattr(fcntl, "flock", replaced)
+    monkeypatch.setattr(fcntl, "flock", replace_lock_file)
     with pytest.raises(StoreFileError) as caught:
         local_engine(tmp_path).open()
     assert caught.value.kind is FaultKind.LOCKED
@@ -103,25 +105,27 @@
 
 def test_engine_directories_links_and_foreign_files_are_reported_and_stay(tmp_path: Path) -> None:
     outside = tmp_path / "outside.db"
-    home = tmp_path / "home"
-    home.mkdir()
-    (home / "tables-00000001.db").mkdir()
-    (home / "tables-00000002.db").symlink_to(outside)
-    (home / "tables-00000003.db").write_bytes(b"no database" * 100)
-    other = apsw.Connection(str(home / "tables-00000004.db"))
-    other.execute("create table x(y)")
-    other.close()
-    (home / "notes.txt").write_text("another's")
-    engine = local_engine(home)
-    found = engine.open()
+    directory = tmp_path / "home"
+    directory.mkdir()
+    (directory / "tables-00000001.db").mkdir()
+    (directory / "tables-00000002.db").symlink_to(outside)
+    (directory / "tables-00000003.db").write_bytes(b"no database" * 100)
+    foreign_database = apsw.Connection(str(directory / "tables-00000004.db"))
+    foreign_database.execute("create table x(y)")
+    foreign_database.close()
+    (directory / "notes.txt").write_text("another's")
+    engine = local_engine(directory)
+    open_result = engine.open()
     kinds = [FaultKind.FOREIGN, FaultKind.CORRUPT, FaultKind.FOREIGN, FaultKind.FOREIGN]
-    assert [error.kind for error in found.faults] == kinds and (home / "tables-00000001.db").is_dir()
-    not_regular = [error.path[-4:] for error in found.faults if "a folder or a link" in error.detail]
-    assert not_regular == ["2.db", "1.db"] and found.next_generation == 5
-    assert (home / "notes.txt").read_text() == "another's" and not outside.exists()
+    assert [error.kind for error in open_result.faults] == kinds and (
+        directory / "tables-00000001.db"
+    ).is_dir()
+    not_regular = [error.path[-4:] for error in open_result.faults if "a directory or a link" in error.detail]
+    assert not_regular == ["2.db", "1.db"] and open_result.next_generation == 5
+    assert (directory / "notes.txt").read_text() == "another's" and not outside.exists()
     engine.close()
-    (home / "owner").unlink()
-    (home / "owner").symlink_to(outside)
+    (directory / "owner").unlink()
+    (directory / "owner").symlink_to(outside)
     with pytest.raises(StoreFileError) as caught:
         engine.open()
     assert caught.value.kind is FaultKind.FOREIGN and not outside.exists()
@@ -131,16 +135,16 @@
 
 
 def test_engine_moved_directory_fails_the_commit(tmp_path: Path) -> None:
-    home = tmp_path / "home"
-    home.mkdir()
-    engine = local_engine(home)
+    directory = tmp_path / "home"
+    directory.mkdir()
+    engine = local_engine(directory)
     engine.open()
     engine.commit([Put("view", "a", b"1")])
-    home.rename(tmp_path / "away")
+    directory.rename(tmp_path / "away")
     with pytest.raises(StoreFileError) as caught:
         engine.commit([Put("view", "b", b"1")])
     assert caught.value.kind is FaultKind.MISSING
-    (tmp_path / "away").rename(home)
+    (tmp_path / "away").rename(directory)
     engine.commit([Put("view", "b", b"1")])
     assert stored_values(engine) == {("view", "a"): b"1", ("view", "b"): b"1"}
     engine.close()
