--- a/balancer/core/backoff.py
+++ b/balancer/core/backoff.py
@@ -6,9 +6,9 @@
 
 
 class Backoff:
-    """Delays that double from `initial_ms` to `max_ms`, each drawn evenly from 0.5 to 1.5 of that.
+    """Delays that double from `initial_ms` to `max_ms`, each multiplied by a uniform factor from 0.5 to 1.5.
 
-    The jitter guards against nodes that lose the same server at the same moment and come back together.
+    The jitter keeps nodes that lose the same server at the same moment from reconnecting together.
     """
 
     def __init__(self, initial_ms: float, max_ms: float, rng: random.Random) -> None:
@@ -19,11 +19,11 @@
         return f"<Backoff about {self.next_ms:.0f} ms next>"
 
     def next_delay_ms(self) -> float:
-        """The delay before the next attempt; the one after it is longer."""
+        """Return the delay before the next attempt, and double the base of the one after it."""
         delay_ms = self.next_ms * self.rng.uniform(0.5, 1.5)
         self.next_ms = min(2 * self.next_ms, self.max_ms)
         return delay_ms
 
     def reset(self) -> None:
-        """An attempt succeeded: begin with `initial_ms` again."""
+        """Start again at `initial_ms`; called after an attempt that succeeded."""
         self.next_ms = self.initial_ms
--- a/balancer/core/connection_admission.py
+++ b/balancer/core/connection_admission.py
@@ -1,10 +1,10 @@
 """Limits on what clients can make a node hold: descriptors, large bodies, unread responses.
 
-Numbers in, decisions out: no sockets and no clock.
+The module computes with numbers only: it uses no sockets and no clock.
 
 - `descriptor_quotas`, `connection_limits`: how many descriptors clients and backends may hold.
-- `LargeBodyBudget`: memory of bodies that are larger than most.
-- `UnreadResponses`: memory of responses that clients do not read, and the connections to close for it.
+- `LargeBodyBudget`: a memory budget shared by all large bodies.
+- `UnreadResponses`: the memory of responses that clients do not read, and the connections to close for it.
 """
 
 from __future__ import annotations
@@ -15,72 +15,75 @@
 
 RESERVED_DESCRIPTORS = 32  # for the listener, discovery, the event loop and the log
 MIN_DESCRIPTORS = RESERVED_DESCRIPTORS + 4
-CLIENT_DESCRIPTOR_RATIO = 0.6  # of the others; backends get the rest
-MAX_OVERLOAD_CONNECTIONS = 16  # over the limit, that still get one response
-OVERLOAD_CONNECTIONS_DIVISOR = 8  # and no more than this part of the clients' descriptors
+CLIENT_DESCRIPTOR_RATIO = 0.6  # of the unreserved descriptors; backends get the rest
+MAX_OVERLOAD_CONNECTIONS = 16  # connections over the limit that still get one response
+OVERLOAD_CONNECTIONS_DIVISOR = 8  # they take at most an eighth of the clients' descriptors
 
-UNBUDGETED_BODY_BYTES = 64 * 1024  # of each body; few are larger
+UNBUDGETED_BODY_BYTES = 64 * 1024  # of each body; few bodies are larger
 MAX_FORWARDED_BODY_BYTES = 1024 * 1024
-LARGE_BODY_BUDGET_DIVISOR = 16  # of the node's memory, as up to 3 copies of a body exist
+LARGE_BODY_BUDGET_DIVISOR = 16  # of the node's memory; up to 3 copies of a body exist at a time
 MIN_LARGE_BODY_BUDGET_BYTES = 2 * MAX_FORWARDED_BODY_BYTES
 
 UNREAD_BUDGET_DIVISOR = 8  # of the node's memory
 MIN_UNREAD_BUDGET_BYTES = 4 * 1024 * 1024
-READ_STALL_TIMEOUT_MS = 5_000.0  # without progress: the kernel's buffers hide a pause of a client that reads
-READ_PROGRESS_GRACE_MS = 200.0  # the same once the budget is exceeded: a client that reads progresses within
+READ_STALL_TIMEOUT_MS = (
+    5_000.0  # without progress; the kernel's buffers hide shorter pauses of a client that reads
+)
+READ_PROGRESS_GRACE_MS = 200.0  # over budget; a client that reads makes progress within it
 
 Key = TypeVar("Key")
 
 
 class DescriptorQuotas(NamedTuple):
-    """Descriptors that clients and backends may hold."""
+    """How many descriptors clients and backends may hold."""
 
     clients: int
     backends: int
 
 
 class ConnectionLimits(NamedTuple):
-    """Connections that are served, and those over these that get one response and are closed."""
+    """How many connections are served, and how many more get one response before they are closed."""
 
     served: int
     overload: int
 
 
 def unread_budget_bytes(memory_mb: float) -> int:
-    """Bytes of unread responses that a node with so much memory may hold."""
+    """Return the bytes of unread responses that a node with `memory_mb` of memory may hold."""
     return max(MIN_UNREAD_BUDGET_BYTES, int(memory_mb * 1024 * 1024 / UNREAD_BUDGET_DIVISOR))
 
 
 def large_body_budget_bytes(memory_mb: float) -> int:
-    """Bytes beyond `UNBUDGETED_BODY_BYTES` that all bodies in a node with so much memory may have."""
+    """Return the budget of all bodies, for their bytes beyond `UNBUDGETED_BODY_BYTES` each."""
     return max(MIN_LARGE_BODY_BUDGET_BYTES, int(memory_mb * 1024 * 1024 / LARGE_BODY_BUDGET_DIVISOR))
 
 
 def descriptor_quotas(descriptors: int) -> DescriptorQuotas:
-    """Divide the descriptors of the process, at least `MIN_DESCRIPTORS`."""
+    """Divide the descriptors of the process, which are at least `MIN_DESCRIPTORS`."""
     clients = int((descriptors - RESERVED_DESCRIPTORS) * CLIENT_DESCRIPTOR_RATIO)
     return DescriptorQuotas(clients, descriptors - RESERVED_DESCRIPTORS - clients)
 
 
 def connection_limits(client_descriptors: int) -> ConnectionLimits:
-    """Divide the clients' descriptors, so that an overload never takes those that are reserved."""
+    """Divide the clients' descriptors, so that an overload never uses the reserved ones."""
     overload = min(MAX_OVERLOAD_CONNECTIONS, client_descriptors // OVERLOAD_CONNECTIONS_DIVISOR)
     return ConnectionLimits(client_descriptors - overload, overload)
 
 
 class LargeBodyBudget:
-    """Bytes beyond `UNBUDGETED_BODY_BYTES` of all bodies that are being read or wait for their response.
+    """Budget for the bytes beyond `UNBUDGETED_BODY_BYTES` of bodies that are being read or await a response.
 
-    Guards memory against hundreds of large bodies, each within its own limit.
+    Without it, hundreds of large bodies, each within its own limit, could exhaust the memory.
     """
 
     def __init__(self, budget_bytes: int = MIN_LARGE_BODY_BUDGET_BYTES) -> None:
         self.budget_bytes, self.reserved_bytes = budget_bytes, 0
 
     def reserve(self, held_bytes: int, body_bytes: int) -> int | None:
-        """Reserve for a body that has grown to `body_bytes` and holds `held_bytes`.
+        """Reserve bytes for a body that has grown to `body_bytes` and already holds `held_bytes`.
 
-        Returns what it holds then, for `release`; None if there is not enough, and nothing changes.
+        Returns the bytes that it holds then, to be passed to `release`. Returns None and changes nothing if
+        the budget does not suffice.
         """
         needed_bytes = max(held_bytes, body_bytes - UNBUDGETED_BODY_BYTES)
         if needed_bytes > held_bytes and self.reserved_bytes + needed_bytes - held_bytes > self.budget_bytes:
@@ -89,22 +92,22 @@
         return needed_bytes
 
     def release(self, held_bytes: int) -> None:
-        """Give back what a body held."""
+        """Return the bytes that a body held to the budget."""
         self.reserved_bytes -= held_bytes
 
 
 @dataclass(slots=True)
 class _UnreadConnection:
     unread_bytes: int
-    progress_ms: float  # when the client last read some
-    keep_until_ms: float  # until then it is not closed for a stall
+    progress_ms: float  # when the client last read some bytes
+    keep_until_ms: float  # not closed for a stall before this time
 
 
 class UnreadResponses(Generic[Key]):
     """Bytes of responses that the kernel has not taken yet, by connection.
 
-    Bounds: one record for each connection with unread bytes; `budget_bytes` over all connections, and what is
-    added between two calls of `excess`.
+    Bounds: one record for each connection with unread bytes. All connections together hold `budget_bytes`,
+    plus what is added between two calls of `excess`.
     """
 
     def __init__(self, budget_bytes: int) -> None:
@@ -125,11 +128,11 @@
 
     @property
     def is_over_budget(self) -> bool:
-        """Whether no request may be read whose response would add to it."""
+        """Whether the budget is exceeded, so that no further requests may be read."""
         return self.total_bytes > self.budget_bytes
 
     def update(self, key: Key, unread_bytes: int, now_ms: float, keep_until_ms: float = 0.0) -> None:
-        """Record how many bytes are unread on a connection; fewer than before are progress.
+        """Record how many bytes are unread on a connection; a decrease counts as progress.
 
         `keep_until_ms` is the latest deadline of the requests that were answered on it.
         """
@@ -149,12 +152,12 @@
         connection.keep_until_ms = max(connection.keep_until_ms, keep_until_ms)
 
     def discard(self, key: Key) -> None:
-        """Forget a connection that was read to the end, or closed."""
+        """Remove a connection whose responses were read to the end, or that was closed."""
         if (connection := self._connections.pop(key, None)) is not None:
             self.total_bytes -= connection.unread_bytes
 
     def stalled(self, now_ms: float) -> list[Key]:
-        """The connections to close as their client stopped reading and the last deadline is over."""
+        """Return the connections whose client stopped reading and whose last deadline has passed."""
         return [
             key
             for key, connection in self._connections.items()
@@ -162,20 +165,20 @@
         ]
 
     def excess(self, now_ms: float) -> list[Key]:
-        """The connections to close for the budget: the largest first of those without progress.
+        """Return the connections to close for the budget: those without progress, the largest first.
 
-        A connection that makes progress is among them only over twice the budget, which bounds the memory.
+        A connection that makes progress is closed only above twice the budget, which bounds the memory.
         """
         excess: list[Key] = []
-        left_bytes = self.total_bytes
-        if left_bytes <= self.budget_bytes:
+        remaining_bytes = self.total_bytes
+        if remaining_bytes <= self.budget_bytes:
             return excess
         largest = sorted(self._connections.items(), key=lambda item: -item[1].unread_bytes)
-        for has_progress, bound_bytes in ((False, self.budget_bytes), (True, 2 * self.budget_bytes)):
+        for has_progress, limit_bytes in ((False, self.budget_bytes), (True, 2 * self.budget_bytes)):
             for key, connection in largest:
-                if left_bytes <= bound_bytes:
+                if remaining_bytes <= limit_bytes:
                     break
                 if (now_ms - connection.progress_ms < READ_PROGRESS_GRACE_MS) is has_progress:
                     excess.append(key)
-                    left_bytes -= connection.unread_bytes
+                    remaining_bytes -= connection.unread_bytes
         return excess
--- a/balancer/core/hysteresis.py
+++ b/balancer/core/hysteresis.py
@@ -1,4 +1,4 @@
-"""Begins a condition once it has held for a while, ends it once it has been absent for a while."""
+"""Begins a condition after it was present for a while, and ends it after it was absent for a while."""
 
 from __future__ import annotations
 
@@ -16,18 +16,19 @@
 
 
 class Hysteresis(Generic[Key]):
-    """Conditions that do not flap: one that comes and goes faster than `end_delay_ms` stays one.
+    """Tracks conditions without flapping: an absence shorter than `end_delay_ms` does not end a condition.
 
-    `active_since_ms` holds those that have begun and not ended, by the time at which they were first present.
+    `active_since_ms` holds the conditions that have begun and not ended, with the time when each was first
+    present.
     """
 
     def __init__(self, begin_delay_ms: float, end_delay_ms: float) -> None:
         self.begin_delay_ms, self.end_delay_ms = begin_delay_ms, end_delay_ms
         self.active_since_ms: dict[Key, float] = {}
-        self._pending_since_ms: dict[Key, float] = {}  # present and not active, or active and absent
+        self._pending_since_ms: dict[Key, float] = {}  # present but not active, or active but absent
 
     def update(self, now_ms: float, present: Collection[Key]) -> ConditionChanges[Key]:
-        """Take what is present now; to be called regularly, also when nothing has changed."""
+        """Process the conditions that are present now; must be called regularly, even without a change."""
         changes = ConditionChanges[Key]([], [])
         for key in {**dict.fromkeys(present), **self.active_since_ms, **self._pending_since_ms}:
             is_active = key in self.active_since_ms
--- a/balancer/core/recovery.py
+++ b/balancer/core/recovery.py
@@ -1,26 +1,27 @@
-"""The state machine of a node that comes back after a start, a crash or a stall.
+"""The state machine of a node that recovers after a start, a crash or a stall.
 
-    blank        knows no backend
-    provisional  knows some; most of them only from persisted state or the configuration's `known`
-    confirmed    most are confirmed: listed by a source, or they have answered in this process
-    full         confirmed, and it serves as usual (`service_meter`)
+    blank        no backend is known
+    provisional  most of the known backends come only from persisted state or the configuration's `known`
+    confirmed    most of them are confirmed: listed by a source, or they have answered in this process
+    full         confirmed, and the node has reached full service (`service_meter`)
 
-`PERMISSIONS` says what a node may do in each state, `TRANSITIONS` which state follows on what.
+`PERMISSIONS` defines what a node may do in each state, `TRANSITIONS` the next state for each trigger.
 
-Beside the state stands the condition of the *persisted state*. Roles that rely on it (a lease, a ledger, a
-promise to peers) must not be taken by a node that lost it:
+The condition of the *persisted state* is tracked separately. A node that lost it must not take roles that
+rely on it (a lease, a ledger, a promise to peers):
 
-- `none`: nothing was persisted. A first start or a wiped disk: alone a node cannot tell these apart.
+- `none`: nothing was persisted, after a first start or on a wiped disk; a node alone cannot tell which.
 - `kept`: it is complete and recent.
-- `lost`: it cannot be read, or peers know this node although it has nothing persisted.
-- `older`: peers have seen a later incarnation, or it is over its age, or this process was stalled.
+- `lost`: it cannot be read, or peers know this node although nothing is persisted.
+- `older`: peers have seen a later incarnation, or it exceeds the maximum age, or this process was stalled.
 
-All but `kept` bar such roles until peers have said what they know of this node (`PeersReportedIncarnation`,
-`PeersReturnedState`), or for `role_hold_off_ms`, in which whatever an earlier process held has expired. The
-*incarnation*, the number of a process of this node, only rises.
+All conditions but `kept` bar such roles until peers have reported what they know of this node
+(`PeersReportedIncarnation`, `PeersReturnedState`), or until `role_hold_off_ms` has passed, after which
+everything that an earlier process held has expired. The *incarnation*, which numbers the processes of a node,
+never decreases.
 
-`Recovery.handle` takes a clock time in ms and an event and returns actions; a clock that goes back is taken
-to stand still.
+`Recovery.handle` takes a clock time in ms and an event and returns actions. A time before that of the
+previous event is replaced by the latter.
 """
 
 from __future__ import annotations
@@ -40,14 +41,14 @@
 )
 
 ROLE_HOLD_OFF_MS = 30_000.0  # longer than any lease
-MAX_PERSISTED_AGE_MS = 86_400_000.0  # unless the settings say otherwise
-CLOCK_SKEW_TOLERANCE_MS = 2_000.0  # by which a wall clock may be set back
-INCARNATION_LIMIT = 1 << 53  # no greater number was written by this program: a float holds all below
+MAX_PERSISTED_AGE_MS = 86_400_000.0  # the default of the setting
+CLOCK_SKEW_TOLERANCE_MS = 2_000.0  # a wall clock may be set back by this much
+INCARNATION_LIMIT = 1 << 53  # a float represents all integers below it exactly; none above it is ever written
 CONFIRMED_BACKENDS_RATIO = 0.5
 
 
 class RecoveryState(Enum):
-    """How far a node has come back."""
+    """How far the recovery of a node has come."""
 
     BLANK = "blank"
     PROVISIONAL = "provisional"
@@ -56,7 +57,7 @@
 
 
 class PersistedState(Enum):
-    """The condition of what an earlier process persisted."""
+    """The condition of the state that an earlier process persisted."""
 
     NONE = "none"
     INTACT = "kept"
@@ -74,7 +75,7 @@
 
 
 class GossipContent(Enum):
-    """What a node tells its peers."""
+    """What a node may gossip to its peers."""
 
     PRESENCE = "that it is there, and its incarnation"
     AGED_KNOWLEDGE = "what it knows, with its age: never as its own word"
@@ -88,7 +89,7 @@
     idempotent_requests: EligibleBackends
     non_idempotent_requests: EligibleBackends
     gossip: GossipContent
-    may_hold_roles: bool  # that rely on persisted state, unless these are barred
+    may_hold_roles: bool  # roles that rely on persisted state, unless they are barred
 
 
 PERMISSIONS = {
@@ -108,11 +109,11 @@
         EligibleBackends.ALL, EligibleBackends.ALL, GossipContent.OWN_OBSERVATIONS, True
     ),
 }
-"""Of the node as a whole; `balancer.policy` applies the rules on requests to each backend."""
+"""Permissions of the node as a whole; `balancer.policy` applies the request rules to each backend."""
 
 
 class Trigger(Enum):
-    """Input of the state machine. The values are exported as the reason of a state."""
+    """Inputs of the state machine. The values are exported as the reason for a state."""
 
     NO_BACKEND = "no server is left"
     MOSTLY_RESTORED = "memory alone vouches for most servers"
@@ -126,7 +127,7 @@
 TRANSITIONS: dict[RecoveryState, dict[Trigger, RecoveryState]] = {
     state: dict(zip(Trigger, row, strict=True))
     for state, row in {
-        # no backend, restored, confirmed, full service, stalled, later incarnation
+        # columns: no backend, restored, confirmed, full service, stalled, later incarnation
         _BLANK: (_BLANK, _PROVISIONAL, _CONFIRMED, _BLANK, _BLANK, _BLANK),
         _PROVISIONAL: (_BLANK, _PROVISIONAL, _CONFIRMED, _PROVISIONAL, _PROVISIONAL, _PROVISIONAL),
         _CONFIRMED: (_BLANK, _PROVISIONAL, _CONFIRMED, _FULL, _PROVISIONAL, _PROVISIONAL),
@@ -142,7 +143,7 @@
 class PersistedIncarnation:
     """The incarnation of the process that wrote the persisted state, and when (wall clock, ms).
 
-    `is_outdated`: there was a newer one that cannot be trusted.
+    `is_outdated`: a newer generation of the state exists but cannot be read.
     """
 
     incarnation: int
@@ -152,10 +153,10 @@
 
 @dataclass(slots=True, frozen=True)
 class ProcessStarted:
-    """The process started, and what was persisted is known; `fault` says why it cannot be used.
+    """The process started and has read its persisted state; `fault` is the reason why it cannot be used.
 
-    `startup_phases_ms` are durations by name (interpreter, imports, first list, ...). `min_incarnation` is
-    more than any earlier process had, where the store knows that even with nothing to read.
+    `startup_phases_ms` holds durations by name (interpreter, imports, first list, ...). `min_incarnation` is
+    greater than that of any earlier process, where the store knows it even without readable state.
     """
 
     persisted: PersistedIncarnation | None
@@ -167,7 +168,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointViewChanged:
-    """So many backends are up; `confirmed_count` of them are listed by a source, or have answered here."""
+    """`up_count` backends are up; `confirmed_count` of them are listed by a source or have answered here."""
 
     up_count: int
     confirmed_count: int
@@ -175,31 +176,31 @@
 
 @dataclass(slots=True, frozen=True)
 class SourceResponded:
-    """A source said something that is current."""
+    """A source responded with current information."""
 
 
 @dataclass(slots=True, frozen=True)
 class PeersReportedIncarnation:
-    """Peers said which incarnation of this node they have seen last; 0: none."""
+    """Peers reported the last incarnation of this node that they have seen; 0: none."""
 
     incarnation: int
 
 
 @dataclass(slots=True, frozen=True)
 class PeersReturnedState:
-    """Peers have told all that this node had lost."""
+    """Peers have returned all the state that this node had lost."""
 
 
 @dataclass(slots=True, frozen=True)
 class IncarnationRaised:
-    """This process has taken a greater incarnation, to refute what peers held of the old one."""
+    """This process raised its incarnation to refute what peers believed of the previous one."""
 
     incarnation: int
 
 
 @dataclass(slots=True, frozen=True)
 class ProcessStalled:
-    """The process did not run for so long (`balancer.core.stall_detector`)."""
+    """The process did not run for `stall_ms` (`balancer.core.stall_detector`)."""
 
     stall_ms: float
 
@@ -214,7 +215,7 @@
 
 @dataclass(slots=True, frozen=True)
 class TimerFired:
-    """The time of `SetTimer` has come."""
+    """The time of a `SetTimer` was reached."""
 
 
 Event = (
@@ -234,7 +235,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ReportState:
-    """The state has changed, and why."""
+    """Report that the state has changed, and the reason."""
 
     state: RecoveryState
     reason: str
@@ -242,14 +243,14 @@
 
 @dataclass(slots=True, frozen=True)
 class PersistIncarnation:
-    """Persist this incarnation, durably, before anything is sent under it."""
+    """Persist this incarnation durably before anything is sent under it."""
 
     incarnation: int
 
 
 @dataclass(slots=True, frozen=True)
 class SetTimer:
-    """Hand in `TimerFired` at this clock time."""
+    """Send `TimerFired` to `Recovery.handle` at this clock time."""
 
     until_ms: float
 
@@ -268,20 +269,26 @@
 def persisted_state_age(
     saved_wall_ms: float, wall_ms: float, max_age_ms: float = MAX_PERSISTED_AGE_MS
 ) -> tuple[float, str]:
-    """The age of persisted state in ms, clamped to `max_age_ms`, and what is wrong with it ("": nothing).
+    """Return the age of persisted state in ms, clamped to `max_age_ms`, and its fault ("": none).
 
-    A clock that was set back says nothing of the age, which is then taken to be the maximum.
+    The age is unknown after the clock was set back, and the maximum is assumed.
     """
     age_ms = wall_ms - saved_wall_ms
     if not math.isfinite(age_ms) or age_ms < -CLOCK_SKEW_TOLERANCE_MS:
-        return max_age_ms, f"the clock is {-age_ms / 1000:.0f} s behind what was kept: its age is not known"
+        return (
+            max_age_ms,
+            f"the clock is {-age_ms / 1000:.0f} s behind the persisted state: its age is unknown",
+        )
     if age_ms > max_age_ms:
-        return max_age_ms, f"what was kept is {age_ms / 1000:.0f} s old, over {max_age_ms / 1000:.0f}"
+        return (
+            max_age_ms,
+            f"persisted state is {age_ms / 1000:.0f} s old, over the limit of {max_age_ms / 1000:.0f} s",
+        )
     return max(0.0, age_ms), ""
 
 
 class Recovery:
-    """The recovery of one node. Both durations come from the settings and are over 0."""
+    """The recovery of one node. Both durations come from the settings and are positive."""
 
     def __init__(
         self,
@@ -292,10 +299,10 @@
         self.role_hold_off_ms, self.max_persisted_age_ms = role_hold_off_ms, max_persisted_age_ms
         self.state, self.since_ms, self.reason = RecoveryState.BLANK, now_ms, "it starts"
         self.persisted_state, self.incarnation = PersistedState.NONE, 1
-        self.persisted_age_ms = 0.0  # at the start, clamped; of intact and outdated state
+        self.persisted_age_ms = 0.0  # at the start, clamped; set for intact and outdated state
         self.roles_barred_until_ms = now_ms + role_hold_off_ms
         self.up_count = self.confirmed_count = 0
-        self.is_in_doubt = False  # it was stalled, and no source has responded since
+        self.is_awaiting_source = False  # the process was stalled, and no source has responded since
         self.startup_phases_ms: dict[str, float] = {}
         self.meter = ServiceMeter(now_ms)
         self._now_ms = now_ms
@@ -306,7 +313,7 @@
     def __repr__(self) -> str:
         roles = "" if self.may_take_roles(self._now_ms) else ", no roles"
         persisted = self.persisted_state.value
-        return f"<Recovery {self.state.value}, life {self.incarnation}, memory {persisted}{roles}>"
+        return f"<Recovery {self.state.value}, incarnation {self.incarnation}, state {persisted}{roles}>"
 
     @property
     def permissions(self) -> Permissions:
@@ -314,17 +321,17 @@
         return PERMISSIONS[self.state]
 
     def may_take_roles(self, now_ms: float) -> bool:
-        """Whether a role that relies on persisted state may be taken or kept; to be checked each time."""
+        """Whether a role that relies on persisted state may be taken or kept; must be checked at each use."""
         return self.permissions.may_hold_roles and now_ms >= self.roles_barred_until_ms
 
     def mark_incarnation_announced(self) -> None:
-        """The incarnation is persisted durably and known to peers: an echo of it says nothing new."""
+        """Record that the incarnation is durable and known to peers, so that peers may report it back."""
         self._is_incarnation_announced = True
 
     # --- events
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
-        """Decide on one event."""
+        """Process one event and return the resulting actions."""
         self._now_ms, self._actions = max(now_ms, self._now_ms), []
         match event:
             case RequestFinished():
@@ -339,14 +346,14 @@
                 self.confirmed_count = min(self.up_count, max(0, event.confirmed_count))
                 self._evaluate_view()
             case SourceResponded():
-                self.is_in_doubt = False
+                self.is_awaiting_source = False
                 self._evaluate_view()
             case ProcessStalled():
                 self._on_process_stalled(event.stall_ms)
             case PeersReportedIncarnation():
                 self._on_peers_reported_incarnation(event.incarnation)
             case PeersReturnedState():
-                self._lift_role_bar("the others have told what it forgot")
+                self._lift_role_bar("peers have returned the lost state")
             case IncarnationRaised():
                 self._on_incarnation_raised(event.incarnation)
         if self.meter.is_full and self.state is RecoveryState.CONFIRMED:
@@ -368,7 +375,7 @@
     def _start_without_state(self, event: ProcessStarted) -> None:
         self.persisted_state = PersistedState.LOST if event.fault else PersistedState.NONE
         if event.fault:
-            self._log(f"what was kept is lost: {event.fault:.300}", is_warning=True)
+            self._log(f"persisted state is lost: {event.fault:.300}", is_warning=True)
         self._raise_incarnation(max(0, event.min_incarnation - 1))
 
     def _start_with_state(self, event: ProcessStarted, persisted: PersistedIncarnation) -> None:
@@ -376,18 +383,18 @@
             persisted.saved_wall_ms, event.wall_ms, self.max_persisted_age_ms
         )
         if not fault and persisted.is_outdated:
-            fault = "something newer was kept and cannot be believed"
+            fault = "a newer generation of the persisted state is unreadable"
         self.persisted_state = PersistedState.OUTDATED if fault else PersistedState.INTACT
         if fault:
             self._log(fault, is_warning=True)
-        last_seen = persisted.incarnation
-        if 0 <= last_seen < INCARNATION_LIMIT:
-            last_seen = max(last_seen, event.min_incarnation - 1)
-        self._raise_incarnation(last_seen)
+        last_incarnation = persisted.incarnation
+        if 0 <= last_incarnation < INCARNATION_LIMIT:
+            last_incarnation = max(last_incarnation, event.min_incarnation - 1)
+        self._raise_incarnation(last_incarnation)
 
     def _on_process_stalled(self, stall_ms: float) -> None:
-        """What it knows is as old as the stall, and peers may have taken over its roles."""
-        self.is_in_doubt = self._has_stalled = True
+        """The node's knowledge is as old as the stall, and peers may have taken over its roles."""
+        self.is_awaiting_source = self._has_stalled = True
         self._mark_outdated()
         self.persisted_age_ms = min(self.max_persisted_age_ms, max(0.0, stall_ms))
         self._restart_meter()
@@ -395,15 +402,15 @@
         self._transition(Trigger.PROCESS_STALLED)
 
     def _on_peers_reported_incarnation(self, incarnation: int) -> None:
-        """Only peers can tell a first start from lost state."""
+        """Compare with the incarnation that peers saw: only they can tell a first start from lost state."""
         if not 0 <= incarnation < INCARNATION_LIMIT:
-            self._log(f"others call this node's incarnation {incarnation!r:.40}: not believed")
+            self._log(f"peers reported the invalid incarnation {incarnation!r:.40} of this node: ignored")
             return
         if incarnation < self.incarnation:
-            self._lift_role_bar("the others have seen no later life of it")
+            self._lift_role_bar("peers have seen no later incarnation")
             return
         if incarnation == self.incarnation and self._is_incarnation_announced:
-            return  # an echo of this process
+            return  # peers report what this process announced
         had_state = self.persisted_state in (PersistedState.INTACT, PersistedState.OUTDATED)
         self.persisted_state = PersistedState.OUTDATED if had_state else PersistedState.LOST
         self._raise_incarnation(incarnation)
@@ -421,7 +428,7 @@
     def _evaluate_view(self) -> None:
         if not self.up_count:
             self._transition(Trigger.NO_BACKEND)
-        elif self.is_in_doubt or self.confirmed_count < CONFIRMED_BACKENDS_RATIO * self.up_count:
+        elif self.is_awaiting_source or self.confirmed_count < CONFIRMED_BACKENDS_RATIO * self.up_count:
             self._transition(Trigger.MOSTLY_RESTORED)
         else:
             self._transition(Trigger.MOSTLY_CONFIRMED)
@@ -437,8 +444,8 @@
 
     def _log_full_service(self) -> None:
         full_ms, requests = self.meter.phases_ms["full"], self.meter.full_service_requests
-        text = f"full service {full_ms / 1000:.1f} s after the start, by {requests} requests"
-        text += f"; memory {self.persisted_state.value}, life {self.incarnation}"
+        text = f"full service {full_ms / 1000:.1f} s after the start, measured over {requests} requests"
+        text += f"; persisted state {self.persisted_state.value}, incarnation {self.incarnation}"
         phases = ", ".join(f"{name} {ms:.0f} ms" for name, ms in self.startup_phases_ms.items())
         self._log(f"{text}; {phases}" if phases else text)
 
@@ -446,11 +453,13 @@
         if self.persisted_state is not PersistedState.LOST:
             self.persisted_state = PersistedState.OUTDATED
 
-    def _raise_incarnation(self, last_seen: int) -> None:
-        if not 0 <= last_seen < INCARNATION_LIMIT:
-            self._log(f"incarnation {last_seen!r:.40} is none: it begins at 1", is_warning=True)
-            self.persisted_state, last_seen = PersistedState.LOST, 0
-        self.incarnation, self._is_incarnation_announced = max(self.incarnation, last_seen + 1), False
+    def _raise_incarnation(self, last_incarnation: int) -> None:
+        if not 0 <= last_incarnation < INCARNATION_LIMIT:
+            self._log(
+                f"persisted incarnation {last_incarnation!r:.40} is invalid: restarting at 1", is_warning=True
+            )
+            self.persisted_state, last_incarnation = PersistedState.LOST, 0
+        self.incarnation, self._is_incarnation_announced = max(self.incarnation, last_incarnation + 1), False
         self._actions.append(PersistIncarnation(self.incarnation))
 
     def _bar_roles(self, duration_ms: float) -> None:
@@ -460,7 +469,7 @@
     def _lift_role_bar(self, reason: str) -> None:
         if self._now_ms < self.roles_barred_until_ms:
             self.roles_barred_until_ms = self._now_ms
-            self._log(f"roles that rest on memory may be taken: {reason}")
+            self._log(f"roles that rely on persisted state may be taken: {reason}")
 
     def _restart_meter(self) -> None:
         self.meter, self.startup_phases_ms = ServiceMeter(self._now_ms), {}
@@ -471,22 +480,27 @@
     # --- status
 
     def pending_conditions(self, now_ms: float) -> list[str]:
-        """What the node waits for, in words; empty if nothing."""
+        """Return what the node waits for, as text; empty if it waits for nothing."""
         pending = []
         if self.state is RecoveryState.BLANK:
             pending.append("a list of servers")
         elif self.state is RecoveryState.PROVISIONAL:
-            answers = "" if self.is_in_doubt else f", or answers of half of {self.up_count} servers"
+            answers = "" if self.is_awaiting_source else f", or answers of half of {self.up_count} servers"
             pending.append(f"a source{answers}")
         if self.state is not RecoveryState.FULL and not self.meter.is_full:
             window_s = FULL_SERVICE_WINDOW_MS / 1000
             pending.append(f"{FULL_SERVICE_RATIO:.0%} of the requests served for {window_s:.0f} s")
-        if (left_ms := self.roles_barred_until_ms - now_ms) > 0:
-            pending.append(f"the others' word, or {left_ms / 1000:.0f} s, before roles that rest on memory")
+        if (remaining_ms := self.roles_barred_until_ms - now_ms) > 0:
+            pending.append(
+                f"peers' reports, or {remaining_ms / 1000:.0f} s, before roles that rely on persisted state"
+            )
         return pending
 
     def status(self, now_ms: float) -> dict[str, Any]:
-        """JSON of the `recovery` command; `since` is a clock time in ms, startup phases come first."""
+        """Return the JSON of the `recovery` command; `since` is a clock time in ms.
+
+        Startup phases come before the phases of the meter.
+        """
         reached = sorted(self.meter.phases_ms.items(), key=lambda phase: phase[1])
         phases = [*self.startup_phases_ms.items(), *reached]
         return {
--- a/balancer/core/service_meter.py
+++ b/balancer/core/service_meter.py
@@ -1,4 +1,4 @@
-"""Measures when a node that has started serves as usual again, from the outcomes of its requests."""
+"""Measures, from the outcomes of its requests, when a node has reached full service after a start."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 FULL_SERVICE_RATIO = 0.95  # of the requests that the fleet had capacity for
 HALF_SERVICE_RATIO = 0.5
 FULL_SERVICE_WINDOW_MS = 2_000.0
-MIN_WINDOW_REQUESTS = 20  # so that one failure is no more than 5%
-MAX_WINDOW_MS = 30_000.0  # with fewer requests a node is judged by what it saw in this time
+MIN_WINDOW_REQUESTS = 20  # so that one failure is at most 5%
+MAX_WINDOW_MS = 30_000.0  # the window of a node with fewer requests
 BUCKET_MS = 100.0
 
 
@@ -18,27 +18,27 @@
     """How a request ended for its client."""
 
     SERVED = "served"
-    FAILED = "failed"  # or rejected by this node, or answered late
-    REJECTED_BY_BACKENDS = "turned away"  # overload: more than the fleet could give
+    FAILED = "failed"  # also: rejected by this node, or answered late
+    REJECTED_BY_BACKENDS = "turned away"  # overload: the request exceeded the capacity of the fleet
 
 
 class ServiceMeter:
-    """Finds the time of full service after a start.
+    """Determines when a node reached full service after a start.
 
     *Full service* is `FULL_SERVICE_RATIO` of the requests (without those that backends rejected for lack of
-    capacity) in a window of at least `FULL_SERVICE_WINDOW_MS` that holds at least `MIN_WINDOW_REQUESTS`. A
-    node with fewer requests is judged by a window of `MAX_WINDOW_MS`; one without any is never said to be in
-    full service. A phase counts from the beginning of its window.
+    capacity) served in a window of at least `FULL_SERVICE_WINDOW_MS` that holds at least
+    `MIN_WINDOW_REQUESTS`. For a node with fewer requests the window is `MAX_WINDOW_MS`; a node without any
+    requests never reaches full service. A phase is dated to the beginning of its window.
 
-    `phases_ms` are times since `began_ms`, by name; `full_service_requests` is the size of the window that
-    was found full. Bound: `MAX_WINDOW_MS / BUCKET_MS` buckets.
+    `phases_ms` holds the times since `began_ms` by phase name; `full_service_requests` is the number of
+    requests in the window that reached full service. Bound: `MAX_WINDOW_MS / BUCKET_MS` buckets.
     """
 
     def __init__(self, began_ms: float) -> None:
         self.began_ms = began_ms
         self.phases_ms: dict[str, float] = {}
         self.full_service_requests = 0
-        self._buckets: deque[tuple[float, list[int]]] = deque()  # start, [requests, served ones]
+        self._buckets: deque[tuple[float, list[int]]] = deque()  # start, [requests, served requests]
         self._evaluated_ms = -math.inf
 
     def __repr__(self) -> str:
@@ -50,7 +50,7 @@
         return "full" in self.phases_ms
 
     def record_phase(self, name: str, at_ms: float) -> None:
-        """Record that a phase is reached; the first time counts."""
+        """Record that a phase is reached; only the first time counts."""
         self.phases_ms.setdefault(name, max(0.0, at_ms - self.began_ms))
 
     def record_outcome(self, now_ms: float, class_name: str, outcome: RequestOutcome) -> None:
@@ -68,7 +68,7 @@
         self.evaluate(now_ms)
 
     def evaluate(self, now_ms: float) -> None:
-        """Look for full service in the window up to now, at most once a bucket."""
+        """Check the window up to now for full service, at most once per bucket."""
         if self.is_full or now_ms < self._evaluated_ms + BUCKET_MS:
             return
         self._evaluated_ms = now_ms
@@ -79,13 +79,13 @@
             requests, served = requests + bucket_requests, served + bucket_served
             if now_ms - start_ms >= FULL_SERVICE_WINDOW_MS and requests >= MIN_WINDOW_REQUESTS:
                 break
-        else:  # too few requests: only the longest window will do
+        else:  # too few requests: only the longest window is evaluated
             if not requests or now_ms - self.began_ms < MAX_WINDOW_MS:
                 return
         if served >= HALF_SERVICE_RATIO * requests:
             self.record_phase("half", start_ms)
         if served >= FULL_SERVICE_RATIO * requests:
             self.full_service_requests = requests
-            # A bucket begins up to 0.1 s before the first answer in it.
+            # A bucket begins up to 0.1 s before the first response in it.
             first_answer_ms = self.began_ms + self.phases_ms.get("first answer", 0.0)
             self.record_phase("full", max(start_ms, first_answer_ms))
--- a/balancer/net/recovery.py
+++ b/balancer/net/recovery.py
@@ -161,7 +161,7 @@
             )
             if source is not None and source.state is source_state.SourceState.IN_SYNC and not other:
                 self._record_phase("first list")
-                if self.recovery.is_in_doubt:
+                if self.recovery.is_awaiting_source:
                     self.handle(r.SourceResponded())
 
     def _record_phase(self, name: str) -> None:
--- a/balancer/net/request_dispatcher.py
+++ b/balancer/net/request_dispatcher.py
@@ -133,7 +133,7 @@
         """The loop turned: guards against acting on what was known before this process stood still."""
         if stood := self._pause.record_turn(self.now()):
             log.warning("this process stood still for %.0f ms: what waits is read before it acts", stood)
-            self.loop.call_later(SETTLE_DURATION_MS / 1000, self._settled, self._pause.doubt_number)
+            self.loop.call_later(SETTLE_DURATION_MS / 1000, self._settled, self._pause.unsettled_stall_number)
 
     def _settled(self, hold: int) -> None:
         self._turned()
@@ -143,7 +143,7 @@
     def wait(self, on: bool) -> None:
         """Hear of the list alone and of what was remembered, until it is told to go on."""
         self._waits = on
-        if not on and not self._pause.doubt_number:
+        if not on and not self._pause.unsettled_stall_number:
             self._go_on()
 
     def _go_on(self) -> None:
@@ -155,7 +155,7 @@
         """Hand an event to the module and do what it says. Events made meanwhile wait for their turn."""
         self._turned()
         if self.bulk_update or (
-            (self._pause.doubt_number or self._waits) and not isinstance(event, STARTUP_EVENTS)
+            (self._pause.unsettled_stall_number or self._waits) and not isinstance(event, STARTUP_EVENTS)
         ):
             self._held.append(event)
             self.named.add(getattr(event, "request", ""))
@@ -211,7 +211,7 @@
             client, event.deadline_ms - TIMER_MARGIN_MS, render
         )
         # What is held back is the module's to refuse, as soon as it is let go.
-        least = 2 * SETTLE_DURATION_MS if self._pause.doubt_number else 0.0
+        least = 2 * SETTLE_DURATION_MS if self._pause.unsettled_stall_number else 0.0
         wait = max(least, request.deadline - self.now()) / 1000
         request.limit = self.loop.call_later(wait, self._deadline, event.request)
         self.event(event)
--- a/tests/core/test_recovery.py
+++ b/tests/core/test_recovery.py
@@ -197,7 +197,7 @@
         node = Recovery(0.0)
         for event in events:
             node.handle(5_000.0, event)
-        assert node.persisted_state is memory and node.is_in_doubt
+        assert node.persisted_state is memory and node.is_awaiting_source
         assert node.roles_barred_until_ms == 5_000.0 + recovery.ROLE_HOLD_OFF_MS
 
 
--- a/tests/core/test_staggering.py
+++ b/tests/core/test_staggering.py
@@ -70,5 +70,5 @@
 def test_schedule_without_nodes_or_capacity_raises_value_error(
     node_count: int, capacity_per_s: float
 ) -> None:
-    with pytest.raises(ValueError, match="both have to be over 0"):
+    with pytest.raises(ValueError, match="both must be over 0 and finite"):
         StaggeredSchedule(0, node_count, capacity_per_s)
--- a/tests/core/test_stall_detector.py
+++ b/tests/core/test_stall_detector.py
@@ -1,4 +1,4 @@
-"""The stall detector: when a doubt begins, and when it ends."""
+"""Tests of the stall detector: when a settling period begins and ends."""
 
 from __future__ import annotations
 
@@ -9,49 +9,55 @@
 from balancer.core.stall_detector import SETTLE_DURATION_MS, STALL_THRESHOLD_MS, StallDetector
 
 
-def test_stall_detector_regular_turns_begin_no_doubt() -> None:
+def test_stall_detector_regular_turns_detect_no_stall() -> None:
     detector = StallDetector(0.0)
     assert not any(detector.record_turn(n * STALL_THRESHOLD_MS) for n in range(1, 50))
-    assert repr(detector) == "<StallDetector no doubt>"
+    assert repr(detector) == "<StallDetector settled>"
     assert detector.input_age_ms == 0.0 and not detector.settle(0)
 
 
-def test_stall_detector_gap_begins_a_doubt_until_it_is_settled() -> None:
+def test_stall_detector_gap_begins_a_settling_period_until_it_is_settled() -> None:
     detector = StallDetector(0.0)
     assert detector.record_turn(4_000.0) == 4_000.0
-    assert detector.doubt_number == 1 and detector.input_age_ms == 4_000.0
-    assert repr(detector) == "<StallDetector in doubt, input 4000 ms old>"
-    assert detector.record_turn(4_010.0) == 0.0 and detector.doubt_number == 1
-    assert detector.settle(1) and not detector.doubt_number and detector.input_age_ms == 0.0
-    assert not detector.settle(1)  # twice
+    assert detector.unsettled_stall_number == 1 and detector.input_age_ms == 4_000.0
+    assert repr(detector) == "<StallDetector settling, input 4000 ms old>"
+    assert detector.record_turn(4_010.0) == 0.0 and detector.unsettled_stall_number == 1
+    assert detector.settle(1) and not detector.unsettled_stall_number and detector.input_age_ms == 0.0
+    assert not detector.settle(1)  # a second call for the same stall
 
 
-def test_stall_detector_second_gap_within_a_doubt_begins_it_anew() -> None:
+def test_stall_detector_second_gap_while_settling_restarts_the_period() -> None:
     detector = StallDetector(0.0)
     detector.record_turn(2_000.0)
-    assert detector.record_turn(5_000.0) == 3_000.0  # by its own timer, which came late
+    assert detector.record_turn(5_000.0) == 3_000.0  # recorded by the settling timer, which fired late
     assert detector.input_age_ms == 5_000.0
     assert not detector.settle(1) and detector.settle(2)
 
 
 @given(st.lists(st.integers(0, 5_000), max_size=40))
-def test_stall_detector_any_gaps_begin_a_doubt_that_can_always_end(gaps: list[int]) -> None:
-    detector, now, due = StallDetector(0.0), 0, list[tuple[float, int]]()
+def test_stall_detector_any_gaps_begin_settling_periods_that_can_end(gaps: list[int]) -> None:
+    detector, now_ms, pending_timers = StallDetector(0.0), 0, list[tuple[float, int]]()
     for gap in gaps:
-        now += gap
-        if detector.record_turn(now):
-            assert gap > STALL_THRESHOLD_MS and detector.doubt_number and detector.input_age_ms >= gap
-            due.append((now + SETTLE_DURATION_MS, detector.doubt_number))
+        now_ms += gap
+        if detector.record_turn(now_ms):
+            assert (
+                gap > STALL_THRESHOLD_MS and detector.unsettled_stall_number and detector.input_age_ms >= gap
+            )
+            pending_timers.append((now_ms + SETTLE_DURATION_MS, detector.unsettled_stall_number))
         else:
             assert gap <= STALL_THRESHOLD_MS
-        ready = [number for at, number in due if at <= now]
-        due = [(at, number) for at, number in due if at > now]
-        for number in ready:  # its timers, after the turn in which they are seen
+        ready = [number for at, number in pending_timers if at <= now_ms]
+        pending_timers = [(at, number) for at, number in pending_timers if at > now_ms]
+        for number in ready:  # overdue timers fire after the turn is recorded
             detector.settle(number)
-        assert bool(detector.doubt_number) == (detector.input_age_ms > 0)
-        pending = [number for _, number in due]
-        assert not detector.doubt_number or detector.doubt_number in pending  # it will end
-        assert detector.doubt_number or gap <= STALL_THRESHOLD_MS  # never in the turn that begins it
+        assert bool(detector.unsettled_stall_number) == (detector.input_age_ms > 0)
+        pending = [number for _, number in pending_timers]
+        assert (
+            not detector.unsettled_stall_number or detector.unsettled_stall_number in pending
+        )  # a timer will end it
+        assert (
+            detector.unsettled_stall_number or gap <= STALL_THRESHOLD_MS
+        )  # not settled in the turn that detects the stall
 
 
 @pytest.mark.parametrize(
@@ -61,7 +67,7 @@
 def test_stall_detector_threshold_is_the_drain_grace_where_that_is_short(
     grace_ms: float, threshold_ms: float
 ) -> None:
-    """But not under the interval of heartbeats, which are the only turns of an idle loop."""
+    """The threshold stays above the heartbeat interval, as heartbeats are the only turns of an idle loop."""
     detector = StallDetector(0.0, grace_ms)
     assert not detector.record_turn(threshold_ms)
     assert detector.record_turn(2 * threshold_ms + 1.0) > threshold_ms
