--- a/balancer/core/anomaly_detection/__init__.py
+++ b/balancer/core/anomaly_detection/__init__.py
@@ -1,1 +1,1 @@
-"""Anomalies of backends, zones and classes against their baselines."""
+"""Detects anomalies of backends, zones and request classes against learned baselines."""
--- a/balancer/core/anomaly_detection/anomaly_log.py
+++ b/balancer/core/anomaly_detection/anomaly_log.py
@@ -1,7 +1,7 @@
-"""The life cycle of anomalies: opened, updated, ended, and their events in bounded number.
+"""The lifecycle of anomalies: opens, updates and ends them, and emits a bounded number of events.
 
-Bounds: `MAX_OPEN_ANOMALIES` are open at a time, `MAX_EVENTS_PER_ROUND` events leave a round; what goes beyond
-is counted in `suppressed_count`.
+Bounds: `MAX_OPEN_ANOMALIES` are open at a time, and a round emits `MAX_EVENTS_PER_ROUND` events. Those above
+the limits are counted in `suppressed_count`.
 """
 
 from __future__ import annotations
@@ -28,57 +28,59 @@
 )
 
 MAX_OPEN_ANOMALIES = 256
-MAX_EVENTS_PER_ROUND = 20  # the first of each kind always
-MAX_REMEMBERED_SUPPRESSIONS = 20_000  # so that one that cannot be opened counts once
+MAX_EVENTS_PER_ROUND = 20  # the first of each kind takes precedence
+MAX_REMEMBERED_SUPPRESSIONS = 20_000  # so that an anomaly that cannot be opened is counted once
 
-RECOVERY_ROWS = 8  # normal rows a server that end an anomaly
-ANOMALOUS_ROW_COST = 2  # normal rows that one anomalous row takes back: no end in between of a flapping fault
+RECOVERY_ROWS = 8  # normal rows per server that end an anomaly
+ANOMALOUS_ROW_COST = (
+    2  # normal rows that one anomalous row cancels, so that an intermittent fault does not end
+)
 MIN_UPDATE_INTERVAL_MS = 10_000.0  # between two events of one anomaly
-MIN_UPDATE_CHANGE_RATIO = 0.25  # of the value that was reported
-MIN_UPDATE_SERVERS_RATIO = 1.2  # of the servers that were reported
-MIN_REMAINING_CHANGES = 2  # in the window of flapping, that are more than a single restart
+MIN_UPDATE_CHANGE_RATIO = 0.25  # of the reported value
+MIN_UPDATE_SERVERS_RATIO = 1.2  # of the reported number of servers
+MIN_REMAINING_CHANGES = 2  # in the flapping window; more than a single restart makes
 
 
 class AnomalyLog:
-    """The open anomalies by id, and the events of this round."""
+    """The open anomalies by ID, and the events of this round."""
 
     def __init__(self, baselines: Baselines) -> None:
         self.baselines = baselines
         self.open: dict[int, Anomaly] = {}
-        self.suppressed_count = 0  # anomalies and events that were not reported one by one
+        self.suppressed_count = 0  # anomalies and events that were not reported individually
         self._last_id = 0
         self._events: list[TimelineEvent] = []
         self._suppressed: set[tuple[Signal, str]] = set()  # since an anomaly last ended
 
-    # --- the beginning
+    # --- opening
 
     def begin_group(self, signal: Signal, group: Group, suspected: Suspicions) -> None:
-        """Open one anomaly of all suspects; those that were reported alone before become part of it."""
+        """Open one anomaly of all suspects; earlier anomalies of single servers become part of it."""
         strongest = max(suspected.values(), key=lambda suspicion: suspicion.score)
         servers = set(suspected)
-        found = evidence.evidence_of(self.baselines, signal, servers, strongest)
+        evidence_fields = evidence.evidence_of(self.baselines, signal, servers, strongest)
         if len({suspicion.class_name for suspicion in suspected.values()}) > 1:
-            found.pop("class", None)
+            evidence_fields.pop("class", None)
         since_ms = min(suspicion.since_ms for suspicion in suspected.values())
         self._absorb(signal, servers)
-        self.begin(signal, group, since_ms, found, servers, strongest.class_name)
+        self.begin(signal, group, since_ms, evidence_fields, servers, strongest.class_name)
 
     def begin_server(self, signal: Signal, name: str, suspicion: Suspicion) -> None:
         """Open an anomaly of one server."""
-        found = evidence.evidence_of(self.baselines, signal, {name}, suspicion)
+        evidence_fields = evidence.evidence_of(self.baselines, signal, {name}, suspicion)
         group = Group(Scope.SERVER, name)
-        self.begin(signal, group, suspicion.since_ms, found, {name}, suspicion.class_name)
+        self.begin(signal, group, suspicion.since_ms, evidence_fields, {name}, suspicion.class_name)
 
     def begin(
         self,
         signal: Signal,
         group: Group,
         since_ms: float,
-        found: dict[str, object],
+        evidence_fields: dict[str, object],
         servers: set[str],
         class_name: str = "",
     ) -> Anomaly | None:
-        """Open an anomaly with this evidence; None: too many are open."""
+        """Open an anomaly with this evidence; return None if too many are open."""
         if len(self.open) >= MAX_OPEN_ANOMALIES:
             self._suppress(signal, group.subject)
             return None
@@ -91,7 +93,7 @@
             signal,
             now_ms,
             since_ms,
-            found,
+            evidence_fields,
             servers,
             class_name,
             last_observed_ms=now_ms,
@@ -107,7 +109,7 @@
             self.suppressed_count += 1
 
     def _absorb(self, signal: Signal, servers: set[str]) -> None:
-        """End the anomalies of single servers that the next anomaly speaks of."""
+        """End the anomalies of single servers that the next anomaly covers."""
         related = shared_causes.related_signals(signal)
         for anomaly in list(self.open.values()):
             if anomaly.scope is Scope.SERVER and anomaly.subject in servers and anomaly.signal in related:
@@ -115,10 +117,10 @@
                 anomaly.evidence = {**anomaly.evidence, "ended_as": part_of}
                 self._close(anomaly)
 
-    # --- while it is open
+    # --- open anomalies
 
     def add_to_open(self, signal: Signal, name: str, suspicion: Suspicion) -> bool:
-        """Whether an open anomaly speaks of a server's suspicion; it is then updated."""
+        """Update the open anomaly that covers a server's suspicion; return whether there is one."""
         for anomaly in self.open.values():
             if shared_causes.is_part_of(anomaly, signal, name, self.baselines.servers):
                 anomaly.servers.add(name)
@@ -127,7 +129,7 @@
         return False
 
     def is_open_alone(self, signal: Signal, name: str) -> bool:
-        """Whether an anomaly of this server alone is open."""
+        """Whether an anomaly of this single server is open."""
         related = shared_causes.related_signals(signal)
         return any(
             anomaly.scope is Scope.SERVER and anomaly.subject == name and anomaly.signal in related
@@ -135,19 +137,19 @@
         )
 
     def _update(self, anomaly: Anomaly, suspicion: Suspicion) -> None:
-        """Report it again where its value or its number of servers has changed much."""
-        found = evidence.evidence_of(self.baselines, anomaly.signal, anomaly.servers, suspicion)
+        """Report an anomaly again if its value or its number of servers has changed considerably."""
+        evidence_fields = evidence.evidence_of(self.baselines, anomaly.signal, anomaly.servers, suspicion)
         reported_servers = evidence.server_count(anomaly.evidence)
         has_grown = len(anomaly.servers) > MIN_UPDATE_SERVERS_RATIO * reported_servers
-        change = abs(evidence.measured_value(found) - anomaly.reported_value)
+        change = abs(evidence.measured_value(evidence_fields) - anomaly.reported_value)
         has_changed = change > MIN_UPDATE_CHANGE_RATIO * abs(anomaly.reported_value)
         is_due = self.baselines.now_ms - anomaly.reported_ms >= MIN_UPDATE_INTERVAL_MS
         if (has_grown or has_changed) and is_due:
-            anomaly.evidence = found
+            anomaly.evidence = evidence_fields
             self._report(anomaly, EventType.ANOMALY_CHANGED)
 
     def count_row(self, server: ServerState) -> None:
-        """A server was observed: its open anomalies come closer to their end, or not."""
+        """Count a server's row as normal or anomalous in its open anomalies."""
         for anomaly in self.open.values():
             if server.name in anomaly.servers and anomaly.scope not in (Scope.CLASS, Scope.NODE):
                 anomaly.last_observed_ms = self.baselines.now_ms
@@ -157,16 +159,16 @@
                     anomaly.normal_rows += 1
 
     def count_shift(self, anomaly: Anomaly, is_present: bool) -> None:
-        """The same for the shift of a class or of the fleet, which has no servers; end it when it is over."""
+        """Count a round for the shift of a class or of the fleet, and end the shift once it has recovered."""
         anomaly.normal_rows = 0 if is_present else anomaly.normal_rows + 1
         anomaly.last_observed_ms = self.baselines.now_ms
         if anomaly.normal_rows >= RECOVERY_ROWS:
             self.end(anomaly)
 
-    # --- the end
+    # --- ending
 
     def end_recovered(self) -> None:
-        """End the anomalies of servers that are normal again, or that are not observed any more."""
+        """End the anomalies of servers that are normal again or are no longer observed."""
         for anomaly in list(self.open.values()):
             if anomaly.scope in (Scope.CLASS, Scope.NODE) or anomaly.is_fleet_shift:
                 continue
@@ -176,7 +178,7 @@
                 self.end(anomaly, "nothing was heard of it any more")
 
     def end(self, anomaly: Anomaly, reason: str = "") -> None:
-        """End an anomaly, with its duration and the reason if it is not that the cause is gone."""
+        """End an anomaly with its duration; `reason` is empty if the cause has disappeared."""
         lasted_ms = round(self.baselines.now_ms - anomaly.since_ms)
         anomaly.evidence = {**anomaly.evidence, "lasted_ms": lasted_ms}
         if reason:
@@ -211,7 +213,7 @@
         )
 
     def take_events(self) -> list[TimelineEvent]:
-        """At most `MAX_EVENTS_PER_ROUND` events of this round, the first of each kind before the rest."""
+        """Return at most `MAX_EVENTS_PER_ROUND` events of this round, preferring the first of each kind."""
         events, self._events = self._events, []
         if len(events) <= MAX_EVENTS_PER_ROUND:
             return events
@@ -230,7 +232,7 @@
 
 
 def is_still_anomalous(anomaly: Anomaly, server: ServerState) -> bool:
-    """Whether a server still shows what an anomaly is about."""
+    """Whether a server still shows the signal of an anomaly."""
     match anomaly.signal:
         case signal if signal in PROPORTION_TESTS:
             return server.proportion_cusums[signal].score >= cusum.PROPORTION_SUSPICION_SCORE
--- a/balancer/core/anomaly_detection/events.py
+++ b/balancer/core/anomaly_detection/events.py
@@ -1,7 +1,7 @@
 """Input, state and output types of the anomaly detection, and the JSON form of its events.
 
-Enum values are exported: they are the event names, scopes and signals of `events --json`, of the log and of
-the metric labels (`docs/operate/timeline.md`), so they stay where a member is renamed.
+Enum values are exported as event names, scopes and signals in `events --json`, in the log and in metric
+labels (`docs/operate/timeline.md`). Renaming a member must not change its value.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class Signal(Enum):
-    """What is anomalous."""
+    """The measured quantity that is anomalous, or the component that an event comes from."""
 
     RESPONSE_TIME = "answer_time"
     ERRORS = "errors"
@@ -21,8 +21,8 @@
     TIMEOUTS = "silence"
     STALE_REPORT = "stale_report"
     FLAPPING = "flapping"
-    RECOVERY = "recovery"  # of this node, with `EventType.RECOVERY_STATE_CHANGED`
-    PEERS = "peers"  # of another node, with the event types of peers
+    RECOVERY = "recovery"  # recovery of this node; used with `EventType.RECOVERY_STATE_CHANGED`
+    PEERS = "peers"  # state of another node; used with the event types of peers
 
 
 class Scope(Enum):
@@ -39,7 +39,7 @@
 
 
 class EventType(Enum):
-    """What happened; all but the anomaly types come from other components."""
+    """What happened; types other than those of anomalies come from other components."""
 
     ANOMALY_BEGAN = "departure_began"
     ANOMALY_CHANGED = "departure_changed"
@@ -65,23 +65,23 @@
 
 
 LogMoments = tuple[int, float, float]
-"""Number of response times, sum of their logarithms (of ms), sum of the squares of those."""
+"""Number of response times, sum of their logarithms (of ms), sum of the squared logarithms."""
 
 
 @dataclass(slots=True)
 class ServerObservation:
     """What this node saw of one server since the previous observation.
 
-    `response_times` is by request class, `timeouts` are attempts that ran out of time, `lifecycle_changes`
-    are starts and phases in the endpoint list. `identical_reports` load reports in a row had the same value
-    for `identical_reports_ms`, while the node's own count of requests in flight varied by
+    `response_times` is keyed by request class, `timeouts` counts attempts that timed out, `lifecycle_changes`
+    counts starts and phase changes in the endpoint list. `identical_reports` consecutive load reports had the
+    same value for `identical_reports_ms`, while the node's own count of requests in flight varied by
     `own_count_spread`. Response times of a server that `is_warming_up` are not tested.
     """
 
     server: str
     zone: str = ""
     kind: str = ""
-    cell: int = -1  # -1: not known
+    cell: int = -1  # -1: unknown
     response_times: dict[str, LogMoments] = field(default_factory=dict)
     successes: int = 0
     errors: int = 0
@@ -96,10 +96,10 @@
 
 
 class Suspicion(NamedTuple):
-    """Evidence that one server is anomalous in one signal: a score with the mean deviation behind it.
+    """Evidence that one server is anomalous in one signal: a score and the mean deviation that caused it.
 
-    The flags have no score: a stale report has its number of identical reports as the value and the spread
-    of the node's own count as the score, flapping has its number of changes as the value.
+    Two signals have no score. A stale report has the number of identical reports as the value and the spread
+    of the node's own count as the score; flapping has the number of changes as the value.
     """
 
     class_name: str  # "" unless the signal is the response time
@@ -109,11 +109,11 @@
 
 
 Suspicions = dict[str, Suspicion]
-"""By server name."""
+"""Suspicions by server name."""
 
 
 class Group(NamedTuple):
-    """Servers that share a zone, kind or cell, or the whole fleet."""
+    """A group of servers that share a zone, kind or cell, or the whole fleet."""
 
     scope: Scope
     subject: str
@@ -121,9 +121,10 @@
 
 @dataclass(slots=True)
 class Anomaly:
-    """An open anomaly. `at_ms` is the time of its latest event, `since_ms` the estimated time of the change.
+    """An anomaly. `at_ms` is the time of its latest event, `since_ms` the estimated time of the change.
 
-    `normal_rows` counts towards its end; `reported_value` is what a change is measured against.
+    `normal_rows` counts the normal rows towards its end. Value changes are measured against
+    `reported_value`.
     """
 
     id: int
@@ -143,13 +144,13 @@
 
     @property
     def is_fleet_shift(self) -> bool:
-        """Whether the reference shifted for a class or for all: no single server is part of it."""
+        """Whether the reference of a class or of the fleet shifted, so that it names no single server."""
         return not self.servers and self.scope in (Scope.FLEET, Scope.CLASS)
 
 
 @dataclass(slots=True)
 class TimelineEvent:
-    """An event for the time line, the log and the metrics. `id` is negative for other components' events."""
+    """An event for the timeline, the log and the metrics. `id` is negative for other components' events."""
 
     event_type: EventType
     id: int
@@ -161,7 +162,7 @@
     evidence: dict[str, object]
 
     def to_json(self) -> dict[str, object]:
-        """One object of `balancer events --json`; times in whole ms."""
+        """Return one object of `balancer events --json`, with times in whole ms."""
         return {
             "event": self.event_type.value,
             "id": self.id,
--- a/balancer/core/anomaly_detection/evidence.py
+++ b/balancer/core/anomaly_detection/evidence.py
@@ -1,6 +1,6 @@
-"""The `evidence` object of an anomaly: the measured value, what was expected, and how sure it is.
+"""The `evidence` object of an anomaly: the measured and the expected value, and the confidence.
 
-Keys and roundings are read by operators' programs (`docs/operate/timeline.md`).
+Operators' programs read its keys and rounded values (`docs/operate/timeline.md`).
 """
 
 from __future__ import annotations
@@ -19,27 +19,27 @@
 from balancer.core.anomaly_detection.events import Signal, Suspicion
 
 MAX_LOG = 700.0  # `math.exp` overflows at 710
-MAX_SCORE = 300.0  # for the odds of a false alarm, which are 0 as a float at some 700
+MAX_SCORE = 300.0  # bounds the odds of a false alarm, which underflow to 0 at about 700
 
 
 def evidence_of(
     baselines: Baselines, signal: Signal, servers: Set[str], suspicion: Suspicion
 ) -> dict[str, object]:
-    """Why these servers are anomalous, by the strongest suspicion of one of them."""
-    found: dict[str, object] = {"servers": len(servers)}
+    """Return why these servers are anomalous, from the strongest suspicion of one of them."""
+    fields: dict[str, object] = {"servers": len(servers)}
     if signal in (Signal.RESPONSE_TIME, Signal.LOAD):
-        found |= _level(baselines, signal, servers, suspicion)
+        fields |= _level_evidence(baselines, signal, servers, suspicion)
     elif signal in PROPORTION_TESTS:
-        found |= _proportion(baselines, signal, suspicion)
+        fields |= _proportion_evidence(baselines, signal, suspicion)
     elif signal is Signal.STALE_REPORT:
-        found |= {"value": suspicion.value, "own_count_moved_by": suspicion.score}
+        fields |= {"value": suspicion.value, "own_count_moved_by": suspicion.score}
     else:
-        found |= {"value": suspicion.value, "window_ms": FLAPPING_WINDOW_MS}
-    return found
+        fields |= {"value": suspicion.value, "window_ms": FLAPPING_WINDOW_MS}
+    return fields
 
 
 def evidence_of_shift(reference: LevelReference) -> dict[str, object]:
-    """How far the reference of a class is from its own past."""
+    """Return how far the reference of a class has moved from its past value."""
     shift = reference.shift_cusum.mean
     return {
         "value": round(math.exp(reference.past_value + shift), 3),
@@ -51,37 +51,37 @@
 
 
 def measured_value(evidence: dict[str, object]) -> float:
-    """The measured value, 0 where there is none."""
+    """Return the measured value, 0 if there is none."""
     value = evidence.get("value")
     return float(value) if isinstance(value, int | float) else 0.0
 
 
 def server_count(evidence: dict[str, object]) -> float:
-    """How many servers the evidence is of, 1 where it does not say."""
+    """Return the number of servers that the evidence covers, 1 if it is not given."""
     count = evidence.get("servers", 1)
     assert isinstance(count, int)
     return float(count)
 
 
-def _level(
+def _level_evidence(
     baselines: Baselines, signal: Signal, servers: Set[str], suspicion: Suspicion
 ) -> dict[str, object]:
-    """In the level's own unit (ms, requests), by the baseline of one of the servers."""
+    """Return the evidence in the level's own unit (ms, requests), from the baseline of one server."""
     level_name = LOAD_LEVEL if signal is Signal.LOAD else suspicion.class_name
     expected = _expected_log(baselines, next(iter(servers), ""), level_name)
-    from_log = math.expm1 if signal is Signal.LOAD else math.exp
+    value_from_log = math.expm1 if signal is Signal.LOAD else math.exp
     odds = math.exp(-2 * cusum.ROW_ALLOWANCE_SD * min(suspicion.score, MAX_SCORE))
-    found: dict[str, object] = {
-        "value": round(from_log(min(MAX_LOG, expected + suspicion.value)), 3),
-        "reference": round(from_log(min(MAX_LOG, expected)), 3),
+    fields: dict[str, object] = {
+        "value": round(value_from_log(min(MAX_LOG, expected + suspicion.value)), 3),
+        "reference": round(value_from_log(min(MAX_LOG, expected)), 3),
         "ratio": round(math.exp(suspicion.value), 3),
         "score": round(suspicion.score, 1),
         "threshold": cusum.ROW_DECISION_THRESHOLD,
         "false_alarm_odds": float(f"{odds:.1e}"),
     }
     if suspicion.class_name:
-        found["class"] = suspicion.class_name
-    return found
+        fields["class"] = suspicion.class_name
+    return fields
 
 
 def _expected_log(baselines: Baselines, server_name: str, level_name: str) -> float:
@@ -93,7 +93,7 @@
     return expected if level is None else expected + level.row_offset
 
 
-def _proportion(baselines: Baselines, signal: Signal, suspicion: Suspicion) -> dict[str, object]:
+def _proportion_evidence(baselines: Baselines, signal: Signal, suspicion: Suspicion) -> dict[str, object]:
     expected = max(PROPORTION_TESTS[signal].min_expected, baselines.fleet_proportions[signal])
     return {
         "value": round(suspicion.value, 4),
--- a/balancer/core/anomaly_detection/shared_causes.py
+++ b/balancer/core/anomaly_detection/shared_causes.py
@@ -1,8 +1,8 @@
-"""Which servers are anomalous together: one cause, as of a zone that is cut off, is one anomaly.
+"""Groups servers that are anomalous together, so that one cause, such as a partitioned zone, is one anomaly.
 
-Servers whose score is over `cusum.SUSPICION_RATIO` of a threshold are suspects as soon as another one is over
-the threshold itself. Suspects that share a cell, a zone or a kind, or that are a large part of the fleet, are
-one group.
+Once one server crosses a threshold, all servers whose score is above `cusum.SUSPICION_RATIO` of it are
+suspects. Suspects that share a cell, a zone or a kind, or that make up a large part of the fleet, form one
+group.
 """
 
 from __future__ import annotations
@@ -14,51 +14,51 @@
 from balancer.core.anomaly_detection.cusum import PROPORTION_TESTS
 from balancer.core.anomaly_detection.events import Anomaly, Group, Scope, Signal, Suspicion, Suspicions
 
-MIN_AFFECTED_SERVERS = 3  # fewer are reported one by one
-MIN_AFFECTED_GROUP_RATIO = 0.6  # of the group's servers are suspects
-MIN_SUSPECTS_IN_GROUP_RATIO = 0.8  # of the suspects are in the group
-MAX_GROUP_FLEET_RATIO = 0.9  # a group of nearly all servers tells nothing apart
-FLEET_AFFECTED_RATIO = 0.4  # of all active servers are suspects: the cause is common to all
+MIN_AFFECTED_SERVERS = 3  # fewer are reported individually
+MIN_AFFECTED_GROUP_RATIO = 0.6  # share of the group's servers that are suspects
+MIN_SUSPECTS_IN_GROUP_RATIO = 0.8  # share of the suspects that are in the group
+MAX_GROUP_FLEET_RATIO = 0.9  # a group of nearly all servers does not identify a cause
+FLEET_AFFECTED_RATIO = 0.4  # of all active servers are suspects: the whole fleet shares the cause
 
 GROUP_KEYS: dict[Scope, Callable[[ServerState], str]] = {
     Scope.CELL: lambda server: "" if server.cell < 0 else str(server.cell),
     Scope.ZONE: lambda server: server.zone,
     Scope.KIND: lambda server: server.kind,
 }
-"""The name of a server's group, by scope, in order of preference; "": it has none."""
+"""Functions that return a server's group name ("": none), by scope in order of preference."""
 
 _PROPORTION_SIGNALS = frozenset(PROPORTION_TESTS)
 
 
 def related_signals(signal: Signal) -> frozenset[Signal]:
-    """The signals in which one fault may show: a partitioned server times out and has errors."""
+    """Return the signals that one fault may affect: a partitioned server has timeouts and errors."""
     return _PROPORTION_SIGNALS if signal in _PROPORTION_SIGNALS else frozenset({signal})
 
 
 def suspects(signal: Signal, crossed: Suspicions, active: Sequence[ServerState]) -> Suspicions:
-    """All servers that are suspected, those that crossed the threshold first."""
-    found = dict(crossed)
+    """Return all suspected servers, with those that crossed the threshold first."""
+    suspicions = dict(crossed)
     for server in active:
-        if server.name not in found and (suspicion := _suspicion(server, signal)) is not None:
-            found[server.name] = suspicion
-    return found
+        if server.name not in suspicions and (suspicion := _suspicion(server, signal)) is not None:
+            suspicions[server.name] = suspicion
+    return suspicions
 
 
 def _suspicion(server: ServerState, signal: Signal) -> Suspicion | None:
     if signal in PROPORTION_TESTS:
         score = server.proportion_cusums[signal]
         return suspicion_of(score) if score.score >= cusum.PROPORTION_SUSPICION_SCORE else None
-    found = None
+    suspicion = None
     if signal in (Signal.RESPONSE_TIME, Signal.LOAD):
         for name, level in server.levels.items():
             is_of_signal = (name == LOAD_LEVEL) is (signal is Signal.LOAD)
             if is_of_signal and level.row_cusum.score >= cusum.ROW_SUSPICION_SCORE:
-                found = suspicion_of(level.row_cusum, name)
-    return found
+                suspicion = suspicion_of(level.row_cusum, name)
+    return suspicion
 
 
 def affected_group(suspected: Suspicions, active: Sequence[ServerState]) -> Group | None:
-    """The group that explains most of the suspects, else the fleet where they are many; None: neither."""
+    """Return the group that covers most of the suspects, else the fleet if there are many, else None."""
     if len(suspected) < MIN_AFFECTED_SERVERS:
         return None
     group = _shared_group(suspected, active)
@@ -68,7 +68,7 @@
 
 
 def _shared_group(suspected: Suspicions, active: Sequence[ServerState]) -> Group | None:
-    """The group of which the largest part is suspected."""
+    """Return the group with the highest share of suspects."""
     best, best_ratio = None, 0.0
     for scope, key_of in GROUP_KEYS.items():
         for name, (size, affected) in _group_counts(suspected, active, key_of).items():
@@ -84,7 +84,7 @@
 def _group_counts(
     suspected: Suspicions, active: Sequence[ServerState], key_of: Callable[[ServerState], str]
 ) -> dict[str, list[int]]:
-    """By group name, the number of servers and of suspects."""
+    """Return the numbers of servers and of suspects by group name."""
     counts: dict[str, list[int]] = {}
     for server in active:
         count = counts.setdefault(key_of(server), [0, 0])
@@ -94,7 +94,7 @@
 
 
 def is_part_of(anomaly: Anomaly, signal: Signal, name: str, servers: Mapping[str, ServerState]) -> bool:
-    """Whether an open anomaly already speaks of a server's suspicion."""
+    """Whether an open anomaly already covers a server's suspicion."""
     if anomaly.signal not in related_signals(signal):
         return False
     if name in anomaly.servers or anomaly.scope is Scope.FLEET:
--- a/balancer/core/persistence/__init__.py
+++ b/balancer/core/persistence/__init__.py
@@ -1,6 +1,6 @@
-"""The state that a node persists over a restart.
+"""The state that a node persists across restarts.
 
-- `persisted_state`: the rows, as they are stored.
+- `persisted_state`: the stored rows and their encoding.
 - `restoration`: what a start restores of them.
-- `write_behind`: what is written when.
+- `write_behind`: decides which changes are written when.
 """
--- a/balancer/core/persistence/persisted_state.py
+++ b/balancer/core/persistence/persisted_state.py
@@ -1,11 +1,11 @@
-"""The rows that a node persists, as data: one struct a table, each field bounded.
+"""The rows that a node persists: one struct per table, with bounds on each field.
 
 | table | key | value | written |
 | --- | --- | --- | --- |
-| `self` | `node` | `NodeIdentity` | at each start, first of all, and when the incarnation is raised |
-| `ends` | endpoint | `Withdrawal`: removed or draining | at once, synced before anything else |
-| `view` | endpoint | `PersistedEndpoint` | in groups |
-| `sources` | source | `SourcePosition`: how far the view follows it | with the last change that it brought |
+| `self` | `node` | `NodeIdentity` | at each start, before all others, and when the incarnation is raised |
+| `ends` | endpoint | `Withdrawal`: removed or draining | at once, synced before other tables |
+| `view` | endpoint | `PersistedEndpoint` | in group commits |
+| `sources` | source | `SourcePosition`: its revision in the view | with the last change of that revision |
 | `usual` | request class | `ExpectedLatency` | at each collection of learned state |
 | `limit` | `node` | `ConcurrencyLimit` | at each collection of learned state |
 | `weights` | backend | `BackendSlowness` | at each collection of learned state |
@@ -13,10 +13,11 @@
 
 Times of type WallClockMs are Unix time in milliseconds, as they outlive the process. Values are MessagePack
 arrays, so **the order of the fields is the stored format**: a field is only ever added at the end, with a
-default. Decoding checks the bounds of each field: what comes off the disk is validated by reading it.
+default. Decoding validates the bounds of each field.
 
-The sequence number rises with every change of the view, as long as the directory exists. An endpoint's row
-and its withdrawal are written in different lanes of the store; the one with the higher number is the later.
+The sequence number rises with every change of the view, for as long as the directory exists. An endpoint's
+row and its withdrawal are written in different lanes of the store; the one with the higher sequence number is
+the later.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 
 TableName = Literal["self", "ends", "view", "sources", "usual", "limit", "weights", "ejections"]
 RowKey = tuple[TableName, str]
-"""A table and the key of a row in it. A plain tuple: thousands are made in one turn of the event loop."""
+"""A table and the key of a row in it; a plain tuple, as thousands are created in one event loop turn."""
 
 TABLE_NAMES: tuple[TableName, ...] = (
     "self",
@@ -40,7 +41,7 @@
     "ejections",
 )
 URGENT_TABLES: frozenset[TableName] = frozenset({"self", "ends"})
-"""Tables of the store's urgent lane: written before all others."""
+"""Tables of the store's urgent lane, which is written before all others."""
 NODE_KEY = "node"
 """The only key of the tables `self` and `limit`."""
 
@@ -54,7 +55,7 @@
 
 
 class NodeIdentity(msgspec.Struct, frozen=True, array_like=True):
-    """Which node owns the directory. `name` is the configured one: another name means a copied directory."""
+    """The node that owns the directory; a `name` other than the configured one means a copied directory."""
 
     id: NonEmptyText
     name: ShortText
@@ -79,7 +80,7 @@
 
 
 class Withdrawal(msgspec.Struct, frozen=True, array_like=True):
-    """An endpoint's removal (`is_removed`) or drain: by which source, at which of its revisions."""
+    """An endpoint's removal (`is_removed`) or drain, with the source that withdrew it and its revision."""
 
     is_removed: bool
     source: ShortText
@@ -89,7 +90,7 @@
 
 
 class SourcePosition(msgspec.Struct, frozen=True, array_like=True):
-    """How far the view follows a source: its identity, last revision and last confirmation."""
+    """The position of a source: its identity, its last revision in the view and its last confirmation."""
 
     identity: ShortText
     revision: Annotated[int, msgspec.Meta(ge=-(1 << 62), lt=1 << 62)]
@@ -119,7 +120,7 @@
 
 
 class BackendEjection(msgspec.Struct, frozen=True, array_like=True):
-    """A backend that receives no requests until then, after so many consecutive failures."""
+    """A backend that receives no requests until `until_ms`, after `consecutive_failures`."""
 
     until_ms: WallClockMs
     consecutive_failures: Counter
--- a/balancer/core/persistence/restoration.py
+++ b/balancer/core/persistence/restoration.py
@@ -1,7 +1,7 @@
-"""What a start restores from the tables of a store: validated rows, with the age of each.
+"""Restores a node's state at the start from the tables of a store: validated rows, with their ages.
 
-Wall clocks may jump, and files may be lost or belong to another node: what is not restored is reported by a
-message, and the rest is restored.
+The wall clock may have jumped, and files may be lost or belong to another node. What cannot be restored
+is reported by a message; the rest is restored.
 """
 
 from __future__ import annotations
@@ -29,9 +29,9 @@
 from balancer.endpoints import EndpointList, EndpointRecord, InvalidEntry
 
 MAX_REPORTED_ROWS = 20
-"""Invalid rows with a message of their own; the others are counted."""
+"""Invalid rows that get a message each; the others are only counted."""
 MAX_RESTORED_EJECTION_MS = 600_000
-"""The longest that a restored ejection goes on, whatever the wall clock did."""
+"""Upper bound for the remaining time of a restored ejection, whatever the wall clock did."""
 
 _ROW_TYPES: dict[TableName, type[PersistedRow]] = {
     "ends": Withdrawal,
@@ -45,29 +45,29 @@
 
 
 class RestoreOutcome(StrEnum):
-    """How much of the persisted state a start has. The values are exported by `balancer state` and stay."""
+    """How much of the persisted state could be restored. `balancer state` exports the values."""
 
     NOTHING_STORED = "none"
     RESTORED = "kept"
     OUTDATED = "older"
-    """A newer generation was there and cannot be read."""
+    """A newer generation exists but cannot be read."""
     LOST = "lost"
-    """Something was there, and nothing of it can be used."""
+    """State was stored, but none of it can be used."""
 
 
 class RestoredEndpoint(msgspec.Struct, frozen=True):
-    """A persisted endpoint, and the least time since a source confirmed it."""
+    """A persisted endpoint, and its minimum age since a source confirmed it."""
 
     endpoint: PersistedEndpoint
     age_ms: float
 
 
 class RestoredState(msgspec.Struct):
-    """What a start may use of the persisted state.
+    """The part of the persisted state that a start may use.
 
-    `is_foreign`: the directory belongs to another node; nothing of it is restored, and nothing may be written
-    to it. `clock_behind_ms`: how far the wall clock is behind the last commit. `rows` are all valid rows of
-    the tables, also those that are too old to be used.
+    `is_foreign`: the directory belongs to another node; nothing is restored from it, and nothing may be
+    written to it. `clock_behind_ms`: how far the wall clock is behind the last commit. `rows`: all valid rows
+    of the tables, including those that are too old to be used.
     """
 
     outcome: RestoreOutcome
@@ -86,7 +86,7 @@
     messages: list[str] = []
 
     def persisted_endpoints(self) -> dict[str, PersistedEndpoint]:
-        """All valid rows of the view, also of endpoints that are withdrawn or too old."""
+        """Return all valid rows of the view, including endpoints that are withdrawn or too old."""
         return _rows_of_type(self.rows.get("view", {}), PersistedEndpoint)
 
 
@@ -106,19 +106,18 @@
     now_ms: int,
     max_age_ms: float,
 ) -> RestoredState:
-    """Read the tables of a store: `generation` is the one that was read, 0 for none.
+    """Restore the state from the tables of a store; `generation` is the one that was read, 0 for none.
 
-    `is_outdated`: a newer generation cannot be read. `committed_at_ms` is the wall clock of the last commit,
-    `now_ms` the wall clock now. An age is never negative nor less than it was at the last commit: with a
-    clock that went back it is just that, with a message. An endpoint is as old as the latest confirmation by
-    a source that lists it. Entries older than `max_age_ms` and invalid rows are not restored.
+    `is_outdated`: a newer generation cannot be read. `committed_at_ms` is the wall clock time of the last
+    commit, `now_ms` the current one. An age is never negative and never below its value at the last commit;
+    if the clock is behind that commit, the age at the commit is used, with a message. An endpoint's age
+    counts from the latest confirmation by a source that lists it. Entries older than `max_age_ms` and invalid
+    rows are not restored.
     """
     restored = RestoredState(RestoreOutcome.LOST if is_outdated else RestoreOutcome.NOTHING_STORED)
     if not generation:
         if is_outdated:
-            restored.messages.append(
-                "nothing of what was kept can be believed: this start has lost its memory"
-            )
+            restored.messages.append("no generation of the persisted state is readable: starting without it")
         return restored
     restored.outcome = RestoreOutcome.OUTDATED if is_outdated else RestoreOutcome.RESTORED
     identity = _read_identity(tables.get("self", {}), restored)
@@ -138,12 +137,12 @@
 
 
 def _clamped_clock_ms(now_ms: int, committed_at_ms: int, restored: RestoredState) -> int:
-    """The wall clock, or the time of the last commit for a clock that is behind it."""
+    """Return the wall clock time, or the time of the last commit if the clock is behind it."""
     if now_ms >= committed_at_ms:
         return now_ms
     restored.clock_behind_ms = committed_at_ms - now_ms
-    behind = f"the clock is {restored.clock_behind_ms / 1000:.0f} s behind what was written"
-    restored.messages.append(f"{behind}: ages are taken as of then, and may be more")
+    clock_text = f"the clock is {restored.clock_behind_ms / 1000:.0f} s behind what was written"
+    restored.messages.append(f"{clock_text}: ages are taken as of then, and may be more")
     return committed_at_ms
 
 
@@ -151,12 +150,12 @@
     try:
         return msgspec.msgpack.decode(rows[NODE_KEY], type=NodeIdentity)
     except (KeyError, msgspec.MsgspecError):
-        restored.messages.append("the directory does not say whose it is: nothing is recalled")
+        restored.messages.append("the directory has no valid node identity: nothing is restored")
         return None
 
 
 def _read_rows(tables: Mapping[str, Mapping[str, bytes]], restored: RestoredState) -> None:
-    """Decode all tables but the node's identity; an invalid row costs itself alone."""
+    """Decode all tables but the node's identity, skipping invalid rows."""
     invalid_count = 0
     for table, row_type in _ROW_TYPES.items():
         rows = restored.rows.setdefault(table, {})
@@ -168,7 +167,7 @@
                 if invalid_count <= MAX_REPORTED_ROWS:
                     restored.messages.append(f"{table} {key!r:.80} is not believed: {error!s:.120}")
     if invalid_count > MAX_REPORTED_ROWS:
-        restored.messages.append(f"{invalid_count - MAX_REPORTED_ROWS} further rows are not believed")
+        restored.messages.append(f"{invalid_count - MAX_REPORTED_ROWS} further rows are invalid")
 
 
 def _rows_of_type(rows: Mapping[str, PersistedRow], row_type: type[RowT]) -> dict[str, RowT]:
@@ -176,13 +175,13 @@
 
 
 def _restore_view(restored: RestoredState, committed_at_ms: int, now_ms: int, max_age_ms: float) -> None:
-    """Withdrawals, positions of the sources, and the endpoints that are neither removed nor too old."""
+    """Restore withdrawals, source positions, and the endpoints that are neither removed nor too old."""
     restored.withdrawals = _rows_of_type(restored.rows["ends"], Withdrawal)
     restored.sources = _rows_of_type(restored.rows["sources"], SourcePosition)
     endpoints = restored.persisted_endpoints()
     numbered: list[Withdrawal | PersistedEndpoint] = [*restored.withdrawals.values(), *endpoints.values()]
     restored.last_sequence_number = max((row.sequence_number for row in numbered), default=0)
-    ahead_count = expired_count = 0
+    future_count = expired_count = 0
     for key, row in endpoints.items():
         withdrawal = restored.withdrawals.get(key)
         if withdrawal is not None and withdrawal.sequence_number > row.sequence_number:
@@ -190,14 +189,16 @@
                 continue
             row = msgspec.structs.replace(row, is_draining=True)
         confirmed_at_ms = _confirmed_at_ms(row, restored.sources)
-        ahead_count += confirmed_at_ms > committed_at_ms
+        future_count += confirmed_at_ms > committed_at_ms
         age_ms = float(now_ms - min(confirmed_at_ms, committed_at_ms))
         if age_ms > max_age_ms:
             expired_count += 1
         else:
             restored.endpoints[key] = RestoredEndpoint(row, age_ms)
-    if ahead_count:
-        message = f"{ahead_count} servers are confirmed after the last write: taken as of it"
+    if future_count:
+        message = (
+            f"{future_count} servers have a confirmation time after the last write: its time is used instead"
+        )
         restored.messages.append(message)
     if expired_count:
         last_confirmed = f"last confirmed over {max_age_ms / 1000:.0f} s ago"
@@ -205,15 +206,15 @@
 
 
 def _confirmed_at_ms(row: PersistedEndpoint, sources: Mapping[str, SourcePosition]) -> int:
-    """When the endpoint, or a source that lists it, was confirmed last."""
+    """Return when the endpoint, or a source that lists it, was last confirmed."""
     listing = [sources[name].confirmed_at_ms for name in row.sources if name in sources]
     return max([row.confirmed_at_ms, *listing])
 
 
 def _restore_learned_state(restored: RestoredState, now_ms: int, max_age_ms: float) -> None:
-    """Figures that the decision module learned within `max_age_ms`, and what is left of each ejection.
+    """Restore values that the policy learned within `max_age_ms`, and the remaining time of each ejection.
 
-    A figure recorded ahead of the wall clock counts as of now.
+    A value whose time is ahead of the wall clock counts as current.
     """
     for key, row in restored.rows["usual"].items():
         if isinstance(row, ExpectedLatency) and now_ms - row.at_ms <= max_age_ms:
@@ -231,23 +232,23 @@
             restored.ejection_left_ms[key] = left_ms
 
 
-def without_withdrawn(
+def exclude_withdrawn(
     listed: Mapping[str, EndpointRecord],
     revision: int | None,
     withdrawals: Mapping[str, Withdrawal],
     source: str,
     newer_list: ListedIds | None = None,
 ) -> EndpointList | None:
-    """A source's list at `revision` less the endpoints that it withdrew later; None if there are none.
+    """Return a source's list at `revision` without the endpoints that it withdrew later; None if it has none.
 
-    All withdrawals count against a source that has listed nothing (`revision` is None). A withdrawal does not
-    age as a view does: a list from before it is wrong however old both are, and with a clock that is a day
-    ahead all of the view is too old to be restored. The resulting list has the revision of the last
-    withdrawal, so that no older list brings the endpoints back, and an invalid entry makes the merge fetch
-    a snapshot from the source, as it lacks the endpoints that were added since.
+    All withdrawals apply to a source that has listed nothing (`revision` is None). Unlike the view,
+    withdrawals do not expire: a list from before a withdrawal is wrong however old both are, and if the clock
+    is a day ahead the entire view is too old to be restored. The resulting list has the revision of the last
+    withdrawal, so that no older list brings the endpoints back. As it lacks the endpoints that were added
+    since, it contains an invalid entry, which makes the merger fetch a snapshot from the source.
 
-    `newer_list`: a later list of the source, however old. Endpoints that are not in it are withdrawn too,
-    even where no withdrawal was persisted because the store was read after the source had spoken.
+    `newer_list` is a later list of the source, of any age. Endpoints that it does not contain are removed
+    too, even if no withdrawal was persisted because the store was read after the source had responded.
     """
     by_source = {key: row for key, row in withdrawals.items() if row.source == source}
     if newer_list is None:
@@ -259,7 +260,7 @@
         later = by_source
     remaining = tuple(record for key, record in listed.items() if key not in later and key in newer_list.ids)
     removed_ids = tuple(key for key, row in later.items() if row.is_removed)
-    reason = f"{len(listed) - len(remaining)} servers ended after it: the whole list is needed"
+    reason = f"{len(listed) - len(remaining)} servers were withdrawn after it: a snapshot is needed"
     newest_revision = max([newer_list.revision, *(row.revision for row in later.values())])
     return EndpointList(newest_revision, True, remaining, removed_ids, (InvalidEntry("(kept)", reason),))
 
@@ -267,10 +268,10 @@
 def next_identity(
     restored: RestoredState, node_name: str, fresh_id: str, generation: int, now_ms: int
 ) -> NodeIdentity:
-    """The identity of this start: the persisted one with the incarnation raised, or a new one.
+    """Return the identity of this start: the persisted one with a higher incarnation, or a new one.
 
-    `generation` is the store's number, which rises even where no file of it can be read; so does the
-    incarnation.
+    `generation` is that of the store. It rises even if none of its files can be read, and the incarnation
+    is never below it.
     """
     identity = restored.identity
     if identity is None:
--- a/balancer/core/persistence/write_behind.py
+++ b/balancer/core/persistence/write_behind.py
@@ -1,19 +1,19 @@
-"""What is written when: a state machine between the changes of a node's persisted state and the store.
+"""Decides when changes of a node's persisted state are written: a state machine in front of the store.
 
 - A removal or drain is written at once, in the store's urgent lane.
-- Other changes of the view wait `GROUP_COMMIT_WINDOW_MS` for more; only the last state of an endpoint is
-  written. One write of at most `MAX_CHANGES_PER_WRITE` is in the store at a time: a slow disk makes fewer
-  writes, not a longer queue.
-- The position of a source (its revision) is written with the last change that it brought, never before it: a
-  restart that took the revision as seen without the change would never receive that change again.
-- Learned state is collected every `collection_interval_ms`, and a figure is written where it moved by more
-  than `SIGNIFICANT_CHANGE_RATIO` since it was written last.
-- An endpoint that comes back after its withdrawal keeps the withdrawal until its new row is durable.
-- A generation begins after `GENERATION_INTERVAL_MS` with changes, or after many changes for so many rows;
-  withdrawals older than `max_age_ms` are deleted then.
-
-The state is bounded: a row an endpoint, `MAX_PERSISTED_ENDPOINTS` in all; those above it are left out, with a
-log line.
+- Other changes of the view are collected for `GROUP_COMMIT_WINDOW_MS`; only the last state of an endpoint is
+  written. One write of at most `MAX_CHANGES_PER_WRITE` is in the store at a time, so that a slow disk results
+  in fewer writes instead of a longer queue.
+- The position of a source (its revision) is written with the last change of that revision, never before: a
+  restart that considered the revision seen without the change would never receive that change again.
+- Learned state is collected every `collection_interval_ms`; a value is written if it changed by more than
+  `SIGNIFICANT_CHANGE_RATIO` since it was last written.
+- The withdrawal of an endpoint that was listed again is kept until its new row is durable.
+- A new generation begins after `GENERATION_INTERVAL_MS` if there were changes, or when the changes are many
+  compared with the rows. Withdrawals older than `max_age_ms` are deleted then.
+
+The state is bounded: one row per endpoint, and at most `MAX_PERSISTED_ENDPOINTS`. Endpoints above that limit
+are not persisted, with a log line.
 """
 
 from __future__ import annotations
@@ -38,19 +38,19 @@
 )
 
 GROUP_COMMIT_WINDOW_MS = 50.0
-"""How long a change of the view waits for others."""
+"""How long a change of the view waits for further changes."""
 MAX_CHANGES_PER_WRITE = 250
-"""About 1 ms of the event loop."""
+"""Takes about 1 ms of the event loop."""
 MAX_URGENT_WRITES_IN_FLIGHT = 4
 """Urgent writes in the store that are not yet durable."""
 MAX_PERSISTED_ENDPOINTS = 100_000
-"""Endpoints, and as many withdrawals."""
+"""Limit on endpoints, and separately on withdrawals."""
 REJECTED_WRITE_RETRY_MS = 1_000.0
 SIGNIFICANT_CHANGE_RATIO = 0.1
-"""A learned figure is written again when it moved by more than this."""
+"""A learned value is written again when it changed by more than this ratio."""
 GENERATION_INTERVAL_MS = 3_600_000.0
 MIN_GENERATION_CHANGES = 20_000
-"""Changes that begin a generation early, unless the rows are more than a quarter of them."""
+"""Changes that begin a generation early, unless the rows exceed a quarter of their number."""
 
 RowChange = tuple[RowKey, PersistedRow | None]
 """A row and its new value; None deletes it."""
@@ -71,7 +71,8 @@
 class EndpointsChanged(msgspec.Struct, frozen=True):
     """Endpoints of the view changed (a drain is one such change) or were removed from it.
 
-    `source` at `revision` of `identity` brought it. At most some hundreds in one event: the event loop waits.
+    The change is from `source` with `identity`, at `revision`. One event holds at most some hundreds of
+    endpoints, as it is processed in a single event loop turn.
     """
 
     source: str
@@ -92,19 +93,19 @@
 
 
 class LearnedStateCollected(msgspec.Struct, frozen=True):
-    """The answer to `CollectLearnedState`: rows of the learned tables; None deletes one."""
+    """Response to `CollectLearnedState`: rows of the learned tables; None deletes a row."""
 
     rows: Mapping[RowKey, PersistedRow | None]
 
 
 class IncarnationRaised(msgspec.Struct, frozen=True):
-    """The running node has this incarnation from now on."""
+    """The running node has raised its incarnation."""
 
     incarnation: int
 
 
 class TimeAdvanced(msgspec.Struct, frozen=True):
-    """The time of `next_ms` has come."""
+    """The time returned by `WriteBehind.next_ms` was reached."""
 
     wall_ms: int
 
@@ -116,7 +117,7 @@
 
 
 class WriteRejected(msgspec.Struct, frozen=True):
-    """The store had no capacity for a write: nothing of it is written."""
+    """The store had no capacity for a write: none of its changes are written."""
 
     write_number: int
 
@@ -137,14 +138,14 @@
 
 
 class WriteRows(msgspec.Struct, frozen=True):
-    """Make all of these durable in one commit, and answer `WriteCommitted` or `WriteRejected`."""
+    """Make these changes durable in one commit; the response is `WriteCommitted` or `WriteRejected`."""
 
     write_number: int
     changes: tuple[RowChange, ...]
 
 
 class CollectLearnedState(msgspec.Struct, frozen=True):
-    """Read what the decision module has learned, and answer `LearnedStateCollected`."""
+    """Read the state that the policy has learned; the response is `LearnedStateCollected`."""
 
 
 class BeginGeneration(msgspec.Struct, frozen=True):
@@ -152,7 +153,7 @@
 
 
 class WriteLog(msgspec.Struct, frozen=True):
-    """Write a line to the log, as a warning."""
+    """Write a warning to the log."""
 
     text: str
 
@@ -161,24 +162,24 @@
 
 
 class WriteBehindState(msgspec.Struct):
-    """All that `WriteBehind` knows.
+    """The state of `WriteBehind`.
 
-    `dirty` and `urgent_dirty` are changes that are in no write yet, in the order in which they are written;
-    `in_flight` are writes in the store that are not yet durable, by number.
+    `dirty` and `urgent_dirty` hold changes that are not part of a write yet, in the order in which they will
+    be written. `in_flight` holds the writes in the store that are not durable yet, by number.
     """
 
     identity: NodeIdentity | None = None
     endpoint_sequence_numbers: dict[str, int] = {}
-    """Sequence number of the latest row of each endpoint, written or not."""
+    """Sequence number of the latest row of each endpoint, whether written or not."""
     withdrawals: dict[str, Withdrawal] = {}
     sources: dict[str, SourcePosition] = {}
     unwritten_sources: set[str] = set()
-    """Sources confirmed since their position was written last."""
+    """Sources confirmed since their position was last written."""
     dirty: dict[RowKey, PersistedRow | None] = {}
     urgent_dirty: dict[RowKey, PersistedRow | None] = {}
     in_flight: dict[int, tuple[RowChange, ...]] = {}
     normal_write_number: int = 0
-    """The one write in flight that is not urgent; 0 for none."""
+    """Number of the only non-urgent write in flight; 0 for none."""
     urgent_in_flight_count: int = 0
     last_write_number: int = 0
     last_sequence_number: int = 0
@@ -189,16 +190,16 @@
     next_generation_ms: float = 0.0
     retry_at_ms: float = 0.0
     written_learned_rows: dict[RowKey, PersistedRow] = {}
-    """Learned rows as they were handed to the store last."""
+    """Learned rows as they were last handed to the store."""
     is_lagging: bool = False
     omitted_count: int = 0
 
 
 class WriteBehind:
-    """Decides what is written when. The owner sends events to `handle`, and `TimeAdvanced` at `next_ms`."""
+    """Decides when changes are written; its owner sends events, and `TimeAdvanced` at `next_ms`."""
 
     def __init__(self, collection_interval_ms: float, max_age_ms: float, first_write_number: int = 0) -> None:
-        """Learned state is collected at this interval; withdrawals older than `max_age_ms` are deleted."""
+        """Collect learned state at this interval; delete withdrawals older than `max_age_ms`."""
         self.collection_interval_ms, self.max_age_ms = collection_interval_ms, max_age_ms
         self.state = WriteBehindState(last_write_number=first_write_number)
 
@@ -209,7 +210,7 @@
         return f"<WriteBehind {endpoint_count} endpoints, {dirty}, {len(state.in_flight)} in flight>"
 
     def next_ms(self) -> float:
-        """The node's time at which `TimeAdvanced` is due next."""
+        """Return the node's clock time at which `TimeAdvanced` is due next."""
         state = self.state
         times_ms = [state.next_collection_ms, state.next_generation_ms]
         if state.dirty and not state.normal_write_number:
@@ -219,7 +220,7 @@
         return min(times_ms)
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
-        """The actions that follow from an event, in order. `now_ms` is monotonic."""
+        """Process an event and return the resulting actions in order. `now_ms` is monotonic."""
         actions: list[Action] = []
         match event:
             case EndpointsChanged():
@@ -287,7 +288,7 @@
         number = numbers[endpoint_id] = state.last_sequence_number
         state.dirty["view", endpoint_id] = msgspec.structs.replace(endpoint, sequence_number=number)
         if endpoint.is_draining:
-            # The withdrawal is the later of the two rows.
+            # The withdrawal must be the later of the two rows.
             number = state.last_sequence_number = number + 1
             drain = Withdrawal(False, event.source, event.revision, event.wall_ms, number)
             self._record_withdrawal(endpoint_id, drain, actions)
@@ -308,18 +309,18 @@
             del withdrawals[oldest]
             self.state.urgent_dirty["ends", oldest] = None
             self._count_omitted(actions)
-        withdrawals.pop(endpoint_id, None)  # the latest is the last in the order of the dict
+        withdrawals.pop(endpoint_id, None)  # moves the latest withdrawal to the end of the dict
         withdrawals[endpoint_id] = withdrawal
         self.state.urgent_dirty["ends", endpoint_id] = withdrawal
 
     def _count_omitted(self, actions: list[Action]) -> None:
         self.state.omitted_count += 1
         if self.state.omitted_count == 1:
-            limit = f"over {MAX_PERSISTED_ENDPOINTS} servers or ends"
-            actions.append(WriteLog(f"{limit}: those over it are not kept"))
+            limit = f"more than {MAX_PERSISTED_ENDPOINTS} endpoints or withdrawals"
+            actions.append(WriteLog(f"{limit}: the excess is not persisted"))
 
     def _update_source(self, event: EndpointsChanged | SourceConfirmed) -> bool:
-        """Note the source's position; False if it is older than the known one."""
+        """Record the source's position; return False if it is older than the known one."""
         state, previous = self.state, self.state.sources.get(event.source)
         if previous is None or previous.identity != event.identity or event.revision >= previous.revision:
             confirmed_at_ms = max(0, event.wall_ms)
@@ -329,7 +330,7 @@
         return False
 
     def _write_source(self, source_name: str) -> None:
-        """Queue the source's position behind all dirty changes: they are written in their order."""
+        """Queue the source's position behind all dirty changes, which are written in order."""
         state = self.state
         state.dirty.pop(("sources", source_name), None)
         state.dirty["sources", source_name] = state.sources[source_name]
@@ -377,7 +378,7 @@
         actions.append(BeginGeneration())
 
     def _on_write_committed(self, write_number: int) -> None:
-        """Delete the withdrawals of endpoints that came back after it and whose row is durable now."""
+        """Delete the withdrawals of endpoints that were listed again and whose row is durable now."""
         state = self.state
         state.is_lagging = False
         for (table, key), row in self._finish_write(write_number):
@@ -392,11 +393,11 @@
                 state.urgent_dirty["ends", key] = None
 
     def _on_write_rejected(self, now_ms: float, write_number: int, actions: list[Action]) -> None:
-        """Its rows are dirty again, unless they have changed since, and stay ahead of later changes."""
+        """Mark the rows dirty again unless they have changed since, ahead of later changes."""
         state = self.state
         rejected = dict(self._finish_write(write_number))
         if any(table in URGENT_TABLES for table, _ in rejected):
-            # Guards against writing an older withdrawal or identity behind a newer one.
+            # Use the current values, so that no older withdrawal or identity is written after a newer one.
             for table, key in rejected:
                 rejected[table, key] = state.withdrawals.get(key) if table == "ends" else state.identity
             state.urgent_dirty = {**rejected, **state.urgent_dirty}
@@ -405,7 +406,7 @@
         state.retry_at_ms = now_ms + REJECTED_WRITE_RETRY_MS
         if not state.is_lagging:
             state.is_lagging = True
-            actions.append(WriteLog("the store takes no more: what is kept lags behind"))
+            actions.append(WriteLog("the store rejects writes: persisted state lags behind"))
 
     def _finish_write(self, write_number: int) -> tuple[RowChange, ...]:
         state = self.state
@@ -441,7 +442,7 @@
 
 
 def _is_significant_change(old: PersistedRow, new: PersistedRow, max_age_ms: float) -> bool:
-    """Whether a learned figure has moved, or was written more than `max_age_ms` before the new one."""
+    """Whether a learned value has changed, or was written more than `max_age_ms` before the new one."""
     match old, new:
         case ExpectedLatency(), ExpectedLatency():
             old_value, new_value = old.expected_latency_ms, new.expected_latency_ms
--- a/balancer/net/persistence/restored_lists.py
+++ b/balancer/net/persistence/restored_lists.py
@@ -87,7 +87,7 @@
             ids = {key for key, row in endpoints.items() if source.name in row.sources}
             newer_list = restoration.ListedIds(revision, ids)
         withdrawals = self.restored.withdrawals
-        remaining = restoration.without_withdrawn(
+        remaining = restoration.exclude_withdrawn(
             source.records, source.revision, withdrawals, source.name, newer_list
         )
         if remaining is None:
