--- a/tests/core/persistence/test_restoration.py
+++ b/tests/core/persistence/test_restoration.py
@@ -1,4 +1,4 @@
-"""What a start restores: outcomes, ages, clocks that jump, and invalid rows."""
+"""Tests of the restoration: outcomes, ages, wall clock jumps, and invalid rows."""
 
 from __future__ import annotations
 
@@ -26,19 +26,21 @@
 from tests.core.persistence.stored_rows import DAY_MS, IDENTITY, NOW_MS, encoded_tables, endpoint_row
 
 
-def restored(rows: dict[tuple[str, str], PersistedRow], now: int = NOW_MS, **more: Any) -> RestoredState:
-    told: dict[str, Any] = {
+def restored(
+    rows: dict[tuple[str, str], PersistedRow], now_ms: int = NOW_MS, **overrides: Any
+) -> RestoredState:
+    arguments: dict[str, Any] = {
         "generation": 2,
         "is_outdated": False,
         "committed_at_ms": NOW_MS,
         "node_name": "n0",
         "max_age_ms": DAY_MS,
     }
-    told |= more
-    return restore(encoded_tables({("self", "node"): IDENTITY} | rows), now_ms=now, **told)
+    arguments |= overrides
+    return restore(encoded_tables({("self", "node"): IDENTITY} | rows), now_ms=now_ms, **arguments)
 
 
-def test_restore_by_generations_and_owner_sets_outcome() -> None:
+def test_restore_with_generation_and_owner_sets_the_outcome() -> None:
     assert restore({}, 0, False, 0, "n0", NOW_MS, 1).outcome == "none"
     assert restore({}, 0, True, 0, "n0", NOW_MS, 1).outcome == "lost"
     assert restored({}).outcome == "kept" and restored({}, is_outdated=True).outcome == "older"
@@ -48,9 +50,12 @@
         ).outcome
         == "lost"
     )
-    other = restored({("view", "a"): endpoint_row()}, node_name="n1")
+    foreign = restored({("view", "a"): endpoint_row()}, node_name="n1")
     assert (
-        other.is_foreign and other.outcome == "lost" and not other.endpoints and "'n0'" in other.messages[0]
+        foreign.is_foreign
+        and foreign.outcome == "lost"
+        and not foreign.endpoints
+        and "'n0'" in foreign.messages[0]
     )
 
 
@@ -61,57 +66,69 @@
         ("ends", "b"): Withdrawal(True, "p", 1, NOW_MS, 4),
     }
     rows |= {("ends", "c"): Withdrawal(False, "p", 1, NOW_MS, 6)}
-    found = restored(rows)
-    assert {n: r.endpoint.is_draining for n, r in found.endpoints.items()} == {
+    result = restored(rows)
+    assert {n: r.endpoint.is_draining for n, r in result.endpoints.items()} == {
         "b": False,
         "c": True,
         "d": False,
     }
-    assert found.last_sequence_number == 6
+    assert result.last_sequence_number == 6
 
 
-def test_restore_with_clock_a_day_off_clamps_ages_and_reports_it() -> None:
+def test_restore_with_a_clock_a_day_off_clamps_ages_and_reports_it() -> None:
     rows: dict[tuple[str, str], PersistedRow] = {
         ("view", "a"): endpoint_row(),
         ("ejections", "a"): BackendEjection(NOW_MS + 5_000, 1, NOW_MS),
         ("limit", "node"): ConcurrencyLimit(9, NOW_MS),
     }
-    back = restored(rows, NOW_MS - DAY_MS)
+    clock_behind = restored(rows, NOW_MS - DAY_MS)
     assert (
-        back.endpoints["a"].age_ms == 0
-        and back.clock_behind_ms == DAY_MS
-        and "86400 s behind" in back.messages[0]
+        clock_behind.endpoints["a"].age_ms == 0
+        and clock_behind.clock_behind_ms == DAY_MS
+        and "86400 s behind" in clock_behind.messages[0]
     )
-    assert back.ejection_left_ms == {"a": 5_000} and back.concurrency_limit is not None
-    ahead = restored(rows, NOW_MS + DAY_MS + 1)
-    assert not ahead.endpoints and not ahead.ejection_left_ms and ahead.concurrency_limit is None
-    assert "1 servers were last confirmed over" in ahead.messages[0]
-    odd = restored({("view", "a"): endpoint_row()}, NOW_MS, committed_at_ms=NOW_MS - 100)
-    assert odd.endpoints["a"].age_ms == 100 and "after the last write" in odd.messages[0]
-    long = restored({("ejections", "a"): BackendEjection(NOW_MS + DAY_MS, 1, NOW_MS - 1)})
-    assert long.ejection_left_ms == {"a": MAX_RESTORED_EJECTION_MS}
+    assert clock_behind.ejection_left_ms == {"a": 5_000} and clock_behind.concurrency_limit is not None
+    clock_ahead = restored(rows, NOW_MS + DAY_MS + 1)
+    assert (
+        not clock_ahead.endpoints
+        and not clock_ahead.ejection_left_ms
+        and clock_ahead.concurrency_limit is None
+    )
+    assert "1 servers were last confirmed over" in clock_ahead.messages[0]
+    future_row = restored({("view", "a"): endpoint_row()}, NOW_MS, committed_at_ms=NOW_MS - 100)
+    assert future_row.endpoints["a"].age_ms == 100 and "after the last write" in future_row.messages[0]
+    long_ejection = restored({("ejections", "a"): BackendEjection(NOW_MS + DAY_MS, 1, NOW_MS - 1)})
+    assert long_ejection.ejection_left_ms == {"a": MAX_RESTORED_EJECTION_MS}
 
 
-def test_restore_takes_endpoint_age_from_its_latest_confirmed_source() -> None:
-    old = msgspec.structs.replace(endpoint_row(), confirmed_at_ms=NOW_MS - 2 * DAY_MS)
-    spoke: dict[tuple[str, str], PersistedRow] = {("sources", "platform"): SourcePosition("x", 1, NOW_MS - 7)}
-    assert not restored({("view", "a"): old}).endpoints
-    assert restored({("view", "a"): old} | spoke).endpoints["a"].age_ms == 7
+def test_restore_counts_the_endpoint_age_from_the_latest_confirmation_of_its_sources() -> None:
+    old_endpoint = msgspec.structs.replace(endpoint_row(), confirmed_at_ms=NOW_MS - 2 * DAY_MS)
+    source_rows: dict[tuple[str, str], PersistedRow] = {
+        ("sources", "platform"): SourcePosition("x", 1, NOW_MS - 7)
+    }
+    assert not restored({("view", "a"): old_endpoint}).endpoints
+    assert restored({("view", "a"): old_endpoint} | source_rows).endpoints["a"].age_ms == 7
 
 
-def test_restore_with_invalid_row_drops_that_row_alone() -> None:
-    good = endpoint_row(weight=2.0)
+def test_restore_with_invalid_rows_drops_only_those() -> None:
+    valid_row = endpoint_row(weight=2.0)
     rows = encoded_tables(
-        {("self", "node"): IDENTITY, ("view", "good"): good, ("usual", "c"): ExpectedLatency(1, 1, NOW_MS)}
+        {
+            ("self", "node"): IDENTITY,
+            ("view", "good"): valid_row,
+            ("usual", "c"): ExpectedLatency(1, 1, NOW_MS),
+        }
     )
     for n, bad in enumerate([b"", b"\xc1", b"\x90", msgspec.msgpack.encode(["h", 0]), b"\x93\xa1h\x01\x01"]):
         rows["view"][f"bad{n}"] = bad
     rows["weights"] = {"a": msgspec.msgpack.encode([float("nan"), NOW_MS])}
-    found = restore(rows, 1, False, NOW_MS, "n0", NOW_MS, DAY_MS)
+    result = restore(rows, 1, False, NOW_MS, "n0", NOW_MS, DAY_MS)
     assert (
-        set(found.endpoints) == {"good"} and found.endpoints["good"].endpoint == good and not found.slowness
+        set(result.endpoints) == {"good"}
+        and result.endpoints["good"].endpoint == valid_row
+        and not result.slowness
     )
-    assert len(found.messages) == 6 and found.expected_latencies["c"].expected_latency_ms == 1
+    assert len(result.messages) == 6 and result.expected_latencies["c"].expected_latency_ms == 1
 
 
 def test_next_identity_always_raises_the_incarnation() -> None:
@@ -122,5 +139,5 @@
     )
 
 
-def test_restore_reads_backend_slowness() -> None:
+def test_restore_with_backend_slowness_restores_it() -> None:
     assert restored({("weights", "a"): BackendSlowness(1.5, NOW_MS)}).slowness["a"].slowness == 1.5
--- a/tests/core/persistence/test_write_behind.py
+++ b/tests/core/persistence/test_write_behind.py
@@ -1,4 +1,4 @@
-"""What write-behind writes when, also against a model with a store that fails."""
+"""Tests of when write-behind writes what, also against a model with a store that fails."""
 
 from __future__ import annotations
 
@@ -148,30 +148,34 @@
 
 def test_write_behind_on_removal_writes_the_withdrawal_at_once_and_alone() -> None:
     writer = started()
-    names = [(f"s{n}", endpoint_row()) for n in range(100)]
+    endpoints = [(f"s{n}", endpoint_row()) for n in range(100)]
     assert not writes(
-        writer.handle(1, write_behind.EndpointsChanged("platform", "x", 1, NOW_MS, tuple(names)))
+        writer.handle(1, write_behind.EndpointsChanged("platform", "x", 1, NOW_MS, tuple(endpoints)))
     )
     (write,) = writes(
         writer.handle(2, write_behind.EndpointsChanged("platform", "x", 2, NOW_MS, (), ("s7",)))
     )
-    assert [at for at, _ in write.changes] == [("ends", "s7")]
+    assert [row_key for row_key, _ in write.changes] == [("ends", "s7")]
 
 
 def test_write_behind_with_slow_disk_makes_fewer_writes_and_no_longer_queue() -> None:
-    writer, rng, handed = started(), random.Random(1), 0
-    for n in range(10_000):  # 10 s of 1,000 changes a second over 2,000 servers; nothing becomes durable
-        told = ((f"s{rng.randrange(2_000)}", endpoint_row()),)
-        handed += len(
-            writes(writer.handle(float(n), write_behind.EndpointsChanged("platform", "x", n, NOW_MS, told)))
+    writer, rng, write_count = started(), random.Random(1), 0
+    for number in range(10_000):  # 10 s of 1,000 changes a second over 2,000 servers; nothing becomes durable
+        changed = ((f"s{rng.randrange(2_000)}", endpoint_row()),)
+        write_count += len(
+            writes(
+                writer.handle(
+                    float(number), write_behind.EndpointsChanged("platform", "x", number, NOW_MS, changed)
+                )
+            )
         )
-    assert handed == 1 and len(writer.state.dirty) <= 2_001
+    assert write_count == 1 and len(writer.state.dirty) <= 2_001
 
 
 def test_write_behind_after_rejected_write_keeps_its_rows_ahead_of_later_ones(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against a position written before its changes, and an older withdrawal behind a newer one."""
+    """Guards against a position written before its changes, and an old withdrawal after a newer one."""
     monkeypatch.setattr(write_behind, "MAX_CHANGES_PER_WRITE", 2)
     writer = started()
     writer.handle(
@@ -183,76 +187,86 @@
     (first,) = writes(writer.handle(60, write_behind.TimeAdvanced(NOW_MS)))
     writer.handle(61, write_behind.EndpointsChanged("platform", "x", 2, NOW_MS, (("c", endpoint_row()),)))
     assert not writes(writer.handle(62, write_behind.WriteRejected(first.write_number)))
-    (again,) = writes(writer.handle(2_000, write_behind.TimeAdvanced(NOW_MS)))
-    assert [at for at, _ in again.changes] == [("view", "a"), ("view", "b")]
+    (retried,) = writes(writer.handle(2_000, write_behind.TimeAdvanced(NOW_MS)))
+    assert [row_key for row_key, _ in retried.changes] == [("view", "a"), ("view", "b")]
     (drain,) = writes(
         writer.handle(
             2_001,
             write_behind.EndpointsChanged("p", "x", 3, NOW_MS, (("a", endpoint_row(is_draining=True)),)),
         )
     )
-    (gone,) = writes(writer.handle(2_002, write_behind.EndpointsChanged("p", "x", 4, NOW_MS, (), ("a",))))
+    (removal,) = writes(writer.handle(2_002, write_behind.EndpointsChanged("p", "x", 4, NOW_MS, (), ("a",))))
     writer.handle(2_003, write_behind.WriteRejected(drain.write_number))
-    (once_more,) = [
-        w
-        for w in writes(writer.handle(9_000, write_behind.TimeAdvanced(NOW_MS)))
-        if w.changes[0][0][0] == "ends"
+    (retried_removal,) = [
+        write
+        for write in writes(writer.handle(9_000, write_behind.TimeAdvanced(NOW_MS)))
+        if write.changes[0][0][0] == "ends"
     ]
-    assert once_more.changes == gone.changes
+    assert retried_removal.changes == removal.changes
 
 
 def test_write_behind_on_raised_incarnation_writes_it_at_once_and_never_lowers_it() -> None:
     writer = started()
-    (rose,) = writes(writer.handle(5, write_behind.IncarnationRaised(IDENTITY.incarnation + 1)))
-    (again,) = writes(writer.handle(6, write_behind.IncarnationRaised(IDENTITY.incarnation + 4)))
+    (first_raise,) = writes(writer.handle(5, write_behind.IncarnationRaised(IDENTITY.incarnation + 1)))
+    (second_raise,) = writes(writer.handle(6, write_behind.IncarnationRaised(IDENTITY.incarnation + 4)))
     assert not writes(writer.handle(7, write_behind.IncarnationRaised(IDENTITY.incarnation)))
     writer.handle(
-        8, write_behind.WriteRejected(rose.write_number)
-    )  # the older one is not written behind the newer
-    (once_more,) = writes(writer.handle(9_000, write_behind.TimeAdvanced(NOW_MS)))[:1]
-    assert once_more.changes == again.changes
-    ((_, me),) = once_more.changes
+        8, write_behind.WriteRejected(first_raise.write_number)
+    )  # the older row must not be written after the newer one
+    (retried,) = writes(writer.handle(9_000, write_behind.TimeAdvanced(NOW_MS)))[:1]
+    assert retried.changes == second_raise.changes
+    ((_, identity),) = retried.changes
     assert (
-        isinstance(me, NodeIdentity) and me.incarnation == IDENTITY.incarnation + 4 and me.id == IDENTITY.id
+        isinstance(identity, NodeIdentity)
+        and identity.incarnation == IDENTITY.incarnation + 4
+        and identity.id == IDENTITY.id
     )
 
 
-def test_write_behind_with_learned_state_writes_only_figures_that_moved() -> None:
+def test_write_behind_with_learned_state_writes_only_changed_values() -> None:
     writer = started()
     assert any(
-        isinstance(a, write_behind.CollectLearnedState)
-        for a in writer.handle(10_000, write_behind.TimeAdvanced(NOW_MS))
+        isinstance(action, write_behind.CollectLearnedState)
+        for action in writer.handle(10_000, write_behind.TimeAdvanced(NOW_MS))
     )
 
-    def told(now: float, limit: float) -> int:
+    def written_row_count(now_ms: float, limit: float) -> int:
         rows: dict[RowKey, PersistedRow | None] = {("limit", "node"): ConcurrencyLimit(limit, NOW_MS)}
         rows["ejections", "a"] = BackendEjection(9, 1, 1)
-        out = writes(writer.handle(now, write_behind.LearnedStateCollected(rows)))
-        for write in out:
-            writer.handle(now, write_behind.WriteCommitted(write.write_number))
-        return sum(len(write.changes) for write in out)
+        new_writes = writes(writer.handle(now_ms, write_behind.LearnedStateCollected(rows)))
+        for write in new_writes:
+            writer.handle(now_ms, write_behind.WriteCommitted(write.write_number))
+        return sum(len(write.changes) for write in new_writes)
 
-    assert [told(20_000, 100), told(21_000, 105), told(22_000, 120)] == [2, 0, 1]
+    assert [
+        written_row_count(20_000, 100),
+        written_row_count(21_000, 105),
+        written_row_count(22_000, 120),
+    ] == [2, 0, 1]
 
 
 def test_write_behind_begins_generation_by_changes_and_time_and_deletes_old_withdrawals() -> None:
-    old = {
+    withdrawals = {
         "a": Withdrawal(True, "platform", 1, NOW_MS - 2 * DAY_MS, 1),
         "b": Withdrawal(True, "platform", 2, NOW_MS, 2),
     }
-    writer = started(rows={"ends": old}, order=2)
+    writer = started(rows={"ends": withdrawals}, order=2)
     actions = writer.handle(write_behind.GENERATION_INTERVAL_MS, write_behind.TimeAdvanced(NOW_MS))
     assert write_behind.BeginGeneration() in actions
-    assert [w.changes for w in writes(actions)] == [((("ends", "a"), None),)]
+    assert [started_write.changes for started_write in writes(actions)] == [((("ends", "a"), None),)]
     writer = started()
-    for n in range(2 + 2 * write_behind.MIN_GENERATION_CHANGES // 100):
-        names = tuple((f"s{i}", endpoint_row()) for i in range(100))
+    for number in range(2 + 2 * write_behind.MIN_GENERATION_CHANGES // 100):
+        endpoints = tuple((f"s{index}", endpoint_row()) for index in range(100))
         for write in writes(
-            writer.handle(100.0 * n, write_behind.EndpointsChanged("platform", "x", n, NOW_MS, names))
+            writer.handle(
+                100.0 * number, write_behind.EndpointsChanged("platform", "x", number, NOW_MS, endpoints)
+            )
         ):
-            writer.handle(100.0 * n, write_behind.WriteCommitted(write.write_number))
-    assert write_behind.BeginGeneration() in writer.handle(100.0 * n, write_behind.TimeAdvanced(NOW_MS))
-    assert write_behind.BeginGeneration() not in writer.handle(100.0 * n, write_behind.TimeAdvanced(NOW_MS))
+            writer.handle(100.0 * number, write_behind.WriteCommitted(write.write_number))
+    assert write_behind.BeginGeneration() in writer.handle(100.0 * number, write_behind.TimeAdvanced(NOW_MS))
+    assert write_behind.BeginGeneration() not in writer.handle(
+        100.0 * number, write_behind.TimeAdvanced(NOW_MS)
+    )
 
 
 def test_write_behind_over_endpoint_limit_omits_the_rest_and_logs_once(
@@ -260,10 +274,10 @@
 ) -> None:
     monkeypatch.setattr(write_behind, "MAX_PERSISTED_ENDPOINTS", 3)
     writer = started()
-    names = tuple((f"s{n}", endpoint_row()) for n in range(5))
-    actions = writer.handle(0, write_behind.EndpointsChanged("platform", "x", 1, NOW_MS, names))
+    endpoints = tuple((f"s{number}", endpoint_row()) for number in range(5))
+    actions = writer.handle(0, write_behind.EndpointsChanged("platform", "x", 1, NOW_MS, endpoints))
     actions += writer.handle(0, write_behind.EndpointsChanged("platform", "x", 2, NOW_MS, (), tuple("abcde")))
-    assert len([a for a in actions if isinstance(a, write_behind.WriteLog)]) == 1
+    assert len([action for action in actions if isinstance(action, write_behind.WriteLog)]) == 1
     assert len(writer.state.endpoint_sequence_numbers) == 3 and set(writer.state.withdrawals) == {
         "c",
         "d",
--- a/tests/core/test_connection_admission.py
+++ b/tests/core/test_connection_admission.py
@@ -1,4 +1,4 @@
-"""Quotas of descriptors, the budget of large bodies, and connections closed for unread responses."""
+"""Tests of descriptor quotas, the large body budget, and connections closed for unread responses."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     assert served + overload == clients and 0 <= overload <= served
 
 
-def test_unread_budget_is_an_eighth_of_the_memory_and_never_tiny() -> None:
+def test_unread_budget_is_an_eighth_of_the_memory_with_a_minimum() -> None:
     assert unread_budget_bytes(192) == 24 * 1024 * 1024
     assert unread_budget_bytes(1) == MIN_UNREAD_BUDGET_BYTES
 
@@ -47,10 +47,10 @@
 def test_unread_responses_progress_restarts_the_timeout_and_more_bytes_do_not() -> None:
     unread = UnreadResponses[str](1000)
     unread.update("reads", 10, 0.0)
-    unread.update("asks", 10, 0.0)
+    unread.update("writes", 10, 0.0)
     unread.update("reads", 9, READ_STALL_TIMEOUT_MS)
-    unread.update("asks", 11, READ_STALL_TIMEOUT_MS)
-    assert unread.stalled(READ_STALL_TIMEOUT_MS + 1) == ["asks"]
+    unread.update("writes", 11, READ_STALL_TIMEOUT_MS)
+    assert unread.stalled(READ_STALL_TIMEOUT_MS + 1) == ["writes"]
 
 
 def test_unread_responses_over_budget_close_the_largest_without_progress() -> None:
@@ -60,7 +60,7 @@
     unread.update("reads", 80, 0.0)
     unread.update("reads", 70, READ_PROGRESS_GRACE_MS)
     assert unread.is_over_budget
-    assert unread.excess(READ_PROGRESS_GRACE_MS + 1) == ["large"]  # 80 are left, which fits
+    assert unread.excess(READ_PROGRESS_GRACE_MS + 1) == ["large"]  # the remaining 80 bytes fit
     unread.discard("large")
     assert not unread.is_over_budget and unread.excess(READ_PROGRESS_GRACE_MS + 1) == []
 
@@ -96,20 +96,20 @@
     assert unread.total_bytes == 0 and len(unread) == 0
 
 
-def test_large_body_budget_reserves_what_is_left_and_takes_it_back() -> None:
+def test_large_body_budget_reserves_up_to_its_limit_and_releases() -> None:
     budget = LargeBodyBudget(100)
-    assert budget.reserve(0, UNBUDGETED_BODY_BYTES) == 0  # needs nothing
-    first = budget.reserve(0, UNBUDGETED_BODY_BYTES + 60)
-    assert first == 60
-    more = budget.reserve(first, UNBUDGETED_BODY_BYTES + 90)
-    assert more == 90
-    assert budget.reserve(0, UNBUDGETED_BODY_BYTES + 11) is None  # and reserves nothing
-    assert budget.reserve(0, UNBUDGETED_BODY_BYTES) == 0  # is never rejected
-    assert budget.reserve(more, UNBUDGETED_BODY_BYTES + 101) is None and budget.reserved_bytes == 90
-    budget.release(more)
+    assert budget.reserve(0, UNBUDGETED_BODY_BYTES) == 0  # needs no reservation
+    held_bytes = budget.reserve(0, UNBUDGETED_BODY_BYTES + 60)
+    assert held_bytes == 60
+    grown_bytes = budget.reserve(held_bytes, UNBUDGETED_BODY_BYTES + 90)
+    assert grown_bytes == 90
+    assert budget.reserve(0, UNBUDGETED_BODY_BYTES + 11) is None  # a failed reservation reserves nothing
+    assert budget.reserve(0, UNBUDGETED_BODY_BYTES) == 0  # a small body is never rejected
+    assert budget.reserve(grown_bytes, UNBUDGETED_BODY_BYTES + 101) is None and budget.reserved_bytes == 90
+    budget.release(grown_bytes)
     assert budget.reserved_bytes == 0
 
 
-def test_large_body_budget_is_a_sixteenth_of_the_memory_and_holds_two_bodies() -> None:
+def test_large_body_budget_is_a_sixteenth_of_the_memory_with_a_minimum_of_two_bodies() -> None:
     assert large_body_budget_bytes(192) == 12 * 1024 * 1024
     assert large_body_budget_bytes(1) == MIN_LARGE_BODY_BUDGET_BYTES
--- a/tests/core/test_recovery.py
+++ b/tests/core/test_recovery.py
@@ -1,4 +1,4 @@
-"""Recovery: each pair of state and event, all short histories, and views against a simple model."""
+"""Tests of the recovery: all pairs of state and event, all short histories, and views against a model."""
 
 from __future__ import annotations
 
@@ -27,7 +27,12 @@
 from balancer.interface import EndpointUpdateKind, Phase
 from tests.core.discovery.merger_harness import make_record, make_snapshot
 
-B, P, C, F = RecoveryState.BLANK, RecoveryState.PROVISIONAL, RecoveryState.CONFIRMED, RecoveryState.FULL
+BLANK, PROVISIONAL, CONFIRMED, FULL = (
+    RecoveryState.BLANK,
+    RecoveryState.PROVISIONAL,
+    RecoveryState.CONFIRMED,
+    RecoveryState.FULL,
+)
 DAY_MS = 86_400_000.0
 PERSISTED = recovery.PersistedIncarnation(7, 1_000_000.0)
 
@@ -35,36 +40,38 @@
 def started(
     persisted: recovery.PersistedIncarnation | None = PERSISTED, wall_ms: float = 1_001_000.0, fault: str = ""
 ) -> Recovery:
-    """A node whose process has started, by default with intact persisted state."""
+    """Return a node whose process has started, by default with intact persisted state."""
     node = Recovery(0.0)
     node.handle(0.0, recovery.ProcessStarted(persisted, wall_ms, fault))
     return node
 
 
 def serve(node: Recovery, from_ms: float) -> None:
-    """Serve forty requests a second for 2.2 s."""
+    """Serve 40 requests per second for 2.2 s."""
     for number in range(88):
         node.handle(from_ms + 25.0 * number, recovery.RequestFinished("read", RequestOutcome.SERVED))
 
 
 def node_in_state(state: RecoveryState) -> Recovery:
-    """A node with intact persisted state that is in that state at 10 s."""
+    """Return a node with intact persisted state that is in `state` at 10 s."""
     node = started()
-    if state is not B:
-        node.handle(1.0, recovery.EndpointViewChanged(10, 0 if state is P else 10))
-    if state is F:
+    if state is not BLANK:
+        node.handle(1.0, recovery.EndpointViewChanged(10, 0 if state is PROVISIONAL else 10))
+    if state is FULL:
         serve(node, 5_000.0)
     assert node.state is state
     return node
 
 
 def test_recovery_incarnation_raised_by_a_refutation_keeps_state_and_roles() -> None:
-    """Unlike a later incarnation that peers have seen, which bars roles."""
-    node = node_in_state(F)
+    """A refutation differs from a later incarnation that peers have seen, which bars roles."""
+    node = node_in_state(FULL)
     incarnation = node.incarnation
     actions = node.handle(10_000.0, recovery.IncarnationRaised(incarnation + 1))
     assert actions == [recovery.PersistIncarnation(incarnation + 1)] and node.incarnation == incarnation + 1
-    assert node.persisted_state is PersistedState.INTACT and node.state is F and node.may_take_roles(10_000.0)
+    assert (
+        node.persisted_state is PersistedState.INTACT and node.state is FULL and node.may_take_roles(10_000.0)
+    )
     assert node.handle(10_001.0, recovery.IncarnationRaised(incarnation)) == []
     assert node.incarnation == incarnation + 1
     node.handle(10_002.0, recovery.PeersReportedIncarnation(incarnation + 5))
@@ -75,27 +82,54 @@
 EVENTS: dict[
     str, tuple[recovery.Event, tuple[RecoveryState, RecoveryState, RecoveryState, RecoveryState]]
 ] = {
-    # after which states come blank, provisional, confirmed, full
-    "no backend is left": (recovery.EndpointViewChanged(0, 0), (B, B, B, B)),
-    "all restored": (recovery.EndpointViewChanged(10, 0), (P, P, P, P)),
-    "fewer than half confirmed": (recovery.EndpointViewChanged(10, 4), (P, P, P, P)),
-    "half confirmed": (recovery.EndpointViewChanged(10, 5), (C, C, C, F)),
-    "more confirmed than there are": (recovery.EndpointViewChanged(-1, 5), (B, B, B, B)),
-    "a source responded": (recovery.SourceResponded(), (B, P, C, F)),
-    "the process stalled": (recovery.ProcessStalled(60_000.0), (B, P, P, P)),
-    "peers saw an earlier incarnation": (recovery.PeersReportedIncarnation(7), (B, P, C, F)),
-    "peers never saw it": (recovery.PeersReportedIncarnation(0), (B, P, C, F)),
-    "peers saw a later incarnation": (recovery.PeersReportedIncarnation(9), (B, P, P, P)),
+    # the next states after blank, provisional, confirmed and full
+    "no backend is left": (recovery.EndpointViewChanged(0, 0), (BLANK, BLANK, BLANK, BLANK)),
+    "all restored": (
+        recovery.EndpointViewChanged(10, 0),
+        (PROVISIONAL, PROVISIONAL, PROVISIONAL, PROVISIONAL),
+    ),
+    "fewer than half confirmed": (
+        recovery.EndpointViewChanged(10, 4),
+        (PROVISIONAL, PROVISIONAL, PROVISIONAL, PROVISIONAL),
+    ),
+    "half confirmed": (recovery.EndpointViewChanged(10, 5), (CONFIRMED, CONFIRMED, CONFIRMED, FULL)),
+    "more confirmed than up": (recovery.EndpointViewChanged(-1, 5), (BLANK, BLANK, BLANK, BLANK)),
+    "a source responded": (recovery.SourceResponded(), (BLANK, PROVISIONAL, CONFIRMED, FULL)),
+    "the process stalled": (
+        recovery.ProcessStalled(60_000.0),
+        (BLANK, PROVISIONAL, PROVISIONAL, PROVISIONAL),
+    ),
+    "peers saw an earlier incarnation": (
+        recovery.PeersReportedIncarnation(7),
+        (BLANK, PROVISIONAL, CONFIRMED, FULL),
+    ),
+    "peers never saw it": (recovery.PeersReportedIncarnation(0), (BLANK, PROVISIONAL, CONFIRMED, FULL)),
+    "peers saw a later incarnation": (
+        recovery.PeersReportedIncarnation(9),
+        (BLANK, PROVISIONAL, PROVISIONAL, PROVISIONAL),
+    ),
     "peers saw this incarnation before it was announced": (
         recovery.PeersReportedIncarnation(8),
-        (B, P, P, P),
+        (BLANK, PROVISIONAL, PROVISIONAL, PROVISIONAL),
+    ),
+    "peers report an invalid incarnation": (
+        recovery.PeersReportedIncarnation(-3),
+        (BLANK, PROVISIONAL, CONFIRMED, FULL),
+    ),
+    "peers returned its state": (recovery.PeersReturnedState(), (BLANK, PROVISIONAL, CONFIRMED, FULL)),
+    "a request was served": (
+        recovery.RequestFinished("read", RequestOutcome.SERVED),
+        (BLANK, PROVISIONAL, CONFIRMED, FULL),
+    ),
+    "a request failed": (
+        recovery.RequestFinished("read", RequestOutcome.FAILED),
+        (BLANK, PROVISIONAL, CONFIRMED, FULL),
+    ),
+    "a timer fired": (recovery.TimerFired(), (BLANK, PROVISIONAL, CONFIRMED, FULL)),
+    "the process started": (
+        recovery.ProcessStarted(PERSISTED, 1_001_000.0),
+        (BLANK, PROVISIONAL, CONFIRMED, FULL),
     ),
-    "peers report an invalid incarnation": (recovery.PeersReportedIncarnation(-3), (B, P, C, F)),
-    "peers returned its state": (recovery.PeersReturnedState(), (B, P, C, F)),
-    "a request was served": (recovery.RequestFinished("read", RequestOutcome.SERVED), (B, P, C, F)),
-    "a request failed": (recovery.RequestFinished("read", RequestOutcome.FAILED), (B, P, C, F)),
-    "a timer fired": (recovery.TimerFired(), (B, P, C, F)),
-    "the process started": (recovery.ProcessStarted(PERSISTED, 1_001_000.0), (B, P, C, F)),
 }
 
 
@@ -115,41 +149,51 @@
 def test_recovery_tables_are_complete() -> None:
     assert set(recovery.TRANSITIONS) == set(RecoveryState) == set(recovery.PERMISSIONS)
     assert all(set(row) == set(Trigger) for row in recovery.TRANSITIONS.values())
-    assert not recovery.PERMISSIONS[B].may_hold_roles and not recovery.PERMISSIONS[P].may_hold_roles
+    assert (
+        not recovery.PERMISSIONS[BLANK].may_hold_roles
+        and not recovery.PERMISSIONS[PROVISIONAL].may_hold_roles
+    )
 
 
 @pytest.mark.parametrize(
-    ("persisted", "wall_ms", "fault", "memory", "incarnation", "barred"),
+    ("persisted", "wall_ms", "fault", "persisted_state", "incarnation", "is_barred"),
     [
         (None, 1e12, "", PersistedState.NONE, 1, True),
         (None, 1e12, "a checksum is wrong", PersistedState.LOST, 1, True),
         (PERSISTED, 1_001_000.0, "", PersistedState.INTACT, 8, False),
-        # a clock a day ahead, or a backup
+        # a clock two days ahead, or an old backup
         (PERSISTED, 1_000_000.0 + 2 * DAY_MS, "", PersistedState.OUTDATED, 8, True),
-        (PERSISTED, 1_000_000.0 - DAY_MS, "", PersistedState.OUTDATED, 8, True),  # a day back
-        (PERSISTED, 1_000_000.0 - 500.0, "", PersistedState.INTACT, 8, False),  # as clocks are set
+        (PERSISTED, 1_000_000.0 - DAY_MS, "", PersistedState.OUTDATED, 8, True),  # a clock a day behind
+        (
+            PERSISTED,
+            1_000_000.0 - 500.0,
+            "",
+            PersistedState.INTACT,
+            8,
+            False,
+        ),  # within the tolerance for clock changes
         (PERSISTED, math.nan, "", PersistedState.OUTDATED, 8, True),
         (recovery.PersistedIncarnation(-4, 1.0), 2.0, "", PersistedState.LOST, 1, True),
         (recovery.PersistedIncarnation(1 << 60, 1.0), 2.0, "", PersistedState.LOST, 1, True),
     ],
 )
-def test_recovery_process_started_judges_the_persisted_state(
+def test_recovery_process_started_classifies_the_persisted_state(
     persisted: recovery.PersistedIncarnation | None,
     wall_ms: float,
     fault: str,
-    memory: PersistedState,
+    persisted_state: PersistedState,
     incarnation: int,
-    barred: bool,
+    is_barred: bool,
 ) -> None:
     node = started(persisted, wall_ms, fault)
     node.handle(1.0, recovery.EndpointViewChanged(3, 3))
     assert (node.persisted_state, node.incarnation, node.may_take_roles(2.0)) == (
-        memory,
+        persisted_state,
         incarnation,
-        not barred,
+        not is_barred,
     )
     assert 0.0 <= node.persisted_age_ms <= DAY_MS and node.may_take_roles(recovery.ROLE_HOLD_OFF_MS)
-    assert any("roles" in text for text in node.pending_conditions(2.0)) == barred
+    assert any("roles" in text for text in node.pending_conditions(2.0)) == is_barred
 
 
 def test_recovery_lost_state_continues_the_incarnation_that_peers_saw() -> None:
@@ -172,13 +216,13 @@
 
 
 def test_recovery_echo_of_the_announced_incarnation_changes_nothing() -> None:
-    node = node_in_state(C)
+    node = node_in_state(CONFIRMED)
     node.mark_incarnation_announced()
     assert node.handle(10_000.0, recovery.PeersReportedIncarnation(8)) == [] and node.incarnation == 8
 
 
 @pytest.mark.parametrize(
-    ("persisted", "fault", "memory"),
+    ("persisted", "fault", "persisted_state"),
     [
         (PERSISTED, "", PersistedState.OUTDATED),
         (None, "", PersistedState.OUTDATED),
@@ -186,9 +230,9 @@
     ],
 )
 def test_recovery_stall_before_or_after_persisted_state_is_read_bars_roles(
-    persisted: recovery.PersistedIncarnation | None, fault: str, memory: PersistedState
+    persisted: recovery.PersistedIncarnation | None, fault: str, persisted_state: PersistedState
 ) -> None:
-    """A disk may take longer than the process runs before it is stalled."""
+    """The process may stall before a slow disk has returned the persisted state."""
     order: list[recovery.Event] = [
         recovery.ProcessStarted(persisted, 1_001_000.0, fault),
         recovery.ProcessStalled(3_000.0),
@@ -197,22 +241,22 @@
         node = Recovery(0.0)
         for event in events:
             node.handle(5_000.0, event)
-        assert node.persisted_state is memory and node.is_awaiting_source
+        assert node.persisted_state is persisted_state and node.is_awaiting_source
         assert node.roles_barred_until_ms == 5_000.0 + recovery.ROLE_HOLD_OFF_MS
 
 
 def test_recovery_stalled_process_waits_for_a_source_and_for_its_roles() -> None:
-    node = node_in_state(F)
+    node = node_in_state(FULL)
     assert node.may_take_roles(9_000.0)
     node.handle(70_000.0, recovery.ProcessStalled(60_000.0))
-    node.handle(70_001.0, recovery.EndpointViewChanged(10, 10))  # as before the stall: it proves nothing
-    assert node.state is P and node.persisted_state is PersistedState.OUTDATED
+    node.handle(70_001.0, recovery.EndpointViewChanged(10, 10))  # the view from before the stall
+    assert node.state is PROVISIONAL and node.persisted_state is PersistedState.OUTDATED
     node.handle(70_002.0, recovery.SourceResponded())
-    assert node.state is C and not node.may_take_roles(80_000.0) and node.may_take_roles(100_000.0)
+    assert node.state is CONFIRMED and not node.may_take_roles(80_000.0) and node.may_take_roles(100_000.0)
 
 
-def test_recovery_clock_set_back_stands_still() -> None:
-    node = node_in_state(C)
+def test_recovery_clock_set_back_keeps_the_latest_time() -> None:
+    node = node_in_state(CONFIRMED)
     node.handle(10_000.0, recovery.EndpointViewChanged(0, 0))
     node.handle(5_000.0, recovery.EndpointViewChanged(9, 9))
     assert node.since_ms == 10_000.0
@@ -222,7 +266,7 @@
 
 
 def phases_of(outcomes: Iterable[tuple[float, RequestOutcome]]) -> dict[str, float]:
-    """The phases that these outcomes, by time, reach."""
+    """Return the phases that these outcomes, each with its time, reach."""
     meter = ServiceMeter(0.0)
     for at_ms, outcome in outcomes:
         meter.record_outcome(at_ms, "read", outcome)
@@ -232,13 +276,13 @@
 def outcomes_every(
     interval_ms: float, until_ms: float, outcome_at: Callable[[float], RequestOutcome]
 ) -> Iterator[tuple[float, RequestOutcome]]:
-    """An outcome at each interval."""
+    """Yield an outcome at each interval."""
     times = (interval_ms * number for number in range(1, int(until_ms / interval_ms)))
     return ((at_ms, outcome_at(at_ms)) for at_ms in times)
 
 
 @pytest.mark.parametrize("interval_ms", [1.0, 10.0, 90.0])
-def test_meter_full_service_counts_from_the_beginning_of_its_window(interval_ms: float) -> None:
+def test_meter_full_service_is_dated_to_the_beginning_of_its_window(interval_ms: float) -> None:
     phases = phases_of(
         outcomes_every(
             interval_ms, 10_000.0, lambda at: RequestOutcome.FAILED if at < 3_000 else RequestOutcome.SERVED
@@ -248,7 +292,7 @@
     assert 3_000.0 <= phases["first answer"] == phases["first answer: read"] < 3_100.0
 
 
-def test_meter_rejections_by_backends_do_not_count() -> None:
+def test_meter_rejections_by_backends_are_not_counted() -> None:
     outcomes = [
         (10.0 * n, RequestOutcome.REJECTED_BY_BACKENDS if n % 3 else RequestOutcome.SERVED)
         for n in range(1, 1_000)
@@ -260,7 +304,7 @@
     )
 
 
-def test_meter_ten_percent_of_failures_is_no_full_service() -> None:
+def test_meter_with_ten_percent_failures_is_not_in_full_service() -> None:
     assert "full" not in phases_of(
         outcomes_every(
             10.0, 60_000.0, lambda at: RequestOutcome.FAILED if at % 100 == 0 else RequestOutcome.SERVED
@@ -268,7 +312,7 @@
     )
 
 
-def test_meter_few_requests_are_judged_by_the_longest_window() -> None:
+def test_meter_with_few_requests_uses_the_longest_window() -> None:
     slow = phases_of(outcomes_every(5_000.0, 29_000.0, lambda at: RequestOutcome.SERVED))
     assert "full" not in slow and "first answer" in slow
     assert phases_of(outcomes_every(5_000.0, 40_000.0, lambda at: RequestOutcome.SERVED))["full"] <= 5_000.0
@@ -292,7 +336,7 @@
     node.handle(1.0, recovery.EndpointViewChanged(1, 1))
     serve(node, 10.0)
     names = [row["name"] for row in node.status(5_000.0)["phases"]]
-    assert names[0] == "imports" and "full" in names and "files" not in names and node.state is F
+    assert names[0] == "imports" and "full" in names and "files" not in names and node.state is FULL
 
 
 # --- all histories of four events, after each kind of start
@@ -319,28 +363,34 @@
         for history in itertools.product(HISTORY_EVENTS, repeat=4):
             node = Recovery(0.0)
             node.handle(0.0, recovery.ProcessStarted(persisted, 1_000_500.0, fault))
-            up, seen, sure, quiet, now = 0, 0, persisted is PERSISTED, False, 0.0
+            up_count, seen_incarnation, is_state_trusted, is_awaiting_source, now_ms = (
+                0,
+                0,
+                persisted is PERSISTED,
+                False,
+                0.0,
+            )
             for event in history:
-                now += 1_000.0
-                incarnation, known = node.incarnation, node.incarnation
-                node.handle(now, event)
+                now_ms += 1_000.0
+                incarnation, previous_incarnation = node.incarnation, node.incarnation
+                node.handle(now_ms, event)
                 match event:
                     case recovery.EndpointViewChanged():
-                        up = event.up_count
+                        up_count = event.up_count
                     case recovery.ProcessStalled():
-                        sure, quiet = False, True
+                        is_state_trusted, is_awaiting_source = False, True
                     case recovery.SourceResponded():
-                        quiet = False
+                        is_awaiting_source = False
                     case recovery.PeersReturnedState():
-                        sure = True
+                        is_state_trusted = True
                     case recovery.PeersReportedIncarnation():
-                        seen = max(seen, event.incarnation)
-                        sure = event.incarnation < known
-                assert node.incarnation >= incarnation and node.incarnation > seen, history
-                assert not node.may_take_roles(now) or (sure and up), history
-                assert (node.state is B) == (not up), history
-                assert not quiet or node.state in (B, P), history
-                assert node.state is not F, "four requests are too few for full service"
+                        seen_incarnation = max(seen_incarnation, event.incarnation)
+                        is_state_trusted = event.incarnation < previous_incarnation
+                assert node.incarnation >= incarnation and node.incarnation > seen_incarnation, history
+                assert not node.may_take_roles(now_ms) or (is_state_trusted and up_count), history
+                assert (node.state is BLANK) == (not up_count), history
+                assert not is_awaiting_source or node.state in (BLANK, PROVISIONAL), history
+                assert node.state is not FULL, "four requests are too few for full service"
 
 
 # --- views
@@ -348,7 +398,7 @@
 
 @dataclass
 class SourceModel:
-    """A source as it is: what it lists now, and what it listed before."""
+    """The actual content of a source: what it lists now, and what it listed before."""
 
     cluster: str = "1"
     revision: int = 1
@@ -361,42 +411,42 @@
 
 
 class RecoveringNode(RuleBasedStateMachine):
-    """A node that crashes and restarts from what its store had synced, with three sources that go back."""
+    """A node that restarts from what its store had synced, with three sources that may return older lists."""
 
     @initialize()
     def begin(self) -> None:
-        self.truth = {name: SourceModel() for name in SOURCES}
+        self.models = {name: SourceModel() for name in SOURCES}
         self.synced: dict[str, tuple[str, EndpointList]] = {}
         self.written: dict[str, tuple[str, EndpointList]] = {}
         self.incarnation, self.now = 0, 0.0
         self.start()
 
     def start(self) -> None:
-        """What the store has comes first; its revisions count as seen."""
+        """Start with the content of the store, whose revisions count as seen."""
         self.merge = EndpointMerger([Source(name) for name in SOURCES])
         self.node = Recovery(self.now)
         persisted = recovery.PersistedIncarnation(self.incarnation, self.now) if self.incarnation else None
         actions = self.node.handle(self.now, recovery.ProcessStarted(persisted, self.now + 5.0))
         self.incarnation = next(a.incarnation for a in actions if isinstance(a, recovery.PersistIncarnation))
-        self.written, self.told = dict(self.synced), dict[str, EndpointRecord]()
+        self.written, self.announced = dict(self.synced), dict[str, EndpointRecord]()
         for name, (cluster, listing) in self.synced.items():
-            self.hand(
+            self.apply_event(
                 endpoint_merger.EndpointsListed(name, cluster, listing, is_cached=True, cached_age_ms=5.0)
             )
 
-    def hand(self, event: endpoint_merger.Event) -> None:
+    def apply_event(self, event: endpoint_merger.Event) -> None:
         self.now += 1.0
         work = [event]
         while work:
-            for act in self.merge.handle(self.now, work.pop()):
-                if isinstance(act, endpoint_merger.ScheduleNextSlice):
+            for action in self.merge.handle(self.now, work.pop()):
+                if isinstance(action, endpoint_merger.ScheduleNextSlice):
                     work.append(endpoint_merger.NextSliceDue())
-                elif isinstance(act, endpoint_merger.ApplyEndpoints):  # as the module takes it
-                    if act.kind is not EndpointUpdateKind.INCREMENTAL:
-                        self.told = {}
-                    self.told |= {one.id: one for one in act.records}
-                    for one in act.removed_records:
-                        self.told.pop(one.id, None)
+                elif isinstance(action, endpoint_merger.ApplyEndpoints):  # as the policy applies it
+                    if action.kind is not EndpointUpdateKind.INCREMENTAL:
+                        self.announced = {}
+                    self.announced |= {one.id: one for one in action.records}
+                    for one in action.removed_records:
+                        self.announced.pop(one.id, None)
         up = [held.endpoint for held in self.merge.view.values() if held.endpoint.phase is Phase.UP]
         self.node.handle(
             self.now, recovery.EndpointViewChanged(len(up), sum(e.cached_age_ms is None for e in up))
@@ -404,37 +454,39 @@
 
     @rule(name=st.sampled_from(SOURCES), change=st.sampled_from(NAMES))
     def a_source_changes(self, name: str, change: str) -> None:
-        one = self.truth[name]
-        one.past.append((one.revision, frozenset(one.names)))
-        one.names ^= {change}
-        one.revision += 1
+        model = self.models[name]
+        model.past.append((model.revision, frozenset(model.names)))
+        model.names ^= {change}
+        model.revision += 1
 
     @rule(name=st.sampled_from(SOURCES))
     def a_source_is_heard(self, name: str) -> None:
-        one = self.truth[name]
-        self.hand(
+        model = self.models[name]
+        self.apply_event(
             endpoint_merger.EndpointsListed(
-                name, one.cluster, make_snapshot(one.revision, *map(make_record, sorted(one.names)))
+                name, model.cluster, make_snapshot(model.revision, *map(make_record, sorted(model.names)))
             )
         )
 
     @rule(name=st.sampled_from(SOURCES), back=st.integers(0, 3), watched=st.booleans())
     def a_source_tells_of_the_past(self, name: str, back: int, watched: bool) -> None:
-        one = self.truth[name]
-        if len(one.past) > back:
-            revision, names = one.past[-1 - back]
+        model = self.models[name]
+        if len(model.past) > back:
+            revision, names = model.past[-1 - back]
             listing = make_snapshot(revision, *map(make_record, sorted(names)))
-            self.hand(endpoint_merger.EndpointsListed(name, one.cluster, listing, is_from_watch=watched))
+            self.apply_event(
+                endpoint_merger.EndpointsListed(name, model.cluster, listing, is_from_watch=watched)
+            )
 
     @rule(name=st.sampled_from(SOURCES))
     def a_source_shows_that_it_lives(self, name: str) -> None:
-        if (seen := self.merge.sources[name].revision) == self.truth[name].revision and seen is not None:
-            self.hand(endpoint_merger.SourceConfirmedCurrent(name))
+        if (seen := self.merge.sources[name].revision) == self.models[name].revision and seen is not None:
+            self.apply_event(endpoint_merger.SourceConfirmedCurrent(name))
 
     @rule(name=st.sampled_from(SOURCES))
     def a_source_is_set_up_anew(self, name: str) -> None:
-        one = self.truth[name]
-        self.truth[name] = SourceModel(str(int(one.cluster) + 1), 1, {NAMES[0]})
+        model = self.models[name]
+        self.models[name] = SourceModel(str(int(model.cluster) + 1), 1, {NAMES[0]})
 
     @rule(synced=st.booleans())
     def the_view_is_written(self, synced: bool) -> None:
@@ -454,7 +506,7 @@
         assert self.incarnation > before and self.node.persisted_state is PersistedState.INTACT
 
     @invariant()
-    def no_view_is_older_than_what_was_durably_seen(self) -> None:
+    def no_view_is_older_than_the_synced_one(self) -> None:
         for name, (cluster, listing) in self.synced.items():
             source = self.merge.sources[name]
             if source.identity == cluster:
@@ -463,15 +515,15 @@
                     assert set(source.records) == {one.id for one in listing.records}
 
     @invariant()
-    def the_view_is_what_the_sources_said_last(self) -> None:
+    def the_view_matches_the_last_lists_of_the_sources(self) -> None:
         sources = self.merge.sources.values()
         listed = set().union(*(source.records for source in sources))
         removed = set().union(*(source.removed_ids for source in sources))
-        assert set(self.merge.view) == listed - removed and self.told == self.merge.view
-        assert (self.node.state is B) == (not self.merge.view)
+        assert set(self.merge.view) == listed - removed and self.announced == self.merge.view
+        assert (self.node.state is BLANK) == (not self.merge.view)
 
     @invariant()
-    def whoever_is_vouched_for_is_so_by_a_source_that_spoke(self) -> None:
+    def endpoints_are_confirmed_only_by_a_source_that_responded(self) -> None:
         for name, held in self.merge.view.items():
             ages = [
                 s.records[name].endpoint.cached_age_ms
--- a/tests/core/test_staggering.py
+++ b/tests/core/test_staggering.py
@@ -1,4 +1,4 @@
-"""Staggered schedules: even for any number of nodes, also of retries, and never before `Retry-After`."""
+"""Tests of staggered schedules: calls and retries are spread evenly, and never before `Retry-After`."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 from balancer.core.staggering import MAX_PERIOD_MS, StaggeredSchedule
 
 
-def peak(calls_ms: list[float], within_ms: float) -> int:
-    """The most calls in any interval of this length."""
+def max_calls_within(calls_ms: list[float], interval_ms: float) -> int:
+    """Return the maximum number of calls in any interval of this length."""
     ordered = sorted(calls_ms)
-    return max(bisect_left(ordered, at + within_ms) - n for n, at in enumerate(ordered))
+    return max(bisect_left(ordered, at_ms + interval_ms) - index for index, at_ms in enumerate(ordered))
 
 
 @pytest.mark.parametrize("node_count", [2, 7, 20, 50, 333, 1_000, 5_000])
@@ -23,20 +23,24 @@
     fleet = [StaggeredSchedule(node_index, node_count, 50.0) for node_index in range(node_count)]
     interval_ms = fleet[0].period_ms / 20
     calls_ms = [schedule.first_delay_ms() for schedule in fleet]
-    assert peak(calls_ms, interval_ms) <= 1.6 * node_count / 20 + 2  # random delays: 3 times the mean at 20
+    assert (
+        max_calls_within(calls_ms, interval_ms) <= 1.6 * node_count / 20 + 2
+    )  # random delays give 3 times the mean at 20 nodes
 
 
 def test_schedule_retries_are_spread_evenly_and_never_before_retry_after() -> None:
     fleet = [StaggeredSchedule(node_index, 1_000, 50.0) for node_index in range(1_000)]
-    calls = [schedule.first_delay_ms() for schedule in fleet]
+    calls_ms = [schedule.first_delay_ms() for schedule in fleet]
     for retry_after_ms in (0.0, 40_000.0):
-        delays = [schedule.retry_delay_ms(False, retry_after_ms) for schedule in fleet]
-        assert min(delays) >= max(retry_after_ms, 0.999 * fleet[0].period_ms)  # one call a node in a period
-        calls = [at + delay for at, delay in zip(calls, delays, strict=True)]
-        assert peak(calls, 1_000.0) <= 1.6 * 40 + 2
+        delays_ms = [schedule.retry_delay_ms(False, retry_after_ms) for schedule in fleet]
+        assert min(delays_ms) >= max(
+            retry_after_ms, 0.999 * fleet[0].period_ms
+        )  # one call per node and period
+        calls_ms = [at_ms + delay_ms for at_ms, delay_ms in zip(calls_ms, delays_ms, strict=True)]
+        assert max_calls_within(calls_ms, 1_000.0) <= 1.6 * 40 + 2
 
 
-def test_schedule_rejection_doubles_the_period_and_unreachable_server_does_not() -> None:
+def test_schedule_rejections_double_the_period_and_other_failures_do_not() -> None:
     schedule = StaggeredSchedule(3, 1_000, 50.0)
     base_ms = schedule.period_ms
     schedule.retry_delay_ms(False)
