--- a/balancer/core/anomaly_detection/anomaly_log.py
+++ b/balancer/core/anomaly_detection/anomaly_log.py
@@ -46,7 +46,7 @@
 
     def __init__(self, baselines: Baselines) -> None:
         self.baselines = baselines
-        self.open: dict[int, Anomaly] = {}
+        self.open_anomalies: dict[int, Anomaly] = {}
         self.suppressed_count = 0  # anomalies and events that were not reported individually
         self._last_id = 0
         self._events: list[TimelineEvent] = []
@@ -81,7 +81,7 @@
         class_name: str = "",
     ) -> Anomaly | None:
         """Open an anomaly with this evidence; return None if too many are open."""
-        if len(self.open) >= MAX_OPEN_ANOMALIES:
+        if len(self.open_anomalies) >= MAX_OPEN_ANOMALIES:
             self._suppress(signal, group.subject)
             return None
         self._last_id += 1
@@ -98,7 +98,7 @@
             class_name,
             last_observed_ms=now_ms,
         )
-        self.open[anomaly.id] = anomaly
+        self.open_anomalies[anomaly.id] = anomaly
         self._report(anomaly, EventType.ANOMALY_BEGAN)
         return anomaly
 
@@ -111,7 +111,7 @@
     def _absorb(self, signal: Signal, servers: set[str]) -> None:
         """End the anomalies of single servers that the next anomaly covers."""
         related = shared_causes.related_signals(signal)
-        for anomaly in list(self.open.values()):
+        for anomaly in list(self.open_anomalies.values()):
             if anomaly.scope is Scope.SERVER and anomaly.subject in servers and anomaly.signal in related:
                 part_of = f"part of event {self._last_id + 1}"
                 anomaly.evidence = {**anomaly.evidence, "ended_as": part_of}
@@ -119,21 +119,21 @@
 
     # --- open anomalies
 
-    def add_to_open(self, signal: Signal, name: str, suspicion: Suspicion) -> bool:
+    def update_if_open(self, signal: Signal, name: str, suspicion: Suspicion) -> bool:
         """Update the open anomaly that covers a server's suspicion; return whether there is one."""
-        for anomaly in self.open.values():
+        for anomaly in self.open_anomalies.values():
             if shared_causes.is_part_of(anomaly, signal, name, self.baselines.servers):
                 anomaly.servers.add(name)
                 self._update(anomaly, suspicion)
                 return True
         return False
 
-    def is_open_alone(self, signal: Signal, name: str) -> bool:
+    def has_open_server_anomaly(self, signal: Signal, name: str) -> bool:
         """Whether an anomaly of this single server is open."""
         related = shared_causes.related_signals(signal)
         return any(
             anomaly.scope is Scope.SERVER and anomaly.subject == name and anomaly.signal in related
-            for anomaly in self.open.values()
+            for anomaly in self.open_anomalies.values()
         )
 
     def _update(self, anomaly: Anomaly, suspicion: Suspicion) -> None:
@@ -150,7 +150,7 @@
 
     def count_row(self, server: ServerState) -> None:
         """Count a server's row as normal or anomalous in its open anomalies."""
-        for anomaly in self.open.values():
+        for anomaly in self.open_anomalies.values():
             if server.name in anomaly.servers and anomaly.scope not in (Scope.CLASS, Scope.NODE):
                 anomaly.last_observed_ms = self.baselines.now_ms
                 if is_still_anomalous(anomaly, server):
@@ -158,7 +158,7 @@
                 else:
                     anomaly.normal_rows += 1
 
-    def count_shift(self, anomaly: Anomaly, is_present: bool) -> None:
+    def count_shift_round(self, anomaly: Anomaly, is_present: bool) -> None:
         """Count a round for the shift of a class or of the fleet, and end the shift once it has recovered."""
         anomaly.normal_rows = 0 if is_present else anomaly.normal_rows + 1
         anomaly.last_observed_ms = self.baselines.now_ms
@@ -169,7 +169,7 @@
 
     def end_recovered(self) -> None:
         """End the anomalies of servers that are normal again or are no longer observed."""
-        for anomaly in list(self.open.values()):
+        for anomaly in list(self.open_anomalies.values()):
             if anomaly.scope in (Scope.CLASS, Scope.NODE) or anomaly.is_fleet_shift:
                 continue
             if anomaly.normal_rows >= RECOVERY_ROWS * max(1, len(anomaly.servers)):
@@ -186,7 +186,7 @@
         self._close(anomaly)
 
     def _close(self, anomaly: Anomaly) -> None:
-        del self.open[anomaly.id]
+        del self.open_anomalies[anomaly.id]
         self._suppressed.clear()
         for name in anomaly.servers:
             if (server := self.baselines.servers.get(name)) is not None:
@@ -224,11 +224,11 @@
             kind = event.event_type, event.signal, event.scope
             (rest if kind in seen else first).append((number, event))
             seen.add(kind)
-        kept: list[tuple[int, TimelineEvent]] = []
+        selected: list[tuple[int, TimelineEvent]] = []
         for item in (first + rest)[:MAX_EVENTS_PER_ROUND]:
-            insort(kept, item, key=lambda pair: pair[0])
-        self.suppressed_count += len(events) - len(kept)
-        return [event for _, event in kept]
+            insort(selected, item, key=lambda pair: pair[0])
+        self.suppressed_count += len(events) - len(selected)
+        return [event for _, event in selected]
 
 
 def is_still_anomalous(anomaly: Anomaly, server: ServerState) -> bool:
--- a/balancer/core/anomaly_detection/detector.py
+++ b/balancer/core/anomaly_detection/detector.py
@@ -51,7 +51,7 @@
     @property
     def open_anomalies(self) -> dict[int, Anomaly]:
         """The anomalies that have begun and not ended, by ID."""
-        return self.log.open
+        return self.log.open_anomalies
 
     @property
     def suppressed_count(self) -> int:
@@ -90,7 +90,7 @@
         unassigned = {
             name: suspicion
             for name, suspicion in crossed.items()
-            if not self.log.add_to_open(signal, name, suspicion)
+            if not self.log.update_if_open(signal, name, suspicion)
         }
         if not unassigned:
             return
@@ -99,8 +99,8 @@
             name: suspicion
             for name, suspicion in shared_causes.suspects(signal, unassigned, active).items()
             if name in unassigned
-            or not self.log.add_to_open(signal, name, suspicion)
-            or self.log.is_open_alone(signal, name)
+            or not self.log.update_if_open(signal, name, suspicion)
+            or self.log.has_open_server_anomaly(signal, name)
         }
         if len(suspected) > 1 and self._must_wait(signal):
             return  # they cross the threshold again in the next round
--- a/balancer/core/anomaly_detection/fleet_shifts.py
+++ b/balancer/core/anomaly_detection/fleet_shifts.py
@@ -38,11 +38,11 @@
     tested = _tested_references(baselines)
     shifts = [shift for shift in tested if _has_shifted(baselines, shift.reference)]
     names = {shift.class_name for shift in shifts}
-    open_shifts = [anomaly for anomaly in log.open.values() if anomaly.is_fleet_shift]
+    open_shifts = [anomaly for anomaly in log.open_anomalies.values() if anomaly.is_fleet_shift]
     for anomaly in open_shifts:
         is_present = bool(names) if anomaly.scope is Scope.FLEET else anomaly.subject in names
-        log.count_shift(anomaly, is_present)
-    if any(_is_fleet_response_time(anomaly.scope, anomaly.signal) for anomaly in log.open.values()):
+        log.count_shift_round(anomaly, is_present)
+    if any(_is_fleet_response_time(anomaly.scope, anomaly.signal) for anomaly in log.open_anomalies.values()):
         return
     reported = {anomaly.subject for anomaly in open_shifts}
     unreported = [shift for shift in shifts if shift.class_name not in reported]
--- a/balancer/core/anomaly_detection/node_stalls.py
+++ b/balancer/core/anomaly_detection/node_stalls.py
@@ -33,7 +33,7 @@
                 self._begin(log, total_ms)
         elif not self.stalls and self.anomaly is not None:
             anomaly, self.anomaly = self.anomaly, None
-            if anomaly.id in log.open:
+            if anomaly.id in log.open_anomalies:
                 log.end(anomaly)
 
     def _begin(self, log: AnomalyLog, total_ms: float) -> None:
--- a/tests/core/persistence/test_write_behind.py
+++ b/tests/core/persistence/test_write_behind.py
@@ -30,14 +30,16 @@
     return [action for action in actions if isinstance(action, write_behind.WriteRows)]
 
 
-def started(**more: Any) -> write_behind.WriteBehind:
-    out = write_behind.WriteBehind(10_000, DAY_MS)
-    first = writes(
-        out.handle(0, write_behind.StoreOpened(IDENTITY, more.get("rows", {}), more.get("order", 0), NOW_MS))
+def started(**options: Any) -> write_behind.WriteBehind:
+    writer = write_behind.WriteBehind(10_000, DAY_MS)
+    first_writes = writes(
+        writer.handle(
+            0, write_behind.StoreOpened(IDENTITY, options.get("rows", {}), options.get("order", 0), NOW_MS)
+        )
     )
-    assert [w.changes for w in first] == [((("self", "node"), IDENTITY),)]
-    out.handle(0, write_behind.WriteCommitted(first[0].write_number))
-    return out
+    assert [write.changes for write in first_writes] == [((("self", "node"), IDENTITY),)]
+    writer.handle(0, write_behind.WriteCommitted(first_writes[0].write_number))
+    return writer
 
 
 class StoreLanes(RuleBasedStateMachine):
