--- a/balancer/core/anomaly_detection/anomaly_log.py
+++ b/balancer/core/anomaly_detection/anomaly_log.py
@@ -32,9 +32,7 @@
 MAX_REMEMBERED_SUPPRESSIONS = 20_000  # so that an anomaly that cannot be opened is counted once
 
 RECOVERY_ROWS = 8  # normal rows per server that end an anomaly
-ANOMALOUS_ROW_COST = (
-    2  # normal rows that one anomalous row cancels, so that an intermittent fault does not end
-)
+ANOMALOUS_ROW_COST = 2  # normal rows cancelled by an anomalous one: an intermittent fault does not end
 MIN_UPDATE_INTERVAL_MS = 10_000.0  # between two events of one anomaly
 MIN_UPDATE_CHANGE_RATIO = 0.25  # of the reported value
 MIN_UPDATE_SERVERS_RATIO = 1.2  # of the reported number of servers
--- a/balancer/core/anomaly_detection/baselines.py
+++ b/balancer/core/anomaly_detection/baselines.py
@@ -35,7 +35,7 @@
 REFERENCE_INTERVAL_MS = 1_000.0  # between two updates of the references
 REFERENCE_SAMPLE_SERVERS = 500  # sampled for one update, to bound its work
 MIN_REFERENCE_RESPONSES = 5  # of a server, before its running mean contributes to a reference
-MIN_PEER_SERVERS = 3  # of a kind; with fewer, servers of all kinds are peers; no reference below this number
+MIN_PEER_SERVERS = 3  # of a kind, else all kinds are peers; with fewer in total there is no reference
 RUNNING_MEAN_RESPONSES = 40.0  # window of a running mean
 WARM_UP_ROWS = 45  # of a level, summed over all servers, before it is tested
 
@@ -97,10 +97,7 @@
         self.offset_rows = self.offset_minutes = 0.0  # numbers that the offsets were learned from
         self.row_cusum = Cusum(cusum.SCORE_CAP_RATIO * cusum.ROW_DECISION_THRESHOLD)
         self.minute_cusum = Cusum(cusum.SCORE_CAP_RATIO * cusum.MINUTE_DECISION_THRESHOLD)
-        self.minute_sums = [
-            0.0,
-            0.0,
-        ]  # responses of this minute, and the sum of their distances from the reference
+        self.minute_sums = [0.0, 0.0]  # responses of this minute, and the sum of their reference distances
         self.last_observed_ms = 0.0
 
     @property
--- a/balancer/core/connection_admission.py
+++ b/balancer/core/connection_admission.py
@@ -26,9 +26,7 @@
 
 UNREAD_BUDGET_DIVISOR = 8  # of the node's memory
 MIN_UNREAD_BUDGET_BYTES = 4 * 1024 * 1024
-READ_STALL_TIMEOUT_MS = (
-    5_000.0  # without progress; the kernel's buffers hide shorter pauses of a client that reads
-)
+READ_STALL_TIMEOUT_MS = 5_000.0  # without progress; kernel buffers hide shorter pauses of a reading client
 READ_PROGRESS_GRACE_MS = 200.0  # over budget; a client that reads makes progress within it
 
 Key = TypeVar("Key")
--- a/balancer/core/persistence/restoration.py
+++ b/balancer/core/persistence/restoration.py
@@ -239,7 +239,7 @@
     source: str,
     newer_list: ListedIds | None = None,
 ) -> EndpointList | None:
-    """Return a source's list at `revision` without the endpoints that it withdrew later; None if it has none.
+    """Return a source's list at `revision` without the endpoints withdrawn later; None if there are none.
 
     All withdrawals apply to a source that has listed nothing (`revision` is None). Unlike the view,
     withdrawals do not expire: a list from before a withdrawal is wrong however old both are, and if the clock
--- a/balancer/core/shutdown_deadlines.py
+++ b/balancer/core/shutdown_deadlines.py
@@ -18,9 +18,7 @@
 ACCEPT_DURATION_MS = 500.0  # longer than the 0.4 s in which connections arrive
 RESPONSE_MARGIN_MS = 500.0  # after the longest deadline; ends at least 0.2 s before SIGKILL
 FIRST_BYTE_TIMEOUT_MS = 200.0  # of a new connection: its client has a request to send
-MIN_DRAIN_DURATION_MS = (
-    3 * SETTLE_DURATION_MS
-)  # to read the sockets of a stalled process, however old the signal is
+MIN_DRAIN_DURATION_MS = 3 * SETTLE_DURATION_MS  # reads the sockets of a stalled process despite an old signal
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/core/anomaly_detection/test_detector.py
+++ b/tests/core/anomaly_detection/test_detector.py
@@ -37,7 +37,7 @@
         return "abc"[int(name[1:]) % 3]
 
     def observation(self, name: str, factors: dict[str, float], errors: float = 0.001) -> ServerObservation:
-        """Return one second of a server; `factors` multiplies its response times by class."""
+        """Return one second of a server: `factors` scale its response times by class, `errors` is a ratio."""
         rng, observed = self.rng, ServerObservation(name, self.zone(name), "m", int(name[1:]) % 7)
         for class_name, usual_ms in USUAL_MS.items():
             count = sum(rng.random() < self.rate_per_s / 40 for _ in range(20))
@@ -299,9 +299,8 @@
         return observed
 
     streams = ServerStreams().run_normal()
-    idle_events = streams.run(
-        3, change=lambda observed: unchanged(observed, 1)
-    )  # the unchanged report may be correct
+    # The own count hardly varies, so the unchanged report may be correct.
+    idle_events = streams.run(3, change=lambda observed: unchanged(observed, 1))
     assert begun_anomalies(idle_events) == []
     busy_events = streams.run(3, change=lambda observed: unchanged(observed, 4))
     assert begun_anomalies(busy_events) == [(Scope.SERVER, "s3", Signal.STALE_REPORT)]
--- a/tests/core/test_recovery.py
+++ b/tests/core/test_recovery.py
@@ -164,14 +164,8 @@
         # a clock two days ahead, or an old backup
         (PERSISTED, 1_000_000.0 + 2 * DAY_MS, "", PersistedState.OUTDATED, 8, True),
         (PERSISTED, 1_000_000.0 - DAY_MS, "", PersistedState.OUTDATED, 8, True),  # a clock a day behind
-        (
-            PERSISTED,
-            1_000_000.0 - 500.0,
-            "",
-            PersistedState.INTACT,
-            8,
-            False,
-        ),  # within the tolerance for clock changes
+        # within the tolerance for clock changes
+        (PERSISTED, 1_000_000.0 - 500.0, "", PersistedState.INTACT, 8, False),
         (PERSISTED, math.nan, "", PersistedState.OUTDATED, 8, True),
         (recovery.PersistedIncarnation(-4, 1.0), 2.0, "", PersistedState.LOST, 1, True),
         (recovery.PersistedIncarnation(1 << 60, 1.0), 2.0, "", PersistedState.LOST, 1, True),
