--- a/balancer/interface.py
+++ b/balancer/interface.py
@@ -1,6 +1,6 @@
-"""The types shared by the decision module and its callers: settings, events, actions, outcomes.
+"""Types shared by the decision module and its callers: settings, events, actions and outcomes.
 
-Times are milliseconds on the caller's clock. Nothing here decides anything or knows a wire format.
+Times are milliseconds on the caller's clock. This module makes no decisions and knows no wire format.
 """
 
 from __future__ import annotations
@@ -11,15 +11,15 @@
 
 
 class SettingsError(ValueError):
-    """A setting is missing or makes no sense; the text names the field and the value."""
+    """A setting is missing or invalid; the message names the field and the value."""
 
 
 class CallError(ValueError):
-    """The library was called in a way its contract rules out."""
+    """The library was called in a way that violates its contract."""
 
 
 class Idempotency(Enum):
-    """How often a request of a class may take effect."""
+    """Whether a request of a class may be executed more than once."""
 
     IDEMPOTENT = "safe"
     KEYED = "keyed"
@@ -27,7 +27,7 @@
 
 
 class DeduplicationScope(Enum):
-    """Which backends together drop repeats of a keyed request."""
+    """The set of backends that share deduplication of a request with an idempotency key."""
 
     ALL = "all"
     ZONE = "zone"
@@ -35,7 +35,7 @@
 
 
 class Phase(Enum):
-    """What the list says of a backend."""
+    """The lifecycle state of a backend according to the endpoint list."""
 
     UP = "up"
     DRAINING = "draining"
@@ -43,7 +43,7 @@
 
 
 class EndpointUpdateKind(Enum):
-    """What a list event brings."""
+    """What an update of the endpoint list contains."""
 
     INCREMENTAL = "changes"
     SNAPSHOT = "full"
@@ -52,7 +52,10 @@
 
 
 class NumberedEnum(Enum):
-    """Words with numbers from 0 on, in their order: what counts them need not hash them, which is slow."""
+    """Enum whose members are numbered from 0 in definition order.
+
+    Counters index by this number, as hashing an enum member is slow.
+    """
 
     number: int
 
@@ -61,7 +64,7 @@
 
 
 class AttemptStatus(NumberedEnum):
-    """How an attempt or a probe ended."""
+    """The outcome of an attempt or a probe."""
 
     OK = "ok"
     ERROR = "error"
@@ -76,7 +79,7 @@
 NO_EFFECT_STATUSES = frozenset(
     {AttemptStatus.REJECTED, AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_STARTED}
 )
-"""Outcomes that prove the attempt had no effect; every other one leaves it open."""
+"""Outcomes that prove that the attempt had no effect; after any other outcome it may have had one."""
 
 
 class LoadReportSource(Enum):
@@ -88,18 +91,18 @@
 
 
 class DecisionReason(NumberedEnum):
-    """Why an action was taken, in the field's words."""
+    """Why an action was taken."""
 
     UNSPECIFIED = "unstated"
-    # How the server of an attempt was found.
-    LOWEST_ESTIMATE_BELOW_CAP = "lowest_below_m"  # the lowest estimate of those that were eligible, under m
-    DRAWN_AT_CAP = "drawn_at_cap"  # all had reached m: drawn by weight
-    SLOW_START_ADMITTED = "cold_admitted"  # a cold one, within what slow start lets through
-    OTHER_ZONE = "spill"  # another zone's, as the own one does worse by more than the price
-    PANIC = "panic"  # nobody was eligible: ejections were ignored
-    # What brought the attempt about.
+    # How the backend of an attempt was chosen.
+    LOWEST_ESTIMATE_BELOW_CAP = "lowest_below_m"  # lowest estimate of the eligible, below the cap
+    DRAWN_AT_CAP = "drawn_at_cap"  # all had reached the cap: drawn by weight
+    SLOW_START_ADMITTED = "cold_admitted"  # a warming-up backend, within its slow-start budget
+    OTHER_ZONE = "spill"  # in another zone: the local zone misses more objectives, by more than the price
+    PANIC = "panic"  # no backend was eligible: ejections were ignored
+    # Why the attempt was made.
     FIRST_ATTEMPT = "first_try"
-    DEQUEUED = "held_and_released"  # it had waited for room under the concurrency limit
+    DEQUEUED = "held_and_released"  # it had been queued under the concurrency limit
     RETRY_AFTER_ERROR = "repeat_after_error"
     RETRY_AFTER_REJECTED = "repeat_after_full"
     RETRY_AFTER_TIMEOUT = "repeat_after_timeout"
@@ -107,15 +110,15 @@
     RETRY_AFTER_RESET = "repeat_after_reset"
     RETRY_AFTER_CANCELLED = "repeat_after_cancelled"
     RETRY_AFTER_NOT_STARTED = "repeat_after_moot"
-    # Why a request was refused or failed.
-    OBJECTIVE_UNREACHABLE = "aim_out_of_reach"  # no answer can come before it is worthless
-    RETRY_BUDGET_EXHAUSTED = "budget_spent"  # the retry budget
-    ATTEMPTS_EXHAUSTED = "attempts_spent"  # as many as the settings allow
-    QUEUE_TIMEOUT = "no_room_in_time"  # it was held, and no room came
+    # Why a request was rejected or failed.
+    OBJECTIVE_UNREACHABLE = "aim_out_of_reach"  # no answer can arrive while it is still useful
+    RETRY_BUDGET_EXHAUSTED = "budget_spent"  # the retry budget is empty
+    ATTEMPTS_EXHAUSTED = "attempts_spent"  # the maximum number of attempts was made
+    QUEUE_TIMEOUT = "no_room_in_time"  # it was queued, and no capacity became available
     NO_ELIGIBLE_BACKEND = "nobody_eligible"
-    NOT_RETRYABLE = "not_repeatable"  # another attempt might double its effect
-    SHED_BY_SUCCESS_RATE = "shed_by_success"  # in fractions, as too few of the node's sends succeed
-    BACKEND_OVERLOADED = "server_crowded"  # in fractions, as the server found holds many requests a core
+    NOT_RETRYABLE = "not_repeatable"  # another attempt might execute it twice
+    SHED_BY_SUCCESS_RATE = "shed_by_success"  # probabilistic, as too few of the node's attempts succeed
+    BACKEND_OVERLOADED = "server_crowded"  # probabilistic, as the chosen backend holds many requests per core
 
 
 RETRY_REASONS: dict[AttemptStatus | None, DecisionReason] = {
@@ -123,26 +126,26 @@
     for status in AttemptStatus
     if status is not AttemptStatus.OK
 }
-"""What a further attempt is called, by how the last one ended."""
+"""The cause of a retry by the outcome of the previous attempt."""
 
 
 class BackendDecision(NumberedEnum):
-    """What the node decided about a server without a request."""
+    """A decision about a backend that is not tied to a request."""
 
-    EJECTED = "ejected"  # left alone for its failures
-    READMITTED = "taken_back"  # its ejection is over
-    PAUSED = "paused"  # left alone for a moment: it turned away, or its probe is overdue
-    REPORTED_IDLE = "idle_sign"  # it showed idle: the estimate of its load was set anew
-    JOINED_SUBSET = "joined_subset"  # of the servers that this node sends to
+    EJECTED = "ejected"  # excluded because of its failures
+    READMITTED = "taken_back"  # its ejection ended
+    PAUSED = "paused"  # excluded briefly: it rejected a request, or its probe is overdue
+    REPORTED_IDLE = "idle_sign"  # it reported idle: its queue estimate was reset
+    JOINED_SUBSET = "joined_subset"  # of backends that this node sends to
     LEFT_SUBSET = "left_subset"
-    SLOW_START_BEGAN = "cold"  # it started: slow start thins out what it gets
+    SLOW_START_BEGAN = "cold"  # it started recently: it gets only part of the load
     SLOW_START_ENDED = "warm"  # slow start is over
-    UNCONFIRMED_DROPPED = "dropped"  # memory alone vouched for it, and it did not answer
+    UNCONFIRMED_DROPPED = "dropped"  # it was known from the cache alone and did not answer
 
 
 @dataclass(slots=True, frozen=True)
 class RequestClass:
-    """One class of request and what it asks for."""
+    """A request class and its requirements."""
 
     name: str
     idempotency: Idempotency
@@ -158,7 +161,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
-    """A tenant and the rate, over all nodes, that stays inside its share."""
+    """A tenant and the request rate, over all nodes, that stays within its share."""
 
     name: str
     quota_per_s: float
@@ -167,7 +170,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Prices:
-    """Prices, as fractions of the result for one unit per request."""
+    """Costs, as fractions of the value of one unit per request."""
 
     probe: float = 0.0
     waste: float = 0.0
@@ -184,7 +187,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ScoreWeights:
-    """Weights of the parts of the result."""
+    """Weights of the components of the score."""
 
     total: float = 1.0
     worst_window: float = 0.0
@@ -198,7 +201,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """What a node is told at start."""
+    """The configuration that a node gets at startup."""
 
     classes: tuple[RequestClass, ...]
     node_index: int = 0
@@ -243,7 +246,7 @@
 
 @dataclass(slots=True)
 class LoadReport:
-    """A load report; a value the site does not report is None."""
+    """A load report; a value that the site does not report is None."""
 
     in_flight: float | None = None
     queued: float | None = None
@@ -255,7 +258,7 @@
 
 @dataclass(slots=True)
 class Endpoint:
-    """One backend as the list gives it."""
+    """One backend as it appears in the endpoint list."""
 
     id: str
     zone: str
@@ -265,15 +268,16 @@
     started_at_ms: float
     kind: str = ""
     cached_age_ms: float | None = None
-    """How long ago a source vouched for it, where memory alone does now; None: a source does."""
+    """Age of the last confirmation by a source; None unless it is known from the cache alone."""
 
 
 @dataclass(slots=True)
 class LearnedState:
-    """What a node has learned of its site, as plain data that can outlive its process.
+    """Statistics that a node has learned about its site, as plain data that can outlive its process.
 
-    By class the usual time and its mean deviation, in milliseconds; the concurrency limit; by server how slow
-    it is (mean time over the usual one), where that is far from 1, and the milliseconds left of an ejection.
+    Contains the expected latency and its mean deviation by class, in milliseconds; the concurrency limit; for
+    each backend its slowness (mean latency over the expected one) where that is far from 1, and the
+    milliseconds left of its ejection.
     """
 
     expected_latency_ms: dict[str, tuple[float, float]] = field(default_factory=dict)
@@ -287,7 +291,7 @@
 
 @dataclass(slots=True)
 class EndpointsUpdated:
-    """News of the backends; `FAILED` carries none."""
+    """An update of the endpoint list; `FAILED` carries no endpoints."""
 
     kind: EndpointUpdateKind
     endpoints: list[Endpoint]
@@ -296,7 +300,7 @@
 
 @dataclass(slots=True)
 class RequestArrived:
-    """A client's request: one final answer is now owed before `deadline`."""
+    """A client sent a request, which must get exactly one final answer before `deadline_ms`."""
 
     request: str
     class_name: str
@@ -310,7 +314,7 @@
 
 @dataclass(slots=True)
 class StreamStarted:
-    """The answer of a streamed class began; the attempt now belongs to the client."""
+    """The response of a streamed class began; from now on the attempt belongs to the client."""
 
     request: str
     attempt: int
@@ -320,7 +324,7 @@
 
 @dataclass(slots=True)
 class AttemptFinished:
-    """The end of one attempt; `closed` says the request has its final answer."""
+    """The end of one attempt; `is_request_closed` tells whether the request has its final answer."""
 
     request: str
     attempt: int
@@ -333,14 +337,14 @@
 
 @dataclass(slots=True)
 class ClientLeft:
-    """The client left; no answer is owed any more."""
+    """The client disconnected; it needs no answer any more."""
 
     request: str
 
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer set earlier came due."""
+    """A timer set by `SetTimer` expired."""
 
     token: int
 
@@ -357,7 +361,7 @@
 
 @dataclass(slots=True)
 class PeerMessageReceived:
-    """A message of another node."""
+    """A message from another node."""
 
     sender: int
     content: bytes
@@ -365,7 +369,10 @@
 
 @dataclass(slots=True)
 class LearnedStateRestored:
-    """What an earlier process of this node had learned, `age_ms` ago; told after the list kept with it."""
+    """What an earlier process of this node had learned, `age_ms` ago.
+
+    Delivered after the cached endpoint list.
+    """
 
     state: LearnedState
     age_ms: float
@@ -388,11 +395,14 @@
 
 @dataclass(slots=True)
 class SendAttempt:
-    """Start an attempt; a time-out of 0 lasts until the client gives up. One not begun by `begin_by` is moot.
+    """Start an attempt.
+
+    With a timeout of 0 it lasts until the client gives up. An attempt that has not started by
+    `start_before_ms` must not start any more.
 
-    `why` says how the server was found, `cause` what brought the attempt about; it was found among so many
-    that were eligible, after so many were left out as crowded by the node's own count. None of these counts
-    where two actions are compared.
+    `reason` tells how the backend was chosen, `cause` why the attempt was made. The backend was chosen among
+    `eligible_count` eligible ones, after `overloaded_count` were excluded as overloaded by this node's own
+    count of attempts. None of these four fields takes part in comparisons.
     """
 
     request: str
@@ -407,7 +417,7 @@
 
 @dataclass(slots=True)
 class RejectRequest:
-    """Final answer: turned away, a retry is harmless."""
+    """Final answer: rejected; the client may safely retry."""
 
     request: str
     retry_after_ms: float = 0.0
@@ -416,7 +426,7 @@
 
 @dataclass(slots=True)
 class FailRequest:
-    """Final answer: failed, nothing promised."""
+    """Final answer: failed; the request may have been executed."""
 
     request: str
     reason: DecisionReason = field(default=DecisionReason.UNSPECIFIED, compare=False)
@@ -432,7 +442,7 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Ask for a `Timer` event."""
+    """Request a `TimerFired` event at a given time."""
 
     at_ms: float
     token: int
@@ -440,21 +450,21 @@
 
 @dataclass(slots=True)
 class SendProbe:
-    """Ask a backend how it is."""
+    """Ask a backend for its load."""
 
     backend: str
 
 
 @dataclass(slots=True)
 class SubscribeToEndpoints:
-    """Ask to be told of list changes from now on, or no longer."""
+    """Start or stop receiving updates of the endpoint list."""
 
     is_enabled: bool = True
 
 
 @dataclass(slots=True)
 class FetchSnapshot:
-    """Ask for the whole list once."""
+    """Request the complete endpoint list once."""
 
 
 @dataclass(slots=True)
@@ -466,7 +476,7 @@
 
 @dataclass(slots=True)
 class SendPeerMessage:
-    """Send bytes to one node, or to all where `node` is None."""
+    """Send bytes to one node, or to all nodes if `node_index` is None."""
 
     node_index: int | None
     content: bytes
@@ -474,17 +484,18 @@
 
 @dataclass(slots=True)
 class WriteLog:
-    """A line for the people on call."""
+    """Write a log line for the operators."""
 
     text: str
 
 
 @dataclass(slots=True)
 class NoteBackendDecision:
-    """Nothing to do: what was decided about a server, for those who watch.
+    """Report a decision about a backend for monitoring; requires no other action.
 
-    `count` is of what led to it (failures in a row); for an empty `backend`, of servers that this holds for.
-    `span_ms` is how long it holds, 0 where that is open.
+    `count` is the number of observations that led to the decision, such as consecutive failures; with an
+    empty `backend` it is the number of backends that the decision applies to. `duration_ms` is how long the
+    decision lasts, or 0 if that is not known.
     """
 
     backend: str
--- a/balancer/policy/__init__.py
+++ b/balancer/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Request decisions of a node: Join-Up-To(m) with limits, retries and outlier ejection around it."""
+"""Request decisions of a node: Join-Up-To(m) with limits, retries and outlier ejection."""
--- a/balancer/policy/attempts.py
+++ b/balancer/policy/attempts.py
@@ -1,4 +1,4 @@
-"""The one place where an attempt is made: draining, retries, closed requests and limits are checked here."""
+"""Sends attempts: the one place that checks draining, retries, closed requests and attempt limits."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from balancer.policy.state import NodeState
 
 HIGH_LOST_RESPONSE_RATE = 0.05
-"""Fraction of attempts without an answer from which answers are taken to get lost on the way."""
+"""Fraction of timed-out attempts above which responses are assumed to get lost on the way."""
 PANIC, SLOW_START_ADMITTED = api.DecisionReason.PANIC, api.DecisionReason.SLOW_START_ADMITTED
 
 
 def send(state: NodeState, request: Request, backend: Backend) -> None:
-    """Send a request to a backend, or finish it where that isn't allowed."""
+    """Send a request to a backend, or finish it if that is not allowed."""
     if (
         request.is_closed
         or request.is_streaming
@@ -22,7 +22,7 @@
         or len(request.attempts) >= state.settings.max_attempts
         or state.now_ms >= request.deadline_ms
     ):
-        final_answers.finish(state, request, _refusal(state, request, backend))
+        final_answers.finish(state, request, _refusal_reason(state, request, backend))
         return
     reason, cause = state.selection_reason, state.attempt_cause
     if backend.level is None and reason is not PANIC and slow_start.fraction(state, backend) < 1.0:
@@ -53,8 +53,8 @@
     )
 
 
-def _refusal(state: NodeState, request: Request, backend: Backend) -> api.DecisionReason:
-    """Why an attempt isn't allowed."""
+def _refusal_reason(state: NodeState, request: Request, backend: Backend) -> api.DecisionReason:
+    """Return why an attempt is not allowed."""
     if backend.endpoint.phase is not api.Phase.UP:
         return api.DecisionReason.NO_ELIGIBLE_BACKEND
     if len(request.attempts) >= state.settings.max_attempts:
@@ -65,22 +65,23 @@
 
 
 def _timeout_ms(state: NodeState, request: Request, attempt: Attempt) -> float:
-    """How long to wait for the answer of an attempt; 0: until the client gives up.
+    """Return how long to wait for the answer of an attempt; 0 means until the client gives up.
 
-    An answer after the objective is worth nothing: give up just before, so that the failure isn't late. Where
-    answers get lost, one that may come late is asked for again while it has worth: the attempt is shortened.
+    An answer after the objective is worth nothing, so the attempt ends shortly before it and its failure is
+    not late. Where responses get lost and a late answer still has value, the timeout is shortened to leave
+    time for a retry.
     """
     class_state = request.class_state
     request_class = class_state.request_class
-    left_ms, tick_ms = request.useful_until_ms - state.now_ms, state.settings.tick_ms
+    remaining_ms, tick_ms = request.useful_until_ms - state.now_ms, state.settings.tick_ms
     if (
         state.lost_response_rate > HIGH_LOST_RESPONSE_RATE
         and request_class.late_priority_weight > 0
         and request_class.idempotency is not api.Idempotency.NON_IDEMPOTENT
     ):
-        usual_ms = class_state.expected_latency_ms + 4 * class_state.mean_deviation_ms
-        shortened_ms = max(request_class.latency_objective_ms / 2, usual_ms)
-        if shortened_ms + class_state.expected_latency_ms < left_ms:
+        high_latency_ms = class_state.expected_latency_ms + 4 * class_state.mean_deviation_ms
+        shortened_timeout_ms = max(request_class.latency_objective_ms / 2, high_latency_ms)
+        if shortened_timeout_ms + class_state.expected_latency_ms < remaining_ms:
             attempt.is_shortened = True
-            return shortened_ms
-    return max(tick_ms, left_ms - 2 * tick_ms) if request.useful_until_ms < request.deadline_ms else 0.0
+            return shortened_timeout_ms
+    return max(tick_ms, remaining_ms - 2 * tick_ms) if request.useful_until_ms < request.deadline_ms else 0.0
--- a/balancer/policy/balancer.py
+++ b/balancer/policy/balancer.py
@@ -1,22 +1,22 @@
-"""Every decision of one load-balancer node. Its types (settings, events, actions): balancer/interface.py.
+"""Makes all decisions of one load-balancer node. Settings, events and actions: balancer/interface.py.
 
-`Balancer` owns the state and hands each event to the module that decides on it:
+`Balancer` owns the state and passes each event to the module that handles it:
 
-    routing             a request: shed, queued, sent to a backend, tried again
-      selection         which backend: Join-Up-To(m), off the `backend_index`
-      slow_start        how much of the load a backend that is warming up gets
-      probing           the same choice with load reports asked for first
-      retries           the retry budget, and where a retry may go
-      load_shedding     what is rejected before it costs anything
+    routing             a request: shed, queued, sent to a backend, retried
+      selection         the choice of a backend: Join-Up-To(m) on the `backend_index`
+      slow_start        the part of the load that a warming-up backend gets
+      probing           the choice of a backend by load reports requested beforehand
+      retries           the retry budget, and the backends that a retry may use
+      load_shedding     requests rejected before they cost anything
       attempts          the one place where an attempt is made
       final_answers     the one place where a request is rejected or failed
-    outcomes            what is learned from the outcome of an attempt
+    outcomes            statistics learned from the outcomes of attempts
       concurrency_limit the limit on attempts in flight
-      outlier_ejection  backends left alone for their failures
+      outlier_ejection  backends excluded for their failures
     subsetting          the endpoint list, and the subset that this node sends to
-    learned_state       what is kept over a restart
+    learned_state       statistics kept over a restart
 
-They are functions on one explicit `NodeState`; its parts are in `records`.
+These modules consist of functions on an explicit `NodeState`, whose records are defined in `records`.
 """
 
 import random
@@ -45,14 +45,14 @@
 
 
 def timer_fired(state: NodeState, event: api.TimerFired) -> None:
-    """Call what the timer was set for; an unknown one is ignored."""
+    """Call the callback of a timer; unknown timers are ignored."""
     if (timer := state.timers.pop(event.token, None)) is not None:
         callback, argument = timer
         callback(state, argument)
 
 
-def ignore(state: NodeState, event: api.PeerMessageReceived) -> None:
-    """Messages of other nodes decide nothing."""
+def ignore_peer_message(state: NodeState, event: api.PeerMessageReceived) -> None:
+    """Ignore messages from other nodes: they do not affect decisions."""
 
 
 HANDLERS: dict[type, Callable[[NodeState, Any], None]] = {
@@ -63,14 +63,14 @@
     api.EndpointsUpdated: subsetting.update_endpoints,
     api.ClientLeft: final_answers.client_left,
     api.StreamStarted: routing.stream_started,
-    api.PeerMessageReceived: ignore,
+    api.PeerMessageReceived: ignore_peer_message,
     api.LearnedStateRestored: learned_state.restore,
 }
-"""What decides on an event, by its type: a table, as that is faster than `match` for the last cases."""
+"""The handler of each event type. A table is faster than `match` for the last cases."""
 
 
 def initial_state(settings: api.Settings, seed: int, literal_cap: int) -> NodeState:
-    """The state of a node that knows no backends yet."""
+    """Return the state of a node that knows no backends yet."""
     classes = settings.classes
     index = BackendIndex(settings.slow_start_duration_ms, HIGH_REJECTION_RATE)
     scopes = {c.deduplication_scope: None for c in classes if c.idempotency is api.Idempotency.KEYED}
@@ -81,7 +81,7 @@
         settings=settings,
         rng=random.Random(seed),
         literal_cap=literal_cap,
-        # Until answers tell, a quarter of the objective is taken for the expected latency.
+        # Before the first answers, a quarter of the objective is assumed as the expected latency.
         classes={
             c.name: ClassState(c, max(MIN_EXPECTED_LATENCY_MS, c.latency_objective_ms / 4)) for c in classes
         },
@@ -98,10 +98,10 @@
 
 
 class Balancer:
-    """One node. `handle` takes an event and the clock and returns the actions.
+    """The decisions of one node: `handle` takes the time and an event, and returns the actions.
 
-    `literal_cap` is for measuring, and no setting of a platform: the paper's rule to the letter with this
-    m, and nothing queued or shed. 0 leaves it to the node.
+    `literal_cap` is for measurements only and is not a setting of any platform: it applies the paper's rule
+    literally with this m, without queueing or shedding. With 0 the node determines m.
     """
 
     def __init__(self, settings: api.Settings, seed: int, literal_cap: int = 0) -> None:
@@ -109,9 +109,9 @@
         self.handlers = dict(HANDLERS)
 
     def handle(self, now_ms: float, event: api.Event) -> list[api.Action]:
-        """Decide on one event at the clock time `now_ms`, which never goes back.
+        """Decide on one event at the clock time `now_ms`, which must never go back.
 
-        Raises CallError for what is no event, or names an unknown class.
+        Raises CallError for an object that is not an event, or for an unknown class.
         """
         if (handler := self.handlers.get(type(event))) is None:
             raise api.CallError(f"not an event: {event!r}")
@@ -126,24 +126,24 @@
         return state.actions
 
     def learned(self, now_ms: float) -> api.LearnedState:
-        """What is worth keeping over a restart; `LearnedStateRestored` brings it back."""
+        """Return the statistics to keep over a restart; `LearnedStateRestored` brings them back."""
         return learned_state.export(self.state, now_ms)
 
-    # What other packages read of the state.
+    # Views of the state for other packages.
 
     @property
     def backends(self) -> Mapping[str, Backend]:
-        """All backends that are listed, or still have attempts in flight."""
+        """All backends that are listed or still have attempts in flight."""
         return self.state.backends
 
     @property
     def classes(self) -> Mapping[str, ClassState]:
-        """The request classes with what was learned of them."""
+        """The request classes with what was learned about them."""
         return self.state.classes
 
     @property
     def requests(self) -> Mapping[str, Request]:
-        """Requests that are open, or have an attempt in flight."""
+        """Requests that are open or have an attempt in flight."""
         return self.state.requests
 
     @property
@@ -153,7 +153,7 @@
 
     @property
     def in_flight(self) -> int:
-        """Attempts of this node in flight."""
+        """The number of this node's attempts in flight."""
         return self.state.in_flight
 
     @property
@@ -163,7 +163,7 @@
 
     @property
     def subset_size(self) -> int:
-        """How many of the first in the order this node sends to."""
+        """How many of the first backends in the order this node sends to."""
         return self.state.subset_size
 
     @property
@@ -173,10 +173,10 @@
 
     @property
     def index(self) -> BackendIndex:
-        """The backends in order."""
+        """The index of the backends."""
         return self.state.index
 
     @property
     def order(self) -> list[str]:
-        """This node's own order of the list."""
+        """The names of the listed backends in this node's own order."""
         return [name for _, _, name, _ in self.state.index.order]
--- a/balancer/policy/bulk_update.py
+++ b/balancer/policy/bulk_update.py
@@ -1,10 +1,10 @@
-"""A first list of thousands, applied in steps: what `Balancer` does with it at once, in the same order.
+"""Applies a first list of thousands of backends in steps, so that no single call takes long.
 
-`handle` with a first list lays this node's subset out over all of it: 6 us a backend, 60 ms for 10,000.
-`apply_first_list` takes BACKENDS_PER_STEP backends a step and ends in the very state that `handle` would
-have left, the random numbers drawn included; a test compares the two. Until it has ended nothing else may
-go to the module, which knows some of the backends and sends to none: `net/bulk_update` queues what comes
-meanwhile.
+`handle` with a first list lays out this node's subset over the whole list, which takes 6 us per backend:
+60 ms for 10,000. `apply_first_list` handles BACKENDS_PER_STEP backends per step, in the same order, and ends
+in exactly the state that `handle` would have left, including the random generator; a test compares the two.
+Until it has finished, the node knows only some backends and sends to none, so it must get no other events:
+`net/bulk_update` queues those that arrive meanwhile.
 """
 
 from __future__ import annotations
@@ -23,50 +23,53 @@
 def apply_first_list(
     balancer: Balancer, endpoints: Sequence[api.Endpoint]
 ) -> Generator[None, None, list[api.Action]]:
-    """Take the endpoints of a first list; returns what is noted of it. `handle` of no changes has to follow.
+    """Apply the endpoints of a first list; returns the decisions to report.
 
-    `handle` is notified of a cached list before, without the endpoints.
+    `handle` without changes must follow. A cached list is announced to `handle` beforehand, without its
+    endpoints.
     """
     state = balancer.state
-    for number, endpoint in enumerate(endpoints, 1):
-        subsetting.take_endpoint(state, endpoint, True)
-        if not number % BACKENDS_PER_STEP:
+    for count, endpoint in enumerate(endpoints, 1):
+        subsetting.add_or_update_endpoint(state, endpoint, True)
+        if not count % BACKENDS_PER_STEP:
             yield
     backends = state.backends
     names = sorted(name for name, backend in backends.items() if backend.endpoint.phase is api.Phase.UP)
     if not names:
         return []
     yield
-    found = [backends[name] for name in names]
-    local = subsetting.local_ones(found)
-    chosen = subsetting.evenly_spaced(state, local, len(found))
-    rest = [backend for backend in found if backend.endpoint.id not in chosen]
+    up_backends = [backends[name] for name in names]
+    local = subsetting.local_backends(up_backends)
+    chosen = subsetting.evenly_spaced_subset(state, local, len(up_backends))
+    rest = [backend for backend in up_backends if backend.endpoint.id not in chosen]
     yield
     order = list(chosen.values())
-    yield from _shuffle_onto(state, order, rest)
-    for at, backend in enumerate(order):
-        subsetting.list_at(state, backend, at, len(found))
-        if not at % BACKENDS_PER_STEP:
+    yield from _append_shuffled(state, order, rest)
+    for position, backend in enumerate(order):
+        subsetting.insert_at_rank(state, backend, position, len(up_backends))
+        if not position % BACKENDS_PER_STEP:
             yield
-    state.spillover = 1.0 - len(local) / len(found)
-    subsetting.update_subset_size(state, len(found))
+    state.spillover = 1.0 - len(local) / len(up_backends)
+    subsetting.update_subset_size(state, len(up_backends))
     yield from _widen_window(state)
-    # `handle` finds that nobody has joined.
+    # `handle` of no changes reports no joins, so they are reported here.
     return [api.NoteBackendDecision("", api.BackendDecision.JOINED_SUBSET, state.subset_size)]
 
 
-def _shuffle_onto(state: NodeState, order: list[Backend], rest: list[Backend]) -> Generator[None, None, None]:
-    """Add the rest in random order: `rng.sample` of all of them, to the letter."""
-    for left in range(len(rest), 0, -1):
-        at = state.rng.randrange(left)
-        order.append(rest[at])
-        rest[at] = rest[left - 1]
-        if not left % (4 * BACKENDS_PER_STEP):
+def _append_shuffled(
+    state: NodeState, order: list[Backend], rest: list[Backend]
+) -> Generator[None, None, None]:
+    """Append `rest` in random order, with exactly the draws that `rng.sample` of all of it makes."""
+    for remaining_count in range(len(rest), 0, -1):
+        position = state.rng.randrange(remaining_count)
+        order.append(rest[position])
+        rest[position] = rest[remaining_count - 1]
+        if not remaining_count % (4 * BACKENDS_PER_STEP):
             yield
 
 
 def _widen_window(state: NodeState) -> Generator[None, None, None]:
-    """Widen the window to the subset, or to one backend for each attempt in flight."""
+    """Widen the window to the subset, or to one backend per attempt in flight."""
     index = state.index
     size = 0 if state.probing_enabled else max(state.subset_size, state.in_flight)
     while index.window_size < min(len(index.order), size):
--- a/balancer/policy/probing.py
+++ b/balancer/policy/probing.py
@@ -1,6 +1,6 @@
-"""Probing: a request waits one round trip while a few backends are asked how loaded they are.
+"""Probing: a request waits one round trip while a few backends report their load.
 
-Only where the site answers probes and their price is negligible (`NodeState.probing_enabled`).
+Used only where the site answers probes and their price is negligible (`NodeState.probing_enabled`).
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 def is_worthwhile(settings: api.Settings) -> bool:
-    """Whether the site answers probes, and a round of them costs nothing worth speaking of."""
+    """Return whether the site answers probes, and a round of them has a negligible price."""
     return (
         settings.probing_enabled
         and settings.load_report_source is not api.LoadReportSource.NONE
@@ -36,7 +36,7 @@
 
 
 def begin(state: NodeState, request: Request) -> None:
-    """Probe for an attempt, from the first round on."""
+    """Start probing for an attempt with the first round."""
     request.probe_rounds, request.probed = 0, []
     _start_round(state, request)
 
@@ -60,23 +60,27 @@
     too_late_ms = request.useful_until_ms - REQUIRED_LATENCY_FRACTION * expected_ms
     timeout_ms = PROBE_TIMEOUT_ROUND_TRIPS * state.probe_round_trip_ms
     overdue_ms = state.now_ms + timeout_ms + state.settings.tick_ms
-    state.set_timer(min(too_late_ms, overdue_ms), _overdue, (request, request.probe_wait_number))
+    state.set_timer(
+        min(too_late_ms, overdue_ms), _handle_overdue_probes, (request, request.probe_wait_number)
+    )
     if not request.pending_probes:
         _decide(state, request)
 
 
 def _draw(state: NodeState, request: Request, start: int, stop: int) -> list[Backend]:
-    candidates, considered = selection.stretch(state, PROBES_PER_ROUND, start, stop)
-    return selection.draw(state, request, PROBES_PER_ROUND, candidates, considered)
+    candidates, considered_count = selection.sample_candidates(state, PROBES_PER_ROUND, start, stop)
+    return selection.draw(state, request, PROBES_PER_ROUND, candidates, considered_count)
 
 
-def _overdue(state: NodeState, wait: tuple[Request, int]) -> None:
-    """Probes aren't back in the expected time, if the request has as much: the backends have stalled."""
+def _handle_overdue_probes(state: NodeState, wait: tuple[Request, int]) -> None:
+    """Pause the backends whose probes are overdue, if the request still has time, and decide without them."""
     request, wait_number = wait
     if request.probe_wait_number != wait_number or not request.pending_probes:
         return
-    late = sorted(request.pending_probes & state.backends.keys())
-    for backend in [state.backends[name] for name in late if latency_objective.can_be_met(state, request)]:
+    late_names = sorted(request.pending_probes & state.backends.keys())
+    for backend in [
+        state.backends[name] for name in late_names if latency_objective.can_be_met(state, request)
+    ]:
         pause_ms = request.class_state.expected_latency_ms * state.rng.uniform(0.5, 1.5)
         backend.ejected_until_ms = max(backend.ejected_until_ms, state.now_ms + pause_ms)
         state.actions.append(
@@ -91,9 +95,9 @@
 
 
 def probe_finished(state: NodeState, event: api.ProbeFinished) -> None:
-    """Learn from a probe's result and go on with the requests that wait for it."""
+    """Learn from the result of a probe and continue the requests that wait for it."""
     if (backend := state.backends.get(event.backend)) is None:
-        return  # removed meanwhile; what waits for it is overdue before long
+        return  # removed meanwhile; the timers of the requests that wait for it will expire
     waiters, backend.probe_waiters = backend.probe_waiters or [], None
     has_answered = event.status is api.AttemptStatus.OK
     if has_answered:
@@ -108,14 +112,14 @@
     for request in waiters:
         if event.backend in request.pending_probes:
             request.pending_probes.discard(event.backend)
-            _continue(state, request, backend, has_answered)
+            _continue_request(state, request, backend, has_answered)
 
 
-def _continue(state: NodeState, request: Request, backend: Backend, has_answered: bool) -> None:
-    """One of the probes that a request waits for has ended."""
+def _continue_request(state: NodeState, request: Request, backend: Backend, has_answered: bool) -> None:
+    """Handle the end of one of the probes that a request waits for."""
     if has_answered:
         request.probed.append(backend)
-    # Guards against reports that freeze: an idle report is believed as often as such attempts succeed.
+    # Reports may be frozen at idle: an idle report is trusted as often as attempts after one succeed.
     if backend.queue_estimate == 0 and state.rng.random() > state.success_rate:
         backend.queue_estimate = selection.queue_cap(state, request)
     if not request.pending_probes or (request.probed and backend.queue_estimate == 0):
@@ -123,7 +127,7 @@
 
 
 def _decide(state: NodeState, request: Request) -> None:
-    """All that was probed has answered, or an idle backend has: send, probe others, or give up."""
+    """Send, probe other backends or give up, once all probes have ended or an idle backend has answered."""
     request.pending_probes = set()
     pool = [
         backend
@@ -132,14 +136,14 @@
     ]
     lowest = min((backend.queue_estimate for backend in pool), default=math.inf)
     cap = selection.queue_cap(state, request)
-    in_line_ms = max(0.0, lowest - 0.5) * request.class_state.expected_latency_ms
+    queue_wait_ms = max(0.0, lowest - 0.5) * request.class_state.expected_latency_ms
     if (
         lowest > 0
         and request.probe_rounds < MAX_PROBE_ROUNDS
         and latency_objective.can_be_met(state, request)
     ):
         _start_round(state, request)
-    elif lowest < cap and latency_objective.can_be_met(state, request, in_line_ms):
+    elif lowest < cap and latency_objective.can_be_met(state, request, queue_wait_ms):
         state.overloaded_count = 0
         attempts.send(state, request, selection.choose_from(state, pool, cap))
     elif not pool:
--- a/balancer/policy/records.py
+++ b/balancer/policy/records.py
@@ -1,4 +1,4 @@
-"""What a node keeps of backends, attempts, classes and requests. Nothing here decides anything."""
+"""Records that a node keeps of backends, attempts, classes and requests. Makes no decisions."""
 
 from __future__ import annotations
 
@@ -9,64 +9,64 @@
 from balancer import interface as api
 
 EWMA_WEIGHT = 0.1
-"""Weight of one sample in a running mean: it follows the last ten or so."""
+"""Weight of one sample in an exponentially weighted moving average: about the last ten samples count."""
 MIN_EXPECTED_LATENCY_MS = 0.001
-"""Shortest time that a class is taken to need: it is divided by."""
+"""Lower bound of the expected latency of a class, which is used as a divisor."""
 HIGH_REJECTION_RATE = 0.1
-"""Fraction of attempts that a backend rejects from which it gets no more requests of high priority."""
+"""Fraction of rejected attempts above which a backend gets no high-priority requests."""
 INVERSE_WEIGHT_UNIT = 1 << 64
-"""Inverses of weights are summed as whole numbers of parts of one in this."""
+"""Fixed-point scale: inverse weights are summed as integers in units of 1 / INVERSE_WEIGHT_UNIT."""
 NO_INVERSE_WEIGHT = -1
-"""Stands for the inverse of a backend that is left out of the sums."""
+"""Marks a backend that is left out of the sums."""
 
 
 @dataclass(slots=True, eq=False)
 class Backend:
-    """What this node knows of one backend; made when it is first listed."""
+    """What this node knows about one backend; created when the backend is first listed."""
 
     endpoint: api.Endpoint
     queue_estimate: int = 0
-    """The paper's upper bound of the queue: own attempts since it last reported idle."""
+    """The paper's upper bound of the queue length: own attempts since the backend last reported idle."""
     in_flight: int = 0
-    """Own attempts."""
+    """This node's attempts in flight."""
     slowness: float = 1.0
-    """Running mean of its answers' times over the expected latency of their class."""
+    """Moving average of its latency over the expected latency of the class."""
     consecutive_failures: int = 0
     ejected_until_ms: float = 0.0
     rejection_rate: float = 0.0
-    """Fraction of recent attempts that it rejected."""
+    """Moving average of the fraction of attempts that it rejected."""
     paused_until_ms: float = 0.0
-    """It rejected a request or refused a connection: left alone until then, even in panic."""
+    """It gets no requests until then, even in panic: it rejected one or refused a connection."""
     probe_waiters: list[Request] | None = None
-    """Requests waiting for a probe of it; None: no probe is in flight."""
+    """Requests that wait for a probe of it; None if no probe is in flight."""
     is_listed: bool = False
-    """In the index's order."""
+    """Whether it is in the index's order."""
     is_local: bool = True
-    """Within reach without a price."""
+    """Whether it can be reached without a cross-zone price."""
     is_confirmed: bool = True
-    """A source lists it, or it has answered here; else it is known from the cache alone."""
+    """Whether a source lists it or it has answered; otherwise it is known from the cache alone."""
     rank: float = 0.0
-    """Its place in this node's own order, among local ones or among others."""
+    """Sort key in this node's own order, among local backends or among remote ones."""
     capacity_tally: tuple[str, int] | None = None
-    """Its part in the sums of live weights: kind and inverse weight, or NO_INVERSE_WEIGHT."""
+    """Its contribution to the sums of live weights: kind and inverse weight, or NO_INVERSE_WEIGHT."""
 
-    # Where the index has it; `indexed_*` are the figures from when it was put there.
+    # Its place in the index; `indexed_*` are the values from when it was put there.
     is_in_window: bool = False
     level: Level | None = None
-    """Set where it is ready."""
-    shelf_number: int = 0
+    """Set only while it is ready."""
+    tier_number: int = 0
     indexed_in_flight: int = 0
     indexed_estimate: int = 0
-    indexed_weight_grade: int = 0
+    indexed_weight_bucket: int = 0
     estimate_position: int = 0
     weight_position: int = 0
     warming_up_position: int = -1
     review_at_ms: float = math.inf
-    """When the index is to place it anew."""
+    """When the index places it again."""
 
 
 class BackendSet:
-    """Backends in no order, of which some can be drawn without looking at the others."""
+    """An unordered set of backends that supports random access by position."""
 
     __slots__ = ("_positions", "items")
 
@@ -81,35 +81,36 @@
 
     def remove(self, backend: Backend) -> None:
         """Remove a backend that is in the set."""
-        at, last = self._positions.pop(backend), self.items.pop()
+        position, last = self._positions.pop(backend), self.items.pop()
         if last is not backend:
-            self.items[at] = last
-            self._positions[last] = at
+            self.items[position] = last
+            self._positions[last] = position
 
 
 class Level:
     """Ready backends with the same number of own attempts in flight.
 
-    They stand in rows of one queue estimate, and in rows of one weight grade: weights within a factor of two.
+    They are grouped into rows by queue estimate, and into rows by weight bucket: weights within a factor of
+    two.
     """
 
-    __slots__ = ("by_estimate", "by_weight_grade", "estimate_heap", "size")
+    __slots__ = ("by_estimate", "by_weight_bucket", "estimate_heap", "size")
 
     def __init__(self) -> None:
         self.by_estimate: dict[int, list[Backend]] = {}
-        self.by_weight_grade: dict[int, list[Backend]] = {}
-        self.estimate_heap: list[int] = []  # of the rows, and of some that are gone
+        self.by_weight_bucket: dict[int, list[Backend]] = {}
+        self.estimate_heap: list[int] = []  # keys of the rows, and of some removed rows
         self.size = 0
 
     def lowest_estimate(self) -> int:
-        """The lowest queue estimate; there is one, as an empty level is removed."""
+        """Return the lowest queue estimate. A level is never empty: empty ones are removed."""
         heap, rows = self.estimate_heap, self.by_estimate
         while heap[0] not in rows:
             heappop(heap)
         return heap[0]
 
     def add(self, backend: Backend) -> None:
-        """Add a backend by its indexed estimate and weight grade."""
+        """Add a backend by its indexed estimate and weight bucket."""
         estimate_row = self.by_estimate.get(backend.indexed_estimate)
         if estimate_row is None:
             estimate_row = self.by_estimate[backend.indexed_estimate] = []
@@ -118,16 +119,16 @@
                 heapify(self.estimate_heap)
             else:
                 heappush(self.estimate_heap, backend.indexed_estimate)
-        grade_row = self.by_weight_grade.get(backend.indexed_weight_grade)
-        if grade_row is None:
-            grade_row = self.by_weight_grade[backend.indexed_weight_grade] = []
-        backend.estimate_position, backend.weight_position = len(estimate_row), len(grade_row)
+        bucket_row = self.by_weight_bucket.get(backend.indexed_weight_bucket)
+        if bucket_row is None:
+            bucket_row = self.by_weight_bucket[backend.indexed_weight_bucket] = []
+        backend.estimate_position, backend.weight_position = len(estimate_row), len(bucket_row)
         estimate_row.append(backend)
-        grade_row.append(backend)
+        bucket_row.append(backend)
         self.size += 1
 
     def remove(self, backend: Backend) -> None:
-        """Remove a backend; its indexed figures are those that it was added with."""
+        """Remove a backend, whose indexed values must be those it was added with."""
         estimate_row = self.by_estimate[backend.indexed_estimate]
         last = estimate_row.pop()
         if last is not backend:
@@ -135,30 +136,30 @@
             last.estimate_position = backend.estimate_position
         elif not estimate_row:
             del self.by_estimate[backend.indexed_estimate]
-        grade_row = self.by_weight_grade[backend.indexed_weight_grade]
-        last = grade_row.pop()
+        bucket_row = self.by_weight_bucket[backend.indexed_weight_bucket]
+        last = bucket_row.pop()
         if last is not backend:
-            grade_row[backend.weight_position] = last
+            bucket_row[backend.weight_position] = last
             last.weight_position = backend.weight_position
-        elif not grade_row:
-            del self.by_weight_grade[backend.indexed_weight_grade]
+        elif not bucket_row:
+            del self.by_weight_bucket[backend.indexed_weight_bucket]
         self.size -= 1
 
 
 @dataclass(slots=True, eq=False)
 class Capacity:
-    """What the live weights of one kind tell, over the backends that are up and don't reject often.
+    """Aggregated live weights of one backend kind, over backends that are up and do not reject often.
 
-    The sum is one of whole numbers: a float would drift, and lose all others to one very small weight.
+    The sum uses integers: a float would drift, and one very small weight would swamp all the others.
     """
 
     backend_count: int = 0
     inverse_weight_sum: int = 0
-    """In parts of one in INVERSE_WEIGHT_UNIT."""
+    """In units of 1 / INVERSE_WEIGHT_UNIT."""
     weighted_count: int = 0
-    """Those that have a weight."""
+    """Number of counted backends that have a weight."""
     idle_weight: float = 0.0
-    """The largest weight ever seen: that of an idle backend."""
+    """The largest weight ever seen, which is that of an idle backend."""
 
 
 @dataclass(slots=True, eq=False)
@@ -167,30 +168,30 @@
 
     backend: Backend
     endpoint: api.Endpoint
-    """As it was listed when the attempt was sent: under the same name it may come up elsewhere."""
+    """The endpoint as listed when the attempt was sent: a backend may move and keep its name."""
     sent_at_ms: float
     is_representative: bool
-    """Its time and outcome tell of the backend: that reported idle, or nobody probed."""
+    """Whether its latency and outcome describe the backend: it reported idle, or nodes do not probe."""
     status: api.AttemptStatus | None = None
     is_shortened: bool = False
-    """It was given less time than would still be useful, as answers get lost."""
+    """Whether its timeout was cut below the useful time, as responses get lost."""
 
 
 @dataclass(slots=True, eq=False)
 class ClassState:
-    """A request class with what this node has learned of it."""
+    """A request class with what this node has learned about it."""
 
     request_class: api.RequestClass
     expected_latency_ms: float
-    """Running mean of the time from an attempt to its answer."""
+    """Moving average of the time from an attempt to its answer."""
     mean_deviation_ms: float = 0.0
-    """Running mean of the distance from that."""
+    """Moving average of the absolute deviation from the expected latency."""
     mean_log_latency_ratio: float = 0.0
-    """Running mean of the log of times over what the limit steers for: the log tames heavy tails."""
-    steered_at_ms: float = -math.inf
-    """When an answer of this class last steered the limit."""
+    """Moving average of the log of latency over the limit's target; the log dampens heavy tails."""
+    limit_adjusted_at_ms: float = -math.inf
+    """When an answer of this class last adjusted the concurrency limit."""
     first_attempt_allowance_ms: float = 0.0
-    """The time that clients give a first attempt, by majority vote."""
+    """The time that clients allow for a first attempt, determined by majority vote."""
     allowance_votes: int = 0
 
 
@@ -203,20 +204,20 @@
     work_hint_ms: float | None
     deadline_ms: float
     useful_until_ms: float
-    """An answer after this is worth nothing."""
+    """An answer after this time is worth nothing."""
     is_high_priority: bool
-    """Its priority weight is far above the mean for its time."""
+    """Whether its priority weight per expected latency is far above the mean."""
     attempts: list[Attempt] = field(default_factory=list)
     in_flight: int = 0
     is_closed: bool = False
     is_streaming: bool = False
     pending_probes: set[str] = field(default_factory=set)
-    """Backends whose probes it waits for."""
+    """Names of the backends whose probes it waits for."""
     probed: list[Backend] = field(default_factory=list)
-    """Backends that have answered one."""
+    """Backends that have answered a probe for it."""
     probe_rounds: int = 0
-    """Rounds for the current attempt."""
+    """Probe rounds for the current attempt."""
     probe_wait_number: int = 0
-    """Counts all rounds: a timer of an earlier one is void."""
+    """Counts all probe rounds, so that timers of earlier rounds are ignored."""
     may_admit_warming_up: bool = True
-    """Only the first draw may bring backends that are warming up: each one more would add to their share."""
+    """Whether warming-up backends may be drawn: only once, as each further draw would add to their share."""
--- a/balancer/policy/slow_start.py
+++ b/balancer/policy/slow_start.py
@@ -1,8 +1,8 @@
-"""Slow start: backends that are warming up get a thinned-out part of the requests.
+"""Slow start: backends that are warming up get a reduced part of the requests.
 
 A backend's slow-start fraction rises linearly from `slow_start_initial_fraction` at its start to 1 after
 `slow_start_duration_ms`. The site counts a backend as overloaded above `overload_multiple` times its fair
-share times this fraction; all nodes together have to stay below that without knowing of each other.
+share times this fraction; all nodes together must stay below that without coordination.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from balancer.policy.state import NodeState
 
 SLOW_START_LOAD_FRACTION = 0.5
-"""Part of the load that overloads a warming-up backend which all nodes together may send it.
+"""Fraction of the overload threshold of a warming-up backend that all nodes together may use.
 
 The other half is the margin for bursts and for nodes whose lists differ.
 """
@@ -23,7 +23,7 @@
 def slow_start_fraction(
     endpoint: api.Endpoint, now_ms: float, initial_fraction: float, duration_ms: float
 ) -> float:
-    """The part of its capacity that a backend surely has by now, from 0 to 1."""
+    """Return the fraction of its capacity, from 0 to 1, that a backend is guaranteed to have by now."""
     age_ms = now_ms - endpoint.started_at_ms
     if endpoint.started_at_ms <= 0 or duration_ms <= 0 or age_ms >= duration_ms:
         return 1.0
@@ -31,7 +31,7 @@
 
 
 def fraction(state: NodeState, backend: Backend) -> float:
-    """The slow-start fraction of a backend at the current time."""
+    """Return the slow-start fraction of a backend at the current time."""
     settings = state.settings
     return slow_start_fraction(
         backend.endpoint,
@@ -42,33 +42,33 @@
 
 
 def admission_chance(state: NodeState) -> float:
-    """The chance that a request considers a fully warm backend, times the number of backends considered.
+    """Return the probability that a request considers a fully warm backend, times the number considered.
 
-    It is measured by the fleet as large as it was before restarts: the budget of a warming-up backend doesn't
-    grow while others are down.
+    It is based on the fleet size before restarts: the budget of a warming-up backend must not grow while
+    others are down.
     """
     multiple = SLOW_START_LOAD_FRACTION * state.settings.overload_multiple
     return multiple * len(state.index.order) / state.fleet_size
 
 
 def admitted(state: NodeState, request: Request, max_in_flight: float) -> list[Backend]:
-    """The warming-up backends of the window that this request may consider.
+    """Return the warming-up backends of the window that this request may consider.
 
-    Each one is drawn independently with its chance times its slow-start fraction, so that all nodes
-    together keep its budget, however many they are. The draws skip geometrically: the cost follows the
-    number admitted.
+    Each backend is drawn independently with its probability times its slow-start fraction, so that all nodes
+    together keep its budget, whatever their number. Draws skip ahead geometrically, so the cost depends on
+    the number admitted.
     """
-    rng, warming_up, found = state.rng, state.index.warming_up, list[Backend]()
-    if (chance := admission_chance(state) / state.index.window_size) <= 0:
-        return found
-    log_rest = math.log1p(-chance) if chance < 1 else -math.inf
-    at = -1
-    while (at := at + 1 + int(math.log(1.0 - rng.random()) / log_rest)) < len(warming_up):
-        backend = warming_up[at]
-        if rng.random() * min(1.0, chance) > chance * fraction(state, backend):
+    rng, warming_up, admitted_backends = state.rng, state.index.warming_up, list[Backend]()
+    if (probability := admission_chance(state) / state.index.window_size) <= 0:
+        return admitted_backends
+    log_miss = math.log1p(-probability) if probability < 1 else -math.inf
+    position = -1
+    while (position := position + 1 + int(math.log(1.0 - rng.random()) / log_miss)) < len(warming_up):
+        backend = warming_up[position]
+        if rng.random() * min(1.0, probability) > probability * fraction(state, backend):
             continue
         if backend.in_flight <= max_in_flight and not (
             request.is_high_priority and backend.rejection_rate > HIGH_REJECTION_RATE
         ):
-            found.append(backend)
-    return found
+            admitted_backends.append(backend)
+    return admitted_backends
--- a/balancer/policy/state.py
+++ b/balancer/policy/state.py
@@ -1,6 +1,6 @@
-"""The state of one node: all that its decisions go by, passed explicitly to each function that decides.
+"""The state of one node, passed explicitly to each function that makes decisions.
 
-Times are milliseconds on the caller's clock. Nothing here decides anything.
+Times are milliseconds on the caller's clock. This module makes no decisions.
 """
 
 from __future__ import annotations
@@ -15,16 +15,16 @@
 from balancer.policy.backend_index import BackendIndex
 from balancer.policy.records import Backend, Capacity, ClassState, Request
 
-LOG_INTERVAL_MS = 10_000.0  # a node logs at most one line in this time: on-call pages are not to be flooded
+LOG_INTERVAL_MS = 10_000.0  # a node logs at most one line per interval so as not to flood operators
 
 
 @dataclass(slots=True, eq=False)
 class NodeState:
-    """One node's state. The functions of this package change it in place; `Balancer` owns it."""
+    """The state of one node. The functions of this package change it in place; `Balancer` owns it."""
 
     settings: api.Settings
     rng: random.Random
-    literal_cap: int  # the paper's m as a fixed number, for measurements; 0: m follows from the settings
+    literal_cap: int  # a fixed m for measurements; 0: m follows from the settings
     classes: dict[str, ClassState]
     index: BackendIndex
     probing_enabled: bool
@@ -34,13 +34,13 @@
     min_concurrency_limit: float
     retry_tokens: float
     probe_round_trip_ms: float  # expected round trip of a probe
-    mean_priority_density: float  # running mean of priority weight over expected latency
+    mean_priority_density: float  # moving average of priority weight over expected latency
 
-    # The event in progress.
+    # The current event.
     now_ms: float = 0.0
     actions: list[api.Action] = field(default_factory=list)
 
-    # The choice in progress, as `SendAttempt` reports it.
+    # The current choice, as `SendAttempt` reports it.
     selection_reason: api.DecisionReason = api.DecisionReason.LOWEST_ESTIMATE_BELOW_CAP
     attempt_cause: api.DecisionReason = api.DecisionReason.FIRST_ATTEMPT
     eligible_count: int = 0
@@ -54,23 +54,29 @@
     in_flight: int = 0  # attempts of this node
 
     # Endpoint list and subset.
-    subset_size: int = 0  # so many of the first in the index's order are in the subset
-    fleet_size: float = 0.0  # most backends listed, decaying slowly: the measure of a backend's share
+    subset_size: int = 0  # number of backends at the start of the index's order that form the subset
+    fleet_size: float = (
+        0.0  # maximum number of listed backends, decaying slowly; a backend's share is measured by it
+    )
     listed_at_ms: float = 0.0  # when the list was last updated
     failed_polls: int = 0  # in a row
     capacity_by_kind: dict[str, Capacity] = field(default_factory=dict)
-    miss_rates: list[float] = field(default_factory=lambda: [0.0, 0.0])  # of objectives: local, other zones
-    spillover: float = 0.0  # fraction of requests that goes to other zones
+    miss_rates: list[float] = field(
+        default_factory=lambda: [0.0, 0.0]
+    )  # fractions of missed objectives: local, other zones
+    spillover: float = 0.0  # fraction of requests sent to other zones
 
     # Concurrency limit.
-    latency_floors_ms: dict[str, float] = field(default_factory=dict)  # by zone: least time of an answer
-    steered_since_ms: float = math.inf  # when the first answer steered the limit
-    limit_relaxation: float = 1.0  # factor of the minimum limit
+    latency_floors_ms: dict[str, float] = field(default_factory=dict)  # lowest latency of an answer, by zone
+    limit_adjusted_since_ms: float = math.inf  # when the first answer adjusted the limit
+    limit_relaxation: float = 1.0  # factor applied to the minimum limit
 
     # Rates of recent attempts.
-    lost_response_rate: float = 0.0  # attempts without an answer
+    lost_response_rate: float = 0.0  # attempts that timed out
     failure_rate: float = 0.0  # failed attempts, among those that were not rejected
-    success_rate: float = 1.0  # answers within the objective; with probing, of attempts on an idle report
+    success_rate: float = (
+        1.0  # answers within the objective; with probing, only attempts after an idle report
+    )
 
     # Timers and the log.
     timers: dict[int, tuple[Callable[[NodeState, Any], None], Any]] = field(default_factory=dict)
@@ -80,7 +86,7 @@
     rejected_since_log: int = 0
 
     def set_timer(self, at_ms: float, callback: Callable[[NodeState, Any], None], argument: Any) -> None:
-        """Have `callback(state, argument)` called at a time."""
+        """Schedule a call of `callback(state, argument)` at a given time."""
         self.last_timer_token += 1
         self.timers[self.last_timer_token] = (callback, argument)
         self.actions.append(api.SetTimer(at_ms, self.last_timer_token))
--- a/tests/policy/test_any_settings.py
+++ b/tests/policy/test_any_settings.py
@@ -292,7 +292,7 @@
         one.in_flight for one in b.backends.values()
     )
     day.tell(api.EndpointsUpdated(api.EndpointUpdateKind.SNAPSHOT, []))
-    assert not (b.backends or b.index.order or b.index.warming_up or b.index.groups or any(b.index.shelves))
+    assert not (b.backends or b.index.order or b.index.warming_up or b.index.groups or any(b.index.tiers))
     asked = [call for call, _ in b.state.timers.values()]
     assert not [call for call in asked if call.__name__ != "_ask"]
 
--- a/tests/policy/test_backend_index.py
+++ b/tests/policy/test_backend_index.py
@@ -109,15 +109,15 @@
 
 
 def shelved(index: BackendIndex) -> dict[Backend, tuple[bool, int, Level]]:
-    """All on the shelves, with where they are; each level is checked to hold together."""
+    """All on the tiers, with where they are; each level is checked to hold together."""
     out: dict[Backend, tuple[bool, int, Level]] = {}
-    for apart, shelf in enumerate(index.shelves):
-        for own, level in shelf.items():
+    for apart, tier in enumerate(index.tiers):
+        for own, level in tier.items():
             rows = [(b, estimate) for estimate, row in level.by_estimate.items() for b in row]
-            racks = [(b, grade) for grade, rack in level.by_weight_grade.items() for b in rack]
+            racks = [(b, grade) for grade, rack in level.by_weight_bucket.items() for b in rack]
             assert level.size == len(rows) == len(racks) > 0
             assert {b for b, _ in rows} == {b for b, _ in racks}
-            assert all(level.by_estimate.values()) and all(level.by_weight_grade.values())
+            assert all(level.by_estimate.values()) and all(level.by_weight_bucket.values())
             assert all(b.queue_estimate == estimate == b.indexed_estimate for b, estimate in rows)
             assert level.lowest_estimate() == min(level.by_estimate) and len(level.estimate_heap) >= len(
                 level.by_estimate
@@ -126,7 +126,7 @@
                 share = (reference.bounded(b.endpoint.weight) / b.slowness) ** 2
                 assert (
                     2.0**grade / 2 <= share < 2.0**grade
-                    and level.by_weight_grade[grade][b.weight_position] is b
+                    and level.by_weight_bucket[grade][b.weight_position] is b
                 )
                 assert b not in out
                 out[b] = (bool(apart), own, level)
--- a/tests/policy/test_bulk_update.py
+++ b/tests/policy/test_bulk_update.py
@@ -35,10 +35,10 @@
     "rank",
     "capacity_tally",
     "is_in_window",
-    "shelf_number",
+    "tier_number",
     "indexed_in_flight",
     "indexed_estimate",
-    "indexed_weight_grade",
+    "indexed_weight_bucket",
     "estimate_position",
     "weight_position",
     "warming_up_position",
@@ -50,10 +50,10 @@
     """All that a decision goes by."""
     index = balancer.index
     names = {name: tuple(getattr(b, field) for field in FIELDS) for name, b in balancer.backends.items()}
-    shelves = [
+    tiers = [
         (number, out, estimate, [b.endpoint.id for b in row])
-        for number, shelf in enumerate(index.shelves)
-        for out, level in shelf.items()
+        for number, tier in enumerate(index.tiers)
+        for out, level in tier.items()
         for estimate, row in level.by_estimate.items()
     ]
     groups = {key: [b.endpoint.id for b in bag.items] for key, bag in index.groups.items()}
@@ -72,7 +72,7 @@
     return {
         "backends": names,
         "order": balancer.order,
-        "shelves": shelves,
+        "tiers": tiers,
         "groups": groups,
         "cold": [b.endpoint.id for b in index.warming_up],
         "window": (index.window_size, index.local_count, index.scheduled_reviews),
--- a/tests/policy/test_learned_state.py
+++ b/tests/policy/test_learned_state.py
@@ -129,7 +129,7 @@
     node = remembers()
     node.state.concurrency_limit = 1e9
     node.handle(1_001.0, api.EndpointsUpdated(api.EndpointUpdateKind.INCREMENTAL, [entry(n) for n in NAMES]))
-    assert not node.index.shelves[2] and len({ask(node, f"r{n}", "once") for n in range(30)}) == 6
+    assert not node.index.tiers[2] and len({ask(node, f"r{n}", "once") for n in range(30)}) == 6
     fails(node, "b3", api.AttemptStatus.RESET)
     assert "b3" in node.order
 
--- a/tests/policy/test_scale.py
+++ b/tests/policy/test_scale.py
@@ -481,7 +481,7 @@
             )[0]
             ask.end(rng.randrange(len(ask.out)), status, rng.choice((IDLE, BUSY, None)))
         if i % 2000 == 0:
-            heaps = [len(level.estimate_heap) for shelf in b.index.shelves for level in shelf.values()]
+            heaps = [len(level.estimate_heap) for tier in b.index.tiers for level in tier.values()]
             now = {
                 "requests": len(b.requests),
                 "held": len(b.queued),
@@ -489,7 +489,7 @@
                 "heap": max(heaps, default=0),
                 "away": len(b.index.review_heap),
                 "backends": len(b.backends),
-                "levels": sum(map(len, b.index.shelves)),
+                "levels": sum(map(len, b.index.tiers)),
             }
             most |= Counter(now)
             check(b)
