--- a/tests/net/test_any_settings.py
+++ b/tests/net/test_any_settings.py
@@ -13,7 +13,7 @@
 
 from balancer import interface as api
 from tests.net.test_client_gone import fronting, run
-from tests.policy.test_any_settings import any_settings, told
+from tests.policy.test_any_settings import any_settings, to_platform_json
 from tests.sockets import Backend, Client
 
 IDS = ["s-1", "7", "b 2", "ø/日本", "a\nb", "x" * 256, "%s", "{0}"]
@@ -43,7 +43,7 @@
         members = [backend.member() | row for backend, row in zip(backends, ROWS, strict=True)]
         del members[0]["cell"], members[1]["flavor"], members[2]["up_since_ms"], members[3]["locality"]
         del members[4]["size"]
-        over = json.loads(told(cfg))
+        over = json.loads(to_platform_json(cfg))
         del over["discovery"]  # nobody is asked here
         async with fronting(tmp_path, *members, **over) as front:
             assert len(front.node.balancer.order) == len(IDS)
--- a/tests/policy/test_any_settings.py
+++ b/tests/policy/test_any_settings.py
@@ -1,4 +1,4 @@
-"""The rules under whatever settings a site may have, and in whatever order things happen."""
+"""The protocol rules under any valid settings and any order of events."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 )
 
 ZONES = ["", "a", "b", "zürich 1", "-"]
-WORDS = {
+PLATFORM_WORDS = {
     api.Idempotency.IDEMPOTENT: "retryable",
     api.Idempotency.KEYED: "dedup",
     api.Idempotency.NON_IDEMPOTENT: "fragile",
@@ -32,11 +32,11 @@
     api.LoadReportSource.PROBES: "on_probe",
     api.LoadReportSource.NONE: "off",
 }
-TRIES = [1, 1, 2, 3, 8]
+MAX_ATTEMPTS_CHOICES = [1, 1, 2, 3, 8]
 
 
 def any_class(rng: random.Random, number: int) -> api.RequestClass:
-    """A class as a site file may have it."""
+    """Return a random class that a settings file may contain."""
     deadline = rng.choice([60.0, 61.5, 200.0, 1_000.0, 4_000.0, 30_000.0])
     return api.RequestClass(
         f"k{number}",
@@ -53,7 +53,7 @@
 
 
 def any_settings(rng: random.Random) -> api.Settings:
-    """Drawn over all that a site file may say."""
+    """Return random settings from the whole range of a settings file."""
     group_size = rng.choice([1, 2, 10, 200, 1000])
     probing, reports = rng.random() < 0.3, rng.choice(list(api.LoadReportSource))
     live = rng.random() < 0.4
@@ -71,7 +71,7 @@
         probing_enabled=probing,
         may_cancel=rng.random() < 0.6,
         may_hedge=rng.random() < 0.5,
-        max_attempts=rng.choice(TRIES),
+        max_attempts=rng.choice(MAX_ATTEMPTS_CHOICES),
         max_retry_after_ms=rng.choice([0.0, 1.0, 2_000.0]),
         poll_within_ms=rng.choice([100.0, 10_000.0]),
         drain_grace_ms=rng.choice([50.0, 500.0, 10_000.0]),
@@ -89,28 +89,30 @@
     )
 
 
-class Day:
-    """One node under such settings; what it does is judged at once."""
+class RandomRun:
+    """One node under random settings, with a checker for each of its actions."""
 
     def __init__(self, seed: int) -> None:
         self.rng = rng = random.Random(seed)
-        self.cfg = cfg = any_settings(rng)
-        self.b, self.now = Balancer(cfg, seed), rng.choice([0.0, 5_000.0, 1e12])
-        # Stricter than the settings: never two copies out, and nothing to whom the node knows to be leaving.
-        self.late = rng.random() < 0.3  # timers, and time-outs, come late and in any order
-        slack = math.inf if self.late else 0.0
-        self.check = RuleChecker(replace(cfg, may_hedge=False, drain_grace_ms=-1.0, response_slack_ms=slack))
-        self.rtt = rng.choice([0.1, 1.0, 50.0, 250.0])
+        self.config = config = any_settings(rng)
+        self.balancer, self.now = Balancer(config, seed), rng.choice([0.0, 5_000.0, 1e12])
+        # Stricter than the settings: one attempt at a time, and nothing to backends known to be draining.
+        self.has_late_timers = rng.random() < 0.3  # timers and timeouts come late and in any order
+        slack = math.inf if self.has_late_timers else 0.0
+        self.check = RuleChecker(
+            replace(config, may_hedge=False, drain_grace_ms=-1.0, response_slack_ms=slack)
+        )
+        self.round_trip_ms = rng.choice([0.1, 1.0, 50.0, 250.0])
         self.timers: list[tuple[float, int]] = []
-        self.live: list[tuple[float, str, int, str, float]] = []  # end, request, attempt, backend, sent
+        self.in_flight: list[tuple[float, str, int, str, float]] = []  # end, request, attempt, backend, sent
         self.probes: list[tuple[str, float]] = []
-        self.left: set[str] = set()
-        self.streams: set[str] = set()
+        self.left_requests: set[str] = set()
+        self.streamed_requests: set[str] = set()
         self.names = [f"b{i}" for i in range(rng.choice([0, 1, 2, 3, 3, 9, 9, 40, 40, 400]))]
-        self.serial = 0
+        self.request_count = 0
 
-    def listed(self, name: str) -> api.Endpoint:
-        """What a list may say of a backend."""
+    def random_endpoint(self, name: str) -> api.Endpoint:
+        """Return a random endpoint."""
         rng = self.rng
         up = [api.Phase.UP] * 6 + [api.Phase.DRAINING, api.Phase.REMOVED]
         return entry(
@@ -124,70 +126,75 @@
             cached_age_ms=rng.choice([None, None, None, 0.0, 1e5]),
         )
 
-    def tell(self, ev: api.Event, odd: bool = False) -> None:
-        """One event; an odd one is of what the node does not have, and changes nothing for the judge."""
-        if not odd:
-            self.check.event(self.now, ev)
-            if isinstance(ev, api.RequestArrived):  # one that comes too late is answered at once
-                self.check.seen[ev.request].deadline = max(self.now, ev.deadline_ms)
-        acts = self.b.handle(self.now, ev)
-        for act in acts:
-            self.check.actions(self.now, [act])
-            if isinstance(act, api.SetTimer):
-                assert math.isfinite(act.at_ms)
-                self.timers.append((act.at_ms, act.token))
-            elif isinstance(act, api.SendProbe):
-                assert self.cfg.probing_enabled
-                self.probes.append((act.backend, self.now))
-            elif isinstance(act, api.SendAttempt):
-                self._sent(act)
-            elif isinstance(act, api.CancelAttempt):
-                out = {(rid, number) for _, rid, number, _, _ in self.live}
-                assert self.cfg.may_cancel and (act.request, act.attempt) in out
-                assert act.request not in self.streams
-            elif isinstance(act, api.RejectRequest):
-                assert 0.0 <= act.retry_after_ms <= self.cfg.max_retry_after_ms
-            elif isinstance(act, api.NoteBackendDecision):
-                assert math.isfinite(act.duration_ms)
+    def handle(self, event: api.Event, is_unknown: bool = False) -> None:
+        """Handle one event; the checker does not see an event about something unknown (`is_unknown`)."""
+        if not is_unknown:
+            self.check.event(self.now, event)
+            if isinstance(event, api.RequestArrived):  # a request past its deadline is answered at once
+                self.check.seen[event.request].deadline = max(self.now, event.deadline_ms)
+        actions = self.balancer.handle(self.now, event)
+        for action in actions:
+            self.check.actions(self.now, [action])
+            if isinstance(action, api.SetTimer):
+                assert math.isfinite(action.at_ms)
+                self.timers.append((action.at_ms, action.token))
+            elif isinstance(action, api.SendProbe):
+                assert self.config.probing_enabled
+                self.probes.append((action.backend, self.now))
+            elif isinstance(action, api.SendAttempt):
+                self._sent(action)
+            elif isinstance(action, api.CancelAttempt):
+                out = {(request_id, number) for _, request_id, number, _, _ in self.in_flight}
+                assert self.config.may_cancel and (action.request, action.attempt) in out
+                assert action.request not in self.streamed_requests
+            elif isinstance(action, api.RejectRequest):
+                assert 0.0 <= action.retry_after_ms <= self.config.max_retry_after_ms
+            elif isinstance(action, api.NoteBackendDecision):
+                assert math.isfinite(action.duration_ms)
         assert (
-            0.0 < self.b.state.min_concurrency_limit < math.inf and 0.0 < self.b.concurrency_limit < math.inf
+            0.0 < self.balancer.state.min_concurrency_limit < math.inf
+            and 0.0 < self.balancer.concurrency_limit < math.inf
         )
         assert all(
             math.isfinite(c.expected_latency_ms) and c.expected_latency_ms > 0
-            for c in self.b.classes.values()
+            for c in self.balancer.classes.values()
         )
-        assert self.b.in_flight == len(self.live)
+        assert self.balancer.in_flight == len(self.in_flight)
 
-    def _sent(self, act: api.SendAttempt) -> None:
-        assert act.request not in self.left | self.streams
-        seen = self.check.seen[act.request]
-        assert self.now < seen.deadline and math.isfinite(act.timeout_ms) and act.timeout_ms >= 0.0
-        assert act.start_before_ms >= self.now
-        until = min(seen.deadline, self.now + (act.timeout_ms or math.inf))
-        self.live.append((until, act.request, len(seen.attempts) - 1, act.backend, self.now))
+    def _sent(self, action: api.SendAttempt) -> None:
+        assert action.request not in self.left_requests | self.streamed_requests
+        seen = self.check.seen[action.request]
+        assert self.now < seen.deadline and math.isfinite(action.timeout_ms) and action.timeout_ms >= 0.0
+        assert action.start_before_ms >= self.now
+        until = min(seen.deadline, self.now + (action.timeout_ms or math.inf))
+        self.in_flight.append((until, action.request, len(seen.attempts) - 1, action.backend, self.now))
 
-    def resolve(self, index: int, status: api.AttemptStatus) -> None:
-        """An attempt ends."""
-        _, rid, number, backend, sent = self.live.pop(index)
-        closed = self.check.seen[rid].ended or status is api.AttemptStatus.OK or rid in self.streams
+    def finish_attempt(self, index: int, status: api.AttemptStatus) -> None:
+        """Finish an attempt."""
+        _, request_id, number, backend, sent = self.in_flight.pop(index)
+        closed = (
+            self.check.seen[request_id].ended
+            or status is api.AttemptStatus.OK
+            or request_id in self.streamed_requests
+        )
         numbers = [None, 0.0, 0.4, 7.0, 1e9]
         load = self.rng.choice([None, api.LoadReport(self.rng.choice(numbers), self.rng.choice(numbers))])
-        ev = api.AttemptFinished(rid, number, backend, status, self.now - sent, closed, load)
-        self.tell(ev)
-        if self.rng.random() < 0.1:  # told twice
-            self.tell(ev, odd=True)
+        event = api.AttemptFinished(request_id, number, backend, status, self.now - sent, closed, load)
+        self.handle(event)
+        if self.rng.random() < 0.1:  # delivered twice
+            self.handle(event, is_unknown=True)
 
     def step(self) -> None:
-        """Something happens."""
+        """Generate a random event."""
         rng, roll = self.rng, self.rng.random()
         if roll < 0.4:
             for _ in range(rng.choice([1, 1, 1, 20])):
-                self.serial += 1
-                kind = rng.choice(self.cfg.classes)
+                self.request_count += 1
+                kind = rng.choice(self.config.classes)
                 left = kind.deadline_ms * rng.choice([1.0, 1.0, 1.0, 0.5, rng.random(), 1.5, 0.0, -1.0])
-                self.tell(
+                self.handle(
                     api.RequestArrived(
-                        f"r{self.serial}",
+                        f"r{self.request_count}",
                         kind.name,
                         self.now + left,
                         rng.random() < 0.3,
@@ -196,19 +203,21 @@
                         rng.choice([None, None, 0.0, kind.latency_objective_ms / 2, 1e9]),
                     )
                 )
-        elif roll < 0.65 and self.live:
-            self.resolve(
-                rng.randrange(len(self.live)), rng.choice([*api.AttemptStatus, api.AttemptStatus.OK])
+        elif roll < 0.65 and self.in_flight:
+            self.finish_attempt(
+                rng.randrange(len(self.in_flight)), rng.choice([*api.AttemptStatus, api.AttemptStatus.OK])
             )
         elif roll < 0.72:
             name = rng.choice([*self.names, "nobody"])
-            self.tell(
+            self.handle(
                 api.AttemptFinished("nobody", 0, name, rng.choice(list(api.AttemptStatus)), 1.0, False),
-                odd=True,
+                is_unknown=True,
+            )
+            self.handle(api.ClientLeft("nobody"))
+            self.handle(api.TimerFired(10**9))
+            self.handle(
+                api.ProbeFinished(name, rng.choice(list(api.AttemptStatus)), 1e4, None), is_unknown=True
             )
-            self.tell(api.ClientLeft("nobody"))
-            self.tell(api.TimerFired(10**9))
-            self.tell(api.ProbeFinished(name, rng.choice(list(api.AttemptStatus)), 1e4, None), odd=True)
         elif roll < 0.82:
             mode = rng.choice(
                 [
@@ -217,92 +226,102 @@
                     api.EndpointUpdateKind.INCREMENTAL,
                 ]
             )
-            pool = [*self.names, f"n{self.serial}"]
+            pool = [*self.names, f"n{self.request_count}"]
             some = rng.choices(pool, k=rng.choice([0, 1, 2, len(pool)]))
-            rows = [] if mode is api.EndpointUpdateKind.FAILED else [self.listed(name) for name in some]
-            self.tell(api.EndpointsUpdated(mode, rows))
-        elif roll < 0.9 and self.serial:
-            rid = f"r{rng.randint(max(1, self.serial - 30), self.serial)}"
-            if not self.check.seen[rid].ended:
-                self.left.add(rid)
-            self.tell(api.ClientLeft(rid))
-        elif roll < 0.92 and self.live:
-            at = rng.randrange(len(self.live))
-            _, rid, number, backend, sent = self.live[at]
-            seen = self.check.seen[rid]
-            if seen.cls.is_streamed and not seen.ended:  # the answer begins: its time has no end now
-                self.streams.add(rid)
-                self.live[at] = (self.now + 5_000.0, rid, number, backend, sent)
+            rows = (
+                [] if mode is api.EndpointUpdateKind.FAILED else [self.random_endpoint(name) for name in some]
+            )
+            self.handle(api.EndpointsUpdated(mode, rows))
+        elif roll < 0.9 and self.request_count:
+            request_id = f"r{rng.randint(max(1, self.request_count - 30), self.request_count)}"
+            if not self.check.seen[request_id].ended:
+                self.left_requests.add(request_id)
+            self.handle(api.ClientLeft(request_id))
+        elif roll < 0.92 and self.in_flight:
+            at = rng.randrange(len(self.in_flight))
+            _, request_id, number, backend, sent = self.in_flight[at]
+            seen = self.check.seen[request_id]
+            if seen.cls.is_streamed and not seen.ended:  # the response begins: it has no timeout from now on
+                self.streamed_requests.add(request_id)
+                self.in_flight[at] = (self.now + 5_000.0, request_id, number, backend, sent)
                 seen.deadline = math.inf
-                self.tell(api.StreamStarted(rid, number, backend, self.now - sent))
+                self.handle(api.StreamStarted(request_id, number, backend, self.now - sent))
         elif roll < 0.94:
-            kept = self.b.learned(self.now)
-            self.tell(api.LearnedStateRestored(kept, rng.choice([0.0, -5.0, 1e4, 1e12])))
+            kept = self.balancer.learned(self.now)
+            self.handle(api.LearnedStateRestored(kept, rng.choice([0.0, -5.0, 1e4, 1e12])))
 
-    def on_to(self, then: float) -> None:
-        """What falls due on the way comes in order, or late and in any."""
+    def advance_to(self, until_ms: float) -> None:
+        """Advance the clock; events due before then are handled in order, or late and in any order."""
         while True:
             due: list[tuple[float, int, int]] = [(when, 0, i) for i, (when, _) in enumerate(self.timers)]
-            due += [(row[0], 1, i) for i, row in enumerate(self.live)]
-            due += [(sent + self.rtt, 2, i) for i, (_, sent) in enumerate(self.probes)]
-            due = [one for one in due if one[0] <= then]
+            due += [(row[0], 1, i) for i, row in enumerate(self.in_flight)]
+            due += [(sent + self.round_trip_ms, 2, i) for i, (_, sent) in enumerate(self.probes)]
+            due = [one for one in due if one[0] <= until_ms]
             if not due:
                 break
-            if self.late:
+            if self.has_late_timers:
                 if self.rng.random() < 0.2:
                     break
                 when, what, at = self.rng.choice(due)
-                self.now = max(self.now, when, self.rng.uniform(self.now, then))
+                self.now = max(self.now, when, self.rng.uniform(self.now, until_ms))
             else:
                 when, what, at = min(due)
                 self.now = max(self.now, when)
             if what == 0:
-                self.tell(api.TimerFired(self.timers.pop(at)[1]))
+                self.handle(api.TimerFired(self.timers.pop(at)[1]))
             elif what == 1:
-                self.resolve(at, api.AttemptStatus.TIMEOUT)
+                self.finish_attempt(at, api.AttemptStatus.TIMEOUT)
             else:
                 name, sent = self.probes.pop(at)
                 status = self.rng.choice(
                     [api.AttemptStatus.OK, api.AttemptStatus.OK, api.AttemptStatus.TIMEOUT]
                 )
-                self.tell(
+                self.handle(
                     api.ProbeFinished(
                         name, status, self.now - sent, api.LoadReport(self.rng.choice([0.0, 9.0]))
                     )
                 )
-        self.now = max(self.now, then)
-        assert self.late or not self.check.overdue(self.now)
+        self.now = max(self.now, until_ms)
+        assert self.has_late_timers or not self.check.overdue(self.now)
 
 
 def play(seed: int, steps: int) -> None:
-    """A day of so many steps and its end."""
-    day = Day(seed)
-    rng = day.rng
-    day.tell(api.EndpointsUpdated(api.EndpointUpdateKind.CACHED, [day.listed(name) for name in day.names]))
+    """Run a number of steps, then let everything end."""
+    run = RandomRun(seed)
+    rng = run.rng
+    run.handle(
+        api.EndpointsUpdated(api.EndpointUpdateKind.CACHED, [run.random_endpoint(name) for name in run.names])
+    )
     pace = rng.choice([0.0, 1.0, 50.0, 1_000.0])
     for _ in range(steps):
-        day.step()
-        day.on_to(day.now + rng.choice([0.0, 0.0, 0.01, pace * rng.random()]))
-    day.late = False
-    day.on_to(day.now + 40_000.0)
-    day.on_to(day.now + 40_000.0)
-    assert all(r.ended for r in day.check.seen.values()), "unanswered at the end of all"
-    b = day.b
-    assert not (b.requests or b.queued or b.in_flight) and not any(
-        one.in_flight for one in b.backends.values()
+        run.step()
+        run.advance_to(run.now + rng.choice([0.0, 0.0, 0.01, pace * rng.random()]))
+    run.has_late_timers = False
+    run.advance_to(run.now + 40_000.0)
+    run.advance_to(run.now + 40_000.0)
+    assert all(r.ended for r in run.check.seen.values()), "unanswered at the end of all"
+    balancer = run.balancer
+    assert not (balancer.requests or balancer.queued or balancer.in_flight) and not any(
+        one.in_flight for one in balancer.backends.values()
+    )
+    run.handle(api.EndpointsUpdated(api.EndpointUpdateKind.SNAPSHOT, []))
+    assert not (
+        balancer.backends
+        or balancer.index.order
+        or balancer.index.warming_up
+        or balancer.index.groups
+        or any(balancer.index.tiers)
     )
-    day.tell(api.EndpointsUpdated(api.EndpointUpdateKind.SNAPSHOT, []))
-    assert not (b.backends or b.index.order or b.index.warming_up or b.index.groups or any(b.index.tiers))
-    asked = [call for call, _ in b.state.timers.values()]
+    asked = [call for call, _ in balancer.state.timers.values()]
     assert not [call for call in asked if call.__name__ != "_ask"]
 
 
-def told(cfg: api.Settings) -> str:
-    """Such settings as the platform words them."""
+def to_platform_json(config: api.Settings) -> str:
+    """Return the settings in the platform's JSON format."""
     classes = [
         {
             "name": c.name,
-            "effect": WORDS[c.idempotency],
+            "effect": PLATFORM_WORDS[c.idempotency],
             "group": c.deduplication_scope.value,
             "objective": c.latency_objective_ms,
             "give-up": c.deadline_ms,
@@ -312,53 +331,53 @@
             "streamed": c.is_streamed,
             "aim-stretch": c.latency_objective_stretch,
         }
-        for c in cfg.classes
+        for c in config.classes
     ]
     return json.dumps(
         {
             "request-classes": classes,
-            "me": cfg.node_index,
-            "group-size": cfg.node_count,
-            "zone": cfg.zone,
-            "granularity": cfg.tick_ms,
-            "failure-domains": cfg.zones,
+            "me": config.node_index,
+            "group-size": config.node_count,
+            "zone": config.zone,
+            "granularity": config.tick_ms,
+            "failure-domains": config.zones,
             "projects": [
-                {"name": t.name, "quota-per-s": t.quota_per_s, "share": t.share} for t in cfg.tenants
+                {"name": t.name, "quota-per-s": t.quota_per_s, "share": t.share} for t in config.tenants
             ],
-            "charges": {"probe": cfg.prices.probe, "cross-zone": cfg.prices.cross_zone},
-            "discovery": "subscribe" if cfg.must_poll else "automatic",
-            "load-info": {"how": WORDS[cfg.load_report_source], "names": []},
+            "charges": {"probe": config.prices.probe, "cross-zone": config.prices.cross_zone},
+            "discovery": "subscribe" if config.must_poll else "automatic",
+            "load-info": {"how": PLATFORM_WORDS[config.load_report_source], "names": []},
             "limits": {
-                "probing": cfg.probing_enabled,
-                "cancel": cfg.may_cancel,
-                "second-copies": cfg.may_hedge,
-                "most-tries": cfg.max_attempts,
+                "probing": config.probing_enabled,
+                "cancel": config.may_cancel,
+                "second-copies": config.may_hedge,
+                "most-tries": config.max_attempts,
                 "retry-after": True,
-                "max-retry-after": cfg.max_retry_after_ms,
-                "connect-timeout": cfg.connect_timeout_ms,
-                "max-open": cfg.max_open_requests,
-                "conn-idle": cfg.connection_idle_ms,
+                "max-retry-after": config.max_retry_after_ms,
+                "connect-timeout": config.connect_timeout_ms,
+                "max-open": config.max_open_requests,
+                "conn-idle": config.connection_idle_ms,
             },
             "rules": {
-                "ask-within": cfg.poll_within_ms,
-                "drain-grace": cfg.drain_grace_ms,
-                "cold-share": cfg.slow_start_initial_fraction,
-                "ramp-time": cfg.slow_start_duration_ms,
-                "fall": cfg.overload_window_ms,
-                "fall-multiple": cfg.overload_multiple,
-                "answer-slack": cfg.response_slack_ms,
+                "ask-within": config.poll_within_ms,
+                "drain-grace": config.drain_grace_ms,
+                "cold-share": config.slow_start_initial_fraction,
+                "ramp-time": config.slow_start_duration_ms,
+                "fall": config.overload_window_ms,
+                "fall-multiple": config.overload_multiple,
+                "answer-slack": config.response_slack_ms,
             },
-            "weight-source": "live" if cfg.has_live_weights else "rough" if cfg.has_weights else "off",
-            "client-habits": {"marks-retry": cfg.are_retries_marked},
+            "weight-source": "live" if config.has_live_weights else "rough" if config.has_weights else "off",
+            "client-habits": {"marks-retry": config.are_retries_marked},
             "family-info": {"passes-deadline": True},
         }
     )
 
 
 @pytest.mark.parametrize("seed", range(50))
-def test_all_that_a_site_may_say_is_read(seed: int) -> None:
-    cfg = any_settings(random.Random(seed))
-    assert read(told(cfg)) == cfg
+def test_read_returns_any_valid_settings(seed: int) -> None:
+    config = any_settings(random.Random(seed))
+    assert read(to_platform_json(config)) == config
 
 
 @settings(max_examples=100, deadline=None, derandomize=True, database=None)
@@ -367,17 +386,17 @@
     play(seed, 100)
 
 
-def test_a_probe_that_takes_longer_than_a_request_has_costs_no_answer() -> None:
-    """It is refused in time, and who was asked is not taken to stand still."""
+def test_probe_longer_than_deadline_rejects_in_time() -> None:
+    """The request is rejected in time, and the probed backends do not count as stalled."""
     short = replace(SAFE, latency_objective_ms=60.0, deadline_ms=60.0)
-    b = node(replace(LOOKING, classes=(short,)), ["x", "y", "z", "u"])
+    balancer = node(replace(LOOKING, classes=(short,)), ["x", "y", "z", "u"])
     for n in range(60):  # probes are slow here: 50 ms
-        b.handle(1000.0 + n, api.ProbeFinished("x", api.AttemptStatus.OK, 50.0, api.LoadReport(3.0)))
-    acts, asked = b.handle(2000.0, api.RequestArrived("r", "read", 2060.0)), 0
-    while not answers(acts):
-        asked += sum(isinstance(a, api.SendProbe) for a in acts)
-        due = next(a for a in acts if isinstance(a, api.SetTimer))
+        balancer.handle(1000.0 + n, api.ProbeFinished("x", api.AttemptStatus.OK, 50.0, api.LoadReport(3.0)))
+    actions, asked = balancer.handle(2000.0, api.RequestArrived("r", "read", 2060.0)), 0
+    while not answers(actions):
+        asked += sum(isinstance(a, api.SendProbe) for a in actions)
+        due = next(a for a in actions if isinstance(a, api.SetTimer))
         assert due.at_ms <= 2060.0
-        acts = b.handle(due.at_ms, api.TimerFired(due.token))
-    assert asked == 3 and isinstance(answers(acts)[0], api.RejectRequest)
-    assert not any(one.ejected_until_ms for one in b.backends.values())
+        actions = balancer.handle(due.at_ms, api.TimerFired(due.token))
+    assert asked == 3 and isinstance(answers(actions)[0], api.RejectRequest)
+    assert not any(one.ejected_until_ms for one in balancer.backends.values())
--- a/tests/policy/test_bulk_update.py
+++ b/tests/policy/test_bulk_update.py
@@ -1,4 +1,4 @@
-"""A first list in steps against `handle` with all of it: the same state, random numbers and sends."""
+"""Applying a first list in steps must end in the same state, random draws and actions as `handle` at once."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from balancer import interface as api
-from balancer.policy import bulk_update as laying
+from balancer.policy import bulk_update as bulk_update
 from balancer.policy.balancer import Balancer
 from tests.helpers import entry
 from tests.policy.test_backend_index import (
@@ -47,9 +47,9 @@
 
 
 def state(balancer: Balancer) -> dict[str, Any]:
-    """All that a decision goes by."""
+    """Return everything that decisions depend on."""
     index = balancer.index
-    names = {name: tuple(getattr(b, field) for field in FIELDS) for name, b in balancer.backends.items()}
+    backends = {name: tuple(getattr(b, field) for field in FIELDS) for name, b in balancer.backends.items()}
     tiers = [
         (number, out, estimate, [b.endpoint.id for b in row])
         for number, tier in enumerate(index.tiers)
@@ -57,7 +57,7 @@
         for estimate, row in level.by_estimate.items()
     ]
     groups = {key: [b.endpoint.id for b in bag.items] for key, bag in index.groups.items()}
-    own = (
+    node_fields = (
         "subset_size",
         "spillover",
         "fleet_size",
@@ -70,7 +70,7 @@
         "miss_rates",
     )
     return {
-        "backends": names,
+        "backends": backends,
         "order": balancer.order,
         "tiers": tiers,
         "groups": groups,
@@ -78,7 +78,7 @@
         "window": (index.window_size, index.local_count, index.scheduled_reviews),
         "rooms": repr(balancer.state.capacity_by_kind),
         "random": balancer.state.rng.getstate(),
-        "own": {name: getattr(balancer.state, name) for name in own},
+        "own": {name: getattr(balancer.state, name) for name in node_fields},
     }
 
 
@@ -91,11 +91,11 @@
     st.sampled_from([api.EndpointUpdateKind.INCREMENTAL, api.EndpointUpdateKind.CACHED]),
     st.sampled_from([None, 0.0, 9_000.0]),
 )
-def test_in_steps_it_ends_as_in_one_go(
+def test_apply_first_list_in_steps_ends_in_same_state_as_handle(
     seed: int, count: int, step: int, fleet: int, kind: api.EndpointUpdateKind, age: float | None
 ) -> None:
-    rng, cfg = random.Random(seed), replace(FLEETS[fleet], must_poll=seed % 2 > 0)
-    entries = [
+    rng, config = random.Random(seed), replace(FLEETS[fleet], must_poll=seed % 2 > 0)
+    endpoints = [
         replace(
             entry(f"s{n}", zone=rng.choice("ab")),
             phase=rng.choice(PHASES),
@@ -107,31 +107,32 @@
         )
         for n in rng.sample(range(1_000), count)
     ]
-    one, two = Balancer(cfg, seed), Balancer(cfg, seed)
-    drains = [replace(one, phase=api.Phase.DRAINING) for one in entries[::7]]  # told of ahead of the list
-    for balancer in (one, two) if kind is api.EndpointUpdateKind.INCREMENTAL else ():
-        balancer.handle(9_000.0, api.EndpointsUpdated(kind, drains, 1))
-    now, seen = 10_000.0, [list[api.Action](), list[api.Action]()]
-    seen[0] += one.handle(now, api.EndpointsUpdated(kind, entries, 2))
+    at_once, in_steps = Balancer(config, seed), Balancer(config, seed)
+    # Received before the list.
+    draining = [replace(endpoint, phase=api.Phase.DRAINING) for endpoint in endpoints[::7]]
+    for balancer in (at_once, in_steps) if kind is api.EndpointUpdateKind.INCREMENTAL else ():
+        balancer.handle(9_000.0, api.EndpointsUpdated(kind, draining, 1))
+    now, actions = 10_000.0, [list[api.Action](), list[api.Action]()]
+    actions[0] += at_once.handle(now, api.EndpointsUpdated(kind, endpoints, 2))
     if kind is not api.EndpointUpdateKind.INCREMENTAL:
-        seen[1] += two.handle(now, api.EndpointsUpdated(kind, [], 2))
-    before, laying.BACKENDS_PER_STEP = laying.BACKENDS_PER_STEP, step
+        actions[1] += in_steps.handle(now, api.EndpointsUpdated(kind, [], 2))
+    original_step, bulk_update.BACKENDS_PER_STEP = bulk_update.BACKENDS_PER_STEP, step
     try:
-        two.state.now_ms, steps = now, laying.apply_first_list(two, entries)
+        in_steps.state.now_ms, steps = now, bulk_update.apply_first_list(in_steps, endpoints)
         while True:
             try:
                 next(steps)
-            except StopIteration as end:
-                seen[1] += end.value
+            except StopIteration as stop:
+                actions[1] += stop.value
                 break
-            assert not two.index.window_size or len(two.order) == len(one.order), (
-                "nobody is fed before all are in"
+            assert not in_steps.index.window_size or len(in_steps.order) == len(at_once.order), (
+                "no backend is used before all are listed"
             )
     finally:
-        laying.BACKENDS_PER_STEP = before
-    seen[1] += two.handle(now, api.EndpointsUpdated(api.EndpointUpdateKind.INCREMENTAL, [], 2))
-    assert seen[0] == seen[1]
-    assert state(one) == state(two)
+        bulk_update.BACKENDS_PER_STEP = original_step
+    actions[1] += in_steps.handle(now, api.EndpointsUpdated(api.EndpointUpdateKind.INCREMENTAL, [], 2))
+    assert actions[0] == actions[1]
+    assert state(at_once) == state(in_steps)
     for n in range(30):
-        ask = api.RequestArrived(f"r{n}", cfg.classes[n % len(cfg.classes)].name, now + n + 5_000.0)
-        assert one.handle(now + n, ask) == two.handle(now + n, replace(ask))
+        request = api.RequestArrived(f"r{n}", config.classes[n % len(config.classes)].name, now + n + 5_000.0)
+        assert at_once.handle(now + n, request) == in_steps.handle(now + n, replace(request))
--- a/tests/policy/test_overload.py
+++ b/tests/policy/test_overload.py
@@ -1,4 +1,4 @@
-"""A fleet of nodes that each see little, and a burst: what keeps servers from a crowd that no node sees."""
+"""Load shedding by live weights: many nodes with few requests each must not overload backends in a burst."""
 
 from __future__ import annotations
 
@@ -29,9 +29,9 @@
 )
 
 NAMES = [f"b{i}" for i in range(8)]
-DEAR = replace(SAFE, name="dear", priority_weight=400.0)
-LIVE = replace(BASE, classes=(*BASE.classes, DEAR), has_weights=True, has_live_weights=True)
-WIDE = replace(
+HIGH_PRIORITY = replace(SAFE, name="dear", priority_weight=400.0)
+LIVE_WEIGHTS = replace(BASE, classes=(*BASE.classes, HIGH_PRIORITY), has_weights=True, has_live_weights=True)
+LARGE_SITE = replace(
     SITE,
     zones=("a",),
     classes=(
@@ -43,7 +43,7 @@
 
 
 def burst(seed: int) -> Report:
-    """A hundred nodes before twenty servers that turn slow for long once they held too many."""
+    """Simulate 100 nodes and 20 backends that stay slow for long after they held too many requests."""
     return play(
         Scenario(
             servers=20,
@@ -52,7 +52,7 @@
             load=0.75,
             cores=3,
             seed=seed,
-            site=WIDE,
+            site=LARGE_SITE,
             room=6,
             list_ms=(100, 900),
             live_ms=700,
@@ -62,90 +62,101 @@
     )
 
 
-def test_a_burst_does_not_jam_a_fleet_for_long(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against a fleet that stays slow once the burst is over; it fails where nobody is spared."""
-    spared = burst(1)
+def test_load_shedding_in_burst_prevents_lasting_fleet_overload(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Without overload protection, the fleet stays slow after the burst."""
+    protected = burst(1)
     monkeypatch.setattr(load_shedding, "OVERLOAD_REQUESTS_PER_CORE", (1e8, 1e9))
-    crowded = burst(1)
-    assert spared.ok and crowded.ok
-    assert crowded.chokes == 20 and crowded.service < 0.4
-    assert spared.chokes <= 3 and spared.service > 0.7
-
-
-def told(
-    held: float, kind: str = "read", size: float = 1.0, late_ms: float = 0.0, count: int = 1000
+    unprotected = burst(1)
+    assert protected.ok and unprotected.ok
+    assert unprotected.chokes == 20 and unprotected.service < 0.4
+    assert protected.chokes <= 3 and protected.service > 0.7
+
+
+def sent_fraction(
+    requests_per_core: float,
+    class_name: str = "read",
+    idle_weight: float = 1.0,
+    late_ms: float = 0.0,
+    count: int = 1000,
 ) -> float:
-    """The share sent on of so many requests, where each core of all servers holds so many."""
-    b = node(LIVE, NAMES)
-    b.handle(
-        1000.0, api.EndpointsUpdated(api.EndpointUpdateKind.SNAPSHOT, [entry(x, weight=size) for x in NAMES])
+    """Return the fraction of requests sent while each core of all backends holds `requests_per_core`."""
+    balancer = node(LIVE_WEIGHTS, NAMES)
+    balancer.handle(
+        1000.0,
+        api.EndpointsUpdated(api.EndpointUpdateKind.SNAPSHOT, [entry(x, weight=idle_weight) for x in NAMES]),
     )
-    b.handle(
+    balancer.handle(
         1001.0,
         api.EndpointsUpdated(
-            api.EndpointUpdateKind.INCREMENTAL, [entry(x, weight=1 / (1 + held)) for x in NAMES]
+            api.EndpointUpdateKind.INCREMENTAL, [entry(x, weight=1 / (1 + requests_per_core)) for x in NAMES]
         ),
     )
     for i in range(20):
-        sent(b, -i, "read", 1000.5)  # so that the mean worth is that of the others
-    return sum(sent(b, i, kind, 1002.0 + late_ms) for i in range(1, count + 1)) / count
+        is_sent(balancer, -i, "read", 1000.5)  # so that the mean priority is that of the other classes
+    return sum(is_sent(balancer, i, class_name, 1002.0 + late_ms) for i in range(1, count + 1)) / count
 
 
-def sent(b: Balancer, number: int, kind: str, now: float) -> bool:
-    out = sends(b.handle(now, api.RequestArrived(f"r{number}", kind, now + 1000.0, idempotency_key="k")))
-    for send in out:
-        b.handle(now, api.AttemptFinished(f"r{number}", 0, send.backend, api.AttemptStatus.OK, 30.0, True))
-    return bool(out)
+def is_sent(balancer: Balancer, number: int, class_name: str, now: float) -> bool:
+    attempts = sends(
+        balancer.handle(now, api.RequestArrived(f"r{number}", class_name, now + 1000.0, idempotency_key="k"))
+    )
+    for attempt in attempts:
+        balancer.handle(
+            now, api.AttemptFinished(f"r{number}", 0, attempt.backend, api.AttemptStatus.OK, 30.0, True)
+        )
+    return bool(attempts)
 
 
-def test_a_server_is_spared_in_proportion_to_what_its_cores_hold() -> None:
-    assert told(OVERLOAD_REQUESTS_PER_CORE[0]) == 1.0
-    assert told((OVERLOAD_REQUESTS_PER_CORE[0] + OVERLOAD_REQUESTS_PER_CORE[1]) / 2) == pytest.approx(
-        0.5, abs=0.08
-    )
-    assert told(OVERLOAD_REQUESTS_PER_CORE[1] + 0.1) == 0.0
+def test_is_protected_rejects_in_proportion_to_requests_per_core() -> None:
+    assert sent_fraction(OVERLOAD_REQUESTS_PER_CORE[0]) == 1.0
+    assert sent_fraction(
+        (OVERLOAD_REQUESTS_PER_CORE[0] + OVERLOAD_REQUESTS_PER_CORE[1]) / 2
+    ) == pytest.approx(0.5, abs=0.08)
+    assert sent_fraction(OVERLOAD_REQUESTS_PER_CORE[1] + 0.1) == 0.0
 
 
-def test_what_is_worth_most_is_sent_on_to_a_crowded_server() -> None:
-    assert told(OVERLOAD_REQUESTS_PER_CORE[1] + 1.0, "dear", count=3) == 1.0
+def test_high_priority_request_to_overloaded_backend_is_sent() -> None:
+    assert sent_fraction(OVERLOAD_REQUESTS_PER_CORE[1] + 1.0, "dear", count=3) == 1.0
 
 
-def test_a_repeat_that_is_bound_to_its_zone_spares_a_crowd_too() -> None:
-    """Such a repeat is drawn among few and not by the index: no way to a crowded server is left open."""
-    b = node(LIVE, NAMES)
-    (first,) = sends(b.handle(1001.0, api.RequestArrived("r", "pay", 2001.0, idempotency_key="k")))
-    b.handle(
+def test_zone_bound_retry_to_overloaded_backends_is_rejected() -> None:
+    """Such a retry is drawn without the index, which must not bypass the overload protection."""
+    balancer = node(LIVE_WEIGHTS, NAMES)
+    (first,) = sends(balancer.handle(1001.0, api.RequestArrived("r", "pay", 2001.0, idempotency_key="k")))
+    balancer.handle(
         1002.0,
         api.EndpointsUpdated(api.EndpointUpdateKind.INCREMENTAL, [entry(x, weight=0.2) for x in NAMES]),
     )
-    out = b.handle(1003.0, api.AttemptFinished("r", 0, first.backend, api.AttemptStatus.ERROR, 2.0, False))
+    out = balancer.handle(
+        1003.0, api.AttemptFinished("r", 0, first.backend, api.AttemptStatus.ERROR, 2.0, False)
+    )
     assert not sends(out)
     assert [a.reason for a in out if isinstance(a, api.FailRequest)] == [
         api.DecisionReason.BACKEND_OVERLOADED
     ]
 
 
-def test_old_news_spare_nobody() -> None:
-    """Guards against refusing for as long as discovery is silent, as it did in a burst."""
-    longest = max(c.latency_objective_ms for c in LIVE.classes)
-    assert told(OVERLOAD_REQUESTS_PER_CORE[1] + 1.0, late_ms=longest - 10.0) == 0.0
-    assert told(OVERLOAD_REQUESTS_PER_CORE[1] + 1.0, late_ms=longest + 10.0) == 1.0
+def test_is_protected_with_outdated_weights_rejects_nothing() -> None:
+    """Requests were rejected for as long as discovery was silent, as happened in a burst."""
+    longest = max(c.latency_objective_ms for c in LIVE_WEIGHTS.classes)
+    assert sent_fraction(OVERLOAD_REQUESTS_PER_CORE[1] + 1.0, late_ms=longest - 10.0) == 0.0
+    assert sent_fraction(OVERLOAD_REQUESTS_PER_CORE[1] + 1.0, late_ms=longest + 10.0) == 1.0
 
 
-def test_another_size_is_no_crowd() -> None:
-    """Guards against one odd weight in a list for which all other servers would be spared for good."""
-    assert told(0.0, size=1e6) == 1.0
+def test_is_protected_with_outlying_weight_rejects_nothing() -> None:
+    """One outlying weight in a list must not make all other backends count as overloaded for good."""
+    assert sent_fraction(0.0, idle_weight=1e6) == 1.0
 
 
-def test_a_refusal_names_its_reason() -> None:
-    b = node(LIVE, NAMES)
-    b.handle(
+def test_rejection_for_overload_has_its_reason() -> None:
+    balancer = node(LIVE_WEIGHTS, NAMES)
+    balancer.handle(
         1001.0,
         api.EndpointsUpdated(api.EndpointUpdateKind.INCREMENTAL, [entry(x, weight=0.2) for x in NAMES]),
     )
     refused = [
         a
-        for a in b.handle(1002.0, api.RequestArrived("r", "read", 2002.0))
+        for a in balancer.handle(1002.0, api.RequestArrived("r", "read", 2002.0))
         if isinstance(a, api.RejectRequest)
     ]
     assert [a.reason for a in refused] == [api.DecisionReason.BACKEND_OVERLOADED]
