--- a/tests/policy/test_any_settings.py
+++ b/tests/policy/test_any_settings.py
@@ -190,17 +190,19 @@
         if roll < 0.4:
             for _ in range(rng.choice([1, 1, 1, 20])):
                 self.request_count += 1
-                kind = rng.choice(self.config.classes)
-                left = kind.deadline_ms * rng.choice([1.0, 1.0, 1.0, 0.5, rng.random(), 1.5, 0.0, -1.0])
+                request_class = rng.choice(self.config.classes)
+                remaining_ms = request_class.deadline_ms * rng.choice(
+                    [1.0, 1.0, 1.0, 0.5, rng.random(), 1.5, 0.0, -1.0]
+                )
                 self.handle(
                     api.RequestArrived(
                         f"r{self.request_count}",
-                        kind.name,
-                        self.now + left,
+                        request_class.name,
+                        self.now + remaining_ms,
                         rng.random() < 0.3,
                         rng.choice([None, "", "k"]),
                         rng.choice([None, "t0", "nobody"]),
-                        rng.choice([None, None, 0.0, kind.latency_objective_ms / 2, 1e9]),
+                        rng.choice([None, None, 0.0, request_class.latency_objective_ms / 2, 1e9]),
                     )
                 )
         elif roll < 0.65 and self.in_flight:
@@ -219,7 +221,7 @@
                 api.ProbeFinished(name, rng.choice(list(api.AttemptStatus)), 1e4, None), is_unknown=True
             )
         elif roll < 0.82:
-            mode = rng.choice(
+            update_kind = rng.choice(
                 [
                     *api.EndpointUpdateKind,
                     api.EndpointUpdateKind.INCREMENTAL,
@@ -229,9 +231,11 @@
             pool = [*self.names, f"n{self.request_count}"]
             some = rng.choices(pool, k=rng.choice([0, 1, 2, len(pool)]))
             rows = (
-                [] if mode is api.EndpointUpdateKind.FAILED else [self.random_endpoint(name) for name in some]
+                []
+                if update_kind is api.EndpointUpdateKind.FAILED
+                else [self.random_endpoint(name) for name in some]
             )
-            self.handle(api.EndpointsUpdated(mode, rows))
+            self.handle(api.EndpointsUpdated(update_kind, rows))
         elif roll < 0.9 and self.request_count:
             request_id = f"r{rng.randint(max(1, self.request_count - 30), self.request_count)}"
             if not self.check.seen[request_id].ended:
@@ -247,8 +251,8 @@
                 seen.deadline = math.inf
                 self.handle(api.StreamStarted(request_id, number, backend, self.now - sent))
         elif roll < 0.94:
-            kept = self.balancer.learned(self.now)
-            self.handle(api.LearnedStateRestored(kept, rng.choice([0.0, -5.0, 1e4, 1e12])))
+            learned = self.balancer.learned(self.now)
+            self.handle(api.LearnedStateRestored(learned, rng.choice([0.0, -5.0, 1e4, 1e12])))
 
     def advance_to(self, until_ms: float) -> None:
         """Advance the clock; events due before then are handled in order, or late and in any order."""
--- a/tests/policy/test_reasons.py
+++ b/tests/policy/test_reasons.py
@@ -30,9 +30,11 @@
     name: str = "r",
     class_name: str = "read",
     now: float = 1000.0,
-    left: float = 1000.0,
+    remaining_ms: float = 1000.0,
 ) -> list[api.Action]:
-    return balancer.handle(now, api.RequestArrived(name, class_name, now + left, idempotency_key=name))
+    return balancer.handle(
+        now, api.RequestArrived(name, class_name, now + remaining_ms, idempotency_key=name)
+    )
 
 
 def finish_attempt(
@@ -40,11 +42,11 @@
     status: AttemptStatus,
     name: str = "r",
     now: float = 1010.0,
-    took: float = 10.0,
+    duration_ms: float = 10.0,
 ) -> list[api.Action]:
     backend = balancer.requests[name].attempts[0].backend.endpoint.id
     return balancer.handle(
-        now, api.AttemptFinished(name, 0, backend, status, took, status is AttemptStatus.OK)
+        now, api.AttemptFinished(name, 0, backend, status, duration_ms, status is AttemptStatus.OK)
     )
 
 
@@ -137,7 +139,7 @@
 
 def test_rejection_of_arrival_has_its_reason() -> None:
     balancer = node(BASE, "abc")
-    assert answer_reason(arrive(balancer, left=1.0)) is DecisionReason.OBJECTIVE_UNREACHABLE
+    assert answer_reason(arrive(balancer, remaining_ms=1.0)) is DecisionReason.OBJECTIVE_UNREACHABLE
     assert answer_reason(arrive(Balancer(BASE, 1))) is DecisionReason.NO_ELIGIBLE_BACKEND
     balancer.state.success_rate, balancer.state.rng.random = 0.0, lambda: 0.99  # type: ignore[method-assign]
     assert answer_reason(arrive(balancer, "s")) is DecisionReason.SHED_BY_SUCCESS_RATE
@@ -168,7 +170,7 @@
     balancer = node(BASE, "abc")
     arrive(balancer)
     assert (
-        answer_reason(finish_attempt(balancer, AttemptStatus.ERROR, now=1390.0, took=390.0))
+        answer_reason(finish_attempt(balancer, AttemptStatus.ERROR, now=1390.0, duration_ms=390.0))
         is DecisionReason.OBJECTIVE_UNREACHABLE
     )
     balancer = node(BASE, "abc")
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -77,10 +77,14 @@
     for step in range(steps):
         roll = rng.random()
         if roll < 0.35:
-            kind = rng.choice(config.classes)
+            request_class = rng.choice(config.classes)
             hint = rng.choice([None, rng.uniform(1, 900)])
-            left = kind.deadline_ms * rng.uniform(0.1, 1.0)
-            handle(api.RequestArrived(f"r{step}", kind.name, now + left, rng.random() < 0.3, work_hint=hint))
+            remaining_ms = request_class.deadline_ms * rng.uniform(0.1, 1.0)
+            handle(
+                api.RequestArrived(
+                    f"r{step}", request_class.name, now + remaining_ms, rng.random() < 0.3, work_hint=hint
+                )
+            )
         elif roll < 0.6 and in_flight:
             finish_attempt(rng.randrange(len(in_flight)), rng.choice([*FAILURES, api.AttemptStatus.OK]))
         elif roll < 0.75 and probes:
@@ -98,21 +102,24 @@
             ]
             pool = [*names, f"n{step}"]
             some = rng.sample(pool, rng.randint(0, len(pool)))
-            mode = rng.choice(kinds)
+            update_kind = rng.choice(kinds)
             handle(
                 api.EndpointsUpdated(
-                    mode, [] if mode is api.EndpointUpdateKind.FAILED else [random_endpoint(n) for n in some]
+                    update_kind,
+                    []
+                    if update_kind is api.EndpointUpdateKind.FAILED
+                    else [random_endpoint(n) for n in some],
                 )
             )
         elif roll < 0.9 and check.seen:
             handle(api.ClientLeft(rng.choice(sorted(check.seen))))
-        then = now + rng.choice([0.0, 1.0, 20.0, 300.0])
+        next_step_ms = now + rng.choice([0.0, 1.0, 20.0, 300.0])
         while True:  # due timers and attempts are handled in order
-            next_timer = min(timers, default=(then + 1, -1))
+            next_timer = min(timers, default=(next_step_ms + 1, -1))
             next_attempt_end = min(
-                ((u, i) for i, (_, _, _, u) in enumerate(in_flight)), default=(then + 1, -1)
+                ((u, i) for i, (_, _, _, u) in enumerate(in_flight)), default=(next_step_ms + 1, -1)
             )
-            if min(next_timer[0], next_attempt_end[0]) > then:
+            if min(next_timer[0], next_attempt_end[0]) > next_step_ms:
                 break
             if next_timer[0] <= next_attempt_end[0]:
                 timers.remove(next_timer)
@@ -121,7 +128,7 @@
             else:
                 now = max(now, next_attempt_end[0])
                 finish_attempt(next_attempt_end[1], api.AttemptStatus.TIMEOUT)
-        now = then
+        now = next_step_ms
         assert not check.overdue(now), f"rule 1: no answer for {check.overdue(now)}"
     return check
 
@@ -280,12 +287,12 @@
         )
 
 
-def exceeds_slow_start_budget(nodes: int, rate: int, share: float) -> bool:
+def exceeds_slow_start_budget(nodes: int, rate: int, initial_fraction: float) -> bool:
     """Return whether all nodes together send one warming-up backend more than its budget in a window."""
     config = replace(
         BASE,
         node_count=nodes,
-        slow_start_initial_fraction=share,
+        slow_start_initial_fraction=initial_fraction,
         slow_start_duration_ms=20_000.0,
         overload_window_ms=1000.0,
     )
@@ -301,8 +308,8 @@
                 balancer.handle(
                     now, api.AttemptFinished(f"r{i}", 0, attempt.backend, api.AttemptStatus.OK, 30.0, True)
                 )
-    warm_takes = nodes * rate / backends  # requests per second of a warm backend here: at most its capacity
-    return sent > config.overload_multiple * share * warm_takes
+    warm_rate = nodes * rate / backends  # requests per second of a warm backend here: at most its capacity
+    return sent > config.overload_multiple * initial_fraction * warm_rate
 
 
 @pytest.mark.parametrize(("nodes", "rate"), [(300, 4), (12, 100), (3, 400)])
@@ -361,17 +368,19 @@
             in_flight.remove(ended)
             actions += [(ended[1], a) for a in ended[1].handle(now, ended[2])]
         for balancer, attempt in [(balancer, a) for balancer, a in actions if isinstance(a, api.SendAttempt)]:
-            there = balancer.backends[attempt.backend].endpoint
-            budget.send(now, there)
+            endpoint = balancer.backends[attempt.backend].endpoint
+            budget.send(now, endpoint)
             number = len(balancer.requests[attempt.request].attempts) - 1
-            full = rng.random() < 0.15
-            status = api.AttemptStatus.REJECTED if full else api.AttemptStatus.OK
-            took = 1.0 if full else rng.expovariate(1 / 40.0)
+            is_rejected = rng.random() < 0.15
+            status = api.AttemptStatus.REJECTED if is_rejected else api.AttemptStatus.OK
+            duration_ms = 1.0 if is_rejected else rng.expovariate(1 / 40.0)
             in_flight.append(
                 (
-                    now + took,
+                    now + duration_ms,
                     balancer,
-                    api.AttemptFinished(attempt.request, number, attempt.backend, status, took, not full),
+                    api.AttemptFinished(
+                        attempt.request, number, attempt.backend, status, duration_ms, not is_rejected
+                    ),
                 )
             )
     return budget.worst()
--- a/tests/policy/test_scale.py
+++ b/tests/policy/test_scale.py
@@ -116,7 +116,7 @@
 
 
 def mean_line_count(driver: RequestDriver, count: int = 150) -> float:
-    """Return the mean_line_count number of lines of one arrival and one outcome."""
+    """Return the mean number of lines of one arrival and one outcome."""
     return sum(count_lines(driver.arrive_and_finish) for _ in range(count)) / count
 
 
@@ -159,12 +159,14 @@
                 and len(bound) == size
             )
             one = driver.in_flight.pop()
-            repeat = api.AttemptFinished(one.request, 0, one.backend, api.AttemptStatus.RESET, 5.0, False)
+            failure = api.AttemptFinished(one.request, 0, one.backend, api.AttemptStatus.RESET, 5.0, False)
 
-            def tell(driver: RequestDriver = driver, repeat: api.AttemptFinished = repeat) -> None:
-                driver.actions = driver.balancer.handle(driver.now, repeat)
+            def finish_for_retry(
+                driver: RequestDriver = driver, failure: api.AttemptFinished = failure
+            ) -> None:
+                driver.actions = driver.balancer.handle(driver.now, failure)
 
-            total += count_lines(tell)
+            total += count_lines(finish_for_retry)
             assert len(sends(driver.actions)) == 1, i
         cost.append(total)
     assert cost[1] < 1.2 * cost[0], cost
@@ -200,19 +202,19 @@
 
 
 def test_batch_of_changes_costs_no_more_than_single_changes() -> None:
-    one, batch = fleet(LIVE_WEIGHTS, LARGE_FLEET_SIZE), fleet(LIVE_WEIGHTS, LARGE_FLEET_SIZE)
+    one_by_one, batch = fleet(LIVE_WEIGHTS, LARGE_FLEET_SIZE), fleet(LIVE_WEIGHTS, LARGE_FLEET_SIZE)
     rng = random.Random(3)
     some = [entry(n, weight=rng.choice([0.5, 2.0]), phase=rng.choice(list(api.Phase))) for n in names(1000)]
-    for balancer in (one, batch):
+    for balancer in (one_by_one, batch):
         RequestDriver(balancer).arrive()
     singles = [api.EndpointsUpdated(api.EndpointUpdateKind.INCREMENTAL, [e]) for e in some]
-    single = count_lines(lambda: [one.handle(50_001.0, update) for update in singles])
-    whole = count_lines(
+    single_cost = count_lines(lambda: [one_by_one.handle(50_001.0, update) for update in singles])
+    batch_cost = count_lines(
         lambda: batch.handle(50_001.0, api.EndpointsUpdated(api.EndpointUpdateKind.INCREMENTAL, some))
     )
-    assert whole <= single
+    assert batch_cost <= single_cost
     check_index(batch)
-    assert {n: (x.endpoint, x.in_flight) for n, x in one.backends.items()} == {
+    assert {n: (x.endpoint, x.in_flight) for n, x in one_by_one.backends.items()} == {
         n: (x.endpoint, x.in_flight) for n, x in batch.backends.items()
     }
 
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -220,19 +220,19 @@
     assert len([x for x in quiet.backends.values() if x.queue_estimate]) <= 3
 
 
-def _count_by_zone(balancer: Balancer, count: int, now: float, bad: str = "") -> Counter[str]:
-    """Serve requests at once, or time them out in the zone `bad`, and count them by zone."""
-    got: Counter[str] = Counter()
+def _count_by_zone(balancer: Balancer, count: int, now: float, failing_zone: str = "") -> Counter[str]:
+    """Serve requests at once, or time them out in `failing_zone`, and count them by zone."""
+    counts: Counter[str] = Counter()
     for i in range(count):
         for attempt in sends(_arrive(balancer, f"{now}-{i}", now + 100.0 * i)):
             zone = balancer.backends[attempt.backend].endpoint.zone
-            got[zone] += 1
-            status = api.AttemptStatus.TIMEOUT if zone == bad else api.AttemptStatus.OK
+            counts[zone] += 1
+            status = api.AttemptStatus.TIMEOUT if zone == failing_zone else api.AttemptStatus.OK
             balancer.handle(
                 now + 100.0 * i,
-                api.AttemptFinished(attempt.request, 0, attempt.backend, status, 50.0, zone != bad),
+                api.AttemptFinished(attempt.request, 0, attempt.backend, status, 50.0, zone != failing_zone),
             )
-    return got
+    return counts
 
 
 def test_local_zone_is_preferred_until_it_does_worse() -> None:
@@ -249,8 +249,8 @@
     _count_by_zone(with_price, 200, 1000.0)
     assert _count_by_zone(with_price, 100, 50_000.0)["a"] > 90
     assert _count_by_zone(without_price, 200, 1000.0)["a"] < 120
-    _count_by_zone(with_price, 200, 100_000.0, bad="a")
-    late = _count_by_zone(with_price, 100, 200_000.0, bad="a")
+    _count_by_zone(with_price, 200, 100_000.0, failing_zone="a")
+    late = _count_by_zone(with_price, 100, 200_000.0, failing_zone="a")
     assert late["a"] < sum(late.values()) / 2
 
 
@@ -333,14 +333,15 @@
     for seed in range(10):
         balancer = node(replace(BASE, node_count=500, classes=classes, max_attempts=1), NAMES, seed)
         for i in range(150):
-            kind = "dear" if i % 10 == 9 else "cheap"
-            for attempt in sends(_arrive(balancer, f"r{i}", 1000.0 + 1000.0 * i, kind)):
-                sent[kind] += i >= 50
-                bad = i % 2 == 0
-                status = api.AttemptStatus.TIMEOUT if bad else api.AttemptStatus.OK
+            class_name = "dear" if i % 10 == 9 else "cheap"
+            for attempt in sends(_arrive(balancer, f"r{i}", 1000.0 + 1000.0 * i, class_name)):
+                sent[class_name] += i >= 50
+                is_failed = i % 2 == 0
+                status = api.AttemptStatus.TIMEOUT if is_failed else api.AttemptStatus.OK
                 now = 1400.0 + 1000.0 * i
                 balancer.handle(
-                    now, api.AttemptFinished(attempt.request, 0, attempt.backend, status, 100.0, not bad)
+                    now,
+                    api.AttemptFinished(attempt.request, 0, attempt.backend, status, 100.0, not is_failed),
                 )
     assert sent["dear"] == 100 and 0.15 * 900 < sent["cheap"] < 0.65 * 900
 
@@ -394,7 +395,7 @@
 def test_panic_ignores_ejections_but_not_pauses() -> None:
     """A node's own fault may eject all its backends; panic must not flood them with new connections."""
 
-    def after(status: api.AttemptStatus) -> int:
+    def count_sends_after(status: api.AttemptStatus) -> int:
         balancer, sent = node(replace(BASE, node_count=50, max_attempts=1), ["x", "y", "z"]), 0
         for backend in balancer.backends.values():
             backend.consecutive_failures = 20  # so many in a row that the next failure ejects
@@ -407,57 +408,67 @@
                 )
         return sent
 
-    assert after(api.AttemptStatus.RESET) == 12
-    assert after(api.AttemptStatus.CONNECT_FAILED) == 3
+    assert count_sends_after(api.AttemptStatus.RESET) == 12
+    assert count_sends_after(api.AttemptStatus.CONNECT_FAILED) == 3
 
 
 @pytest.mark.parametrize(
-    ("part", "failing", "most"), [(1.0, 0.3, 4), (0.99, 0.1, 2), (0.1, 0.3, 1), (0.0, 0.3, 1)]
+    ("timeout_fraction", "failure_rate", "max_failures"),
+    [(1.0, 0.3, 4), (0.99, 0.1, 2), (0.1, 0.3, 1), (0.0, 0.3, 1)],
 )
 def test_slow_connections_eject_after_improbable_run_refused_ones_at_once(
-    part: float, failing: float, most: int
+    timeout_fraction: float, failure_rate: float, max_failures: int
 ) -> None:
     """A fleet must not be excluded where a third of the connections are slow and nothing else fails.
 
     A backend that is always slow to connect is ejected eventually, and panic does not bring it back.
     """
-    balancer, rounds = node(replace(BASE, node_count=50, max_attempts=1, connect_timeout_ms=100.0), ["x"]), 0
-    backend, balancer.state.failure_rate = balancer.backends["x"], failing
+    balancer, failure_count = (
+        node(replace(BASE, node_count=50, max_attempts=1, connect_timeout_ms=100.0), ["x"]),
+        0,
+    )
+    backend, balancer.state.failure_rate = balancer.backends["x"], failure_rate
     while backend.ejected_until_ms <= 1000.0:
-        (sent,) = sends(_arrive(balancer, f"r{rounds}"))
-        status, rounds = api.AttemptStatus.CONNECT_FAILED, rounds + 1
-        balancer.handle(1000.0, api.AttemptFinished(sent.request, 0, "x", status, part * 100.0, False))
-        assert rounds <= most
-    assert rounds == most and backend.paused_until_ms >= backend.ejected_until_ms
+        (sent,) = sends(_arrive(balancer, f"r{failure_count}"))
+        status, failure_count = api.AttemptStatus.CONNECT_FAILED, failure_count + 1
+        balancer.handle(
+            1000.0, api.AttemptFinished(sent.request, 0, "x", status, timeout_fraction * 100.0, False)
+        )
+        assert failure_count <= max_failures
+    assert failure_count == max_failures and backend.paused_until_ms >= backend.ejected_until_ms
     assert not sends(_arrive(balancer, "last"))
 
 
 def test_slow_connections_among_good_answers_eject_few() -> None:
-    def ejected(part: float) -> int:
+    def count_ejections(timeout_fraction: float) -> int:
         balancer = node(replace(BASE, node_count=50, max_attempts=1, connect_timeout_ms=100.0), NAMES)
         rng, count = random.Random(5), 0
         for i in range(600):
             now = 1000.0 + 100.0 * i
             for attempt in sends(_arrive(balancer, f"r{i}", now)):
-                late = rng.random() < 0.3
+                is_slow = rng.random() < 0.3
                 end = (
-                    (api.AttemptStatus.CONNECT_FAILED, part * 100.0) if late else (api.AttemptStatus.OK, 20.0)
+                    (api.AttemptStatus.CONNECT_FAILED, timeout_fraction * 100.0)
+                    if is_slow
+                    else (api.AttemptStatus.OK, 20.0)
+                )
+                balancer.handle(
+                    now, api.AttemptFinished(attempt.request, 0, attempt.backend, *end, not is_slow)
                 )
-                balancer.handle(now, api.AttemptFinished(attempt.request, 0, attempt.backend, *end, not late))
                 count += balancer.backends[attempt.backend].ejected_until_ms > now
         return count
 
-    assert 5 * ejected(1.0) < ejected(0.1)
+    assert 5 * count_ejections(1.0) < count_ejections(0.1)
 
 
 def test_limit_that_does_not_bind_does_not_rise() -> None:
     """Quiet nodes with a grown limit would flood the fleet in a burst."""
     balancer = node(replace(BASE, node_count=4), NAMES)
-    first = max(balancer.concurrency_limit, balancer.state.min_concurrency_limit)
+    initial_limit = max(balancer.concurrency_limit, balancer.state.min_concurrency_limit)
     for i in range(300):
         got = sends(_arrive(balancer, f"r{i}"))
         balancer.handle(1001.0, _finished(f"r{i}", got[0].backend))
-    assert balancer.concurrency_limit <= first * 1.01
+    assert balancer.concurrency_limit <= initial_limit * 1.01
 
 
 def test_limit_rises_despite_long_round_trip() -> None:
@@ -465,57 +476,57 @@
 
     Also guards against dividing the limit by more backends than exist, which rejected requests it allowed.
     """
-    cls = replace(SAFE, latency_objective_ms=100.0)
-    balancer, live = node(replace(BASE, classes=(cls,)), NAMES), list[str]()
-    first = max(balancer.concurrency_limit, balancer.state.min_concurrency_limit)
+    request_class = replace(SAFE, latency_objective_ms=100.0)
+    balancer, in_flight = node(replace(BASE, classes=(request_class,)), NAMES), list[str]()
+    initial_limit = max(balancer.concurrency_limit, balancer.state.min_concurrency_limit)
     for i in range(600):
         now = 1000.0 + i
-        live += [s.request + " " + s.backend for s in sends(_arrive(balancer, f"r{i}", now))]
+        in_flight += [s.request + " " + s.backend for s in sends(_arrive(balancer, f"r{i}", now))]
         while balancer.in_flight + 1 > balancer.concurrency_limit:  # the limit always binds
-            name, backend = live.pop(0).split()
+            name, backend = in_flight.pop(0).split()
             duration_ms = 20.0 if i % 4 else 24.0  # the round trip takes 20 of 100
             actions = balancer.handle(
                 now, api.AttemptFinished(name, 0, backend, api.AttemptStatus.OK, duration_ms, True)
             )
-            live += [s.request + " " + s.backend for s in sends(actions)]
-            if balancer.concurrency_limit > 2 * first:
+            in_flight += [s.request + " " + s.backend for s in sends(actions)]
+            if balancer.concurrency_limit > 2 * initial_limit:
                 return
     raise AssertionError(f"limit {balancer.concurrency_limit} after 600 answers that no load delayed")
 
 
 def _closed_loop(
-    balancer: Balancer, start: float, length: float, kind: str, duration_ms: float, clients: int = 60
+    balancer: Balancer, start: float, length_ms: float, class_name: str, duration_ms: float, clients: int = 60
 ) -> tuple[int, int]:
     """Run clients that send again after each answer, or shortly after a rejection; count both."""
     queue: list[tuple[float, int, str, api.Event]] = []
-    tie, served, refused = itertools.count(), 0, 0
+    sequence, served, rejected = itertools.count(), 0, 0
 
-    def ask(when: float) -> None:
-        if when >= start + length:
+    def send_request(when: float) -> None:
+        if when >= start + length_ms:
             return
-        number = next(tie)
-        event = api.RequestArrived(f"{start}-{number}", kind, when + 1000.0)
+        number = next(sequence)
+        event = api.RequestArrived(f"{start}-{number}", class_name, when + 1000.0)
         heapq.heappush(queue, (when, number, event.request, event))
 
     for i in range(clients):
-        ask(start + duration_ms * i / clients)
+        send_request(start + duration_ms * i / clients)
     while queue:
         now, _, name, event = heapq.heappop(queue)
         if isinstance(event, api.AttemptFinished):
             served += 1
-            ask(now)
-        for act in balancer.handle(now, event):
-            if isinstance(act, api.SendAttempt):
+            send_request(now)
+        for action in balancer.handle(now, event):
+            if isinstance(action, api.SendAttempt):
                 end = api.AttemptFinished(
-                    act.request, 0, act.backend, api.AttemptStatus.OK, duration_ms, True
+                    action.request, 0, action.backend, api.AttemptStatus.OK, duration_ms, True
                 )
-                heapq.heappush(queue, (now + duration_ms, next(tie), act.request, end))
-            elif isinstance(act, api.SetTimer):
-                heapq.heappush(queue, (act.at_ms, next(tie), name, api.TimerFired(act.token)))
-            elif isinstance(act, (api.RejectRequest, api.FailRequest)):
-                refused += 1
-                ask(now + 100.0)
-    return served, refused
+                heapq.heappush(queue, (now + duration_ms, next(sequence), action.request, end))
+            elif isinstance(action, api.SetTimer):
+                heapq.heappush(queue, (action.at_ms, next(sequence), name, api.TimerFired(action.token)))
+            elif isinstance(action, (api.RejectRequest, api.FailRequest)):
+                rejected += 1
+                send_request(now + 100.0)
+    return served, rejected
 
 
 def test_limit_with_unused_class_rises() -> None:
@@ -546,12 +557,12 @@
 
 
 def test_decisions_do_not_depend_on_names() -> None:
-    """A node actions on numbers, not on names."""
+    """A node acts on numbers, not on names."""
 
-    def run(cls: str, zone: str, tenant: str) -> list[str]:
+    def run(class_name: str, zone: str, tenant: str) -> list[str]:
         settings = replace(
             BASE,
-            classes=(replace(BASE.classes[0], name=cls),),
+            classes=(replace(BASE.classes[0], name=class_name),),
             zone=zone,
             tenants=(api.Tenant(tenant, 5.0, 1.0),),
         )
@@ -562,7 +573,7 @@
         actions = []
         for i in range(50):
             actions += balancer.handle(
-                1000.0 + i, api.RequestArrived(f"r{i}", cls, 2000.0 + i, tenant=tenant)
+                1000.0 + i, api.RequestArrived(f"r{i}", class_name, 2000.0 + i, tenant=tenant)
             )
         return [repr(a) for a in actions]
 
@@ -576,9 +587,11 @@
         balancer, sent = node(LOOKING, NAMES), 0
         for i in range(80):
             now = 1000.0 + 2000.0 * i
-            for act in _arrive(balancer, f"r{i}", now):
-                if isinstance(act, api.SendProbe):
-                    seen = api.ProbeFinished(act.backend, api.AttemptStatus.OK, 1.0, api.LoadReport(0.0, 0.0))
+            for action in _arrive(balancer, f"r{i}", now):
+                if isinstance(action, api.SendProbe):
+                    seen = api.ProbeFinished(
+                        action.backend, api.AttemptStatus.OK, 1.0, api.LoadReport(0.0, 0.0)
+                    )
                     for attempt in sends(balancer.handle(now, seen)):
                         sent += 1
                         closed = status is api.AttemptStatus.OK
@@ -641,19 +654,19 @@
 def test_high_priority_requests_avoid_rejecting_backends() -> None:
     """A backend may reject for a shortage that it does not report, and report itself idle."""
     urgent = replace(SAFE, name="urgent", priority_weight=50.0)
-    balancer, late = node(replace(BASE, classes=(SAFE, urgent)), NAMES), Counter[str]()
+    balancer, urgent_counts = node(replace(BASE, classes=(SAFE, urgent)), NAMES), Counter[str]()
     for i in range(600):
         for attempt in sends(
             _arrive(balancer, f"r{i}", 1000.0 + 20 * i, "urgent" if i % 10 == 0 else "read")
         ):
-            late[attempt.backend] += i % 10 == 0 and i >= 300
+            urgent_counts[attempt.backend] += i % 10 == 0 and i >= 300
             status = api.AttemptStatus.REJECTED if attempt.backend == "b3" else api.AttemptStatus.OK
             report = api.LoadReport(0.0, 0.0) if attempt.backend == "b3" else api.LoadReport(3.0, 0.0)
             end = api.AttemptFinished(
                 attempt.request, 0, attempt.backend, status, 20.0, status is api.AttemptStatus.OK, report
             )
             balancer.handle(1010.0 + 20 * i, end)
-    assert late["b3"] == 0 and late.total() == 30
+    assert urgent_counts["b3"] == 0 and urgent_counts.total() == 30
 
 
 def test_load_independent_failures_do_not_lower_the_limit() -> None:
@@ -738,26 +751,26 @@
 def test_live_weights_raise_and_lower_the_minimum_limit() -> None:
     """Guards against shedding while cores are idle, and against keeping a limit that overloads them."""
 
-    def least(held: float, live: bool = True) -> list[float]:
-        balancer, out = node(replace(BASE, has_weights=True, has_live_weights=live), NAMES), list[float]()
+    def minimum_limits(requests_per_core: float, live: bool = True) -> list[float]:
+        balancer, limits = node(replace(BASE, has_weights=True, has_live_weights=live), NAMES), list[float]()
         balancer.state.in_flight = 99  # all requests are queued: the limit binds
         for i in range(60):
             _arrive(balancer, f"r{i}", 2000.0 + 100.0 * i)
-            weight = 1.0 if i < 30 else 1 / (1 + held)
+            weight = 1.0 if i < 30 else 1 / (1 + requests_per_core)
             entries = [entry(name, weight=weight) for name in NAMES]
             balancer.handle(
                 2000.0 + 100.0 * i, api.EndpointsUpdated(api.EndpointUpdateKind.INCREMENTAL, entries)
             )
-            out.append(balancer.state.min_concurrency_limit)
-        return out
+            limits.append(balancer.state.min_concurrency_limit)
+        return limits
 
-    def with_idle(is_rejected: float) -> float:
+    def relaxation_with_idle_backends(rejection_rate: float) -> float:
         balancer = node(replace(BASE, has_weights=True, has_live_weights=True), NAMES)
         balancer.state.in_flight = 99
         for i in range(30):
             _arrive(balancer, f"r{i}", 2000.0 + 100.0 * i)
             for name in NAMES[:6]:
-                balancer.backends[name].rejection_rate = is_rejected
+                balancer.backends[name].rejection_rate = rejection_rate
             entries = [entry(name, weight=1.0 if name in NAMES[:6] else 0.3) for name in NAMES]
             balancer.handle(
                 2000.0 + 100.0 * i, api.EndpointsUpdated(api.EndpointUpdateKind.INCREMENTAL, entries)
@@ -765,11 +778,11 @@
         return balancer.state.limit_relaxation
 
     # Idle backends that reject are no capacity for the load of the others.
-    assert with_idle(0.0) > 1.2 and with_idle(0.5) == 1.0
-    eased, crowded = least(0.5), least(3.0)
-    assert eased[-1] >= eased[29] > 1.2 * eased[0]
-    assert crowded[29] == eased[29] and crowded[-1] < crowded[29]
-    assert len(set(least(0.5, live=False))) == 1
+    assert relaxation_with_idle_backends(0.0) > 1.2 and relaxation_with_idle_backends(0.5) == 1.0
+    relaxed, overloaded = minimum_limits(0.5), minimum_limits(3.0)
+    assert relaxed[-1] >= relaxed[29] > 1.2 * relaxed[0]
+    assert overloaded[29] == relaxed[29] and overloaded[-1] < overloaded[29]
+    assert len(set(minimum_limits(0.5, live=False))) == 1
 
 
 def test_expired_queued_requests_are_removed() -> None:
