--- a/tests/policy/test_overload.py
+++ b/tests/policy/test_overload.py
@@ -137,7 +137,7 @@
 
 
 def test_is_protected_with_outdated_weights_rejects_nothing() -> None:
-    """Requests were rejected for as long as discovery was silent, as happened in a burst."""
+    """Guards against rejecting requests for as long as discovery is silent, as happened in a burst."""
     longest = max(c.latency_objective_ms for c in LIVE_WEIGHTS.classes)
     assert sent_fraction(OVERLOAD_REQUESTS_PER_CORE[1] + 1.0, late_ms=longest - 10.0) == 0.0
     assert sent_fraction(OVERLOAD_REQUESTS_PER_CORE[1] + 1.0, late_ms=longest + 10.0) == 1.0
--- a/tests/policy/test_reasons.py
+++ b/tests/policy/test_reasons.py
@@ -101,8 +101,8 @@
 def test_send_reason_of_remote_backend_is_other_zone() -> None:
     config = replace(BASE, prices=api.Prices(cross_zone=0.05))
     balancer = Balancer(config, 1)
-    told = [entry(f"a{n}") for n in range(3)] + [entry(f"z{n}", zone="b") for n in range(3)]
-    balancer.handle(1000.0, api.EndpointsUpdated(api.EndpointUpdateKind.CACHED, told))
+    endpoints = [entry(f"a{n}") for n in range(3)] + [entry(f"z{n}", zone="b") for n in range(3)]
+    balancer.handle(1000.0, api.EndpointsUpdated(api.EndpointUpdateKind.CACHED, endpoints))
     balancer.state.spillover = 1.0
     actions = [send for n in range(30) for send in sends(arrive(balancer, f"r{n}"))]
     assert {send.backend[0] for send in actions} == {"a", "z"}  # a draw of six includes the local zone
@@ -244,9 +244,9 @@
 
     def feed_and_follow(event: api.Event, at: float | None = None) -> None:
         nonlocal joined_count
-        before = len(run.told)
+        before = len(run.actions)
         feed(event, at)
-        for note in run.told[before:]:
+        for note in run.actions[before:]:
             if (
                 isinstance(note, api.NoteBackendDecision)
                 and note.decision is BackendDecision.JOINED_SUBSET
@@ -270,7 +270,7 @@
     for name, config in FLEETS.items():
         run = Run(config, 5)
         run.play(600)
-        for action in run.told:
+        for action in run.actions:
             if isinstance(action, (api.SendAttempt, api.RejectRequest, api.FailRequest)):
                 assert action.reason is not DecisionReason.UNSPECIFIED, (name, action)
             if isinstance(action, api.SendAttempt):
--- a/tests/policy/test_replay.py
+++ b/tests/policy/test_replay.py
@@ -119,7 +119,7 @@
         self.hash, self.count, self.now = hashlib.sha256(), 0, 1_000.0
         self.attempt_numbers: dict[str, int] = {}
         self.closed_requests: set[str] = set()
-        self.told: list[api.Action] = []
+        self.actions: list[api.Action] = []
         self.names = [f"b{n}" for n in range(24)]
 
     def play(self, events: int) -> str:
@@ -175,7 +175,7 @@
         for action in actions:
             self.hash.update(format_action(action).encode() + (b"\n" if format_action(action) else b""))
             self.simulate(action, at)
-        self.told += actions
+        self.actions += actions
 
     def schedule(self, at: float, event: api.Event) -> None:
         self.count += 1
--- a/tests/timeline/test_recorder.py
+++ b/tests/timeline/test_recorder.py
@@ -95,10 +95,10 @@
     feed = run.feed
 
     def watched(event: api.Event, at: float | None = None) -> None:
-        before = len(run.told)
+        before = len(run.actions)
         feed(event, at)
         when = run.now if at is None else at
-        r.on_decision(when, event, run.told[before:])
+        r.on_decision(when, event, run.actions[before:])
         r.begin(when)
         r.step()
 
@@ -107,15 +107,15 @@
     for n in range(20):
         rest(r, run.now + 1_000 * (n + 1))
     node = whole(r.node)
-    sends = [a for a in run.told if isinstance(a, api.SendAttempt)]
+    sends = [a for a in run.actions if isinstance(a, api.SendAttempt)]
     by_server = sum(whole(line).get("attempts", 0) for line in r.servers.values())
     assert node["attempts"] == len(sends) == by_server
-    assert node["refused"] == sum(isinstance(a, api.RejectRequest) for a in run.told)
+    assert node["refused"] == sum(isinstance(a, api.RejectRequest) for a in run.actions)
     assert node["arrived"] == sum(whole(c)["arrived"] for c in r.classes.values())
     cold = sum(a.reason is DecisionReason.SLOW_START_ADMITTED for a in sends)
     assert node.get("cold_admitted", 0) == cold
     ejected = sum(
-        isinstance(a, api.NoteBackendDecision) and a.decision is BackendDecision.EJECTED for a in run.told
+        isinstance(a, api.NoteBackendDecision) and a.decision is BackendDecision.EJECTED for a in run.actions
     )
     assert node.get("ejected", 0) == ejected
 
