--- a/balancer/__main__.py
+++ b/balancer/__main__.py
@@ -65,7 +65,7 @@
         print(f"balancer: {'; '.join(faults)}", file=sys.stderr)
         return 2
     gc.enable()
-    return assemble.run(config, hung_up=hung_up)
+    return assemble.run(config, pending_hangups=hung_up)
 
 
 if __name__ == "__main__":
--- a/balancer/net/application.py
+++ b/balancer/net/application.py
@@ -1,10 +1,10 @@
-"""Puts one node together and runs it: parts, signals, exit code. The only module that imports them all.
+"""Assembles and runs one node: its components, signals and exit code. The only module that imports them all.
 
-- `run`: what `balancer run` does once its files are read.
-- `serve`: the node from its first connection to its last answer.
+- `run`: implements `balancer run` once the configuration files are read.
+- `serve`: runs the node from its first connection to its last response.
 
-A node is started anew under load, with hundreds of others: what only the operators' file switches on is
-loaded by that file alone, and `tests/system/test_startup_cost.py` holds what the rest may load.
+Hundreds of nodes may restart together under load, so startup must be cheap: modules that only the operators'
+file enables are loaded only if there is one. `tests/system/test_startup_cost.py` limits what else is loaded.
 """
 
 from __future__ import annotations
@@ -46,21 +46,21 @@
     from balancer.operator_settings import OperatorSettings
 
 TERMINATION_SIGNALS = (signal.SIGTERM, signal.SIGINT)
-MAX_LOG_LINES, LOG_WINDOW_S = 50, 10.0  # at most so many lines in so many seconds
+MAX_LOG_LINES, LOG_WINDOW_S = 50, 10.0  # log lines allowed in each window
 
 
 class LogRateLimiter(logging.Filter):
-    """Bounds the log: guards against peers for each of whose messages a line is written."""
+    """Limits the rate of log lines, since peers can trigger one with every message."""
 
     def __init__(self) -> None:
         super().__init__()
         self.window_start_s, self.count = 0.0, 0
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Pass the first lines of each stretch of time; the next stretch says how many were left out."""
+        """Pass the first lines of each window; the first line of the next one says how many were dropped."""
         if record.created - self.window_start_s >= LOG_WINDOW_S:
             if self.count > MAX_LOG_LINES:
-                record.msg = f"({self.count - MAX_LOG_LINES} lines left out) {record.getMessage()}"
+                record.msg = f"({self.count - MAX_LOG_LINES} lines dropped) {record.getMessage()}"
                 record.args = None
             self.window_start_s, self.count = record.created, 0
         self.count += 1
@@ -68,7 +68,7 @@
 
 
 def reload(discovery: PlatformSource) -> None:
-    """Read the configuration again: discovery may have moved. All else holds until the next start."""
+    """Read the configuration again for the address of discovery; all else is fixed until a restart."""
     try:
         config = load(os.environ, again=True)
     except ConfigError as err:
@@ -81,53 +81,55 @@
 async def serve(
     config: Config,
     path: Path | None = None,
-    operators: OperatorSettings | None = None,
-    hung_up: Sequence[int] = (),
-    began: Mapping[str, float] | None = None,
+    operator_settings: OperatorSettings | None = None,
+    pending_hangups: Sequence[int] = (),
+    start_phases_ms: Mapping[str, float] | None = None,
 ) -> None:
-    """Run until SIGTERM or SIGINT, then answer what was taken and return; SIGHUP reads the files again.
+    """Run until SIGTERM or SIGINT, then answer all accepted requests and return; SIGHUP reloads the files.
 
-    `operators` is what was read from `path`, the operators' file; both are None where there is none.
-    `hung_up` holds a SIGHUP that came before the loop could take it: the files may have changed since.
-    `began` are times of the start so far, for `net/recovery`.
+    `operator_settings` were read from `path`, the operators' file; both are None if there is none.
+    `pending_hangups` holds a SIGHUP received before the event loop could handle it: the files may have
+    changed since they were read. `start_phases_ms` are the durations of the start so far, for `net/recovery`.
     """
     loop = asyncio.get_running_loop()
     node = RequestDispatcher(config)
-    listed = Source(platform.SOURCE_NAME)
-    fleet = EndpointView(node, [listed])
+    platform_source = Source(platform.SOURCE_NAME)
+    endpoint_view = EndpointView(node, [platform_source])
     node.discovery = discovery = PlatformSource(
         config.discovery_address,
         config.settings.must_poll,
         config.settings.drain_grace_ms,
         node.now,
-        fleet.handle,
-        lambda: fleet.watch_revision(platform.SOURCE_NAME),
-        node.list_failed,
+        endpoint_view.handle,
+        lambda: endpoint_view.watch_revision(platform.SOURCE_NAME),
+        node.on_list_failed,
     )
-    cap, over = connection_limits(config.max_client_sockets)
-    front = HttpServer(node, cap, unread_budget_bytes(config.memory_mb), over)
-    parts: Components | None = None
+    max_connections, overload_connections = connection_limits(config.max_client_sockets)
+    server = HttpServer(node, max_connections, unread_budget_bytes(config.memory_mb), overload_connections)
+    components: Components | None = None
     stop = asyncio.Event()
 
-    def told() -> None:  # the times count from the first of such signals
-        if front.ends is None:
-            front.ends = node.stop()
+    def on_termination() -> None:  # deadlines count from the first of these signals
+        if server.ends is None:
+            server.ends = node.stop()
         stop.set()
 
-    for number in TERMINATION_SIGNALS:
-        loop.add_signal_handler(number, told)
+    for signal_number in TERMINATION_SIGNALS:
+        loop.add_signal_handler(signal_number, on_termination)
 
-    def hangup() -> None:  # never before the loop's next turn, when all below is there
-        if front.ends is not None:
-            return  # it ends before a change counts, and its parts may be closed
+    def on_hangup() -> (
+        None
+    ):  # runs in the next turn of the event loop at the earliest, when all below is initialized
+        if server.ends is not None:
+            return  # the node is shutting down, and its components may be closed
         reload(discovery)
-        if parts is not None:
-            parts.reload()
+        if components is not None:
+            components.reload()
 
-    loop.add_signal_handler(signal.SIGHUP, hangup)
-    if hung_up:
-        loop.call_soon(hangup)
-    fleet.handle(
+    loop.add_signal_handler(signal.SIGHUP, on_hangup)
+    if pending_hangups:
+        loop.call_soon(on_hangup)
+    endpoint_view.handle(
         EndpointsListed(
             platform.SOURCE_NAME,
             platform.source_identity(config.discovery_address),
@@ -137,70 +139,80 @@
     )
     if not config.settings.must_poll:
         discovery.watch(True)
-    if operators is not None:
+    if operator_settings is not None:
         from balancer.net.admin_socket import AdminSocket
         from balancer.net.component import RunningNode
         from balancer.net.components import Components
 
         running = RunningNode(
-            node, fleet, (listed,), AdminSocket(), name=config.name, start_phases_ms=began or {}
+            node,
+            endpoint_view,
+            (platform_source,),
+            AdminSocket(),
+            name=config.name,
+            start_phases_ms=start_phases_ms or {},
         )
-        parts = Components(path, operators, running)
+        components = Components(path, operator_settings, running)
     try:
-        await front.listen(config.listen_address)
+        await server.listen(config.listen_address)
         gc.freeze()
-        logging.info("%s serves on %s:%d", config.name, *front.address)
+        logging.info("%s serves on %s:%d", config.name, *server.address)
         await stop.wait()
-        assert front.ends is not None
-        await asyncio.sleep((front.ends.accept_until_ms - node.now()) / 1000)
-        front.stop()
-        await front.finish()
-        # Guards against the signals' default, which comes back with the loop's end, before the process's own.
+        assert server.ends is not None
+        await asyncio.sleep((server.ends.accept_until_ms - node.now()) / 1000)
+        server.stop()
+        await server.finish()
+        # Closing the event loop restores the default signal handlers, which would end the process early.
         signal.pthread_sigmask(signal.SIG_BLOCK, (*TERMINATION_SIGNALS, signal.SIGHUP))
         discovery.watch(False)
         node.pool.close()
     finally:
-        if parts is not None:
-            await parts.close()
+        if components is not None:
+            await components.close()
     logging.info("%s ends", config.name)
 
 
 def run(
     config: Config,
     path: Path | None = None,
-    operators: OperatorSettings | None = None,
-    hung_up: Sequence[int] = (),
-    began: Mapping[str, float] | None = None,
+    operator_settings: OperatorSettings | None = None,
+    pending_hangups: Sequence[int] = (),
+    start_phases_ms: Mapping[str, float] | None = None,
 ) -> int:
-    """Run a node to its end; the exit code. One that cannot start says why in one line."""
+    """Run a node until it ends and return the exit code. A failed start prints one line with the reason."""
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s")
     logging.getLogger().handlers[0].addFilter(LogRateLimiter())
-    if operators is not None and (wrong := clock.set_offset(os.environ)):
-        print(f"balancer: {wrong}", file=sys.stderr)
+    if operator_settings is not None and (clock_error := clock.set_offset(os.environ)):
+        print(f"balancer: {clock_error}", file=sys.stderr)
         return 2
-    if operators is not None:
-        from balancer.net.startup import deprecation_warning  # loaded already where there is such a file
+    if operator_settings is not None:
+        from balancer.net.startup import deprecation_warning  # already loaded if there is an operators' file
 
         if warning := deprecation_warning():
             logging.warning("%s", warning)
-    wanted = config.max_client_sockets + config.max_backend_sockets + RESERVED_DESCRIPTORS
-    if (there := raise_descriptor_limit(wanted)) < min(wanted, MIN_DESCRIPTORS):
+    needed_descriptors = config.max_client_sockets + config.max_backend_sockets + RESERVED_DESCRIPTORS
+    if (descriptor_limit := raise_descriptor_limit(needed_descriptors)) < min(
+        needed_descriptors, MIN_DESCRIPTORS
+    ):
         print(
-            f"balancer: limits: {there} descriptors (ulimit -n), {MIN_DESCRIPTORS} at least", file=sys.stderr
+            f"balancer: limits: {descriptor_limit} descriptors (ulimit -n), {MIN_DESCRIPTORS} at least",
+            file=sys.stderr,
         )
         return 2
-    if there < wanted:
-        clients, upstream = descriptor_quotas(there)
-        config = replace(config, max_client_sockets=clients, max_backend_sockets=upstream)
+    if descriptor_limit < needed_descriptors:
+        max_client_sockets, max_backend_sockets = descriptor_quotas(descriptor_limit)
+        config = replace(
+            config, max_client_sockets=max_client_sockets, max_backend_sockets=max_backend_sockets
+        )
         logging.warning(
             "limits.sockets is %d, the process may hold %d (ulimit -n): %d for clients, %d for servers",
-            wanted,
-            there,
-            clients,
-            upstream,
+            needed_descriptors,
+            descriptor_limit,
+            max_client_sockets,
+            max_backend_sockets,
         )
     try:
-        uvloop.run(serve(config, path, operators, hung_up, began))
+        uvloop.run(serve(config, path, operator_settings, pending_hangups, start_phases_ms))
     except OSError as err:
         print(f"balancer: listen: {err}", file=sys.stderr)
         return 2
--- a/balancer/net/bulk_update.py
+++ b/balancer/net/bulk_update.py
@@ -1,8 +1,8 @@
-"""Applies a large first endpoint list to the pool and the request policy in slices, a turn of the loop each.
+"""Applies a large first endpoint list to the pool and the request policy, one slice per event loop turn.
 
-Whatever comes meanwhile waits: changes of the view here, in their order, all else in the node. No request is
-sent before the end, so that no part of the list is ever taken for the whole. The changes that waited go ahead
-of the requests that did, and backends that they remove get none.
+Everything that arrives in the meantime is deferred: changes of the view here, in order, and all other events
+in the node. No request is sent before the list is complete, so that a part is never mistaken for the whole.
+Deferred changes are applied before deferred requests, so backends that they remove receive none.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class BulkUpdateTarget(Protocol):
-    """What a bulk update needs of the node whose policy and pool it fills."""
+    """What a bulk update requires of the node whose policy and pool it fills."""
 
     @property
     def balancer(self) -> Balancer:
@@ -34,23 +34,25 @@
         """The event loop that the node runs on."""
 
     def now(self) -> float:
-        """Milliseconds; never goes back."""
+        """Return a monotonic time in milliseconds."""
 
     def event(self, event: api.Event, /) -> None:
-        """Hand an event to the request policy."""
+        """Pass an event to the request policy."""
 
-    def update(self, records: Sequence[EndpointRecord], removed_records: Sequence[EndpointRecord], /) -> None:
+    def update_pool(
+        self, records: Sequence[EndpointRecord], removed_records: Sequence[EndpointRecord], /
+    ) -> None:
         """Update the connection pool."""
 
-    def show(self, now_ms: float, event: api.Event, actions: list[api.Action], /) -> None:
-        """Show the observer a decision."""
+    def notify_observer(self, now_ms: float, event: api.Event, actions: list[api.Action], /) -> None:
+        """Pass a decision to the observer."""
 
     def bulk_update_finished(self, event: api.EndpointsUpdated, /) -> None:
-        """Hand this last event to the request policy and go on with all that waited."""
+        """Pass this last event to the request policy and resume everything that was deferred."""
 
 
 class BulkUpdate:
-    """One large first list on its way into a node."""
+    """One large first list that is being applied to a node."""
 
     def __init__(self, node: BulkUpdateTarget, change: ApplyEndpoints) -> None:
         self.node, self.change = node, change
@@ -65,32 +67,35 @@
             next(self._steps)
         except StopIteration:
             pass
-        except Exception:  # the requests and changes that wait must not be lost with a faulty list
-            log.exception("a list of %d servers was not laid out", len(self.change.records))
+        except Exception:  # a faulty list must not discard deferred requests and changes
+            log.exception(
+                "bulk update: failed: a list of %d endpoints was not applied completely",
+                len(self.change.records),
+            )
         else:
             self.node.loop.call_soon(self._run_slice)
             return
         finally:
-            gc.freeze()  # spares the loop collections that look through all objects of the list
+            gc.freeze()  # exempts the objects of the list from later garbage collections
         self.node.bulk_update_finished(self._incremental([]))
 
     def _apply_in_slices(self) -> Iterator[None]:
         node, change, balancer = self.node, self.change, self.node.balancer
-        if balancer.index.order:  # another list was applied before this one: it is no first one
+        if balancer.index.order:  # another list was applied earlier, so this is not the first one
             self.deferred_changes.insert(0, change)
             return
-        node.update((), change.removed_records)
+        node.update_pool((), change.removed_records)
         endpoints = [record.endpoint for record in (*change.removed_records, *change.records)]
         yield
         for start in range(0, len(change.records), BACKENDS_PER_STEP):
-            node.update(change.records[start : start + BACKENDS_PER_STEP], ())
+            node.update_pool(change.records[start : start + BACKENDS_PER_STEP], ())
             yield
         balancer.state.now_ms = node.now()
-        note_actions = yield from apply_first_list(balancer, endpoints)
+        decision_notes = yield from apply_first_list(balancer, endpoints)
         for start in range(0, len(endpoints), BACKENDS_PER_STEP):
-            end = start + BACKENDS_PER_STEP
-            event = self._incremental(endpoints[start:end])
-            node.show(node.now(), event, note_actions if end >= len(endpoints) else [])
+            slice_end = start + BACKENDS_PER_STEP
+            event = self._incremental(endpoints[start:slice_end])
+            node.notify_observer(node.now(), event, decision_notes if slice_end >= len(endpoints) else [])
             yield
 
     def _incremental(self, endpoints: list[api.Endpoint]) -> api.EndpointsUpdated:
--- a/balancer/net/cluster.py
+++ b/balancer/net/cluster.py
@@ -1,15 +1,16 @@
-"""The other nodes, for a running one: what `[peers]` switches on, off and over.
-
-`ClusterComponent` gives `core/cluster/failure_detector` what its transport (`net/gossip_transport`) accepts,
-and carries out the actions. It follows the settings, informs the time line, the log and `core/recovery`, and
-answers `peers` on the control socket. Sections of datagrams go to `net/cluster_gossip`.
-
-- *Incarnation*: with an intact persisted state the node speaks at once, in the incarnation that it counted.
-  With none, a lost or an outdated one it first asks peers for the incarnation that they hold; the answer goes
-  to `core/recovery`, as does an incarnation that was raised after a refutation, to be persisted.
-- *Stalls*: before anything else of a turn is acted on, the detector is told that the loop stalled
-  (`core/stall_detector`), and datagrams that wait in the socket are read before timers are run.
-- *An address in use* is tried again: the process before may still be draining.
+"""Runs cluster membership on a node: the component for the operators' `[peers]` table.
+
+`ClusterComponent` passes the datagrams that `net/gossip_transport` accepts to
+`core/cluster/failure_detector` and performs its actions. It applies changed settings, informs the time line,
+the log and `core/recovery`, and answers `peers` on the control socket. Sections of datagrams go to
+`net/cluster_gossip`.
+
+- *Incarnation*: with an intact persisted state the node joins at once, in the incarnation that it stored. If
+  the state is missing, lost or outdated, it first asks peers for the incarnation that they hold. The answer
+  goes to `core/recovery`, as does an incarnation raised by a refutation, to be persisted.
+- *Stalls*: if the event loop stalled (`core/stall_detector`), the failure detector is notified before any
+  other event is handled, and datagrams waiting in the socket are read before timers run.
+- *Address in use*: binding is retried, since the previous process may still be draining.
 """
 
 from __future__ import annotations
@@ -38,41 +39,41 @@
 
 log = logging.getLogger(__name__)
 
-ROUND_INTERVAL_S = GOSSIP_INTERVAL_MS / 1000  # between two rounds of gossip
-LISTEN_RETRY_INTERVAL_S = 2.0  # until an address in use is tried again
+ROUND_INTERVAL_S = GOSSIP_INTERVAL_MS / 1000
+LISTEN_RETRY_INTERVAL_S = 2.0  # between attempts to bind an address that is in use
 WARNING_CHANGES = frozenset({PeerChange.FAILED, PeerChange.DOUBLED, PeerChange.YIELDED, PeerChange.FULL})
-# Only on the time line at the default level: the log has a bound for all of the node.
+# Logged at debug level and recorded on the time line: the rate of log lines is limited for the whole node.
 DEBUG_CHANGES = frozenset({PeerChange.JOINED, PeerChange.SUSPECTED})
-MIN_STALL_MS = 0.001  # has the stall detector use its least: a suspicion may last 0.6 s
-_EVENT_PREFIX = "peer "  # of the counts that `ClusterGossip` adds to, too
+MIN_STALL_MS = 0.001  # selects the lowest threshold of the stall detector: a suspicion may last only 0.6 s
+_EVENT_PREFIX = "peer "  # of event counts; `ClusterGossip` uses the same prefix
 
 
 class _Incarnation(NamedTuple):
-    """The incarnation to speak in; `is_certain`: nobody can hold a greater one of this node."""
+    """The incarnation to join with; `is_certain` if no peer can hold a greater one of this node."""
 
     number: int
     is_certain: bool
 
 
 class ClusterComponent:
-    """The cluster as this node sees it; `detector` is None while it does not speak."""
+    """The cluster as this node sees it; `detector` is None while the node does not take part."""
 
     def __init__(self, running: RunningNode) -> None:
         self.running, self.node = running, running.node
         self.loop = asyncio.get_running_loop()
         self.detector: FailureDetector | None = None
-        self.cluster_gossip: ClusterGossip | None = None  # from the first start until it is switched off
-        self.listen_error = ""  # why there is no socket
+        self.cluster_gossip: ClusterGossip | None = None  # from the first start until it is disabled
+        self.listen_error = ""  # why the socket could not be bound
         self.transport = GossipTransport(self._on_datagram)
         self._event_counts: Counter[str] = Counter()
         self._peers_settings: PeersSettings | None = None
         self._operator_settings = OperatorSettings()
-        self._bound_addresses: tuple[Address, Address | None] | None = None  # to listen at, and for others
-        self._previous_detector: FailureDetector | None = None  # at the address before
+        self._bound_addresses: tuple[Address, Address | None] | None = None  # to listen on, to advertise
+        self._previous_detector: FailureDetector | None = None  # at the previous address
         self._stall_detector = StallDetector(self.node.now(), MIN_STALL_MS)
-        self._announced_incarnation = 0  # the greatest that others were sent
-        self._timer: asyncio.TimerHandle | None = None
-        self._timer_at_ms = float("inf")
+        self._announced_incarnation = 0  # the greatest that was sent to peers
+        self._detector_timer: asyncio.TimerHandle | None = None
+        self._detector_timer_at_ms = float("inf")
         self._round_timer: asyncio.TimerHandle | None = None
         self._listen_retry_timer: asyncio.TimerHandle | None = None
         running.peers = self
@@ -80,9 +81,9 @@
     # --- settings
 
     def apply(self, settings: OperatorSettings) -> None:
-        """Listen elsewhere, contact other seeds, sign with another key; leave if `[peers]` is off.
+        """Apply the listen address, seeds and keys of new settings; leave the cluster if `[peers]` is absent.
 
-        Raises ValueError, and leaves all as it was, if the node has no name or one too long for a datagram.
+        Raises ValueError and changes nothing if the node has no name, or one too long for a datagram.
         """
         previous, peers_settings = self._peers_settings, settings.peers
         if peers_settings is None:
@@ -91,14 +92,14 @@
         keys = gossip.parse_keys(peers_settings.keys)
         writer = self.transport.writer_for(self.running.name, keys)
         if not self.running.name:
-            raise ValueError("the configuration gives this node no name, by which others would know it")
+            raise ValueError("the configuration gives this node no name, which peers need to identify it")
         self._peers_settings = peers_settings
         self.transport.use(writer, keys)
         if (warning := peers_settings.too_open()) and (
             previous is None or previous.keys != peers_settings.keys
         ):
             log.warning("peers: %s", warning)
-        self.running.control.register("peers", self.report)
+        self.running.admin_socket.register("peers", self.report)
         self._operator_settings = settings
         if self.cluster_gossip is not None:
             self.cluster_gossip.apply(settings)
@@ -110,7 +111,7 @@
             self.detector.set_seeds(seed_addresses(peers_settings))
 
     async def close(self) -> None:
-        """Tell others that this node leaves, and stop; what peers said of endpoints stays."""
+        """Announce that this node leaves and stop. Removals accepted from peers stay in force."""
         self._peers_settings = None
         self._close_gossip(withdraw=False)
         self._leave()
@@ -119,7 +120,7 @@
         self._peers_settings = None
         self._close_gossip(withdraw=True)
         self._leave()
-        self.running.control.register_with("peers", None)
+        self.running.admin_socket.register_with("peers", None)
 
     def _close_gossip(self, withdraw: bool) -> None:
         if self.cluster_gossip is not None:
@@ -131,11 +132,11 @@
         self._stop()
 
     def _stop(self) -> None:
-        for timer in (self._timer, self._round_timer, self._listen_retry_timer):
+        for timer in (self._detector_timer, self._round_timer, self._listen_retry_timer):
             if timer is not None:
                 timer.cancel()
-        self._timer = self._round_timer = self._listen_retry_timer = None
-        self._timer_at_ms = float("inf")
+        self._detector_timer = self._round_timer = self._listen_retry_timer = None
+        self._detector_timer_at_ms = float("inf")
         if self.transport.socket is not None:
             self.loop.remove_reader(self.transport.socket)
             self.transport.socket.close()
@@ -144,7 +145,7 @@
     # --- start
 
     def _listen(self, settings: PeersSettings) -> None:
-        """Bind the address, and start there as soon as the persisted state was read."""
+        """Bind the address and start the detector as soon as the persisted state was read."""
         if self._listen_retry_timer is not None:
             self._listen_retry_timer.cancel()
             self._listen_retry_timer = None
@@ -152,7 +153,7 @@
             return
         previous_detector = self.detector
         if self._bound_addresses is not None and self._bound_addresses[0] == settings.listen:
-            self._stop()  # or its own socket would hold the address
+            self._stop()  # otherwise the socket of this process would block the address
         try:
             sock = open_socket(settings.listen)
         except OSError as error:
@@ -170,23 +171,19 @@
     def _on_listen_error(self, settings: PeersSettings, error: OSError) -> None:
         reason = f"{written(settings.listen)}: {error.strerror or error}"
         if reason != self.listen_error:
-            log.error(
-                "peers: %s; it is tried again every %g s, the node serves on", reason, LISTEN_RETRY_INTERVAL_S
-            )
+            log.error("peers: listen failed: %s; retrying every %g s", reason, LISTEN_RETRY_INTERVAL_S)
         self.listen_error = reason
-        if self.detector is None:  # nobody could tell any more that what was gossiped holds no longer
+        if self.detector is None:  # without a detector no peer can revoke gossiped removals
             self._close_gossip(withdraw=True)
         self._listen_retry_timer = self.loop.call_later(LISTEN_RETRY_INTERVAL_S, self._listen, settings)
 
     def _start_detector(self) -> None:
-        """Start to speak, or to ask for the own incarnation."""
+        """Join the cluster, or first ask peers for the incarnation of this node."""
         settings, sock = self._peers_settings, self.transport.socket
         if settings is None or sock is None or self.detector is not None:
             return
         if (restored := self._restored_incarnation()).number >= parameters.MAX_INCARNATION:
-            log.error(
-                "peers: life %d is over what others take; the node serves without peers", restored.number
-            )
+            log.error("peers: incarnation %d exceeds the limit; the node runs without peers", restored.number)
             return
         address = written(settings.address or sock.getsockname()[:2])
         self.detector = self._make_detector(address, restored, seed_addresses(settings))
@@ -205,7 +202,9 @@
 
     def _make_detector(self, address: str, incarnation: _Incarnation, seeds: list[str]) -> FailureDetector:
         previous = self._previous_detector
-        if previous is not None and not previous.is_asking_for_incarnation:  # the same node, elsewhere
+        if (
+            previous is not None and not previous.is_asking_for_incarnation
+        ):  # the same node at another address
             incarnation = _Incarnation(previous.incarnation + 1, True)
             seeds += [peer.record.address for peer in previous.peers.values()]
         return FailureDetector(
@@ -229,7 +228,7 @@
     # --- datagrams and time
 
     def _run_round(self) -> None:
-        """A round of gossip; without it a loop with nothing to do would seem to have stalled."""
+        """Run a round of gossip. The timer also keeps an idle event loop from looking stalled."""
         self._check_for_stall()
         if self.cluster_gossip is not None:
             self.cluster_gossip.run_round()
@@ -237,7 +236,9 @@
 
     def _check_for_stall(self) -> None:
         if stall_ms := self._stall_detector.record_turn(self.node.now()):
-            log.warning("peers: this process stood still for %.0f ms: it calls nobody failed yet", stall_ms)
+            log.warning(
+                "peers: this process stood still for %.0f ms: no peer is declared failed yet", stall_ms
+            )
             self._handle(events.ProcessStalled(stall_ms))
             if self.cluster_gossip is not None:
                 self.cluster_gossip.handle(quota_allocation.LoopStalled())
@@ -257,21 +258,21 @@
         if datagram.sections and is_current and self.cluster_gossip is not None:
             self.cluster_gossip.handle(gossip_coordinator.SectionsReceived(sender, source, datagram.sections))
 
-    def _on_timer(self) -> None:
-        self._timer, self._timer_at_ms = None, float("inf")
+    def _on_detector_timer(self) -> None:
+        self._detector_timer, self._detector_timer_at_ms = None, float("inf")
         self._check_for_stall()
-        self._receive()  # an answer that waits in the socket has come in time
+        self._receive()  # a response that already waits in the socket arrived in time
         self._handle(events.TimerFired())
 
-    def _set_timer(self, at_ms: float) -> None:
-        if at_ms == self._timer_at_ms:
+    def _set_detector_timer(self, at_ms: float) -> None:
+        if at_ms == self._detector_timer_at_ms:
             return
-        if self._timer is not None:
-            self._timer.cancel()
-        self._timer_at_ms = at_ms
-        # The loop counts in whole ms; if it fired too early the timer would have to be set once more.
+        if self._detector_timer is not None:
+            self._detector_timer.cancel()
+        self._detector_timer_at_ms = at_ms
+        # The event loop rounds to whole ms; a timer that fires early would have to be set again.
         delay_s = max(0.0, at_ms - self.node.now()) / 1000 + 0.001
-        self._timer = self.loop.call_later(delay_s, self._on_timer)
+        self._detector_timer = self.loop.call_later(delay_s, self._on_detector_timer)
 
     # --- actions
 
@@ -282,17 +283,17 @@
         was_asking = detector.is_asking_for_incarnation
         try:
             actions = detector.handle(self.node.now(), event)
-        except Exception:  # guards requests, and the detector after it, against one event
+        except Exception:  # one failing event must affect neither requests nor later events
             log.exception("peers: %s failed", type(event).__name__)
-            if self._timer is None:
-                self._set_timer(self.node.now() + parameters.PROBE_INTERVAL_MS)
+            if self._detector_timer is None:
+                self._set_detector_timer(self.node.now() + parameters.PROBE_INTERVAL_MS)
             return
         for action in actions:
             match action:
                 case events.SendDatagram():
                     self._send_datagram(action.address, action.incarnation, action.message)
                 case events.SetTimer():
-                    self._set_timer(action.at_ms)
+                    self._set_detector_timer(action.at_ms)
                 case events.PersistIncarnation():
                     reported_incarnation = detector.reported_incarnation if was_asking else None
                     self._persist_incarnation(action.incarnation, reported_incarnation)
@@ -317,11 +318,11 @@
             recovery_component.recovery.mark_incarnation_announced()
 
     def _persist_incarnation(self, incarnation: int, reported_incarnation: int | None) -> None:
-        """Tell the recovery which incarnation this node has from now on.
+        """Notify `core/recovery` of the new incarnation of this node.
 
-        `reported_incarnation`: what peers held before it spoke, None if none answered. One above the known
-        incarnation is a refutation of a claim about that; anything above shows that peers have seen a later
-        one, which this node forgot.
+        `reported_incarnation` is what peers held before this node joined, None if no peer answered. An
+        incarnation one above the known one refutes a claim about that; a higher one shows that peers have
+        seen a later incarnation which this node has lost.
         """
         recovery_component = self.running.recovery
         if recovery_component is None:
@@ -334,7 +335,7 @@
         recovery_component.handle(recovery.IncarnationRaised(incarnation))
 
     def _record_change(self, detector: FailureDetector, action: events.NotifyPeerChange) -> None:
-        """Note a change in the membership in the log, the counts and on the time line."""
+        """Record a membership change in the log, the event counts and the time line."""
         change, name = action.change, action.name
         level = logging.WARNING if change in WARNING_CHANGES else logging.INFO
         level = logging.DEBUG if change in DEBUG_CHANGES else level
@@ -346,19 +347,19 @@
         scope = "node" if name == detector.name else "peer"
         self.running.record_event(f"peer_{change}", scope, name, "peers", evidence)
 
-    # --- what operators ask
+    # --- reports
 
     def report(self) -> dict[str, Any]:
-        """The answer to `peers` on the control socket."""
-        gossiped = None if self.cluster_gossip is None else self.cluster_gossip.report()
-        answer = peers_report(self.detector, self.running.name, gossiped)
+        """Return the answer to `peers` on the control socket."""
+        gossip_report = None if self.cluster_gossip is None else self.cluster_gossip.report()
+        answer = peers_report(self.detector, self.running.name, gossip_report)
         answer["trouble"] = self.listen_error or None
         answer["datagrams"] = {name: self.transport.counts[name] for name in COUNTERS}
         answer["refused"] = dict(self.transport.rejected_counts)
         return answer
 
     def metrics(self) -> dict[str, dict[str, float]]:
-        """For the metrics, by name and label."""
+        """Return the values of the metrics by name and label."""
         return {
             "states": count_by_state(self.detector),
             "events": {name.removeprefix(_EVENT_PREFIX): n for name, n in self._event_counts.items()},
@@ -369,5 +370,5 @@
 
 
 def seed_addresses(settings: PeersSettings) -> list[str]:
-    """The seeds as datagrams name them."""
+    """Return the seeds in the address format of datagrams."""
     return [written(seed) for seed in settings.seeds or ()]
--- a/balancer/net/cluster_gossip.py
+++ b/balancer/net/cluster_gossip.py
@@ -38,7 +38,7 @@
 
 log = logging.getLogger(__name__)
 
-# What discovery is assumed to sustain, from all nodes that learn at once of a newer list.
+# What discovery is assumed to sustain when all nodes learn of a newer list at the same time.
 MAX_DISCOVERY_FETCHES_PER_S = 50.0
 BACKEND_SCAN_INTERVAL_MS = 1_000.0  # a scan visits all backends
 RECOVERY_STATES = tuple(recovery.RecoveryState)
@@ -57,7 +57,7 @@
         send_sections: Callable[[str, gossip_coordinator.Sections], None],
         event_counts: Counter[str],
     ) -> None:
-        self.running, self.node, self.endpoint_view = running, running.node, running.fleet
+        self.running, self.node, self.endpoint_view = running, running.node, running.endpoint_view
         self.event_counts = event_counts
         settings = self.node.settings
         self.coordinator = gossip_coordinator.GossipCoordinator(
@@ -76,7 +76,7 @@
             # Where lists are pushed, each node has an agent of its own.
             sources_with_local_agents=() if settings.must_poll else (PLATFORM,),
         )
-        self.quota: quota_allocation.SetQuota | None = None  # reported; no limit is divided by it yet
+        self.quota: quota_allocation.SetQuota | None = None  # only reported; no limit is derived from it yet
         self._send_sections = send_sections
         self._settings_digests = (
             configuration_digest.configuration_digest(settings, configuration_digest.NODE_FIELDS),
@@ -110,7 +110,7 @@
         """Pass an event to the coordinator and perform its actions. Errors of the coordinator are logged."""
         try:
             actions = self.coordinator.handle(self.node.now(), event)
-        except Exception:  # an event must harm neither the failure detector nor requests
+        except Exception:  # a failing event must affect neither the failure detector nor requests
             log.exception("peers: %s failed", type(event).__name__)
             return
         for action in actions:
@@ -147,7 +147,7 @@
         return self._backends_by_zone
 
     def _on_merge(self, event: endpoint_merger.Event, actions: Sequence[endpoint_merger.Action]) -> None:
-        """The merger has handled an event. Configuration and later slices of a list belong to no source."""
+        """Report what the merger applied. Configuration events and later slices belong to no source."""
         source = None
         if not isinstance(event, (endpoint_merger.SourcesConfigured, endpoint_merger.NextSliceDue)):
             source = self.endpoint_view.merger.sources.get(event.source)
@@ -205,10 +205,12 @@
     def _fetch_snapshot(self, action: gossiped_removals.FetchSnapshot) -> None:
         """Fetch the platform's list. etcd's watch already delivers all that it has."""
         if action.source == PLATFORM and self.node.discovery is not None:
-            log.info("peers: others have seen revision %d of %s: it is asked", action.revision, PLATFORM)
+            log.info(
+                "peers: peers have seen revision %d of %s: fetching a snapshot", action.revision, PLATFORM
+            )
             self.node.discovery.fetch()
 
-    # --- what operators see
+    # --- reports
 
     def gauges(self) -> dict[str, dict[str, float]]:
         """Current numbers of partitions, divergences and accepted removals, by kind, for the metrics."""
@@ -223,5 +225,5 @@
         }
 
     def report(self) -> dict[str, Any]:
-        """The part of `balancer peers` that follows from gossip."""
+        """Return the part of `balancer peers` that results from gossip."""
         return report.gossip_report(self.coordinator, self.quota)
--- a/balancer/net/component.py
+++ b/balancer/net/component.py
@@ -1,4 +1,4 @@
-"""What the operators' file switches on while a node runs: its one shape, and what it may hold on to."""
+"""Defines the interface of components enabled by the operators' file, and the node that they run in."""
 
 from __future__ import annotations
 
@@ -23,67 +23,72 @@
 
 log = logging.getLogger(__name__)
 
-PEERS_SOURCE = (
-    "peers"  # the merge's source that stands for other nodes' words (`core/cluster/gossiped_removals`)
-)
-MAX_QUEUED_EVENTS = 20  # events kept for a time line that is not on yet
+# The source of the endpoint merger that holds removals from peers (`core/cluster/gossiped_removals`).
+PEERS_SOURCE = "peers"
+MAX_QUEUED_EVENTS = 20  # kept until the time line is enabled
 
 
 class Component(Protocol):
-    """One thing that the operators' file switches on, off and over; made by the first settings with it on."""
+    """A component that the operators' file enables, disables or changes.
+
+    It is created by the first settings that enable it.
+    """
 
     def apply(self, settings: OperatorSettings) -> None:
-        """Do as these settings say from now on; they may say the same of it as before.
+        """Apply these settings, which may be unchanged for this component.
 
-        Raises ValueError where that cannot be, in plain words, and leaves all as it was.
+        Raises ValueError with a message for the operator, and changes nothing, if they cannot be applied.
         """
 
     async def close(self) -> None:
-        """Switch it off; the node ends."""
+        """Stop the component because the node shuts down."""
 
 
 class Observers:
-    """Several observers at the one gate that a node has; one that fails is taken off alone."""
+    """Distributes decisions to several observers; one that fails is removed without the others."""
 
     def __init__(self, node: RequestDispatcher) -> None:
-        self.node, self.all = node, list[Observer]()
+        self.node, self.observers = node, list[Observer]()
 
     def add(self, observer: Observer) -> None:
-        """Show it what happens from now on."""
-        self.all.append(observer)
-        self._set()
+        """Notify the observer of all decisions from now on."""
+        self.observers.append(observer)
+        self._install()
 
     def remove(self, observer: Observer | None) -> None:
-        """Show it nothing more; one that is not there is no fault."""
-        self.all = [one for one in self.all if one is not observer]
-        self._set()
-
-    def _set(self) -> None:
-        """The node pays for a call in between only where there are several."""
-        self.node.observer = None if not self.all else self.all[0] if len(self.all) == 1 else self
+        """Stop notifying the observer; an unknown one is ignored."""
+        self.observers = [other for other in self.observers if other is not observer]
+        self._install()
+
+    def _install(self) -> None:
+        """Set the observer of the node; a single one is called directly, without this indirection."""
+        self.node.observer = (
+            None if not self.observers else self.observers[0] if len(self.observers) == 1 else self
+        )
 
     def on_decision(self, now_ms: float, event: api.Event, actions: Sequence[api.Action]) -> None:
-        """As `Observer`."""
-        for observer in self.all:
+        """Implement `Observer` by notifying all observers."""
+        for observer in self.observers:
             try:
                 observer.on_decision(now_ms, event, actions)
-            except Exception:  # guards the others against the fault of one
-                log.exception("an observer failed on %s and is taken off", type(event).__name__)
+            except Exception:  # an error of one observer must not affect the others
+                log.exception("an observer failed on %s and is removed", type(event).__name__)
                 self.remove(observer)
 
 
 @dataclass(slots=True)
 class RunningNode:
-    """The running node as its parts see it. `listed` come before any source of theirs in precedence.
+    """The running node as its components see it.
 
-    `parts` are times of the start in ms (`net/recovery`), `name` the node's own.
+    `configured_sources` take precedence over sources that components add. `start_phases_ms` holds the
+    durations of the phases of the process start (`net/recovery`), `name` the name of the node.
     """
 
     node: RequestDispatcher
-    fleet: EndpointView
+    endpoint_view: EndpointView
     configured_sources: tuple[Source, ...]
-    control: AdminSocket
-    watch: TimelineMonitor | None = None  # the time line's, while that is on
+    admin_socket: AdminSocket
+    timeline_monitor: TimelineMonitor | None = None  # while the time line is enabled
     recovery: RecoveryComponent | None = None
     peers: ClusterComponent | None = None
     name: str = ""
@@ -97,20 +102,22 @@
         self._queued_events, self._event_count = deque(maxlen=MAX_QUEUED_EVENTS), 0
 
     def record_event(
-        self, step: str, scope: str, subject: str, signal: str, about: dict[str, object]
+        self, event_type: str, scope: str, subject: str, signal: str, evidence: dict[str, object]
     ) -> None:
-        """Something that is no departure of a server goes on the time line, as soon as that is on.
+        """Record an event that is not a departure of a backend on the time line, once that is enabled.
 
-        `step`, `scope` and `signal` are values of `core/anomaly_detection/events`, which comes with the
-        time line.
+        `event_type`, `scope` and `signal` are values of the enums in `core/anomaly_detection/events`, which
+        is loaded only with the time line.
         """
-        self._event_count += 1  # told below 0: the departures' own numbers begin at 1
-        self._queued_events.append((self._event_count, self.node.now(), step, scope, subject, signal, about))
+        self._event_count += 1  # recorded as a negative number: numbers of departures start at 1
+        self._queued_events.append(
+            (self._event_count, self.node.now(), event_type, scope, subject, signal, evidence)
+        )
         self.flush_events()
 
     def flush_events(self) -> None:
-        """Tell a time line that is on what waits for it."""
-        if self.watch is None or not self._queued_events:
+        """Pass the queued events to the time line if it is enabled."""
+        if self.timeline_monitor is None or not self._queued_events:
             return
         from balancer.core.anomaly_detection.events import (
             EventType,
@@ -120,8 +127,17 @@
         )
 
         while self._queued_events:
-            number, at, step, scope, subject, signal, about = self._queued_events.popleft()
-            told = TimelineEvent(
-                EventType(step), -number, at, at, Scope(scope), subject, Signal(signal), about
+            event_number, recorded_at_ms, event_type, scope, subject, signal, evidence = (
+                self._queued_events.popleft()
+            )
+            timeline_event = TimelineEvent(
+                EventType(event_type),
+                -event_number,
+                recorded_at_ms,
+                recorded_at_ms,
+                Scope(scope),
+                subject,
+                Signal(signal),
+                evidence,
             )
-            self.watch.add_event(told)
+            self.timeline_monitor.add_event(timeline_event)
--- a/balancer/net/components.py
+++ b/balancer/net/components.py
@@ -1,7 +1,7 @@
-"""What follows from the operators' file while a node runs: a list of parts, each on where its table is there.
+"""Runs the components of the operators' file; each is enabled while its table is present.
 
-It is loaded where there is such a file, and each part by the first settings that switch it on (those of the
-start by `load`). A new part is a class with the shape of `Part` and a line in `KINDS`.
+This module is loaded only if there is such a file, and each component by the first settings that enable it
+(at startup by `load`). To add one, implement `Component` and list it in `COMPONENT_KINDS`.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from balancer.net.component import Component, RunningNode
-from balancer.net.reload import reread
+from balancer.net.reload import reload_settings
 from balancer.operator_settings import OperatorSettings
 
 if TYPE_CHECKING:
@@ -25,7 +25,7 @@
 
 
 class ComponentKind(NamedTuple):
-    """One kind of part: whether settings have it on, and what loads its modules and says how it is made."""
+    """One kind of component: when settings enable it, and how to load its modules and get its factory."""
 
     name: str
     is_enabled: Callable[[OperatorSettings], bool]
@@ -54,15 +54,21 @@
     from balancer.net.discovery.etcd import EtcdDiscovery
     from balancer.net.etcd_component import EtcdComponent
 
-    def make(running: RunningNode) -> Component:
-        fleet, told = running.fleet, running.node.settings
+    def create_component(running: RunningNode) -> Component:
+        endpoint_view, settings = running.endpoint_view, running.node.settings
 
-        def source(config: EtcdConfig, seen: tuple[str, int] | None) -> EtcdDiscovery:
-            return EtcdDiscovery(config, fleet.handle, seen=seen, me=told.node_index, nodes=told.node_count)
+        def create_source(config: EtcdConfig, resume_position: tuple[str, int] | None) -> EtcdDiscovery:
+            return EtcdDiscovery(
+                config,
+                endpoint_view.handle,
+                resume_position=resume_position,
+                node_index=settings.node_index,
+                node_count=settings.node_count,
+            )
 
-        return EtcdComponent(fleet, running.configured_sources, source)
+        return EtcdComponent(endpoint_view, running.configured_sources, create_source)
 
-    return make
+    return create_component
 
 
 def _timeline() -> ComponentFactory:
@@ -80,69 +86,72 @@
 def _control() -> ComponentFactory:
     from balancer.net.admin_socket import AdminSocketComponent
 
-    return lambda running: AdminSocketComponent(running.control)
+    return lambda running: AdminSocketComponent(running.admin_socket)
 
 
-COMPONENT_KINDS = (  # in the order in which they change; they are closed the other way round
+COMPONENT_KINDS = (  # in the order in which settings are applied; closed in reverse order
     ComponentKind("recovery", lambda settings: True, _recovery),
-    ComponentKind("state", lambda settings: settings.state is not None, _state),  # tells the one before
-    ComponentKind("peers", lambda settings: settings.peers is not None, _peers),  # rests on the two before
+    ComponentKind("state", lambda settings: settings.state is not None, _state),  # notifies recovery
+    ComponentKind(
+        "peers", lambda settings: settings.peers is not None, _peers
+    ),  # depends on recovery and state
     ComponentKind("etcd", lambda settings: settings.membership.etcd is not None, _etcd),
     ComponentKind("timeline", lambda settings: settings.timeline is not None, _timeline),
-    ComponentKind(
-        "metrics", lambda settings: settings.metrics is not None, _metrics
-    ),  # rests on the time line
+    # Depends on the time line.
+    ComponentKind("metrics", lambda settings: settings.metrics is not None, _metrics),
     ComponentKind("control", lambda settings: settings.control is not None, _control),
 )
 
 
 def load(settings: OperatorSettings) -> None:
-    """Load what these settings switch on, before the loop is there."""
+    """Load the components that these settings enable, before the event loop starts."""
     for kind in COMPONENT_KINDS:
         if kind.is_enabled(settings):
-            with contextlib.suppress(Exception):  # `Parts` says it, and goes on without that part
+            with contextlib.suppress(
+                Exception
+            ):  # `Components` logs the error and runs without that component
                 kind.load()
 
 
 class Components:
-    """All parts of a running node. `path` is the operators' file, None where there is none to read again."""
+    """All components of a running node. `path` is the operators' file, None if there is none to reload."""
 
     def __init__(
         self,
         path: Path | None,
-        operators: OperatorSettings,
+        operator_settings: OperatorSettings,
         running: RunningNode,
         kinds: Sequence[ComponentKind] = COMPONENT_KINDS,
     ) -> None:
-        self.path, self.operators, self.running, self.kinds = path, operators, running, kinds
+        self.path, self.operator_settings, self.running, self.kinds = path, operator_settings, running, kinds
         self.running_components: dict[str, Component] = {}
-        running.control.register("members", running.fleet.report)
-        self.apply(operators)
+        running.admin_socket.register("members", running.endpoint_view.report)
+        self.apply(operator_settings)
 
     def reload(self) -> None:
-        """Read the file again; a bad one changes nothing."""
+        """Read the file again; an invalid file changes nothing."""
         if self.path is not None:
-            self.operators = reread(self.path, self.operators, self.apply)
+            self.operator_settings = reload_settings(self.path, self.operator_settings, self.apply)
 
-    def apply(self, new: OperatorSettings) -> None:
-        """Carry out other settings than those before. Never raises: a part that fails is named in the log."""
-        self.operators = new
+    def apply(self, settings: OperatorSettings) -> None:
+        """Apply new settings to all components. Never raises; errors are logged with the component's name."""
+        self.operator_settings = settings
         for kind in self.kinds:
             try:
                 if kind.name not in self.running_components:
-                    if not kind.is_enabled(new):
+                    if not kind.is_enabled(settings):
                         continue
                     self.running_components[kind.name] = kind.load()(self.running)
-                self.running_components[kind.name].apply(new)
-            except ValueError as err:  # the file was well when it was checked, a moment ago
-                log.error("%s: %s; what was there before goes on", kind.name, err)
-            except Exception:  # guards the other parts against a fault of this one
-                log.exception("%s: the change failed", kind.name)
+                self.running_components[kind.name].apply(settings)
+            except ValueError as err:  # the file was valid when it was checked, a moment ago
+                log.error("%s: %s; the previous settings stay in force", kind.name, err)
+            except Exception:  # an error of one component must not affect the others
+                log.exception("%s: applying settings failed", kind.name)
 
     async def close(self) -> None:
-        """Switch off what is on."""
-        for name, part in reversed(self.running_components.items()):
+        """Close all components that are running."""
+        for name, component in reversed(self.running_components.items()):
             try:
-                await part.close()
-            except Exception:  # guards the other parts against a fault of this one
-                log.exception("%s: the end failed", name)
+                await component.close()
+            except Exception:  # an error of one component must not affect the others
+                log.exception("%s: close failed", name)
--- a/balancer/net/discovery/__init__.py
+++ b/balancer/net/discovery/__init__.py
@@ -1,4 +1,5 @@
-"""Sources of the endpoint list, one module a source: connections and clocks.
+"""Sources of the endpoint list: their connections and timers.
 
-What to do next is decided in `balancer.core.discovery`, what bytes mean in `balancer.protocol`.
+The state machines that decide what to do next are in `balancer.core.discovery`, the codecs in
+`balancer.protocol`.
 """
--- a/balancer/net/discovery/etcd.py
+++ b/balancer/net/discovery/etcd.py
@@ -1,8 +1,9 @@
-"""The list of backends from etcd, over its JSON gateway: connections, log-ins, timers. It decides nothing.
+"""Reads the list of backends from etcd over its JSON gateway: connections, authentication and timers.
 
-`EtcdSource` carries out what `decide.etcd_follow` asks for and hands it what comes back. It holds at most two
-connections, both to the endpoint in use: one for the watch, and one for everything else. Long answers are
-read in slices, so that the loop is not held up by thousands of members.
+`EtcdDiscovery` performs the actions of `EtcdWatcher` and passes the results back as events; it makes no
+decisions itself. It holds at most two connections, both to the endpoint in use: one for the watch and one
+for all other calls. Long responses are parsed in slices, so that thousands of members do not block the event
+loop.
 """
 
 from __future__ import annotations
@@ -22,142 +23,154 @@
     SourceLost,
     SourceRejected,
 )
-from balancer.core.discovery.etcd_watcher import messages as ef
+from balancer.core.discovery.etcd_watcher import messages as watcher_messages
 from balancer.core.discovery.etcd_watcher.config import EtcdConfig, parse_endpoint_url
 from balancer.core.discovery.etcd_watcher.messages import CallFault
 from balancer.core.discovery.etcd_watcher.watcher import EtcdWatcher
 from balancer.core.staggering import StaggeredSchedule
 from balancer.endpoints import InvalidEntry
 from balancer.protocol.etcd_entry import parse_entry
-from balancer.protocol.etcd_watch import responses as ew
+from balancer.protocol.etcd_watch import responses as etcd_responses
 from balancer.protocol.etcd_watch.requests import RequestBuilder
 from balancer.protocol.etcd_watch.response_decoder import CallKind, ResponseDecoder
 
 log = logging.getLogger(__name__)
 
-CONNECT_TIMEOUT_S = 1.0  # s for a connection to come up, its name looked up and its TLS agreed on
-MAX_TURN_S = 0.002  # s of reading in one go
-ROWS_PER_STEP = 100  # entries read in one go
-KEEPALIVE_OPTIONS = {"TCP_KEEPIDLE": 15, "TCP_KEEPINTVL": 5, "TCP_KEEPCNT": 3}  # s, s, probes
+CONNECT_TIMEOUT_S = 1.0  # covers name resolution, the TCP connect and the TLS handshake
+MAX_PARSE_DURATION_S = 0.002  # in one turn of the event loop
+PARSE_SLICE_ENTRIES = 100  # parsed in one turn of the event loop
+KEEPALIVE_OPTIONS = {"TCP_KEEPIDLE": 15, "TCP_KEEPINTVL": 5, "TCP_KEEPCNT": 3}  # seconds, seconds, probes
 
 Emit = Callable[[EndpointsListed | SourceConfirmedCurrent | SourceLost | SourceRejected], None]
 
 
 class EtcdConnection(asyncio.Protocol):
-    """One connection, which carries one call at a time.
+    """One connection to an etcd endpoint, which carries one call at a time.
 
-    `take` gets each message, and None when nothing more of the call will come.
+    `on_message` is called with each message of the call, and with None when the call has ended.
     """
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport | None = None
-        self.answer: ResponseDecoder | None = None
-        self.take: Callable[[ew.Message | None], None] = lambda message: None
-        self.heard = False  # something of the answer has come
-        self.closed = False
-        self._turn: asyncio.Handle | None = None
+        self.decoder: ResponseDecoder | None = None
+        self.on_message: Callable[[etcd_responses.Message | None], None] = lambda message: None
+        self.has_received_data = False  # part of the response has arrived
+        self.is_closed = False
+        self._pump_handle: asyncio.Handle | None = None
 
     @property
-    def idle(self) -> bool:
-        """Whether another call can be made on it, as far as this side knows."""
-        return self.answer is None and self.transport is not None and not self.transport.is_closing()
-
-    def ask(self, kind: CallKind, data: bytes, take: Callable[[ew.Message | None], None]) -> None:
-        """Make a call."""
-        assert self.idle and self.transport is not None
-        self.answer, self.take, self.heard = ResponseDecoder(kind), take, False
+    def is_idle(self) -> bool:
+        """Whether another call can be sent, as far as this side knows."""
+        return self.decoder is None and self.transport is not None and not self.transport.is_closing()
+
+    def send_call(
+        self, kind: CallKind, data: bytes, on_message: Callable[[etcd_responses.Message | None], None]
+    ) -> None:
+        """Send a call whose messages are passed to `on_message`."""
+        assert self.is_idle and self.transport is not None
+        self.decoder, self.on_message, self.has_received_data = ResponseDecoder(kind), on_message, False
         self.transport.write(data)
 
-    async def call(self, kind: CallKind, data: bytes) -> ew.Message:
-        """Make a call that has one answer. What cannot be read is `Broken`; never raises.
+    async def call(self, kind: CallKind, data: bytes) -> etcd_responses.Message:
+        """Send a call that has a single response and return it.
 
-        Who cancels this closes the connection, as the answer may still come.
+        An unreadable or missing response is returned as `InvalidResponse`; no exception is raised. A caller
+        that cancels this coroutine must close the connection, since the response may still arrive.
         """
-        got: asyncio.Future[ew.Message] = asyncio.get_running_loop().create_future()
+        response: asyncio.Future[etcd_responses.Message] = asyncio.get_running_loop().create_future()
 
-        def take(message: ew.Message | None) -> None:
-            if not got.done():
-                got.set_result(message or ew.InvalidResponse(ew.ResponseFault.TRUNCATED, "no answer"))
+        def on_message(message: etcd_responses.Message | None) -> None:
+            if not response.done():
+                response.set_result(
+                    message
+                    or etcd_responses.InvalidResponse(etcd_responses.ResponseFault.TRUNCATED, "no answer")
+                )
 
-        self.ask(kind, data, take)
-        return await got
+        self.send_call(kind, data, on_message)
+        return await response
 
     def close(self) -> None:
-        """Close it; nothing more is taken."""
-        self.closed = True
-        self.answer = None
-        if self._turn is not None:
-            self._turn.cancel()
+        """Close the connection; no further message is delivered."""
+        self.is_closed = True
+        self.decoder = None
+        if self._pump_handle is not None:
+            self._pump_handle.cancel()
         if self.transport is not None:
             self.transport.abort()
 
-    # --- asyncio
+    # --- asyncio.Protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """It is up. Keep-alive tells a connection that was forgotten on the way from a silent watch."""
-        self.transport = cast(asyncio.Transport, transport)  # no subclass of it under uvloop
+        """Enable TCP keep-alive, which distinguishes a dead connection from a watch without events."""
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's transport is not a subclass
         sock = transport.get_extra_info("socket")
         if sock is not None:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-            for name, value in KEEPALIVE_OPTIONS.items():
-                if (option := getattr(socket, name, None)) is not None:
+            for option_name, value in KEEPALIVE_OPTIONS.items():
+                if (option := getattr(socket, option_name, None)) is not None:
                     sock.setsockopt(socket.IPPROTO_TCP, option, value)
-        if self.closed:
+        if self.is_closed:
             self.transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Read; what no call asked for ends the connection."""
-        if self.answer is None:
+        """Parse a part of the response; data outside a call closes the connection."""
+        if self.decoder is None:
             self.close()
             return
-        self.heard = True
-        self.answer.feed(data)
-        if self._turn is None:
+        self.has_received_data = True
+        self.decoder.feed(data)
+        if self._pump_handle is None:
             self._pump()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Read what there is, then the call has ended."""
-        if self.answer is not None:
-            self.answer.feed_end()
-            if self._turn is None:
+        """Parse what is buffered, then end the call."""
+        if self.decoder is not None:
+            self.decoder.feed_end()
+            if self._pump_handle is None:
                 self._pump()
 
     def _pump(self) -> None:
-        """Hand on messages for a while; the rest waits for the loop's next turn, and so does the peer."""
-        loop, answer = asyncio.get_running_loop(), self.answer
-        self._turn = None
-        end = loop.time() + MAX_TURN_S
-        while answer is not None and answer is self.answer:
-            message = answer.pull()
+        """Deliver messages up to the time limit; the rest follows in the next turn of the event loop.
+
+        Reading is paused until then, so that the peer cannot send faster than messages are handled.
+        """
+        loop, decoder = asyncio.get_running_loop(), self.decoder
+        self._pump_handle = None
+        slice_end_s = loop.time() + MAX_PARSE_DURATION_S
+        while decoder is not None and decoder is self.decoder:
+            message = decoder.pull()
             if message is None:
                 break
-            self.take(message)
-            if loop.time() > end and answer is self.answer and answer.has_pending:
-                self._turn = loop.call_soon(self._pump)
-                self._reading(False)
+            self.on_message(message)
+            if loop.time() > slice_end_s and decoder is self.decoder and decoder.has_pending:
+                self._pump_handle = loop.call_soon(self._pump)
+                self._set_reading(False)
                 return
-        self._reading(True)
-        if answer is not None and answer is self.answer and answer.has_ended:
-            self.answer = None
-            if not answer.is_reusable:
+        self._set_reading(True)
+        if decoder is not None and decoder is self.decoder and decoder.has_ended:
+            self.decoder = None
+            if not decoder.is_reusable:
                 self.close()
-            self.take(None)
+            self.on_message(None)
 
-    def _reading(self, on: bool) -> None:
+    def _set_reading(self, enabled: bool) -> None:
         if self.transport is None or self.transport.is_closing():
             return
-        if on and not self.transport.is_reading():
+        if enabled and not self.transport.is_reading():
             self.transport.resume_reading()
-        elif not on and self.transport.is_reading():
+        elif not enabled and self.transport.is_reading():
             self.transport.pause_reading()
 
 
 class EtcdDiscovery:
-    """Follows the members below a prefix; `emit` gets what the membership has to know.
+    """Watches the members below a prefix and passes changes to `emit`, for the endpoint merger.
+
+    A stopped source can be started again. Changed settings need a new source, which continues from the
+    `resume_position` of the old one. Where the settings limit the load on etcd, `node_index` and `node_count`
+    give this node its time slot.
 
-    `start` and `stop` may follow each other; new settings are a new source, given `seen` of the old one.
-    `me` is this node's number among `nodes`, for its turn where the settings say what etcd bears.
-    Raises ValueError if an endpoint is none, or a TLS file cannot be read.
+    Raises:
+        ValueError: An endpoint URL is invalid or a TLS file cannot be read.
     """
 
     def __init__(
@@ -166,308 +179,338 @@
         emit: Emit,
         *,
         name: str = "etcd",
-        seen: tuple[str, int] | None = None,
+        resume_position: tuple[str, int] | None = None,
         rng: random.Random | None = None,
-        me: int = 0,
-        nodes: int = 1,
+        node_index: int = 0,
+        node_count: int = 1,
     ) -> None:
         self.config, self.emit, self.name = config, emit, name
         self.prefix = config.prefix.encode()
-        self.peers = [parse_endpoint_url(url) for url in config.endpoints]
-        self.tls = _tls(config) if any(tls for _, _, tls in self.peers) else None
-        self.asks = [RequestBuilder(_host(host, port), self.prefix) for host, port, _ in self.peers]
+        self.endpoint_addresses = [parse_endpoint_url(url) for url in config.endpoints]
+        self.ssl_context = (
+            _create_ssl_context(config)
+            if any(uses_tls for _, _, uses_tls in self.endpoint_addresses)
+            else None
+        )
+        self.request_builders = [
+            RequestBuilder(_host_header(host, port), self.prefix) for host, port, _ in self.endpoint_addresses
+        ]
         self.rng = rng or random.Random()
-        self.started_with = seen
-        self.me, self.nodes = me, nodes
-        self.follow = self._begin()
-        self.running = False
-        self._token: str | None = None  # "" where etcd has its auth off
-        self._link: EtcdConnection | None = None
-        self._watch: EtcdConnection | None = None
-        self._asking: asyncio.Task[None] | None = None
-        self._watching: asyncio.Task[None] | None = None
+        self.initial_position = resume_position
+        self.node_index, self.node_count = node_index, node_count
+        self.watcher = self._create_watcher()
+        self.is_running = False
+        self._token: str | None = None  # "" if authentication is disabled in etcd
+        self._call_connection: EtcdConnection | None = None
+        self._watch_connection: EtcdConnection | None = None
+        self._call_task: asyncio.Task[None] | None = None
+        self._watch_task: asyncio.Task[None] | None = None
         self._timers: dict[int, asyncio.TimerHandle] = {}
 
-    def _begin(self) -> EtcdWatcher:
-        count, epoch = len(self.peers), self.config.epoch
-        names, bears = self.config.endpoints, self.config.bears
-        turns = None if bears is None or self.nodes == 1 else StaggeredSchedule(self.me, self.nodes, bears)
+    def _create_watcher(self) -> EtcdWatcher:
+        endpoint_count, epoch = len(self.endpoint_addresses), self.config.epoch
+        endpoint_names, max_fetches_per_s = self.config.endpoints, self.config.bears
+        time_slots = (
+            None
+            if max_fetches_per_s is None or self.node_count == 1
+            else StaggeredSchedule(self.node_index, self.node_count, max_fetches_per_s)
+        )
         return EtcdWatcher(
             self.name,
-            count,
+            endpoint_count,
             self.rng,
             epoch=epoch,
-            resume_from=self.started_with,
-            endpoint_names=names,
-            time_slots=turns,
+            resume_from=self.initial_position,
+            endpoint_names=endpoint_names,
+            time_slots=time_slots,
         )
 
     @property
-    def seen(self) -> tuple[str, int] | None:
-        """The order in force and the newest revision delivered in it, for the source that comes after."""
-        return None if self.follow.cluster_id is None else (self.follow.identity, self.follow.min_revision)
+    def resume_position(self) -> tuple[str, int] | None:
+        """The cluster identity and the newest revision delivered from it, for a source that replaces this."""
+        return None if self.watcher.cluster_id is None else (self.watcher.identity, self.watcher.min_revision)
 
     def start(self) -> None:
-        """Begin; needs a running loop. What was seen before a `stop` still holds."""
-        if self.running:
+        """Start watching; needs a running event loop. Continues from the position before the last `stop`."""
+        if self.is_running:
             return
-        self.started_with = self.seen or self.started_with
-        self.follow, self.running = self._begin(), True
-        self._do(ef.WatcherStarted())
+        self.initial_position = self.resume_position or self.initial_position
+        self.watcher, self.is_running = self._create_watcher(), True
+        self._dispatch(watcher_messages.WatcherStarted())
 
     def stop(self) -> None:
-        """End: connections are closed on return."""
-        if not self.running:
+        """Stop watching; all connections are closed on return."""
+        if not self.is_running:
             return
-        self._do(ef.WatcherStopped())
-        self.running = False
-        self._drop()
+        self._dispatch(watcher_messages.WatcherStopped())
+        self.is_running = False
+        self._close_connections()
         for timer in self._timers.values():
             timer.cancel()
         self._timers.clear()
 
-    # --- the decider's actions
+    # --- actions of the watcher
 
-    def _do(self, event: ef.Event) -> None:
-        if not self.running:
+    def _dispatch(self, event: watcher_messages.Event) -> None:
+        if not self.is_running:
             return
-        for action in self.follow.handle(asyncio.get_running_loop().time() * 1000, event):
-            if not self.running:
-                return  # whoever took an event stopped this
-            self._act(action)
+        for action in self.watcher.handle(asyncio.get_running_loop().time() * 1000, event):
+            if not self.is_running:
+                return  # the receiver of an update has stopped this source
+            self._perform(action)
 
-    def _act(self, action: ef.Action) -> None:
+    def _perform(self, action: watcher_messages.Action) -> None:
         loop = asyncio.get_running_loop()
         match action:
-            case ef.CheckEndpoint():
-                self._ask(partial(self._check, action))
-            case ef.FetchSnapshotPage():
-                self._ask(partial(self._range, action))
-            case ef.OpenWatch():
+            case watcher_messages.CheckEndpoint():
+                self._start_call(partial(self._check_endpoint, action))
+            case watcher_messages.FetchSnapshotPage():
+                self._start_call(partial(self._fetch_page, action))
+            case watcher_messages.OpenWatch():
                 self._close_watch()
-                self._watching = loop.create_task(self._open(action))
-            case ef.CloseWatch():
+                self._watch_task = loop.create_task(self._open_watch(action))
+            case watcher_messages.CloseWatch():
                 self._close_watch()
-            case ef.CloseConnections():
-                self._drop()
-            case ef.SetTimer():
-                self._timers[action.token] = loop.call_at(action.at_ms / 1000, self._fire, action.token)
-            case ef.DeliverUpdate():
+            case watcher_messages.CloseConnections():
+                self._close_connections()
+            case watcher_messages.SetTimer():
+                self._timers[action.token] = loop.call_at(action.at_ms / 1000, self._on_timer, action.token)
+            case watcher_messages.DeliverUpdate():
                 self.emit(action.update)
-            case ef.WriteLog():
+            case watcher_messages.WriteLog():
                 log.log(logging.INFO if action.level == "info" else logging.WARNING, "%s", action.text)
 
-    def _fire(self, token: int) -> None:
+    def _on_timer(self, token: int) -> None:
         del self._timers[token]
-        self._do(ef.TimerFired(token))
+        self._dispatch(watcher_messages.TimerFired(token))
 
     def _close_watch(self) -> None:
-        if self._watching is not None:
-            self._watching.cancel()
-        if self._watch is not None:
-            self._watch.close()
-        self._watching = self._watch = None
+        if self._watch_task is not None:
+            self._watch_task.cancel()
+        if self._watch_connection is not None:
+            self._watch_connection.close()
+        self._watch_task = self._watch_connection = None
 
-    def _drop(self) -> None:
+    def _close_connections(self) -> None:
         self._close_watch()
-        if self._asking is not None:
-            self._asking.cancel()
-        if self._link is not None:
-            self._link.close()
-        self._asking = self._link = None
+        if self._call_task is not None:
+            self._call_task.cancel()
+        if self._call_connection is not None:
+            self._call_connection.close()
+        self._call_task = self._call_connection = None
 
     # --- calls
 
-    def _ask(self, call: Callable[[], Coroutine[None, None, ef.Event]]) -> None:
-        """One at a time: the decider has forgotten the one before, if it is out still."""
-        if self._asking is not None and not self._asking.done():
-            self._asking.cancel()
-            if self._link is not None:
-                self._link.close()
-        self._asking = asyncio.get_running_loop().create_task(self._answered(call))
+    def _start_call(self, call: Callable[[], Coroutine[None, None, watcher_messages.Event]]) -> None:
+        """Start a call in place of any previous one, which the watcher no longer expects."""
+        if self._call_task is not None and not self._call_task.done():
+            self._call_task.cancel()
+            if self._call_connection is not None:
+                self._call_connection.close()
+        self._call_task = asyncio.get_running_loop().create_task(self._run_call(call))
 
-    async def _answered(self, call: Callable[[], Coroutine[None, None, ef.Event]]) -> None:
+    async def _run_call(self, call: Callable[[], Coroutine[None, None, watcher_messages.Event]]) -> None:
         event = await call()
-        self._asking = None  # the next call is not to cancel this task, which makes it
-        self._do(event)
-
-    async def _check(self, action: ef.CheckEndpoint) -> ef.Event:
-        make = partial(self.asks[action.endpoint_index].check_request, count=action.counts_keys)
-        message = await self._request(action.endpoint_index, make)
-        if isinstance(message, ew.RangePage):
-            keys = message.key_count if action.counts_keys else None
-            return ef.CheckAnswered(action.call_id, _position(message.header), keys)
-        return self._failed(action.call_id, message)
-
-    async def _range(self, action: ef.FetchSnapshotPage) -> ef.Event:
-        def make(token: str) -> bytes:
-            asks = self.asks[action.endpoint_index]
-            return asks.range_request(action.after_key, action.revision, action.max_keys, token)
-
-        message = await self._request(action.endpoint_index, make)
-        if not isinstance(message, ew.RangePage):
-            return self._failed(action.call_id, message)
-        rows: list[ef.EntryUpdate] = []
-        for start in range(0, len(message.key_values), ROWS_PER_STEP):
-            rows += [
+        self._call_task = None  # `_dispatch` may start the next call, which must not cancel this task
+        self._dispatch(event)
+
+    async def _check_endpoint(self, action: watcher_messages.CheckEndpoint) -> watcher_messages.Event:
+        build_request = partial(
+            self.request_builders[action.endpoint_index].check_request, count=action.counts_keys
+        )
+        message = await self._send_range_request(action.endpoint_index, build_request)
+        if isinstance(message, etcd_responses.RangePage):
+            key_count = message.key_count if action.counts_keys else None
+            return watcher_messages.CheckAnswered(action.call_id, _position(message.header), key_count)
+        return self._call_failed(action.call_id, message)
+
+    async def _fetch_page(self, action: watcher_messages.FetchSnapshotPage) -> watcher_messages.Event:
+        def build_request(token: str) -> bytes:
+            request_builder = self.request_builders[action.endpoint_index]
+            return request_builder.range_request(action.after_key, action.revision, action.max_keys, token)
+
+        message = await self._send_range_request(action.endpoint_index, build_request)
+        if not isinstance(message, etcd_responses.RangePage):
+            return self._call_failed(action.call_id, message)
+        entries: list[watcher_messages.EntryUpdate] = []
+        for start in range(0, len(message.key_values), PARSE_SLICE_ENTRIES):
+            entries += [
                 parse_entry(kv, self.prefix, self.config.format)
-                for kv in message.key_values[start : start + ROWS_PER_STEP]
+                for kv in message.key_values[start : start + PARSE_SLICE_ENTRIES]
             ]
             await asyncio.sleep(0)
-        rows += [InvalidEntry(f"/entry {n}", reason) for n, reason in enumerate(message.unreadable_entries)]
-        last = message.key_values[-1].key if message.key_values else b""
-        at = _position(message.header)
-        return ef.SnapshotPageReceived(
-            action.call_id, at, tuple(rows), last, message.has_more, message.key_count
+        entries += [
+            InvalidEntry(f"/entry {n}", reason) for n, reason in enumerate(message.unreadable_entries)
+        ]
+        last_key = message.key_values[-1].key if message.key_values else b""
+        position = _position(message.header)
+        return watcher_messages.SnapshotPageReceived(
+            action.call_id, position, tuple(entries), last_key, message.has_more, message.key_count
         )
 
-    async def _open(self, action: ef.OpenWatch) -> None:
-        def take(message: ew.Message | None) -> None:
-            if self._watch is link:
-                self._do(self._stream_message(action.call_id, message))
+    async def _open_watch(self, action: watcher_messages.OpenWatch) -> None:
+        def on_message(message: etcd_responses.Message | None) -> None:
+            if self._watch_connection is connection:
+                self._dispatch(self._to_watcher_event(action.call_id, message))
 
-        refused = await self._log_in(action.endpoint_index)
+        failed_response = await self._authenticate(action.endpoint_index)
         try:
-            if refused is None:
-                link = await self._dial(action.endpoint_index)
-        except (OSError, TimeoutError, UnicodeError) as err:  # the last of a name that cannot be looked up
-            refused = ew.InvalidResponse(ew.ResponseFault.TRUNCATED, _why(err))
-        self._watching = None
-        if refused is not None:
-            self._do(self._failed(action.call_id, refused))
+            if failed_response is None:
+                connection = await self._connect(action.endpoint_index)
+        except (OSError, TimeoutError, UnicodeError) as err:  # UnicodeError: an invalid host name
+            failed_response = etcd_responses.InvalidResponse(
+                etcd_responses.ResponseFault.TRUNCATED, _connect_error_text(err)
+            )
+        self._watch_task = None
+        if failed_response is not None:
+            self._dispatch(self._call_failed(action.call_id, failed_response))
             return
-        self._watch = link
-        start = self.asks[action.endpoint_index].watch_request(action.start_revision, self._token or "")
-        link.ask(CallKind.WATCH, start, take)
+        self._watch_connection = connection
+        watch_request = self.request_builders[action.endpoint_index].watch_request(
+            action.start_revision, self._token or ""
+        )
+        connection.send_call(CallKind.WATCH, watch_request, on_message)
 
-    def _stream_message(self, call: int, message: ew.Message | None) -> ef.Event:
-        """A message of the watch, as an event."""
+    def _to_watcher_event(
+        self, call_id: int, message: etcd_responses.Message | None
+    ) -> watcher_messages.Event:
+        """Convert a message of the watch to an event of the watcher."""
         match message:
-            case ew.WatchCreated(header):
-                return ef.WatchCreated(call, _position(header))
-            case ew.WatchProgress(header):
-                return ef.WatchProgressed(call, _position(header))
-            case ew.WatchEvents(header, events, fragment):
+            case etcd_responses.WatchCreated(header):
+                return watcher_messages.WatchCreated(call_id, _position(header))
+            case etcd_responses.WatchProgress(header):
+                return watcher_messages.WatchProgressed(call_id, _position(header))
+            case etcd_responses.WatchEvents(header, events, fragment):
                 changes = (
-                    ef.WatchEvent(
+                    watcher_messages.WatchEvent(
                         kv.mod_revision, parse_entry(kv, self.prefix, self.config.format), not kv.is_deleted
                     )
                     for kv in events
                 )
-                return ef.WatchEventsReceived(call, _position(header), tuple(changes), fragment)
-            case ew.WatchCanceled(_, compacted, reason):
-                # The reason holds what the call would have been answered; its code is told in words only.
-                return ef.WatchCanceled(
-                    call, compacted, self._stream_fault(ew.GatewayError(0, reason)), reason
+                return watcher_messages.WatchEventsReceived(
+                    call_id, _position(header), tuple(changes), fragment
+                )
+            case etcd_responses.WatchCanceled(_, compacted, reason):
+                # etcd reports the error of a canceled watch only as text, without its gRPC code.
+                return watcher_messages.WatchCanceled(
+                    call_id, compacted, self._classify_error(etcd_responses.GatewayError(0, reason)), reason
                 )
             case None:
-                return ef.CallFailed(call, CallFault.FAILED, "the connection ended")
+                return watcher_messages.CallFailed(call_id, CallFault.FAILED, "the connection ended")
             case _:
-                return self._failed(call, message)
+                return self._call_failed(call_id, message)
 
-    def _failed(self, call: int, message: ew.Message) -> ef.CallFailed:
+    def _call_failed(self, call_id: int, message: etcd_responses.Message) -> watcher_messages.CallFailed:
         match message:
-            case ew.GatewayError(message=text, http_status=status):
-                advice_ms = 1000.0 * message.retry_after_s
-                return ef.CallFailed(
-                    call, self._stream_fault(message), text or f"HTTP status {status}", advice_ms
+            case etcd_responses.GatewayError(message=text, http_status=status):
+                retry_after_ms = 1000.0 * message.retry_after_s
+                return watcher_messages.CallFailed(
+                    call_id, self._classify_error(message), text or f"HTTP status {status}", retry_after_ms
                 )
-            case ew.InvalidResponse(why, _):
-                trouble = {
-                    ew.ResponseFault.TOO_LARGE: CallFault.TOO_LARGE,
-                    ew.ResponseFault.TRUNCATED: CallFault.FAILED,
+            case etcd_responses.InvalidResponse(fault, _):
+                faults = {
+                    etcd_responses.ResponseFault.TOO_LARGE: CallFault.TOO_LARGE,
+                    etcd_responses.ResponseFault.TRUNCATED: CallFault.FAILED,
                 }
-                text = message.detail if why is ew.ResponseFault.TRUNCATED else str(message)
-                return ef.CallFailed(call, trouble.get(why, CallFault.UNREADABLE), text)
+                text = message.detail if fault is etcd_responses.ResponseFault.TRUNCATED else str(message)
+                return watcher_messages.CallFailed(call_id, faults.get(fault, CallFault.UNREADABLE), text)
             case _:
-                return ef.CallFailed(
-                    call, CallFault.UNREADABLE, f"{type(message).__name__} answers another call"
+                return watcher_messages.CallFailed(
+                    call_id, CallFault.UNREADABLE, f"unexpected response {type(message).__name__}"
                 )
 
-    def _stream_fault(self, error: ew.GatewayError) -> CallFault:
+    def _classify_error(self, error: etcd_responses.GatewayError) -> CallFault:
         if error.is_compacted:
             return CallFault.COMPACTED
         if self.config.user and (
             error.is_token_expired or (self._token == "" and error.is_permission_denied)
         ):
-            self._token = None  # the next call logs in first
+            self._token = None  # the next call authenticates first
             return CallFault.TOKEN_EXPIRED
         if error.is_token_expired or error.is_permission_denied:
             return CallFault.PERMISSION_DENIED
         return CallFault.OVERLOADED if error.is_overloaded else CallFault.FAILED
 
-    async def _request(self, endpoint: int, make: Callable[[str], bytes]) -> ew.Message:
-        """A call of a range, behind a log-in where one is needed. Never raises."""
-        if (refused := await self._log_in(endpoint)) is not None:
-            return refused
-        return await self._once(endpoint, CallKind.RANGE, make(self._token or ""))
+    async def _send_range_request(
+        self, endpoint_index: int, build_request: Callable[[str], bytes]
+    ) -> etcd_responses.Message:
+        """Send a range request, after authenticating if there is no token. Never raises."""
+        if (failed_response := await self._authenticate(endpoint_index)) is not None:
+            return failed_response
+        return await self._send_request(endpoint_index, CallKind.RANGE, build_request(self._token or ""))
 
-    async def _log_in(self, endpoint: int) -> ew.Message | None:
-        """Get a token, if there is none; what came instead of it."""
+    async def _authenticate(self, endpoint_index: int) -> etcd_responses.Message | None:
+        """Obtain a token if one is needed. Returns the response if authentication failed, else None."""
         if not self.config.user or self._token is not None:
             return None
-        data = self.asks[endpoint].authenticate_request(self.config.user, self.config.password or "")
-        message = await self._once(endpoint, CallKind.AUTHENTICATE, data)
-        if isinstance(message, ew.Authenticated):
+        data = self.request_builders[endpoint_index].authenticate_request(
+            self.config.user, self.config.password or ""
+        )
+        message = await self._send_request(endpoint_index, CallKind.AUTHENTICATE, data)
+        if isinstance(message, etcd_responses.Authenticated):
             self._token = message.token
-        elif isinstance(message, ew.GatewayError) and message.is_auth_disabled:
+        elif isinstance(message, etcd_responses.GatewayError) and message.is_auth_disabled:
             self._token = ""
         else:
             return message
         return None
 
-    async def _once(self, endpoint: int, kind: CallKind, data: bytes) -> ew.Message:
-        """One call on the connection that is there, or a new one.
+    async def _send_request(self, endpoint_index: int, kind: CallKind, data: bytes) -> etcd_responses.Message:
+        """Send one call on the open connection or on a new one. Never raises.
 
-        A connection that was kept may have been closed by its other end meanwhile: then the call, which
-        changes nothing, is made once more.
+        The peer may have closed a kept-alive connection in the meantime. The call is then repeated once on a
+        new connection, which is safe since all calls are read-only.
         """
         try:
-            if (link := self._link) is not None and link.idle:
-                message = await link.call(kind, data)
-                if not isinstance(message, ew.InvalidResponse) or link.heard:
+            if (connection := self._call_connection) is not None and connection.is_idle:
+                message = await connection.call(kind, data)
+                if not isinstance(message, etcd_responses.InvalidResponse) or connection.has_received_data:
                     return message
-            if self._link is not None:
-                self._link.close()  # a call that nobody waits for any more may be out on it
-            self._link = link = await self._dial(endpoint)
-            return await link.call(kind, data)
-        except (OSError, TimeoutError, UnicodeError) as err:  # the last of a name that cannot be looked up
-            return ew.InvalidResponse(ew.ResponseFault.TRUNCATED, _why(err))
-
-    async def _dial(self, endpoint: int) -> EtcdConnection:
-        host, port, tls = self.peers[endpoint]
-        loop, link = asyncio.get_running_loop(), EtcdConnection()
+            if self._call_connection is not None:
+                self._call_connection.close()  # an abandoned call may still be in flight on it
+            self._call_connection = connection = await self._connect(endpoint_index)
+            return await connection.call(kind, data)
+        except (OSError, TimeoutError, UnicodeError) as err:  # UnicodeError: an invalid host name
+            return etcd_responses.InvalidResponse(
+                etcd_responses.ResponseFault.TRUNCATED, _connect_error_text(err)
+            )
+
+    async def _connect(self, endpoint_index: int) -> EtcdConnection:
+        host, port, uses_tls = self.endpoint_addresses[endpoint_index]
+        loop, connection = asyncio.get_running_loop(), EtcdConnection()
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
-                await loop.create_connection(lambda: link, host, port, ssl=self.tls if tls else None)
+                await loop.create_connection(
+                    lambda: connection, host, port, ssl=self.ssl_context if uses_tls else None
+                )
         except BaseException:
-            link.close()
+            connection.close()
             raise
-        return link
+        return connection
 
 
-def _tls(config: EtcdConfig) -> ssl.SSLContext:
-    """What is trusted, and what is shown; raises ValueError that names the file."""
+def _create_ssl_context(config: EtcdConfig) -> ssl.SSLContext:
+    """Create the TLS context of the client; raises ValueError naming a file that cannot be used."""
     try:
-        out = ssl.create_default_context(cafile=config.ca)
+        context = ssl.create_default_context(cafile=config.ca)
     except (OSError, ssl.SSLError) as err:
         raise ValueError(f"ca {config.ca!r} cannot be used: {err}") from None
     if config.cert is not None:
         try:
-            out.load_cert_chain(config.cert, config.key)
+            context.load_cert_chain(config.cert, config.key)
         except (OSError, ssl.SSLError) as err:
             raise ValueError(f"cert {config.cert!r} with key {config.key!r} cannot be used: {err}") from None
-    return out
+    return context
 
 
-def _host(host: str, port: int) -> str:
+def _host_header(host: str, port: int) -> str:
     return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
 
 
-def _position(header: ew.ResponseHeader) -> ef.Position:
-    return ef.Position(header.cluster_id, header.revision, header.raft_term)
+def _position(header: etcd_responses.ResponseHeader) -> watcher_messages.Position:
+    return watcher_messages.Position(header.cluster_id, header.revision, header.raft_term)
 
 
-def _why(err: Exception) -> str:
+def _connect_error_text(err: Exception) -> str:
     text = str(err) or "timed out"
     return f"no connection: {text}"[:200]
--- a/balancer/net/discovery/platform.py
+++ b/balancer/net/discovery/platform.py
@@ -1,4 +1,4 @@
-"""The platform's discovery as a source of endpoint lists: executes what `PlatformWatcher` decides."""
+"""Reads endpoint lists from the platform's discovery service, as `PlatformWatcher` decides."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 
 SOURCE_NAME = "platform"
 SNAPSHOT_TARGET = "/discovery/hosts"
-WATCH_TARGET = "/discovery/hosts?watch=1&from="  # and the revision
+WATCH_TARGET = "/discovery/hosts?watch=1&from="  # the revision follows
 
 
 def source_identity(address: Address) -> str:
-    """The identity of discovery at this address: its revisions are its own."""
+    """The identity of the discovery instance at this address, which numbers revisions on its own."""
     return f"{address[0]}:{address[1]}"
 
 
 class PlatformSource:
-    """Follows the platform's list.
+    """Watches or polls the platform's endpoint list.
 
-    `emit` takes events for the merge, `watch_revision` returns the revision to watch from (None where only
-    a snapshot will do), `notify_failed` tells the request policy that a call failed.
+    `emit` receives events for the endpoint merger, `watch_revision` returns the revision to watch from (None
+    if a snapshot is required), and `notify_failed` reports a failed call to the request policy.
     """
 
     def __init__(
@@ -43,22 +43,27 @@
         self.address, self.now_ms, self.emit = address, now_ms, emit
         self.watch_revision, self.notify_failed = watch_revision, notify_failed
         self.watcher = platform_watcher.PlatformWatcher(random.Random(), must_poll, drain_grace_ms)
-        self.active_call: DiscoveryCall | None = None  # the watch, or the snapshot that a watch follows
+        self.active_call: DiscoveryCall | None = None  # the watch, or the snapshot that precedes it
         self.additional_calls: set[DiscoveryCall] = set()
         self.retry_timer: asyncio.TimerHandle | None = None
         self.loop = asyncio.get_running_loop()
-        self.connect_tasks: set[asyncio.Task[None]] = set()  # the loop itself holds no reference to them
+        self.connect_tasks: set[asyncio.Task[None]] = (
+            set()
+        )  # the event loop keeps only weak references to tasks
 
-    def watch(self, on: bool) -> None:
-        """Start or stop to follow the list."""
-        self._dispatch(platform_watcher.SubscriptionChanged(on))
+    def watch(self, enabled: bool) -> None:
+        """Start or stop following the list."""
+        self._dispatch(platform_watcher.SubscriptionChanged(enabled))
 
     def fetch(self) -> None:
-        """Fetch one snapshot beside whatever follows the list."""
+        """Fetch one snapshot in addition to the active call."""
         self.additional_calls.add(self._start_call(SNAPSHOT_TARGET, False))
 
     def set_address(self, address: Address) -> None:
-        """Use discovery at another address. Its revisions are its own: a snapshot comes first."""
+        """Use the discovery instance at another address, starting with a snapshot.
+
+        Revisions of the previous instance mean nothing to the new one.
+        """
         if address != self.address:
             self.address = address
             self.emit(endpoint_merger.SourceIdentityChanged(SOURCE_NAME, source_identity(address)))
@@ -67,16 +72,16 @@
     # --- events of calls
 
     def on_accepted(self) -> None:
-        """A call was answered by status 200."""
+        """Handle a response with status 200."""
         self.emit(endpoint_merger.SourceConfirmedCurrent(SOURCE_NAME))
 
     def on_heartbeat(self) -> None:
-        """A watch shows that nothing has changed."""
+        """Handle a heartbeat of a watch: the list is unchanged."""
         self.emit(endpoint_merger.SourceConfirmedCurrent(SOURCE_NAME))
         self._note_answer()
 
     def on_list(self, endpoint_list: EndpointList, is_from_watch: bool) -> None:
-        """A snapshot, or a line of a watch."""
+        """Handle a snapshot or a line of a watch."""
         identity = source_identity(self.address)
         self.emit(
             endpoint_merger.EndpointsListed(SOURCE_NAME, identity, endpoint_list, is_from_watch=is_from_watch)
@@ -84,23 +89,23 @@
         self._note_answer()
 
     def _note_answer(self) -> None:
-        """An answer counts only if it leaves a revision to watch from."""
+        """Reset the retry backoff, provided that the answer left a revision to watch from."""
         if self.watch_revision() is not None:
             self._dispatch(platform_watcher.DiscoveryAnswered())
 
     def on_unreadable_line(self, reason: str) -> None:
-        """A line could not be read at all."""
+        """Handle a line that could not be parsed."""
         log.warning("discovery: bad line: %s", reason)
         self.emit(endpoint_merger.UpdateUnreadable(SOURCE_NAME, reason))
 
     def on_silent_after_head(self, call: DiscoveryCall) -> None:
-        """A watch brought its head and nothing since: it is kept beside another one for a while."""
-        from balancer.net.discovery import watch_liveness  # loaded by need: few starts fall into an outage
+        """Keep a watch that has received only its response head, while another one is started."""
+        from balancer.net.discovery import watch_liveness  # loaded on demand: rarely needed at startup
 
         watch_liveness.keep_unconfirmed(self, call)
 
     def on_call_ended(self, call: DiscoveryCall) -> None:
-        """A call has ended and was read."""
+        """Handle the end of a call whose response was parsed completely."""
         self.additional_calls.discard(call)
         is_additional = call is not self.active_call
         if not is_additional:
--- a/balancer/net/discovery/platform_call.py
+++ b/balancer/net/discovery/platform_call.py
@@ -1,4 +1,4 @@
-"""One call to the platform's discovery, on a connection of its own: a watch, or one snapshot."""
+"""One call to the platform's discovery service, a watch or a snapshot, on its own connection."""
 
 from __future__ import annotations
 
@@ -18,54 +18,56 @@
 
 log = logging.getLogger(__name__)
 
-# A call past its deadline is given up only after so many further turns of the event loop.
+# A call past its deadline is ended only after this many further turns of the event loop.
 TIMEOUT_RECHECKS = 3
 TIMEOUT_RECHECK_INTERVAL_S = 0.001
-PARSE_SLICE_ENTRIES = 500  # entries of a list that are checked in one turn of the event loop
-MAX_UNSLICED_LINE_BYTES = 256 * 1024  # some 1,600 endpoints: a longer line is parsed over several turns
+PARSE_SLICE_ENTRIES = 500  # entries of a list parsed in one turn of the event loop
+MAX_UNSLICED_LINE_BYTES = 256 * 1024  # about 1,600 endpoints; longer lines are parsed over several turns
 MAX_REASON_CHARACTERS = 200
 
 
 class CallOwner(Protocol):
-    """What a call needs of whoever made it."""
+    """What a call requires of the source that started it."""
 
     @property
     def watcher(self) -> PlatformWatcher:
-        """Decides what is requested, and how long calls may take."""
+        """The state machine that selects requests and their deadlines."""
 
     @property
     def now_ms(self) -> Callable[[], float]:
         """The node's clock, in milliseconds."""
 
     def on_accepted(self) -> None:
-        """The answer's head came: discovery accepts the call."""
+        """Discovery has accepted the call with status 200."""
 
     def on_heartbeat(self) -> None:
-        """A watch brought an empty line: nothing has changed."""
+        """A watch received an empty line, so the list is unchanged."""
 
     def on_list(self, endpoint_list: EndpointList, is_from_watch: bool) -> None:
-        """A snapshot, or a line of a watch, was read."""
+        """A snapshot or a line of a watch was parsed."""
 
     def on_unreadable_line(self, reason: str) -> None:
-        """A line could not be read; the call ends."""
+        """A line could not be parsed; the call ends."""
 
     def on_silent_after_head(self, call: DiscoveryCall) -> None:
-        """A watch brought its head and nothing since."""
+        """A watch reached its deadline after receiving only its response head."""
 
     def on_call_ended(self, call: DiscoveryCall) -> None:
-        """The call has ended and all that it brought was read. Not called for an abandoned one."""
+        """The call has ended and all received lines were parsed. Not called for an abandoned call."""
 
 
 def _list_parser(line: bytes) -> EndpointListParser | LongList:
     if len(line) <= MAX_UNSLICED_LINE_BYTES:
         return EndpointListParser(json.loads(line))
-    from balancer.protocol.large_list import LongList  # costs start-up time; few lists are so large
+    from balancer.protocol.large_list import (
+        LongList,
+    )  # loaded on demand to save startup time: few lists are this large
 
     return LongList(line)
 
 
 class DiscoveryCall(asyncio.Protocol):
-    """One call: a watch that goes on until its connection ends, or one snapshot."""
+    """One call: a watch, which lasts until its connection ends, or a snapshot."""
 
     def __init__(self, owner: CallOwner, address: Address, target: str, is_watch: bool) -> None:
         self.owner, self.address, self.target, self.is_watch = owner, address, target, is_watch
@@ -73,17 +75,17 @@
         self.transport: asyncio.Transport | None = None
         self.deadline_timer: asyncio.TimerHandle | None = None
         self.unparsed_lines: deque[bytes] = deque()
-        self.list_parser: EndpointListParser | LongList | None = None  # of a list read over several turns
-        self.is_complete = False  # it brought a complete snapshot
-        self.is_over = False  # nothing more is received; what came may still have to be parsed
-        self.is_abandoned = False  # the owner was notified of its end, or does not want to be
-        self.was_slow = False  # it was given up, and a longer timeout might have helped
+        self.list_parser: EndpointListParser | LongList | None = None  # of a list parsed over several turns
+        self.is_complete = False  # a complete snapshot was received
+        self.is_over = False  # nothing more is received; lines may still have to be parsed
+        self.is_abandoned = False  # the owner was notified of the end, or must not be
+        self.was_slow = False  # it timed out, and a longer timeout might have helped
         self.loop = asyncio.get_running_loop()
         self.deadline = owner.watcher.start_deadline(owner.now_ms())
         self.connect_task = self.loop.create_task(self.connect())
 
     async def connect(self) -> None:
-        """Connect. The call ends here if that fails, else by `connection_lost`."""
+        """Connect. If this fails the call ends here, otherwise in `connection_lost`."""
         self.reset_deadline_timer()
         try:
             await self.loop.create_connection(lambda: self, *self.address)
@@ -99,7 +101,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Send the request."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass of it
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's transport is not a subclass
         if self.is_abandoned:
             self.transport.abort()
             return
@@ -110,16 +112,17 @@
         self.reset_deadline_timer()
 
     def reset_deadline_timer(self) -> None:
-        """Set the timer by the present deadline."""
+        """Set the timer to the current deadline."""
         if self.deadline_timer is not None:
             self.deadline_timer.cancel()
         wait_s = max(0.0, self.deadline.deadline_ms - self.owner.now_ms()) / 1000
         self.deadline_timer = self.loop.call_later(wait_s, self._on_deadline)
 
     def _on_deadline(self, rechecks_left: int = TIMEOUT_RECHECKS) -> None:
-        """Give the call up: discovery may be cut off, so that nothing ever closes the connection.
+        """End the call: if discovery is partitioned from this node, nothing else closes the connection.
 
-        A loop that was busy may run its timers before it reads: what waits in the kernel gets some turns.
+        A busy event loop may run timers before it reads sockets, so data that is already in the kernel gets a
+        few more turns to be read.
         """
         if rechecks_left == TIMEOUT_RECHECKS:
             self.was_slow = self.deadline.may_need_longer_timeout(self.owner.now_ms())
@@ -134,11 +137,11 @@
             self.close()
 
     def _log_failure(self, text: str) -> None:
-        """Log a warning on the first failure in a row only: retries are many and would crowd the log."""
+        """Log only the first of consecutive failures as a warning, so that retries do not flood the log."""
         log.log(logging.DEBUG if self.owner.watcher.consecutive_failures else logging.WARNING, text)
 
     def data_received(self, data: bytes) -> None:
-        """Read a part of the answer."""
+        """Parse a part of the response."""
         messages = self.response_parser.receive(data)
         if self.response_parser.began and not self.is_over:
             is_retry = self.owner.watcher.consecutive_failures > 0
@@ -150,7 +153,7 @@
         self._handle_messages(messages)
 
     def eof_received(self) -> None:
-        """A snapshot without a length ends with its connection."""
+        """End the response: a snapshot without a content length ends with its connection."""
         self._handle_messages(self.response_parser.eof())
 
     def _handle_messages(self, messages: list[platform_list.Message]) -> None:
@@ -174,7 +177,7 @@
         self._parse_lines()
 
     def _parse_lines(self) -> None:
-        """Parse the lines in order, a long one over several turns of the event loop."""
+        """Parse the lines in order, a long line over several turns of the event loop."""
         while not self.is_abandoned and (self.list_parser is not None or self.unparsed_lines):
             try:
                 if self.list_parser is None:
@@ -191,9 +194,11 @@
             self._notify_ended()
 
     def _drop_unreadable_lines(self, err: Exception) -> None:
-        """End the call: what the line changed is lost, and no later change repeats it."""
+        """End the call: the changes in the line are lost, and later lines do not repeat them."""
         if not isinstance(err, (EndpointListError, ValueError, RecursionError)):
-            log.error("discovery: a line was not read", exc_info=err)  # a fault of this program
+            log.error(
+                "discovery: a line was not read", exc_info=err
+            )  # an unexpected error, not invalid input
         self.is_complete = False
         self.unparsed_lines.clear()
         self.list_parser = None
@@ -201,14 +206,14 @@
         self.close()
 
     def close(self) -> None:
-        """End the call; what it has brought is still parsed."""
+        """End the call; lines that were received are still parsed."""
         self.is_over = True
         if self.deadline_timer is not None:
             self.deadline_timer.cancel()
         if self.transport is not None:
             self.transport.abort()
         elif not self.connect_task.done():
-            self.connect_task.cancel()  # so that there are no more sockets than calls
+            self.connect_task.cancel()  # keeps the number of sockets within the number of calls
 
     def abandon(self) -> None:
         """End the call without notifying its owner."""
@@ -216,12 +221,12 @@
         self.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection has ended, with a complete answer or without."""
+        """Handle the end of the connection, whether or not the response is complete."""
         self.close()
         self._notify_ended()
 
     def _notify_ended(self) -> None:
-        """Notify the owner once all that came was parsed."""
+        """Notify the owner once all received lines were parsed."""
         if self.is_over and not self.is_abandoned and self.list_parser is None and not self.unparsed_lines:
             self.is_abandoned = True
             self.owner.on_call_ended(self)
--- a/balancer/net/endpoint_view.py
+++ b/balancer/net/endpoint_view.py
@@ -1,4 +1,4 @@
-"""The node's one view of its endpoints: runs the merge of its sources and hands changes to the node."""
+"""The node's single view of its endpoints: merges the sources and passes changes to the node."""
 
 from __future__ import annotations
 
@@ -16,26 +16,26 @@
 
 
 class ViewSink(Protocol):
-    """Who applies changes of the view."""
+    """Applies changes of the view."""
 
     def now(self) -> float:
-        """Milliseconds; never goes back."""
+        """Return a monotonic time in milliseconds."""
 
     def apply(self, change: endpoint_merger.ApplyEndpoints) -> None:
         """Apply one change."""
 
 
 class EndpointView:
-    """Hands events of sources to the merge and executes its actions. It decides nothing."""
+    """Passes events of sources to the endpoint merger and executes its actions."""
 
     def __init__(self, sink: ViewSink, sources: Sequence[Source]) -> None:
         self.sink = sink
         self.merger = endpoint_merger.EndpointMerger(sources)
         self.loop = asyncio.get_running_loop()
-        self.listeners: list[Listener] = []  # called last, once the actions were executed
+        self.listeners: list[Listener] = []  # called after the actions were executed
 
     def handle(self, event: endpoint_merger.Event) -> None:
-        """Handle an event of a source. Never raises: the source could not go on with its work."""
+        """Handle an event of a source. Never raises, so that an error cannot interrupt the source."""
         try:
             actions = self.merger.handle(self.sink.now(), event)
         except Exception:
@@ -49,7 +49,7 @@
         for listener in self.listeners:
             try:
                 listener(event, actions)
-            except Exception:  # the view must not depend on those who only observe it
+            except Exception:  # an error of a listener must not affect the view
                 log.exception("membership: a listener failed on %s", type(event).__name__)
 
     def _execute(self, action: endpoint_merger.Action) -> None:
@@ -62,11 +62,11 @@
                 log.log(logging.WARNING if action.is_warning else logging.INFO, "%s", action.text)
 
     def watch_revision(self, name: str) -> int | None:
-        """The revision from which to watch a source, or None where only a snapshot will do."""
+        """Return the revision from which to watch a source, or None if a snapshot is required."""
         return self.merger.watch_revision(name)
 
     def report(self) -> dict[str, object]:
-        """What the sources list and the view, for operators."""
-        from balancer.core.discovery import merge_report  # costs start-up time; loaded when asked for
+        """Return the lists of the sources and the merged view, for operators."""
+        from balancer.core.discovery import merge_report  # loaded on demand to save startup time
 
         return dict(merge_report.build_report(self.merger))
--- a/balancer/net/etcd_component.py
+++ b/balancer/net/etcd_component.py
@@ -1,6 +1,6 @@
-"""etcd as a source of the fleet's list: switched on, off and over by the operators' file while the node runs.
+"""Runs etcd as a source of the endpoint list, as configured by the operators' file.
 
-It is loaded where that file has the table, as all of etcd's modules are.
+Like all etcd modules it is loaded only if that file has an etcd table.
 """
 
 from __future__ import annotations
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from balancer.core.discovery import endpoint_merger as membership
+from balancer.core.discovery import endpoint_merger
 from balancer.core.discovery.etcd_watcher.config import EtcdConfig
 from balancer.core.discovery.source_state import Source, SourceRole
 from balancer.net.component import PEERS_SOURCE
@@ -18,72 +18,86 @@
 ETCD = "etcd"
 
 
-class EtcdWatcher(Protocol):
-    """What `EtcdPart` needs of a source; sources are made by whoever puts the node together."""
+class EtcdSource(Protocol):
+    """What `EtcdComponent` requires of a source; the factory is passed in by `net/components`."""
 
     @property
-    def seen(self) -> tuple[str, int] | None:
-        """The order in force and the newest revision delivered in it."""
+    def resume_position(self) -> tuple[str, int] | None:
+        """The cluster identity and the newest revision delivered from it."""
 
     def start(self) -> None:
-        """Begin."""
+        """Start watching."""
 
     def stop(self) -> None:
-        """End; connections are closed on return."""
+        """Stop watching; all connections are closed on return."""
 
 
-EtcdFactory = Callable[[EtcdConfig, tuple[str, int] | None], EtcdWatcher]
+EtcdFactory = Callable[[EtcdConfig, tuple[str, int] | None], EtcdSource]
 
 
 class EtcdComponent:
-    """etcd as a source: on where the operators' file has its table. `others` come before it in precedence."""
-
-    def __init__(self, fleet: EndpointView, others: tuple[Source, ...], make: EtcdFactory) -> None:
-        self.fleet, self.others, self.make = fleet, others, make
+    """Enables etcd as a source while the operators' file has its table.
+
+    `configured_sources` take precedence over it.
+    """
+
+    def __init__(
+        self, endpoint_view: EndpointView, configured_sources: tuple[Source, ...], create_source: EtcdFactory
+    ) -> None:
+        self.endpoint_view, self.configured_sources, self.create_source = (
+            endpoint_view,
+            configured_sources,
+            create_source,
+        )
         self.settings: EtcdSettings | None = None
-        self.source: EtcdWatcher | None = None
-        self._made = 0
+        self.source: EtcdSource | None = None
+        self._generation = 0
 
     def apply(self, settings: OperatorSettings) -> None:
-        """Switch it on, off or over; what was seen is not gone behind. Raises ValueError: a bad TLS file."""
+        """Enable, disable or change the source, which continues from the last position.
+
+        Raises ValueError if a TLS file cannot be used.
+        """
         self._apply(settings.membership.etcd)
 
     async def close(self) -> None:
-        """As `stop`."""
+        """Stop the source."""
         self.stop()
 
     def _apply(self, settings: EtcdSettings | None) -> None:
         if settings == self.settings:
             return
-        seen = None if self.source is None else self.source.seen
-        source = None if settings is None else self.make(etcd_config(settings), seen)
+        resume_position = None if self.source is None else self.source.resume_position
+        source = None if settings is None else self.create_source(etcd_config(settings), resume_position)
         self.stop()
         self.settings, self.source = settings, source
-        sources = self.others
+        sources = self.configured_sources
         if settings is not None:
-            self._made += 1
+            self._generation += 1
             sources = (
                 *sources,
                 Source(
                     ETCD,
                     SourceRole(settings.role),
                     has_partial_revisions=True,
-                    configuration_generation=self._made,
+                    configuration_generation=self._generation,
                 ),
             )
-        behind = [one for one in self.fleet.merger.sources.values() if one.name == PEERS_SOURCE]
-        self.fleet.handle(membership.SourcesConfigured((*sources, *behind)))
+        peer_sources = [
+            other for other in self.endpoint_view.merger.sources.values() if other.name == PEERS_SOURCE
+        ]
+        self.endpoint_view.handle(endpoint_merger.SourcesConfigured((*sources, *peer_sources)))
         if source is not None:
             source.start()
 
     def stop(self) -> None:
-        """End its connections; its last word stays in force."""
+        """Close the connections; the last list stays in force."""
         if self.source is not None:
             self.source.stop()
 
 
 def etcd_config(settings: EtcdSettings) -> EtcdConfig:
-    """The operators' table as the source takes it."""
+    """Convert the operators' table to the configuration of the source."""
     files = (settings.ca, settings.cert, settings.key)
     ca, cert, key = (None if path is None else str(path) for path in files)
     return EtcdConfig(
--- a/balancer/net/gossip_transport.py
+++ b/balancer/net/gossip_transport.py
@@ -1,6 +1,7 @@
 """UDP transport of the cluster component: authenticated datagrams in and out.
 
-What the socket refuses to send is lost and counted: the failure detector and the gossip bear loss.
+Datagrams that the socket refuses to send are dropped and counted; the failure detector and gossip tolerate
+loss.
 """
 
 from __future__ import annotations
@@ -19,15 +20,15 @@
 
 log = logging.getLogger(__name__)
 
-MAX_DATAGRAMS_PER_CALLBACK = 32  # read in one turn of the loop: some 1 ms if all are authentic
+MAX_DATAGRAMS_PER_CALLBACK = 32  # read in one turn of the event loop, about 1 ms if all are authentic
 COUNTERS = ("received", "sent", "unsent")
 
 
 class GossipTransport:
-    """One socket at a time; keys, counters and replay windows outlast it.
+    """Sends and receives over one socket at a time; keys, counters and replay windows outlive it.
 
-    `counts`: datagrams by `COUNTERS`, since the start. `on_datagram` takes the address that an authentic
-    datagram came from, and the datagram.
+    `counts` holds the datagrams since the start by the names in `COUNTERS`. `on_datagram` is called with the
+    source address of each authentic datagram and with the datagram.
     """
 
     def __init__(self, on_datagram: Callable[[str, gossip.AcceptedDatagram], None]) -> None:
@@ -40,20 +41,20 @@
 
     @property
     def rejected_counts(self) -> dict[str, int]:
-        """Datagrams that were not read, by reason."""
+        """Rejected datagrams by reason."""
         return self._reader.rejected_counts
 
     def writer_for(self, node_name: str, keys: Sequence[gossip.Key]) -> gossip.Writer:
-        """The writer to hand to `use`; raises ValueError if the name is too long for a datagram."""
+        """Return the writer to pass to `use`; raises ValueError if the name is too long for a datagram."""
         return self._writer or gossip.Writer(node_name, keys)
 
     def use(self, writer: gossip.Writer, keys: Sequence[gossip.Key]) -> None:
-        """Sign with the first of the keys and accept all of them, from the next datagram on."""
+        """From the next datagram on, sign with the first of the keys and accept any of them."""
         self._writer = writer
         writer.keys = self._reader.keys = keys
 
     def receive(self, now_ms: float) -> None:
-        """Read some of the datagrams that wait; the loop calls again for the rest, after other work."""
+        """Read a bounded number of datagrams; the event loop calls again for the rest, after other work."""
         for _ in range(MAX_DATAGRAMS_PER_CALLBACK):
             if self.socket is None:
                 return
@@ -61,7 +62,7 @@
                 data, sender_address = self.socket.recvfrom(gossip.MAX_DATAGRAM_BYTES + 1)
             except BlockingIOError:
                 return
-            except OSError as error:  # the answer to a datagram that was sent before
+            except OSError as error:  # an ICMP error caused by an earlier datagram
                 self._on_socket_error(error)
                 continue
             self.counts["received"] += 1
@@ -77,7 +78,7 @@
         message: gossip.MessageFields,
         sections: gossip.Sections = (),
     ) -> bool:
-        """Send one datagram, if the socket takes it; returns False if there is no socket."""
+        """Send one datagram if the socket accepts it; returns False if there is no socket."""
         assert self._writer is not None
         if self.socket is None:
             return False
@@ -89,12 +90,12 @@
             self.counts["sent"] += 1
         except OSError as error:
             self._on_socket_error(error)
-        except ValueError:  # an address or a text that a peer with the right key made up
+        except ValueError:  # an invalid address or text from a peer that holds the key
             self.counts["unsent"] += 1
         return True
 
     def _on_socket_error(self, error: OSError) -> None:
-        """Unreachable, refused or no buffer space: counted, and logged once for each error number."""
+        """Count a send or receive error and log it once for each error number."""
         self.counts["unsent"] += 1
         if error.errno not in self._logged_errnos:
             reason = error.strerror or type(error).__name__
@@ -103,7 +104,7 @@
 
 
 def open_socket(listen: Address) -> socket.socket:
-    """A bound UDP socket that does not block; raises OSError."""
+    """Return a bound, non-blocking UDP socket; raises OSError."""
     family = socket.AF_INET6 if ":" in listen[0] else socket.AF_INET
     sock = socket.socket(family, socket.SOCK_DGRAM)
     try:
@@ -117,9 +118,9 @@
 
 @lru_cache(parameters.MAX_PEERS)
 def socket_address(text: str, family: int) -> Address | None:
-    """An address to send to; None if it is not an IP address and port of that family.
+    """Parse an address to send to; None if it is not an IP address and port of that family.
 
-    Guards against a host name, which the system would look up while the event loop waits.
+    Host names are rejected, because resolving them would block the event loop.
     """
     host, _, port_text = text.rpartition(":")
     try:
--- a/balancer/net/http_server.py
+++ b/balancer/net/http_server.py
@@ -142,7 +142,7 @@
     def _forget(self) -> None:
         """Hold no body: guards memory against those of all connections that rest."""
         self.body: list[bytes] = []
-        self.node.long.release(self.long)
+        self.node.large_body_budget.release(self.long)
         self.long = 0
 
     # --- asyncio.Protocol
@@ -331,7 +331,7 @@
         self.size += len(body)
         if self.size > MAX_FORWARDED_BODY_BYTES:
             raise BadRequestError(413, "body too large")
-        if (long := self.node.long.reserve(self.long, self.size)) is None:
+        if (long := self.node.large_body_budget.reserve(self.long, self.size)) is None:
             raise BadRequestError(503, "too many long requests")  # nothing ran: turning it away is harmless
         self.long = long
         self.body.append(body)
@@ -365,7 +365,7 @@
         # Where a class is called `up` the headers tell its requests from the question. Guards against serving
         # one that lacks its id with what no backend made.
         if path == b"/up" and (cls is None or not (query or headers.keys() & RELEVANT_HEADERS)):
-            up = node.ready and not node.stopping
+            up = node.is_ready and not node.is_stopping
             self._write(200 if up else 503, b"up\n" if up else b"not up\n")
             return
         if cls is None:
@@ -377,7 +377,7 @@
         name = headers.get(b"request-id", b"").decode("latin-1")
         if not name:
             raise BadRequestError(400, "no Request-Id")
-        if name in node.open or name in node.named:
+        if name in node.open_requests or name in node.deferred_request_ids:
             raise BadRequestError(409, "Request-Id is in use")
         wait = cls.deadline_ms
         if b"request-timeout" in headers:
@@ -386,7 +386,7 @@
             # Guards against a request that is still open when SIGKILL comes.
             wait = min(wait, max(0.0, self.server.ends.respond_until_ms - now))
         key = parse_qs(query.decode("latin-1")).get("obj")
-        if node.full() or self.over or self.server.unread.is_over_budget:
+        if node.is_full() or self.over or self.server.unread.is_over_budget:
             # Guards the descriptors, open requests and memory: nothing ran, so turning it away is harmless.
             self._write(503, b"too many requests\n")
             return
@@ -439,7 +439,7 @@
         self._forget()
         if self.closing or self.transport is None:
             return
-        close = self.close_after or self.node.stopping or not self.keep_alive
+        close = self.close_after or self.node.is_stopping or not self.keep_alive
         # Guards against clients that ask once and keep their connection: what they hold keeps others out, and
         # only a new request could tell them from those who will ask again. One that was asked on again stays.
         close = close or (self.asked < 2 and self.server.pressed)
@@ -631,7 +631,7 @@
             for connection in [c for c in mute if c in self.idle or c in self.fresh]:
                 connection.close()
             left = (self.ends.respond_until_ms - self.node.now()) / 1000
-            if last or not (self.connections or self.listener.coming or self.node.open):
+            if last or not (self.connections or self.listener.coming or self.node.open_requests):
                 break
             now, last = self.loop.time(), left <= CLOSE_STEP_RATIO
             mute = [
--- a/balancer/net/metrics_server.py
+++ b/balancer/net/metrics_server.py
@@ -37,7 +37,7 @@
 
     def apply(self, settings: OperatorSettings) -> None:
         """Move to another address, or to none."""
-        wanted, watch = settings.metrics, self.running.watch
+        wanted, watch = settings.metrics, self.running.timeline_monitor
         self._set_target(None if wanted is None or watch is None else (wanted.listen, watch))
 
     async def close(self) -> None:
--- a/balancer/net/persistence/component.py
+++ b/balancer/net/persistence/component.py
@@ -56,8 +56,8 @@
             running.recovery.store_status = lambda: {**self.status()}
             running.recovery.persist_incarnation = self._persist_incarnation
             if not running.recovery.has_begun:
-                running.node.wait(True)
-                running.fleet.listeners.append(self._on_merge)
+                running.node.defer_events(True)
+                running.endpoint_view.listeners.append(self._on_merge)
                 self.loop.call_later(MAX_REQUEST_HOLD_S, self._release_requests)
 
     def apply(self, settings: OperatorSettings) -> None:
@@ -79,19 +79,19 @@
         if isinstance(event, endpoint_merger.EndpointsListed) and event.is_cached:
             return
         in_sync = source_state.SourceState.IN_SYNC
-        sources = self.running.fleet.merger.sources.values()
+        sources = self.running.endpoint_view.merger.sources.values()
         if all(source.state is in_sync and not source.has_cached_records for source in sources):
             self._release_requests()
 
     def _release_requests(self) -> None:
-        self.running.node.wait(False)
-        if self._on_merge in self.running.fleet.listeners:
+        self.running.node.defer_events(False)
+        if self._on_merge in self.running.endpoint_view.listeners:
             # Not now: the listeners may be in the middle of a notification.
             self.loop.call_soon(self._stop_listening)
 
     def _stop_listening(self) -> None:
-        if self._on_merge in self.running.fleet.listeners:
-            self.running.fleet.listeners.remove(self._on_merge)
+        if self._on_merge in self.running.endpoint_view.listeners:
+            self.running.endpoint_view.listeners.remove(self._on_merge)
 
     def _persist_incarnation(self, incarnation: int) -> None:
         if self.session is not None:
--- a/balancer/net/persistence/session.py
+++ b/balancer/net/persistence/session.py
@@ -52,7 +52,7 @@
         file_system_factory: Callable[[], FileSystem] | None = None,
     ) -> None:
         """`file_system_factory` makes the store's file system; None for the machine's own."""
-        self.running, self.node, self.fleet = running, running.node, running.fleet
+        self.running, self.node, self.fleet = running, running.node, running.endpoint_view
         self.max_age_ms = 1000.0 * settings.max_age
         self.write_behind = write_behind.WriteBehind(1000.0 * settings.every, self.max_age_ms)
         self.loop = asyncio.get_running_loop()
--- a/balancer/net/persistence/view_scanner.py
+++ b/balancer/net/persistence/view_scanner.py
@@ -47,7 +47,7 @@
 
     def __init__(self, running: RunningNode, handle: Callable[[write_behind.Event], None]) -> None:
         """`handle` receives the events for write-behind."""
-        self.running, self.fleet, self.handle = running, running.fleet, handle
+        self.running, self.fleet, self.handle = running, running.endpoint_view, handle
         self.persisted: dict[str, PersistedEndpoint] = {}  # without sequence numbers and times
         self.changed_ids: dict[str, str] = {}  # with the source that brought the change
         self.withdrawn_ids: dict[str, str] = {}  # removed or draining, with the source
--- a/balancer/net/recovery.py
+++ b/balancer/net/recovery.py
@@ -57,8 +57,8 @@
         self._last_check_ms = now
         self._timer: asyncio.TimerHandle | None = None
         running.recovery = self
-        running.control.register("recovery", self.report)
-        running.fleet.listeners.append(self._on_merge)
+        running.admin_socket.register("recovery", self.report)
+        running.endpoint_view.listeners.append(self._on_merge)
         self._observe_requests(True)
         self._check()
 
@@ -72,8 +72,8 @@
         self._observe_requests(False)
         if self._timer is not None:
             self._timer.cancel()
-        if self._on_merge in self.running.fleet.listeners:
-            self.running.fleet.listeners.remove(self._on_merge)
+        if self._on_merge in self.running.endpoint_view.listeners:
+            self.running.endpoint_view.listeners.remove(self._on_merge)
 
     def begin(
         self,
@@ -155,7 +155,7 @@
         if self.recovery.state is r.RecoveryState.BLANK:
             self._update_view()  # at once: it may serve from now on
         if isinstance(event, (membership.EndpointsListed, membership.SourceConfirmedCurrent)):
-            source = self.running.fleet.merger.sources.get(event.source)
+            source = self.running.endpoint_view.merger.sources.get(event.source)
             other = event.source == PEERS_SOURCE or (
                 isinstance(event, membership.EndpointsListed) and event.is_cached
             )
--- a/balancer/net/reload.py
+++ b/balancer/net/reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP's part for the operators' file: read it again, keep the old one where the new one is bad."""
+"""Reloads the operators' file on SIGHUP; an invalid file leaves the old settings in force."""
 
 from __future__ import annotations
 
@@ -15,28 +15,30 @@
 
 log = logging.getLogger(__name__)
 
-MAX_LOG_LINES = 20  # of faults or changes in the log for one reading
+MAX_LOG_LINES = 20  # of errors or changes, for one reload
 
 
-def reread(path: Path, held: OperatorSettings, apply: Callable[[OperatorSettings], None]) -> OperatorSettings:
-    """The settings in force after `path` was read again: `held` where it is bad, else what is in it now.
+def reload_settings(
+    path: Path, current: OperatorSettings, apply: Callable[[OperatorSettings], None]
+) -> OperatorSettings:
+    """Read `path` again; return the settings in force, which are `current` if the file is invalid.
 
-    `apply` is called with the new ones if they differ, once what changed is in the log, a line a key.
+    If they differ, the changes are logged, one line per key, and `apply` is called with the new settings.
     """
     try:
         new = load(path)
     except OperatorSettingsError as err:
         _log_lines(logging.ERROR, f"the old settings stay: {path}", str(err).splitlines())
-        return held
-    found = changes(held, new)
-    _log_lines(logging.INFO, str(path), found or ["nothing changed"])
-    if found:
+        return current
+    changed_keys = changes(current, new)
+    _log_lines(logging.INFO, str(path), changed_keys or ["nothing changed"])
+    if changed_keys:
         apply(new)
     return new
 
 
-def _log_lines(level: int, what: str, lines: list[str]) -> None:
+def _log_lines(level: int, subject: str, lines: list[str]) -> None:
     for line in lines[:MAX_LOG_LINES]:
-        log.log(level, "reload: %s: %s", what, line)
+        log.log(level, "reload: %s: %s", subject, line)
     if len(lines) > MAX_LOG_LINES:
-        log.log(level, "reload: %s: %d more lines", what, len(lines) - MAX_LOG_LINES)
+        log.log(level, "reload: %s: %d more lines", subject, len(lines) - MAX_LOG_LINES)
--- a/balancer/net/request_dispatcher.py
+++ b/balancer/net/request_dispatcher.py
@@ -1,4 +1,7 @@
-"""Drives the decision module: events in, actions out, open requests, attempts, timers, the one answer."""
+"""Connects the request policy to the network: feeds it events and performs its actions.
+
+Owns the open requests with their attempts and timers, and gives each request exactly one response.
+"""
 
 from __future__ import annotations
 
@@ -29,211 +32,215 @@
 
 log = logging.getLogger(__name__)
 
-STALL_SETTLE_S = 0.001  # s: the loop reads its sockets at least once meanwhile
-TIMER_MARGIN_MS = (
-    10.0  # ms before a client's limit at which the last answer is due: it counted from its own send
-)
-LARGE_LIST_ENDPOINTS = (
-    1_000  # servers of a first list that are taken in one turn of the loop, 5 ms; more go in slices
-)
-STARTUP_EVENTS = api.EndpointsUpdated, api.LearnedStateRestored  # what goes ahead of all else
+STALL_SETTLE_S = 0.001  # the event loop reads its sockets at least once in this time
+# The response is due this much before the client's deadline, which the client counts from its own send.
+TIMER_MARGIN_MS = 10.0
+# A first list up to this size is applied in one turn of the event loop, in 5 ms; a larger one in slices.
+LARGE_LIST_ENDPOINTS = 1_000
+STARTUP_EVENTS = api.EndpointsUpdated, api.LearnedStateRestored  # handled before all other events
 
 
-def _nothing(wait: float) -> bytes:
-    """Of a request that is answered: it is sent no more."""
+def _render_nothing(remaining_ms: float) -> bytes:
+    """Replace the renderer of an answered request, which is not sent again."""
     return b""
 
 
 class RequestClient(Protocol):
-    """Whoever waits for the answer of one request."""
+    """Receives the response of one request."""
 
     def served(self, body: bytes, content_type: bytes) -> None:
-        """Pass on a backend's answer."""
+        """Respond with the body of a backend's response."""
 
-    def refused(self, retry_after: float) -> None:
-        """Turn the request away; `retry_after` is in milliseconds, 0 for no advice."""
+    def refused(self, retry_after_ms: float) -> None:
+        """Reject the request; a `retry_after_ms` of 0 gives no advice on when to retry."""
 
     def failed(self) -> None:
-        """Say that the request failed."""
+        """Respond that the request failed."""
 
 
 class DiscoveryControl(Protocol):
-    """What brings the list."""
+    """Controls the discovery of endpoints."""
 
-    def watch(self, on: bool) -> None:
-        """Start or stop to watch."""
+    def watch(self, enabled: bool) -> None:
+        """Start or stop watching the list."""
 
     def fetch(self) -> None:
-        """Ask for the whole list once."""
+        """Fetch one snapshot of the list."""
 
 
 class PendingRequest:
-    """A request that is owed an answer, or has an attempt out."""
+    """A request that is unanswered or has an attempt in flight."""
 
-    __slots__ = ("answered", "attempts", "client", "deadline", "limit", "render")
+    __slots__ = ("attempts", "client", "deadline_ms", "deadline_timer", "is_answered", "render")
 
-    def __init__(self, client: RequestClient, deadline: float, render: Callable[[float], bytes]) -> None:
-        self.client, self.deadline, self.render = client, deadline, render
+    def __init__(self, client: RequestClient, deadline_ms: float, render: Callable[[float], bytes]) -> None:
+        self.client, self.deadline_ms, self.render = client, deadline_ms, render
         self.attempts: list[Attempt] = []
-        self.answered = False
-        self.limit: asyncio.TimerHandle | None = None
+        self.is_answered = False
+        self.deadline_timer: asyncio.TimerHandle | None = None
 
 
 class Attempt:
-    """One attempt with its clock."""
+    """One attempt of a request with its timeout."""
 
-    __slots__ = ("attempt", "backend", "number", "over", "request", "sent", "timer")
+    __slots__ = ("backend", "exchange", "is_over", "number", "request_id", "sent_at_ms", "timer")
 
-    def __init__(self, request: str, number: int, backend: str, sent: float) -> None:
-        self.request, self.number, self.backend, self.sent = request, number, backend, sent
-        self.attempt: Exchange | None = None
+    def __init__(self, request_id: str, number: int, backend: str, sent_at_ms: float) -> None:
+        self.request_id, self.number, self.backend, self.sent_at_ms = request_id, number, backend, sent_at_ms
+        self.exchange: Exchange | None = None
         self.timer: asyncio.TimerHandle | None = None
-        self.over = False
+        self.is_over = False
 
 
 class RequestDispatcher:
-    """One load-balancer node around one `Balancer`. It carries out decisions and makes none."""
+    """One load-balancer node around one `Balancer`, which makes all decisions."""
 
     def __init__(self, config: Config) -> None:
         self.settings = config.settings
         self.class_paths = ClassPaths(config.settings.classes)
-        # This program carries out no probes: a request whose decision waited for one would wait in vain.
+        # This program does not perform probes, so no decision may wait for one.
         self.balancer = Balancer(replace(config.settings, probing_enabled=False), config.seed)
         self.loop = asyncio.get_running_loop()
-        # The clock is monotonic and set to Unix time once, at the start: it can read `up_since_ms` as it is.
-        self._zero = wall_ms() - time.monotonic() * 1000
-        self.long = LargeBodyBudget(large_body_budget_bytes(config.memory_mb))
-        self.pool = BackendPool(config.settings, config.max_backend_sockets, self.long)
-        self.open: dict[str, PendingRequest] = {}
+        # The clock is monotonic and set to Unix time at the start, so `up_since_ms` needs no conversion.
+        self._clock_offset_ms = wall_ms() - time.monotonic() * 1000
+        self.large_body_budget = LargeBodyBudget(large_body_budget_bytes(config.memory_mb))
+        self.pool = BackendPool(config.settings, config.max_backend_sockets, self.large_body_budget)
+        self.open_requests: dict[str, PendingRequest] = {}
         self.discovery: DiscoveryControl | None = None
         self.observer: Observer | None = None
-        self.moved: Callable[[str], None] | None = None  # told of a server that has another address
-        self.ready = self.stopping = False
+        self.on_backend_moved: Callable[[str], None] | None = None  # receives the id; the address changed
+        self.is_ready = self.is_stopping = False
         self._events: deque[api.Event] = deque()
-        self._busy = False
-        self._pause = StallDetector(self.now(), config.settings.drain_grace_ms)
-        self._held: list[api.Event] = []  # while it is in doubt, or what it had kept is being read
-        self.named: set[str] = set()  # the requests of these: guards against mixing two of one id
-        self._waits = False
-        self.bulk_update: BulkUpdate | None = None  # a large first list that is on its way into the module
-        self._beat()
-        self._drained: Callable[[], None] = lambda: None
+        self._is_deciding = False
+        self._stall_detector = StallDetector(self.now(), config.settings.drain_grace_ms)
+        self._deferred_events: list[api.Event] = []  # after a stall or while state is read
+        self.deferred_request_ids: set[str] = set()  # so that their ids are not used twice
+        self._is_deferring_events = False
+        self.bulk_update: BulkUpdate | None = None  # a large first list that is being applied
+        self._heartbeat()
+        self._on_drained: Callable[[], None] = lambda: None
 
     def now(self) -> float:
-        """Milliseconds; never goes back."""
-        return self._zero + time.monotonic() * 1000
+        """Return a monotonic time in milliseconds since the Unix epoch."""
+        return self._clock_offset_ms + time.monotonic() * 1000
 
     # --- events
 
-    def _beat(self) -> None:
-        self._turned()
-        self.loop.call_later(HEARTBEAT_INTERVAL_MS / 1000, self._beat)
-
-    def _turned(self) -> None:
-        """The loop turned: guards against acting on what was known before this process stood still."""
-        if stood := self._pause.record_turn(self.now()):
-            log.warning("this process stood still for %.0f ms: what waits is read before it acts", stood)
-            self.loop.call_later(SETTLE_DURATION_MS / 1000, self._settled, self._pause.doubt_number)
-
-    def _settled(self, hold: int) -> None:
-        self._turned()
-        if self._pause.settle(hold):
-            self._go_on()
-
-    def wait(self, on: bool) -> None:
-        """Hear of the list alone and of what was remembered, until it is told to go on."""
-        self._waits = on
-        if not on and not self._pause.doubt_number:
-            self._go_on()
-
-    def _go_on(self) -> None:
-        held, self._held, self.named = self._held, [], set()
-        for event in sorted(held, key=lambda event: not isinstance(event, STARTUP_EVENTS)):
+    def _heartbeat(self) -> None:
+        self._record_turn()
+        self.loop.call_later(HEARTBEAT_INTERVAL_MS / 1000, self._heartbeat)
+
+    def _record_turn(self) -> None:
+        """Record a turn of the event loop; after a stall, decisions wait until pending input was read."""
+        if stall_ms := self._stall_detector.record_turn(self.now()):
+            log.warning(
+                "this process stood still for %.0f ms: pending input is read before decisions are made",
+                stall_ms,
+            )
+            self.loop.call_later(
+                SETTLE_DURATION_MS / 1000, self._on_settled, self._stall_detector.doubt_number
+            )
+
+    def _on_settled(self, doubt_number: int) -> None:
+        self._record_turn()
+        if self._stall_detector.settle(doubt_number):
+            self._resume_events()
+
+    def defer_events(self, enabled: bool) -> None:
+        """Defer all events but lists and restored state, or resume the deferred ones."""
+        self._is_deferring_events = enabled
+        if not enabled and not self._stall_detector.doubt_number:
+            self._resume_events()
+
+    def _resume_events(self) -> None:
+        deferred_events, self._deferred_events, self.deferred_request_ids = self._deferred_events, [], set()
+        for event in sorted(deferred_events, key=lambda event: not isinstance(event, STARTUP_EVENTS)):
             self.event(event)
 
     def event(self, event: api.Event) -> None:
-        """Hand an event to the module and do what it says. Events made meanwhile wait for their turn."""
-        self._turned()
+        """Pass an event to the policy and perform its actions. Events raised meanwhile are queued."""
+        self._record_turn()
         if self.bulk_update or (
-            (self._pause.doubt_number or self._waits) and not isinstance(event, STARTUP_EVENTS)
+            (self._stall_detector.doubt_number or self._is_deferring_events)
+            and not isinstance(event, STARTUP_EVENTS)
         ):
-            self._held.append(event)
-            self.named.add(getattr(event, "request", ""))
+            self._deferred_events.append(event)
+            self.deferred_request_ids.add(getattr(event, "request", ""))
             return
         self._events.append(event)
-        if self._busy:
+        if self._is_deciding:
             return
-        self._busy = True
+        self._is_deciding = True
         try:
             while self._events:
                 self._decide(self._events.popleft())
         finally:
-            self._busy = False
+            self._is_deciding = False
 
     def _decide(self, event: api.Event) -> None:
         now = self.now()
         try:
             actions = self.balancer.handle(now, event)
             if self.observer is not None:
-                self.show(now, event, actions)
+                self.notify_observer(now, event, actions)
             for action in actions:
-                self._act(action)
-        except Exception:  # guards against one bad request ending the node with all the others
+                self._perform(action)
+        except Exception:  # an error in one request must not end the node
             log.exception("decision on %s failed", type(event).__name__)
-            name = getattr(event, "request", None)
-            if name in self.open:
-                self._abandon(name)
+            request_id = getattr(event, "request", None)
+            if request_id in self.open_requests:
+                self._abandon(request_id)
 
-    def show(self, now: float, event: api.Event, actions: list[api.Action]) -> None:
-        """Show whoever watches what was decided."""
+    def notify_observer(self, now: float, event: api.Event, actions: list[api.Action]) -> None:
+        """Pass a decision to the observer, if there is one."""
         try:
             if self.observer is not None:
                 self.observer.on_decision(now, event, actions)
-        except Exception:  # guards requests against whoever only watches
-            log.exception("the observer failed on %s and is taken off", type(event).__name__)
+        except Exception:  # an error of the observer must not affect requests
+            log.exception("the observer failed on %s and is removed", type(event).__name__)
             self.observer = None
 
-    def _abandon(self, name: str) -> None:
-        """Fail a request and have the module forget it: what it counts as out would stay so for good."""
-        request = self.open[name]
-        self._answer(name, lambda client: client.failed())
-        self.event(api.ClientLeft(name))
-        for item in request.attempts:
-            self._stop(item, api.AttemptStatus.CANCELLED)
+    def _abandon(self, request_id: str) -> None:
+        """Fail a request and end it in the policy, which would otherwise count it as in flight forever."""
+        request = self.open_requests[request_id]
+        self._answer(request_id, lambda client: client.failed())
+        self.event(api.ClientLeft(request_id))
+        for attempt in request.attempts:
+            self._stop_attempt(attempt, api.AttemptStatus.CANCELLED)
 
     def request_arrived(
         self, event: api.RequestArrived, client: RequestClient, render: Callable[[float], bytes]
     ) -> None:
-        """A client's request has come; `render` gives its bytes for a backend, told for how long."""
-        self._turned()
-        event.deadline_ms -= self._pause.input_age_ms
-        request = self.open[event.request] = PendingRequest(
+        """Handle a client's request; `render` returns its bytes, given the time that remains in ms."""
+        self._record_turn()
+        event.deadline_ms -= self._stall_detector.input_age_ms
+        request = self.open_requests[event.request] = PendingRequest(
             client, event.deadline_ms - TIMER_MARGIN_MS, render
         )
-        # What is held back is the module's to refuse, as soon as it is let go.
-        least = 2 * SETTLE_DURATION_MS if self._pause.doubt_number else 0.0
-        wait = max(least, request.deadline - self.now()) / 1000
-        request.limit = self.loop.call_later(wait, self._deadline, event.request)
+        # A deferred request is rejected by the policy, if at all, once events are handled again.
+        min_wait_ms = 2 * SETTLE_DURATION_MS if self._stall_detector.doubt_number else 0.0
+        wait_s = max(min_wait_ms, request.deadline_ms - self.now()) / 1000
+        request.deadline_timer = self.loop.call_later(wait_s, self._on_deadline, event.request)
         self.event(event)
 
-    def full(self) -> bool:
-        """Whether the node holds as many requests as it may."""
-        return len(self.open) >= self.settings.max_open_requests
+    def is_full(self) -> bool:
+        """Whether the limit of open requests is reached."""
+        return len(self.open_requests) >= self.settings.max_open_requests
 
-    def client_left(self, name: str) -> None:
-        """The client has left."""
-        if (request := self.open.get(name)) is None or request.answered:
+    def client_left(self, request_id: str) -> None:
+        """Handle the disconnect of a client."""
+        if (request := self.open_requests.get(request_id)) is None or request.is_answered:
             return
-        self._close(name, request)
-        # What has not left ends here, also where nothing may be called off: guards against sending it on once
-        # its connection has come up, or the rest of it has found room, for a client that is not there.
-        for item in request.attempts:
-            if item.attempt is not None and not item.attempt.left:
-                self._stop(item, api.AttemptStatus.NOT_STARTED)
-        self.event(api.ClientLeft(name))
+        self._close(request_id, request)
+        # Attempts that are not completely sent end here, even if the class forbids cancelling. Otherwise they
+        # would be sent for an absent client once their connection is established or writable again.
+        for attempt in request.attempts:
+            if attempt.exchange is not None and not attempt.exchange.left:
+                self._stop_attempt(attempt, api.AttemptStatus.NOT_STARTED)
+        self.event(api.ClientLeft(request_id))
 
     def apply(self, change: ApplyEndpoints) -> None:
-        """A change of the view: what leaves first, then who drains, then the rest."""
+        """Apply a change of the view: removals first, then draining backends, then the rest."""
         if self.bulk_update:
             self.bulk_update.deferred_changes.append(change)
         elif len(change.records) > LARGE_LIST_ENDPOINTS and not self.balancer.index.order:
@@ -241,65 +248,67 @@
 
             self.bulk_update = BulkUpdate(self, change)
         else:
-            self.update(change.records, change.removed_records)
-            entries = [m.endpoint for m in (*change.removed_records, *change.records)]
-            self.bulk_update_finished(api.EndpointsUpdated(change.kind, entries, change.revision))
-
-    def update(self, members: Sequence[EndpointRecord], removed: Sequence[EndpointRecord]) -> None:
-        """Tell the pool of a change, and whoever has to know of those that have moved."""
-        if self.moved is not None:
-            for member in members:
-                host = self.pool.hosts.get(member.endpoint.id)
-                if host is not None and host.address != member.address:
-                    self.moved(member.endpoint.id)
-        self.pool.update(members, [m.endpoint.id for m in removed])
+            self.update_pool(change.records, change.removed_records)
+            endpoints = [record.endpoint for record in (*change.removed_records, *change.records)]
+            self.bulk_update_finished(api.EndpointsUpdated(change.kind, endpoints, change.revision))
+
+    def update_pool(
+        self, records: Sequence[EndpointRecord], removed_records: Sequence[EndpointRecord]
+    ) -> None:
+        """Update the connection pool and report backends whose address changed."""
+        if self.on_backend_moved is not None:
+            for record in records:
+                host = self.pool.hosts.get(record.endpoint.id)
+                if host is not None and host.address != record.address:
+                    self.on_backend_moved(record.endpoint.id)
+        self.pool.update(records, [removed.endpoint.id for removed in removed_records])
 
     def bulk_update_finished(self, event: api.EndpointsUpdated) -> None:
-        """The pool knows of all: the module's turn, or the last word of a list that was laid out for it."""
-        done, self.bulk_update = self.bulk_update, None
+        """Pass an update to the policy once the pool has it; completes a bulk update."""
+        finished_update, self.bulk_update = self.bulk_update, None
         self.event(event)
-        self.ready = self.ready or any(host.is_listed for host in self.pool.hosts.values())
-        if done is not None:
-            for change in done.deferred_changes:
+        self.is_ready = self.is_ready or any(host.is_listed for host in self.pool.hosts.values())
+        if finished_update is not None:
+            for change in finished_update.deferred_changes:
                 self.apply(change)
-            self._go_on()
+            self._resume_events()
 
-    def list_failed(self) -> None:
-        """A call that the module asked for has failed."""
+    def on_list_failed(self) -> None:
+        """Report to the policy that fetching the list failed."""
         self.event(api.EndpointsUpdated(api.EndpointUpdateKind.FAILED, []))
 
     def stop(self) -> ShutdownDeadlines:
-        """It is told to end: until when it accepts, by when all is answered."""
-        self._turned()
-        self.stopping = True
-        return deadlines_after_signal(self.settings, self.now(), self._pause.input_age_ms)
-
-    async def finish(self, wait: float) -> None:
-        """Wait until all that was taken is answered, `wait` seconds at most, then fail the rest."""
-        done = asyncio.Event()
-        self._drained = done.set
-        if self.open:
+        """Start the shutdown; returns until when requests are accepted and when all must be answered."""
+        self._record_turn()
+        self.is_stopping = True
+        return deadlines_after_signal(self.settings, self.now(), self._stall_detector.input_age_ms)
+
+    async def finish(self, timeout_s: float) -> None:
+        """Wait at most `timeout_s` until all open requests are answered, then fail the rest."""
+        all_answered = asyncio.Event()
+        self._on_drained = all_answered.set
+        if self.open_requests:
             try:
-                await asyncio.wait_for(done.wait(), wait)
+                await asyncio.wait_for(all_answered.wait(), timeout_s)
             except TimeoutError:
-                for name in list(self.open):
-                    self._abandon(name)
+                for request_id in list(self.open_requests):
+                    self._abandon(request_id)
 
     # --- actions
 
-    def _act(self, action: api.Action) -> None:
+    def _perform(self, action: api.Action) -> None:
         match action:
             case api.SendAttempt():
-                self._send(action)
+                self._send_attempt(action)
             case api.SetTimer():
-                wait = max(0.0, action.at_ms - self.now()) / 1000
-                self.loop.call_later(wait, self.event, api.TimerFired(action.token))
+                wait_s = max(0.0, action.at_ms - self.now()) / 1000
+                self.loop.call_later(wait_s, self.event, api.TimerFired(action.token))
             case api.RejectRequest():
                 self._answer(action.request, lambda client: client.refused(action.retry_after_ms))
             case api.FailRequest():
                 self._answer(action.request, lambda client: client.failed())
             case api.CancelAttempt():
-                self._cancel(action)
+                self._cancel_attempt(action)
             case api.CloseIdleConnections():
                 self.pool.close_idle(action.backend)
             case api.SubscribeToEndpoints() if self.discovery is not None:
@@ -309,109 +318,126 @@
             case api.WriteLog():
                 log.info("%s", action.text)
             case api.NoteBackendDecision():
-                pass  # for those who watch
+                pass  # only for observers
             case _:
-                log.error("not carried out: %r", action)
-
-    def _send(self, action: api.SendAttempt) -> None:
-        request, now = self.open.get(action.request), self.now()
-        number = len(request.attempts) if request else -1  # the last one, of a request that is over here
-        item = Attempt(action.request, number, action.backend, now)
+                log.error("unsupported action: %r", action)
+
+    def _send_attempt(self, action: api.SendAttempt) -> None:
+        request, now = self.open_requests.get(action.request), self.now()
+        number = (
+            len(request.attempts) if request else -1
+        )  # -1 is the last attempt of a request that has ended here
+        attempt = Attempt(action.request, number, action.backend, now)
         if request is None:
-            self._outcome(item, BackendResponse(api.AttemptStatus.NOT_STARTED))
+            self._finish_attempt(attempt, BackendResponse(api.AttemptStatus.NOT_STARTED))
             return
-        request.attempts.append(item)
-        left = request.deadline - now
-        wait = min(action.timeout_ms, left) if action.timeout_ms else left
-        if request.answered or action.backend not in self.pool.hosts or wait <= 0:
-            self._outcome(item, BackendResponse(api.AttemptStatus.NOT_STARTED))
+        request.attempts.append(attempt)
+        remaining_ms = request.deadline_ms - now
+        timeout_ms = min(action.timeout_ms, remaining_ms) if action.timeout_ms else remaining_ms
+        if request.is_answered or action.backend not in self.pool.hosts or timeout_ms <= 0:
+            self._finish_attempt(attempt, BackendResponse(api.AttemptStatus.NOT_STARTED))
             return
-        item.timer = self.loop.call_later(wait / 1000, self._timeout, item)
-        begin_by = (action.start_before_ms - self._zero) / 1000
-        until, done = now + wait, partial(self._outcome, item)
-        attempt = self.pool.start(action.backend, lambda: request.render(until - self.now()), done, begin_by)
-        item.attempt = None if item.over else attempt
-
-    def _timeout(self, item: Attempt, last: bool = False) -> None:
-        link, status = item.attempt.connection if item.attempt else None, api.AttemptStatus.TIMEOUT
-        if item.attempt is None or not item.attempt.left:
-            # Nothing whole has left: it never ran. Guards a backend against being taken for out of reach
-            # where its connection still had time to come up, or waits at this node.
-            late = self.now() - item.sent >= self.settings.connect_timeout_ms
-            late = late and (link is None or link.resting is None)
-            status = api.AttemptStatus.CONNECT_FAILED if late else api.AttemptStatus.NOT_STARTED
-        elif link is not None and not (last or link.clean):
-            # Guards an answer that lies in the kernel: where the loop stood still its timers may come first.
-            item.timer = self.loop.call_later(STALL_SETTLE_S, self._timeout, item, True)
+        attempt.timer = self.loop.call_later(timeout_ms / 1000, self._on_timeout, attempt)
+        start_before_s = (action.start_before_ms - self._clock_offset_ms) / 1000
+        timeout_at_ms, on_done = now + timeout_ms, partial(self._finish_attempt, attempt)
+        exchange = self.pool.start(
+            action.backend, lambda: request.render(timeout_at_ms - self.now()), on_done, start_before_s
+        )
+        attempt.exchange = None if attempt.is_over else exchange
+
+    def _on_timeout(self, attempt: Attempt, is_recheck: bool = False) -> None:
+        connection, status = (
+            attempt.exchange.connection if attempt.exchange else None,
+            api.AttemptStatus.TIMEOUT,
+        )
+        if attempt.exchange is None or not attempt.exchange.left:
+            # The request was not sent completely, so it never ran. The backend counts as unreachable only if
+            # its connection had its full time to be established and did not wait at this node.
+            is_connect_timeout = self.now() - attempt.sent_at_ms >= self.settings.connect_timeout_ms
+            is_connect_timeout = is_connect_timeout and (connection is None or connection.resting is None)
+            status = api.AttemptStatus.CONNECT_FAILED if is_connect_timeout else api.AttemptStatus.NOT_STARTED
+        elif connection is not None and not (is_recheck or connection.clean):
+            # After a stall, timers may run before a response that is already in the kernel is read.
+            attempt.timer = self.loop.call_later(STALL_SETTLE_S, self._on_timeout, attempt, True)
             return
-        self._stop(item, status)
+        self._stop_attempt(attempt, status)
 
-    def _stop(self, item: Attempt, status: api.AttemptStatus) -> None:
-        """End an attempt from this side, if it is out."""
-        if not item.over:
-            if item.attempt is not None:
-                item.attempt.drop()
-            self._outcome(item, BackendResponse(status))
+    def _stop_attempt(self, attempt: Attempt, status: api.AttemptStatus) -> None:
+        """End an attempt from this side if it is in flight."""
+        if not attempt.is_over:
+            if attempt.exchange is not None:
+                attempt.exchange.drop()
+            self._finish_attempt(attempt, BackendResponse(status))
 
-    def _cancel(self, action: api.CancelAttempt) -> None:
-        request = self.open.get(action.request)
+    def _cancel_attempt(self, action: api.CancelAttempt) -> None:
+        request = self.open_requests.get(action.request)
         if request is None or action.attempt >= len(request.attempts):
-            # Never made, as the decision failed half-way: guards the module's counts of what is out.
+            # The decision failed before the attempt started: correct the policy's in-flight counts.
             self.event(
                 api.AttemptFinished(
                     action.request, action.attempt, "", api.AttemptStatus.CANCELLED, 0.0, True
                 )
             )
             return
-        self._stop(request.attempts[action.attempt], api.AttemptStatus.CANCELLED)
-
-    def _outcome(self, item: Attempt, answer: BackendResponse) -> None:
-        """The one outcome of an attempt; a backend's whole answer goes to the client and ends the request."""
-        item.over, item.attempt = True, None
-        if item.timer is not None:
-            item.timer.cancel()
-        if answer.status is api.AttemptStatus.OK:
-            self._answer(item.request, lambda client: client.served(answer.body, answer.content_type))
-        request = self.open.get(item.request)
-        closed = request is None or request.answered
-        if request is not None and closed:
-            self._forget(item.request, request)
-        status, took = answer.status, self.now() - item.sent
+        self._stop_attempt(request.attempts[action.attempt], api.AttemptStatus.CANCELLED)
+
+    def _finish_attempt(self, attempt: Attempt, response: BackendResponse) -> None:
+        """Report the outcome of an attempt; a complete response goes to the client and ends the request."""
+        attempt.is_over, attempt.exchange = True, None
+        if attempt.timer is not None:
+            attempt.timer.cancel()
+        if response.status is api.AttemptStatus.OK:
+            self._answer(
+                attempt.request_id, lambda client: client.served(response.body, response.content_type)
+            )
+        request = self.open_requests.get(attempt.request_id)
+        is_closed = request is None or request.is_answered
+        if request is not None and is_closed:
+            self._forget(attempt.request_id, request)
+        status, duration_ms = response.status, self.now() - attempt.sent_at_ms
         self.event(
-            api.AttemptFinished(item.request, item.number, item.backend, status, took, closed, answer.report)
+            api.AttemptFinished(
+                attempt.request_id,
+                attempt.number,
+                attempt.backend,
+                status,
+                duration_ms,
+                is_closed,
+                response.report,
+            )
         )
 
-    def _deadline(self, name: str) -> None:
-        """The client's time is up: end what is out, and answer whatever the module did not."""
-        request = self.open.get(name)
-        if request is None or request.answered:
+    def _on_deadline(self, request_id: str) -> None:
+        """End the attempts at the client's deadline, and fail the request if the policy did not answer it."""
+        request = self.open_requests.get(request_id)
+        if request is None or request.is_answered:
             return
-        for item in request.attempts:
-            self._timeout(item, True)
-        if name in self.open and not request.answered:
-            self._answer(name, lambda client: client.failed())
-            self.event(api.ClientLeft(name))
-
-    def _answer(self, name: str, tell: Callable[[RequestClient], None]) -> None:
-        request = self.open.get(name)
-        if request is not None and not request.answered:
+        for attempt in request.attempts:
+            self._on_timeout(attempt, True)
+        if request_id in self.open_requests and not request.is_answered:
+            self._answer(request_id, lambda client: client.failed())
+            self.event(api.ClientLeft(request_id))
+
+    def _answer(self, request_id: str, respond: Callable[[RequestClient], None]) -> None:
+        request = self.open_requests.get(request_id)
+        if request is not None and not request.is_answered:
             client = request.client
-            self._close(name, request)
+            self._close(request_id, request)
             try:
-                tell(client)
-            except Exception:  # guards the module's counts: whoever answers hands on an outcome after it
-                log.exception("request %s could not be answered", name)
-
-    def _close(self, name: str, request: PendingRequest) -> None:
-        request.answered = True
-        request.render = _nothing  # guards memory against bodies of requests whose attempts go on alone
-        if request.limit is not None:
-            request.limit.cancel()
-        self._forget(name, request)
-
-    def _forget(self, name: str, request: PendingRequest) -> None:
-        """Drop a request that is answered and has nothing out."""
-        if name in self.open and all(item.over for item in request.attempts):
-            del self.open[name]
-            if not self.open:
-                self._drained()
+                respond(client)
+            except Exception:  # the caller must still report the outcome, for the policy's counts
+                log.exception("request %s could not be answered", request_id)
+
+    def _close(self, request_id: str, request: PendingRequest) -> None:
+        request.is_answered = True
+        request.render = _render_nothing  # frees the body while attempts of the answered request continue
+        if request.deadline_timer is not None:
+            request.deadline_timer.cancel()
+        self._forget(request_id, request)
+
+    def _forget(self, request_id: str, request: PendingRequest) -> None:
+        """Remove a request that is answered and has no attempt in flight."""
+        if request_id in self.open_requests and all(attempt.is_over for attempt in request.attempts):
+            del self.open_requests[request_id]
+            if not self.open_requests:
+                self._on_drained()
--- a/balancer/net/timeline.py
+++ b/balancer/net/timeline.py
@@ -33,7 +33,7 @@
     """Switches the time line on and off."""
 
     def __init__(self, running: RunningNode) -> None:
-        self.running, self.node, self.control = running, running.node, running.control
+        self.running, self.node, self.control = running, running.node, running.admin_socket
         self.watch: TimelineMonitor | None = None
         self.loop = asyncio.get_running_loop()
         self._task: asyncio.Task[None] | None = None
@@ -41,12 +41,12 @@
     def apply(self, settings: OperatorSettings) -> None:
         """Switch it on or off, or give it another size."""
         self._apply(settings.timeline)
-        self.running.watch = self.watch
+        self.running.timeline_monitor = self.watch
 
     async def close(self) -> None:
         """Switch it off."""
         self.stop()
-        self.running.watch = None
+        self.running.timeline_monitor = None
 
     def _apply(self, settings: TimelineSettings | None) -> None:
         if settings is None:
@@ -64,7 +64,7 @@
         self.watch.listeners.append(self._log_event)
         for name, view in COMMANDS.items():
             self.control.register_with(name, partial(view, self.watch))
-        self.node.moved = self._moved
+        self.node.on_backend_moved = self._moved
         self.running.observers.add(self.watch)
         self._task = self.loop.create_task(self._keep(self.watch))
 
@@ -73,7 +73,7 @@
         if self._task is not None:
             self._task.cancel()
         self.running.observers.remove(self.watch)
-        self.watch = self._task = self.node.moved = None
+        self.watch = self._task = self.node.on_backend_moved = None
         for name in COMMANDS:
             self.control.register_with(name, None)
 
--- a/benchmarks/list_processing_stalls.py
+++ b/benchmarks/list_processing_stalls.py
@@ -174,7 +174,11 @@
         while True:
             await asyncio.sleep(0.01)
             order, memory = self.node.balancer.index.order, self.state and self.state.session
-            if len(order) < size or any(e[3].endpoint.weight != weight for e in order) or not self.node.ready:
+            if (
+                len(order) < size
+                or any(e[3].endpoint.weight != weight for e in order)
+                or not self.node.is_ready
+            ):
                 continue
             if self.state is None:
                 return
--- a/benchmarks/measured_process.py
+++ b/benchmarks/measured_process.py
@@ -103,7 +103,9 @@
         lambda: fleet.watch_revision(platform.SOURCE_NAME),
         lambda: None,
     )
-    etcd = EtcdComponent(fleet, (listed,), lambda table, seen: EtcdDiscovery(table, fleet.handle, seen=seen))
+    etcd = EtcdComponent(
+        fleet, (listed,), lambda table, seen: EtcdDiscovery(table, fleet.handle, resume_position=seen)
+    )
     control = AdminSocket()
     control.register("members", fleet.report)
     if settings.control is not None:
--- a/tests/net/test_any_settings.py
+++ b/tests/net/test_any_settings.py
@@ -61,7 +61,7 @@
                 made = [f"{backend.name} {name}".encode() for backend in backends]
                 assert got.code != 200 or got.body in made
             assert codes <= {200, 502, 503}
-            assert not front.node.open and not front.node.balancer.in_flight
+            assert not front.node.open_requests and not front.node.balancer.in_flight
             client.writer.transport.abort()
         for backend in backends:
             backend.stop()
--- a/tests/net/test_bulk_update.py
+++ b/tests/net/test_bulk_update.py
@@ -126,7 +126,7 @@
                 "answered between its slices"
             )
             asked = asyncio.create_task(client.ask("/read", "Request-Timeout: 3000m"))
-            await running.turns(lambda: running.node.open)
+            await running.turns(lambda: running.node.open_requests)
             assert running.node.bulk_update and not running.sent
             left = endpoint_merger.EndpointsListed(
                 "platform", "here", EndpointList(2, False, (), tuple(names[:7] + names[8:]))
@@ -147,7 +147,7 @@
     async def test() -> None:
         async with running_node(tmp_path) as (running, client):
             await running.fetch(1, 1.0)
-            await until(lambda: running.node.ready)
+            await until(lambda: running.node.is_ready)
             assert running.change_sizes[-1] == ENDPOINT_COUNT, "a first list in one piece"
             assert (await client.ask("/read", "Request-Timeout: 3000m")).code == 200
             await running.fetch(2, 2.0)
@@ -188,10 +188,10 @@
         node.event(ClientLeft("r1"))
         node.event(LearnedStateRestored(node.balancer.learned(node.now()), 0.0))
         assert (
-            node.ready is (count <= request_dispatcher.LARGE_LIST_ENDPOINTS)
-            and (node.bulk_update is None) is node.ready
+            node.is_ready is (count <= request_dispatcher.LARGE_LIST_ENDPOINTS)
+            and (node.bulk_update is None) is node.is_ready
         )
-        await until(lambda: node.ready)
+        await until(lambda: node.is_ready)
         assert len(node.balancer.order) == count
         news = (
             []
--- a/tests/net/test_client_gone.py
+++ b/tests/net/test_client_gone.py
@@ -128,7 +128,9 @@
 def clean(node: RequestDispatcher) -> bool:
     """Nothing is left behind by a request that is over."""
     balancer = node.balancer
-    return not (node.open or balancer.in_flight or balancer.requests or balancer.queued or node.pool.count)
+    return not (
+        node.open_requests or balancer.in_flight or balancer.requests or balancer.queued or node.pool.count
+    )
 
 
 @LEAVES
@@ -173,12 +175,12 @@
                 client = await ask(front, "/once", body)
                 sock, _ = await loop.sock_accept(server)
                 sock.setblocking(False)
-                out = front.node.open
+                out = front.node.open_requests
                 await until(
                     lambda: [
                         r
                         for r in out.values()
-                        if (a := r.attempts[0].attempt) and a.connection and a.connection.blocked
+                        if (a := r.attempts[0].exchange) and a.connection and a.connection.blocked
                     ]
                 )
                 await go(front, client, how)
@@ -219,7 +221,7 @@
             for client in clients[:4]:
                 assert (await client.answer()).code == 200
             await settled()
-            assert backend.got.qsize() == 5 and not balancer.queued and not front.node.open
+            assert backend.got.qsize() == 5 and not balancer.queued and not front.node.open_requests
         backend.stop()
 
     run(test)
@@ -234,14 +236,18 @@
         backend = Backend("b0")
         await backend.start()
         async with fronting(tmp_path, backend.member(), limits={"cancel": cancel}) as front:
-            front.node.wait(True)
+            front.node.defer_events(True)
             gone, here = await ask(front, "/read"), await ask(front, "/read")
-            await until(lambda: len(front.node.open) == 2)
+            await until(lambda: len(front.node.open_requests) == 2)
             await go(front, gone, how)
-            front.node.wait(False)
+            front.node.defer_events(False)
             assert (await here.answer()).code == 200
             await settled()
-            assert backend.got.qsize() == 1 and not front.node.open and not front.node.balancer.in_flight
+            assert (
+                backend.got.qsize() == 1
+                and not front.node.open_requests
+                and not front.node.balancer.in_flight
+            )
         backend.stop()
 
     run(test)
@@ -267,11 +273,11 @@
             node = front.node
             client = await ask(front, "/read")
             await until(lambda: sum(backend.got.qsize() for backend in backends))
-            node.wait(True)
+            node.defer_events(True)
             go_on.set()
-            await until(lambda: node._held)
+            await until(lambda: node._deferred_events)
             await go(front, client, how)
-            node.wait(False)
+            node.defer_events(False)
             await settled()
             assert sum(backend.got.qsize() for backend in backends) == 1
             node.pool.close_idle("b0")
@@ -302,14 +308,14 @@
             first, second, third = [Client(*await asyncio.open_connection(*front.address)) for _ in range(3)]
             first.writer.write(request + b"1")
             await until(lambda: got)
-            node.wait(True)
+            node.defer_events(True)
             go_on.set()
-            await until(lambda: node._held)
+            await until(lambda: node._deferred_events)
             await go(front, first, "rst")
             second.writer.write(request + b"2")
             answered = asyncio.create_task(second.answer())
-            await until(lambda: answered.done() or "x" in node.open)
-            node.wait(False)
+            await until(lambda: answered.done() or "x" in node.open_requests)
+            node.defer_events(False)
             assert ((await answered).code, got) == (409, [b"1"])
             third.writer.write(request + b"3")  # they are through: it may be used again
             assert ((await third.answer()).code, got) == (200, [b"1", b"3"])
@@ -338,9 +344,9 @@
                 peer, _ = await loop.sock_accept(server)
                 with peer:
                     assert await loop.sock_recv(peer, 4096)
-                    (request,) = front.node.open.values()
+                    (request,) = front.node.open_requests.values()
                     peer.send(text)
-                    front.node._timeout(request.attempts[0])
+                    front.node._on_timeout(request.attempts[0])
                     assert (await client.answer()).code == code
                 client.writer.transport.abort()
 
--- a/tests/net/test_cluster.py
+++ b/tests/net/test_cluster.py
@@ -70,7 +70,7 @@
         self.node_stub = NodeStub(int(name[1:] or 0))
         self.fleet = EndpointView(self.node_stub, [source_state.Source("platform")])
         running = RunningNode(cast(Any, self.node_stub), self.fleet, (), AdminSocket(), name=name)
-        running.watch = cast(Any, self)
+        running.timeline_monitor = cast(Any, self)
         super().__init__(running)
         self.list_endpoints(0)
 
@@ -159,7 +159,7 @@
             third.apply(OperatorSettings())
             await wait_until(lambda: one.states_by_name()["n2"] == other.states_by_name()["n2"] == "left")
             assert ("peer_failed", "n2") not in one.events + other.events
-            assert third.running.control._answers == {} and third.transport.socket is None
+            assert third.running.admin_socket._answers == {} and third.transport.socket is None
             third.switch_on(one)  # again, in a greater incarnation
             await wait_until(lambda: one.sees_alive(other, third) and other.sees_alive(one, third))
             assert ("peer_returned", "n2") in one.events
@@ -240,10 +240,10 @@
                     one.address,
                 )
                 time.sleep(parameters.PROBE_INTERVAL_MS / 1000 + 0.1)
-                one._on_timer()  # as a loop may call it before it looks at its sockets
+                one._on_detector_timer()  # as a loop may call it before it looks at its sockets
                 assert one.states_by_name() == {"slow": "alive"}
                 time.sleep(parameters.PROBE_INTERVAL_MS / 1000 + 0.1)
-                one._on_timer()  # and now there was none
+                one._on_detector_timer()  # and now there was none
                 assert one.states_by_name() == {"slow": "suspect"}
 
     run(test)
@@ -258,7 +258,7 @@
             peers = one.detector
             assert peers is not None
             time.sleep(1.5)
-            one._on_timer()
+            one._on_detector_timer()
             assert peers.heard_since_stall is not None and set(one.states_by_name().values()) == {"alive"}
             await wait_until(lambda: peers.heard_since_stall is None)
             assert ("peer_failed", "n1") not in one.events and ("peer_failed", "n2") not in one.events
--- a/tests/net/test_components.py
+++ b/tests/net/test_components.py
@@ -94,9 +94,9 @@
     rig = Spies(tmp_path / "s.toml")
     rig.spies["a"].fails = fault
     rig.parts.reload()  # as SIGHUP does
-    assert rig.told() == ["b on", "c on"] and rig.parts.operators.control is not None
+    assert rig.told() == ["b on", "c on"] and rig.parts.operator_settings.control is not None
     plain = isinstance(fault, ValueError)
-    said = f"a: {fault}; what was there before goes on" if plain else "a: the change failed"
+    said = f"a: {fault}; the previous settings stay in force" if plain else "a: applying settings failed"
     assert said in caplog.text and ("Traceback" in caplog.text) is not plain
     rig.spies["a"].fails = None
     rig.parts.apply(OperatorSettings())
@@ -120,7 +120,7 @@
     rig.told()
     rig.spies["b"].fails = FAULTS[1]
     asyncio.run(rig.parts.close())
-    assert rig.told() == ["c closed", "a closed"] and "b: the end failed" in caplog.text
+    assert rig.told() == ["c closed", "a closed"] and "b: close failed" in caplog.text
 
 
 def test_metrics_follow_the_time_line_and_end_with_it(caplog: pytest.LogCaptureFixture) -> None:
@@ -134,14 +134,14 @@
         part.apply(whole)
         assert part._target is None, "no time line is on"
         for _ in range(2):
-            running.watch = cast(Any, object())
+            running.timeline_monitor = cast(Any, object())
             part.apply(whole)
             moved = part._moving
             part.apply(whole)
             assert part._moving is moved, "nothing changed"
             await moved
-            assert part._server.metrics.watch is running.watch
-        running.watch = None
+            assert part._server.metrics.watch is running.timeline_monitor
+        running.timeline_monitor = None
         part.apply(whole)
         await part._moving
         assert part._server is None
@@ -168,7 +168,7 @@
         observers.add(eye)
     for _ in range(2):
         node.observer.on_decision(0.0, None, [])
-    assert [eye.seen for eye in eyes] == [2, 1, 2] and "is taken off" in caplog.text
+    assert [eye.seen for eye in eyes] == [2, 1, 2] and "and is removed" in caplog.text
     observers.remove(eyes[0])
     assert node.observer is eyes[2], "one alone is called with nothing in between"
     observers.remove(eyes[2])
--- a/tests/net/test_endpoint_view.py
+++ b/tests/net/test_endpoint_view.py
@@ -87,7 +87,7 @@
         fleet = EndpointView(sink, [Source("platform")])
         others = (Source("platform"),)
         part = EtcdComponent(
-            fleet, others, lambda config, seen: EtcdDiscovery(config, fleet.handle, seen=seen)
+            fleet, others, lambda config, seen: EtcdDiscovery(config, fleet.handle, resume_position=seen)
         )
         settings = EtcdSettings(endpoints=(gateway.url,), prefix="/m/")
         part.apply(on(settings))
@@ -107,7 +107,9 @@
         gateway, sink = await Gateway().start(), Sink()
         gateway.keys = {b"/m/a": value(), b"/m/b": value(2)}
         fleet = EndpointView(sink, [])
-        part = EtcdComponent(fleet, (), lambda config, seen: EtcdDiscovery(config, fleet.handle, seen=seen))
+        part = EtcdComponent(
+            fleet, (), lambda config, seen: EtcdDiscovery(config, fleet.handle, resume_position=seen)
+        )
         settings = EtcdSettings(endpoints=(gateway.url,), prefix="/m/")
         part.apply(on(settings))
         await until(lambda: len(sink.view) == 2)
@@ -130,7 +132,7 @@
         first = Source("platform")
         fleet = EndpointView(Sink(), [first, gossiped_removals.gossip_source()])
         part = EtcdComponent(
-            fleet, (first,), lambda config, seen: EtcdDiscovery(config, fleet.handle, seen=seen)
+            fleet, (first,), lambda config, seen: EtcdDiscovery(config, fleet.handle, resume_position=seen)
         )
         part.apply(on(EtcdSettings(endpoints=("http://127.0.0.1:9",), prefix="/m/")))
         assert [*fleet.merger.sources] == ["platform", ETCD, "peers"]
--- a/tests/net/test_etcd_discovery.py
+++ b/tests/net/test_etcd_discovery.py
@@ -166,7 +166,9 @@
 
     def __init__(self, *gateways: Gateway | str, **more: Any) -> None:
         urls = tuple(g if isinstance(g, str) else g.url for g in gateways)
-        mine = {name: more.pop(name) for name in ("seen", "me", "nodes") if name in more}
+        mine = {
+            name: more.pop(name) for name in ("resume_position", "node_index", "node_count") if name in more
+        }
         self.told: asyncio.Queue[object] = asyncio.Queue()
         self.all: list[object] = []
         config = EtcdConfig(urls, more.pop("prefix", "/m/"), **more)
@@ -185,8 +187,8 @@
 
     def first(self, number: int) -> None:
         """Ask this endpoint first."""
-        self.source.follow.state.selection.endpoint_order = sorted(
-            self.source.follow.state.selection.endpoint_order, key=lambda i: i != number
+        self.source.watcher.state.selection.endpoint_order = sorted(
+            self.source.watcher.state.selection.endpoint_order, key=lambda i: i != number
         )
 
 
@@ -386,13 +388,15 @@
 
         gateway.script = script
         begun = asyncio.get_running_loop().time()
-        rig = Rig(gateway, bears=1_000, me=1, nodes=100)
+        rig = Rig(gateway, bears=1_000, node_index=1, node_count=100)
         await rig.next(EndpointsListed)
         assert len(asked) == 2 and asked[0] - begun >= 0.07 and asked[1] - asked[0] >= 1.14
         rig.source.stop()
         # The first of the nodes, and one that is alone, ask at once.
-        assert Rig(gateway, bears=1, me=0, nodes=100).source.follow.phase is WatcherPhase.CHECKING
-        assert Rig(gateway, bears=1, me=7, nodes=1).source.follow.phase is WatcherPhase.CHECKING
+        assert (
+            Rig(gateway, bears=1, node_index=0, node_count=100).source.watcher.phase is WatcherPhase.CHECKING
+        )
+        assert Rig(gateway, bears=1, node_index=7, node_count=1).source.watcher.phase is WatcherPhase.CHECKING
         gateway.stop()
 
     run(test)
@@ -497,7 +501,7 @@
         rig = Rig(gateway, user="reader", password="secret-1")
         told = await rig.next(SourceRejected)
         assert "authentication failed" in told.reason
-        assert "secret-1" not in repr(rig.source.config) + repr(rig.source.follow) + repr(rig.all)
+        assert "secret-1" not in repr(rig.source.config) + repr(rig.source.watcher) + repr(rig.all)
         await asyncio.sleep(1)
         assert gateway.count("/v3/auth/authenticate") < 8  # with back-off, from 0.2 s on
         assert len([e for e in rig.all if isinstance(e, SourceRejected)]) == 1
@@ -541,7 +545,7 @@
         ticker = asyncio.ensure_future(turns())
         rig = Rig(gateway)
         assert len((await rig.next(EndpointsListed)).endpoint_list.records) == 10_000
-        assert most[0] <= etcd.ROWS_PER_STEP
+        assert most[0] <= etcd.PARSE_SLICE_ENTRIES
         (await gateway.streams.get()).events(*((key, None) for key in gateway.keys))
         gone: set[str] = set()
         while len(gone) < 10_000:
--- a/tests/net/test_graceful_shutdown.py
+++ b/tests/net/test_graceful_shutdown.py
@@ -67,7 +67,7 @@
 
 def told(front: HttpServer, last: float = HOUR) -> None:
     """The node was told to end, and all has to be answered in so many milliseconds."""
-    front.node.stopping = True
+    front.node.is_stopping = True
     front.ends = ShutdownDeadlines(front.node.now(), front.node.now() + last)
 
 
@@ -107,7 +107,7 @@
             for sock in socks:
                 assert b" 200 OK" in await all_of(sock)
             await done
-            assert not front.connections and not front.node.open
+            assert not front.connections and not front.node.open_requests
 
     run(test, new_loop)
 
@@ -290,14 +290,14 @@
         async with fronting(tmp_path, Backend("b0", never), settings=PATIENT) as front:
             before = Client(*await asyncio.open_connection(*front.address))
             before.send("/read")
-            await until(lambda: front.node.open)
+            await until(lambda: front.node.open_requests)
             told(front, 200.0)
             client = Client(*await asyncio.open_connection(*front.address))
             assert (await client.ask("/read")).code in (502, 503)
-            assert front.node.open  # the end is for others to wait for
+            assert front.node.open_requests  # the end is for others to wait for
             front.stop()
             await front.finish()
-            assert (await before.answer()).code == 502 and not front.node.open
+            assert (await before.answer()).code == 502 and not front.node.open_requests
             assert await client.ended() == b"" and await before.ended() == b""
 
     run(test)
@@ -307,10 +307,10 @@
     async def test() -> None:
         async with fronting(tmp_path) as front:
             node = front.node
-            node._pause.last_turn_ms -= 2_000.0
+            node._stall_detector.last_turn_ms -= 2_000.0
             found = node.stop()
-            assert node.stopping and node._pause.input_age_ms >= 2_000.0
-            assert found.respond_until_ms <= node.now() + 3_500.0 - node._pause.input_age_ms
+            assert node.is_stopping and node._stall_detector.input_age_ms >= 2_000.0
+            assert found.respond_until_ms <= node.now() + 3_500.0 - node._stall_detector.input_age_ms
 
     run(test)
 
@@ -375,14 +375,14 @@
     async def test() -> None:
         async with fronting(tmp_path, Backend("b0", never), settings=PATIENT) as front:
             sock = connected(front, read())
-            await until(lambda: front.node.open)
+            await until(lambda: front.node.open_requests)
             await asyncio.get_running_loop().sock_sendall(sock, b"GET /up HTTP/1.1\r\n\r\n" * 50_000)
             with contextlib.suppress(BlockingIOError):
                 while True:
                     sock.send(b"x" * (1 << 16))
             gulps.clear()
             leave(sock)
-            await until(lambda: not front.node.open and not front.connections)
+            await until(lambda: not front.node.open_requests and not front.connections)
             assert sum(gulps) < 0.25
             sock.close()
 
@@ -402,7 +402,7 @@
     async def test() -> None:
         async with fronting(tmp_path, Backend("b0", late), settings=PATIENT) as front:
             sock, loop = connected(front, read()), asyncio.get_running_loop()
-            await until(lambda: front.node.open)
+            await until(lambda: front.node.open_requests)
             (connection,) = front.connections
 
             async def flood() -> None:
@@ -442,9 +442,9 @@
             (connection,) = front.connections
             assert connection.blocked
             connection.data_received(read())
-            assert front.node.open and connection.blocked
+            assert front.node.open_requests and connection.blocked
             client.sock.close()
-            await until(lambda: not front.node.open and not front.connections)
+            await until(lambda: not front.node.open_requests and not front.connections)
 
     run(test, new_loop)
 
@@ -475,14 +475,14 @@
         asyncio.get_running_loop().set_exception_handler(lambda loop, context: faults.append(context))
         async with fronting(tmp_path, *(Backend(f"b{n}", keep) for n in range(4)), settings=PATIENT) as front:
             socks = [connected(front, read()) for _ in range(12)]
-            await until(lambda: waiting and len(front.node.open) == len(socks))
+            await until(lambda: waiting and len(front.node.open_requests) == len(socks))
             if answer_first:
                 give()
             for sock in socks:
                 leave(sock)
             if not answer_first:
                 give()
-            await until(lambda: not front.node.open and not front.connections)
+            await until(lambda: not front.node.open_requests and not front.connections)
             tables = (front.idle, front.fresh, front.waiting, front.going, front.listener.coming)
             assert not any(tables) and not len(front.unread) and not front.unread.total_bytes
             for sock in socks:
