--- a/tests/net/test_long_bodies.py
+++ b/tests/net/test_long_bodies.py
@@ -69,13 +69,16 @@
                 client.writer.write(data[:cut])
                 if pieces:
                     await until(
-                        lambda: front.node.long.reserved_bytes or len(body) <= UNBUDGETED_BODY_BYTES + 1000
+                        lambda: (
+                            front.node.large_body_budget.reserved_bytes
+                            or len(body) <= UNBUDGETED_BODY_BYTES + 1000
+                        )
                     )
                 client.writer.write(data[cut:])
                 got = await client.answer()
                 assert got.code == 200 and got.body == body
-            await until(lambda: not front.node.open)
-            assert front.node.long.reserved_bytes == 0
+            await until(lambda: not front.node.open_requests)
+            assert front.node.large_body_budget.reserved_bytes == 0
             assert not any(connection.body for connection in front.connections)
             assert not any(idle.body for idle in front.node.pool.hosts["b0"].idle)
             client.writer.transport.abort()
@@ -99,21 +102,23 @@
         backend = Backend("b0")
         async with fronting(tmp_path, backend, settings=PATIENT) as front:
             each = MAX_FORWARDED_BODY_BYTES - 1 - UNBUDGETED_BODY_BYTES
-            front.node.long.budget_bytes = 2 * each
+            front.node.large_body_budget.budget_bytes = 2 * each
             first, second = await half(front, 1), await half(front, 2)
-            await until(lambda: front.node.long.reserved_bytes == 2 * each)
+            await until(lambda: front.node.large_body_budget.reserved_bytes == 2 * each)
             third = await half(front, 3)
             assert (await third.answer()).code == 503  # nothing of it ran
             usual = Client(*await asyncio.open_connection(*front.address))
             assert (await usual.ask("/once", method="POST")).code == 200
-            assert front.node.long.reserved_bytes == 2 * each
+            assert front.node.large_body_budget.reserved_bytes == 2 * each
             for client in (first, second):
                 if leaves:
                     client.writer.transport.abort()
                 else:
                     client.writer.write(MOST[-1:])
                     assert (await client.answer()).code in (200, 503)
-            await until(lambda: not front.node.open and front.node.long.reserved_bytes == 0)
+            await until(
+                lambda: not front.node.open_requests and front.node.large_body_budget.reserved_bytes == 0
+            )
             for client in (first, second, third, usual):
                 client.writer.transport.abort()
 
@@ -132,21 +137,29 @@
 
     async def test() -> None:
         async with fronting(tmp_path, Backend("b0", respond), settings=PATIENT) as front:
-            front.node.long.budget_bytes = MAX_FORWARDED_BODY_BYTES - UNBUDGETED_BODY_BYTES  # room for one
+            front.node.large_body_budget.budget_bytes = (
+                MAX_FORWARDED_BODY_BYTES - UNBUDGETED_BODY_BYTES
+            )  # room for one
             first = Client(*await asyncio.open_connection(*front.address))
             asked = asyncio.ensure_future(first.ask("/once", method="POST"))
             await until(
-                lambda: front.node.long.reserved_bytes == MAX_FORWARDED_BODY_BYTES - UNBUDGETED_BODY_BYTES
+                lambda: (
+                    front.node.large_body_budget.reserved_bytes
+                    == MAX_FORWARDED_BODY_BYTES - UNBUDGETED_BODY_BYTES
+                )
             )
             other = Client(*await asyncio.open_connection(*front.address))
             assert (await other.ask("/read/usual")).body == b"usual"
             assert (await other.ask("/once", method="POST")).code == 502  # it may have run
             assert (
                 not asked.done()
-                and front.node.long.reserved_bytes == MAX_FORWARDED_BODY_BYTES - UNBUDGETED_BODY_BYTES
+                and front.node.large_body_budget.reserved_bytes
+                == MAX_FORWARDED_BODY_BYTES - UNBUDGETED_BODY_BYTES
             )
             first.writer.transport.abort()
-            await until(lambda: not front.node.open and front.node.long.reserved_bytes == 0)
+            await until(
+                lambda: not front.node.open_requests and front.node.large_body_budget.reserved_bytes == 0
+            )
             await asyncio.gather(asked, return_exceptions=True)
             other.writer.transport.abort()
 
@@ -158,8 +171,8 @@
         async with fronting(tmp_path, long_answers(lambda _: answer(MOST + b"x")), settings=PATIENT) as front:
             client = Client(*await asyncio.open_connection(*front.address))
             assert (await client.ask("/once", method="POST")).code == 502
-            await until(lambda: not front.node.open)
-            assert front.node.long.reserved_bytes == 0
+            await until(lambda: not front.node.open_requests)
+            assert front.node.large_body_budget.reserved_bytes == 0
             client.writer.transport.abort()
 
     run(test)
--- a/tests/net/test_persistence.py
+++ b/tests/net/test_persistence.py
@@ -430,7 +430,7 @@
             moved = EndpointList(3, True, (endpoint_record("s1"), endpoint_record("s3")))
             one.fleet.handle(EndpointsListed("platform", "there", moved))
             await until(lambda: set(one.view) == {"s1", "s3"})
-            assert one.node.ready and one.part.session is None, "it serves before the disk is there"
+            assert one.node.is_ready and one.part.session is None, "it serves before the disk is there"
             told = one.recovery.report()
             assert told["store"]["trouble"] == "being opened", told
             assert "what was kept to be read" in told["waits_for"]
@@ -471,7 +471,11 @@
             await one.opened()
             told = one.recovery.report()
             assert (told["memory"], told["incarnation"]) == ("kept", 2) and set(one.view) == {"s1"}
-            assert not one.node._waits and not told["store"]["commits"] and told["store"]["waiting"]
+            assert (
+                not one.node._is_deferring_events
+                and not told["store"]["commits"]
+                and told["store"]["waiting"]
+            )
             await until(reached.is_set)
             assert last() == (1, {"s1"}), "the generation before, whole"
             go.set()
@@ -505,7 +509,7 @@
             disk.fault_plan = full
             one.fleet.handle(listed(5, "s1", "s2"))
             await until(lambda: "nothing new is kept" in caplog.text)
-            assert one.node.ready and set(one.view) == {"s1", "s2"}
+            assert one.node.is_ready and set(one.view) == {"s1", "s2"}
             store = one.recovery.report()["store"]
             assert "full" in store["trouble"] and store["waiting"] and store["failures"]
             await asyncio.sleep(0.1)
@@ -673,7 +677,7 @@
             await one.opened()
             one.fleet.handle(listed(5, "s1"))
             await until(lambda: one.recovery.recovery.state.value == "confirmed")
-            assert one.running.watch is None and one.running._queued_events, (
+            assert one.running.timeline_monitor is None and one.running._queued_events, (
                 "told to a time line that comes later"
             )
             one.recovery._last_check_ms -= 60_000
@@ -799,7 +803,7 @@
             go.set()
             await until(lambda: one.part.session)
             await asyncio.sleep(0.02)
-            assert ends == ["failed"] and not one.node.open
+            assert ends == ["failed"] and not one.node.open_requests
 
     try:
         run(test)
--- a/tests/net/test_platform_recovery.py
+++ b/tests/net/test_platform_recovery.py
@@ -518,7 +518,7 @@
             node.now,
             fleet.handle,
             lambda: fleet.watch_revision(platform.SOURCE_NAME),
-            node.list_failed,
+            node.on_list_failed,
         )
         source.watch(True)
         watch = await agent.watched()
@@ -579,7 +579,7 @@
             node.now,
             fleet.handle,
             lambda: fleet.watch_revision(platform.SOURCE_NAME),
-            node.list_failed,
+            node.on_list_failed,
         )
         fleet.handle(endpoint_merger.EndpointsListed(platform.SOURCE_NAME, identity, known, is_cached=True))
         await agent.watched()
--- a/tests/net/test_request_dispatcher.py
+++ b/tests/net/test_request_dispatcher.py
@@ -887,10 +887,10 @@
         told: list[float] = []
         monkeypatch.setattr(node.pool, "start", lambda name, data, done, begin_by: told.append(begin_by))
         nobody: Any = None
-        node.open["r"] = PendingRequest(nobody, node.now() + 4000.0, lambda wait: b"")
+        node.open_requests["r"] = PendingRequest(nobody, node.now() + 4000.0, lambda wait: b"")
         before = time.monotonic()
         for begin_by in (math.inf, node.now() + 500.0):
-            node._act(SendAttempt("r", "b0", 0.0, start_before_ms=begin_by))
+            node._perform(SendAttempt("r", "b0", 0.0, start_before_ms=begin_by))
         assert told[0] == math.inf and before <= told[1] - 0.5 + 1e-5 <= time.monotonic() + 1e-4
 
     run(test)
@@ -918,7 +918,7 @@
         node.balancer.handlers[RequestArrived] = broken
         client = Client(*await asyncio.open_connection(*front.address))
         assert (await client.ask("/once", method="POST")).code == 502
-        assert node.balancer.in_flight == 0 and not node.balancer.requests and not node.open
+        assert node.balancer.in_flight == 0 and not node.balancer.requests and not node.open_requests
         client.writer.transport.abort()
         front.stop()
         backend.stop()
@@ -1028,7 +1028,7 @@
         front.stop()
         for client in clients:
             client.writer.transport.abort()
-        while front.connections or node.open:
+        while front.connections or node.open_requests:
             await asyncio.sleep(0)
         backend.stop()
 
--- a/tests/system/shutdown_races.py
+++ b/tests/system/shutdown_races.py
@@ -532,9 +532,9 @@
                 phases = {"drain": api.Phase.DRAINING, "gone": api.Phase.REMOVED, "back": api.Phase.UP}
                 self.apply(server, phases[what])
             case "term":
-                self.node.stopping = self.told_to_end = True
+                self.node.is_stopping = self.told_to_end = True
             case "stop":
-                self.node.stopping = self.told_to_end = True
+                self.node.is_stopping = self.told_to_end = True
                 self.front.stop()
             case _:
                 out = [s for s in self.sent if not s.end and s.request == asker.name]
@@ -707,14 +707,14 @@
         await self.idle()
         for asker in self.askers:
             self._answers(asker)
-        self._left("open requests", self.node.open)
+        self._left("open requests", self.node.open_requests)
         self._left("requests in the module", list(self.node.balancer.requests))
         self._left("out", self.node.balancer.in_flight)
         backends = self.node.balancer.backends.items()
         self._left("out by server", {name: b.in_flight for name, b in backends if b.in_flight})
         pool = self.node.pool
         self._left("connections in use", pool.count - sum(len(host.idle) for host in pool.hosts.values()))
-        self._left("events held", [*self.node._held, *self.node._events])
+        self._left("events held", [*self.node._deferred_events, *self.node._events])
         for asker in self.askers:
             asker.sock.close()
         self.front.stop()
--- a/tests/system/test_etcd_conformance.py
+++ b/tests/system/test_etcd_conformance.py
@@ -113,7 +113,7 @@
 
     async def settled(self) -> None:
         """Wait until the watch is on and was checked."""
-        await self.until(lambda: self.source.follow.state.session.is_proven)
+        await self.until(lambda: self.source.watcher.state.session.is_proven)
 
 
 class Relay:
@@ -306,12 +306,12 @@
         await cluster.put(key("a"), value())
         async with Follower(cluster.endpoints) as follower:
             await follower.settled()
-            used = follower.source.follow.endpoint_index
+            used = follower.source.watcher.endpoint_index
             cluster.freeze(used)
             await asyncio.sleep(0.2)  # a signal takes effect some time after it was sent
             await cluster.put(key("b"), value())
             assert await follower.until(lambda: "b" in follower.view) < LEFT
-            assert follower.source.follow.endpoint_index != used and follower.wholes == 1
+            assert follower.source.watcher.endpoint_index != used and follower.wholes == 1
             assert not any(isinstance(event, SourceLost) for event in follower.told)
             cluster.thaw(used)
 
@@ -338,10 +338,10 @@
         await cluster.put(key("a"), value())
         async with Follower(cluster.endpoints) as follower:
             await follower.settled()
-            others = [index for index in range(3) if index != follower.source.follow.endpoint_index]
+            others = [index for index in range(3) if index != follower.source.watcher.endpoint_index]
             for index in others:
                 await cluster.kill(index)
-            took = await follower.until(lambda: follower.source.follow.phase is not WatcherPhase.WATCHING)
+            took = await follower.until(lambda: follower.source.watcher.phase is not WatcherPhase.WATCHING)
             assert took < LEFT
             await follower.until(lambda: follower.last(SourceLost))
             assert follower.view.keys() == {"a"}
@@ -486,13 +486,13 @@
                 await cluster.put(key(f"s-{i % 10}"), value())
             async with Follower(cluster.endpoints) as follower:
                 await follower.settled()
-                used = follower.source.follow.endpoint_index
+                used = follower.source.watcher.endpoint_index
                 await cluster.txn({}, [key(f"s-{i}") for i in range(5)])
                 await follower.names(*(f"s-{i}" for i in range(5, 10)))
                 cluster.lag(1 - used, 50)
                 cluster.drop(used)
                 await follower.settled()
-                assert follower.source.follow.endpoint_index == used and follower.wholes == 1
+                assert follower.source.watcher.endpoint_index == used and follower.wholes == 1
                 cluster.lag(used, 50)
                 cluster.drop(used)
                 await follower.until(lambda: follower.last(SourceLost))
