--- a/balancer/net/__init__.py
+++ b/balancer/net/__init__.py
@@ -1,9 +1,10 @@
-"""The real node on sockets: the only place with asyncio; it carries out what is decided elsewhere.
+"""A node on sockets; the only package that uses asyncio. Decisions are made in `core` and `policy`.
 
-- `assemble`: puts the parts together and runs them; `config`: what the platform tells a node at its start.
-- `listener`, `front`: clients; `node`: what each request is owed; `upstream`: connections to backends.
-- `sources`, `fleet`: where the list of backends comes from, and the one view of it.
-- `start`, `operators`, `part`: the operators' file at a start, and what it switches on, all in one shape.
-- `timeline`: what each server did, for operators who ask.
-- `control`, `reload`: operators ask a running node, and change its settings.
+- `application`: assembles and runs a node; `config`: the platform's configuration of a node.
+- `listener`, `http_server`: client connections; `request_dispatcher`: open requests and their attempts;
+  `backend_pool`: connections to backends.
+- `discovery`: sources of the endpoint list; `endpoint_view`: the merged list; `bulk_update`: large lists.
+- `startup`, `components`, `component`, `reload`: the operators' file and the components that it enables.
+- `cluster`, `cluster_gossip`, `gossip_transport`: the other nodes; `recovery`, `persistence`: restarts.
+- `timeline`, `metrics_server`, `admin_socket`: history, metrics and queries for operators.
 """
--- a/balancer/net/application.py
+++ b/balancer/net/application.py
@@ -117,9 +117,8 @@
     for signal_number in TERMINATION_SIGNALS:
         loop.add_signal_handler(signal_number, on_termination)
 
-    def on_hangup() -> (
-        None
-    ):  # runs in the next turn of the event loop at the earliest, when all below is initialized
+    # Runs in the next turn of the event loop at the earliest, when everything below is initialized.
+    def on_hangup() -> None:
         if server.ends is not None:
             return  # the node is shutting down, and its components may be closed
         reload(discovery)
--- a/balancer/net/cluster.py
+++ b/balancer/net/cluster.py
@@ -202,9 +202,8 @@
 
     def _make_detector(self, address: str, incarnation: _Incarnation, seeds: list[str]) -> FailureDetector:
         previous = self._previous_detector
-        if (
-            previous is not None and not previous.is_asking_for_incarnation
-        ):  # the same node at another address
+        if previous is not None and not previous.is_asking_for_incarnation:
+            # The same node at another address.
             incarnation = _Incarnation(previous.incarnation + 1, True)
             seeds += [peer.record.address for peer in previous.peers.values()]
         return FailureDetector(
--- a/balancer/net/discovery/etcd.py
+++ b/balancer/net/discovery/etcd.py
@@ -322,7 +322,7 @@
         if isinstance(message, etcd_responses.RangePage):
             key_count = message.key_count if action.counts_keys else None
             return watcher_messages.CheckAnswered(action.call_id, _position(message.header), key_count)
-        return self._call_failed(action.call_id, message)
+        return self._to_call_failed(action.call_id, message)
 
     async def _fetch_page(self, action: watcher_messages.FetchSnapshotPage) -> watcher_messages.Event:
         def build_request(token: str) -> bytes:
@@ -331,7 +331,7 @@
 
         message = await self._send_range_request(action.endpoint_index, build_request)
         if not isinstance(message, etcd_responses.RangePage):
-            return self._call_failed(action.call_id, message)
+            return self._to_call_failed(action.call_id, message)
         entries: list[watcher_messages.EntryUpdate] = []
         for start in range(0, len(message.key_values), PARSE_SLICE_ENTRIES):
             entries += [
@@ -363,7 +363,7 @@
             )
         self._watch_task = None
         if failed_response is not None:
-            self._dispatch(self._call_failed(action.call_id, failed_response))
+            self._dispatch(self._to_call_failed(action.call_id, failed_response))
             return
         self._watch_connection = connection
         watch_request = self.request_builders[action.endpoint_index].watch_request(
@@ -398,9 +398,9 @@
             case None:
                 return watcher_messages.CallFailed(call_id, CallFault.FAILED, "the connection ended")
             case _:
-                return self._call_failed(call_id, message)
+                return self._to_call_failed(call_id, message)
 
-    def _call_failed(self, call_id: int, message: etcd_responses.Message) -> watcher_messages.CallFailed:
+    def _to_call_failed(self, call_id: int, message: etcd_responses.Message) -> watcher_messages.CallFailed:
         match message:
             case etcd_responses.GatewayError(message=text, http_status=status):
                 retry_after_ms = 1000.0 * message.retry_after_s
--- a/balancer/net/etcd_component.py
+++ b/balancer/net/etcd_component.py
@@ -32,7 +32,7 @@
         """Stop watching; all connections are closed on return."""
 
 
-EtcdFactory = Callable[[EtcdConfig, tuple[str, int] | None], EtcdSource]
+EtcdSourceFactory = Callable[[EtcdConfig, tuple[str, int] | None], EtcdSource]
 
 
 class EtcdComponent:
@@ -42,7 +42,10 @@
     """
 
     def __init__(
-        self, endpoint_view: EndpointView, configured_sources: tuple[Source, ...], create_source: EtcdFactory
+        self,
+        endpoint_view: EndpointView,
+        configured_sources: tuple[Source, ...],
+        create_source: EtcdSourceFactory,
     ) -> None:
         self.endpoint_view, self.configured_sources, self.create_source = (
             endpoint_view,
--- a/balancer/net/request_dispatcher.py
+++ b/balancer/net/request_dispatcher.py
@@ -178,11 +178,11 @@
             self._is_deciding = False
 
     def _decide(self, event: api.Event) -> None:
-        now = self.now()
+        now_ms = self.now()
         try:
-            actions = self.balancer.handle(now, event)
+            actions = self.balancer.handle(now_ms, event)
             if self.observer is not None:
-                self.notify_observer(now, event, actions)
+                self.notify_observer(now_ms, event, actions)
             for action in actions:
                 self._perform(action)
         except Exception:  # an error in one request must not end the node
@@ -191,11 +191,11 @@
             if request_id in self.open_requests:
                 self._abandon(request_id)
 
-    def notify_observer(self, now: float, event: api.Event, actions: list[api.Action]) -> None:
+    def notify_observer(self, now_ms: float, event: api.Event, actions: list[api.Action]) -> None:
         """Pass a decision to the observer, if there is one."""
         try:
             if self.observer is not None:
-                self.observer.on_decision(now, event, actions)
+                self.observer.on_decision(now_ms, event, actions)
         except Exception:  # an error of the observer must not affect requests
             log.exception("the observer failed on %s and is removed", type(event).__name__)
             self.observer = None
@@ -323,23 +323,23 @@
                 log.error("unsupported action: %r", action)
 
     def _send_attempt(self, action: api.SendAttempt) -> None:
-        request, now = self.open_requests.get(action.request), self.now()
+        request, now_ms = self.open_requests.get(action.request), self.now()
         number = (
             len(request.attempts) if request else -1
         )  # -1 is the last attempt of a request that has ended here
-        attempt = Attempt(action.request, number, action.backend, now)
+        attempt = Attempt(action.request, number, action.backend, now_ms)
         if request is None:
             self._finish_attempt(attempt, BackendResponse(api.AttemptStatus.NOT_STARTED))
             return
         request.attempts.append(attempt)
-        remaining_ms = request.deadline_ms - now
+        remaining_ms = request.deadline_ms - now_ms
         timeout_ms = min(action.timeout_ms, remaining_ms) if action.timeout_ms else remaining_ms
         if request.is_answered or action.backend not in self.pool.hosts or timeout_ms <= 0:
             self._finish_attempt(attempt, BackendResponse(api.AttemptStatus.NOT_STARTED))
             return
         attempt.timer = self.loop.call_later(timeout_ms / 1000, self._on_timeout, attempt)
         start_before_s = (action.start_before_ms - self._clock_offset_ms) / 1000
-        timeout_at_ms, on_done = now + timeout_ms, partial(self._finish_attempt, attempt)
+        timeout_at_ms, on_done = now_ms + timeout_ms, partial(self._finish_attempt, attempt)
         exchange = self.pool.start(
             action.backend, lambda: request.render(timeout_at_ms - self.now()), on_done, start_before_s
         )
--- a/tests/net/test_any_settings.py
+++ b/tests/net/test_any_settings.py
@@ -1,4 +1,4 @@
-"""A node on sockets under any settings that a site may have, its list with odd but legal entries."""
+"""Tests of a node on sockets with random settings and a list of unusual but valid entries."""
 
 from __future__ import annotations
 
@@ -30,11 +30,13 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_each_request_gets_its_answer(tmp_path: Path, caplog: pytest.LogCaptureFixture, seed: int) -> None:
-    """Served by what a backend made, or refused where that is harmless; nothing is logged as failed."""
+def test_request_under_any_settings_gets_its_response(
+    tmp_path: Path, caplog: pytest.LogCaptureFixture, seed: int
+) -> None:
+    """Requests are served by a backend or rejected where that is safe; no error is logged."""
     caplog.set_level(logging.WARNING)
     rng = random.Random(seed)
-    cfg = any_settings(rng)
+    settings = any_settings(rng)
 
     async def test() -> None:
         backends = [Backend(name) for name in IDS]
@@ -43,29 +45,29 @@
         members = [backend.member() | row for backend, row in zip(backends, ROWS, strict=True)]
         del members[0]["cell"], members[1]["flavor"], members[2]["up_since_ms"], members[3]["locality"]
         del members[4]["size"]
-        over = json.loads(told(cfg))
-        del over["discovery"]  # nobody is asked here
-        async with fronting(tmp_path, *members, **over) as front:
-            assert len(front.node.balancer.order) == len(IDS)
-            client = Client(*await asyncio.open_connection(*front.address))
+        overrides = json.loads(told(settings))
+        del overrides["discovery"]  # discovery is not used here
+        async with fronting(tmp_path, *members, **overrides) as server:
+            assert len(server.node.balancer.order) == len(IDS)
+            client = Client(*await asyncio.open_connection(*server.address))
             codes = set()
             for number in range(30):
-                cls = rng.choice(cfg.classes)
+                cls = rng.choice(settings.classes)
                 key = ["Idempotency-Key: k"] * (cls.idempotency is api.Idempotency.KEYED)
                 if rng.random() < 0.3:
                     key += [f"Tenant: Ø {number}", "Client-Retry: 1", "Work-Hint: 0"]
                 method = "GET" if cls.idempotency is api.Idempotency.IDEMPOTENT else "POST"
                 name = client.send(f"/{cls.name}?obj=%ff&obj", *key, method=method)
-                got = await client.answer()
-                codes.add(got.code)
-                made = [f"{backend.name} {name}".encode() for backend in backends]
-                assert got.code != 200 or got.body in made
+                response = await client.answer()
+                codes.add(response.code)
+                expected_bodies = [f"{backend.name} {name}".encode() for backend in backends]
+                assert response.code != 200 or response.body in expected_bodies
             assert codes <= {200, 502, 503}
-            assert not front.node.open_requests and not front.node.balancer.in_flight
+            assert not server.node.open_requests and not server.node.balancer.in_flight
             client.writer.transport.abort()
         for backend in backends:
             backend.stop()
 
     run(test)
-    ours = [row for row in caplog.records if row.name.startswith("balancer")]
-    assert not [row for row in ours if row.exc_info or row.levelno >= logging.ERROR]
+    records = [row for row in caplog.records if row.name.startswith("balancer")]
+    assert not [row for row in records if row.exc_info or row.levelno >= logging.ERROR]
--- a/tests/net/test_application.py
+++ b/tests/net/test_application.py
@@ -1,4 +1,4 @@
-"""Putting a node together: in which order."""
+"""Tests of assembling a node: signal handlers and the offset of the test clock."""
 
 from __future__ import annotations
 
@@ -12,8 +12,7 @@
 
 import pytest
 
-from balancer.net import application as assemble
-from balancer.net import clock
+from balancer.net import application, clock
 from balancer.net.config import load
 from balancer.net.endpoint_view import EndpointView
 from balancer.net.request_dispatcher import RequestDispatcher
@@ -22,48 +21,48 @@
 
 
 class ReachedError(Exception):
-    """The start has come as far as the test wants it."""
+    """Raised to end the start of a node at the point under test."""
 
 
-def test_sighup_does_not_end_a_node_that_reads_its_first_list(
+def test_sighup_while_the_first_list_is_read_does_not_end_the_node(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against the signal's default, which ends the process: a list of thousands takes a while."""
+    """Guards against SIGHUP ending the process while it reads a first list of thousands of entries."""
     (tmp_path / "c.json").write_text(json.dumps(configuration([], 1)))
     config = load({"PROXY_CONFIG": str(tmp_path / "c.json")})
-    found: list[Any] = []
+    handlers: list[Any] = []
 
-    def hand(self: EndpointView, event: object) -> None:
-        found.append(signal.getsignal(signal.SIGHUP))
+    def record_handler(self: EndpointView, event: object) -> None:
+        handlers.append(signal.getsignal(signal.SIGHUP))
         raise ReachedError
 
-    monkeypatch.setattr(EndpointView, "handle", hand)
-    before = signal.getsignal(signal.SIGHUP)
+    monkeypatch.setattr(EndpointView, "handle", record_handler)
+    handler_before = signal.getsignal(signal.SIGHUP)
     with pytest.raises(ReachedError):
-        asyncio.run(assemble.serve(config))
-    assert found[0] not in (before, signal.SIG_DFL)
+        asyncio.run(application.serve(config))
+    assert handlers[0] not in (handler_before, signal.SIG_DFL)
 
 
-def test_a_clock_set_off_for_a_test_is_read_beside_an_operators_file_alone(
+def test_clock_offset_variable_without_an_operators_file_is_ignored(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """Guards a platform start against a variable that moves its clock: cold servers would count as warm."""
+    """Guards a platform start against the variable: cold backends would count as warm on a shifted clock."""
     (tmp_path / "c.json").write_text(json.dumps(configuration([], 1)))
     config = load({"PROXY_CONFIG": str(tmp_path / "c.json")})
-    off: list[float] = []
+    offsets_s: list[float] = []
 
     async def now() -> float:
         return RequestDispatcher(config).now()
 
-    def stopped(work: Coroutine[Any, Any, None]) -> None:
-        work.close()
-        off.append(round((asyncio.run(now()) / 1000 - time.time()) / 10) * 10)
+    def run_clock_only(coroutine: Coroutine[Any, Any, None]) -> None:
+        coroutine.close()
+        offsets_s.append(round((asyncio.run(now()) / 1000 - time.time()) / 10) * 10)
 
-    monkeypatch.setattr("uvloop.run", stopped)
+    monkeypatch.setattr("uvloop.run", run_clock_only)
     monkeypatch.setattr(clock, "_offset_ms", 0.0)
     monkeypatch.setenv(clock.TEST_CLOCK, "-90000")
-    assert assemble.run(config) == 0 and assemble.run(config, tmp_path, OperatorSettings()) == 0
-    assert off == [0, -90]
+    assert application.run(config) == 0 and application.run(config, tmp_path, OperatorSettings()) == 0
+    assert offsets_s == [0, -90]
     monkeypatch.setenv(clock.TEST_CLOCK, "soon")
-    assert assemble.run(config, tmp_path, OperatorSettings()) == 2
+    assert application.run(config, tmp_path, OperatorSettings()) == 2
     assert "BALANCER_TEST_CLOCK_MS: found 'soon'; allowed: whole milliseconds" in capsys.readouterr().err
--- a/tests/net/test_bulk_update.py
+++ b/tests/net/test_bulk_update.py
@@ -1,4 +1,4 @@
-"""A list of 3,000 endpoints on sockets: what a node does between its slices, counted by turns of its loop."""
+"""Tests of a node that applies a list of 3,000 endpoints in slices, one per turn of the event loop."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 from balancer.net.http_server import HttpServer
 from balancer.net.request_dispatcher import RequestDispatcher
 from benchmarks.proxy_fleet import Servers
-from tests.net.test_etcd_discovery import WAIT, run, until
+from tests.net.test_etcd_discovery import WAIT_TIMEOUT_S, run, until
 from tests.net.test_platform_discovery import FixedAnswerDiscovery
 from tests.sockets import Client, configuration
 
@@ -51,11 +51,11 @@
         self.sent: list[str] = []
         start = self.node.pool.start
 
-        def noted(name: str, *args: object) -> object:
+        def record_start(name: str, *args: object) -> object:
             self.sent.append(name)
             return start(name, *args)  # type: ignore[arg-type]
 
-        self.node.pool.start = noted  # type: ignore[method-assign, assignment]
+        self.node.pool.start = record_start  # type: ignore[method-assign, assignment]
         self.change_sizes: list[int] = []  # records in each change of the view
         self.fleet.listeners.append(
             lambda _, actions: self.change_sizes.extend(
@@ -90,27 +90,27 @@
             else event
         )
 
-    async def turns(self, met: Callable[[], object]) -> None:
-        """Run the event loop turn by turn until this holds."""
-        async with asyncio.timeout(WAIT):
-            while not met():
+    async def turns(self, condition: Callable[[], object]) -> None:
+        """Run the event loop turn by turn until the condition holds."""
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
+            while not condition():
                 await asyncio.sleep(0)
 
 
 @contextlib.asynccontextmanager
 async def running_node(path: Path) -> AsyncIterator[tuple[NodeWithList, Client]]:
     async with Servers(ENDPOINT_COUNT) as servers:
-        out = NodeWithList(path, servers)
-        await out.front.listen(("127.0.0.1", 0))
-        host, port = out.front.address
+        running = NodeWithList(path, servers)
+        await running.front.listen(("127.0.0.1", 0))
+        host, port = running.front.address
         client = Client(*await asyncio.open_connection(host, port))
         try:
-            yield out, client
+            yield running, client
         finally:
             client.writer.transport.abort()
-            out.front.stop()
-            out.node.pool.close()
-            await until(lambda: not out.front.connections)
+            running.front.stop()
+            running.node.pool.close()
+            await until(lambda: not running.front.connections)
 
 
 def test_large_first_list_is_applied_between_answers_and_removed_backends_get_no_request(
@@ -125,14 +125,14 @@
             assert (await client.ask("/up")).code == 503 and running.node.bulk_update, (
                 "answered between its slices"
             )
-            asked = asyncio.create_task(client.ask("/read", "Request-Timeout: 3000m"))
+            response = asyncio.create_task(client.ask("/read", "Request-Timeout: 3000m"))
             await running.turns(lambda: running.node.open_requests)
             assert running.node.bulk_update and not running.sent
-            left = endpoint_merger.EndpointsListed(
+            removal = endpoint_merger.EndpointsListed(
                 "platform", "here", EndpointList(2, False, (), tuple(names[:7] + names[8:]))
             )
-            running.fleet.handle(left)
-            assert (await asked).code == 200 and running.sent == [names[7]]
+            running.fleet.handle(removal)
+            assert (await response).code == 200 and running.sent == [names[7]]
             assert running.node.bulk_update is None and running.node.balancer.order == [names[7]]
             assert (await client.ask("/up")).code == 200 and [*running.node.pool.hosts] == [names[7]]
 
@@ -173,18 +173,18 @@
         (tmp_path / "c.json").write_text(json.dumps(configuration([], 1)))
         node = RequestDispatcher(load({"PROXY_CONFIG": str(tmp_path / "c.json")}))
         up = Phase.UP
-        found = [
+        records = [
             EndpointRecord(Endpoint(f"s{n}", "a", 0, 1.0, up, 0.0), ("127.0.0.1", n + 1))
             for n in range(count)
         ]
-        node.apply(endpoint_merger.ApplyEndpoints(EndpointUpdateKind.INCREMENTAL, tuple(found), (), 1))
+        node.apply(endpoint_merger.ApplyEndpoints(EndpointUpdateKind.INCREMENTAL, tuple(records), (), 1))
         handled, handle = list[str](), node.balancer.handle
 
-        def noted(now_ms: float, event: Event) -> list[Action]:
+        def record_event(now_ms: float, event: Event) -> list[Action]:
             handled.append(type(event).__name__)
             return handle(now_ms, event)
 
-        node.balancer.handle = noted  # type: ignore[method-assign]
+        node.balancer.handle = record_event  # type: ignore[method-assign]
         node.event(ClientLeft("r1"))
         node.event(LearnedStateRestored(node.balancer.learned(node.now()), 0.0))
         assert (
@@ -193,13 +193,13 @@
         )
         await until(lambda: node.is_ready)
         assert len(node.balancer.order) == count
-        news = (
+        expected_events = (
             []
             if count <= request_dispatcher.LARGE_LIST_ENDPOINTS
             else ["EndpointsUpdated", "LearnedStateRestored", "ClientLeft"]
         )
-        assert handled == (news or ["ClientLeft", "LearnedStateRestored"]), (
-            "what was kept goes before all that waited"
+        assert handled == (expected_events or ["ClientLeft", "LearnedStateRestored"]), (
+            "restored state is handled before deferred events"
         )
 
     run(test)
--- a/tests/net/test_cluster.py
+++ b/tests/net/test_cluster.py
@@ -1,4 +1,4 @@
-"""`[peers]` on real sockets: membership, bad datagrams, keys, addresses, incarnations."""
+"""Tests of `[peers]` on sockets: membership, invalid datagrams, keys, addresses, incarnations."""
 
 from __future__ import annotations
 
@@ -16,15 +16,13 @@
 import pytest
 
 from balancer import interface as api
-from balancer.core import recovery as r
+from balancer.core import recovery as recovery_core
 from balancer.core.anomaly_detection.events import TimelineEvent
 from balancer.core.cluster.failure_detector import events, messages, parameters
 from balancer.core.cluster.failure_detector.member_records import PeerState
-from balancer.core.discovery import endpoint_merger as ms
-from balancer.core.discovery import source_state
+from balancer.core.discovery import endpoint_merger, source_state
 from balancer.endpoints import EndpointList, EndpointRecord
-from balancer.net import cluster as net
-from balancer.net import gossip_transport
+from balancer.net import cluster, gossip_transport
 from balancer.net.admin_socket import AdminSocket
 from balancer.net.cluster import ClusterComponent
 from balancer.net.component import RunningNode
@@ -40,12 +38,12 @@
 
 @pytest.fixture(autouse=True)
 def short_incarnation_wait(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The first node waits for an answer that nobody can give."""
+    """Shorten the wait of the first node, to which no peer can report an incarnation."""
     monkeypatch.setattr(parameters, "NO_ANSWER_WAIT_MS", 400.0)
 
 
 class NodeStub:
-    """What the cluster component sees of a node: also its discovery and its backends."""
+    """Stands in for the node, its discovery and its backends."""
 
     def __init__(self, me: int) -> None:
         self.settings = api.Settings((), me, 3)
@@ -55,15 +53,15 @@
     def now(self) -> float:
         return time.time() * 1000
 
-    def apply(self, change: ms.ApplyEndpoints) -> None:
-        """As the module's."""
+    def apply(self, change: endpoint_merger.ApplyEndpoints) -> None:
+        """Ignore a change of the view."""
 
     def fetch(self) -> None:
         self.fetch_count += 1
 
 
 class ClusterNode(ClusterComponent):
-    """A cluster component on a node of its own that notes the events of the time line."""
+    """A cluster component on its own node that records the events for the time line."""
 
     def __init__(self, name: str) -> None:
         self.events: list[tuple[str, str]] = []
@@ -74,14 +72,14 @@
         super().__init__(running)
         self.list_endpoints(0)
 
-    def add_event(self, told: TimelineEvent) -> None:
-        """As the time line's."""
-        self.events.append((told.event_type.value, told.subject))
+    def add_event(self, event: TimelineEvent) -> None:
+        """Record an event in place of the time line."""
+        self.events.append((event.event_type.value, event.subject))
 
-    def switch_on(self, *seeds: ClusterNode | socket.socket, keys: str = KEY, **more: Any) -> None:
+    def enable(self, *seeds: ClusterNode | socket.socket, keys: str = KEY, **changes: Any) -> None:
         at = tuple(one.address if isinstance(one, ClusterNode) else one.getsockname() for one in seeds)
         settings = PeersSettings(listen=("127.0.0.1", 0), seeds=at or None, keys=keys)
-        self.apply(OperatorSettings(peers=replace(self._peers_settings or settings, keys=keys, **more)))
+        self.apply(OperatorSettings(peers=replace(self._peers_settings or settings, keys=keys, **changes)))
 
     @property
     def address(self) -> tuple[str, int]:
@@ -91,11 +89,13 @@
     def list_endpoints(
         self, revision: int, *members: EndpointRecord, whole: bool = True, gone: tuple[str, ...] = ()
     ) -> None:
-        """Its discovery lists these, an agent of its own that has backends at other addresses."""
+        """Deliver a list from this node's own discovery agent, with addresses unknown to other nodes."""
         host = f"127.0.1.{self.node_stub.settings.node_index}"
         at = tuple(replace(one, address=(host, one.address[1])) for one in members)
         self.fleet.handle(
-            ms.EndpointsListed("platform", self.running.name, EndpointList(revision, whole, at, gone))
+            endpoint_merger.EndpointsListed(
+                "platform", self.running.name, EndpointList(revision, whole, at, gone)
+            )
         )
 
     def phases(self) -> dict[str, str]:
@@ -114,31 +114,31 @@
 
 @contextlib.asynccontextmanager
 async def cluster_of(count: int) -> AsyncIterator[list[ClusterNode]]:
-    """That many nodes, which know each other by the first one."""
-    them = [ClusterNode(f"n{number}") for number in range(count)]
+    """Run this many nodes that discover each other through the first."""
+    nodes = [ClusterNode(f"n{number}") for number in range(count)]
     try:
-        for one in them:
-            one.switch_on(*them[:1] if one is not them[0] else ())
-        await wait_until(lambda: all(one.sees_alive(*(o for o in them if o is not one)) for one in them))
-        await wait_until(lambda: all(one.report()["speaks"] for one in them))
-        yield them
+        for one in nodes:
+            one.enable(*nodes[:1] if one is not nodes[0] else ())
+        await wait_until(lambda: all(one.sees_alive(*(o for o in nodes if o is not one)) for one in nodes))
+        await wait_until(lambda: all(one.report()["speaks"] for one in nodes))
+        yield nodes
     finally:
-        for one in them:
+        for one in nodes:
             await one.close()
 
 
 @contextlib.contextmanager
 def udp_socket() -> Any:
-    """A bare socket."""
+    """Open a non-blocking UDP socket."""
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
         sock.bind(("127.0.0.1", 0))
         sock.setblocking(False)
         yield sock
 
 
-async def wait_until(met: Callable[[], object]) -> None:
+async def wait_until(condition: Callable[[], object]) -> None:
     async with asyncio.timeout(TIMEOUT_S):
-        while not met():
+        while not condition():
             await asyncio.sleep(0.01)
 
 
@@ -147,9 +147,9 @@
 
 
 def message(
-    kind: messages.MessageKind, *words: tuple[str, int, int, str, int], seq: int = 0, target: str = ""
+    kind: messages.MessageKind, *claims: tuple[str, int, int, str, int], seq: int = 0, target: str = ""
 ) -> messages.Message:
-    return messages.Message(kind, seq, target, "", words)
+    return messages.Message(kind, seq, target, "", claims)
 
 
 def test_nodes_find_each_other_and_one_switched_off_has_left() -> None:
@@ -160,7 +160,7 @@
             await wait_until(lambda: one.states_by_name()["n2"] == other.states_by_name()["n2"] == "left")
             assert ("peer_failed", "n2") not in one.events + other.events
             assert third.running.admin_socket._answers == {} and third.transport.socket is None
-            third.switch_on(one)  # again, in a greater incarnation
+            third.enable(one)  # rejoins with a greater incarnation
             await wait_until(lambda: one.sees_alive(other, third) and other.sees_alive(one, third))
             assert ("peer_returned", "n2") in one.events
 
@@ -168,29 +168,38 @@
 
 
 def test_forged_truncated_replayed_or_random_datagrams_change_nothing() -> None:
-    """Each of them claims, in the right form, that another node has failed."""
+    """Each datagram claims, in a valid format, that another node has failed."""
 
     async def test() -> None:
         async with cluster_of(3) as (one, other, _):
             address = written(other.address)
-            lie = message(
+            false_claim = message(
                 messages.MessageKind.GOSSIP,
                 ("n1", PeerState.FAILED, 9, address, 1),
                 ("n9", 0, 1, "127.0.0.1:9", 0),
             )
-            good = gossip.Writer("liar", KEYS).write(1, lie)
-            forged = gossip.Writer("liar", gossip.parse_keys(OLD_KEY)).write(1, lie)
-            bent = bytes((*good[:-20], good[-20] ^ 1, *good[-19:]))
-            bad = {"key": forged, "code": bent, "short": good[:20], "long": good + b"x" * 256}
+            valid_datagram = gossip.Writer("liar", KEYS).write(1, false_claim)
+            forged = gossip.Writer("liar", gossip.parse_keys(OLD_KEY)).write(1, false_claim)
+            corrupted = bytes((*valid_datagram[:-20], valid_datagram[-20] ^ 1, *valid_datagram[-19:]))
+            rejected_datagrams = {
+                "key": forged,
+                "code": corrupted,
+                "short": valid_datagram[:20],
+                "long": valid_datagram + b"x" * 256,
+            }
             with udp_socket() as sock:
-                for data in bad.values():
+                for data in rejected_datagrams.values():
                     sock.sendto(data, one.address)
-                for end in range(len(good)):
-                    sock.sendto(good[:end], one.address)
-                await wait_until(lambda: bad.keys() <= one.report()["refused"].keys())
-                await wait_until(lambda: sum(one.report()["refused"].values()) == len(bad) + len(good))
+                for end in range(len(valid_datagram)):
+                    sock.sendto(valid_datagram[:end], one.address)
+                await wait_until(lambda: rejected_datagrams.keys() <= one.report()["refused"].keys())
+                await wait_until(
+                    lambda: (
+                        sum(one.report()["refused"].values()) == len(rejected_datagrams) + len(valid_datagram)
+                    )
+                )
                 assert set(one.states_by_name()) == {"n1", "n2"} and one.states_by_name()["n1"] == "alive"
-                # The right one counts, once.
+                # A valid datagram is accepted once.
                 hello = gossip.Writer("n9", KEYS).write(5, message(messages.MessageKind.GOSSIP))
                 for _ in range(3):
                     sock.sendto(hello, one.address)
@@ -202,7 +211,7 @@
 
 
 def test_turn_of_the_loop_reads_a_bounded_number_of_datagrams() -> None:
-    """Requests go on between two turns, however many datagrams come."""
+    """Guards against a flood of datagrams that starves requests."""
 
     async def test() -> None:
         async with cluster_of(1) as (one,):
@@ -219,7 +228,7 @@
 
 
 def test_answer_waiting_in_the_socket_is_read_before_a_timeout() -> None:
-    """A loop that was delayed for less than a stall must not accuse a peer that answered meanwhile."""
+    """A delay shorter than a stall must not make a peer suspect that responded in the meantime."""
 
     async def test() -> None:
         async with cluster_of(1) as (one,):
@@ -240,17 +249,17 @@
                     one.address,
                 )
                 time.sleep(parameters.PROBE_INTERVAL_MS / 1000 + 0.1)
-                one._on_detector_timer()  # as a loop may call it before it looks at its sockets
+                one._on_detector_timer()  # as an event loop may do before it reads its sockets
                 assert one.states_by_name() == {"slow": "alive"}
                 time.sleep(parameters.PROBE_INTERVAL_MS / 1000 + 0.1)
-                one._on_detector_timer()  # and now there was none
+                one._on_detector_timer()  # this time there was no response
                 assert one.states_by_name() == {"slow": "suspect"}
 
     run(test)
 
 
 def test_stall_is_handled_before_overdue_timers() -> None:
-    """Otherwise a stalled node would fail peers whose answers it did not read."""
+    """Guards against a stalled node that declares peers failed whose responses it has not read."""
 
     async def test() -> None:
         async with cluster_of(3) as (one, *_):
@@ -305,7 +314,7 @@
 def test_address_in_use_is_reported_and_bound_later(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    monkeypatch.setattr(net, "LISTEN_RETRY_INTERVAL_S", 0.02)
+    monkeypatch.setattr(cluster, "LISTEN_RETRY_INTERVAL_S", 0.02)
 
     async def test() -> None:
         one = ClusterNode("n0")
@@ -326,19 +335,19 @@
     caplog.set_level(logging.DEBUG)
 
     async def test() -> None:
-        async with cluster_of(3) as them:
-            for one in them:
+        async with cluster_of(3) as nodes:
+            for one in nodes:
                 one.events.clear()
             for text in (f"{KEY}\n{OLD_KEY}", f"{OLD_KEY}\n{KEY}", OLD_KEY):
-                for one in them:
-                    one.switch_on(keys=text)
-                    much = one.transport.counts["received"] + 10
-                    while one.transport.counts["received"] < much:
+                for one in nodes:
+                    one.enable(keys=text)
+                    wanted_count = one.transport.counts["received"] + 10
+                    while one.transport.counts["received"] < wanted_count:
                         await asyncio.sleep(0.01)
-                    assert not any(o.events for o in them), [o.events for o in them]
-                    assert not any(o.report()["refused"] for o in them)
-            them[0].switch_on(keys=KEY)  # a step left out: it is not heard any more, which is counted
-            await wait_until(lambda: them[1].report()["refused"].get("key"))
+                    assert not any(o.events for o in nodes), [o.events for o in nodes]
+                    assert not any(o.report()["refused"] for o in nodes)
+            nodes[0].enable(keys=KEY)  # skips a rotation step: its datagrams are rejected and counted
+            await wait_until(lambda: nodes[1].report()["refused"].get("key"))
 
     run(test)
     assert KEY not in caplog.text and OLD_KEY not in caplog.text
@@ -347,13 +356,13 @@
 def test_node_at_another_address_keeps_its_identity() -> None:
     async def test() -> None:
         async with cluster_of(3) as (one, other, third):
-            before, life = one.address, one.report()["incarnation"]
+            before, old_incarnation = one.address, one.report()["incarnation"]
             with udp_socket() as free:
                 wanted = free.getsockname()
-            one.switch_on(listen=wanted)  # which has no seeds
+            one.enable(listen=wanted)  # without seeds
             await wait_until(lambda: all(peer.states_by_name()["n0"] == "alive" for peer in (other, third)))
             await wait_until(lambda: one.sees_alive(other, third) and one.address == wanted != before)
-            assert one.report()["incarnation"] > life
+            assert one.report()["incarnation"] > old_incarnation
             await wait_until(
                 lambda: ("peer_moved", "n0") in other.events and ("peer_moved", "n0") in third.events
             )
@@ -365,30 +374,30 @@
     async def test() -> None:
         one = ClusterNode("")
         with pytest.raises(ValueError, match="no name"):
-            one.switch_on()
+            one.enable()
         assert one.transport.socket is None
 
     run(test)
 
 
 class RecoveryStub:
-    """What the cluster component sees of `net/recovery`, around the real state machine."""
+    """Stands in for `net/recovery`, with the real state machine."""
 
     def __init__(self) -> None:
-        self.recovery, self.has_begun = r.Recovery(0.0), False
+        self.recovery, self.has_begun = recovery_core.Recovery(0.0), False
         self.on_begun: list[Callable[[], None]] = []
         self.persisted_incarnations: list[int] = []
 
-    def handle(self, event: r.Event) -> None:
+    def handle(self, event: recovery_core.Event) -> None:
         for action in self.recovery.handle(1_000.0, event):
-            if isinstance(action, r.PersistIncarnation):
+            if isinstance(action, recovery_core.PersistIncarnation):
                 self.persisted_incarnations.append(action.incarnation)
 
-    def begin(self, kept: r.PersistedIncarnation | None) -> None:
+    def begin(self, kept: recovery_core.PersistedIncarnation | None) -> None:
         self.has_begun = True
-        self.handle(r.ProcessStarted(kept, 2_000.0))
-        for told in self.on_begun:
-            told()
+        self.handle(recovery_core.ProcessStarted(kept, 2_000.0))
+        for callback in self.on_begun:
+            callback()
 
     @property
     def memory_and_incarnation(self) -> tuple[str, int]:
@@ -396,59 +405,65 @@
 
 
 async def gossip_about(one: ClusterNode, state: int, incarnation: int) -> None:
-    """A node with the right key claims that of this one."""
+    """Send this state of the node from a peer that holds the key."""
     with udp_socket() as sock:
-        word = (one.running.name, state, incarnation, written(one.address), 1)
+        claim = (one.running.name, state, incarnation, written(one.address), 1)
         sock.sendto(
-            gossip.Writer("liar", KEYS).write(incarnation, message(messages.MessageKind.GOSSIP, word)),
+            gossip.Writer("liar", KEYS).write(incarnation, message(messages.MessageKind.GOSSIP, claim)),
             one.address,
         )
 
 
 def test_node_with_intact_state_speaks_at_once_and_persists_its_incarnation() -> None:
-    """One above its own incarnation is a refutation, a greater one a later life that it forgot."""
+    """An incarnation one above its own is a refutation; a greater one means that its state is outdated."""
 
     async def test() -> None:
         async with cluster_of(1) as (other,):
-            one, meter = ClusterNode("n1"), RecoveryStub()
-            one.running.recovery = cast(Any, meter)
+            one, recovery_stub = ClusterNode("n1"), RecoveryStub()
+            one.running.recovery = cast(Any, recovery_stub)
             try:
-                one.switch_on(other)
+                one.enable(other)
                 await asyncio.sleep(0.3)
-                assert one.detector is None and not one.report()["speaks"], "what was kept is not read yet"
-                meter.begin(r.PersistedIncarnation(7, 1_000.0))
-                assert one.report()["speaks"] and meter.memory_and_incarnation == ("kept", 8)
+                assert one.detector is None and not one.report()["speaks"], (
+                    "the persisted state is not read yet"
+                )
+                recovery_stub.begin(recovery_core.PersistedIncarnation(7, 1_000.0))
+                assert one.report()["speaks"] and recovery_stub.memory_and_incarnation == ("kept", 8)
                 await wait_until(lambda: other.sees_alive(one))
                 await gossip_about(one, PeerState.SUSPECT, 8)
-                await wait_until(lambda: meter.memory_and_incarnation == ("kept", 9))
+                await wait_until(lambda: recovery_stub.memory_and_incarnation == ("kept", 9))
                 await gossip_about(one, PeerState.FAILED, 20)
-                await wait_until(lambda: meter.memory_and_incarnation == ("older", 21))
+                await wait_until(lambda: recovery_stub.memory_and_incarnation == ("older", 21))
                 await wait_until(lambda: ("n1", 21) in other.incarnations())
-                assert meter.persisted_incarnations == [8, 9, 21]
+                assert recovery_stub.persisted_incarnations == [8, 9, 21]
             finally:
                 await one.close()
 
     run(test)
 
 
-@pytest.mark.parametrize("held", [5, 0])
-def test_node_without_state_takes_the_incarnation_that_peers_hold(held: int) -> None:
+@pytest.mark.parametrize("known_incarnation", [5, 0])
+def test_node_without_state_takes_the_incarnation_that_peers_hold(known_incarnation: int) -> None:
     async def test() -> None:
         async with cluster_of(1) as (other,):
-            one, meter = ClusterNode("n1"), RecoveryStub()
-            one.running.recovery = cast(Any, meter)
-            meter.begin(None)
-            if held:
+            one, recovery_stub = ClusterNode("n1"), RecoveryStub()
+            one.running.recovery = cast(Any, recovery_stub)
+            recovery_stub.begin(None)
+            if known_incarnation:
                 assert other.detector is not None
-                fell = message(messages.MessageKind.GOSSIP, ("n1", PeerState.FAILED, held, "127.0.0.1:9", 1))
-                other._handle(events.DatagramReceived("n2", 1, "127.0.0.1:8", fell))
+                failure_claim = message(
+                    messages.MessageKind.GOSSIP, ("n1", PeerState.FAILED, known_incarnation, "127.0.0.1:9", 1)
+                )
+                other._handle(events.DatagramReceived("n2", 1, "127.0.0.1:8", failure_claim))
             try:
-                one.switch_on(other)
+                one.enable(other)
                 assert not one.report()["speaks"]
                 await wait_until(lambda: other.sees_alive(one))
-                assert meter.memory_and_incarnation == (("lost", 6) if held else ("none", 1))
-                assert (meter.recovery.roles_barred_until_ms > 1_000.0) is bool(held), (
-                    "they know of no later life"
+                assert recovery_stub.memory_and_incarnation == (
+                    ("lost", 6) if known_incarnation else ("none", 1)
+                )
+                assert (recovery_stub.recovery.roles_barred_until_ms > 1_000.0) is bool(known_incarnation), (
+                    "peers know no later incarnation"
                 )
             finally:
                 await one.close()
@@ -461,59 +476,63 @@
 
 
 def test_node_states_are_gossiped_and_the_divergent_node_is_named() -> None:
-    """By all nodes, the divergent one too, and its end; also who is partitioned from discovery."""
+    """All nodes report the divergence and its end, and a node that is partitioned from discovery."""
 
     async def test() -> None:
-        async with cluster_of(3) as (*others, odd):
-            them = [*others, odd]
-            for one in them:
+        async with cluster_of(3) as (*others, divergent):
+            nodes = [*others, divergent]
+            for one in nodes:
                 one.list_endpoints(1, endpoint_record(1))
-            odd.apply(OperatorSettings(peers=odd._peers_settings, timeline=TimelineSettings(memory_mb=9)))
+            divergent.apply(
+                OperatorSettings(peers=divergent._peers_settings, timeline=TimelineSettings(memory_mb=9))
+            )
             await wait_until(
-                lambda: all(("disagreement_began", "settings operators") in o.events for o in them)
+                lambda: all(("disagreement_began", "settings operators") in o.events for o in nodes)
+            )
+            report = others[0].report()
+            assert [d["names"] for d in report["disagreements"]] == [["n2"]]
+            by = {one["name"]: one["goes_by"] for one in report["peers"]}
+            assert by["n2"]["operators"] != by["n1"]["operators"] == report["goes_by"]["operators"]
+            assert (
+                all(one["sources"]["platform"]["revision"] == 1 for one in by.values()) and not report["cut"]
             )
-            told = others[0].report()
-            assert [d["names"] for d in told["disagreements"]] == [["n2"]]
-            by = {one["name"]: one["goes_by"] for one in told["peers"]}
-            assert by["n2"]["operators"] != by["n1"]["operators"] == told["goes_by"]["operators"]
-            assert all(one["sources"]["platform"]["revision"] == 1 for one in by.values()) and not told["cut"]
-            assert by["n1"]["list"] == by["n2"]["list"] == told["goes_by"]["list"] is not None
-            odd.apply(OperatorSettings(peers=odd._peers_settings))
+            assert by["n1"]["list"] == by["n2"]["list"] == report["goes_by"]["list"] is not None
+            divergent.apply(OperatorSettings(peers=divergent._peers_settings))
             await wait_until(
-                lambda: all(("disagreement_ended", "settings operators") in o.events for o in them)
+                lambda: all(("disagreement_ended", "settings operators") in o.events for o in nodes)
             )
-            odd.fleet.handle(ms.SourceLost("platform", "no answer"))
-            await wait_until(lambda: ("cut_began", "discovery") in odd.events)
-            cut = odd.report()["cut"][0]
+            divergent.fleet.handle(endpoint_merger.SourceLost("platform", "no answer"))
+            await wait_until(lambda: ("cut_began", "discovery") in divergent.events)
+            cut = divergent.report()["cut"][0]
             assert "2 of 2 peers reach it" in cut["why"] and cut["of"] == "discovery"
             await wait_until(lambda: any(not o["goes_by"]["discovery"] for o in others[0].report()["peers"]))
-            assert odd.metrics()["cuts"] == {"discovery": 1} and others[0].metrics()["cuts"] == {}
-            odd.fleet.handle(ms.SourceConfirmedCurrent("platform"))
-            await wait_until(lambda: ("cut_ended", "discovery") in odd.events)
-            assert odd.metrics()["events"]["cut_began"] == 1 and not odd.node_stub.fetch_count
+            assert divergent.metrics()["cuts"] == {"discovery": 1} and others[0].metrics()["cuts"] == {}
+            divergent.fleet.handle(endpoint_merger.SourceConfirmedCurrent("platform"))
+            await wait_until(lambda: ("cut_ended", "discovery") in divergent.events)
+            assert divergent.metrics()["events"]["cut_began"] == 1 and not divergent.node_stub.fetch_count
 
     run(test)
 
 
-@pytest.mark.parametrize("ends", [False, True])
-def test_drain_that_only_peers_have_heard_of_is_accepted_from_them(ends: bool) -> None:
-    """The source is polled at once. Its own list ends the drain; so does switching `[peers]` off."""
+@pytest.mark.parametrize("closes", [False, True])
+def test_drain_that_only_peers_have_heard_of_is_accepted_from_them(closes: bool) -> None:
+    """The node fetches its own list at once; that list, or disabling `[peers]`, ends the drain."""
 
     async def test() -> None:
         async with cluster_of(3) as (*others, last):
             for one in (*others, last):
                 one.list_endpoints(1, endpoint_record(1), endpoint_record(2), endpoint_record(3))
-            last.fleet.handle(ms.SourceLost("platform", "no answer"))
+            last.fleet.handle(endpoint_merger.SourceLost("platform", "no answer"))
             for one in others:
                 one.list_endpoints(2, endpoint_record(1, api.Phase.DRAINING), whole=False)
             await wait_until(lambda: last.phases() == {"s1": "draining", "s2": "up", "s3": "up"})
             await wait_until(lambda: last.node_stub.fetch_count)
             assert [*last.fleet.merger.sources] == ["platform", "peers"]
-            taken = {"source": "platform", "server": "s1", "revision": 2, "gone": False}
-            assert last.report()["taken"] == [taken] and last.metrics()["taken"] == {"drains": 1}
+            accepted_removal = {"source": "platform", "server": "s1", "revision": 2, "gone": False}
+            assert last.report()["taken"] == [accepted_removal] and last.metrics()["taken"] == {"drains": 1}
             with udp_socket() as free:
                 wanted = free.getsockname()
-            last.switch_on(listen=wanted)  # elsewhere: what was taken holds on
+            last.enable(listen=wanted)  # at another address: accepted removals stay in force
             assert (
                 last.phases()["s1"] == "draining"
                 and last.address == wanted
@@ -522,13 +541,13 @@
             assert last.cluster_gossip.coordinator.failure_detector is last.detector is not None
             last.list_endpoints(
                 3, endpoint_record(1), endpoint_record(2), endpoint_record(3)
-            )  # it is up again, or the others were wrong
+            )  # the own list has the backend up
             await wait_until(lambda: set(last.phases().values()) == {"up"})
             assert not last.report()["taken"]
             for one in others:
                 one.list_endpoints(4, whole=False, gone=("s2",))
             await wait_until(lambda: last.phases() == {"s1": "up", "s3": "up"})
-            if ends:  # what it keeps is not to bring back who went
+            if closes:  # the persisted view must not bring back removed backends
                 await last.close()
                 assert set(last.phases()) == {"s1", "s3"}
                 return
--- a/tests/net/test_components.py
+++ b/tests/net/test_components.py
@@ -1,4 +1,4 @@
-"""The parts that the operators' file switches on: a fault of one costs the others nothing."""
+"""Tests of the components of the operators' file: an error in one does not affect the others."""
 
 from __future__ import annotations
 
@@ -20,156 +20,169 @@
     TimelineSettings,
 )
 
-ON = OperatorSettings(control=ControlSettings())
-FAULTS = [ValueError("a bad file"), ZeroDivisionError("a fault of the program")]
+ENABLED = OperatorSettings(control=ControlSettings())
+ERRORS = [ValueError("a bad file"), ZeroDivisionError("a fault of the program")]
 
 
-class Spy:
-    """A part that notes what it is asked, and fails on request."""
+class RecordingComponent:
+    """A component that records its calls and raises `fails` if that is set."""
 
-    def __init__(self, name: str, said: list[str]) -> None:
-        self.name, self.said = name, said
+    def __init__(self, name: str, calls: list[str]) -> None:
+        self.name, self.calls = name, calls
         self.fails: Exception | None = None
 
     def apply(self, settings: OperatorSettings) -> None:
-        """Note it, or fail."""
+        """Record the call or raise."""
         if self.fails is not None:
             raise self.fails
-        self.said.append(f"{self.name} {'off' if settings.control is None else 'on'}")
+        self.calls.append(f"{self.name} {'off' if settings.control is None else 'on'}")
 
     async def close(self) -> None:
-        """Note it, or fail."""
+        """Record the call or raise."""
         if self.fails is not None:
             raise self.fails
-        self.said.append(f"{self.name} closed")
+        self.calls.append(f"{self.name} closed")
 
 
-class Spies:
-    """Three of them; `make` fails once where it is told so."""
+class ComponentsFixture:
+    """Three recording components; creating `b` fails once if `create_error` is set."""
 
-    def __init__(self, path: Path | None = None, broken: Exception | None = None) -> None:
-        self.said: list[str] = []
-        self.spies = {name: Spy(name, self.said) for name in "abc"}
-        self.broken = broken
+    def __init__(self, path: Path | None = None, create_error: Exception | None = None) -> None:
+        self.calls: list[str] = []
+        self.recorders = {name: RecordingComponent(name, self.calls) for name in "abc"}
+        self.create_error = create_error
         kinds = [
             ComponentKind(n, lambda s: s.control is not None, partial(partial, self.make, n)) for n in "abc"
         ]
         node: Any = None
         running = RunningNode(node, cast(Any, self), (), AdminSocket())
-        self.parts = Components(path, OperatorSettings(), running, kinds)
+        self.components = Components(path, OperatorSettings(), running, kinds)
 
     def report(self) -> dict[str, Any]:
-        """As the fleet's."""
+        """Stand in for `EndpointView.report`."""
         return {}
 
-    def make(self, name: str, running: RunningNode) -> Spy:
-        """The spy, or the failure."""
-        if name == "b" and self.broken is not None:
-            fault, self.broken = self.broken, None
-            raise fault
-        return self.spies[name]
-
-    def told(self) -> list[str]:
-        """What was noted since the last time."""
-        out = self.said[:]
-        self.said.clear()
+    def make(self, name: str, running: RunningNode) -> RecordingComponent:
+        """Return the component or raise the error."""
+        if name == "b" and self.create_error is not None:
+            error, self.create_error = self.create_error, None
+            raise error
+        return self.recorders[name]
+
+    def take_calls(self) -> list[str]:
+        """Return the calls recorded since the last time."""
+        out = self.calls[:]
+        self.calls.clear()
         return out
 
 
-def test_a_part_is_made_by_the_first_settings_that_have_it_on_and_closed_in_turn() -> None:
-    rig = Spies()
-    assert rig.parts.running_components == {} and rig.told() == []
-    rig.parts.apply(ON)
-    rig.parts.apply(OperatorSettings())
-    assert rig.told() == ["a on", "b on", "c on", "a off", "b off", "c off"]
-    asyncio.run(rig.parts.close())
-    assert rig.told() == ["c closed", "b closed", "a closed"]
+def test_component_is_created_when_first_enabled_and_closed_in_reverse_order() -> None:
+    fixture = ComponentsFixture()
+    assert fixture.components.running_components == {} and fixture.take_calls() == []
+    fixture.components.apply(ENABLED)
+    fixture.components.apply(OperatorSettings())
+    assert fixture.take_calls() == ["a on", "b on", "c on", "a off", "b off", "c off"]
+    asyncio.run(fixture.components.close())
+    assert fixture.take_calls() == ["c closed", "b closed", "a closed"]
 
 
-@pytest.mark.parametrize("fault", FAULTS, ids=lambda fault: type(fault).__name__)
-def test_a_part_that_cannot_change_keeps_no_other_from_its_change(
+@pytest.mark.parametrize("fault", ERRORS, ids=lambda fault: type(fault).__name__)
+def test_component_that_cannot_apply_settings_does_not_affect_others(
     fault: Exception, tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     (tmp_path / "s.toml").write_text(f'[control]\nsocket = "{tmp_path}/c.sock"\n')
-    rig = Spies(tmp_path / "s.toml")
-    rig.spies["a"].fails = fault
-    rig.parts.reload()  # as SIGHUP does
-    assert rig.told() == ["b on", "c on"] and rig.parts.operator_settings.control is not None
-    plain = isinstance(fault, ValueError)
-    said = f"a: {fault}; the previous settings stay in force" if plain else "a: applying settings failed"
-    assert said in caplog.text and ("Traceback" in caplog.text) is not plain
-    rig.spies["a"].fails = None
-    rig.parts.apply(OperatorSettings())
-    assert rig.told() == ["a off", "b off", "c off"]
-
-
-@pytest.mark.parametrize("fault", FAULTS, ids=lambda fault: type(fault).__name__)
-def test_a_part_that_cannot_be_made_is_made_by_the_next_change(
+    fixture = ComponentsFixture(tmp_path / "s.toml")
+    fixture.recorders["a"].fails = fault
+    fixture.components.reload()  # as SIGHUP does
+    assert (
+        fixture.take_calls() == ["b on", "c on"] and fixture.components.operator_settings.control is not None
+    )
+    is_value_error = isinstance(fault, ValueError)
+    message = (
+        f"a: {fault}; the previous settings stay in force"
+        if is_value_error
+        else "a: applying settings failed"
+    )
+    assert message in caplog.text and ("Traceback" in caplog.text) is not is_value_error
+    fixture.recorders["a"].fails = None
+    fixture.components.apply(OperatorSettings())
+    assert fixture.take_calls() == ["a off", "b off", "c off"]
+
+
+@pytest.mark.parametrize("fault", ERRORS, ids=lambda fault: type(fault).__name__)
+def test_component_that_cannot_be_created_is_created_by_the_next_settings(
     fault: Exception, caplog: pytest.LogCaptureFixture
 ) -> None:
-    rig = Spies(broken=fault)
-    rig.parts.apply(ON)
-    assert rig.told() == ["a on", "c on"] and caplog.text
-    rig.parts.apply(ON)
-    assert rig.told() == ["a on", "b on", "c on"]
+    fixture = ComponentsFixture(create_error=fault)
+    fixture.components.apply(ENABLED)
+    assert fixture.take_calls() == ["a on", "c on"] and caplog.text
+    fixture.components.apply(ENABLED)
+    assert fixture.take_calls() == ["a on", "b on", "c on"]
 
 
-def test_a_part_that_cannot_end_leaves_no_other_open(caplog: pytest.LogCaptureFixture) -> None:
-    rig = Spies()
-    rig.parts.apply(ON)
-    rig.told()
-    rig.spies["b"].fails = FAULTS[1]
-    asyncio.run(rig.parts.close())
-    assert rig.told() == ["c closed", "a closed"] and "b: close failed" in caplog.text
+def test_component_that_cannot_close_does_not_keep_others_open(caplog: pytest.LogCaptureFixture) -> None:
+    fixture = ComponentsFixture()
+    fixture.components.apply(ENABLED)
+    fixture.take_calls()
+    fixture.recorders["b"].fails = ERRORS[1]
+    asyncio.run(fixture.components.close())
+    assert fixture.take_calls() == ["c closed", "a closed"] and "b: close failed" in caplog.text
 
 
-def test_metrics_follow_the_time_line_and_end_with_it(caplog: pytest.LogCaptureFixture) -> None:
-    """With a time line that is another one the metrics are its own; without one there are none."""
+def test_metrics_with_a_changed_time_line_follow_it(caplog: pytest.LogCaptureFixture) -> None:
+    """Metrics read the current time line; without a time line there is no metrics server."""
     metrics = next(kind for kind in COMPONENT_KINDS if kind.name == "metrics")
-    whole = OperatorSettings(timeline=TimelineSettings(), metrics=MetricsSettings(listen=("127.0.0.1", 0)))
+    settings = OperatorSettings(timeline=TimelineSettings(), metrics=MetricsSettings(listen=("127.0.0.1", 0)))
 
     async def test() -> None:
         running = RunningNode(cast(Any, None), cast(Any, None), (), AdminSocket())
-        part: Any = metrics.load()(running)
-        part.apply(whole)
-        assert part._target is None, "no time line is on"
+        component: Any = metrics.load()(running)
+        component.apply(settings)
+        assert component._target is None, "no time line is on"
         for _ in range(2):
             running.timeline_monitor = cast(Any, object())
-            part.apply(whole)
-            moved = part._moving
-            part.apply(whole)
-            assert part._moving is moved, "nothing changed"
-            await moved
-            assert part._server.metrics.watch is running.timeline_monitor
+            component.apply(settings)
+            move_task = component._moving
+            component.apply(settings)
+            assert component._moving is move_task, "nothing changed"
+            await move_task
+            assert component._server.metrics.watch is running.timeline_monitor
         running.timeline_monitor = None
-        part.apply(whole)
-        await part._moving
-        assert part._server is None
-        await part.close()
+        component.apply(settings)
+        await component._moving
+        assert component._server is None
+        await component.close()
 
     with caplog.at_level(logging.INFO):
         asyncio.run(test())
     assert caplog.text.count("metrics at http://127.0.0.1:") == 2
 
 
-def test_of_several_observers_the_one_that_fails_is_taken_off_alone(caplog: pytest.LogCaptureFixture) -> None:
-    class Eye:
+def test_observer_that_fails_is_removed_alone(caplog: pytest.LogCaptureFixture) -> None:
+    class CountingObserver:
         def __init__(self, fails: bool = False) -> None:
-            self.fails, self.seen = fails, 0
+            self.fails, self.decision_count = fails, 0
 
         def on_decision(self, now_ms: float, event: Any, actions: Any) -> None:
-            self.seen += 1
+            self.decision_count += 1
             if self.fails:
                 raise ZeroDivisionError
 
     node: Any = type("Node", (), {"observer": None})()
-    observers, eyes = Observers(node), [Eye(), Eye(True), Eye()]
-    for eye in eyes:
-        observers.add(eye)
+    observers, counting_observers = (
+        Observers(node),
+        [CountingObserver(), CountingObserver(True), CountingObserver()],
+    )
+    for counter in counting_observers:
+        observers.add(counter)
     for _ in range(2):
         node.observer.on_decision(0.0, None, [])
-    assert [eye.seen for eye in eyes] == [2, 1, 2] and "and is removed" in caplog.text
-    observers.remove(eyes[0])
-    assert node.observer is eyes[2], "one alone is called with nothing in between"
-    observers.remove(eyes[2])
+    assert [counter.decision_count for counter in counting_observers] == [
+        2,
+        1,
+        2,
+    ] and "and is removed" in caplog.text
+    observers.remove(counting_observers[0])
+    assert node.observer is counting_observers[2], "a single observer is called directly"
+    observers.remove(counting_observers[2])
     assert node.observer is None
--- a/tests/net/test_endpoint_view.py
+++ b/tests/net/test_endpoint_view.py
@@ -1,4 +1,4 @@
-"""The endpoint view: exceptions in its sink and listeners, and sources that operators reconfigure."""
+"""Tests of the endpoint view: exceptions in its sink and listeners, and reconfigured sources."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from balancer.net.etcd_component import ETCD, EtcdComponent
 from balancer.operator_settings import EtcdSettings, Membership, OperatorSettings
 from tests.net.test_etcd_discovery import (
-    WAIT,
+    WAIT_TIMEOUT_S,
     Gateway,
     b64,
     run,
@@ -36,7 +36,7 @@
         self.failing = False
 
     def now(self) -> float:
-        """The loop's clock."""
+        """Return the time of the event loop."""
         return asyncio.get_running_loop().time() * 1000
 
     def apply(self, change: ApplyEndpoints) -> None:
@@ -46,26 +46,26 @@
             raise ZeroDivisionError
         for gone in change.removed_records:
             self.view.pop(gone.id)
-        for one in change.records:
-            self.view[one.id] = one
+        for record in change.records:
+            self.view[record.id] = record
 
 
-def on(etcd: EtcdSettings) -> OperatorSettings:
-    """An operators' file with this table."""
+def settings_with_etcd(etcd: EtcdSettings) -> OperatorSettings:
+    """Return operators' settings with this etcd table."""
     return OperatorSettings(membership=Membership(etcd=etcd))
 
 
 def test_exception_in_the_sink_does_not_end_a_source(caplog: pytest.LogCaptureFixture) -> None:
-    """Guards against a source that never goes on with its work after its event raised."""
+    """Guards against a source that stops working after handling of its event raised."""
 
     async def test() -> None:
         gateway, sink = await Gateway().start(), Sink()
         gateway.keys = {b"/m/a": value()}
-        fleet = EndpointView(sink, [Source(ETCD, has_partial_revisions=True)])
-        source = EtcdDiscovery(EtcdConfig((gateway.url,), "/m/"), fleet.handle)
+        endpoint_view = EndpointView(sink, [Source(ETCD, has_partial_revisions=True)])
+        source = EtcdDiscovery(EtcdConfig((gateway.url,), "/m/"), endpoint_view.handle)
         sink.failing = True
         source.start()
-        async with asyncio.timeout(WAIT):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             stream = await gateway.streams.get()
         stream.events((b"/m/b", value(2)))
         await until(lambda: "b" in sink.view)
@@ -84,19 +84,23 @@
     async def test() -> None:
         gateway, sink = await Gateway().start(), Sink()
         gateway.keys = {b"/m/a": value()}
-        fleet = EndpointView(sink, [Source("platform")])
-        others = (Source("platform"),)
-        part = EtcdComponent(
-            fleet, others, lambda config, seen: EtcdDiscovery(config, fleet.handle, resume_position=seen)
+        endpoint_view = EndpointView(sink, [Source("platform")])
+        other_sources = (Source("platform"),)
+        component = EtcdComponent(
+            endpoint_view,
+            other_sources,
+            lambda config, resume_position: EtcdDiscovery(
+                config, endpoint_view.handle, resume_position=resume_position
+            ),
         )
         settings = EtcdSettings(endpoints=(gateway.url,), prefix="/m/")
-        part.apply(on(settings))
+        component.apply(settings_with_etcd(settings))
         await until(lambda: list(sink.view) == ["a"])
         gateway.keys = {b"/other/b": value(2), b"/m/c": b'{"Op":0,"Addr":"10.0.0.1:3"}'}
-        part.apply(on(replace(settings, **change)))
+        component.apply(settings_with_etcd(replace(settings, **change)))
         await until(lambda: "a" not in sink.view)
         await until(lambda: len(sink.view) == 1)
-        part.stop()
+        component.stop()
         gateway.stop()
 
     run(test)
@@ -106,22 +110,28 @@
     async def test() -> None:
         gateway, sink = await Gateway().start(), Sink()
         gateway.keys = {b"/m/a": value(), b"/m/b": value(2)}
-        fleet = EndpointView(sink, [])
-        part = EtcdComponent(
-            fleet, (), lambda config, seen: EtcdDiscovery(config, fleet.handle, resume_position=seen)
+        endpoint_view = EndpointView(sink, [])
+        component = EtcdComponent(
+            endpoint_view,
+            (),
+            lambda config, resume_position: EtcdDiscovery(
+                config, endpoint_view.handle, resume_position=resume_position
+            ),
         )
         settings = EtcdSettings(endpoints=(gateway.url,), prefix="/m/")
-        part.apply(on(settings))
+        component.apply(settings_with_etcd(settings))
         await until(lambda: len(sink.view) == 2)
-        async with asyncio.timeout(WAIT):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             stream = await gateway.streams.get()
         gateway.keys, gateway.revision = {}, 11
-        ended = {"type": "DELETE", "kv": {"key": b64(b"/m/a"), "mod_revision": "11"}}
-        stream.line(events=[ended], fragment=True)
+        deletion = {"type": "DELETE", "kv": {"key": b64(b"/m/a"), "mod_revision": "11"}}
+        stream.line(events=[deletion], fragment=True)
         await until(lambda: list(sink.view) == ["b"])
-        part.apply(on(replace(settings, endpoints=(gateway.url.replace("127.0.0.1", "localhost"),))))
+        component.apply(
+            settings_with_etcd(replace(settings, endpoints=(gateway.url.replace("127.0.0.1", "localhost"),)))
+        )
         await until(lambda: not sink.view)
-        part.stop()
+        component.stop()
         gateway.stop()
 
     run(test)
@@ -130,14 +140,18 @@
 def test_peers_source_stays_last_when_etcd_is_added_and_removed() -> None:
     async def test() -> None:
         first = Source("platform")
-        fleet = EndpointView(Sink(), [first, gossiped_removals.gossip_source()])
-        part = EtcdComponent(
-            fleet, (first,), lambda config, seen: EtcdDiscovery(config, fleet.handle, resume_position=seen)
+        endpoint_view = EndpointView(Sink(), [first, gossiped_removals.gossip_source()])
+        component = EtcdComponent(
+            endpoint_view,
+            (first,),
+            lambda config, resume_position: EtcdDiscovery(
+                config, endpoint_view.handle, resume_position=resume_position
+            ),
         )
-        part.apply(on(EtcdSettings(endpoints=("http://127.0.0.1:9",), prefix="/m/")))
-        assert [*fleet.merger.sources] == ["platform", ETCD, "peers"]
-        part.apply(OperatorSettings())
-        assert [*fleet.merger.sources] == ["platform", "peers"]
+        component.apply(settings_with_etcd(EtcdSettings(endpoints=("http://127.0.0.1:9",), prefix="/m/")))
+        assert [*endpoint_view.merger.sources] == ["platform", ETCD, "peers"]
+        component.apply(OperatorSettings())
+        assert [*endpoint_view.merger.sources] == ["platform", "peers"]
 
     run(test)
 
@@ -146,16 +160,16 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     async def test() -> None:
-        sink, heard = Sink(), list[object]()
-        fleet = EndpointView(sink, [Source("platform")])
+        sink, received_events = Sink(), list[object]()
+        endpoint_view = EndpointView(sink, [Source("platform")])
 
-        def fails(event: object, actions: object) -> None:
+        def failing_listener(event: object, actions: object) -> None:
             raise KeyError
 
-        fleet.listeners += [fails, lambda event, actions: heard.append(event)]
-        fleet.handle(SourceConfirmedCurrent("platform"))
+        endpoint_view.listeners += [failing_listener, lambda event, actions: received_events.append(event)]
+        endpoint_view.handle(SourceConfirmedCurrent("platform"))
         assert (
-            heard == [SourceConfirmedCurrent("platform")]
+            received_events == [SourceConfirmedCurrent("platform")]
             and "a listener failed on SourceConfirmedCurrent" in caplog.text
         )
 
--- a/tests/net/test_etcd_discovery.py
+++ b/tests/net/test_etcd_discovery.py
@@ -1,4 +1,4 @@
-"""The source on sockets, against a small gateway that each test scripts: connections, log-ins, its end."""
+"""Tests of the etcd source on sockets against a scripted gateway: connections, authentication, shutdown."""
 
 from __future__ import annotations
 
@@ -29,17 +29,17 @@
 from balancer.net.discovery.etcd import EtcdDiscovery
 from balancer.protocol.etcd_entry import parse_entry
 
-WAIT = 20.0  # s until a test that waits for something that does not come fails
+WAIT_TIMEOUT_S = 20.0  # for any condition that a test waits for
 Loop = Callable[[], asyncio.AbstractEventLoop]
 LOOPS: list[Loop] = [asyncio.new_event_loop, uvloop.new_event_loop]
 Script = Callable[[str, dict[str, str], dict[str, Any]], bytes | None]
 
 
 def run(test: Callable[[], Awaitable[None]], loop: Loop = LOOPS[1]) -> None:
-    """Run a test's coroutine on the daemon's loop, with an end to it."""
+    """Run the coroutine of a test on an event loop, uvloop by default, with a timeout."""
 
     async def bounded() -> None:
-        async with asyncio.timeout(2 * WAIT):
+        async with asyncio.timeout(2 * WAIT_TIMEOUT_S):
             await test()
 
     with asyncio.Runner(loop_factory=loop) as runner:
@@ -54,11 +54,11 @@
     return json.dumps({"host_port": f"10.0.0.1:{port}", "phase": "in_service"}).encode()
 
 
-HANG_UP = b""
+CLOSE_CONNECTION = b""
 
 
 class Stream:
-    """A watch that is open."""
+    """An open watch of the gateway."""
 
     def __init__(self, gateway: Gateway, writer: asyncio.StreamWriter, start: int) -> None:
         self.gateway, self.writer, self.start = gateway, writer, start
@@ -70,7 +70,7 @@
         self.raw(json.dumps({"result": {"header": self.gateway.header} | result}).encode() + b"\n")
 
     def events(self, *events: tuple[bytes, bytes | None]) -> None:
-        """One revision's changes; None deletes."""
+        """Send the changes of one revision; the value None deletes a key."""
         self.gateway.revision += 1
         at = str(self.gateway.revision)
         rows: list[dict[str, Any]] = []
@@ -81,15 +81,16 @@
 
 
 class Gateway:
-    """Answers as etcd does with auth off; `script` may answer a call first, or hang up.
+    """Responds as etcd does without authentication; `script` may respond first or close the connection.
 
-    `asked` holds paths, headers (`nth`: of the calls on its connection) and bodies.
+    `requests` holds the path, headers and body of each request; the header `nth` is added and counts the
+    requests on the same connection.
     """
 
     def __init__(self) -> None:
         self.keys: dict[bytes, bytes] = {}
         self.revision, self.cluster = 10, "1"
-        self.asked: list[tuple[str, dict[str, str], dict[str, Any]]] = []
+        self.requests: list[tuple[str, dict[str, str], dict[str, Any]]] = []
         self.streams: asyncio.Queue[Stream] = asyncio.Queue()
         self.connections = 0
         self.writers: set[asyncio.StreamWriter] = set()
@@ -113,7 +114,7 @@
             writer.transport.abort()
 
     def count(self, path: str) -> int:
-        return sum(1 for asked in self.asked if asked[0] == path)
+        return sum(1 for request in self.requests if request[0] == path)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections += 1
@@ -124,8 +125,8 @@
                 fields = dict(line.lower().split(": ", 1) for line in head[1:] if line)
                 body = json.loads(await reader.readexactly(int(fields["content-length"])))
                 path, fields["nth"] = head[0].split(" ")[1], str(number)
-                self.asked.append((path, fields, body))
-                if (out := self.script(path, fields, body)) == HANG_UP:
+                self.requests.append((path, fields, body))
+                if (out := self.script(path, fields, body)) == CLOSE_CONNECTION:
                     break
                 if out is not None:
                     writer.write(out)
@@ -148,8 +149,8 @@
             return sized({"header": self.header, "count": str(len(found))})
         limit = body["limit"]
         rows = [{"key": b64(k), "value": b64(self.keys[k]), "mod_revision": "9"} for k in found[:limit]]
-        told = {"kvs": rows, "more": len(found) > limit, "count": str(len(found))}
-        return sized({"header": self.header} | told)
+        page = {"kvs": rows, "more": len(found) > limit, "count": str(len(found))}
+        return sized({"header": self.header} | page)
 
 
 def sized(body: dict[str, Any], status: str = "200 OK") -> bytes:
@@ -157,56 +158,56 @@
     return f"HTTP/1.1 {status}\r\nContent-Length: {len(data)}\r\n\r\n".encode() + data
 
 
-def refused(code: int, text: str, status: str = "400 Bad Request") -> bytes:
+def error_response(code: int, text: str, status: str = "400 Bad Request") -> bytes:
     return sized({"error": f"etcdserver: {text}", "message": f"etcdserver: {text}", "code": code}, status)
 
 
 class Rig:
-    """A source, and what it told."""
+    """A source and the events that it emitted."""
 
     def __init__(self, *gateways: Gateway | str, **more: Any) -> None:
         urls = tuple(g if isinstance(g, str) else g.url for g in gateways)
-        mine = {
+        source_options = {
             name: more.pop(name) for name in ("resume_position", "node_index", "node_count") if name in more
         }
-        self.told: asyncio.Queue[object] = asyncio.Queue()
+        self.events: asyncio.Queue[object] = asyncio.Queue()
         self.all: list[object] = []
         config = EtcdConfig(urls, more.pop("prefix", "/m/"), **more)
-        self.source = EtcdDiscovery(config, self._emit, rng=random.Random(0), **mine)
+        self.source = EtcdDiscovery(config, self._emit, rng=random.Random(0), **source_options)
         self.source.start()
 
     def _emit(self, event: object) -> None:
         self.all.append(event)
-        self.told.put_nowait(event)
+        self.events.put_nowait(event)
 
     async def next(self, kind: type) -> Any:
-        async with asyncio.timeout(WAIT):
-            while not isinstance(event := await self.told.get(), kind):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
+            while not isinstance(event := await self.events.get(), kind):
                 pass
             return event
 
-    def first(self, number: int) -> None:
-        """Ask this endpoint first."""
+    def use_first(self, number: int) -> None:
+        """Make this endpoint the first one to be used."""
         self.source.watcher.state.selection.endpoint_order = sorted(
             self.source.watcher.state.selection.endpoint_order, key=lambda i: i != number
         )
 
 
-async def until(true: Callable[[], bool]) -> None:
-    async with asyncio.timeout(WAIT):
-        while not true():
+async def until(condition: Callable[[], bool]) -> None:
+    async with asyncio.timeout(WAIT_TIMEOUT_S):
+        while not condition():
             await asyncio.sleep(0.005)
 
 
 @pytest.fixture(autouse=True)
 def _quick(monkeypatch: pytest.MonkeyPatch) -> Iterator[None]:
-    """Check often, so that tests need not wait."""
+    """Check endpoints often, so that tests do not wait."""
     monkeypatch.setattr(limits, "CHECK_INTERVAL_MS", 30.0)
     yield
 
 
 @pytest.mark.parametrize("loop", LOOPS)
-def test_pages_then_a_watch_over_two_connections(loop: Loop) -> None:
+def test_source_reads_pages_then_watches_over_two_connections(loop: Loop) -> None:
     async def test() -> None:
         gateway = await Gateway().start()
         gateway.keys = {b"/m/s-%04d" % i: value(i + 1) for i in range(1200)} | {b"/m/a/b": value()}
@@ -228,7 +229,7 @@
     run(test, loop)
 
 
-def test_a_deletion_that_the_watch_never_tells_is_found_by_a_count(
+def test_deletion_missing_from_the_watch_is_found_by_the_key_count(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     monkeypatch.setattr(limits, "AUDIT_INTERVAL_MS", 50.0)
@@ -239,7 +240,7 @@
         rig = Rig(gateway)
         await rig.next(EndpointsListed)
         stream = await gateway.streams.get()
-        del gateway.keys[b"/m/a"]  # compacted away at its own revision: the watch says nothing of it
+        del gateway.keys[b"/m/a"]  # compacted at its own revision, so the watch does not report it
         gateway.revision += 1
         stream.events((b"/m/b", value(3)))
         assert (await rig.next(EndpointsListed)).endpoint_list.removed_ids == ()
@@ -252,14 +253,14 @@
     run(test)
 
 
-def test_stop_closes_all_and_start_goes_on_from_what_was_seen() -> None:
+def test_stop_closes_connections_and_start_resumes_from_the_last_revision() -> None:
     async def test() -> None:
         gateway = await Gateway().start()
         rig = Rig(gateway)
         await rig.next(SourceConfirmedCurrent)
         rig.source.stop()
         rig.source.stop()
-        told = len(rig.all)
+        event_count = len(rig.all)
         await until(lambda: not gateway.writers)
         gateway.revision = 9
         rig.source.start()
@@ -268,18 +269,18 @@
         gateway.revision = 11
         assert (await rig.next(EndpointsListed)).endpoint_list.revision == 11
         rig.source.stop()
-        assert [type(e) for e in rig.all[told:]][:2] == [SourceLost, EndpointsListed]
+        assert [type(e) for e in rig.all[event_count:]][:2] == [SourceLost, EndpointsListed]
         gateway.stop()
 
     run(test)
 
 
-def test_a_kept_connection_that_was_closed_meanwhile_costs_nothing() -> None:
+def test_call_on_a_closed_idle_connection_is_repeated() -> None:
     async def test() -> None:
         gateway = await Gateway().start()
         gateway.keys = {b"/m/s-%04d" % i: value(i + 1) for i in range(1200)}
-        # Each call crosses the close of what was an idle connection.
-        gateway.script = lambda path, head, body: HANG_UP if head["nth"] != "0" else None
+        # The gateway closes an idle connection at the moment the next call is sent.
+        gateway.script = lambda path, head, body: CLOSE_CONNECTION if head["nth"] != "0" else None
         rig = Rig(gateway)
         await rig.next(SourceConfirmedCurrent)
         await rig.next(SourceConfirmedCurrent)
@@ -294,7 +295,7 @@
     run(test)
 
 
-def test_a_watch_that_just_ends_is_taken_up_where_it_was() -> None:
+def test_watch_that_ends_is_resumed_at_its_revision() -> None:
     async def test() -> None:
         gateway = await Gateway().start()
         rig = Rig(gateway)
@@ -309,54 +310,56 @@
                 stream.raw(cut)
             stream.writer.close()
         assert (await gateway.streams.get()).start == 13
-        assert sum(1 for path, _, body in gateway.asked if "range_end" in body) == 1
+        assert sum(1 for path, _, body in gateway.requests if "range_end" in body) == 1
         rig.source.stop()
         gateway.stop()
 
     run(test)
 
 
-def test_an_answer_that_trickles_and_one_that_never_ends(caplog: pytest.LogCaptureFixture) -> None:
+def test_endpoint_with_an_incomplete_response_is_abandoned(caplog: pytest.LogCaptureFixture) -> None:
     async def test() -> None:
-        slow, good = await Gateway().start(), await Gateway().start()
-        good.keys = {b"/m/a": value()}
+        slow, healthy = await Gateway().start(), await Gateway().start()
+        healthy.keys = {b"/m/a": value()}
         slow.script = lambda path, head, body: slow.page(body)[:-1] if "range_end" in body else None
-        rig = Rig(slow, good)
-        rig.first(0)
-        begun = asyncio.get_running_loop().time()
+        rig = Rig(slow, healthy)
+        rig.use_first(0)
+        start_s = asyncio.get_running_loop().time()
         assert (await rig.next(EndpointsListed)).endpoint_list.records[0].id == "a"
-        assert asyncio.get_running_loop().time() - begun < 5
+        assert asyncio.get_running_loop().time() - start_s < 5
         assert "abandoned: no answer in 3000 ms while listing" in caplog.text and slow.url in caplog.text
         await until(lambda: not slow.writers)
         rig.source.stop()
-        for gateway in (slow, good):
+        for gateway in (slow, healthy):
             gateway.stop()
 
     run(test)
 
 
-def test_an_endpoint_that_is_not_there_and_one_that_shakes_no_hands() -> None:
+def test_unreachable_endpoint_or_missing_tls_handshake_selects_another_endpoint() -> None:
     async def test() -> None:
-        good, gone = await Gateway().start(), await Gateway().start()
-        gone.stop()
-        mute = await asyncio.start_server(lambda reader, writer: asyncio.sleep(WAIT), "127.0.0.1", 0)
-        silent = f"https://127.0.0.1:{mute.sockets[0].getsockname()[1]}"
-        rig = Rig(gone.url, silent, good)
-        rig.first(1)
-        begun = asyncio.get_running_loop().time()
+        healthy, unreachable = await Gateway().start(), await Gateway().start()
+        unreachable.stop()
+        silent_server = await asyncio.start_server(
+            lambda reader, writer: asyncio.sleep(WAIT_TIMEOUT_S), "127.0.0.1", 0
+        )
+        silent_url = f"https://127.0.0.1:{silent_server.sockets[0].getsockname()[1]}"
+        rig = Rig(unreachable.url, silent_url, healthy)
+        rig.use_first(1)
+        start_s = asyncio.get_running_loop().time()
         await rig.next(EndpointsListed)
-        assert asyncio.get_running_loop().time() - begun < 5
+        assert asyncio.get_running_loop().time() - start_s < 5
         rig.source.stop()
-        rig = Rig(silent)
+        rig = Rig(silent_url)
         assert "no connection: timed out" in (await rig.next(SourceLost)).reason
         rig.source.stop()
-        mute.close()
-        good.stop()
+        silent_server.close()
+        healthy.stop()
 
     run(test)
 
 
-def test_an_endpoint_may_be_a_name_and_say_that_it_ends_each_connection() -> None:
+def test_endpoint_with_host_name_and_connection_close_is_used() -> None:
     async def test() -> None:
         gateway = await Gateway().start()
         ends = b"Connection: close\r\nContent-Length"
@@ -366,33 +369,46 @@
         rig = Rig(gateway.url.replace("127.0.0.1", "localhost"))
         for _ in range(3):
             await rig.next(SourceConfirmedCurrent)
-        assert gateway.asked[0][1]["host"].startswith("localhost:") and gateway.connections >= 5
+        assert gateway.requests[0][1]["host"].startswith("localhost:") and gateway.connections >= 5
         rig.source.stop()
         gateway.stop()
 
     run(test)
 
 
-def test_a_refused_list_is_asked_for_again_at_a_turn_of_its_own() -> None:
-    """Not before the advice, nor right then, as others were refused, too: 100 nodes take 125 ms, then 250."""
+def test_rejected_snapshot_is_retried_in_the_time_slot_of_the_node() -> None:
+    """Retries wait for Retry-After plus a time slot, since other nodes were rejected as well.
+
+    The slots of 100 nodes span 125 ms at first and then 250 ms.
+    """
 
     async def test() -> None:
-        gateway, asked = await Gateway().start(), list[float]()
+        gateway, request_times_s = await Gateway().start(), list[float]()
 
         def script(path: str, head: dict[str, str], body: dict[str, Any]) -> bytes | None:
             if "range_end" not in body:
                 return None
-            asked.append(asyncio.get_running_loop().time())
-            busy = refused(8, "too many requests", "429 Too Many Requests").partition(b"\r\n")
-            return b"%b\r\nRetry-After: 1\r\n%b" % (busy[0], busy[2]) if len(asked) == 1 else None
+            request_times_s.append(asyncio.get_running_loop().time())
+            response_parts = error_response(8, "too many requests", "429 Too Many Requests").partition(
+                b"\r\n"
+            )
+            return (
+                b"%b\r\nRetry-After: 1\r\n%b" % (response_parts[0], response_parts[2])
+                if len(request_times_s) == 1
+                else None
+            )
 
         gateway.script = script
-        begun = asyncio.get_running_loop().time()
+        start_s = asyncio.get_running_loop().time()
         rig = Rig(gateway, bears=1_000, node_index=1, node_count=100)
         await rig.next(EndpointsListed)
-        assert len(asked) == 2 and asked[0] - begun >= 0.07 and asked[1] - asked[0] >= 1.14
+        assert (
+            len(request_times_s) == 2
+            and request_times_s[0] - start_s >= 0.07
+            and request_times_s[1] - request_times_s[0] >= 1.14
+        )
         rig.source.stop()
-        # The first of the nodes, and one that is alone, ask at once.
+        # The first node and a single node start at once.
         assert (
             Rig(gateway, bears=1, node_index=0, node_count=100).source.watcher.phase is WatcherPhase.CHECKING
         )
@@ -402,13 +418,13 @@
     run(test)
 
 
-def test_garbage_in_the_watch_is_followed_by_a_whole_list() -> None:
+def test_invalid_watch_data_is_followed_by_a_snapshot() -> None:
     async def test() -> None:
         gateway = await Gateway().start()
         rig = Rig(gateway)
         await rig.next(EndpointsListed)
-        for spoil in (b"{what?}\n", b'{"result":{}}\n', b" " * (9 << 20)):
-            (await gateway.streams.get()).raw(spoil)
+        for invalid_data in (b"{what?}\n", b'{"result":{}}\n', b" " * (9 << 20)):
+            (await gateway.streams.get()).raw(invalid_data)
             gateway.revision += 1
             listing = (await rig.next(EndpointsListed)).endpoint_list
             assert listing.is_complete and listing.revision == gateway.revision
@@ -418,7 +434,7 @@
     run(test)
 
 
-def test_a_canceled_watch_is_closed_by_this_side() -> None:
+def test_canceled_watch_is_closed_by_the_source() -> None:
     async def test() -> None:
         gateway = await Gateway().start()
         rig = Rig(gateway)
@@ -435,8 +451,8 @@
     run(test)
 
 
-class Locked:
-    """A gateway's script: auth is on, tokens are counted, `valid` is the one let in."""
+class AuthenticationScript:
+    """A gateway script with authentication on: counts logins and accepts only the token `valid`."""
 
     def __init__(self, password: str = "secret-1") -> None:
         self.password, self.logins, self.valid = password, 0, ""
@@ -444,29 +460,29 @@
     def __call__(self, path: str, head: dict[str, str], body: dict[str, Any]) -> bytes | None:
         if path == "/v3/auth/authenticate":
             if body != {"name": "reader", "password": self.password}:
-                return refused(3, "authentication failed, invalid user ID or password")
+                return error_response(3, "authentication failed, invalid user ID or password")
             self.logins += 1
             self.valid = f"token.{self.logins}"
             return sized({"header": {}, "token": self.valid})
         if "authorization" not in head:
-            return refused(3, "user name is empty")
-        ok = head["authorization"] == self.valid
-        return None if ok else refused(16, "invalid auth token", "401 Unauthorized")
+            return error_response(3, "user name is empty")
+        is_valid = head["authorization"] == self.valid
+        return None if is_valid else error_response(16, "invalid auth token", "401 Unauthorized")
 
 
-def test_a_token_is_renewed_and_the_watch_left_alone(caplog: pytest.LogCaptureFixture) -> None:
+def test_expired_token_is_renewed_without_restarting_the_watch(caplog: pytest.LogCaptureFixture) -> None:
     async def test() -> None:
         gateway = await Gateway().start()
-        gateway.script = locked = Locked()
+        gateway.script = authentication = AuthenticationScript()
         rig = Rig(gateway, user="reader", password="secret-1")
         await rig.next(SourceConfirmedCurrent)
-        assert locked.logins == 1
-        locked.valid = "another"
-        await until(lambda: locked.logins == 2)
+        assert authentication.logins == 1
+        authentication.valid = "another"
+        await until(lambda: authentication.logins == 2)
         rig.all.clear()
         await rig.next(SourceConfirmedCurrent)
         await rig.next(SourceConfirmedCurrent)
-        assert locked.logins == 2 and gateway.count("/v3/watch") == 1
+        assert authentication.logins == 2 and gateway.count("/v3/watch") == 1
         assert SourceLost not in map(type, rig.all)
         rig.source.stop()
         gateway.stop()
@@ -476,17 +492,17 @@
     assert "secret-1" not in caplog.text and "token." not in caplog.text
 
 
-def test_auth_that_is_turned_on_later() -> None:
+def test_authentication_enabled_later_is_followed_by_a_login() -> None:
     async def test() -> None:
         gateway = await Gateway().start()
         gateway.script = lambda path, head, body: (
-            refused(9, "authentication is not enabled") if path == "/v3/auth/authenticate" else None
+            error_response(9, "authentication is not enabled") if path == "/v3/auth/authenticate" else None
         )
         rig = Rig(gateway, user="reader", password="secret-1")
         await rig.next(SourceConfirmedCurrent)
         assert gateway.count("/v3/auth/authenticate") == 1
-        gateway.script = locked = Locked()
-        await until(lambda: locked.logins == 1)
+        gateway.script = authentication = AuthenticationScript()
+        await until(lambda: authentication.logins == 1)
         await rig.next(SourceConfirmedCurrent)
         rig.source.stop()
         gateway.stop()
@@ -494,16 +510,16 @@
     run(test)
 
 
-def test_a_wrong_password_is_said_and_never_shown(caplog: pytest.LogCaptureFixture) -> None:
+def test_wrong_password_is_reported_but_not_logged(caplog: pytest.LogCaptureFixture) -> None:
     async def test() -> None:
         gateway = await Gateway().start()
-        gateway.script = Locked("another")
+        gateway.script = AuthenticationScript("another")
         rig = Rig(gateway, user="reader", password="secret-1")
-        told = await rig.next(SourceRejected)
-        assert "authentication failed" in told.reason
+        rejection = await rig.next(SourceRejected)
+        assert "authentication failed" in rejection.reason
         assert "secret-1" not in repr(rig.source.config) + repr(rig.source.watcher) + repr(rig.all)
         await asyncio.sleep(1)
-        assert gateway.count("/v3/auth/authenticate") < 8  # with back-off, from 0.2 s on
+        assert gateway.count("/v3/auth/authenticate") < 8  # with backoff, starting at 0.2 s
         assert len([e for e in rig.all if isinstance(e, SourceRejected)]) == 1
         rig.source.stop()
         gateway.stop()
@@ -513,10 +529,10 @@
     assert "secret-1" not in caplog.text and "authentication failed" in caplog.text
 
 
-def test_nobody_to_log_in_as() -> None:
+def test_missing_user_rejects_the_source() -> None:
     async def test() -> None:
         gateway = await Gateway().start()
-        gateway.script = Locked()
+        gateway.script = AuthenticationScript()
         rig = Rig(gateway)
         assert "user name is empty" in (await rig.next(SourceRejected)).reason
         rig.source.stop()
@@ -525,10 +541,10 @@
     run(test)
 
 
-def test_ten_thousand_members_are_read_in_slices(monkeypatch: pytest.MonkeyPatch) -> None:
-    read, most = 0, [0]
+def test_ten_thousand_members_are_parsed_in_slices(monkeypatch: pytest.MonkeyPatch) -> None:
+    read, max_parsed_per_turn = 0, [0]
 
-    def counted(*args: Any) -> Any:
+    def counting_parse(*args: Any) -> Any:
         nonlocal read
         read += 1
         return parse_entry(*args)
@@ -536,7 +552,7 @@
     async def turns() -> None:
         nonlocal read
         while True:
-            most[0], read = max(most[0], read), 0
+            max_parsed_per_turn[0], read = max(max_parsed_per_turn[0], read), 0
             await asyncio.sleep(0)
 
     async def test() -> None:
@@ -545,35 +561,35 @@
         ticker = asyncio.ensure_future(turns())
         rig = Rig(gateway)
         assert len((await rig.next(EndpointsListed)).endpoint_list.records) == 10_000
-        assert most[0] <= etcd.PARSE_SLICE_ENTRIES
+        assert max_parsed_per_turn[0] <= etcd.PARSE_SLICE_ENTRIES
         (await gateway.streams.get()).events(*((key, None) for key in gateway.keys))
-        gone: set[str] = set()
-        while len(gone) < 10_000:
-            gone |= set((await rig.next(EndpointsListed)).endpoint_list.removed_ids)
-        assert most[0] < 10_000
+        removed_ids: set[str] = set()
+        while len(removed_ids) < 10_000:
+            removed_ids |= set((await rig.next(EndpointsListed)).endpoint_list.removed_ids)
+        assert max_parsed_per_turn[0] < 10_000
         ticker.cancel()
         rig.source.stop()
         gateway.stop()
 
-    monkeypatch.setattr("balancer.net.discovery.etcd.parse_entry", counted)
+    monkeypatch.setattr("balancer.net.discovery.etcd.parse_entry", counting_parse)
     monkeypatch.setattr(limits, "CHECK_INTERVAL_MS", 1000.0)
     run(test)
 
 
-def test_settings_that_make_no_sense(tmp_path: Path) -> None:
-    rubbish = tmp_path / "rubbish.pem"
-    rubbish.write_text("rubbish")
-    told: list[object] = []
+def test_invalid_settings_raise(tmp_path: Path) -> None:
+    invalid_file = tmp_path / "rubbish.pem"
+    invalid_file.write_text("rubbish")
+    events: list[object] = []
 
     def make(url: str = "https://h:1", **more: Any) -> EtcdDiscovery:
-        return EtcdDiscovery(EtcdConfig((url,), "/m/", **more), told.append)
+        return EtcdDiscovery(EtcdConfig((url,), "/m/", **more), events.append)
 
     make()
-    for ca in (str(rubbish), str(tmp_path / "none.pem")):
+    for ca in (str(invalid_file), str(tmp_path / "none.pem")):
         with pytest.raises(ValueError, match=r"ca .*pem"):
             make(ca=ca)
     with pytest.raises(ValueError, match=r"cert .*rubbish"):
-        make(cert=str(rubbish), key=str(rubbish))
+        make(cert=str(invalid_file), key=str(invalid_file))
     bad = ("", "h:1", "http://h", "ftp://h:1", "http://h:99999", "http://h:1/v3", "http://:1", "http://[::1")
     for url in bad:
         with pytest.raises(ValueError, match="HOST:PORT"):
@@ -582,12 +598,12 @@
         make("http://reader:secret-1@h:1")
     assert "secret-1" not in str(caught.value)
     assert parse_endpoint_url("https://[::1]:2379/") == ("::1", 2379, True)
-    with pytest.raises(ValueError, match="no endpoint"):
-        EtcdDiscovery(EtcdConfig((), "/m/"), told.append)
+    with pytest.raises(ValueError, match="the etcd watcher needs at least one endpoint"):
+        EtcdDiscovery(EtcdConfig((), "/m/"), events.append)
 
 
-def test_a_name_that_no_look_up_takes_is_said(caplog: pytest.LogCaptureFixture) -> None:
-    """Guards against a traceback, and an endpoint that is left for a reason that is not its own."""
+def test_invalid_host_name_is_reported_as_no_connection(caplog: pytest.LogCaptureFixture) -> None:
+    """Guards against a traceback, and against reporting the wrong reason for an unusable endpoint."""
 
     async def test() -> None:
         rig = Rig("http://a..b:1", "http://" + "x" * 64 + ":1")
@@ -600,21 +616,21 @@
     assert not caplog.records
 
 
-def test_a_log_in_beside_a_read_that_hangs_leaves_no_connection_behind() -> None:
+def test_login_during_a_hanging_read_leaves_no_connection_open() -> None:
     async def test() -> None:
-        gateway, held = await Gateway().start(), False
+        gateway, is_hanging = await Gateway().start(), False
 
         def script(path: str, head: dict[str, str], body: dict[str, Any]) -> bytes | None:
             if path == "/v3/auth/authenticate":
                 return sized({"header": gateway.header, "token": "t"})
-            return b"HTTP/1.1 100 Continue\r\n\r\n" if held else None
+            return b"HTTP/1.1 100 Continue\r\n\r\n" if is_hanging else None
 
         gateway.script = script
         rig = Rig(gateway, user="u", password="p")
-        async with asyncio.timeout(WAIT):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             stream = await gateway.streams.get()
         await rig.next(SourceConfirmedCurrent)
-        held, count = True, gateway.count("/v3/kv/range")
+        is_hanging, count = True, gateway.count("/v3/kv/range")
         await until(lambda: gateway.count("/v3/kv/range") > count)
         stream.line(canceled=True, cancel_reason="etcdserver: invalid auth token")
         await until(lambda: gateway.count("/v3/watch") == 2)
--- a/tests/net/test_other_deployments.py
+++ b/tests/net/test_other_deployments.py
@@ -1,4 +1,4 @@
-"""Settings of other customers, on real sockets: any names, probes allowed, all else forbidden."""
+"""Tests on sockets of settings from other deployments: class names, allowed probes, minimal features."""
 
 from __future__ import annotations
 
@@ -18,46 +18,46 @@
 
 
 def classes(*names: str) -> list[dict[str, Any]]:
-    """Classes of these names, of all effects in turn."""
+    """Return classes with these names, cycling through all effects."""
     return [
         {
             "name": name,
-            "effect": EFFECTS[at % 3],
+            "effect": EFFECTS[index % 3],
             "group": "all",
             "memory-span": 3000,
             "give-up": 4000,
             "objective": 3000,
         }
-        for at, name in enumerate(names)
+        for index, name in enumerate(names)
     ]
 
 
-def test_classes_of_any_name_are_served(tmp_path: Path) -> None:
-    """Whatever the class is called a backend's answer comes; `/up` without an id is the front's question."""
+def test_request_of_a_class_with_any_name_is_served(tmp_path: Path) -> None:
+    """Requests reach a backend under any class name; only `/up` without a request id is a health check."""
 
     async def test() -> None:
         backend = Backend("b0")
         await backend.start()
-        over = {"request-classes": classes(*NAMES)}
-        async with fronting(tmp_path, backend.member(), **over) as front:
-            client = Client(*await asyncio.open_connection(*front.address))
-            for row in over["request-classes"]:
+        overrides = {"request-classes": classes(*NAMES)}
+        async with fronting(tmp_path, backend.member(), **overrides) as server:
+            client = Client(*await asyncio.open_connection(*server.address))
+            for row in overrides["request-classes"]:
                 target = f"/{quote(row['name'], safe='')}"
                 for rest in ("", "?obj=7", "/x/y"):
                     method = "GET" if row["effect"] == "retryable" else "POST"
                     key = ["Idempotency-Key: k"] if row["effect"] == "dedup" else []
                     name = client.send(target + rest, *key, method=method)
-                    got = await client.answer()
-                    assert (got.code, got.body) == (200, f"b0 {name}".encode()), row["name"]
+                    response = await client.answer()
+                    assert (response.code, response.body) == (200, f"b0 {name}".encode()), row["name"]
                     assert (await backend.got.get()).start == f"{method} {target}{rest} HTTP/1.1"
             client.writer.write(b"GET /up HTTP/1.1\r\n\r\n")
             assert (await client.answer()).body == b"up\n" and backend.got.empty()
             client.send("/none")
             assert (await client.answer()).code == 404
-            up = "/up HTTP/1.1\r\n"
-            for lacks_its_id in ("/up?obj=7 HTTP/1.1", f"{up}Tenant: t", f"{up}Request-Timeout: 9m"):
-                other = Client(*await asyncio.open_connection(*front.address))
-                other.writer.write(f"GET {lacks_its_id}\r\n\r\n".encode())
+            up_line = "/up HTTP/1.1\r\n"
+            for start_line in ("/up?obj=7 HTTP/1.1", f"{up_line}Tenant: t", f"{up_line}Request-Timeout: 9m"):
+                other = Client(*await asyncio.open_connection(*server.address))
+                other.writer.write(f"GET {start_line}\r\n\r\n".encode())
                 assert (await other.answer()).code == 400
                 other.writer.transport.abort()
             client.writer.transport.abort()
@@ -68,28 +68,30 @@
 
 @pytest.mark.parametrize("rest", ["", "/x", "?obj=ø", "/%C3%B8?obj=%"])
 @pytest.mark.parametrize("name", ["日本", "høyvann/idag", "a/b"])
-def test_names_sent_as_they_stand_go_on_unchanged(tmp_path: Path, name: str, rest: str) -> None:
-    """Cut anywhere, with another request behind it on the connection, and letters of a body left alone."""
+def test_unescaped_target_is_forwarded_unchanged(tmp_path: Path, name: str, rest: str) -> None:
+    """Also when the request is split at any byte, is followed by another one, or has a non-ASCII body."""
 
     async def test() -> None:
         backend = Backend("b0")
         await backend.start()
         target = f"/{name}{rest}".encode()
-        over = {"request-classes": classes("x", name)}
-        async with fronting(tmp_path, backend.member(), **over) as front:
-            client = Client(*await asyncio.open_connection(*front.address))
+        overrides = {"request-classes": classes("x", name)}
+        async with fronting(tmp_path, backend.member(), **overrides) as server:
+            client = Client(*await asyncio.open_connection(*server.address))
             body = "ø\nø HTTP/1.1\n".encode()
             text = b"POST %b HTTP/1.1\r\nRequest-Id: 99\r\nIdempotency-Key: \xc3\xb8\r\n" % target
             text += b"Content-Length: %d\r\n\r\n" % len(body)
             cuts = (0, 1, 5, 1, 2, 3, 6, 7, 8, len(target) + 4, len(target) + 6, len(text))
             for number, cut in enumerate(cuts, 10):
-                empty = b"\r\n" if number in (10, 12, 13, 14, 15) else b""  # some clients begin so
+                empty = (
+                    b"\r\n" if number in (10, 12, 13, 14, 15) else b""
+                )  # some clients send an empty line first
                 whole = empty + text.replace(b": 99", b": %d" % number) + body
                 client.writer.write(whole[:cut])
                 await asyncio.sleep(0.002)
                 client.writer.write(whole[cut:])
-                got = await client.answer()
-                assert (got.code, got.body) == (200, b"b0 %d" % number)
+                response = await client.answer()
+                assert (response.code, response.body) == (200, b"b0 %d" % number)
                 sent = await backend.got.get()
                 assert sent.start.encode("latin-1") == b"POST %b HTTP/1.1" % target and sent.body == body
             client.writer.transport.abort()
@@ -98,47 +100,45 @@
     run(test)
 
 
-def test_line_ends_without_a_request_hold_no_memory(tmp_path: Path) -> None:
-    """The parser passes over them, and so no header is too long."""
+def test_empty_lines_before_a_request_are_not_buffered(tmp_path: Path) -> None:
+    """Guards against unbounded buffering: the parser skips empty lines, so no header limit applies."""
 
     async def test() -> None:
-        async with fronting(tmp_path, Backend("b0", port=9).member()) as front:
-            client = Client(*await asyncio.open_connection(*front.address))
+        async with fronting(tmp_path, Backend("b0", port=9).member()) as server:
+            client = Client(*await asyncio.open_connection(*server.address))
             for _ in range(20):
                 client.writer.write(b"\r" * 65536)
                 await client.writer.drain()
             client.writer.write(b"\nGET /up HTTP/1.1\r\n\r\n")
             assert (await client.answer()).body == b"up\n"
-            (connection,) = front.connections
+            (connection,) = server.connections
             assert len(connection.line) == 0
             client.writer.write(b"\r" * 12_000 + b"\nGET /up")
             await until(lambda: connection.mid)
-            assert connection.line == b"GET /up"  # nothing of what came before it
+            assert connection.line == b"GET /up"  # the empty lines are not kept
             client.writer.write(b" HTTP/1.1\r\n\r\n")
             assert (await client.answer()).body == b"up\n"
-            client.writer.write(b"GET /" + b"x" * 65536)  # a line without an end is bounded, too
+            client.writer.write(b"GET /" + b"x" * 65536)  # an endless line is bounded as well
             assert (await client.answer()).code == 431
-            assert (
-                len(connection.line) <= MAX_HEAD_BYTES + 256 * 1024
-            )  # one read more than what a head may be
+            assert len(connection.line) <= MAX_HEAD_BYTES + 256 * 1024  # the head limit plus one read
             client.writer.transport.abort()
 
     run(test)
 
 
-def test_what_a_request_line_is_taken_for_is_its_own(tmp_path: Path) -> None:
-    """Guards against sending one request on with a target that another one, or a header, had."""
+def test_request_line_is_not_taken_from_another_request(tmp_path: Path) -> None:
+    """Guards against forwarding a request with the target of another request or of a header."""
 
     async def test() -> None:
         backend = Backend("b0")
         await backend.start()
-        async with fronting(tmp_path, backend.member()) as front:
-            client = Client(*await asyncio.open_connection(*front.address))
+        async with fronting(tmp_path, backend.member()) as server:
+            client = Client(*await asyncio.open_connection(*server.address))
             client.writer.write("GET /up?ø HTTP/1.1\r\n\r\n".encode())
             assert (await client.answer()).body == b"up\n"
             assert (await client.ask("/read/x")).code == 200
             assert (await backend.got.get()).start == "GET /read/x HTTP/1.1"
-            # Behind another in one packet; its headers come alone, and look like a line with letters.
+            # A pipelined request whose headers arrive separately and resemble a non-ASCII request line.
             client.writer.write(b"GET /up HTTP/1.1\r\n\r\nGET /read/y HTTP/1.1\r\n")
             assert (await client.answer()).body == b"up\n"
             client.writer.write("Tenant: fjell sjø\r\nRequest-Id: 7\r\n\r\n".encode())
@@ -150,18 +150,18 @@
     run(test)
 
 
-LOOSE = ["GET /read?ø\r\n", "GET  /read?ø HTTP/1.1\r\n", "GET /read?ø  HTTP/1.1\r\n"]
+MALFORMED_REQUEST_LINES = ["GET /read?ø\r\n", "GET  /read?ø HTTP/1.1\r\n", "GET /read?ø  HTTP/1.1\r\n"]
 
 
-@pytest.mark.parametrize("line", LOOSE)
-def test_a_loose_request_line_goes_on_with_its_target_alone(tmp_path: Path, line: str) -> None:
-    """Guards against a line end within the line to a backend, and a target that no client sent."""
+@pytest.mark.parametrize("line", MALFORMED_REQUEST_LINES)
+def test_malformed_request_line_is_forwarded_with_its_target_only(tmp_path: Path, line: str) -> None:
+    """Guards against forwarding a line end inside the request line, or a target that no client sent."""
 
     async def test() -> None:
         backend = Backend("b0")
         await backend.start()
-        async with fronting(tmp_path, backend.member()) as front:
-            client = Client(*await asyncio.open_connection(*front.address))
+        async with fronting(tmp_path, backend.member()) as server:
+            client = Client(*await asyncio.open_connection(*server.address))
             client.writer.write(line.encode() + b"Request-Id: 8\r\n\r\n")
             assert (await client.answer()).code == 200
             sent = await backend.got.get()
@@ -173,20 +173,20 @@
 
 
 @pytest.mark.parametrize("how", ["inline", "on_probe", "off"])
-def test_where_probes_are_allowed_nothing_waits_for_one(tmp_path: Path, how: str) -> None:
-    """The node carries out none: a request that waited for one would be answered only when it is overdue."""
+def test_request_with_probes_allowed_waits_for_none(tmp_path: Path, how: str) -> None:
+    """The node sends no probes: a request waiting for one would be answered only after its deadline."""
 
     async def test() -> None:
         backend = Backend("b0")
         await backend.start()
-        over: dict[str, Any] = {
+        overrides: dict[str, Any] = {
             "limits": LIMITS | {"probing": True},
             "charges": {"probe": 0.001},
             "load-info": {"how": how, "names": ["active"]},
         }
-        async with fronting(tmp_path, backend.member(), **over) as front:
-            assert not front.node.balancer.probing_enabled
-            client = Client(*await asyncio.open_connection(*front.address))
+        async with fronting(tmp_path, backend.member(), **overrides) as server:
+            assert not server.node.balancer.probing_enabled
+            client = Client(*await asyncio.open_connection(*server.address))
             assert (await client.ask("/read")).code == 200
             assert backend.got.qsize() == 1
             client.writer.transport.abort()
@@ -196,21 +196,21 @@
 
 
 @pytest.mark.parametrize(("target", "code"), [("/once", 502), ("/read", 503)])
-def test_a_request_where_all_is_forbidden(tmp_path: Path, target: str, code: int) -> None:
-    """One attempt, nothing called off, no advice when to return, no zones, no reports."""
+def test_request_with_all_features_disabled_gets_one_attempt(tmp_path: Path, target: str, code: int) -> None:
+    """One attempt, no cancellation, no Retry-After, no zones and no load reports."""
 
     async def test() -> None:
-        async def breaks(backend: Backend, message: Any, writer: asyncio.StreamWriter) -> None:
+        async def reset_connection(backend: Backend, message: Any, writer: asyncio.StreamWriter) -> None:
             writer.transport.abort()
 
-        backend = Backend("b0", breaks)
+        backend = Backend("b0", reset_connection)
         await backend.start()
         limits = {"cancel": False, "most-tries": 1, "retry-after": False, "conn-idle": 300}
-        over = {"limits": limits, "load-info": {"how": "off"}, "zone": "", "weight-source": "off"}
-        async with fronting(tmp_path, backend.member(locality=""), **over) as front:
-            client = Client(*await asyncio.open_connection(*front.address))
-            got = await client.ask(target, method="POST" if target == "/once" else "GET")
-            assert got.code == code and "retry-after" not in got.headers
+        overrides = {"limits": limits, "load-info": {"how": "off"}, "zone": "", "weight-source": "off"}
+        async with fronting(tmp_path, backend.member(locality=""), **overrides) as server:
+            client = Client(*await asyncio.open_connection(*server.address))
+            response = await client.ask(target, method="POST" if target == "/once" else "GET")
+            assert response.code == code and "retry-after" not in response.headers
             assert backend.got.qsize() == 1
             client.writer.transport.abort()
         backend.stop()
--- a/tests/net/test_platform_discovery.py
+++ b/tests/net/test_platform_discovery.py
@@ -1,4 +1,4 @@
-"""The platform's discovery as a source, on sockets: exceptions and answers of no use."""
+"""Tests of the platform source on sockets: exceptions and responses without a usable list."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
 )
 from balancer.endpoints import EndpointListParser
 from balancer.net.discovery.platform import PlatformSource
-from tests.net.test_etcd_discovery import WAIT, run, until
+from tests.net.test_etcd_discovery import WAIT_TIMEOUT_S, run, until
 from tests.sockets import FakeDiscovery
 
 LONG_DRAIN_GRACE_MS = (
     platform_watcher.MAX_RETRY_WAIT_MS / platform_watcher.RETRY_WAIT_PER_DRAIN_GRACE
-)  # ms to obey a drain: room for the longest wait
+)  # allows the longest retry wait
 
 
 def test_exception_while_a_line_is_parsed_ends_only_that_watch(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Guards against a source that waits for good because a line raised in its callback."""
+    """Guards against a source that hangs forever because parsing a line raised."""
     entry = EndpointListParser._entry
 
     def fails(self: EndpointListParser, index: int, row: Any) -> None:
@@ -41,7 +41,7 @@
     good: dict[str, Any] = {"id": "good", "host_port": "127.0.0.1:1", "phase": "in_service"}
 
     async def test() -> None:
-        told: list[Event] = []
+        events: list[Event] = []
         discovery = FakeDiscovery()
         await discovery.start()
         address = ("127.0.0.1", discovery.port)
@@ -50,20 +50,20 @@
             False,
             LONG_DRAIN_GRACE_MS,
             lambda: time.monotonic() * 1000,
-            told.append,
+            events.append,
             lambda: 1,
             lambda: None,
         )
         source.watch(True)
-        async with asyncio.timeout(WAIT):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             await discovery.asked.get()
-            # Two lines in one piece: the second one waits behind the first.
+            # Two lines in one packet: the second is pending while the first is parsed.
             line = b'{"revision":%d,"complete":true,"members":[{"id":"odd"}]}\n'
             discovery.send(line % 2 + line % 3)
             await discovery.asked.get()
         discovery.news(4, good)
-        await until(lambda: any(isinstance(event, EndpointsListed) for event in told))
-        assert any(isinstance(event, UpdateUnreadable) for event in told)
+        await until(lambda: any(isinstance(event, EndpointsListed) for event in events))
+        assert any(isinstance(event, UpdateUnreadable) for event in events)
         source.watch(False)
 
     with caplog.at_level(logging.ERROR):
@@ -94,14 +94,14 @@
     ("status", "body"),
     [
         (b"503 Service Unavailable", b"try later"),
-        (b"200 OK", b'{"revision":1,"complete":true,"members":[]}'),  # older than what was seen
+        (b"200 OK", b'{"revision":1,"complete":true,"members":[]}'),  # older than the known revision
     ],
 )
 def test_answer_without_a_usable_list_does_not_reset_retry_waits(status: bytes, body: bytes) -> None:
-    """Guards discovery against a thousand nodes that fetch a list they cannot use ten times a second."""
+    """Guards against a thousand nodes that each fetch an unusable list ten times a second."""
 
     async def test() -> None:
-        told: list[Event] = []
+        events: list[Event] = []
         discovery = FixedAnswerDiscovery(status, body)
         await discovery.start()
         address = ("127.0.0.1", discovery.port)
@@ -110,7 +110,7 @@
             False,
             LONG_DRAIN_GRACE_MS,
             lambda: time.monotonic() * 1000,
-            told.append,
+            events.append,
             lambda: None,
             lambda: None,
         )
@@ -119,7 +119,7 @@
         assert source.watcher.backoff.next_ms >= 4 * platform_watcher.INITIAL_RETRY_WAIT_MS
         source.watch(False)
         assert status.startswith(b"200") or not any(
-            isinstance(event, SourceConfirmedCurrent) for event in told
+            isinstance(event, SourceConfirmedCurrent) for event in events
         )
 
     run(test)
--- a/tests/net/test_platform_recovery.py
+++ b/tests/net/test_platform_recovery.py
@@ -29,7 +29,7 @@
 from balancer.net.http_server import HttpServer
 from tests.net.test_etcd_discovery import (
     LOOPS,
-    WAIT,
+    WAIT_TIMEOUT_S,
     Loop,
     run,
     until,
@@ -94,7 +94,7 @@
 
     async def watched(self) -> asyncio.StreamWriter:
         """The next watch."""
-        async with asyncio.timeout(WAIT):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while True:
                 target, writer = await self.asked.get()
                 if "watch" in target:
@@ -234,7 +234,7 @@
         agent.mute = True
         node = FollowingNode(agent, 500.0)
         node.source.watch(True)
-        async with asyncio.timeout(WAIT):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             _, writer = await agent.asked.get()
         writer.write(HEAD)
 
@@ -402,7 +402,7 @@
             await until(lambda: node.silenced() >= 3)
         if ways == "there and back":
             node.source.set_address(between.address)
-            async with asyncio.timeout(WAIT):
+            async with asyncio.timeout(WAIT_TIMEOUT_S):
                 await between.asked.get()  # it has been asked, and never answers
             if state == "refused":
                 await agent.start()
@@ -434,7 +434,7 @@
             await until(lambda: node.silenced() >= 7)
             await new.start()
         else:
-            async with asyncio.timeout(WAIT):
+            async with asyncio.timeout(WAIT_TIMEOUT_S):
                 await new.asked.get()
         new.mute, new.bare, back = False, False, node.now()
         await until(node.drains)
--- a/tests/net/test_request_dispatcher.py
+++ b/tests/net/test_request_dispatcher.py
@@ -1,4 +1,4 @@
-"""The real node over loopback sockets: outcomes, the one answer, drains, the list, the end, bad input."""
+"""Tests of a node over loopback sockets: outcomes, responses, drains, lists, shutdown and invalid input."""
 
 from __future__ import annotations
 
@@ -59,7 +59,7 @@
 
 
 def run(test: Callable[[], Awaitable[None]]) -> None:
-    """Run a test's coroutine, with an end to it."""
+    """Run the coroutine of a test with a timeout."""
 
     async def bounded() -> None:
         async with asyncio.timeout(3 * WAIT):
@@ -69,11 +69,11 @@
 
 
 async def never(backend: Backend, message: Message, writer: asyncio.StreamWriter) -> None:
-    """Take the request and say nothing."""
+    """Read the request and never respond."""
 
 
-def says(*answers: bytes) -> Callable[[Backend, Message, asyncio.StreamWriter], Awaitable[None]]:
-    """Give these answers in turn, over all backends that share them, then serve."""
+def respond_in_turn(*answers: bytes) -> Callable[[Backend, Message, asyncio.StreamWriter], Awaitable[None]]:
+    """Give these responses in turn, across all backends that share them, then echo. Empty ones reset."""
     left = list(answers)
 
     async def respond(backend: Backend, message: Message, writer: asyncio.StreamWriter) -> None:
@@ -90,7 +90,7 @@
 # --- serving
 
 
-def test_serves_and_keeps_connections(tmp_path: Path) -> None:
+def test_node_that_serves_requests_reuses_connections(tmp_path: Path) -> None:
     async def test() -> None:
         backend = Backend("b0")
         async with running(tmp_path, backend) as rig:
@@ -109,20 +109,20 @@
             await asyncio.sleep(2 * REUSE_DELAY_S)
             assert (await client.pay()).code == 200
             assert (await backend.got.get()).headers["idempotency-key"] == "k1"
-            assert backend.connections == 1  # each new one costs
+            assert backend.connections == 1  # connections are reused
 
     run(test)
 
 
-FULL = answer(b"", "503 Service Unavailable", "Not-Started: 1")
+NOT_STARTED_RESPONSE = answer(b"", "503 Service Unavailable", "Not-Started: 1")
 
 
 @pytest.mark.parametrize(
-    ("first", "path", "again"),
+    ("first", "path", "is_retried"),
     [
-        (FULL, "/once", True),
+        (NOT_STARTED_RESPONSE, "/once", True),
         (answer(b"", "504 Gateway Timeout", "Not-Started: 1"), "/once", True),
-        (answer(b"", "503 Service Unavailable"), "/once", False),  # without the mark it may have run
+        (answer(b"", "503 Service Unavailable"), "/once", False),  # without `Not-Started` it may have run
         (answer(b"", "500 Internal Server Error"), "/once", False),
         (answer(b"", "500 Internal Server Error", "Not-Started: 1"), "/once", False),
         (b"", "/once", False),  # a reset
@@ -130,21 +130,23 @@
         (b"", "/read", True),
     ],
 )
-def test_outcomes_decide_what_goes_out_again(tmp_path: Path, first: bytes, path: str, again: bool) -> None:
+def test_attempt_outcome_decides_whether_it_is_retried(
+    tmp_path: Path, first: bytes, path: str, is_retried: bool
+) -> None:
     async def test() -> None:
-        respond = says(first)
+        respond = respond_in_turn(first)
         one, two = Backend("b0", respond), Backend("b1", respond)
         async with running(tmp_path, one, two) as rig:
             client = await rig.client()
             got = await client.ask(path, method="GET" if path == "/read" else "POST")
-            assert got.code == (200 if again else 502)
-            assert one.got.qsize() + two.got.qsize() == 1 + again
+            assert got.code == (200 if is_retried else 502)
+            assert one.got.qsize() + two.got.qsize() == 1 + is_retried
 
     run(test)
 
 
-def test_refused_connections_never_ran(tmp_path: Path) -> None:
-    """An unsafe request may go on to another backend, and a refusal is allowed if there is none."""
+def test_attempt_on_a_refused_connection_counts_as_not_run(tmp_path: Path) -> None:
+    """A fragile request may be sent to another backend, and may be rejected if there is none."""
 
     async def test() -> None:
         dead = [Backend(f"b{i}") for i in range(3)]
@@ -157,27 +159,27 @@
     run(test)
 
 
-def test_a_connection_that_never_comes_up_never_ran(tmp_path: Path) -> None:
+def test_attempt_on_a_connect_timeout_counts_as_not_run(tmp_path: Path) -> None:
     async def test() -> None:
-        mute = socket.socket()  # full accept queue: further connections get no answer
-        mute.bind(("127.0.0.1", 0))
-        mute.listen(0)
-        fill = [socket.socket() for _ in range(4)]
-        for sock in fill:
+        unresponsive_listener = socket.socket()  # a full accept queue: further connections are not accepted
+        unresponsive_listener.bind(("127.0.0.1", 0))
+        unresponsive_listener.listen(0)
+        filler_sockets = [socket.socket() for _ in range(4)]
+        for sock in filler_sockets:
             sock.setblocking(False)
-            sock.connect_ex(mute.getsockname())
+            sock.connect_ex(unresponsive_listener.getsockname())
         pool = BackendPool(Settings(classes=(READ,), connect_timeout_ms=100.0), 10)
-        pool.update(_list("b0", mute.getsockname()[1]))
+        pool.update(_records("b0", unresponsive_listener.getsockname()[1]))
         assert (await _attempt(pool, b"GET / HTTP/1.1\r\n\r\n")).status is AttemptStatus.CONNECT_FAILED
         assert pool.count == 0
-        for sock in [mute, *fill]:
+        for sock in [unresponsive_listener, *filler_sockets]:
             sock.close()
 
     run(test)
 
 
-def know(node: RequestDispatcher, known: EndpointList) -> None:
-    """Have the node know these backends."""
+def apply_list(node: RequestDispatcher, known: EndpointList) -> None:
+    """Apply a list of backends to the node."""
     EndpointView(node, [Source("platform")]).handle(
         EndpointsListed("platform", "here", known, is_cached=True)
     )
@@ -186,7 +188,7 @@
 READ = Class("read", Idempotency.IDEMPOTENT, latency_objective_ms=400.0, deadline_ms=1000.0)
 
 
-def _list(name: str, port: int, **over: Any) -> Any:
+def _records(name: str, port: int, **over: Any) -> Any:
     row = {"id": name, "host_port": f"127.0.0.1:{port}", "phase": "in_service"} | over
     return parse_endpoint_list({"revision": 1, "complete": True, "members": [row]}).records
 
@@ -200,18 +202,18 @@
     return await ends.get()
 
 
-def test_a_break_before_the_last_byte_left_never_ran() -> None:
+def test_attempt_reset_before_its_last_byte_counts_as_not_run() -> None:
     async def test() -> None:
         met = asyncio.Event()
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await reader.readexactly(1)  # it has begun, and most of it is still with the sender
+            await reader.readexactly(1)  # most of the request is still unsent
             writer.transport.abort()
             met.set()
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         pool = BackendPool(Settings(classes=(READ,), connection_idle_ms=1000.0, connect_timeout_ms=HOUR), 10)
-        pool.update(_list("b0", server.sockets[0].getsockname()[1]))
+        pool.update(_records("b0", server.sockets[0].getsockname()[1]))
         assert (await _attempt(pool, b"x" * 64_000_000)).status is AttemptStatus.CONNECT_FAILED
         await met.wait()
         assert (await _attempt(pool, b"x")).status is AttemptStatus.RESET
@@ -220,14 +222,14 @@
     run(test)
 
 
-def test_a_backend_that_left_while_its_connection_came_up_is_sent_nothing() -> None:
+def test_backend_that_leaves_during_connect_is_sent_nothing() -> None:
     async def test() -> None:
         backend = Backend("b0")
         await backend.start()
         pool = BackendPool(Settings(classes=(READ,), connection_idle_ms=1000.0, connect_timeout_ms=HOUR), 10)
         for change in ({"phase": "terminating"}, None, {"host_port": "127.0.0.1:9"}):
-            pool.update(_list("b0", backend.port))
-            late = _list("b0", backend.port, **change) if change else ()
+            pool.update(_records("b0", backend.port))
+            late = _records("b0", backend.port, **change) if change else ()
             gone = () if change else ("b0",)
             got = await _attempt(pool, b"x", partial(pool.update, late, gone))
             assert got.status is AttemptStatus.NOT_STARTED
@@ -238,13 +240,13 @@
     run(test)
 
 
-def test_a_dropped_attempt_is_closed_before_anything_else_happens() -> None:
-    """Guards against a second copy that goes out while the first is still out on an open connection."""
+def test_dropped_attempt_closes_its_connection_immediately() -> None:
+    """Guards against sending a second attempt while the connection of the first is still open."""
 
     async def test() -> None:
         listener = socket.create_server(("127.0.0.1", 0))
         pool = BackendPool(Settings(classes=(READ,), connection_idle_ms=1000.0, connect_timeout_ms=HOUR), 10)
-        pool.update(_list("b0", listener.getsockname()[1]))
+        pool.update(_records("b0", listener.getsockname()[1]))
         attempt = pool.start("b0", b"hello", lambda answer: None)
         loop = asyncio.get_running_loop()
         listener.setblocking(False)
@@ -253,15 +255,15 @@
         attempt.drop()
         peer.setblocking(True)
         peer.settimeout(WAIT)
-        assert peer.recv(1) == b""  # without a turn of the loop in between
+        assert peer.recv(1) == b""  # without a turn of the event loop in between
         peer.close()
         listener.close()
 
     run(test)
 
 
-def test_the_cap_on_upstream_connections_holds(tmp_path: Path) -> None:
-    """The longest idle connection makes room; where none is idle the attempt was never sent."""
+def test_pool_at_its_connection_cap_opens_no_more(tmp_path: Path) -> None:
+    """The longest idle connection is closed; if none is idle the attempt is not sent."""
 
     async def test() -> None:
         backends = [Backend("b0"), Backend("b1", never)]
@@ -269,7 +271,7 @@
         members = ()
         for backend in backends:
             await backend.start()
-            members += _list(backend.name, backend.port)
+            members += _records(backend.name, backend.port)
         pool.update(members)
         request = b"GET / HTTP/1.1\r\nrequest-id: 1\r\n\r\n".replace(b"request-id:", b"Request-Id:")
         assert (await _attempt(pool, request)).status is AttemptStatus.OK
@@ -285,14 +287,14 @@
     run(test)
 
 
-def test_a_socket_that_cannot_be_made_is_not_counted() -> None:
-    """Guards the pool against shrinking for good in a moment without descriptors."""
+def test_pool_without_descriptors_does_not_count_the_connection() -> None:
+    """Guards against a pool that shrinks permanently after a moment without descriptors."""
 
     async def test() -> None:
-        backend = Backend("b0", says(answer(b"x")))
+        backend = Backend("b0", respond_in_turn(answer(b"x")))
         await backend.start()
         pool = BackendPool(Settings(classes=(READ,), connection_idle_ms=60_000.0, connect_timeout_ms=HOUR), 1)
-        pool.update(_list("b0", backend.port))
+        pool.update(_records("b0", backend.port))
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
         resource.setrlimit(resource.RLIMIT_NOFILE, (0, hard))
         try:
@@ -306,7 +308,7 @@
     run(test)
 
 
-def test_an_idle_connection_is_closed_before_the_backend_would(tmp_path: Path) -> None:
+def test_idle_backend_connection_is_closed_after_its_timeout(tmp_path: Path) -> None:
     async def test() -> None:
         backend = Backend("b0")
         async with running(tmp_path, backend, limits={"conn-idle": 300}) as rig:
@@ -319,12 +321,12 @@
     run(test)
 
 
-def test_what_follows_an_answer_spoils_the_connection_only(tmp_path: Path) -> None:
+def test_data_after_a_response_closes_only_the_connection(tmp_path: Path) -> None:
     async def test() -> None:
-        async def twice(backend: Backend, message: Message, writer: asyncio.StreamWriter) -> None:
+        async def respond_twice(backend: Backend, message: Message, writer: asyncio.StreamWriter) -> None:
             writer.write(answer(b"mine") + answer(b"not mine"))
 
-        backend = Backend("b0", twice)
+        backend = Backend("b0", respond_twice)
         async with running(tmp_path, backend) as rig:
             client = await rig.client()
             for number in (1, 2, 3):
@@ -334,14 +336,14 @@
     run(test)
 
 
-def test_a_spoilt_answer_does_not_cost_a_backend_its_work(tmp_path: Path) -> None:
-    """Guards against a sound fleet left out bit by bit, as noise comes from any backend alike."""
+def test_backend_with_one_invalid_response_stays_in_use(tmp_path: Path) -> None:
+    """Guards against ejecting healthy backends one by one, as line noise can hit any of them."""
 
     async def test() -> None:
-        noisy = Backend("b0", says(b"\x00 no answer\r\n\r\n"))
-        async with running(tmp_path, noisy, Backend("b1"), **PATIENT) as rig:
+        faulty = Backend("b0", respond_in_turn(b"\x00 no answer\r\n\r\n"))
+        async with running(tmp_path, faulty, Backend("b1"), **PATIENT) as rig:
             client = await rig.client()
-            while noisy.got.empty():
+            while faulty.got.empty():
                 assert (await client.ask("/read")).code == 200
             await rig.logged("broken answer")
             seen = {(await client.ask("/read")).body.split()[0] for _ in range(20)}
@@ -350,23 +352,23 @@
     run(test)
 
 
-def test_a_backend_that_spoils_every_answer_is_left_alone(tmp_path: Path) -> None:
+def test_backend_with_only_invalid_responses_is_avoided(tmp_path: Path) -> None:
     async def test() -> None:
-        async def spoil(backend: Backend, message: Message, writer: asyncio.StreamWriter) -> None:
+        async def send_garbage(backend: Backend, message: Message, writer: asyncio.StreamWriter) -> None:
             writer.write(b"\x00 no answer\r\n\r\n")
 
-        bad, good = Backend("b0", spoil), [Backend(f"b{i}") for i in range(1, 4)]
-        async with running(tmp_path, bad, *good, **PATIENT) as rig:
+        faulty, good = Backend("b0", send_garbage), [Backend(f"b{i}") for i in range(1, 4)]
+        async with running(tmp_path, faulty, *good, **PATIENT) as rig:
             client = await rig.client()
             for _ in range(100):
                 assert (await client.ask("/read")).code == 200
-            assert bad.got.qsize() < 10
+            assert faulty.got.qsize() < 10
 
     run(test)
 
 
-def test_a_backend_that_holds_more_than_the_others_gets_no_more(tmp_path: Path) -> None:
-    """Guards against feeding a backend that stands still while others are free; no report tells in time."""
+def test_stalled_backend_with_open_requests_gets_no_more(tmp_path: Path) -> None:
+    """Guards against loading a stalled backend while others are free, before any load report shows it."""
 
     async def test() -> None:
         still, free = Backend("b0", never), Backend("b1")
@@ -383,8 +385,8 @@
     run(test)
 
 
-def test_more_is_sent_while_live_weights_tell_of_room(tmp_path: Path) -> None:
-    """Guards against shedding while cores stand idle, where aims are close to the time that serving takes."""
+def test_live_weights_with_spare_capacity_raise_the_limit(tmp_path: Path) -> None:
+    """Guards against shedding with idle cores when latency objectives are close to the service time."""
 
     async def test() -> None:
         busy, peak, count = 0, asyncio.Event(), 0
@@ -392,7 +394,7 @@
         async def work(backend: Backend, message: Message, writer: asyncio.StreamWriter) -> None:
             nonlocal busy, count
             busy, count = busy + 1, count + 1
-            if busy > 8:  # four for each backend is the least limit
+            if busy > 8:  # the lowest limit is four for each backend
                 peak.set()
             await asyncio.sleep(0.1 if count % 10 else 0.0)
             busy -= 1
@@ -404,19 +406,19 @@
         async with running(tmp_path, *backends, **settings) as rig:
             await rig.discovery.asked.get()
 
-            async def keep_asking() -> None:
+            async def send_requests() -> None:
                 client = await rig.client()
                 while True:
                     await client.ask("/read")
                     await asyncio.sleep(0.01)
 
-            async def tell() -> None:
+            async def publish_lists() -> None:
                 for revision in itertools.count(42):
                     rig.discovery.news(revision, *[b.member() for b in backends])
                     await asyncio.sleep(0.05)
 
-            tasks = [asyncio.ensure_future(keep_asking()) for _ in range(24)]
-            tasks.append(asyncio.ensure_future(tell()))
+            tasks = [asyncio.ensure_future(send_requests()) for _ in range(24)]
+            tasks.append(asyncio.ensure_future(publish_lists()))
             await asyncio.wait_for(peak.wait(), WAIT)
             for task in tasks:
                 task.cancel()
@@ -425,9 +427,9 @@
     run(test)
 
 
-def test_an_answer_whose_head_does_not_end_is_given_up(tmp_path: Path) -> None:
+def test_response_with_an_endless_head_fails(tmp_path: Path) -> None:
     async def test() -> None:
-        backend = Backend("b0", says(b"HTTP/1.1 200 OK\r\nLong: " + b"x" * 20_000))
+        backend = Backend("b0", respond_in_turn(b"HTTP/1.1 200 OK\r\nLong: " + b"x" * 20_000))
         async with running(tmp_path, backend) as rig:
             client = await rig.client()
             assert (await client.ask("/once", method="POST")).code == 502
@@ -437,10 +439,10 @@
     run(test)
 
 
-def test_interim_answers_are_passed_over(tmp_path: Path) -> None:
+def test_interim_responses_are_skipped(tmp_path: Path) -> None:
     async def test() -> None:
         first = b"HTTP/1.1 103 Early Hints\r\nNot-Started: 1\r\n\r\n" + answer(b"late")
-        async with running(tmp_path, Backend("b0", says(first))) as rig:
+        async with running(tmp_path, Backend("b0", respond_in_turn(first))) as rig:
             client = await rig.client()
             assert (await client.ask("/once", method="POST")).body == b"late"
 
@@ -450,18 +452,18 @@
 # --- load reports
 
 
-def test_load_reports() -> None:
+def test_load_report_with_invalid_text_raises() -> None:
     report = parse_load_report("TEXT inflight=7, queue=2, util=0.61, other=3")
     assert (report.in_flight, report.queued, report.cpu_load) == (7.0, 2.0, 0.61)
-    for bad in ("", "JSON {}", "TEXT inflight", "TEXT inflight=x", "TEXT inflight=nan", "TEXT queue=-1"):
+    for text in ("", "JSON {}", "TEXT inflight", "TEXT inflight=x", "TEXT inflight=nan", "TEXT queue=-1"):
         with pytest.raises(ValueError):
-            parse_load_report(bad)
+            parse_load_report(text)
 
 
-def test_a_broken_report_costs_one_log_line(tmp_path: Path) -> None:
+def test_invalid_load_report_is_logged_and_the_response_served(tmp_path: Path) -> None:
     async def test() -> None:
         first = answer(b"fine", "200 OK", "Server-Load: TEXT inflight=many")
-        async with running(tmp_path, Backend("b0", says(first))) as rig:
+        async with running(tmp_path, Backend("b0", respond_in_turn(first))) as rig:
             client = await rig.client()
             assert (await client.ask("/read")).body == b"fine"
             await rig.logged("not a load report")
@@ -473,7 +475,7 @@
 # --- the one answer
 
 
-def test_no_answer_in_time_fails_before_the_limit(tmp_path: Path) -> None:
+def test_request_without_a_response_fails_before_its_deadline(tmp_path: Path) -> None:
     async def test() -> None:
         backend = Backend("b0", never)
         async with running(tmp_path, backend) as rig:
@@ -482,14 +484,14 @@
             start = loop.time()
             assert (await client.ask("/once", "Request-Timeout: 700m", method="POST")).code == 502
             assert loop.time() - start >= 0.6
-            await backend.lost.get()  # it is waited for no longer
+            await backend.lost.get()  # the connection of the attempt is closed
             backend.respond = echo
             assert (await client.ask("/up")).code == 200
 
     run(test)
 
 
-def test_a_client_that_leaves_calls_its_attempt_off(tmp_path: Path) -> None:
+def test_client_disconnect_cancels_its_attempt(tmp_path: Path) -> None:
     async def test() -> None:
         backend = Backend("b0", never)
         async with running(tmp_path, backend, **PATIENT) as rig:
@@ -502,8 +504,8 @@
     run(test)
 
 
-def test_a_refusal_comes_at_once_and_says_when_to_return(tmp_path: Path) -> None:
-    """Guards against clients that all come back at once after a refusal."""
+def test_rejection_is_immediate_and_carries_retry_after(tmp_path: Path) -> None:
+    """Guards against clients that all retry at once after a rejection."""
 
     async def test() -> None:
         backend = Backend("b0", never)
@@ -523,7 +525,7 @@
 # --- the list
 
 
-def test_a_drain_is_kept_and_idle_connections_go(tmp_path: Path) -> None:
+def test_draining_backend_gets_no_request_and_its_idle_connections_close(tmp_path: Path) -> None:
     async def test() -> None:
         backend = Backend("b0")
         async with running(tmp_path, backend) as rig:
@@ -539,7 +541,7 @@
     run(test)
 
 
-def test_changes_come_across_packet_borders_and_a_full_list_drops_what_it_lacks(tmp_path: Path) -> None:
+def test_snapshot_split_over_packets_removes_missing_backends(tmp_path: Path) -> None:
     async def test() -> None:
         old, new = Backend("b0"), Backend("b1")
         await new.start()
@@ -559,7 +561,7 @@
     run(test)
 
 
-def test_a_backend_may_return_elsewhere(tmp_path: Path) -> None:
+def test_backend_with_a_new_address_is_used_there(tmp_path: Path) -> None:
     async def test() -> None:
         old, new = Backend("b0"), Backend("b0")
         await new.start()
@@ -576,7 +578,7 @@
     run(test)
 
 
-def test_a_watch_that_ends_or_goes_silent_is_asked_for_again(tmp_path: Path) -> None:
+def test_watch_that_ends_or_is_silent_is_restarted(tmp_path: Path) -> None:
     async def test() -> None:
         backend = Backend("b0")
         async with running(tmp_path, backend) as rig:
@@ -585,15 +587,15 @@
             assert rig.discovery.writer is not None
             rig.discovery.writer.close()
             assert await rig.discovery.asked.get() == "/discovery/hosts?watch=1&from=47"
-            # Nothing more comes now, and nothing closes: a node that waits for either waits for ever.
+            # The watch is now silent but stays open, so only a timeout makes the node ask again.
             assert await rig.discovery.asked.get() == "/discovery/hosts?watch=1&from=47"
             client = await rig.client()
-            assert (await client.ask("/read")).code == 200  # on the last list, all the while
+            assert (await client.ask("/read")).code == 200  # the last list stays in use
 
     run(test)
 
 
-def test_a_bad_line_costs_a_log_line_and_the_whole_list(tmp_path: Path) -> None:
+def test_invalid_watch_line_is_logged_and_a_snapshot_fetched(tmp_path: Path) -> None:
     async def test() -> None:
         backend = Backend("b0")
         async with running(tmp_path, backend) as rig:
@@ -609,14 +611,14 @@
     run(test)
 
 
-def test_an_entry_that_cannot_be_read_costs_nothing_but_itself(tmp_path: Path) -> None:
-    """Guards against a node without a backend, as one of two is known by a name or is in an odd phase."""
+def test_invalid_entry_does_not_affect_other_entries(tmp_path: Path) -> None:
+    """Guards against losing all backends because one entry has a host name or an unknown phase."""
 
     async def test() -> None:
         good, odd = Backend("b0"), Backend("b1")
         known = [good.member(), odd.member(host_port="there.example:80")]
         async with running(tmp_path, good, odd, known=known) as rig:
-            # What the start's list left out may be readable there.
+            # A snapshot may hold a valid entry for the one left out at the start.
             assert await rig.discovery.asked.get() == "/discovery/hosts"
             rig.discovery.whole(42, good.member(), odd.member(phase="resting"))
             await rig.logged("entry 'b1' left out: phase is 'resting'")
@@ -624,13 +626,13 @@
             client = await rig.client()
             assert (await client.ask("/read")).body.startswith(b"b0 ")
             rig.discovery.news(43, odd.member(), good.member(phase="terminating", host_port="nowhere"))
-            await good.lost.get()  # that it drains is obeyed all the same
+            await good.lost.get()  # the drain is applied although the address is invalid
             assert (await client.ask("/read")).body.startswith(b"b1 ")
 
     run(test)
 
 
-def test_an_older_whole_list_does_not_replace_a_newer_one(tmp_path: Path) -> None:
+def test_older_snapshot_does_not_replace_a_newer_list(tmp_path: Path) -> None:
     async def test() -> None:
         old, new = Backend("b0"), Backend("b1")
         await old.start()
@@ -649,10 +651,10 @@
     run(test)
 
 
-def test_sighup_moves_to_the_discovery_of_the_new_file_and_keeps_what_is_open(tmp_path: Path) -> None:
-    """Guards against ending on SIGHUP, and against a list that stays that of the address left behind.
+def test_sighup_with_a_new_discovery_address_keeps_open_requests(tmp_path: Path) -> None:
+    """Guards against ending on SIGHUP, and against keeping the list of the previous address.
 
-    Revisions at the new address are lower than those held: only its whole list says what is gone.
+    Revisions at the new address are lower than the known ones, so only its snapshot shows removals.
     """
 
     async def test() -> None:
@@ -688,14 +690,14 @@
     run(test)
 
 
-def test_a_bad_file_at_sighup_costs_a_log_line(tmp_path: Path) -> None:
+def test_sighup_with_an_invalid_file_is_logged_and_ignored(tmp_path: Path) -> None:
     async def test() -> None:
         backend = Backend("b0")
         async with running(tmp_path, backend) as rig:
             await rig.discovery.asked.get()
             rig.reload("{")
             await rig.logged("reload: the old configuration stays")
-            rig.discovery.news(42, backend.member(phase="terminating"))  # still listened to
+            rig.discovery.news(42, backend.member(phase="terminating"))  # the watch is still in use
             client = await rig.client()
             while (await client.ask("/read")).code != 503:
                 pass
@@ -707,7 +709,7 @@
     "row",
     [{}, {"id": 3}, {"phase": "odd"}, {"size": -1}, {"size": "1"}, {"host_port": "here:1"}, {"cell": "x"}],
 )
-def test_bad_entries_are_named(row: dict[str, Any]) -> None:
+def test_invalid_entries_are_reported(row: dict[str, Any]) -> None:
     good = {"id": "b0", "host_port": "127.0.0.1:1", "phase": "in_service"}
     with pytest.raises(EndpointListError):
         parse_record(good | row if row else "b0")
@@ -750,7 +752,7 @@
         (b"GET /read HTTP/1.1\r\nUpgrade: websocket\r\nConnection: upgrade\r\n\r\n", 400),
     ],
 )
-def test_bad_input_gets_a_plain_answer_and_a_close(tmp_path: Path, text: bytes, code: int) -> None:
+def test_invalid_request_gets_an_error_response_and_a_close(tmp_path: Path, text: bytes, code: int) -> None:
     async def test() -> None:
         backend = Backend("b0")
         async with running(tmp_path, backend) as rig:
@@ -764,24 +766,24 @@
     run(test)
 
 
-def test_a_connection_that_never_asks_is_closed(tmp_path: Path) -> None:
-    """Guards against connections by hundreds that say nothing, or half a request, and keep a descriptor."""
+def test_connection_without_a_complete_request_is_closed(tmp_path: Path) -> None:
+    """Guards against hundreds of connections that send nothing, or half a request, and hold descriptors."""
 
     async def test() -> None:
         backend = Backend("b0")
         async with running(tmp_path, backend) as rig:
-            used, mute, half = await rig.client(), await rig.client(), await rig.client()
+            used, unresponsive_listener, half = await rig.client(), await rig.client(), await rig.client()
             assert (await used.ask("/read")).code == 200
             half.writer.write(b"POST /once HTTP/1.1\r\nRequest-Id: 1\r\nContent-Length: 9\r\n\r\nhalf")
             assert (await half.answer()).code == 408
-            assert await half.ended() == await mute.ended() == b""
-            assert (await used.ask("/read")).code == 200  # one that has asked is kept
+            assert await half.ended() == await unresponsive_listener.ended() == b""
+            assert (await used.ask("/read")).code == 200  # a connection with a complete request is kept
 
     run(test)
 
 
-def test_clients_that_keep_connections_leave_some_to_others(tmp_path: Path) -> None:
-    """Guards against clients that ask once and stay, until others find no connection to ask on."""
+def test_idle_client_connections_over_the_limit_are_closed(tmp_path: Path) -> None:
+    """Guards against clients that keep connections after one request until others cannot connect."""
 
     async def test() -> None:
         async with running(tmp_path, Backend("b0"), sockets=64) as rig:  # 19 for clients
@@ -789,20 +791,20 @@
             for client in kept:
                 assert (await client.ask("/up")).code == 200
             assert await kept[0].ended() == b""
-            for client in kept[1:]:  # few enough
+            for client in kept[1:]:  # the remaining ones are within the limit
                 assert (await client.ask("/read")).code == 200
 
     run(test)
 
 
-def test_a_first_answer_closes_while_many_connections_stand_idle(tmp_path: Path) -> None:
-    """Guards against clients that ask once each and stay, faster than idle connections are closed.
+def test_first_response_with_many_idle_connections_closes_its_connection(tmp_path: Path) -> None:
+    """Guards against clients that send one request each and stay, faster than idle connections are closed.
 
-    What is asked on again is kept: only who has asked once may never ask again.
+    Connections with more than one request are kept: one used only once may never be used again.
     """
 
     async def test() -> None:
-        async with running(tmp_path, Backend("b0"), sockets=64) as rig:  # three may stand idle
+        async with running(tmp_path, Backend("b0"), sockets=64) as rig:  # three may be idle
             kept = [await rig.client() for _ in range(3)]
             for client in kept:
                 assert "connection" not in (await client.ask("/read")).headers
@@ -817,8 +819,8 @@
     run(test)
 
 
-def test_a_trailer_is_no_header(tmp_path: Path) -> None:
-    """Guards against a request whose id changes behind its body."""
+def test_trailer_does_not_change_the_request_headers(tmp_path: Path) -> None:
+    """Guards against a trailer that changes the request id after the body."""
 
     async def test() -> None:
         backend = Backend("b0")
@@ -831,8 +833,11 @@
     run(test)
 
 
-def test_what_comes_behind_an_answer_is_not_the_next_ones(tmp_path: Path) -> None:
-    """Guards against serving a client with another's answer: the second copy waits in the kernel at reuse."""
+def test_surplus_response_is_not_delivered_to_the_next_request(tmp_path: Path) -> None:
+    """Guards against delivering a response to the wrong client.
+
+    A surplus response waits in the kernel when the connection is reused.
+    """
 
     async def test() -> None:
         listener = socket.create_server(("127.0.0.1", 0))
@@ -841,7 +846,7 @@
         pool = BackendPool(
             Settings(classes=(READ,), connection_idle_ms=60_000.0, connect_timeout_ms=HOUR), 10
         )
-        pool.update(_list("b0", listener.getsockname()[1]))
+        pool.update(_records("b0", listener.getsockname()[1]))
         ends: list[BackendResponse] = []
         pool.start("b0", b"one", ends.append)
         peer, _ = await loop.sock_accept(listener)
@@ -850,7 +855,7 @@
         peer.sendall(answer(b"mine"))
         while not ends:
             await asyncio.sleep(0)
-        peer.sendall(answer(b"mine again"))  # without a turn of the loop before the next request
+        peer.sendall(answer(b"mine again"))  # without a turn of the event loop before the next request
         pool.start("b0", b"two", ends.append)
         other, _ = await loop.sock_accept(listener)
         assert await loop.sock_recv(other, 10) == b"two"
@@ -865,10 +870,10 @@
     run(test)
 
 
-def test_an_answer_too_large_is_known_from_its_head(tmp_path: Path) -> None:
+def test_response_with_a_too_large_content_length_fails_at_its_head(tmp_path: Path) -> None:
     async def test() -> None:
-        first = b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n"  # and nothing more
-        async with running(tmp_path, Backend("b0", says(first)), **PATIENT) as rig:
+        first = b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n"  # and no body
+        async with running(tmp_path, Backend("b0", respond_in_turn(first)), **PATIENT) as rig:
             client = await rig.client()
             assert (await client.ask("/once", method="POST")).code == 502
             await rig.logged("answer too large")
@@ -876,28 +881,37 @@
     run(test)
 
 
-def test_the_end_of_a_window_reaches_the_connection(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """In seconds of the monotonic clock, from the module's milliseconds."""
+def test_start_before_time_is_passed_to_the_pool_in_monotonic_seconds(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """The policy gives milliseconds of the node's clock; the pool takes seconds of the monotonic clock."""
 
     async def test() -> None:
         path = tmp_path / "config.json"
         path.write_text(json.dumps(configuration([], 9)))
         node = RequestDispatcher(load({"PROXY_CONFIG": str(path)}))
-        node.pool.update(_list("b0", 9))
-        told: list[float] = []
-        monkeypatch.setattr(node.pool, "start", lambda name, data, done, begin_by: told.append(begin_by))
+        node.pool.update(_records("b0", 9))
+        start_before_times_s: list[float] = []
+        monkeypatch.setattr(
+            node.pool,
+            "start",
+            lambda name, data, done, start_before_s: start_before_times_s.append(start_before_s),
+        )
         nobody: Any = None
         node.open_requests["r"] = PendingRequest(nobody, node.now() + 4000.0, lambda wait: b"")
         before = time.monotonic()
-        for begin_by in (math.inf, node.now() + 500.0):
-            node._perform(SendAttempt("r", "b0", 0.0, start_before_ms=begin_by))
-        assert told[0] == math.inf and before <= told[1] - 0.5 + 1e-5 <= time.monotonic() + 1e-4
+        for start_before_ms in (math.inf, node.now() + 500.0):
+            node._perform(SendAttempt("r", "b0", 0.0, start_before_ms=start_before_ms))
+        assert (
+            start_before_times_s[0] == math.inf
+            and before <= start_before_times_s[1] - 0.5 + 1e-5 <= time.monotonic() + 1e-4
+        )
 
     run(test)
 
 
-def test_a_failed_decision_leaves_nothing_behind(tmp_path: Path) -> None:
-    """Guards against requests that the module keeps, or counts as out, for good after an exception."""
+def test_failed_decision_leaves_no_request_open(tmp_path: Path) -> None:
+    """Guards against requests that the policy keeps or counts as in flight forever after an exception."""
 
     async def test() -> None:
         backend = Backend("b0", never)
@@ -906,31 +920,31 @@
         path.write_text(json.dumps(configuration([backend.member()], 1)))
         config = load({"PROXY_CONFIG": str(path)})
         node = RequestDispatcher(config)
-        know(node, config.configured_endpoints)
-        front = HttpServer(node, 9)
-        await front.listen(("127.0.0.1", 0))
-        decide = node.balancer.handlers[RequestArrived]
+        apply_list(node, config.configured_endpoints)
+        server = HttpServer(node, 9)
+        await server.listen(("127.0.0.1", 0))
+        handler = node.balancer.handlers[RequestArrived]
 
-        def broken(state: Any, event: Any) -> None:
-            decide(state, event)
+        def failing_handler(state: Any, event: Any) -> None:
+            handler(state, event)
             raise RuntimeError("half-way")
 
-        node.balancer.handlers[RequestArrived] = broken
-        client = Client(*await asyncio.open_connection(*front.address))
+        node.balancer.handlers[RequestArrived] = failing_handler
+        client = Client(*await asyncio.open_connection(*server.address))
         assert (await client.ask("/once", method="POST")).code == 502
         assert node.balancer.in_flight == 0 and not node.balancer.requests and not node.open_requests
         client.writer.transport.abort()
-        front.stop()
+        server.stop()
         backend.stop()
 
     run(test)
 
 
-def test_an_upgrade_is_not_answered_twice(tmp_path: Path) -> None:
-    """The parser stops at an upgrade once the request is whole, and so may be answered already."""
+def test_upgrade_request_is_answered_once(tmp_path: Path) -> None:
+    """The parser stops at an upgrade after the complete request, which may be answered by then."""
 
     async def test() -> None:
-        async with running(tmp_path) as rig:  # no backends: all is refused at once
+        async with running(tmp_path) as rig:  # no backends: every request is rejected at once
             client = await rig.client()
             client.send("/read", "Upgrade: websocket", "Connection: upgrade")
             assert (await client.answer()).code == 503
@@ -939,18 +953,18 @@
     run(test)
 
 
-def test_a_request_behind_an_answer_that_closes_is_not_taken(tmp_path: Path) -> None:
+def test_request_after_a_closing_response_is_not_accepted(tmp_path: Path) -> None:
     async def test() -> None:
         backend = Backend("b0")
         async with running(tmp_path, backend) as rig:
-            await (await rig.client()).ask("/read")  # leaves a connection on which the next is sent at once
+            await (await rig.client()).ask("/read")  # leaves an idle backend connection for the next request
             await backend.got.get()
             rig.terminate()
             while (await (await rig.client()).ask("/up")).code != 503:
                 pass
             client = await rig.client()
             two = b"GET /up HTTP/1.1\r\n\r\nGET /read HTTP/1.1\r\nRequest-Id: 1\r\n\r\n"
-            client.writer.write(two)  # in one packet, so that both are read at once
+            client.writer.write(two)  # in one packet, so that both are read together
             assert (await client.answer()).headers["connection"] == "close"
             assert await client.ended() == b""
             assert await rig.end() == 0
@@ -959,7 +973,7 @@
     run(test)
 
 
-def test_a_request_behind_an_open_one_is_left_to_another_connection(tmp_path: Path) -> None:
+def test_pipelined_request_is_left_to_another_connection(tmp_path: Path) -> None:
     async def test() -> None:
         backend = Backend("b0")
         async with running(tmp_path, backend) as rig:
@@ -976,8 +990,8 @@
 # --- limits, start and end
 
 
-def test_the_cap_on_client_connections_holds(tmp_path: Path) -> None:
-    """The longest idle connection makes room."""
+def test_server_at_its_connection_cap_closes_an_idle_one(tmp_path: Path) -> None:
+    """The longest idle connection is closed for a new one."""
 
     async def test() -> None:
         backend = Backend("b0", never)
@@ -986,17 +1000,17 @@
         path.write_text(json.dumps(configuration([backend.member()], 1)))
         config = load({"PROXY_CONFIG": str(path)})
         node = RequestDispatcher(config)
-        know(node, config.configured_endpoints)
-        front = HttpServer(node, 2)
-        await front.listen(("127.0.0.1", 0))
-        busy, idle = [Client(*await asyncio.open_connection(*front.address)) for _ in range(2)]
+        apply_list(node, config.configured_endpoints)
+        server = HttpServer(node, 2)
+        await server.listen(("127.0.0.1", 0))
+        busy, idle = [Client(*await asyncio.open_connection(*server.address)) for _ in range(2)]
         busy.send("/read")
         await backend.got.get()
         assert (await idle.ask("/up")).code == 200
-        more = Client(*await asyncio.open_connection(*front.address))
+        more = Client(*await asyncio.open_connection(*server.address))
         assert await idle.ended() == b""
         assert (await more.ask("/up")).code == 200
-        front.stop()
+        server.stop()
         for client in (busy, more):
             client.writer.transport.abort()
         backend.stop()
@@ -1004,8 +1018,8 @@
     run(test)
 
 
-def test_a_connection_over_the_cap_gets_a_legal_answer(tmp_path: Path) -> None:
-    """Where none is idle the newest is answered, and closed."""
+def test_connection_over_the_cap_gets_a_503_and_a_close(tmp_path: Path) -> None:
+    """If no connection is idle the newest gets a 503 response and is closed."""
 
     async def test() -> None:
         backend = Backend("b0", never)
@@ -1014,29 +1028,29 @@
         path.write_text(json.dumps(configuration([backend.member()], 1)))
         config = load({"PROXY_CONFIG": str(path)})
         node = RequestDispatcher(config)
-        know(node, config.configured_endpoints)
-        front = HttpServer(node, 2)
-        await front.listen(("127.0.0.1", 0))
-        clients = [Client(*await asyncio.open_connection(*front.address)) for _ in range(2)]
+        apply_list(node, config.configured_endpoints)
+        server = HttpServer(node, 2)
+        await server.listen(("127.0.0.1", 0))
+        clients = [Client(*await asyncio.open_connection(*server.address)) for _ in range(2)]
         for client in clients:
             client.send("/read")
             await backend.got.get()
-        last = Client(*await asyncio.open_connection(*front.address))
+        last = Client(*await asyncio.open_connection(*server.address))
         got = await last.ask("/read")
         assert got.code == 503 and got.headers["connection"] == "close"
         assert await last.ended() == b"" and backend.got.empty()
-        front.stop()
+        server.stop()
         for client in clients:
             client.writer.transport.abort()
-        while front.connections or node.open_requests:
+        while server.connections or node.open_requests:
             await asyncio.sleep(0)
         backend.stop()
 
     run(test)
 
 
-def test_a_crowd_does_not_cost_those_who_were_here_their_answer(tmp_path: Path) -> None:
-    """Guards against refusing all requests, on any connection, while new ones keep coming over the cap."""
+def test_connections_over_the_cap_do_not_affect_accepted_ones(tmp_path: Path) -> None:
+    """Guards against rejecting requests on accepted connections while new ones keep exceeding the cap."""
 
     async def test() -> None:
         backend = Backend("b0")
@@ -1045,19 +1059,19 @@
         path.write_text(json.dumps(configuration([backend.member()], 1)))
         config = load({"PROXY_CONFIG": str(path)})
         node = RequestDispatcher(config)
-        know(node, config.configured_endpoints)
-        front = HttpServer(node, 1)
-        await front.listen(("127.0.0.1", 0))
-        first = Client(*await asyncio.open_connection(*front.address))
+        apply_list(node, config.configured_endpoints)
+        server = HttpServer(node, 1)
+        await server.listen(("127.0.0.1", 0))
+        first = Client(*await asyncio.open_connection(*server.address))
         assert (await first.ask("/up")).code == 200
         first.writer.write(b"GET /read HTTP/1.1\r\nRequest-Id: 1\r\n")
-        while front.idle:
+        while server.idle:
             await asyncio.sleep(0)
-        second = Client(*await asyncio.open_connection(*front.address))
+        second = Client(*await asyncio.open_connection(*server.address))
         assert (await second.ask("/read")).code == 503
         first.writer.write(b"\r\n")
         assert (await first.answer()).code == 200
-        front.stop()
+        server.stop()
         for client in (first, second):
             client.writer.transport.abort()
         backend.stop()
@@ -1065,7 +1079,7 @@
     run(test)
 
 
-def test_no_more_than_max_open_requests_are_taken(tmp_path: Path) -> None:
+def test_request_over_max_open_requests_is_rejected(tmp_path: Path) -> None:
     async def test() -> None:
         backend = Backend("b0", never)
         async with running(tmp_path, backend, limits={"max-open": 1}, **PATIENT) as rig:
@@ -1077,7 +1091,7 @@
     run(test)
 
 
-def test_sigterm_answers_what_was_taken_and_exits_0(tmp_path: Path) -> None:
+def test_sigterm_answers_accepted_requests_and_exits_0(tmp_path: Path) -> None:
     async def test() -> None:
         go = asyncio.Event()
 
@@ -1094,7 +1108,7 @@
             rig.terminate()
             while (await (await rig.client()).ask("/up")).code != 503:
                 pass
-            late = await rig.client()  # connections that come now are still taken
+            late = await rig.client()  # new connections are still accepted
             late.send("/read")
             await backend.got.get()
             assert await idle.ended() == b""
@@ -1120,7 +1134,9 @@
         (None, "PROXY_CONFIG"),
     ],
 )
-def test_a_bad_configuration_is_named(tmp_path: Path, over: dict[str, Any] | None, field: str) -> None:
+def test_invalid_configuration_names_its_field(
+    tmp_path: Path, over: dict[str, Any] | None, field: str
+) -> None:
     async def test() -> None:
         path = tmp_path / "config.json"
         path.write_text("{" if over is None else json.dumps(configuration([], 1) | over))
