--- a/balancer/net/cluster_gossip.py
+++ b/balancer/net/cluster_gossip.py
@@ -73,7 +73,7 @@
             capacity_bytes=gossip.record_space_bytes(
                 running.name, gossip.Message(gossip_sections.MESSAGE_KIND, 0, "", "", ())
             ),
-            # Where lists are pushed, each node has an agent of its own.
+            # If lists are pushed, each node has its own discovery agent.
             sources_with_local_agents=() if settings.must_poll else (PLATFORM,),
         )
         self.quota: quota_allocation.SetQuota | None = None  # only reported; no limit is derived from it yet
--- a/balancer/net/gossip_transport.py
+++ b/balancer/net/gossip_transport.py
@@ -1,7 +1,7 @@
 """UDP transport of the cluster component: authenticated datagrams in and out.
 
-Datagrams that the socket refuses to send are dropped and counted; the failure detector and gossip tolerate
-loss.
+Datagrams that the socket refuses to send are dropped and counted. The failure detector and gossip tolerate
+such losses.
 """
 
 from __future__ import annotations
--- a/balancer/net/request_dispatcher.py
+++ b/balancer/net/request_dispatcher.py
@@ -232,7 +232,7 @@
         if (request := self.open_requests.get(request_id)) is None or request.is_answered:
             return
         self._close(request_id, request)
-        # Attempts that are not completely sent end here, even if the class forbids cancelling. Otherwise they
+        # Attempts that are not completely sent end here, even if settings forbid cancelling. Otherwise they
         # would be sent for an absent client once their connection is established or writable again.
         for attempt in request.attempts:
             if attempt.exchange is not None and not attempt.exchange.left:
