--- a/tests/net/test_persistence.py
+++ b/tests/net/test_persistence.py
@@ -466,7 +466,7 @@
             new_list = EndpointList(3, True, (endpoint_record("s1"), endpoint_record("s3")))
             harness.fleet.handle(EndpointsListed("platform", "there", new_list))
             await until(lambda: set(harness.view) == {"s1", "s3"})
-            assert harness.node.ready and harness.persistence.session is None, (
+            assert harness.node.is_ready and harness.persistence.session is None, (
                 "it serves before the store is read"
             )
             report = harness.recovery.report()
@@ -519,7 +519,11 @@
             await harness.open_session()
             report = harness.recovery.report()
             assert (report["memory"], report["incarnation"]) == ("kept", 2) and set(harness.view) == {"s1"}
-            assert not harness.node._waits and not report["store"]["commits"] and report["store"]["waiting"]
+            assert (
+                not harness.node._is_deferring_events
+                and not report["store"]["commits"]
+                and report["store"]["waiting"]
+            )
             await until(sync_reached.is_set)
             assert durable_state() == (1, {"s1"}), "the previous generation, complete"
             may_sync.set()
@@ -553,7 +557,7 @@
             disk.fault_plan = fail_with_full_disk
             harness.fleet.handle(endpoints_listed(5, "s1", "s2"))
             await until(lambda: "new changes are not persisted" in caplog.text)
-            assert harness.node.ready and set(harness.view) == {"s1", "s2"}
+            assert harness.node.is_ready and set(harness.view) == {"s1", "s2"}
             store = harness.recovery.report()["store"]
             assert "full" in store["trouble"] and store["waiting"] and store["failures"]
             await asyncio.sleep(0.1)
@@ -734,7 +738,7 @@
             await harness.open_session()
             harness.fleet.handle(endpoints_listed(5, "s1"))
             await until(lambda: harness.recovery.recovery.state.value == "confirmed")
-            assert harness.running.watch is None and harness.running._queued_events, (
+            assert harness.running.timeline_monitor is None and harness.running._queued_events, (
                 "queued for a timeline that is attached later"
             )
             harness.recovery._last_check_ms -= 60_000
@@ -865,7 +869,7 @@
             may_read.set()
             await until(lambda: harness.persistence.session)
             await asyncio.sleep(0.02)
-            assert outcomes == ["failed"] and not harness.node.open
+            assert outcomes == ["failed"] and not harness.node.open_requests
 
     try:
         run(test)
--- a/tests/net/test_platform_recovery.py
+++ b/tests/net/test_platform_recovery.py
@@ -29,7 +29,7 @@
 from balancer.net.http_server import HttpServer
 from tests.net.test_etcd_discovery import (
     LOOPS,
-    WAIT,
+    WAIT_TIMEOUT_S,
     Loop,
     run,
     until,
@@ -94,7 +94,7 @@
 
     async def next_watch(self) -> asyncio.StreamWriter:
         """Wait for the next watch call; returns its writer."""
-        async with asyncio.timeout(WAIT):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while True:
                 target, writer = await self.calls.get()
                 if "watch" in target:
@@ -240,7 +240,7 @@
         agent.is_mute = True
         node = PlatformSourceHarness(agent, 500.0)
         node.source.watch(True)
-        async with asyncio.timeout(WAIT):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             _, writer = await agent.calls.get()
         writer.write(RESPONSE_HEAD)
 
@@ -412,7 +412,7 @@
             await until(lambda: node.source_lost_count() >= 3)
         if moves == "there and back":
             node.source.set_address(intermediate_agent.address)
-            async with asyncio.timeout(WAIT):
+            async with asyncio.timeout(WAIT_TIMEOUT_S):
                 await intermediate_agent.calls.get()  # it has been called, and never answers
             if state == "refused":
                 await agent.start()
@@ -448,7 +448,7 @@
             await until(lambda: node.source_lost_count() >= 7)
             await new_agent.start()
         else:
-            async with asyncio.timeout(WAIT):
+            async with asyncio.timeout(WAIT_TIMEOUT_S):
                 await new_agent.calls.get()
         new_agent.is_mute, new_agent.sends_head_only, returned_ms = False, False, node.now()
         await until(node.is_draining)
@@ -532,7 +532,7 @@
             node.now,
             fleet.handle,
             lambda: fleet.watch_revision(platform.SOURCE_NAME),
-            node.list_failed,
+            node.on_list_failed,
         )
         source.watch(True)
         watch = await agent.next_watch()
@@ -595,7 +595,7 @@
             node.now,
             fleet.handle,
             lambda: fleet.watch_revision(platform.SOURCE_NAME),
-            node.list_failed,
+            node.on_list_failed,
         )
         fleet.handle(
             endpoint_merger.EndpointsListed(platform.SOURCE_NAME, identity, initial_list, is_cached=True)
