--- a/balancer/net/backend_pool.py
+++ b/balancer/net/backend_pool.py
@@ -1,4 +1,9 @@
-"""Connections to backends: the pool, one attempt on a connection, its outcome and load report."""
+"""Connections to backends: the pool, one attempt on a connection, its outcome and its load report.
+
+- `BackendPool`: connections by backend, with reuse of idle ones and a limit on their number.
+- `BackendConnection`: one HTTP/1.1 connection; it writes a request and parses the response.
+- `Exchange`: one attempt as the dispatcher sees it.
+"""
 
 from __future__ import annotations
 
@@ -27,15 +32,13 @@
 log = logging.getLogger(__name__)
 
 MAX_HEAD_BYTES = 16 * 1024
-MAX_FRAMING_BYTES = (
-    8 * UNBUDGETED_BODY_BYTES
-)  # bytes of an answer beside its body: chunks of one byte are six times its size
-IDLE_LIMIT_RATIO = 0.7  # part of the backend's idle limit after which this side closes
-REUSE_DELAY_S = 0.01  # s from an answer to the next request: a second answer may come some milliseconds late
-SWEEP_INTERVAL_RATIO = 0.1  # part of the idle limit between two looks for idle connections
-RequestData = (
-    bytes | Callable[[], bytes]
-)  # a request, or what gives it as it is written, with the time left then
+# Of a response besides its body: one-byte chunks take six times the body.
+MAX_FRAMING_BYTES = 8 * UNBUDGETED_BODY_BYTES
+IDLE_LIMIT_RATIO = 0.7  # of the backend's idle limit, after which this side closes
+REUSE_DELAY_S = 0.01  # from a response to the next request: a second response may come some milliseconds late
+SWEEP_INTERVAL_RATIO = 0.1  # of the idle limit, between two checks for idle connections
+# A request, or a callable that renders it at write time with the time then left.
+RequestData = bytes | Callable[[], bytes]
 LOAD_REPORT_FIELDS = {
     "inflight": "in_flight",
     "active": "in_flight",
@@ -53,27 +56,27 @@
 
 
 def parse_load_report(value: str) -> api.LoadReport:
-    """A load report header; fields of other names are skipped. Raises ValueError."""
-    form, _, rest = value.partition(" ")
-    out = api.LoadReport()
+    """Parse a load report header; unknown fields are skipped. Raises ValueError."""
+    format_name, _, fields = value.partition(" ")
+    report = api.LoadReport()
     try:
-        if form != "TEXT":
-            raise ValueError(form)
-        for part in rest.split(","):
-            name, text = part.strip().split("=")
+        if format_name != "TEXT":
+            raise ValueError(format_name)
+        for field in fields.split(","):
+            name, text = field.strip().split("=")
             number = float(text)
             if not 0 <= number < math.inf:
                 raise ValueError(text)
             if name in LOAD_REPORT_FIELDS:
-                setattr(out, LOAD_REPORT_FIELDS[name], number)
+                setattr(report, LOAD_REPORT_FIELDS[name], number)
     except ValueError:
         raise ValueError(f"not a load report: {value!r:.120}") from None
-    return out
+    return report
 
 
 @dataclass(slots=True)
 class BackendResponse:
-    """How an attempt ended; `body` and `content_type` are those of a backend's 200."""
+    """The outcome of an attempt; `body` and `content_type` are set for a 200 from the backend."""
 
     status: AttemptStatus
     report: api.LoadReport | None = None
@@ -82,31 +85,35 @@
 
 
 class Exchange:
-    """One request on its way to one backend; `done` is called once with its end, unless it is dropped.
+    """One request on its way to one backend; `on_done` is called once with the outcome, unless it is dropped.
 
-    It is moot where it can't be written by `begin_by`, on the monotonic clock.
+    It is not started if it cannot be written by `start_before_s`, on the monotonic clock.
     """
 
-    __slots__ = ("connection", "data", "done", "start_before_ms")
+    __slots__ = ("connection", "data", "on_done", "start_before_s")
 
     def __init__(
-        self, data: RequestData, done: Callable[[BackendResponse], None], begin_by: float = math.inf
+        self, data: RequestData, on_done: Callable[[BackendResponse], None], start_before_s: float = math.inf
     ) -> None:
-        self.data, self.done, self.start_before_ms = data, done, begin_by
+        self.data, self.on_done, self.start_before_s = data, on_done, start_before_s
         self.connection: BackendConnection | None = None
 
     @property
-    def left(self) -> bool:
-        """Whether the request's last byte may have left this node."""
-        return self.connection is not None and self.connection.wrote and not self.connection.blocked
+    def may_have_left(self) -> bool:
+        """Whether the last byte of the request may have left this node."""
+        return (
+            self.connection is not None
+            and self.connection.has_written
+            and not self.connection.is_write_blocked
+        )
 
-    def end(self, answer: BackendResponse) -> None:
-        """Report the end."""
+    def report_outcome(self, response: BackendResponse) -> None:
+        """Report the outcome."""
         self.connection = None
-        self.done(answer)
+        self.on_done(response)
 
     def drop(self) -> None:
-        """Stop waiting. The connection is closed on return, so that no two copies are out at once."""
+        """Cancel the attempt. The connection is closed on return, so that no two copies are in flight."""
         if self.connection is not None:
             self.connection.attempt = None
             self.connection.close()
@@ -114,7 +121,7 @@
 
 
 class BackendConnections:
-    """One backend: where it listens, whether it takes work, its idle connections, latest used last."""
+    """One backend: its address, whether it takes requests, its idle connections, last used last."""
 
     __slots__ = ("address", "idle", "is_listed")
 
@@ -126,84 +133,86 @@
 class BackendConnection(asyncio.Protocol):
     """One connection to a backend; it carries one attempt at a time."""
 
-    def __init__(self, pool: BackendPool, host: BackendConnections) -> None:
-        self.pool, self.host, self.address = pool, host, host.address
-        family = socket.AF_INET6 if ":" in host.address[0] else socket.AF_INET
+    def __init__(self, pool: BackendPool, backend: BackendConnections) -> None:
+        self.pool, self.backend, self.address = pool, backend, backend.address
+        family = socket.AF_INET6 if ":" in backend.address[0] else socket.AF_INET
         self.sock = socket.socket(family, socket.SOCK_STREAM)
         self.sock.setblocking(False)
         self.transport: asyncio.Transport | None = None
         self.task: asyncio.Task[None] | None = None
         self.attempt: Exchange | None = None
-        self.handed = False  # the descriptor is the transport's, which is its only owner from then on
-        self.resting: asyncio.TimerHandle | None = None  # its attempt waits until it has rested
-        self.closed = self.wrote = self.blocked = False
-        self.idle_since = 0.0
-        self.long = 0  # bytes of its answer's body beyond the usual
+        self.is_owned_by_transport = False  # the transport owns the descriptor from then on
+        self.reuse_timer: asyncio.TimerHandle | None = None  # the pending attempt is written then
+        self.is_closed = self.has_written = self.is_write_blocked = False
+        self.idle_since_s = 0.0
+        self.reserved_body_bytes = 0  # what the response's body holds of the large-body budget
         self._reset()
 
     def _reset(self) -> None:
         self.parser = httptools.HttpResponseParser(self)
-        self._forget()
-        self.size = self.head = self.bytes = 0
-        self.in_body = self.sized = False
-        self.load = self.content_type = b""
-        self.not_started = self.complete = self.excess = self.large = False
-
-    def _forget(self) -> None:
-        """Hold no body: guards memory against those of all connections that rest."""
+        self._release_body()
+        self.body_bytes = self.head_bytes = self.response_bytes = 0
+        self.is_in_body = self.has_length = False
+        self.load_report_header = self.content_type = b""
+        self.is_not_started = self.is_complete = self.has_second_response = self.is_too_large = False
+
+    def _release_body(self) -> None:
+        """Drop the buffered body, so that idle connections hold no memory for bodies."""
         self.body: list[bytes] = []
-        self.pool.long.release(self.long)
-        self.long = 0
+        self.pool.large_bodies.release(self.reserved_body_bytes)
+        self.reserved_body_bytes = 0
 
     # --- opening, closing
 
     async def open(self) -> None:
-        """Connect, then write the attempt that waits for it."""
+        """Connect, then write the pending attempt."""
         loop = self.pool.loop
         try:
-            async with asyncio.timeout(self.pool.connect_timeout):
+            async with asyncio.timeout(self.pool.connect_timeout_s):
                 await loop.sock_connect(self.sock, self.address)
-            # Two turns of the loop, and no wait: nothing ends it half-way, as both sides would close then.
-            self.handed = True
+            # Takes two turns of the loop without waiting. No timeout applies: if it ended half-way, socket
+            # and transport would both close the descriptor.
+            self.is_owned_by_transport = True
             self.transport, _ = await loop.create_connection(lambda: self, sock=self.sock)
         except (OSError, TimeoutError):
             self._fail(AttemptStatus.CONNECT_FAILED)
             return
-        if self.closed:
+        if self.is_closed:
             self.transport.abort()
         else:
-            self._begin()
+            self._write_pending()
 
-    def rest(self, attempt: Exchange, wait: float) -> None:
-        """Write the attempt in `wait` seconds, if nothing comes by then that belongs to the last one."""
+    def write_after(self, attempt: Exchange, delay_s: float) -> None:
+        """Write the attempt in `delay_s`, unless late bytes of the previous response arrive by then."""
         self.attempt, attempt.connection = attempt, self
-        self.resting = self.pool.loop.call_later(wait, self._begin)
+        self.reuse_timer = self.pool.loop.call_later(delay_s, self._write_pending)
 
-    def _begin(self) -> None:
-        """Write the attempt that waits."""
+    def _write_pending(self) -> None:
+        """Write the pending attempt."""
         attempt = self.attempt
-        stood = (
-            self.resting is not None
-            and time.monotonic() > self.idle_since + REUSE_DELAY_S + STALL_THRESHOLD_MS / 1000
+        process_stalled = (
+            self.reuse_timer is not None
+            and time.monotonic() > self.idle_since_s + REUSE_DELAY_S + STALL_THRESHOLD_MS / 1000
         )
         if attempt is None:
             self.close()
-        elif not self.host.is_listed or self.host.address != self.address or stood:
-            # Guards against sending to a backend that was taken off the list while the attempt waited, and,
-            # where the process stood still, may have been: the timer can come before that is read.
-            self.resting = None
+        elif not self.backend.is_listed or self.backend.address != self.address or process_stalled:
+            # The backend may have been removed while the attempt waited, and after a stall of the process
+            # the removal may not have been read yet, as timers can run before it.
+            self.reuse_timer = None
             self._fail(AttemptStatus.NOT_STARTED)
-        elif not self.clean:
+        elif not self.is_clean:
             self._fail(AttemptStatus.CONNECT_FAILED)
         else:
-            self.resting = None
+            self.reuse_timer = None
             self.write(attempt)
 
     @property
-    def clean(self) -> bool:
-        """Whether it is up, as far as this side knows, and nothing has come that no request asked for.
+    def is_clean(self) -> bool:
+        """Whether the connection is up, as far as this side knows, and has no unread input.
 
-        Guards against taking what came behind one answer for the next: it may wait in the kernel still.
+        Input that follows one response may still wait in the kernel; it must not be taken for the next
+        response.
         """
         if self.transport is None or self.transport.is_closing():
             return False
@@ -214,300 +223,338 @@
         return False
 
     def _fail(self, status: AttemptStatus) -> None:
-        attempt, self.attempt, resting = self.attempt, None, self.resting
+        attempt, self.attempt, reuse_timer = self.attempt, None, self.reuse_timer
         self.close()
-        if attempt is not None and resting is not None:
-            self.pool.connect(self.host, attempt)  # nothing of it was written here
+        if attempt is not None and reuse_timer is not None:
+            self.pool.connect(self.backend, attempt)  # nothing of it was written on this connection
         elif attempt is not None:
-            attempt.end(BackendResponse(status))
+            attempt.report_outcome(BackendResponse(status))
 
     def close(self) -> None:
-        """Close now: transports would do it a turn of the loop later, after the next attempt went out."""
-        if self.closed:
+        """Close at once: a transport would close one loop turn later, after the next attempt was written."""
+        if self.is_closed:
             return
-        self.closed = True
-        self.pool.count -= 1
-        self._forget()
-        if self.resting is not None:
-            self.resting.cancel()
-        if self in self.host.idle:
-            self.host.idle.remove(self)
-        if not self.handed:
+        self.is_closed = True
+        self.pool.connection_count -= 1
+        self._release_body()
+        if self.reuse_timer is not None:
+            self.reuse_timer.cancel()
+        if self in self.backend.idle:
+            self.backend.idle.remove(self)
+        if not self.is_owned_by_transport:
             if self.task is not None and self.task is not asyncio.current_task():
                 self.task.cancel()
-            self.pool.loop.remove_writer(self.sock)  # the cancelled connect may do it a turn later, by number
+            # The cancelled connect may do it a turn later, by descriptor number.
+            self.pool.loop.remove_writer(self.sock)
             self.sock.close()
             return
-        with contextlib.suppress(OSError):  # the other side was first
+        with contextlib.suppress(OSError):  # the backend closed first
             self.sock.shutdown(socket.SHUT_RDWR)
-        if self.transport is not None:  # else `open` ends it, a turn or two from now
+        if self.transport is not None:  # else `open` aborts it, in a turn or two of the loop
             self.transport.abort()
 
     # --- asyncio.Protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep no bytes back: what a write leaves in the buffer has not left, and that must be known."""
-        cast(asyncio.Transport, transport).set_write_buffer_limits(high=0)  # no subclass of it under uvloop
+        """Report every byte that the kernel has not taken: such a byte has not left the node."""
+        # uvloop's transport is no subclass of asyncio.Transport.
+        cast(asyncio.Transport, transport).set_write_buffer_limits(high=0)
 
     def pause_writing(self) -> None:
-        """Bytes of the request are still here."""
-        self.blocked = True
+        """Part of the request is still buffered here."""
+        self.is_write_blocked = True
 
     def resume_writing(self) -> None:
-        """The request's last byte has left."""
-        self.blocked = False
+        """The last byte of the request has left."""
+        self.is_write_blocked = False
 
     def write(self, attempt: Exchange) -> None:
-        """Send the attempt's request."""
+        """Write the request of the attempt."""
         assert self.transport is not None
         self.attempt, attempt.connection = attempt, self
         self._reset()
-        # Guards against an effect doubled by a repeat whose connection came up after its window had ended.
-        if time.monotonic() > attempt.start_before_ms:
+        # A retry whose connection comes up after its window must not be written: its effect could occur
+        # twice.
+        if time.monotonic() > attempt.start_before_s:
             self._fail(AttemptStatus.NOT_STARTED)
             return
         data, attempt.data = attempt.data, b""
-        # The transport alone holds what has not left: guards memory, as bodies may be long.
+        # Only the transport holds what has not left, since bodies may be long.
         if not (data := data if isinstance(data, bytes) else data()):
-            self._fail(AttemptStatus.NOT_STARTED)  # its request is over
+            self._fail(AttemptStatus.NOT_STARTED)  # its request has already ended
             return
         self.transport.write(data)
-        self.wrote = True
-        # Guards against calling a reset what never left: a write that fails at once closes the transport.
+        self.has_written = True
+        # A write that fails at once closes the transport: nothing left, so this is no reset.
         if self.transport.is_closing():
             self._fail(AttemptStatus.CONNECT_FAILED)
-        elif self.blocked and attempt.start_before_ms < math.inf:
-            self.pool.loop.call_later(attempt.start_before_ms - time.monotonic(), self._late, attempt)
+        elif self.is_write_blocked and attempt.start_before_s < math.inf:
+            self.pool.loop.call_later(attempt.start_before_s - time.monotonic(), self._on_window_end, attempt)
+
+    def _on_window_end(self, attempt: Exchange) -> None:
+        """Fail an attempt that is partly written as its window ends.
 
-    def _late(self, attempt: Exchange) -> None:
-        """Its window has ended: guards against an effect doubled by one whose last byte is still here."""
-        if self.attempt is attempt and self.blocked:
+        A request that becomes complete after its window could have its effect twice.
+        """
+        if self.attempt is attempt and self.is_write_blocked:
             self._fail(AttemptStatus.NOT_STARTED)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """A break before the request's last byte has left proves that it never ran; after, it may have."""
-        self.transport = None  # nothing to abort: asyncio's own would end a second time, with a traceback
-        self._fail(AttemptStatus.RESET if self.wrote and not self.blocked else AttemptStatus.CONNECT_FAILED)
+        """Fail the attempt.
+
+        If the connection breaks before the last byte of the request has left, the request never ran;
+        afterwards it may have.
+        """
+        # Nothing to abort: asyncio's transport would end a second time, with a traceback.
+        self.transport = None
+        self._fail(
+            AttemptStatus.RESET
+            if self.has_written and not self.is_write_blocked
+            else AttemptStatus.CONNECT_FAILED
+        )
 
     def eof_received(self) -> None:
-        """The end of an answer whose head names none (RFC 9112, 6.3); of all else it is a break."""
-        endless = self.in_body and not (self.attempt is None or self.blocked or self.complete or self.sized)
-        # Guards against serving what was cut: a reset that has come by now may stand behind the end.
-        if endless and not self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
+        """End a response without a length (RFC 9112, 6.3); for any other, the connection broke."""
+        ends_with_connection = self.is_in_body and not (
+            self.attempt is None or self.is_write_blocked or self.is_complete or self.has_length
+        )
+        # The response may be cut: a reset that has arrived by now may follow the end.
+        if ends_with_connection and not self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
             self.on_message_complete()
             self._finish(False)
 
     def data_received(self, data: bytes) -> None:
-        """Read the answer; bytes that belong to none spoil the connection."""
-        if self.attempt is None or not self.wrote:
+        """Parse the response; input that belongs to no attempt makes the connection unusable."""
+        if self.attempt is None or not self.has_written:
             self._fail(AttemptStatus.CONNECT_FAILED)  # an attempt that waits for the connection never ran
             return
-        fault = ""
+        parse_error = ""
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as err:
-            fault = f"broken answer: {err}"
-        self.bytes += len(data)  # guards against chunks, extensions, trailers or interim answers without end
-        if not self.in_body:
-            self.head += len(data)  # guards memory against a header without end, which the parser would keep
-        if self.complete and self.code == 200 and self.blocked:
-            # Guards against serving what no backend made for it: none begins before the request's last byte.
-            log.warning("backend %s:%d: an answer before the request was written", *self.address)
+            parse_error = f"broken answer: {err}"
+        # Bounds endless chunks, extensions, trailers and interim responses.
+        self.response_bytes += len(data)
+        if not self.is_in_body:
+            # Bounds the memory of an endless header, which the parser would buffer.
+            self.head_bytes += len(data)
+        if self.is_complete and self.code == 200 and self.is_write_blocked:
+            # A backend cannot respond to this request before its last byte, so the response is not to it.
+            log.warning("backend %s:%d: response before the request was written", *self.address)
             self._fail(AttemptStatus.CONNECT_FAILED)
-        elif self.complete:
-            self._finish(not fault and not self.excess)
-        elif fault or self.large or self.head > MAX_HEAD_BYTES or self.bytes - self.size > MAX_FRAMING_BYTES:
-            log.warning("backend %s:%d: %s", *self.address, fault or "answer too large")
+        elif self.is_complete:
+            self._finish(not parse_error and not self.has_second_response)
+        elif (
+            parse_error
+            or self.is_too_large
+            or self.head_bytes > MAX_HEAD_BYTES
+            or self.response_bytes - self.body_bytes > MAX_FRAMING_BYTES
+        ):
+            log.warning("backend %s:%d: %s", *self.address, parse_error or "answer too large")
             self._fail(AttemptStatus.RESET)
 
     # --- httptools
 
     def on_message_begin(self) -> None:
-        """A second answer is one too many."""
-        self.excess = self.complete
+        """Detect a second response."""
+        self.has_second_response = self.is_complete
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Keep the few headers that matter."""
-        if self.complete or self.in_body:
-            return  # a second answer's, or a trailer
+        """Store the few headers that are used."""
+        if self.is_complete or self.is_in_body:
+            return  # of a second response, or a trailer
         key = name.lower()
-        self.sized = self.sized or key in (b"content-length", b"transfer-encoding")
+        self.has_length = self.has_length or key in (b"content-length", b"transfer-encoding")
         if key == b"content-length":
-            # Known from the head: its body is not waited for. An interim answer has none, whatever it says.
-            self.large = int(value) > MAX_FORWARDED_BODY_BYTES and self.parser.get_status_code() >= 200
+            # A body known to be too large is not waited for. An interim response has no body, whatever its
+            # headers say.
+            self.is_too_large = int(value) > MAX_FORWARDED_BODY_BYTES and self.parser.get_status_code() >= 200
         elif key == b"server-load":
-            self.load = value
+            self.load_report_header = value
         elif key == b"not-started":
-            self.not_started = value.strip() == b"1"
+            self.is_not_started = value.strip() == b"1"
         elif key == b"content-type":
             self.content_type = value
 
     def on_headers_complete(self) -> None:
-        """The head is whole."""
-        self.in_body = True
+        """Note that the head is complete."""
+        self.is_in_body = True
 
     def on_body(self, body: bytes) -> None:
-        """Collect the body up to the limit."""
-        if self.complete or self.closed:
+        """Append a piece of the body within its limits."""
+        if self.is_complete or self.is_closed:
             return
-        self.size += len(body)
-        long = self.pool.long.reserve(self.long, self.size)
-        self.large = self.large or self.size > MAX_FORWARDED_BODY_BYTES or long is None
-        if long is not None:
-            self.long = long
-        if not self.large:
+        self.body_bytes += len(body)
+        reserved_bytes = self.pool.large_bodies.reserve(self.reserved_body_bytes, self.body_bytes)
+        self.is_too_large = (
+            self.is_too_large or self.body_bytes > MAX_FORWARDED_BODY_BYTES or reserved_bytes is None
+        )
+        if reserved_bytes is not None:
+            self.reserved_body_bytes = reserved_bytes
+        if not self.is_too_large:
             self.body.append(body)
 
     def on_message_complete(self) -> None:
-        """The answer is whole, unless it was an interim one."""
-        if self.complete:
+        """Note that the response is complete, unless it was an interim one."""
+        if self.is_complete:
             return
         self.code = self.parser.get_status_code()
         if self.code < 200:
-            self.load = b""
-            self.not_started = self.in_body = self.sized = False
+            self.load_report_header = b""
+            self.is_not_started = self.is_in_body = self.has_length = False
             return
-        self.complete, self.keep_alive = True, self.parser.should_keep_alive()
+        self.is_complete, self.keep_alive = True, self.parser.should_keep_alive()
 
-    def _finish(self, clean: bool) -> None:
+    def _finish(self, is_clean: bool) -> None:
         attempt, self.attempt = self.attempt, None
         assert attempt is not None
         report = None
-        if self.load:
+        if self.load_report_header:
             try:
-                report = parse_load_report(self.load.decode("latin-1"))
+                report = parse_load_report(self.load_report_header.decode("latin-1"))
             except ValueError as err:
                 log.warning("backend %s:%d: %s", *self.address, err)
-        answer = BackendResponse(AttemptStatus.ERROR, report)
-        if self.code == 200 and not self.large:
-            answer = BackendResponse(AttemptStatus.OK, report, b"".join(self.body), self.content_type)
-        elif self.code in (503, 504) and self.not_started and not self.large:
-            answer.status = AttemptStatus.REJECTED
-        self._forget()
-        self.pool.release(self, clean and self.keep_alive and not self.blocked)
-        attempt.end(answer)
+        response = BackendResponse(AttemptStatus.ERROR, report)
+        if self.code == 200 and not self.is_too_large:
+            response = BackendResponse(AttemptStatus.OK, report, b"".join(self.body), self.content_type)
+        elif self.code in (503, 504) and self.is_not_started and not self.is_too_large:
+            response.status = AttemptStatus.REJECTED
+        self._release_body()
+        self.pool.release(self, is_clean and self.keep_alive and not self.is_write_blocked)
+        attempt.report_outcome(response)
 
 
 class BackendPool:
     """All connections to backends."""
 
-    def __init__(self, settings: api.Settings, limit: int, long: LargeBodyBudget | None = None) -> None:
-        """At most `limit` connections; their long bodies count into `long`."""
-        self.long = long or LargeBodyBudget()
-        self.connect_timeout = settings.connect_timeout_ms / 1000
-        self.idle_limit = settings.connection_idle_ms / 1000
-        self.limit, self.count = limit, 0
-        self.hosts: dict[str, BackendConnections] = {}
-        self.sweeper: asyncio.TimerHandle | None = None
+    def __init__(
+        self, settings: api.Settings, max_connections: int, large_bodies: LargeBodyBudget | None = None
+    ) -> None:
+        """Open at most `max_connections`; their large bodies count into `large_bodies`."""
+        self.large_bodies = large_bodies or LargeBodyBudget()
+        self.connect_timeout_s = settings.connect_timeout_ms / 1000
+        self.idle_limit_s = settings.connection_idle_ms / 1000
+        self.max_connections, self.connection_count = max_connections, 0
+        self.backends: dict[str, BackendConnections] = {}
+        self.sweep_timer: asyncio.TimerHandle | None = None
         self.loop = asyncio.get_running_loop()
 
-    def update(self, members: Iterable[EndpointRecord], removed: Iterable[str] = ()) -> None:
-        """Take the changes of the view: idle connections to what leaves or moves go."""
+    def update(self, records: Iterable[EndpointRecord], removed: Iterable[str] = ()) -> None:
+        """Apply changes of the endpoint list; closes idle connections to backends that leave or move."""
         for name in removed:
             self._remove(name)
-        for member in members:
-            name = member.endpoint.id
-            if (host := self.hosts.get(name)) is None:
-                host = self.hosts[name] = BackendConnections(member.address)
-            host.is_listed = member.endpoint.phase is api.Phase.UP
-            if not host.is_listed or host.address != member.address:
+        for record in records:
+            name = record.endpoint.id
+            if (backend := self.backends.get(name)) is None:
+                backend = self.backends[name] = BackendConnections(record.address)
+            backend.is_listed = record.endpoint.phase is api.Phase.UP
+            if not backend.is_listed or backend.address != record.address:
                 self.close_idle(name)
-            host.address = member.address
+            backend.address = record.address
 
     def _remove(self, name: str) -> None:
-        """Forget a backend; an attempt that is out there ends on its own."""
-        if name in self.hosts:
-            self.hosts[name].is_listed = False
+        """Remove a backend; its running attempts end on their own."""
+        if name in self.backends:
+            self.backends[name].is_listed = False
             self.close_idle(name)
-            del self.hosts[name]
+            del self.backends[name]
 
     def close_idle(self, name: str) -> None:
         """Close the idle connections to a backend."""
-        for connection in self.hosts[name].idle[:] if name in self.hosts else ():
+        for connection in self.backends[name].idle[:] if name in self.backends else ():
             connection.close()
 
     def start(
         self,
         name: str,
         data: RequestData,
-        done: Callable[[BackendResponse], None],
-        begin_by: float = math.inf,
+        on_done: Callable[[BackendResponse], None],
+        start_before_s: float = math.inf,
     ) -> Exchange:
-        """Begin an attempt: on the connection used last, or on a new one. `done` may be called at once.
+        """Start an attempt on the last used connection or on a new one; `on_done` may be called at once.
 
-        One that has not rested is passed over, or waited for where there is no other: a new one takes longer.
-        Guards against taking what comes late behind an answer for that of this request.
+        A connection that was used within `REUSE_DELAY_S` is passed over, as a late second response on it
+        could be taken for that of this request. If there is no other, the attempt waits for it: a new
+        connection takes longer.
         """
-        host = self.hosts[name]
-        attempt = Exchange(data, done, begin_by)
-        now = time.monotonic()  # the loop's own clock stands still while it works
-        resting: BackendConnection | None = None  # the one that has rested longest
-        for connection in reversed(host.idle[:]):
-            if now - connection.idle_since < REUSE_DELAY_S:
-                resting = connection
-            elif now - connection.idle_since > IDLE_LIMIT_RATIO * self.idle_limit or not connection.clean:
+        backend = self.backends[name]
+        attempt = Exchange(data, on_done, start_before_s)
+        now_s = time.monotonic()  # the loop's own clock does not advance within a turn
+        recently_used: BackendConnection | None = None  # of these, the one that was used least recently
+        for connection in reversed(backend.idle[:]):
+            if now_s - connection.idle_since_s < REUSE_DELAY_S:
+                recently_used = connection
+            elif (
+                now_s - connection.idle_since_s > IDLE_LIMIT_RATIO * self.idle_limit_s
+                or not connection.is_clean
+            ):
                 connection.close()
             else:
-                host.idle.remove(connection)
+                backend.idle.remove(connection)
                 connection.write(attempt)
                 return attempt
-        if resting is not None and resting.clean:
-            host.idle.remove(resting)
-            resting.rest(attempt, REUSE_DELAY_S - (now - resting.idle_since))
+        if recently_used is not None and recently_used.is_clean:
+            backend.idle.remove(recently_used)
+            recently_used.write_after(attempt, REUSE_DELAY_S - (now_s - recently_used.idle_since_s))
         else:
-            self.connect(host, attempt)
+            self.connect(backend, attempt)
         return attempt
 
-    def connect(self, host: BackendConnections, attempt: Exchange) -> None:
-        """Begin an attempt on a new connection."""
-        if not host.is_listed or (self.count >= self.limit and not self._evict()):
-            attempt.end(BackendResponse(AttemptStatus.NOT_STARTED))
+    def connect(self, backend: BackendConnections, attempt: Exchange) -> None:
+        """Start an attempt on a new connection."""
+        if not backend.is_listed or (self.connection_count >= self.max_connections and not self._evict()):
+            attempt.report_outcome(BackendResponse(AttemptStatus.NOT_STARTED))
             return
         try:
-            connection = BackendConnection(self, host)
-        except OSError as err:  # guards the count of connections when no descriptor is left
-            log.warning("no socket for a backend: %s", err)
-            attempt.end(BackendResponse(AttemptStatus.NOT_STARTED))
+            connection = BackendConnection(self, backend)
+        except OSError as err:  # without a free descriptor the connection is not counted
+            log.warning("backend: no socket for a connection: %s", err)
+            attempt.report_outcome(BackendResponse(AttemptStatus.NOT_STARTED))
             return
-        self.count += 1
+        self.connection_count += 1
         connection.attempt, attempt.connection = attempt, connection
         connection.task = self.loop.create_task(connection.open())
 
     def _evict(self) -> bool:
-        """Close the connection that has been idle longest."""
-        idle = [host.idle[0] for host in self.hosts.values() if host.idle]
+        """Close the connection that has been idle longest; False if none is idle."""
+        idle = [backend.idle[0] for backend in self.backends.values() if backend.idle]
         if idle:
-            min(idle, key=lambda connection: connection.idle_since).close()
+            min(idle, key=lambda connection: connection.idle_since_s).close()
         return bool(idle)
 
-    def release(self, connection: BackendConnection, reusable: bool) -> None:
-        """Take back a connection after its answer."""
-        host = connection.host
-        reusable = reusable and IDLE_LIMIT_RATIO * self.idle_limit > REUSE_DELAY_S
-        if not reusable or not host.is_listed or host.address != connection.address or connection.closed:
+    def release(self, connection: BackendConnection, is_reusable: bool) -> None:
+        """Take back a connection after its response."""
+        backend = connection.backend
+        is_reusable = is_reusable and IDLE_LIMIT_RATIO * self.idle_limit_s > REUSE_DELAY_S
+        if (
+            not is_reusable
+            or not backend.is_listed
+            or backend.address != connection.address
+            or connection.is_closed
+        ):
             connection.close()
             return
-        connection.wrote, connection.idle_since = False, time.monotonic()
-        host.idle.append(connection)
-        if self.sweeper is None:
-            self.sweeper = self.loop.call_later(
-                max(SWEEP_INTERVAL_RATIO * self.idle_limit, 0.05), self._sweep
+        connection.has_written, connection.idle_since_s = False, time.monotonic()
+        backend.idle.append(connection)
+        if self.sweep_timer is None:
+            self.sweep_timer = self.loop.call_later(
+                max(SWEEP_INTERVAL_RATIO * self.idle_limit_s, 0.05), self._sweep
             )
 
     def _sweep(self) -> None:
-        """Close what has been idle for long, well before the backend does so under a request."""
-        self.sweeper, stale = None, time.monotonic() - IDLE_LIMIT_RATIO * self.idle_limit
-        for host in self.hosts.values():
-            for connection in [c for c in host.idle if c.idle_since < stale]:
+        """Close connections that have been idle for long, before the backend does so during a request."""
+        self.sweep_timer, idle_before_s = None, time.monotonic() - IDLE_LIMIT_RATIO * self.idle_limit_s
+        for backend in self.backends.values():
+            for connection in [c for c in backend.idle if c.idle_since_s < idle_before_s]:
                 connection.close()
-        if any(host.idle for host in self.hosts.values()):
-            self.sweeper = self.loop.call_later(
-                max(SWEEP_INTERVAL_RATIO * self.idle_limit, 0.05), self._sweep
+        if any(backend.idle for backend in self.backends.values()):
+            self.sweep_timer = self.loop.call_later(
+                max(SWEEP_INTERVAL_RATIO * self.idle_limit_s, 0.05), self._sweep
             )
 
     def close(self) -> None:
-        """Close all idle connections, at the end."""
-        for name in self.hosts:
+        """Close all idle connections at shutdown."""
+        for name in self.backends:
             self.close_idle(name)
-        if self.sweeper is not None:
-            self.sweeper.cancel()
+        if self.sweep_timer is not None:
+            self.sweep_timer.cancel()
--- a/balancer/net/http_server.py
+++ b/balancer/net/http_server.py
@@ -661,8 +661,8 @@
                 break
             now_s, is_last_check = self.loop.time(), remaining_s <= CLOSE_POLL_INTERVAL_S
             silent = [
-                connection
-                for connection, since_s in self.unused.items()
+                c
+                for c, since_s in self.unused.items()
                 if is_last_check or now_s - since_s >= FIRST_BYTE_TIMEOUT_MS / 1000
             ]
             silent += self.idle
--- a/balancer/net/request_dispatcher.py
+++ b/balancer/net/request_dispatcher.py
@@ -228,7 +228,7 @@
         # What has not left ends here, also where nothing may be called off: guards against sending it on once
         # its connection has come up, or the rest of it has found room, for a client that is not there.
         for item in request.attempts:
-            if item.attempt is not None and not item.attempt.left:
+            if item.attempt is not None and not item.attempt.may_have_left:
                 self._stop(item, api.AttemptStatus.NOT_STARTED)
         self.event(api.ClientLeft(name))
 
@@ -249,7 +249,7 @@
         """Tell the pool of a change, and whoever has to know of those that have moved."""
         if self.moved is not None:
             for member in members:
-                host = self.pool.hosts.get(member.endpoint.id)
+                host = self.pool.backends.get(member.endpoint.id)
                 if host is not None and host.address != member.address:
                     self.moved(member.endpoint.id)
         self.pool.update(members, [m.endpoint.id for m in removed])
@@ -258,7 +258,7 @@
         """The pool knows of all: the module's turn, or the last word of a list that was laid out for it."""
         done, self.bulk_update = self.bulk_update, None
         self.event(event)
-        self.ready = self.ready or any(host.is_listed for host in self.pool.hosts.values())
+        self.ready = self.ready or any(host.is_listed for host in self.pool.backends.values())
         if done is not None:
             for change in done.deferred_changes:
                 self.apply(change)
@@ -323,7 +323,7 @@
         request.attempts.append(item)
         left = request.deadline - now
         wait = min(action.timeout_ms, left) if action.timeout_ms else left
-        if request.answered or action.backend not in self.pool.hosts or wait <= 0:
+        if request.answered or action.backend not in self.pool.backends or wait <= 0:
             self._outcome(item, BackendResponse(api.AttemptStatus.NOT_STARTED))
             return
         item.timer = self.loop.call_later(wait / 1000, self._timeout, item)
@@ -334,13 +334,13 @@
 
     def _timeout(self, item: Attempt, last: bool = False) -> None:
         link, status = item.attempt.connection if item.attempt else None, api.AttemptStatus.TIMEOUT
-        if item.attempt is None or not item.attempt.left:
+        if item.attempt is None or not item.attempt.may_have_left:
             # Nothing whole has left: it never ran. Guards a backend against being taken for out of reach
             # where its connection still had time to come up, or waits at this node.
             late = self.now() - item.sent >= self.settings.connect_timeout_ms
-            late = late and (link is None or link.resting is None)
+            late = late and (link is None or link.reuse_timer is None)
             status = api.AttemptStatus.CONNECT_FAILED if late else api.AttemptStatus.NOT_STARTED
-        elif link is not None and not (last or link.clean):
+        elif link is not None and not (last or link.is_clean):
             # Guards an answer that lies in the kernel: where the loop stood still its timers may come first.
             item.timer = self.loop.call_later(STALL_SETTLE_S, self._timeout, item, True)
             return
--- a/tests/net/test_admin_socket.py
+++ b/tests/net/test_admin_socket.py
@@ -1,4 +1,4 @@
-"""The control socket: who is served, what is answered, what bounds a client, the socket file."""
+"""The control socket: access, responses, limits for clients, and the socket file."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 import pytest
 
-from balancer.net import admin_socket as control
+from balancer.net import admin_socket
 from balancer.net.admin_socket import AdminSocket, AdminSocketError, ask
 
 WAIT = 10.0
 
 
 def run(test: Callable[[], Awaitable[None]]) -> None:
-    """Run a test's coroutine, with an end to it."""
+    """Run a test's coroutine with a timeout."""
 
     async def bounded() -> None:
         async with asyncio.timeout(WAIT):
@@ -32,45 +32,49 @@
 
 @contextlib.asynccontextmanager
 async def serving(path: Path, uids: frozenset[int] | None = None) -> AsyncIterator[AdminSocket]:
-    """A control socket with two answers."""
-    out = AdminSocket(uids)
-    out.register("members", lambda: {"node": "n0", "members": [{"id": "a"}], "count": 1})
-    out.register("broken", lambda: {"x": 1 // 0})
-    await out.listen(path)
+    """Run a control socket with two commands."""
+    server = AdminSocket(uids)
+    server.register("members", lambda: {"node": "n0", "members": [{"id": "a"}], "count": 1})
+    server.register("broken", lambda: {"x": 1 // 0})
+    await server.listen(path)
     try:
-        yield out
+        yield server
     finally:
-        await out.close()
+        await server.close()
 
 
-async def asked(path: Path, name: str) -> dict[str, object]:
-    """`ask` beside the loop."""
+async def ask_in_thread(path: Path, name: str) -> dict[str, object]:
+    """Call `ask` in a thread, as it blocks."""
     return await asyncio.to_thread(ask, path, name)
 
 
-async def tells(path: Path, line: bytes) -> dict[str, object]:
-    """The answer to a raw line."""
+async def send_line(path: Path, line: bytes) -> dict[str, object]:
+    """Send a raw line and return the response."""
     reader, writer = await asyncio.open_unix_connection(path)
     writer.write(line)
-    got = json.loads(await reader.readline())
+    response = json.loads(await reader.readline())
     writer.close()
-    assert isinstance(got, dict)
-    return got
+    assert isinstance(response, dict)
+    return response
 
 
-def test_answers_by_name_and_its_file_goes_with_it(tmp_path: Path) -> None:
+def test_admin_socket_answers_by_name_and_removes_file_on_close(tmp_path: Path) -> None:
     path = tmp_path / "c.sock"
 
     async def test() -> None:
         async with serving(path):
-            assert await asked(path, "members") == {"node": "n0", "members": [{"id": "a"}], "count": 1}
+            assert await ask_in_thread(path, "members") == {
+                "node": "n0",
+                "members": [{"id": "a"}],
+                "count": 1,
+            }
             assert stat.S_IMODE(path.stat().st_mode) == 0o600
         assert not path.exists()
 
     run(test)
 
 
-def test_several_questions_on_one_connection(tmp_path: Path) -> None:
+def test_admin_socket_answers_several_requests_on_one_connection(tmp_path: Path) -> None:
     path = tmp_path / "c.sock"
 
     async def test() -> None:
@@ -84,7 +88,7 @@
     run(test)
 
 
-def test_a_long_answer_is_whole_and_the_loop_turns_meanwhile(tmp_path: Path) -> None:
+def test_admin_socket_with_long_response_lets_loop_turn(tmp_path: Path) -> None:
     path = tmp_path / "c.sock"
 
     async def test() -> None:
@@ -104,16 +108,16 @@
         async with serving(path) as server:
             server.register("rows", lambda: {"rows": rows(), "none": [], "end": iter(())})
             counting = asyncio.create_task(count())
-            got = await asked(path, "rows")
+            got = await ask_in_thread(path, "rows")
             counting.cancel()
         assert got == {"rows": [{"id": n} for n in range(10_000)], "none": [], "end": []}
-        assert len(seen) >= 10_000 / control.ROWS_PER_CHUNK
+        assert len(seen) >= 10_000 / admin_socket.ROWS_PER_CHUNK
 
     run(test)
 
 
 @pytest.mark.parametrize(
-    ("line", "named"),
+    ("line", "error"),
     [
         (b"members\n", "one JSON object a line"),
         (b"[" * 3000 + b"\n", "one JSON object a line"),
@@ -124,18 +128,18 @@
         (b"x" * 5000, "one line of at most 4096 bytes"),
     ],
 )
-def test_what_cannot_be_answered_is_said_in_words(tmp_path: Path, line: bytes, named: str) -> None:
+def test_admin_socket_with_invalid_request_returns_error(tmp_path: Path, line: bytes, error: str) -> None:
     path = tmp_path / "c.sock"
 
     async def test() -> None:
         async with serving(path):
-            assert named in str((await tells(path, line))["error"])
-            assert (await asked(path, "members"))["node"] == "n0"
+            assert error in str((await send_line(path, line))["error"])
+            assert (await ask_in_thread(path, "members"))["node"] == "n0"
 
     run(test)
 
 
-def test_another_user_is_refused(tmp_path: Path) -> None:
+def test_admin_socket_with_another_user_refuses(tmp_path: Path) -> None:
     path = tmp_path / "c.sock"
 
     async def test() -> None:
@@ -143,33 +147,33 @@
             with pytest.raises(
                 AdminSocketError, match=f"user {os.geteuid()} is neither root nor the node's own"
             ):
-                await asked(path, "members")
+                await ask_in_thread(path, "members")
 
     run(test)
 
 
-def test_at_most_eight_clients_and_each_for_a_limited_time(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_admin_socket_limits_clients_and_their_time(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     path = tmp_path / "c.sock"
-    monkeypatch.setattr(control, "CLIENT_TIMEOUT_S", 0.5)
+    monkeypatch.setattr(admin_socket, "CLIENT_TIMEOUT_S", 0.5)
 
     async def test() -> None:
         async with serving(path):
             silent = [await asyncio.open_unix_connection(path) for _ in range(8)]
             with pytest.raises(AdminSocketError, match="8 clients are being served"):
-                await asked(path, "members")
+                await ask_in_thread(path, "members")
             for reader, writer in silent:
                 assert await reader.read() == b""
                 writer.close()
-            assert (await asked(path, "members"))["node"] == "n0"
+            assert (await ask_in_thread(path, "members"))["node"] == "n0"
 
     run(test)
 
 
-def test_a_client_that_does_not_read_is_left(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_admin_socket_with_client_that_does_not_read_disconnects(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     path = tmp_path / "c.sock"
-    monkeypatch.setattr(control, "CLIENT_TIMEOUT_S", 0.3)
+    monkeypatch.setattr(admin_socket, "CLIENT_TIMEOUT_S", 0.3)
 
     async def test() -> None:
         calls = 0
@@ -194,7 +198,7 @@
     run(test)
 
 
-def test_a_dead_process_socket_goes_and_a_live_one_is_an_error(tmp_path: Path) -> None:
+def test_listen_replaces_dead_socket_and_rejects_live_one(tmp_path: Path) -> None:
     path = tmp_path / "c.sock"
     with socket.socket(socket.AF_UNIX) as dead:
         dead.bind(str(path))
@@ -203,12 +207,12 @@
         async with serving(path):
             with pytest.raises(AdminSocketError, match=r"c\.sock: a running process listens there"):
                 await AdminSocket().listen(path)
-            assert (await asked(path, "members"))["node"] == "n0"
+            assert (await ask_in_thread(path, "members"))["node"] == "n0"
 
     run(test)
 
 
-def test_a_file_that_is_no_socket_is_left_alone(tmp_path: Path) -> None:
+def test_listen_on_other_file_fails_and_keeps_it(tmp_path: Path) -> None:
     path = tmp_path / "c.sock"
     path.write_text("precious")
 
@@ -222,24 +226,26 @@
     assert path.read_text() == "precious"
 
 
-def test_another_path_and_none(tmp_path: Path) -> None:
-    one, two = tmp_path / "1.sock", tmp_path / "2.sock"
+def test_listen_on_another_path_moves_and_on_none_stops(tmp_path: Path) -> None:
+    first_path, second_path = tmp_path / "1.sock", tmp_path / "2.sock"
 
     async def test() -> None:
-        async with serving(one) as server:
+        async with serving(first_path) as server:
             (tmp_path / "file").write_text("")
             with pytest.raises(AdminSocketError):
                 await server.listen(tmp_path / "file")
-            assert (await asked(one, "members"))["node"] == "n0", "a bad path costs the old one"
-            await server.listen(two)
-            assert not one.exists() and (await asked(two, "members"))["node"] == "n0"
+            assert (await ask_in_thread(first_path, "members"))["node"] == "n0", (
+                "a bad path costs the old one"
+            )
+            await server.listen(second_path)
+            assert not first_path.exists() and (await ask_in_thread(second_path, "members"))["node"] == "n0"
             await server.listen(None)
-            assert not two.exists()
+            assert not second_path.exists()
 
     run(test)
 
 
-def test_the_end_leaves_a_file_that_is_not_its_own(tmp_path: Path) -> None:
+def test_close_keeps_file_of_another_process(tmp_path: Path) -> None:
     path = tmp_path / "c.sock"
 
     async def test() -> None:
@@ -251,24 +257,24 @@
     assert path.read_text() == "another's"
 
 
-def test_asking_where_nobody_answers(tmp_path: Path) -> None:
+def test_ask_without_answering_node_raises(tmp_path: Path) -> None:
     with pytest.raises(AdminSocketError, match=r"c\.sock: no node answers there: No such file"):
         ask(tmp_path / "c.sock", "members")
-    with socket.socket(socket.AF_UNIX) as mute:
-        mute.bind(str(tmp_path / "c.sock"))
-        mute.listen()
+    with socket.socket(socket.AF_UNIX) as silent_socket:
+        silent_socket.bind(str(tmp_path / "c.sock"))
+        silent_socket.listen()
         with pytest.raises(AdminSocketError, match=r"no answer within 0\.1 s"):
             ask(tmp_path / "c.sock", "members", timeout_s=0.1)
 
 
-def test_rows_that_take_their_time_let_the_loop_turn_after_each() -> None:
-    """Guards requests against an operator who asks for all that thousands of servers did."""
+def test_chunks_with_slow_rows_yield_after_each() -> None:
+    """A query over thousands of backends must not hold up requests."""
 
     def rows() -> Iterator[int]:
         for number in range(5):
-            time.sleep(2 * control.MAX_TURN_S)
+            time.sleep(2 * admin_socket.MAX_TURN_S)
             yield number
 
-    pieces = list(control._chunks({"rows": rows()}))
+    pieces = list(admin_socket._chunks({"rows": rows()}))
     assert json.loads("".join(pieces)) == {"rows": [0, 1, 2, 3, 4]}
     assert sum(any(c.isdigit() for c in piece) for piece in pieces) == 5
--- a/tests/net/test_backend_pool.py
+++ b/tests/net/test_backend_pool.py
@@ -1,4 +1,4 @@
-"""The pool of connections to backends, with each crossing forced: closes, late bytes, endless answers."""
+"""The pool of backend connections with races forced: closes, late bytes, endless responses."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from balancer.endpoints import parse_endpoint_list
 from balancer.interface import AttemptStatus, Idempotency, Settings
 from balancer.interface import RequestClass as Class
-from balancer.net import backend_pool as upstream
+from balancer.net import backend_pool
 from balancer.net.backend_pool import (
     IDLE_LIMIT_RATIO,
     REUSE_DELAY_S,
@@ -33,106 +33,107 @@
 
 NewLoop = Callable[[], asyncio.AbstractEventLoop]
 LOOPS = pytest.mark.parametrize("new_loop", [asyncio.new_event_loop, uvloop.new_event_loop])
-LONG = 30.0  # s: a rest that no slow machine lives through, under the idle limit
+LONG_REUSE_DELAY_S = 30.0  # no slow machine outlasts it, and it is under the idle limit
 READ = Class("read", Idempotency.IDEMPOTENT, latency_objective_ms=400.0, deadline_ms=1000.0)
 
 
 def run(test: Callable[[], Awaitable[None]], new_loop: NewLoop = uvloop.new_event_loop) -> None:
-    """Run a test's coroutine, with an end to it."""
-    faults: list[Any] = []
+    """Run a test's coroutine with a timeout; errors in the loop's callbacks fail it."""
+    loop_errors: list[Any] = []
 
     async def bounded() -> None:
-        asyncio.get_running_loop().set_exception_handler(lambda loop, context: faults.append(context))
+        asyncio.get_running_loop().set_exception_handler(lambda loop, context: loop_errors.append(context))
         async with asyncio.timeout(3 * WAIT):
             await test()
 
     with asyncio.Runner(loop_factory=new_loop) as runner:
         runner.run(bounded())
-    assert not faults
+    assert not loop_errors
 
 
-def members(port: int, **over: Any) -> Any:
-    """The list with one backend."""
-    row = {"id": "b0", "host_port": f"127.0.0.1:{port}", "phase": "in_service"} | over
+def endpoint_records(port: int, **overrides: Any) -> Any:
+    """Return the endpoint records of a list with one backend."""
+    row = {"id": "b0", "host_port": f"127.0.0.1:{port}", "phase": "in_service"} | overrides
     return parse_endpoint_list({"revision": 1, "complete": True, "members": [row]}).records
 
 
-class Stand:
-    """A pool and the one backend it knows: a listener whose connections the test holds in its hands."""
+class PoolHarness:
+    """A pool and the one backend it knows: a listener whose connections the test controls."""
 
-    def __init__(self, limit: int = 10, **over: Any) -> None:
+    def __init__(self, max_connections: int = 10, **overrides: Any) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.listener.settimeout(WAIT)
-        # No connection fails for a slow machine: its test would wait for one that never comes.
-        usual = {"connection_idle_ms": 60_000.0, "connect_timeout_ms": HOUR}
-        self.pool = BackendPool(Settings(classes=(READ,), **usual | over), limit)
+        # A connect must not time out on a slow machine: the test would wait for a connection that never
+        # comes.
+        default_settings = {"connection_idle_ms": 60_000.0, "connect_timeout_ms": HOUR}
+        self.pool = BackendPool(Settings(classes=(READ,), **default_settings | overrides), max_connections)
         self.port = self.listener.getsockname()[1]
-        self.pool.update(members(self.port))
-        self.ends: list[BackendResponse] = []
-        self.peers: list[socket.socket] = []
+        self.pool.update(endpoint_records(self.port))
+        self.responses: list[BackendResponse] = []
+        self.accepted_sockets: list[socket.socket] = []
 
-    def start(self, data: bytes, begin_by: float = math.inf) -> Any:
-        """Begin an attempt."""
-        return self.pool.start("b0", data, self.ends.append, begin_by)
+    def start(self, data: bytes, start_before_s: float = math.inf) -> Any:
+        """Start an attempt."""
+        return self.pool.start("b0", data, self.responses.append, start_before_s)
 
     async def accept(self) -> socket.socket:
-        """The next connection; its reads and writes hold the loop."""
+        """Accept the next connection; its reads and writes block the loop."""
         self.listener.setblocking(False)
         peer, _ = await asyncio.get_running_loop().sock_accept(self.listener)
         peer.setblocking(True)
         peer.settimeout(WAIT)
-        self.peers.append(peer)
+        self.accepted_sockets.append(peer)
         return peer
 
-    async def request(self, peer: socket.socket, size: int) -> bytes:
-        """So many bytes of a request."""
+    async def read_request(self, peer: socket.socket, byte_count: int) -> bytes:
+        """Read that many bytes of a request."""
         peer.setblocking(False)
         out = b""
-        while len(out) < size:
-            got = await asyncio.get_running_loop().sock_recv(peer, size - len(out))
+        while len(out) < byte_count:
+            got = await asyncio.get_running_loop().sock_recv(peer, byte_count - len(out))
             assert got
             out += got
         peer.settimeout(WAIT)
         return out
 
-    async def ended(self, count: int) -> BackendResponse:
-        """The so manieth end."""
-        while len(self.ends) < count:
+    async def wait_ended(self, count: int) -> BackendResponse:
+        """Wait until that many attempts have ended, and return the last of these outcomes."""
+        while len(self.responses) < count:
             await asyncio.sleep(0)
-        return self.ends[count - 1]
+        return self.responses[count - 1]
 
     def close(self) -> None:
-        """Close all of it."""
+        """Close the pool and all sockets."""
         self.pool.close()
-        for sock in (*self.peers, self.listener):
+        for sock in (*self.accepted_sockets, self.listener):
             sock.close()
 
 
-async def turns(count: int) -> None:
+async def turn_loop(count: int) -> None:
     """Let the loop turn."""
     for _ in range(count):
         await asyncio.sleep(0)
 
 
-async def wait_until(true: Callable[[], bool]) -> None:
-    """Wait for it."""
-    while not true():
+async def wait_until(condition: Callable[[], bool]) -> None:
+    """Wait until the condition is met."""
+    while not condition():
         await asyncio.sleep(0)
 
 
 def descriptors() -> set[int]:
-    """The process's open descriptors."""
+    """Return the open descriptors of this process."""
     return {int(name) for name in os.listdir("/proc/self/fd") if os.path.exists(f"/proc/self/fd/{name}")}
 
 
-def connect_in_one_turn(wait: float = 0.0) -> None:
-    """The loop connects without a wait: which turn brings what is known, whatever its resolver does."""
+def connect_in_one_turn(delay_s: float = 0.0) -> None:
+    """Make the loop connect without waiting, so that each step falls into a known turn."""
 
     async def connect(sock: socket.socket, address: Any) -> None:
         sock.setblocking(True)
         sock.connect(address)
         sock.setblocking(False)
-        time.sleep(wait)
+        time.sleep(delay_s)
 
     asyncio.get_running_loop().sock_connect = connect  # type: ignore[method-assign]
 
@@ -141,229 +142,233 @@
 
 
 @LOOPS
-@pytest.mark.parametrize("at_once", [True, False])
+@pytest.mark.parametrize("connects_in_one_turn", [True, False])
 @pytest.mark.parametrize("turn", range(11))
-def test_an_attempt_dropped_as_its_connection_comes_up_closes_its_own_descriptor_alone(
-    new_loop: NewLoop, turn: int, at_once: bool
+def test_drop_while_connecting_closes_own_descriptor_only(
+    new_loop: NewLoop, turn: int, connects_in_one_turn: bool
 ) -> None:
-    """Guards against a number closed twice: by the second time it may be a client's connection."""
+    """A descriptor number that is closed twice may belong to a client's connection the second time."""
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
-        stand = Stand()
-        if at_once:
+        harness = PoolHarness()
+        if connects_in_one_turn:
             connect_in_one_turn()
         else:
-            await loop.getaddrinfo("127.0.0.1", stand.port)
-        stand.start(b"GET / HTTP/1.1\r\n\r\n")  # what the loop opens once for itself is there after it
-        (await stand.accept()).close()
-        await stand.ended(1)
-        await turns(10)
-        gc.collect()  # what tests before this one left is not closed while this one counts
+            await loop.getaddrinfo("127.0.0.1", harness.port)
+        # Descriptors that the loop opens once for itself are open after this.
+        harness.start(b"GET / HTTP/1.1\r\n\r\n")
+        (await harness.accept()).close()
+        await harness.wait_ended(1)
+        await turn_loop(10)
+        gc.collect()  # descriptors that earlier tests left must not be closed during the count
         before = descriptors()
-        attempt = stand.start(b"GET / HTTP/1.1\r\n\r\n")
-        await turns(turn)
+        attempt = harness.start(b"GET / HTTP/1.1\r\n\r\n")
+        await turn_loop(turn)
         attempt.drop()
         pair = socket.socketpair()
-        copies = [os.dup(stand.listener.fileno()) for _ in range(3)]
+        copies = [os.dup(harness.listener.fileno()) for _ in range(3)]
         taken = {fd: os.fstat(fd).st_ino for fd in (*copies, *(sock.fileno() for sock in pair))}
         woken = asyncio.Event()
         loop.add_reader(pair[0], woken.set)
-        await turns(10)
+        await turn_loop(10)
         assert {fd: os.fstat(fd).st_ino for fd in taken} == taken
         pair[1].send(b"x")
-        await woken.wait()  # its watcher is still its own, too
+        await woken.wait()  # the reader is still registered as well
         loop.remove_reader(pair[0])
         for fd in copies:
             os.close(fd)
         for sock in pair:
             sock.close()
-        await turns(10)
-        assert descriptors() == before and stand.pool.count == 0 and len(stand.ends) == 1
-        stand.close()
+        await turn_loop(10)
+        assert descriptors() == before and harness.pool.connection_count == 0 and len(harness.responses) == 1
+        harness.close()
 
     run(test, new_loop)
 
 
 @LOOPS
-def test_time_that_is_over_once_it_is_connected_does_not_end_it_half_way(new_loop: NewLoop) -> None:
+def test_connect_timeout_after_connect_does_not_end_attempt(new_loop: NewLoop) -> None:
     async def test() -> None:
-        stand = Stand(connect_timeout_ms=1.0)
+        harness = PoolHarness(connect_timeout_ms=1.0)
         connect_in_one_turn(0.01)
-        await turns(3)
-        stand.start(b"one")
-        peer = await stand.accept()
-        assert await stand.request(peer, 3) == b"one"
+        await turn_loop(3)
+        harness.start(b"one")
+        peer = await harness.accept()
+        assert await harness.read_request(peer, 3) == b"one"
         peer.sendall(answer(b"mine"))
-        assert (await stand.ended(1)).body == b"mine"
-        stand.close()
+        assert (await harness.wait_ended(1)).body == b"mine"
+        harness.close()
 
     run(test, new_loop)
 
 
-# --- an answer belongs to one request
+# --- a response belongs to one request
 
 
 @LOOPS
-def test_a_second_answer_some_milliseconds_late_is_nobody_elses(
+def test_reuse_with_late_second_response_serves_no_other_request(
     new_loop: NewLoop, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against serving a client with another's answer: the next request was written in between."""
-    monkeypatch.setattr(upstream, "REUSE_DELAY_S", LONG)
+    """The next request was written in between, and its client would get another request's response."""
+    monkeypatch.setattr(backend_pool, "REUSE_DELAY_S", LONG_REUSE_DELAY_S)
 
     async def test() -> None:
-        stand = Stand()
-        stand.start(b"one")
-        peer = await stand.accept()
-        await stand.request(peer, 3)
+        harness = PoolHarness()
+        harness.start(b"one")
+        peer = await harness.accept()
+        await harness.read_request(peer, 3)
         peer.sendall(answer(b"mine"))
-        await stand.ended(1)
-        stand.start(b"two")
-        peer.sendall(answer(b"mine again"))  # behind the second request, wherever that was written
-        other = await stand.accept()
-        await stand.request(other, 3)
+        await harness.wait_ended(1)
+        harness.start(b"two")
+        peer.sendall(answer(b"mine again"))  # after the second request, wherever that was written
+        other = await harness.accept()
+        await harness.read_request(other, 3)
         other.sendall(answer(b"yours"))
-        assert (await stand.ended(2)).body == b"yours"
-        assert peer.recv(10) == b""  # spoilt, and that alone
-        await wait_until(lambda: stand.pool.count == 1)
-        stand.close()
+        assert (await harness.wait_ended(2)).body == b"yours"
+        assert peer.recv(10) == b""  # closed, and only this one
+        await wait_until(lambda: harness.pool.connection_count == 1)
+        harness.close()
 
     run(test, new_loop)
 
 
-def test_a_connection_that_has_rested_is_used_again_the_latest_first(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(upstream, "REUSE_DELAY_S", LONG)
+def test_reuse_after_delay_takes_last_used_connection(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(backend_pool, "REUSE_DELAY_S", LONG_REUSE_DELAY_S)
 
     async def test() -> None:
-        stand = Stand()
+        harness = PoolHarness()
         peers = []
         for _ in range(3):
-            stand.start(b"one")
-            peers.append(await stand.accept())
-            await stand.request(peers[-1], 3)
+            harness.start(b"one")
+            peers.append(await harness.accept())
+            await harness.read_request(peers[-1], 3)
         for number, peer in enumerate(peers):
             peer.sendall(answer(b"x"))
-            await stand.ended(number + 1)
-        idle = stand.pool.hosts["b0"].idle
+            await harness.wait_ended(number + 1)
+        idle = harness.pool.backends["b0"].idle
         assert [c.sock.getpeername() for c in idle] == [p.getsockname() for p in peers] and len(idle) == 3
         used = list(idle)
         for connection in used[:2]:
-            connection.idle_since -= LONG
-        stand.start(b"two")
-        assert idle == [used[0], used[2]]  # not the latest of all, which has not rested
-        assert await stand.request(peers[1], 3) == b"two"
-        stand.start(b"six")
-        assert await stand.request(peers[0], 3) == b"six"
-        monkeypatch.setattr(upstream, "REUSE_DELAY_S", 0.5)
-        used[2].idle_since = time.monotonic()
-        stand.start(b"ten")  # the only one is waited for
-        assert not used[2].wrote and stand.pool.count == 3
-        assert await stand.request(peers[2], 3) == b"ten"
-        stand.close()
+            connection.idle_since_s -= LONG_REUSE_DELAY_S
+        harness.start(b"two")
+        assert idle == [used[0], used[2]]  # not the last used, which was used too recently
+        assert await harness.read_request(peers[1], 3) == b"two"
+        harness.start(b"six")
+        assert await harness.read_request(peers[0], 3) == b"six"
+        monkeypatch.setattr(backend_pool, "REUSE_DELAY_S", 0.5)
+        used[2].idle_since_s = time.monotonic()
+        harness.start(b"ten")  # the attempt waits for the only one
+        assert not used[2].has_written and harness.pool.connection_count == 3
+        assert await harness.read_request(peers[2], 3) == b"ten"
+        harness.close()
 
     run(test)
 
 
-@pytest.mark.parametrize("comes", [answer(b"mine again"), b""])
-def test_an_attempt_whose_resting_connection_is_spoilt_goes_on_a_new_one(
-    monkeypatch: pytest.MonkeyPatch, comes: bytes
+@pytest.mark.parametrize("late_input", [answer(b"mine again"), b""])
+def test_reuse_of_connection_closed_during_delay_connects_anew(
+    monkeypatch: pytest.MonkeyPatch, late_input: bytes
 ) -> None:
-    """By bytes that come late or by its end, at the cap, too; it counts as one attempt that went out once."""
-    monkeypatch.setattr(upstream, "REUSE_DELAY_S", LONG)
+    """By late bytes or by its end, also at the limit; it counts as one attempt that was sent once."""
+    monkeypatch.setattr(backend_pool, "REUSE_DELAY_S", LONG_REUSE_DELAY_S)
 
     async def test() -> None:
-        stand = Stand(limit=1)
-        stand.start(b"one")
-        peer = await stand.accept()
-        await stand.request(peer, 3)
+        harness = PoolHarness(max_connections=1)
+        harness.start(b"one")
+        peer = await harness.accept()
+        await harness.read_request(peer, 3)
         peer.sendall(answer(b"x"))
-        await stand.ended(1)
-        stand.start(b"two")
-        assert stand.pool.count == 1
-        if comes:
-            peer.sendall(comes)
+        await harness.wait_ended(1)
+        harness.start(b"two")
+        assert harness.pool.connection_count == 1
+        if late_input:
+            peer.sendall(late_input)
         else:
             peer.shutdown(socket.SHUT_WR)
-        assert await stand.request(await stand.accept(), 3) == b"two"
-        assert peer.recv(10) == b"" and stand.pool.count == 1 and len(stand.ends) == 1
-        stand.close()
+        assert await harness.read_request(await harness.accept(), 3) == b"two"
+        assert peer.recv(10) == b"" and harness.pool.connection_count == 1 and len(harness.responses) == 1
+        harness.close()
 
     run(test)
 
 
-@pytest.mark.parametrize("how", ["drop", "drain", "gone", "moved"])
-def test_an_attempt_that_waits_for_a_resting_connection_may_still_be_called_off(
-    monkeypatch: pytest.MonkeyPatch, how: str
+@pytest.mark.parametrize("change", ["drop", "drain", "gone", "moved"])
+def test_attempt_waiting_for_reuse_when_cancelled_writes_nothing(
+    monkeypatch: pytest.MonkeyPatch, change: str
 ) -> None:
-    """Nothing is written for a client that has left, or to a server that drains, is gone or another one."""
-    monkeypatch.setattr(upstream, "REUSE_DELAY_S", 0.05)
+    """Nothing is written for a client that has disconnected, or to a backend that drains, left or moved."""
+    monkeypatch.setattr(backend_pool, "REUSE_DELAY_S", 0.05)
 
     async def test() -> None:
-        stand = Stand()
-        stand.start(b"one")
-        peer = await stand.accept()
-        await stand.request(peer, 3)
+        harness = PoolHarness()
+        harness.start(b"one")
+        peer = await harness.accept()
+        await harness.read_request(peer, 3)
         peer.sendall(answer(b"x"))
-        await stand.ended(1)
-        attempt = stand.start(b"two")
-        assert not attempt.left
-        if how == "drop":
+        await harness.wait_ended(1)
+        attempt = harness.start(b"two")
+        assert not attempt.may_have_left
+        if change == "drop":
             attempt.drop()
-        elif how == "gone":
-            stand.pool.update((), ["b0"])
+        elif change == "gone":
+            harness.pool.update((), ["b0"])
         else:
-            phase = "terminating" if how == "drain" else "in_service"
-            stand.pool.update(members(stand.port + (how == "moved"), phase=phase))
-        assert how == "drop" or (await stand.ended(2)).status is AttemptStatus.NOT_STARTED
+            phase = "terminating" if change == "drain" else "in_service"
+            harness.pool.update(endpoint_records(harness.port + (change == "moved"), phase=phase))
+        assert change == "drop" or (await harness.wait_ended(2)).status is AttemptStatus.NOT_STARTED
         assert await asyncio.to_thread(peer.recv, 10) == b""
-        await wait_until(lambda: not stand.pool.count)
-        stand.close()
+        await wait_until(lambda: not harness.pool.connection_count)
+        harness.close()
 
     run(test)
 
 
-@pytest.mark.parametrize("limit", [0.0, 10.0, 300.0])
-def test_short_idle_limits(limit: float) -> None:
-    """A connection is kept only where it can be used again before the backend closes it."""
+@pytest.mark.parametrize("idle_limit_ms", [0.0, 10.0, 300.0])
+def test_release_with_short_idle_limit_keeps_only_reusable(idle_limit_ms: float) -> None:
+    """A connection is kept only if it can be reused before the backend closes it."""
 
     async def test() -> None:
-        stand = Stand(connection_idle_ms=limit)
-        stand.start(b"one")
-        peer = await stand.accept()
-        await stand.request(peer, 3)
+        harness = PoolHarness(connection_idle_ms=idle_limit_ms)
+        harness.start(b"one")
+        peer = await harness.accept()
+        await harness.read_request(peer, 3)
         began = time.monotonic()
         peer.sendall(answer(b"x"))
-        await stand.ended(1)
-        assert stand.pool.count == len(stand.pool.hosts["b0"].idle) == (limit == 300.0)
+        await harness.wait_ended(1)
+        assert (
+            harness.pool.connection_count == len(harness.pool.backends["b0"].idle) == (idle_limit_ms == 300.0)
+        )
         assert await asyncio.to_thread(peer.recv, 10) == b""
-        assert limit < 300 or time.monotonic() - began > IDLE_LIMIT_RATIO * 0.3
-        await wait_until(lambda: not stand.pool.count)
-        stand.close()
+        assert idle_limit_ms < 300 or time.monotonic() - began > IDLE_LIMIT_RATIO * 0.3
+        await wait_until(lambda: not harness.pool.connection_count)
+        harness.close()
 
     run(test)
 
 
 @LOOPS
-def test_an_answer_that_is_there_before_the_request_serves_nobody(new_loop: NewLoop) -> None:
-    """The request is not sent at all, so that it may go elsewhere, whatever its class."""
+def test_response_before_request_is_not_served(new_loop: NewLoop) -> None:
+    """The request is not sent at all, so that it may go to another backend, whatever its class."""
 
     async def test() -> None:
-        stand = Stand()
+        harness = PoolHarness()
         connect_in_one_turn()
-        stand.start(b"one")
-        await turns(1)  # it is connected, and about to be written
-        stand.listener.setblocking(True)
-        peer, _ = stand.listener.accept()
+        harness.start(b"one")
+        await turn_loop(1)  # it is connected, and about to be written
+        harness.listener.setblocking(True)
+        peer, _ = harness.listener.accept()
         peer.sendall(answer(b"nobody's"))
-        assert (await stand.ended(1)).status is AttemptStatus.CONNECT_FAILED
-        assert peer.recv(10) == b"" and stand.pool.count == 0
+        assert (await harness.wait_ended(1)).status is AttemptStatus.CONNECT_FAILED
+        assert peer.recv(10) == b"" and harness.pool.connection_count == 0
         peer.close()
-        stand.close()
+        harness.close()
 
     run(test, new_loop)
 
 
-BIG = b"POST / HTTP/1.1\r\nContent-Length: 64000000\r\n\r\n" + b"x" * 64_000_000  # more than kernels hold
+# More than the kernels buffer.
+LARGE_REQUEST = b"POST / HTTP/1.1\r\nContent-Length: 64000000\r\n\r\n" + b"x" * 64_000_000
 
 
 @LOOPS
@@ -375,25 +380,25 @@
         (answer(b"", "500 Internal Server Error"), AttemptStatus.ERROR),
     ],
 )
-def test_an_answer_before_the_last_byte_of_the_request(
+def test_response_before_last_request_byte_closes_connection(
     new_loop: NewLoop, text: bytes, status: AttemptStatus
 ) -> None:
     async def test() -> None:
-        stand = Stand()
-        attempt = stand.start(BIG)
-        peer = await stand.accept()
-        await stand.request(peer, 1)
-        assert not attempt.left
+        harness = PoolHarness()
+        attempt = harness.start(LARGE_REQUEST)
+        peer = await harness.accept()
+        await harness.read_request(peer, 1)
+        assert not attempt.may_have_left
         peer.sendall(text)
-        assert (await stand.ended(1)).status is status
-        assert stand.pool.count == 0
-        stand.close()
+        assert (await harness.wait_ended(1)).status is status
+        assert harness.pool.connection_count == 0
+        harness.close()
 
     run(test, new_loop)
 
 
 @pytest.mark.parametrize(
-    ("text", "status", "kept"),
+    ("text", "status", "is_kept"),
     [
         (answer(b"mine") + b"x", AttemptStatus.OK, False),
         (answer(b"mine") + answer(b"mine again"), AttemptStatus.OK, False),
@@ -408,32 +413,32 @@
         ),
     ],
 )
-def test_what_stands_round_an_answer(text: bytes, status: AttemptStatus, kept: bool) -> None:
-    """In one packet, and byte by byte up to the answer's end."""
+def test_response_with_surrounding_input_is_parsed(text: bytes, status: AttemptStatus, is_kept: bool) -> None:
+    """In one packet, and byte by byte up to the end of the response."""
 
     async def test() -> None:
-        stand = Stand()
+        harness = PoolHarness()
         for count, step in ((1, len(text)), (2, 1)):
-            stand.start(b"one")
-            peer = await stand.accept()
+            harness.start(b"one")
+            peer = await harness.accept()
             peer.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            await stand.request(peer, 3)
+            await harness.read_request(peer, 3)
             for at in range(0, len(text), step):
-                if len(stand.ends) < count:
+                if len(harness.responses) < count:
                     peer.sendall(text[at : at + step])
-                    await turns(2)
-            assert (await stand.ended(count)).status is status
+                    await turn_loop(2)
+            assert (await harness.wait_ended(count)).status is status
             if step > 1:
-                assert stand.pool.count == kept
-            stand.pool.close_idle("b0")
-        stand.close()
+                assert harness.pool.connection_count == is_kept
+            harness.pool.close_idle("b0")
+        harness.close()
 
     run(test)
 
 
-# --- an answer that ends with its connection
+# --- a response that ends with its connection
 
-ENDLESS = b"HTTP/1.1 200 OK\r\nContent-Type: a/b\r\n\r\n"
+RESPONSE_WITHOUT_LENGTH = b"HTTP/1.1 200 OK\r\nContent-Type: a/b\r\n\r\n"
 
 
 @LOOPS
@@ -442,12 +447,15 @@
 @pytest.mark.parametrize(
     ("text", "status"),
     [
-        (ENDLESS + b"mine", AttemptStatus.OK),
-        (ENDLESS, AttemptStatus.OK),
-        (b"HTTP/1.1 102 P\r\nContent-Length: 0\r\n\r\n" + ENDLESS + b"mine", AttemptStatus.OK),
+        (RESPONSE_WITHOUT_LENGTH + b"mine", AttemptStatus.OK),
+        (RESPONSE_WITHOUT_LENGTH, AttemptStatus.OK),
+        (
+            b"HTTP/1.1 102 P\r\nContent-Length: 0\r\n\r\n" + RESPONSE_WITHOUT_LENGTH + b"mine",
+            AttemptStatus.OK,
+        ),
         (b"HTTP/1.0 503 Busy\r\nNot-Started: 1\r\n\r\nbusy", AttemptStatus.REJECTED),
         (b"HTTP/1.0 500 Broken\r\n\r\nbroken", AttemptStatus.ERROR),
-        (ENDLESS[:-2], AttemptStatus.RESET),
+        (RESPONSE_WITHOUT_LENGTH[:-2], AttemptStatus.RESET),
         (b"HTTP/1.1 102 P\r\n\r\n", AttemptStatus.RESET),
         (b"", AttemptStatus.RESET),
         (answer(b"mine")[:-1], AttemptStatus.RESET),
@@ -455,153 +463,163 @@
         (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nmine", AttemptStatus.RESET),
     ],
 )
-def test_an_answer_with_no_length_ends_with_its_connection_and_a_reset_is_no_end(
+def test_response_without_length_ends_at_close_and_fails_at_reset(
     new_loop: NewLoop, text: bytes, status: AttemptStatus, reset: str, one_turn: bool
 ) -> None:
-    """Also where the last bytes and the reset are there before the loop turns."""
+    """Also if the last bytes and the reset arrive before the loop turns."""
 
     async def test() -> None:
-        stand = Stand()
-        stand.start(b"one")
-        peer = await stand.accept()
-        await stand.request(peer, 3)
+        harness = PoolHarness()
+        harness.start(b"one")
+        peer = await harness.accept()
+        await harness.read_request(peer, 3)
         if text:
             peer.sendall(text)
         if not one_turn:
-            await turns(5)
+            await turn_loop(5)
         if reset == "closed and reset":
             peer.shutdown(socket.SHUT_WR)
         if reset:
             peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         peer.close()
-        end = await stand.ended(1)
-        assert end.status is (AttemptStatus.RESET if reset else status) and stand.pool.count == 0
-        assert end.body == (b"" if reset or status is not AttemptStatus.OK or text == ENDLESS else b"mine")
-        await turns(10)
-        assert len(stand.ends) == 1
-        stand.close()
+        response = await harness.wait_ended(1)
+        assert (
+            response.status is (AttemptStatus.RESET if reset else status)
+            and harness.pool.connection_count == 0
+        )
+        assert response.body == (
+            b"" if reset or status is not AttemptStatus.OK or text == RESPONSE_WITHOUT_LENGTH else b"mine"
+        )
+        await turn_loop(10)
+        assert len(harness.responses) == 1
+        harness.close()
 
     run(test, new_loop)
 
 
 @LOOPS
-def test_an_answer_with_no_length_that_ends_before_the_request_has_left_serves_nobody(
+def test_response_without_length_before_request_left_is_not_served(
     new_loop: NewLoop,
 ) -> None:
     async def test() -> None:
-        stand = Stand()
-        stand.start(BIG)
-        peer = await stand.accept()
-        await stand.request(peer, 1)
-        peer.sendall(ENDLESS + b"not mine")
+        harness = PoolHarness()
+        harness.start(LARGE_REQUEST)
+        peer = await harness.accept()
+        await harness.read_request(peer, 1)
+        peer.sendall(RESPONSE_WITHOUT_LENGTH + b"not mine")
         peer.shutdown(socket.SHUT_WR)
-        await turns(5)
+        await turn_loop(5)
         peer.close()
-        assert (await stand.ended(1)).status is AttemptStatus.CONNECT_FAILED and stand.pool.count == 0
-        stand.close()
+        assert (
+            await harness.wait_ended(1)
+        ).status is AttemptStatus.CONNECT_FAILED and harness.pool.connection_count == 0
+        harness.close()
 
     run(test, new_loop)
 
 
 @LOOPS
-def test_a_request_that_rests_while_the_process_stands_still_waits_for_what_it_missed(
+def test_attempt_waiting_for_reuse_after_stall_is_not_started(
     new_loop: NewLoop, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The server drains meanwhile; under uvloop its time is up before that is read."""
-    monkeypatch.setattr(upstream, "REUSE_DELAY_S", rest := 0.5)  # s, in which the second request is begun
+    """The backend drains during the stall; under uvloop the reuse timer runs before that is read."""
+    # The second request is started within this time.
+    monkeypatch.setattr(backend_pool, "REUSE_DELAY_S", reuse_delay_s := 0.5)
 
     async def test() -> None:
-        stand, loop = Stand(), asyncio.get_running_loop()
-        stand.start(b"one")
-        peer = await stand.accept()
-        await stand.request(peer, 3)
+        harness, loop = PoolHarness(), asyncio.get_running_loop()
+        harness.start(b"one")
+        peer = await harness.accept()
+        await harness.read_request(peer, 3)
         peer.sendall(answer(b"x"))
-        await stand.ended(1)
-        near, far = socket.socketpair()
-        news, told = socket.socketpair()
-
-        def stands_still() -> None:
-            loop.remove_reader(far)
-            news.send(b"x")
-            time.sleep(rest + STALL_THRESHOLD_MS / 1000)
-
-        def learns() -> None:
-            loop.remove_reader(told)
-            stand.pool.update(members(stand.port, phase="terminating"))
-
-        loop.add_reader(far, stands_still)
-        loop.add_reader(told, learns)
-        await turns(3)
-        stand.start(b"two")
-        near.send(b"x")
-        assert (await stand.ended(2)).status is AttemptStatus.NOT_STARTED
+        await harness.wait_ended(1)
+        stall_writer, stall_reader = socket.socketpair()
+        change_writer, change_reader = socket.socketpair()
+
+        def stall() -> None:
+            loop.remove_reader(stall_reader)
+            change_writer.send(b"x")
+            time.sleep(reuse_delay_s + STALL_THRESHOLD_MS / 1000)
+
+        def read_change() -> None:
+            loop.remove_reader(change_reader)
+            harness.pool.update(endpoint_records(harness.port, phase="terminating"))
+
+        loop.add_reader(stall_reader, stall)
+        loop.add_reader(change_reader, read_change)
+        await turn_loop(3)
+        harness.start(b"two")
+        stall_writer.send(b"x")
+        assert (await harness.wait_ended(2)).status is AttemptStatus.NOT_STARTED
         assert await asyncio.to_thread(peer.recv, 10) == b""
-        for sock in (near, far, news, told):
+        for sock in (stall_writer, stall_reader, change_writer, change_reader):
             sock.close()
-        stand.close()
+        harness.close()
 
     run(test, new_loop)
 
 
-# --- a repeat that comes too late
+# --- a retry that comes too late
 
 
 @LOOPS
-@pytest.mark.parametrize("kept", [True, False])
-def test_what_cannot_be_written_in_its_window_is_not_written(new_loop: NewLoop, kept: bool) -> None:
-    """Guards against an effect doubled: the connection for a keyed repeat is held back until after it."""
+@pytest.mark.parametrize("is_kept", [True, False])
+def test_attempt_after_window_is_not_written(new_loop: NewLoop, is_kept: bool) -> None:
+    """The connection for a keyed retry comes up after its window: the effect could occur twice."""
 
     async def test() -> None:
-        loop, stand, go = asyncio.get_running_loop(), Stand(), asyncio.Event()
-        connect, begin_by = loop.sock_connect, time.monotonic() + 0.01
+        loop, harness, may_connect = asyncio.get_running_loop(), PoolHarness(), asyncio.Event()
+        connect, start_before_s = loop.sock_connect, time.monotonic() + 0.01
 
-        async def held_back(sock: socket.socket, address: Any) -> None:
+        async def connect_when_open(sock: socket.socket, address: Any) -> None:
             await connect(sock, address)
-            await go.wait()
+            await may_connect.wait()
 
-        if kept:
-            stand.start(b"one")
-            peer = await stand.accept()
-            await stand.request(peer, 3)
+        if is_kept:
+            harness.start(b"one")
+            peer = await harness.accept()
+            await harness.read_request(peer, 3)
             peer.sendall(answer(b"x"))
-            await stand.ended(1)
-            stand.pool.hosts["b0"].idle[0].idle_since -= LONG
+            await harness.wait_ended(1)
+            harness.pool.backends["b0"].idle[0].idle_since_s -= LONG_REUSE_DELAY_S
             await asyncio.to_thread(time.sleep, 0.02)
-            stand.start(b"two", begin_by)
+            harness.start(b"two", start_before_s)
         else:
-            loop.sock_connect = held_back  # type: ignore[method-assign]
-            stand.start(b"two", begin_by)
-            peer = await stand.accept()
+            loop.sock_connect = connect_when_open  # type: ignore[method-assign]
+            harness.start(b"two", start_before_s)
+            peer = await harness.accept()
             await asyncio.to_thread(time.sleep, 0.02)
-            assert not stand.ends
-            go.set()
+            assert not harness.responses
+            may_connect.set()
         assert await asyncio.to_thread(peer.recv, 10) == b""
-        assert (await stand.ended(1 + kept)).status is AttemptStatus.NOT_STARTED and stand.pool.count == 0
-        stand.start(b"ten", time.monotonic() + 3600)
-        assert await stand.request(await stand.accept(), 3) == b"ten"
-        stand.close()
+        assert (
+            await harness.wait_ended(1 + is_kept)
+        ).status is AttemptStatus.NOT_STARTED and harness.pool.connection_count == 0
+        harness.start(b"ten", time.monotonic() + 3600)
+        assert await harness.read_request(await harness.accept(), 3) == b"ten"
+        harness.close()
 
     run(test, new_loop)
 
 
 @LOOPS
-@pytest.mark.parametrize("whole", [True, False])
-def test_a_request_that_is_partly_written_as_its_window_ends_never_becomes_whole(
-    new_loop: NewLoop, whole: bool
-) -> None:
-    """One whose last byte has left by then goes on."""
+@pytest.mark.parametrize("is_complete", [True, False])
+def test_attempt_partly_written_at_window_end_never_completes(new_loop: NewLoop, is_complete: bool) -> None:
+    """One whose last byte has left by then continues."""
 
     async def test() -> None:
-        stand = Stand()
-        begin_by = time.monotonic() + (3600.0 if whole else 1.0)
-        attempt = stand.start(BIG, begin_by)
-        peer = await stand.accept()
-        left = len(BIG) - len(await stand.request(peer, len(BIG) if whole else 1))
-        assert attempt.left is whole
-        if whole:
-            attempt.connection._late(attempt)
+        harness = PoolHarness()
+        start_before_s = time.monotonic() + (3600.0 if is_complete else 1.0)
+        attempt = harness.start(LARGE_REQUEST, start_before_s)
+        peer = await harness.accept()
+        left = len(LARGE_REQUEST) - len(
+            await harness.read_request(peer, len(LARGE_REQUEST) if is_complete else 1)
+        )
+        assert attempt.may_have_left is is_complete
+        if is_complete:
+            attempt.connection._on_window_end(attempt)
         else:
-            await asyncio.to_thread(time.sleep, max(0.0, begin_by - time.monotonic()))
+            await asyncio.to_thread(time.sleep, max(0.0, start_before_s - time.monotonic()))
 
         def rest() -> int:
             nonlocal left
@@ -609,37 +627,39 @@
                 left -= got
             return left
 
-        assert (await asyncio.to_thread(rest) == 0) is whole
-        if whole:
+        assert (await asyncio.to_thread(rest) == 0) is is_complete
+        if is_complete:
             peer.sendall(answer(b"mine"))
-        assert (await stand.ended(1)).status is (AttemptStatus.OK if whole else AttemptStatus.NOT_STARTED)
-        stand.close()
+        assert (await harness.wait_ended(1)).status is (
+            AttemptStatus.OK if is_complete else AttemptStatus.NOT_STARTED
+        )
+        harness.close()
 
     run(test, new_loop)
 
 
-# --- answers without end
+# --- endless responses
 
 CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-TINY = b"".join(b"1\r\n%c\r\n" % (97 + n % 26) for n in range(UNBUDGETED_BODY_BYTES))
+SMALLEST_CHUNKS = b"".join(b"1\r\n%c\r\n" % (97 + n % 26) for n in range(UNBUDGETED_BODY_BYTES))
 
 
-def test_a_body_in_the_smallest_chunks_is_served() -> None:
+def test_response_in_smallest_chunks_is_served() -> None:
     async def test() -> None:
-        stand = Stand()
-        stand.start(b"one")
-        peer = await stand.accept()
-        await stand.request(peer, 3)
-        await asyncio.to_thread(peer.sendall, CHUNKED + TINY + b"0\r\n\r\n")
-        end = await stand.ended(1)
-        assert end.status is AttemptStatus.OK and len(end.body) == UNBUDGETED_BODY_BYTES
-        stand.close()
+        harness = PoolHarness()
+        harness.start(b"one")
+        peer = await harness.accept()
+        await harness.read_request(peer, 3)
+        await asyncio.to_thread(peer.sendall, CHUNKED + SMALLEST_CHUNKS + b"0\r\n\r\n")
+        response = await harness.wait_ended(1)
+        assert response.status is AttemptStatus.OK and len(response.body) == UNBUDGETED_BODY_BYTES
+        harness.close()
 
     run(test)
 
 
 @pytest.mark.parametrize(
-    ("start", "again"),
+    ("start", "repeated"),
     [
         (CHUNKED + b"1;", b"x" * 1024),
         (CHUNKED, b"1;" + b"x" * 1024 + b"\r\ny\r\n"),
@@ -652,67 +672,65 @@
         (b"", b"\r\n"),
     ],
 )
-def test_an_answer_without_end_is_given_up(
-    start: bytes, again: bytes, caplog: pytest.LogCaptureFixture
-) -> None:
-    """Whatever is without end in it; one plain line says so, and the next request is served."""
+def test_endless_response_is_aborted(start: bytes, repeated: bytes, caplog: pytest.LogCaptureFixture) -> None:
+    """Whichever part is endless; one plain line is logged, and the next request is served."""
 
     async def test() -> None:
-        stand = Stand()
-        stand.start(b"one")
-        peer = await stand.accept()
-        await stand.request(peer, 3)
-        text = start + again * (1_000_000 // len(again))  # this much, and no end
+        harness = PoolHarness()
+        harness.start(b"one")
+        peer = await harness.accept()
+        await harness.read_request(peer, 3)
+        text = start + repeated * (1_000_000 // len(repeated))  # this much, and no end
         with contextlib.suppress(ConnectionError):
             await asyncio.to_thread(peer.sendall, text)
-        assert (await stand.ended(1)).status is AttemptStatus.RESET
-        assert stand.pool.count == 0 and len(caplog.records) == 1
+        assert (await harness.wait_ended(1)).status is AttemptStatus.RESET
+        assert harness.pool.connection_count == 0 and len(caplog.records) == 1
         assert len(caplog.records[0].getMessage()) < 200 and caplog.records[0].exc_info is None
-        stand.start(b"two")
-        other = await stand.accept()
-        await stand.request(other, 3)
+        harness.start(b"two")
+        other = await harness.accept()
+        await harness.read_request(other, 3)
         other.sendall(answer(b"yours"))
-        assert (await stand.ended(2)).body == b"yours"
-        stand.close()
+        assert (await harness.wait_ended(2)).body == b"yours"
+        harness.close()
 
     run(test)
 
 
-# --- what surely never ran
+# --- requests that certainly never ran
 
 
-def cross(monkeypatch: pytest.MonkeyPatch, before: Callable[[], Any], behind: Callable[[], Any]) -> None:
-    """What happens before and behind each write to a backend, in its turn."""
-    write = upstream.BackendConnection.write
+def hook_write(monkeypatch: pytest.MonkeyPatch, before: Callable[[], Any], after: Callable[[], Any]) -> None:
+    """Run callables before and after each write to a backend, in the same turn."""
+    write = backend_pool.BackendConnection.write
 
-    def crossed(connection: upstream.BackendConnection, attempt: upstream.Exchange) -> None:
+    def hooked_write(connection: backend_pool.BackendConnection, attempt: backend_pool.Exchange) -> None:
         before()
         write(connection, attempt)
-        behind()
+        after()
 
-    monkeypatch.setattr(upstream.BackendConnection, "write", crossed)
+    monkeypatch.setattr(backend_pool.BackendConnection, "write", hooked_write)
 
 
-def nothing() -> None:
-    """Happens."""
+def do_nothing() -> None:
+    """Do nothing."""
 
 
 @LOOPS
 @pytest.mark.parametrize("reset", [True, False])
-@pytest.mark.parametrize("order", ["seen", "before", "behind"])
-def test_an_idle_connection_closed_as_a_request_is_written(
+@pytest.mark.parametrize("order", ["seen", "before", "after"])
+def test_idle_connection_closed_during_write_reports_outcome(
     new_loop: NewLoop, monkeypatch: pytest.MonkeyPatch, order: str, reset: bool
 ) -> None:
-    """Behind the look at it: a request that has left may have run, and one that could not has not."""
+    """After the check for a close, a request that has left may have run; one that could not leave has not."""
 
     async def test() -> None:
-        stand = Stand()
-        stand.start(b"one")
-        peer = await stand.accept()
-        await stand.request(peer, 3)
+        harness = PoolHarness()
+        harness.start(b"one")
+        peer = await harness.accept()
+        await harness.read_request(peer, 3)
         peer.sendall(answer(b"x"))
-        await stand.ended(1)
-        stand.pool.hosts["b0"].idle[0].idle_since -= REUSE_DELAY_S
+        await harness.wait_ended(1)
+        harness.pool.backends["b0"].idle[0].idle_since_s -= REUSE_DELAY_S
 
         def end() -> None:
             if reset:
@@ -721,99 +739,105 @@
 
         if order == "seen":
             end()
-            stand.start(b"two")  # the loop has not turned
-            assert await stand.request(await stand.accept(), 3) == b"two"
+            harness.start(b"two")  # the loop has not turned
+            assert await harness.read_request(await harness.accept(), 3) == b"two"
         else:
-            cross(monkeypatch, *((end, nothing) if order == "before" else (nothing, end)))
-            stand.start(b"two")
-            never = reset and order == "before"  # its write fails at once
-            assert (await stand.ended(2)).status is (
-                AttemptStatus.CONNECT_FAILED if never else AttemptStatus.RESET
+            hook_write(monkeypatch, *((end, do_nothing) if order == "before" else (do_nothing, end)))
+            harness.start(b"two")
+            has_not_left = reset and order == "before"  # its write fails at once
+            assert (await harness.wait_ended(2)).status is (
+                AttemptStatus.CONNECT_FAILED if has_not_left else AttemptStatus.RESET
             )
-            assert stand.pool.count == 0
-        await turns(10)
-        stand.close()
+            assert harness.pool.connection_count == 0
+        await turn_loop(10)
+        harness.close()
 
     run(test, new_loop)
 
 
 @LOOPS
 @pytest.mark.parametrize("reset", [True, False])
-def test_a_new_connection_closed_in_the_turn_of_its_first_request(new_loop: NewLoop, reset: bool) -> None:
+def test_new_connection_closed_in_turn_of_write_is_connect_failure(new_loop: NewLoop, reset: bool) -> None:
     async def test() -> None:
-        stand = Stand()
+        harness = PoolHarness()
         connect_in_one_turn()
-        stand.start(b"one")
-        await turns(1)
-        stand.listener.setblocking(True)
-        peer, _ = stand.listener.accept()
+        harness.start(b"one")
+        await turn_loop(1)
+        harness.listener.setblocking(True)
+        peer, _ = harness.listener.accept()
         if reset:
             peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         peer.close()
-        assert (await stand.ended(1)).status is AttemptStatus.CONNECT_FAILED and stand.pool.count == 0
-        await turns(10)
-        stand.close()
+        assert (
+            await harness.wait_ended(1)
+        ).status is AttemptStatus.CONNECT_FAILED and harness.pool.connection_count == 0
+        await turn_loop(10)
+        harness.close()
 
     run(test, new_loop)
 
 
 @LOOPS
-def test_a_break_in_the_middle_of_a_refusal_may_have_run(new_loop: NewLoop) -> None:
-    """Its head says that the request was not started, but it is not whole."""
+def test_reset_within_rejection_is_not_a_rejection(new_loop: NewLoop) -> None:
+    """Its head says that the request was not started, but the response is incomplete."""
 
     async def test() -> None:
-        stand = Stand()
-        stand.start(b"one")
-        peer = await stand.accept()
-        await stand.request(peer, 3)
+        harness = PoolHarness()
+        harness.start(b"one")
+        peer = await harness.accept()
+        await harness.read_request(peer, 3)
         peer.sendall(answer(b"xx", "503 Busy", "Not-Started: 1")[:-1])
         peer.close()
-        assert (await stand.ended(1)).status is AttemptStatus.RESET and stand.pool.count == 0
-        stand.close()
+        assert (
+            await harness.wait_ended(1)
+        ).status is AttemptStatus.RESET and harness.pool.connection_count == 0
+        harness.close()
 
     run(test, new_loop)
 
 
 @LOOPS
-@pytest.mark.parametrize("whole", [False, True])
+@pytest.mark.parametrize("is_complete", [False, True])
 @pytest.mark.parametrize("ending", ["reset", "closed", "half closed"])
-def test_a_break_under_a_request_that_is_partly_written(new_loop: NewLoop, ending: str, whole: bool) -> None:
-    """It never ran as long as a byte of it is here; once the last has left it may have."""
+def test_break_of_partly_written_request_reports_whether_it_may_have_run(
+    new_loop: NewLoop, ending: str, is_complete: bool
+) -> None:
+    """It never ran while a byte of it is still here; once the last has left, it may have."""
 
     async def test() -> None:
-        stand = Stand()
-        attempt = stand.start(BIG)
-        peer = await stand.accept()
-        await stand.request(peer, 1)
-        assert not attempt.left
+        harness = PoolHarness()
+        attempt = harness.start(LARGE_REQUEST)
+        peer = await harness.accept()
+        await harness.read_request(peer, 1)
+        assert not attempt.may_have_left
         if ending == "half closed":
             peer.shutdown(socket.SHUT_WR)
-            await turns(5)
-        if whole:
-            await stand.request(peer, len(BIG) - 1)
+            await turn_loop(5)
+        if is_complete:
+            await harness.read_request(peer, len(LARGE_REQUEST) - 1)
         if ending == "reset":
             peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         peer.close()
-        assert (await stand.ended(1)).status is (
-            AttemptStatus.RESET if whole else AttemptStatus.CONNECT_FAILED
+        assert (await harness.wait_ended(1)).status is (
+            AttemptStatus.RESET if is_complete else AttemptStatus.CONNECT_FAILED
         )
-        assert stand.pool.count == 0
-        await turns(10)
-        stand.close()
+        assert harness.pool.connection_count == 0
+        await turn_loop(10)
+        harness.close()
 
     run(test, new_loop)
 
 
 @LOOPS
-def test_a_time_out_in_the_turn_in_which_the_last_byte_leaves(new_loop: NewLoop) -> None:
-    """Dropped while a byte is here, the rest never leaves; once none is, it may have run."""
+def test_drop_in_turn_of_last_byte_sends_rest_only_if_it_left(new_loop: NewLoop) -> None:
+    """If dropped while a byte is still here, the rest never leaves; afterwards it may have run."""
 
     async def test() -> None:
-        stand = Stand()
-        attempt = stand.start(BIG)
-        peer = await stand.accept()
-        await stand.request(peer, 1)
-        assert not attempt.left
+        harness = PoolHarness()
+        attempt = harness.start(LARGE_REQUEST)
+        peer = await harness.accept()
+        await harness.read_request(peer, 1)
+        assert not attempt.may_have_left
         attempt.drop()
         peer.settimeout(WAIT)
         got = 1
@@ -821,94 +845,96 @@
         def rest() -> int:
             return got + sum(iter(lambda: len(peer.recv(1_000_000)), 0))
 
-        assert await asyncio.to_thread(rest) < len(BIG) and stand.pool.count == 0
-        attempt = stand.start(BIG)
-        peer = await stand.accept()
-        left = len(BIG)
-        while not attempt.left:
+        assert await asyncio.to_thread(rest) < len(LARGE_REQUEST) and harness.pool.connection_count == 0
+        attempt = harness.start(LARGE_REQUEST)
+        peer = await harness.accept()
+        left = len(LARGE_REQUEST)
+        while not attempt.may_have_left:
             assert left > 0
             peer.setblocking(False)
             with contextlib.suppress(BlockingIOError):
                 left -= len(peer.recv(65536))
-            await turns(1)
+            await turn_loop(1)
         peer.settimeout(WAIT)
-        attempt.drop()  # it said that it left: all of it is there
+        attempt.drop()  # `may_have_left` was true: all of it is there
         assert await asyncio.to_thread(lambda: sum(iter(lambda: len(peer.recv(1_000_000)), 0))) == left
-        stand.close()
+        harness.close()
 
     run(test, new_loop)
 
 
-# --- one attempt out
+# --- one attempt in flight
 
 
 @LOOPS
-@pytest.mark.parametrize("big", [False, True])
-def test_the_first_connection_is_shut_before_the_second_requests_first_byte(
-    new_loop: NewLoop, big: bool
-) -> None:
+@pytest.mark.parametrize("is_large", [False, True])
+def test_drop_closes_connection_before_next_request_is_written(new_loop: NewLoop, is_large: bool) -> None:
     async def test() -> None:
-        stand = Stand()
-        attempt = stand.start(BIG if big else b"one")
-        peer = await stand.accept()
-        await stand.request(peer, 1 if big else 3)
+        harness = PoolHarness()
+        attempt = harness.start(LARGE_REQUEST if is_large else b"one")
+        peer = await harness.accept()
+        await harness.read_request(peer, 1 if is_large else 3)
         attempt.drop()
-        stand.start(b"two")
-        other = await stand.accept()
+        harness.start(b"two")
+        other = await harness.accept()
         while not select.select([other], [], [], 0)[0]:
-            await turns(1)
+            await turn_loop(1)
         peer.setblocking(False)
-        if big:  # the end stands behind what the kernels hold of it: it never becomes whole
+        if is_large:  # the end follows what the kernels hold of it: the request never becomes complete
             peer.settimeout(WAIT)
-            assert await asyncio.to_thread(lambda: len(peer.makefile("rb").read())) < len(BIG) - 1
+            assert await asyncio.to_thread(lambda: len(peer.makefile("rb").read())) < len(LARGE_REQUEST) - 1
         else:
             assert peer.recv(1) == b""
-        stand.close()
+        harness.close()
 
     run(test, new_loop)
 
 
-# --- while a connection comes up
+# --- while connecting
 
 
 @LOOPS
 @pytest.mark.parametrize("turn", range(4))
 @pytest.mark.parametrize("change", ["removed", "removed and back", "draining", "moved"])
-def test_a_change_of_the_list_as_a_connection_comes_up(new_loop: NewLoop, turn: int, change: str) -> None:
-    """The attempt is not written: moot, and the connection is no longer counted."""
+def test_list_change_while_connecting_does_not_start_attempt(
+    new_loop: NewLoop, turn: int, change: str
+) -> None:
+    """The attempt is not written or started, and the connection is no longer counted."""
 
     async def test() -> None:
-        stand, other = Stand(limit=1), socket.create_server(("127.0.0.1", 0))
+        harness, other = PoolHarness(max_connections=1), socket.create_server(("127.0.0.1", 0))
         connect_in_one_turn()
-        attempt = stand.start(b"one")
-        await turns(turn)
-        written = attempt.connection.wrote
+        attempt = harness.start(b"one")
+        await turn_loop(turn)
+        written = attempt.connection.has_written
         if change.startswith("removed"):
-            stand.pool.update((), ["b0"])
+            harness.pool.update((), ["b0"])
         if change == "removed and back":
-            stand.pool.update(members(stand.port))
+            harness.pool.update(endpoint_records(harness.port))
         if change == "draining":
-            stand.pool.update(members(stand.port, phase="terminating"))
+            harness.pool.update(endpoint_records(harness.port, phase="terminating"))
         if change == "moved":
-            stand.pool.update(members(other.getsockname()[1]))
+            harness.pool.update(endpoint_records(other.getsockname()[1]))
         if not written:
-            end = await stand.ended(1)
-            assert end.status is AttemptStatus.NOT_STARTED and stand.pool.count == 0
-            assert (await stand.accept()).recv(10) == b""
+            end = await harness.wait_ended(1)
+            assert end.status is AttemptStatus.NOT_STARTED and harness.pool.connection_count == 0
+            assert (await harness.accept()).recv(10) == b""
         other.close()
-        stand.close()
+        harness.close()
 
     run(test, new_loop)
 
 
-def test_a_pool_whose_every_connection_comes_up_sends_no_more() -> None:
+def test_pool_at_limit_while_connecting_starts_no_more() -> None:
     async def test() -> None:
-        stand = Stand(limit=2)
+        harness = PoolHarness(max_connections=2)
         for text in (b"one", b"two", b"six"):
-            stand.start(text)
-        assert [end.status for end in stand.ends] == [AttemptStatus.NOT_STARTED] and stand.pool.count == 2
-        got = {await stand.request(await stand.accept(), 3) for _ in range(2)}
+            harness.start(text)
+        assert [end.status for end in harness.responses] == [
+            AttemptStatus.NOT_STARTED
+        ] and harness.pool.connection_count == 2
+        got = {await harness.read_request(await harness.accept(), 3) for _ in range(2)}
         assert got == {b"one", b"two"}
-        stand.close()
+        harness.close()
 
     run(test)
--- a/tests/net/test_graceful_shutdown.py
+++ b/tests/net/test_graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""The end of a node on sockets: what is on its way, what its clients still read, and clients that leave."""
+"""Graceful shutdown over sockets, and clients that disconnect: open requests and unread responses."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 import pytest
 
 from balancer.core.shutdown_deadlines import ShutdownDeadlines
-from balancer.net import http_server as front_module
+from balancer.net import http_server as http_server_module
 from balancer.net.http_server import (
     CLOSE_POLL_INTERVAL_S,
     DISCARD_INTERVAL_S,
@@ -24,12 +24,12 @@
 )
 from tests.net.test_http_server import (
     LOOPS,
-    Deaf,
     NewLoop,
-    fronting,
-    large,
+    NonReadingClient,
+    fill_write_buffer,
+    respond_large,
     run,
-    stuff,
+    running_http_server,
     until,
 )
 from tests.sockets import (
@@ -43,49 +43,51 @@
 )
 
 IDS = itertools.count(1)
-__all__ = ["deaf"]
+__all__ = ["non_reading_client"]
 
 
 @pytest.fixture
-def deaf() -> Iterator[Callable[[HttpServer], Deaf]]:
-    """Makes clients that are gone after the test."""
-    made: list[Deaf] = []
+def non_reading_client() -> Iterator[Callable[[HttpServer], NonReadingClient]]:
+    """Create clients that are closed after the test."""
+    clients: list[NonReadingClient] = []
 
-    def make(front: HttpServer) -> Deaf:
-        made.append(Deaf(front))
-        return made[-1]
+    def make(http_server: HttpServer) -> NonReadingClient:
+        clients.append(NonReadingClient(http_server))
+        return clients[-1]
 
     yield make
-    for client in made:
+    for client in clients:
         client.sock.close()
 
 
-def read() -> bytes:
-    """A request."""
+def read_request() -> bytes:
+    """Return a request."""
     return b"GET /read HTTP/1.1\r\nRequest-Id: e%d\r\n\r\n" % next(IDS)
 
 
-def told(front: HttpServer, last: float = HOUR) -> None:
-    """The node was told to end, and all has to be answered in so many milliseconds."""
-    front.node.stopping = True
-    front.shutdown_deadlines = ShutdownDeadlines(front.node.now(), front.node.now() + last)
+def begin_shutdown(http_server: HttpServer, respond_within_ms: float = HOUR) -> None:
+    """Tell the node to shut down and to answer everything within `respond_within_ms`."""
+    http_server.node.stopping = True
+    http_server.shutdown_deadlines = ShutdownDeadlines(
+        http_server.node.now(), http_server.node.now() + respond_within_ms
+    )
 
 
-async def never(backend: Backend, message: Message, writer: asyncio.StreamWriter) -> None:
-    """Take the request and say nothing."""
+async def never_respond(backend: Backend, message: Message, writer: asyncio.StreamWriter) -> None:
+    """Take the request and do not respond."""
 
 
-def connected(front: HttpServer, data: bytes = b"") -> socket.socket:
-    """A client's connection, up and with these bytes in the kernel before the loop turns."""
-    sock = socket.create_connection(front.address)
+def connect_client(http_server: HttpServer, data: bytes = b"") -> socket.socket:
+    """Connect a client; the bytes are in the kernel before the loop turns."""
+    sock = socket.create_connection(http_server.address)
     if data:
         sock.sendall(data)
     sock.setblocking(False)
     return sock
 
 
-async def all_of(sock: socket.socket) -> bytes:
-    """All that comes until the end; a reset raises."""
+async def read_to_end(sock: socket.socket) -> bytes:
+    """Return everything that arrives until the end; a reset raises."""
     out, loop = b"", asyncio.get_running_loop()
     with sock:
         while piece := await asyncio.wait_for(loop.sock_recv(sock, 1 << 16), WAIT):
@@ -94,36 +96,38 @@
 
 
 @LOOPS
-@pytest.mark.parametrize("many", [3, 200])
-def test_who_waits_in_the_backlog_when_the_listener_closes_is_answered(
-    tmp_path: Path, new_loop: NewLoop, many: int
+@pytest.mark.parametrize("client_count", [3, 200])
+def test_shutdown_with_clients_in_backlog_answers_them(
+    tmp_path: Path, new_loop: NewLoop, client_count: int
 ) -> None:
     async def test() -> None:
-        async with fronting(tmp_path, Backend("b0"), limit=300) as front:
-            socks = [connected(front, read()) for _ in range(many)]
-            told(front)
-            front.stop()
-            done = asyncio.create_task(front.finish())
+        async with running_http_server(tmp_path, Backend("b0"), max_connections=300) as http_server:
+            socks = [connect_client(http_server, read_request()) for _ in range(client_count)]
+            begin_shutdown(http_server)
+            http_server.stop()
+            finishing = asyncio.create_task(http_server.finish())
             for sock in socks:
-                assert b" 200 OK" in await all_of(sock)
-            await done
-            assert not front.connections and not front.node.open
+                assert b" 200 OK" in await read_to_end(sock)
+            await finishing
+            assert not http_server.connections and not http_server.node.open
 
     run(test, new_loop)
 
 
 @LOOPS
-def test_who_finds_no_place_in_the_last_look_is_answered_too(tmp_path: Path, new_loop: NewLoop) -> None:
+def test_shutdown_without_free_slot_answers_503(tmp_path: Path, new_loop: NewLoop) -> None:
     async def test() -> None:
-        async with fronting(tmp_path, Backend("b0"), limit=1, over=0) as front:
-            first = Client(*await asyncio.open_connection(*front.address))
+        async with running_http_server(
+            tmp_path, Backend("b0"), max_connections=1, max_overload_connections=0
+        ) as http_server:
+            first = Client(*await asyncio.open_connection(*http_server.address))
             await first.ask("/up")
-            socks = [connected(front, read()) for _ in range(3)]
-            told(front)
-            front.stop()
+            socks = [connect_client(http_server, read_request()) for _ in range(3)]
+            begin_shutdown(http_server)
+            http_server.stop()
             for sock in socks:
-                assert (await all_of(sock)).startswith(b"HTTP/1.1 503 ")
-            await front.finish()
+                assert (await read_to_end(sock)).startswith(b"HTTP/1.1 503 ")
+            await http_server.finish()
             first.writer.transport.abort()
 
     run(test, new_loop)
@@ -131,211 +135,219 @@
 
 @LOOPS
 @pytest.mark.parametrize("cut", [0, 1, 20, -1])
-def test_a_request_that_comes_whole_after_the_listener_closed_is_answered(
-    tmp_path: Path, new_loop: NewLoop, cut: int
-) -> None:
-    """`cut` bytes of it have come: none are a fresh connection, others a request half read."""
+def test_shutdown_with_incomplete_request_answers_it(tmp_path: Path, new_loop: NewLoop, cut: int) -> None:
+    """`cut` bytes have arrived: with none the connection is unused, otherwise the request is incomplete."""
 
     async def test() -> None:
-        async with fronting(tmp_path, Backend("b0")) as front:
-            data = read()
-            sock = connected(front, data[:cut])
+        async with running_http_server(tmp_path, Backend("b0")) as http_server:
+            data = read_request()
+            sock = connect_client(http_server, data[:cut])
             await until(
-                lambda: front.unused if cut == 0 else any(c.is_receiving_request for c in front.connections)
+                lambda: (
+                    http_server.unused
+                    if cut == 0
+                    else any(c.is_receiving_request for c in http_server.connections)
+                )
             )
-            told(front)
-            front.stop()
-            done = asyncio.create_task(front.finish())
+            begin_shutdown(http_server)
+            http_server.stop()
+            finishing = asyncio.create_task(http_server.finish())
             await asyncio.sleep(0)
             sock.sendall(data[cut:])
-            assert b" 200 OK" in await all_of(sock)
-            await done
+            assert b" 200 OK" in await read_to_end(sock)
+            await finishing
 
     run(test, new_loop)
 
 
 @LOOPS
-def test_a_request_on_a_resting_connection_that_came_as_the_listener_closes_is_answered(
-    tmp_path: Path, new_loop: NewLoop
-) -> None:
-    """It lies in the kernel, as a busy turn of the loop was long; a close over it resets."""
+def test_shutdown_with_request_on_idle_connection_answers_it(tmp_path: Path, new_loop: NewLoop) -> None:
+    """The request waits in the kernel after a long loop turn; a close over it would reset the connection."""
 
     async def test() -> None:
-        async with fronting(tmp_path, Backend("b0")) as front:
-            loop, sock = asyncio.get_running_loop(), connected(front, read())
+        async with running_http_server(tmp_path, Backend("b0")) as http_server:
+            loop, sock = asyncio.get_running_loop(), connect_client(http_server, read_request())
             assert b" 200 OK" in await asyncio.wait_for(loop.sock_recv(sock, 1 << 16), WAIT)
-            await until(lambda: front.idle)
-            told(front)
-            sock.sendall(read())
-            front.stop()
-            await front.finish()
-            got = await all_of(sock)
+            await until(lambda: http_server.idle)
+            begin_shutdown(http_server)
+            sock.sendall(read_request())
+            http_server.stop()
+            await http_server.finish()
+            got = await read_to_end(sock)
             assert b" 200 OK" in got and b"Connection: close" in got
 
     run(test, new_loop)
 
 
 @LOOPS
-@pytest.mark.parametrize("used", [False, True])
-def test_a_look_that_comes_before_the_sockets_closes_over_no_request(
-    tmp_path: Path, new_loop: NewLoop, used: bool
+@pytest.mark.parametrize("is_used", [False, True])
+def test_shutdown_check_before_sockets_are_read_loses_no_request(
+    tmp_path: Path, new_loop: NewLoop, is_used: bool
 ) -> None:
-    """The request comes while a reader holds the loop past the next look, whose timer goes before sockets."""
+    """A reader holds the loop past the next check, whose timer runs before the sockets are read."""
 
     async def test() -> None:
-        async with fronting(tmp_path, Backend("b0")) as front:
-            loop, sock, (here, there) = asyncio.get_running_loop(), connected(front), socket.socketpair()
-            await until(lambda: front.unused)
-            if used:
-                sock.sendall(read())
+        async with running_http_server(tmp_path, Backend("b0")) as http_server:
+            loop, sock, (hold_reader, hold_writer) = (
+                asyncio.get_running_loop(),
+                connect_client(http_server),
+                socket.socketpair(),
+            )
+            await until(lambda: http_server.unused)
+            if is_used:
+                sock.sendall(read_request())
                 assert b" 200 OK" in await asyncio.wait_for(loop.sock_recv(sock, 1 << 16), WAIT)
-                await until(lambda: front.idle)
-            for connection in front.unused:
-                front.unused[connection] -= 1.0  # mute for long
-            told(front)
-            front.stop()
-            done = asyncio.create_task(front.finish())
+                await until(lambda: http_server.idle)
+            for connection in http_server.unused:
+                http_server.unused[connection] -= 1.0  # silent for long
+            begin_shutdown(http_server)
+            http_server.stop()
+            finishing = asyncio.create_task(http_server.finish())
             await asyncio.sleep(0)
 
             def hold() -> None:
-                loop.remove_reader(here)
-                sock.sendall(read())
+                loop.remove_reader(hold_reader)
+                sock.sendall(read_request())
                 time.sleep(2 * CLOSE_POLL_INTERVAL_S)
 
-            loop.add_reader(here, hold)
-            there.send(b"x")
-            assert b" 200 OK" in await all_of(sock)
-            await done
-            here.close()
-            there.close()
+            loop.add_reader(hold_reader, hold)
+            hold_writer.send(b"x")
+            assert b" 200 OK" in await read_to_end(sock)
+            await finishing
+            hold_reader.close()
+            hold_writer.close()
 
     run(test, new_loop)
 
 
 @LOOPS
-def test_a_connection_that_stays_mute_does_not_hold_up_the_end(tmp_path: Path, new_loop: NewLoop) -> None:
+def test_shutdown_with_silent_connection_does_not_wait(tmp_path: Path, new_loop: NewLoop) -> None:
     async def test() -> None:
-        async with fronting(tmp_path) as front:
-            sock = connected(front)
-            await until(lambda: front.unused)
-            told(front)
-            front.stop()
-            await front.finish()
-            assert not front.connections and await all_of(sock) == b""
+        async with running_http_server(tmp_path) as http_server:
+            sock = connect_client(http_server)
+            await until(lambda: http_server.unused)
+            begin_shutdown(http_server)
+            http_server.stop()
+            await http_server.finish()
+            assert not http_server.connections and await read_to_end(sock) == b""
 
     run(test, new_loop)
 
 
 @LOOPS
-def test_a_request_that_does_not_come_whole_is_turned_away_at_the_last(
-    tmp_path: Path, new_loop: NewLoop
-) -> None:
+def test_shutdown_with_request_incomplete_at_deadline_answers_503(tmp_path: Path, new_loop: NewLoop) -> None:
     async def test() -> None:
-        async with fronting(tmp_path) as front:
-            sock = connected(front, read()[:-1])
-            await until(lambda: any(c.is_receiving_request for c in front.connections))
-            told(front, 100.0)
-            front.stop()
-            await front.finish()
-            assert (await all_of(sock)).startswith(b"HTTP/1.1 503 ")
+        async with running_http_server(tmp_path) as http_server:
+            sock = connect_client(http_server, read_request()[:-1])
+            await until(lambda: any(c.is_receiving_request for c in http_server.connections))
+            begin_shutdown(http_server, 100.0)
+            http_server.stop()
+            await http_server.finish()
+            assert (await read_to_end(sock)).startswith(b"HTTP/1.1 503 ")
 
     run(test, new_loop)
 
 
 @LOOPS
-@pytest.mark.parametrize("up", [False, True])
-def test_an_end_that_is_late_reads_what_has_come_once_more(
-    tmp_path: Path, new_loop: NewLoop, up: bool
+@pytest.mark.parametrize("is_registered", [False, True])
+def test_shutdown_after_deadline_reads_pending_input(
+    tmp_path: Path, new_loop: NewLoop, is_registered: bool
 ) -> None:
-    """The time by which all is answered is over as the listener closes, on a core that others held."""
+    """On a busy core the response deadline may be over before the listener closes."""
 
     async def test() -> None:
-        async with fronting(tmp_path, Backend("b0")) as front:
-            sock = connected(front)
-            if up:
-                await until(lambda: front.unused)
-            told(front, 0.0)
-            sock.sendall(read())
-            front.stop()
-            await front.finish()
-            assert not front.listener.connecting and all(c.is_closing for c in front.connections)
-            assert (await all_of(sock)).startswith(b"HTTP/1.1 503 ")
+        async with running_http_server(tmp_path, Backend("b0")) as http_server:
+            sock = connect_client(http_server)
+            if is_registered:
+                await until(lambda: http_server.unused)
+            begin_shutdown(http_server, 0.0)
+            sock.sendall(read_request())
+            http_server.stop()
+            await http_server.finish()
+            assert not http_server.listener.connecting and all(c.is_closing for c in http_server.connections)
+            assert (await read_to_end(sock)).startswith(b"HTTP/1.1 503 ")
 
     run(test, new_loop)
 
 
 @LOOPS
-def test_the_end_waits_for_answers_that_the_kernel_has_not_taken(
-    tmp_path: Path, deaf: Callable[[HttpServer], Deaf], new_loop: NewLoop
+def test_shutdown_with_unread_responses_waits(
+    tmp_path: Path, non_reading_client: Callable[[HttpServer], NonReadingClient], new_loop: NewLoop
 ) -> None:
     async def test() -> None:
-        async with fronting(tmp_path, Backend("b0", large)) as front:
-            client = deaf(front)
-            await stuff(client, front)
-            (connection,) = front.connections
-            told(front)
-            front.stop()
-            done = asyncio.create_task(front.finish())
+        async with running_http_server(tmp_path, Backend("b0", respond_large)) as http_server:
+            client = non_reading_client(http_server)
+            await fill_write_buffer(client, http_server)
+            (connection,) = http_server.connections
+            begin_shutdown(http_server)
+            http_server.stop()
+            finishing = asyncio.create_task(http_server.finish())
             await asyncio.sleep(0.1)
-            assert not done.done() and connection.is_write_blocked
-            got = await client.all()
+            assert not finishing.done() and connection.is_write_blocked
+            got = await client.read_all()
             assert len(got) > connection.request_count * 65536 and got.endswith(b"x" * 65536)
-            await done
+            await finishing
 
     run(test, new_loop)
 
 
-def test_a_request_that_is_taken_while_it_stops_is_answered_by_the_last(tmp_path: Path) -> None:
-    """Whatever its own deadline says: here an hour, at a server that never answers."""
+def test_request_accepted_during_shutdown_is_answered_by_deadline(tmp_path: Path) -> None:
+    """Whatever its own deadline: here an hour, with a backend that never responds."""
 
     async def test() -> None:
-        async with fronting(tmp_path, Backend("b0", never), settings=PATIENT) as front:
-            before = Client(*await asyncio.open_connection(*front.address))
+        async with running_http_server(
+            tmp_path, Backend("b0", never_respond), settings=PATIENT
+        ) as http_server:
+            before = Client(*await asyncio.open_connection(*http_server.address))
             before.send("/read")
-            await until(lambda: front.node.open)
-            told(front, 200.0)
-            client = Client(*await asyncio.open_connection(*front.address))
+            await until(lambda: http_server.node.open)
+            begin_shutdown(http_server, 200.0)
+            client = Client(*await asyncio.open_connection(*http_server.address))
             assert (await client.ask("/read")).code in (502, 503)
-            assert front.node.open  # the end is for others to wait for
-            front.stop()
-            await front.finish()
-            assert (await before.answer()).code == 502 and not front.node.open
+            assert http_server.node.open  # the shutdown waits for it
+            http_server.stop()
+            await http_server.finish()
+            assert (await before.answer()).code == 502 and not http_server.node.open
             assert await client.ended() == b"" and await before.ended() == b""
 
     run(test)
 
 
-def test_a_signal_that_came_while_the_process_stood_still_is_as_old_as_that(tmp_path: Path) -> None:
+def test_signal_during_stall_counts_from_its_start(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fronting(tmp_path) as front:
-            node = front.node
+        async with running_http_server(tmp_path) as http_server:
+            node = http_server.node
             node._pause.last_turn_ms -= 2_000.0
-            found = node.stop()
+            deadlines = node.stop()
             assert node.stopping and node._pause.input_age_ms >= 2_000.0
-            assert found.respond_until_ms <= node.now() + 3_500.0 - node._pause.input_age_ms
+            assert deadlines.respond_until_ms <= node.now() + 3_500.0 - node._pause.input_age_ms
 
     run(test)
 
 
 @LOOPS
 @pytest.mark.parametrize("cut", [0, 20, -1])
-def test_what_came_while_the_process_stood_still_is_read_before_its_time_is_up(
+def test_input_during_stall_is_read_before_timeout(
     tmp_path: Path, new_loop: NewLoop, cut: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The look for connections whose time is up is overdue then, and comes before the sockets."""
-    monkeypatch.setattr(front_module, "SLOW_REQUEST_TIMEOUT_S", 0.1)
+    """After a stall the sweep of timed-out connections is overdue, and runs before the sockets are read."""
+    monkeypatch.setattr(http_server_module, "SLOW_REQUEST_TIMEOUT_S", 0.1)
 
     async def test() -> None:
-        async with fronting(tmp_path, Backend("b0")) as front:
-            data = read()
-            sock = connected(front, data[:cut])
+        async with running_http_server(tmp_path, Backend("b0")) as http_server:
+            data = read_request()
+            sock = connect_client(http_server, data[:cut])
             await until(
-                lambda: front.unused if cut == 0 else any(c.is_receiving_request for c in front.connections)
+                lambda: (
+                    http_server.unused
+                    if cut == 0
+                    else any(c.is_receiving_request for c in http_server.connections)
+                )
             )
             sock.sendall(data[cut:])
             time.sleep(3 * SWEEP_INTERVAL_S)
-            front.sweep_timer.cancel()
-            front._sweep()
+            http_server.sweep_timer.cancel()
+            http_server._sweep()
             loop = asyncio.get_running_loop()
             assert b" 200 OK" in await asyncio.wait_for(loop.sock_recv(sock, 1 << 16), WAIT)
             sock.close()
@@ -347,67 +359,72 @@
 
 
 def reset(sock: socket.socket) -> None:
-    """Leave with a reset."""
+    """Disconnect with a reset."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     sock.close()
 
 
-WAYS = pytest.mark.parametrize(
-    "leave",
+DISCONNECTS = pytest.mark.parametrize(
+    "disconnect",
     [reset, socket.socket.close, lambda sock: sock.shutdown(socket.SHUT_WR)],
     ids=["reset", "fin", "half"],
 )
 
 
 @LOOPS
-@WAYS
-def test_the_leaving_of_a_client_that_sent_much_is_seen_while_its_request_waits(
-    tmp_path: Path, new_loop: NewLoop, leave: Callable[[socket.socket], None], monkeypatch: pytest.MonkeyPatch
+@DISCONNECTS
+def test_disconnect_after_large_input_is_noticed(
+    tmp_path: Path,
+    new_loop: NewLoop,
+    disconnect: Callable[[socket.socket], None],
+    monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against sending on for one that has gone: its reading stopped for good over 64 KiB.
+    """Reading once stopped for good after 64 KiB, and requests were sent on for disconnected clients.
 
-    All that the kernels hold, some 4 MB, is read within what may pass until then.
+    Everything the kernels hold, some 4 MB, must be read within the time allowed for noticing a disconnect.
     """
-    gulps, read_on = list[float](), ClientConnection._resume_reading
+    discard_pauses_s, resume_reading = list[float](), ClientConnection._resume_reading
 
     def counted(self: ClientConnection) -> None:
-        gulps.append(DISCARD_INTERVAL_S)
-        read_on(self)
+        discard_pauses_s.append(DISCARD_INTERVAL_S)
+        resume_reading(self)
 
     monkeypatch.setattr(ClientConnection, "_resume_reading", counted)
 
     async def test() -> None:
-        async with fronting(tmp_path, Backend("b0", never), settings=PATIENT) as front:
-            sock = connected(front, read())
-            await until(lambda: front.node.open)
+        async with running_http_server(
+            tmp_path, Backend("b0", never_respond), settings=PATIENT
+        ) as http_server:
+            sock = connect_client(http_server, read_request())
+            await until(lambda: http_server.node.open)
             await asyncio.get_running_loop().sock_sendall(sock, b"GET /up HTTP/1.1\r\n\r\n" * 50_000)
             with contextlib.suppress(BlockingIOError):
                 while True:
                     sock.send(b"x" * (1 << 16))
-            gulps.clear()
-            leave(sock)
-            await until(lambda: not front.node.open and not front.connections)
-            assert sum(gulps) < 0.25
+            discard_pauses_s.clear()
+            disconnect(sock)
+            await until(lambda: not http_server.node.open and not http_server.connections)
+            assert sum(discard_pauses_s) < 0.25
             sock.close()
 
     run(test, new_loop)
 
 
 @LOOPS
-def test_a_client_that_sends_for_ever_is_read_slowly_and_gets_its_answer(
-    tmp_path: Path, new_loop: NewLoop
-) -> None:
-    go = asyncio.Event()
+def test_client_that_sends_endlessly_is_read_slowly_and_answered(tmp_path: Path, new_loop: NewLoop) -> None:
+    may_respond = asyncio.Event()
 
-    async def late(backend: Backend, message: Message, writer: asyncio.StreamWriter) -> None:
-        await go.wait()
+    async def respond_late(backend: Backend, message: Message, writer: asyncio.StreamWriter) -> None:
+        await may_respond.wait()
         await echo(backend, message, writer)
 
     async def test() -> None:
-        async with fronting(tmp_path, Backend("b0", late), settings=PATIENT) as front:
-            sock, loop = connected(front, read()), asyncio.get_running_loop()
-            await until(lambda: front.node.open)
-            (connection,) = front.connections
+        async with running_http_server(
+            tmp_path, Backend("b0", respond_late), settings=PATIENT
+        ) as http_server:
+            sock, loop = connect_client(http_server, read_request()), asyncio.get_running_loop()
+            await until(lambda: http_server.node.open)
+            (connection,) = http_server.connections
 
             async def flood() -> None:
                 while True:
@@ -417,59 +434,61 @@
             await until(lambda: connection.discarded_bytes > 4 << 20)
             most = (loop.time() - began) / DISCARD_INTERVAL_S + 2
             assert connection.discarded_bytes <= most * (1 << 18) + 65536
-            go.set()
+            may_respond.set()
             got, end = b"", b"b0 e%d" % (next(IDS) - 1)
             while not got.endswith(end):
                 got += await asyncio.wait_for(loop.sock_recv(sock, 1 << 16), WAIT)
             assert got.count(b"HTTP/1.1 ") == 1
             flooding.cancel()
             sock.close()
-            await until(lambda: not front.connections)
+            await until(lambda: not http_server.connections)
 
     run(test, new_loop)
 
 
 @LOOPS
-def test_the_leaving_of_a_client_that_does_not_read_is_seen_while_its_request_waits(
-    tmp_path: Path, deaf: Callable[[HttpServer], Deaf], new_loop: NewLoop
+def test_disconnect_of_client_that_does_not_read_is_noticed(
+    tmp_path: Path, non_reading_client: Callable[[HttpServer], NonReadingClient], new_loop: NewLoop
 ) -> None:
-    """Two requests in a packet, the first one's answer blocked: its connection is not read meanwhile."""
+    """Two requests in a packet; the first response is blocked, so the connection is not read meanwhile."""
 
     async def test() -> None:
-        async with fronting(tmp_path, Backend("b0", never), settings=PATIENT) as front:
-            client = deaf(front)
-            while not front.unread.total_bytes:
+        async with running_http_server(
+            tmp_path, Backend("b0", never_respond), settings=PATIENT
+        ) as http_server:
+            client = non_reading_client(http_server)
+            while not http_server.unread.total_bytes:
                 client.send(b"GET /up HTTP/1.1\r\n\r\n" * 70)
                 await asyncio.sleep(0.001)
-                if front.unread.total_bytes:
-                    await asyncio.sleep(0.3)  # the client's kernel may take it still
-            (connection,) = front.connections
+                if http_server.unread.total_bytes:
+                    await asyncio.sleep(0.3)  # the client's kernel may take the rest
+            (connection,) = http_server.connections
             assert connection.is_write_blocked
-            connection.data_received(read())
-            assert front.node.open and connection.is_write_blocked
+            connection.data_received(read_request())
+            assert http_server.node.open and connection.is_write_blocked
             client.sock.close()
-            await until(lambda: not front.node.open and not front.connections)
+            await until(lambda: not http_server.node.open and not http_server.connections)
 
     run(test, new_loop)
 
 
 @LOOPS
-@WAYS
+@DISCONNECTS
 @pytest.mark.parametrize("answer_first", [True, False])
-def test_clients_that_leave_in_a_burst_as_their_answers_come_leave_nothing(
+def test_disconnects_in_burst_with_responses_leave_nothing(
     tmp_path: Path,
     new_loop: NewLoop,
-    leave: Callable[[socket.socket], None],
+    disconnect: Callable[[socket.socket], None],
     answer_first: bool,
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    """Answers and leavings lie in the kernel before the node's loop turns."""
+    """Responses and disconnects are in the kernel before the node's loop turns."""
     waiting: list[tuple[Backend, Message, asyncio.StreamWriter]] = []
 
-    async def keep(backend: Backend, message: Message, writer: asyncio.StreamWriter) -> None:
+    async def hold_request(backend: Backend, message: Message, writer: asyncio.StreamWriter) -> None:
         waiting.append((backend, message, writer))
 
-    def give() -> None:
+    def respond_all() -> None:
         for _, message, writer in waiting:
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
             assert message.start
@@ -477,24 +496,26 @@
     async def test() -> None:
         faults: list[object] = []
         asyncio.get_running_loop().set_exception_handler(lambda loop, context: faults.append(context))
-        async with fronting(tmp_path, *(Backend(f"b{n}", keep) for n in range(4)), settings=PATIENT) as front:
-            socks = [connected(front, read()) for _ in range(12)]
-            await until(lambda: waiting and len(front.node.open) == len(socks))
+        async with running_http_server(
+            tmp_path, *(Backend(f"b{n}", hold_request) for n in range(4)), settings=PATIENT
+        ) as http_server:
+            socks = [connect_client(http_server, read_request()) for _ in range(12)]
+            await until(lambda: waiting and len(http_server.node.open) == len(socks))
             if answer_first:
-                give()
+                respond_all()
             for sock in socks:
-                leave(sock)
+                disconnect(sock)
             if not answer_first:
-                give()
-            await until(lambda: not front.node.open and not front.connections)
+                respond_all()
+            await until(lambda: not http_server.node.open and not http_server.connections)
             tables = (
-                front.idle,
-                front.unused,
-                front.incomplete,
-                front.closing_connections,
-                front.listener.connecting,
+                http_server.idle,
+                http_server.unused,
+                http_server.incomplete,
+                http_server.closing_connections,
+                http_server.listener.connecting,
             )
-            assert not any(tables) and not len(front.unread) and not front.unread.total_bytes
+            assert not any(tables) and not len(http_server.unread) and not http_server.unread.total_bytes
             for sock in socks:
                 sock.close()
         assert not faults and not [r for r in caplog.records if r.exc_info]
--- a/tests/net/test_http_server.py
+++ b/tests/net/test_http_server.py
@@ -1,4 +1,4 @@
-"""Clients that do not read, connections that are closed, descriptors that run out: the front against them."""
+"""The HTTP server: clients that do not read, closed connections, and a shortage of descriptors."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 
 def run(test: Callable[[], Awaitable[None]], new_loop: NewLoop = uvloop.new_event_loop) -> None:
-    """Run a test's coroutine on a loop of that kind, with an end to it."""
+    """Run a test's coroutine on a loop of that kind, with a timeout."""
 
     async def bounded() -> None:
         async with asyncio.timeout(3 * WAIT):
@@ -60,22 +60,22 @@
         runner.run(bounded())
 
 
-async def until(met: Callable[[], object]) -> None:
-    """Wait for it."""
-    while not met():
+async def until(condition: Callable[[], object]) -> None:
+    """Wait until the condition is met."""
+    while not condition():
         await asyncio.sleep(0.01)
 
 
 @contextlib.asynccontextmanager
-async def fronting(
+async def running_http_server(
     tmp: Path,
     *backends: Backend,
-    limit: int = 50,
-    budget: int = 1 << 20,
-    over: int = MAX_OVERLOAD_CONNECTIONS,
+    max_connections: int = 50,
+    unread_budget_bytes: int = 1 << 20,
+    max_overload_connections: int = MAX_OVERLOAD_CONNECTIONS,
     settings: Mapping[str, Any] = MappingProxyType({}),
 ) -> AsyncIterator[HttpServer]:
-    """A front with its node in this process; `settings` replace others of that name."""
+    """Run an HTTP server with its node in this process; `settings` replace others of that name."""
     for backend in backends:
         await backend.start()
     path = tmp / "config.json"
@@ -85,42 +85,42 @@
     EndpointView(node, [Source("platform")]).handle(
         EndpointsListed("platform", "here", config.configured_endpoints, is_cached=True)
     )
-    front = HttpServer(node, limit, budget, over)
-    await front.listen(("127.0.0.1", 0))
+    http_server = HttpServer(node, max_connections, unread_budget_bytes, max_overload_connections)
+    await http_server.listen(("127.0.0.1", 0))
     try:
-        yield front
+        yield http_server
     finally:
-        front.stop()
-        for connection in list(front.connections):
+        http_server.stop()
+        for connection in list(http_server.connections):
             connection.abort()
-        await until(lambda: not front.connections)
+        await until(lambda: not http_server.connections)
         for backend in backends:
             backend.stop()
 
 
-class Deaf:
-    """A client with small buffers that reads nothing until it is told to."""
+class NonReadingClient:
+    """A client with small buffers that reads nothing until the test tells it to."""
 
-    def __init__(self, front: HttpServer) -> None:
+    def __init__(self, http_server: HttpServer) -> None:
         self.sock = socket.socket()
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        self.sock.connect(front.address)
+        self.sock.connect(http_server.address)
         self.sock.setblocking(False)
-        self.sent, self.rest = 0, b""
+        self.sent_bytes, self.unsent = 0, b""
 
     def send(self, data: bytes) -> int:
-        """What of it the kernels take; first what they left of the last, lest that stay cut."""
-        data = self.rest or data
+        """Send what the kernels take; the rest of the previous call goes first, so that it stays whole."""
+        data = self.unsent or data
         try:
             sent = self.sock.send(data)
         except BlockingIOError:
             return 0
-        self.rest = data[sent:]
-        self.sent += sent
+        self.unsent = data[sent:]
+        self.sent_bytes += sent
         return sent
 
-    async def all(self) -> bytes:
-        """All that comes until the end, or what came before a reset."""
+    async def read_all(self) -> bytes:
+        """Return everything that arrives until the end, or until a reset."""
         out = bytearray()
         loop = asyncio.get_running_loop()
         with contextlib.suppress(ConnectionError):
@@ -130,49 +130,52 @@
 
 
 @pytest.fixture
-def deaf() -> Iterator[Callable[[HttpServer], Deaf]]:
-    """Makes clients that are gone after the test."""
-    made: list[Deaf] = []
+def non_reading_client() -> Iterator[Callable[[HttpServer], NonReadingClient]]:
+    """Create clients that are closed after the test."""
+    clients: list[NonReadingClient] = []
 
-    def make(front: HttpServer) -> Deaf:
-        made.append(Deaf(front))
-        return made[-1]
+    def make(http_server: HttpServer) -> NonReadingClient:
+        clients.append(NonReadingClient(http_server))
+        return clients[-1]
 
     yield make
-    for client in made:
+    for client in clients:
         client.sock.close()
 
 
-async def large(backend: Backend, message: Message, writer: asyncio.StreamWriter) -> None:
-    """The largest answers there are."""
+async def respond_large(backend: Backend, message: Message, writer: asyncio.StreamWriter) -> None:
+    """Answer with the largest response body that is not budgeted."""
     writer.write(answer(b"x" * 65536))
 
 
-def read() -> bytes:
-    """A request that `large` answers."""
+def read_request() -> bytes:
+    """Return a request that `respond_large` answers."""
     return b"GET /read HTTP/1.1\r\nRequest-Id: f%d\r\n\r\n" % next(IDS)
 
 
-async def stuff(client: Deaf, front: HttpServer) -> None:
-    """Ask for more than the kernels hold, so that some of it is left over at the node."""
-    before = len(front.unread) + front.aborted_count
-    for asked in itertools.count(1):
-        client.send(read())
-        await until(partial(_answered, front, asked))
-        if len(front.unread) + front.aborted_count > before:
+async def fill_write_buffer(client: NonReadingClient, http_server: HttpServer) -> None:
+    """Send requests until a response exceeds the kernels' buffers, so that some of it stays at the node."""
+    before = len(http_server.unread) + http_server.aborted_count
+    for request_count in itertools.count(1):
+        client.send(read_request())
+        await until(partial(_has_answered, http_server, request_count))
+        if len(http_server.unread) + http_server.aborted_count > before:
             break
 
 
-def _answered(front: HttpServer, asked: int) -> bool:
-    return any(c.request_count == asked and not c.request_id for c in front.connections)
+def _has_answered(http_server: HttpServer, request_count: int) -> bool:
+    return any(c.request_count == request_count and not c.request_id for c in http_server.connections)
 
 
-# --- answers that clients do not read
+# --- responses that clients do not read
 
 
 @LOOPS
-def test_a_client_that_asks_on_and_never_reads_is_read_no_more(
-    tmp_path: Path, deaf: Callable[[HttpServer], Deaf], new_loop: NewLoop, monkeypatch: pytest.MonkeyPatch
+def test_connection_with_client_that_never_reads_stops_reading(
+    tmp_path: Path,
+    non_reading_client: Callable[[HttpServer], NonReadingClient],
+    new_loop: NewLoop,
+    monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     resumed, resume = list[int](), ClientConnection.resume_writing
 
@@ -183,56 +186,65 @@
     monkeypatch.setattr(ClientConnection, "resume_writing", seen)
 
     async def test() -> None:
-        async with fronting(tmp_path) as front:
-            client, packet = deaf(front), 70
+        async with running_http_server(tmp_path) as http_server:
+            client, packet = non_reading_client(http_server), 70
             while True:
-                while not front.unread.total_bytes:
+                while not http_server.unread.total_bytes:
                     client.send(UP * packet)
                     await asyncio.sleep(0.001)
-                (connection,) = front.connections
+                (connection,) = http_server.connections
                 asked, before = connection.request_count, len(resumed)
                 for _ in range(10):
                     client.send(UP * packet)
                 await asyncio.sleep(0.3)
                 if len(resumed) == before:
-                    break  # else the client's kernel took what was left over: then it is read, as it should
-            assert connection.request_count == asked and not connection.is_closing and not front.idle
+                    break  # else the client's kernel took the rest, and further requests are rightly read
+            assert connection.request_count == asked and not connection.is_closing and not http_server.idle
 
     run(test, new_loop)
 
 
-def test_requests_by_thousands_in_one_packet_are_left_at_the_mark(
-    tmp_path: Path, deaf: Callable[[HttpServer], Deaf]
+def test_connection_with_thousands_of_requests_in_packet_stops_at_high_water(
+    tmp_path: Path, non_reading_client: Callable[[HttpServer], NonReadingClient]
 ) -> None:
-    """Guards memory: a read of the loop brings 256 KiB at most, and their answers are several times that."""
+    """One read of the loop brings up to 256 KiB of requests, and their responses are several times that.
+
+    Parsing must stop at the high water mark, or the memory is unbounded.
+    """
 
     async def test() -> None:
-        async with fronting(tmp_path, Backend("b0", large), budget=1 << 30) as front:
-            client = deaf(front)
-            await stuff(client, front)
-            (connection,) = front.connections
+        async with running_http_server(
+            tmp_path, Backend("b0", respond_large), unread_budget_bytes=1 << 30
+        ) as http_server:
+            client = non_reading_client(http_server)
+            await fill_write_buffer(client, http_server)
+            (connection,) = http_server.connections
             connection.data_received(UP * 10_000)
             assert connection.is_closing
-            assert WRITE_HIGH_WATER_BYTES < front.unread.total_bytes < WRITE_HIGH_WATER_BYTES + 65536 + 1024
+            assert (
+                WRITE_HIGH_WATER_BYTES
+                < http_server.unread.total_bytes
+                < WRITE_HIGH_WATER_BYTES + 65536 + 1024
+            )
 
     run(test)
 
 
 @LOOPS
-def test_a_client_that_reads_again_gets_all_and_is_kept(
-    tmp_path: Path, deaf: Callable[[HttpServer], Deaf], new_loop: NewLoop
+def test_connection_whose_client_reads_again_delivers_all_and_stays_open(
+    tmp_path: Path, non_reading_client: Callable[[HttpServer], NonReadingClient], new_loop: NewLoop
 ) -> None:
     async def test() -> None:
-        async with fronting(tmp_path, Backend("b0", large)) as front:
-            client = deaf(front)
-            await stuff(client, front)
-            (connection,) = front.connections
-            assert not front.idle
+        async with running_http_server(tmp_path, Backend("b0", respond_large)) as http_server:
+            client = non_reading_client(http_server)
+            await fill_write_buffer(client, http_server)
+            (connection,) = http_server.connections
+            assert not http_server.idle
             loop, got = asyncio.get_running_loop(), 0
             while got < connection.request_count * 65536 or connection.is_write_blocked:
                 got += len(await loop.sock_recv(client.sock, 1 << 16))
-            assert front.unread.total_bytes == 0 and not connection.is_closing
-            await until(lambda: connection in front.idle)
+            assert http_server.unread.total_bytes == 0 and not connection.is_closing
+            await until(lambda: connection in http_server.idle)
             client.send(UP)
             seen = b""
             while not seen.endswith(b"up\n"):
@@ -241,42 +253,48 @@
     run(test, new_loop)
 
 
-def test_a_stalled_answer_is_aborted_when_its_deadline_is_over(
-    tmp_path: Path, deaf: Callable[[HttpServer], Deaf], monkeypatch: pytest.MonkeyPatch
+def test_connection_with_stalled_response_is_aborted_after_deadline(
+    tmp_path: Path,
+    non_reading_client: Callable[[HttpServer], NonReadingClient],
+    monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(admission, "READ_STALL_TIMEOUT_MS", 300.0)
 
     async def test() -> None:
-        async with fronting(tmp_path, Backend("b0", large)) as front:
-            client = deaf(front)
-            await stuff(client, front)
-            (connection,) = front.connections
+        async with running_http_server(tmp_path, Backend("b0", respond_large)) as http_server:
+            client = non_reading_client(http_server)
+            await fill_write_buffer(client, http_server)
+            (connection,) = http_server.connections
             due = connection.latest_deadline_ms
-            await until(lambda: not front.connections)
-            assert front.node.now() >= due  # 4 s after its request came
-            assert front.unread.total_bytes == 0
+            await until(lambda: not http_server.connections)
+            assert http_server.node.now() >= due  # 4 s after its request arrived
+            assert http_server.unread.total_bytes == 0
 
     run(test)
 
 
-def test_the_budget_ends_the_largest_and_refuses_meanwhile(
-    tmp_path: Path, deaf: Callable[[HttpServer], Deaf], monkeypatch: pytest.MonkeyPatch
+def test_unread_budget_when_exceeded_rejects_requests_and_aborts_largest(
+    tmp_path: Path,
+    non_reading_client: Callable[[HttpServer], NonReadingClient],
+    monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
-        async with fronting(tmp_path, Backend("b0", large), budget=20_000) as front:
-            usual = Client(*await asyncio.open_connection(*front.address))
+        async with running_http_server(
+            tmp_path, Backend("b0", respond_large), unread_budget_bytes=20_000
+        ) as http_server:
+            other = Client(*await asyncio.open_connection(*http_server.address))
             monkeypatch.setattr(admission, "READ_PROGRESS_GRACE_MS", 1e9)
-            await stuff(deaf(front), front)
-            assert front.unread.is_over_budget
-            assert (await usual.ask("/read")).code == 503
-            assert (await usual.ask("/up")).code == 200
+            await fill_write_buffer(non_reading_client(http_server), http_server)
+            assert http_server.unread.is_over_budget
+            assert (await other.ask("/read")).code == 503
+            assert (await other.ask("/up")).code == 200
             monkeypatch.setattr(admission, "READ_PROGRESS_GRACE_MS", 200.0)
-            (greedy,) = front.unread
-            await until(lambda: not front.unread.total_bytes)
-            assert front.node.now() < greedy.latest_deadline_ms
-            await until(lambda: len(front.connections) == 1)
-            assert (await usual.ask("/read")).code == 200
-            usual.writer.transport.abort()
+            (greedy,) = http_server.unread
+            await until(lambda: not http_server.unread.total_bytes)
+            assert http_server.node.now() < greedy.latest_deadline_ms
+            await until(lambda: len(http_server.connections) == 1)
+            assert (await other.ask("/read")).code == 200
+            other.writer.transport.abort()
 
     run(test)
 
@@ -285,70 +303,73 @@
 
 
 def descriptors() -> int:
-    """How many this process holds."""
+    """Count the descriptors of this process."""
     return len(os.listdir("/proc/self/fd"))
 
 
 def settled_descriptors() -> int:
-    """The same, once what earlier tests left is closed: it would be at any time."""
+    """Count the descriptors after those that earlier tests left open are collected."""
     gc.collect()
     return descriptors()
 
 
 @LOOPS
-def test_a_closed_connection_counts_until_its_descriptor_is_free(tmp_path: Path, new_loop: NewLoop) -> None:
+def test_connection_when_closed_counts_until_descriptor_is_free(tmp_path: Path, new_loop: NewLoop) -> None:
     async def test() -> None:
-        async with fronting(tmp_path) as front:
-            with socket.create_connection(front.address):
-                await until(lambda: front.unused)
+        async with running_http_server(tmp_path) as http_server:
+            with socket.create_connection(http_server.address):
+                await until(lambda: http_server.unused)
                 held = settled_descriptors()
-                (connection,) = front.connections
+                (connection,) = http_server.connections
                 connection.close()
-                assert front.connections and descriptors() == held and not front.unused
-                await until(lambda: not front.connections)
+                assert http_server.connections and descriptors() == held and not http_server.unused
+                await until(lambda: not http_server.connections)
                 await until(lambda: descriptors() == held - 1)
 
     run(test, new_loop)
 
 
 @pytest.mark.parametrize("client_closes", [False, True])
-def test_a_close_over_unread_bytes_frees_the_descriptor_in_the_end(
-    tmp_path: Path, deaf: Callable[[HttpServer], Deaf], monkeypatch: pytest.MonkeyPatch, client_closes: bool
+def test_connection_closed_with_unread_bytes_frees_descriptor(
+    tmp_path: Path,
+    non_reading_client: Callable[[HttpServer], NonReadingClient],
+    monkeypatch: pytest.MonkeyPatch,
+    client_closes: bool,
 ) -> None:
-    """Guards against descriptors that nobody counts: a flush that never comes held them for good."""
+    """A flush that never completes must not hold a descriptor that nothing counts."""
     monkeypatch.setattr(admission, "READ_STALL_TIMEOUT_MS", 300.0)
 
     async def test() -> None:
-        async with fronting(tmp_path, Backend("b0", large)) as front:
-            client = deaf(front)
-            await stuff(client, front)
-            (connection,) = front.connections
+        async with running_http_server(tmp_path, Backend("b0", respond_large)) as http_server:
+            client = non_reading_client(http_server)
+            await fill_write_buffer(client, http_server)
+            (connection,) = http_server.connections
             held, connection.latest_deadline_ms = settled_descriptors(), 0.0
-            front.unread.discard(connection)
-            front.on_write_blocked(connection)  # its deadline is over
+            http_server.unread.discard(connection)
+            http_server.on_write_blocked(connection)  # with a deadline in the past
             if client_closes:
                 client.sock.shutdown(socket.SHUT_WR)
             else:
                 connection.close()
                 assert connection.is_closing
-            assert front.connections == {connection}
-            await until(lambda: not front.connections)
+            assert http_server.connections == {connection}
+            await until(lambda: not http_server.connections)
             await until(lambda: descriptors() == held - 1)
 
     run(test)
 
 
-def test_a_close_over_bytes_that_are_read_late_loses_none(
-    tmp_path: Path, deaf: Callable[[HttpServer], Deaf]
+def test_connection_closed_with_bytes_read_late_loses_none(
+    tmp_path: Path, non_reading_client: Callable[[HttpServer], NonReadingClient]
 ) -> None:
     async def test() -> None:
-        async with fronting(tmp_path, Backend("b0", large)) as front:
-            client = deaf(front)
-            await stuff(client, front)
-            (connection,) = front.connections
+        async with running_http_server(tmp_path, Backend("b0", respond_large)) as http_server:
+            client = non_reading_client(http_server)
+            await fill_write_buffer(client, http_server)
+            (connection,) = http_server.connections
             connection.close()
             await asyncio.sleep(2 * LINGERING_CLOSE_S)
-            got = await client.all()
+            got = await client.read_all()
             assert len(got) > connection.request_count * 65536 and got.endswith(b"x" * 65536)
 
     run(test)
@@ -359,118 +380,122 @@
 
 @contextlib.contextmanager
 def no_descriptor_left() -> Iterator[None]:
-    """Take all that this process may have."""
+    """Take all descriptors that this process may have."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    most = max(int(name) for name in os.listdir("/proc/self/fd")) + 2
-    resource.setrlimit(resource.RLIMIT_NOFILE, (most, hard))
-    taken = []
+    max_descriptor = max(int(name) for name in os.listdir("/proc/self/fd")) + 2
+    resource.setrlimit(resource.RLIMIT_NOFILE, (max_descriptor, hard))
+    duplicates = []
     try:
         with contextlib.suppress(OSError):
             while True:
-                taken.append(os.dup(0))
+                duplicates.append(os.dup(0))
         yield
     finally:
-        for number in taken:
-            os.close(number)
+        for descriptor in duplicates:
+            os.close(descriptor)
         resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
 
 
 @LOOPS
-def test_without_a_descriptor_clients_get_503_and_then_all_is_well(tmp_path: Path, new_loop: NewLoop) -> None:
+def test_listener_without_descriptors_answers_503_and_recovers(tmp_path: Path, new_loop: NewLoop) -> None:
     async def test() -> None:
-        async with fronting(tmp_path, Backend("b0")) as front:
-            here = Client(*await asyncio.open_connection(*front.address))
-            assert (await here.ask("/up")).code == 200
-            loop, late = asyncio.get_running_loop(), [socket.socket() for _ in range(5)]
+        async with running_http_server(tmp_path, Backend("b0")) as http_server:
+            first = Client(*await asyncio.open_connection(*http_server.address))
+            assert (await first.ask("/up")).code == 200
+            loop, sockets = asyncio.get_running_loop(), [socket.socket() for _ in range(5)]
             with no_descriptor_left():
-                for sock in late:
+                for sock in sockets:
                     sock.setblocking(False)
-                    await loop.sock_connect(sock, front.address)
-                for sock in late:
-                    got = b""
+                    await loop.sock_connect(sock, http_server.address)
+                for sock in sockets:
+                    response = b""
                     while piece := await asyncio.wait_for(loop.sock_recv(sock, 4096), WAIT):
-                        got += piece
-                    assert got.startswith(b"HTTP/1.1 503 ") and b"Connection: close" in got
-                assert (await here.ask("/up")).code == 200
-            for sock in late:
+                        response += piece
+                    assert response.startswith(b"HTTP/1.1 503 ") and b"Connection: close" in response
+                assert (await first.ask("/up")).code == 200
+            for sock in sockets:
                 sock.close()
-            after = Client(*await asyncio.open_connection(*front.address))
-            assert (await after.ask("/read")).code == 200
-            for client in (here, after):
+            last = Client(*await asyncio.open_connection(*http_server.address))
+            assert (await last.ask("/read")).code == 200
+            for client in (first, last):
                 client.writer.transport.abort()
 
     run(test, new_loop)
 
 
 @LOOPS
-def test_without_the_spare_one_either_the_listener_rests_and_comes_back(
+def test_listener_without_reserve_descriptor_pauses_and_resumes(
     tmp_path: Path, new_loop: NewLoop, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against a loop that spins over a connection that cannot be accepted."""
+    """The loop must not spin over a connection that cannot be accepted."""
 
     async def test() -> None:
-        async with fronting(tmp_path) as front:
-            tries = 0
-            relieve = front.listener._reject_with_reserve
+        async with running_http_server(tmp_path) as http_server:
+            attempt_count = 0
+            reject_with_reserve = http_server.listener._reject_with_reserve
 
             def counted() -> bool:
-                nonlocal tries
-                tries += 1
-                return relieve()
-
-            monkeypatch.setattr(front.listener, "_reject_with_reserve", counted)
-            late = socket.socket()
-            late.setblocking(False)
-            front.listener._close_reserve()
+                nonlocal attempt_count
+                attempt_count += 1
+                return reject_with_reserve()
+
+            monkeypatch.setattr(http_server.listener, "_reject_with_reserve", counted)
+            sock = socket.socket()
+            sock.setblocking(False)
+            http_server.listener._close_reserve()
             with no_descriptor_left():
-                await asyncio.get_running_loop().sock_connect(late, front.address)
-                await until(lambda: tries)
+                await asyncio.get_running_loop().sock_connect(sock, http_server.address)
+                await until(lambda: attempt_count)
                 await asyncio.sleep(0.3)
-                assert tries <= 4
-            await until(lambda: front.connections)  # accepted at the next try
-            late.close()
+                assert attempt_count <= 4
+            await until(lambda: http_server.connections)  # accepted at the next attempt
+            sock.close()
 
     run(test, new_loop)
 
 
 @LOOPS
-def test_a_crowd_never_holds_more_descriptors_than_the_cap(tmp_path: Path, new_loop: NewLoop) -> None:
+def test_listener_with_many_clients_stays_within_descriptor_cap(tmp_path: Path, new_loop: NewLoop) -> None:
     async def test() -> None:
-        async with fronting(tmp_path, Backend("b0"), limit=4, over=2) as front:
+        async with running_http_server(
+            tmp_path, Backend("b0"), max_connections=4, max_overload_connections=2
+        ) as http_server:
             before = descriptors()
-            most = 0
+            max_held = 0
             for _ in range(5):
-                crowd = [socket.create_connection(front.address) for _ in range(40)]
+                crowd = [socket.create_connection(http_server.address) for _ in range(40)]
                 for _ in range(200):
                     await asyncio.sleep(0)
-                    held = len(front.connections) + len(front.listener.connecting)
-                    most = max(most, held, descriptors() - before - len(crowd))
+                    held = len(http_server.connections) + len(http_server.listener.connecting)
+                    max_held = max(max_held, held, descriptors() - before - len(crowd))
                 for sock in crowd:
                     sock.close()
-            assert 4 <= most <= 6 + 2  # two turns of the loop pass until a descriptor is free
-            client = Client(*await asyncio.open_connection(*front.address))
+            assert 4 <= max_held <= 6 + 2  # a descriptor is free two turns of the loop later
+            client = Client(*await asyncio.open_connection(*http_server.address))
             assert (await client.ask("/read")).code == 200
             client.writer.transport.abort()
 
     run(test, new_loop)
 
 
-def test_a_connection_that_finds_no_place_is_answered(tmp_path: Path) -> None:
+def test_listener_without_free_slot_answers_503(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fronting(tmp_path, limit=1, over=0) as front:
-            half = socket.create_connection(front.address)
-            half.send(b"GET /up HTTP/1.1\r\nHost")
-            await until(lambda: front.connections and not front.unused)
-            client = Client(*await asyncio.open_connection(*front.address))
+        async with running_http_server(
+            tmp_path, max_connections=1, max_overload_connections=0
+        ) as http_server:
+            incomplete = socket.create_connection(http_server.address)
+            incomplete.send(b"GET /up HTTP/1.1\r\nHost")
+            await until(lambda: http_server.connections and not http_server.unused)
+            client = Client(*await asyncio.open_connection(*http_server.address))
             got = await client.answer()
             assert (got.code, got.headers["connection"]) == (503, "close")
             assert await client.ended() == b""
-            half.close()
+            incomplete.close()
 
     run(test)
 
 
-def test_the_soft_limit_is_raised_to_what_is_configured(tmp_path: Path) -> None:
+def test_node_with_low_soft_limit_raises_it_to_configured_sockets(tmp_path: Path) -> None:
     async def test() -> None:
         async with running(tmp_path, Backend("b0"), sockets=512, descriptors=(64, 4096)) as rig:
             assert resource.prlimit(rig.process.pid, resource.RLIMIT_NOFILE) == (512, 4096)
@@ -479,7 +504,7 @@
     run(test)
 
 
-def test_under_a_hard_limit_of_64_a_flood_costs_neither_clients_nor_discovery(tmp_path: Path) -> None:
+def test_node_with_hard_limit_of_64_keeps_clients_and_discovery_in_flood(tmp_path: Path) -> None:
     async def test() -> None:
         async with running(tmp_path, Backend("b0"), sockets=1024, descriptors=(64, 64)) as rig:
             assert any("limits.sockets is 1024, the process may hold 64" in line for line in rig.log)
@@ -501,7 +526,7 @@
     run(test)
 
 
-def test_too_few_descriptors_to_serve_with_are_named(tmp_path: Path) -> None:
+def test_node_with_too_few_descriptors_exits_with_reason(tmp_path: Path) -> None:
     async def test() -> None:
         path = tmp_path / "config.json"
         path.write_text(json.dumps(configuration([], 1)))
--- a/tests/net/test_long_bodies.py
+++ b/tests/net/test_long_bodies.py
@@ -1,4 +1,4 @@
-"""Requests and answers longer than the protocol's 64 KiB: passed on unchanged, in bounded memory."""
+"""Request and response bodies over the protocol's 64 KiB: forwarded unchanged, in bounded memory."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from balancer.core.connection_admission import MAX_FORWARDED_BODY_BYTES, UNBUDGETED_BODY_BYTES
 from balancer.net.http_server import HttpServer
 from tests.net.test_client_gone import run, until
-from tests.net.test_http_server import fronting
+from tests.net.test_http_server import running_http_server
 from tests.sockets import (
     PATIENT,
     Backend,
@@ -20,146 +20,157 @@
     answer,
 )
 
-LONG = 97_290
-BODY = bytes(n * 7 % 251 for n in range(LONG))
-MOST = bytes(n * 11 % 253 for n in range(MAX_FORWARDED_BODY_BYTES))
+LONG_BODY_BYTES = 97_290
+BODY = bytes(n * 7 % 251 for n in range(LONG_BODY_BYTES))
+LONGEST_BODY = bytes(n * 11 % 253 for n in range(MAX_FORWARDED_BODY_BYTES))
 
 
 def chunked(body: bytes, size: int) -> bytes:
-    """It in chunks of that size."""
+    """Encode the body in chunks of that size."""
     parts = [body[at : at + size] for at in range(0, len(body), size)]
     return b"".join(b"%x\r\n%b\r\n" % (len(part), part) for part in parts) + b"0\r\n\r\n"
 
 
-def long_answers(text: Callable[[bytes], bytes]) -> Backend:
-    """A backend that answers each request with its own body, as it is framed by `text`."""
+def echo_backend(frame: Callable[[bytes], bytes]) -> Backend:
+    """Create a backend that answers each request with its own body, framed by `frame`."""
 
     async def respond(backend: Backend, message: Message, writer: asyncio.StreamWriter) -> None:
-        writer.write(text(message.body))
+        writer.write(frame(message.body))
 
     return Backend("b0", respond)
 
 
 @pytest.mark.parametrize(
-    "body", [BODY[: UNBUDGETED_BODY_BYTES + 1], BODY, MOST], ids=["65537", "97290", "most"]
+    "body", [BODY[: UNBUDGETED_BODY_BYTES + 1], BODY, LONGEST_BODY], ids=["65537", "97290", "most"]
 )
-@pytest.mark.parametrize("pieces", [False, True])
-@pytest.mark.parametrize("asked", ["length", "chunks"])
-@pytest.mark.parametrize("told", ["length", "chunks"])
-def test_long_ones_are_passed_on_unchanged(
-    tmp_path: Path, body: bytes, pieces: bool, asked: str, told: str
+@pytest.mark.parametrize("is_split", [False, True])
+@pytest.mark.parametrize("request_framing", ["length", "chunks"])
+@pytest.mark.parametrize("response_framing", ["length", "chunks"])
+def test_long_body_in_any_framing_is_forwarded_unchanged(
+    tmp_path: Path, body: bytes, is_split: bool, request_framing: str, response_framing: str
 ) -> None:
-    """Guards against failing what is sound, only longer than the page says: 97,290 and 222,800 bytes came."""
+    """Bodies over the documented 64 KiB occur (97,290 and 222,800 bytes were seen) and must not fail."""
 
-    def text(body: bytes) -> bytes:
-        if told == "length":
+    def frame(body: bytes) -> bytes:
+        if response_framing == "length":
             return answer(body)
         return b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(body, 4096)
 
     async def test() -> None:
-        async with fronting(tmp_path, long_answers(text), settings=PATIENT) as front:
-            client = Client(*await asyncio.open_connection(*front.address))
+        async with running_http_server(tmp_path, echo_backend(frame), settings=PATIENT) as http_server:
+            client = Client(*await asyncio.open_connection(*http_server.address))
             for number in (b"1", b"2"):
                 head = b"POST /once HTTP/1.1\r\nRequest-Id: long-" + number
-                if asked == "length":
+                if request_framing == "length":
                     data = head + b"\r\nContent-Length: %d\r\n\r\n" % len(body) + body
                 else:
                     data = head + b"\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(body, 5000)
-                cut = len(data) - 1000 if pieces else 0
-                client.writer.write(data[:cut])
-                if pieces:
+                first_part_bytes = len(data) - 1000 if is_split else 0
+                client.writer.write(data[:first_part_bytes])
+                if is_split:
                     await until(
-                        lambda: front.node.long.reserved_bytes or len(body) <= UNBUDGETED_BODY_BYTES + 1000
+                        lambda: (
+                            http_server.node.long.reserved_bytes or len(body) <= UNBUDGETED_BODY_BYTES + 1000
+                        )
                     )
-                client.writer.write(data[cut:])
+                client.writer.write(data[first_part_bytes:])
                 got = await client.answer()
                 assert got.code == 200 and got.body == body
-            await until(lambda: not front.node.open)
-            assert front.node.long.reserved_bytes == 0
-            assert not any(connection.body for connection in front.connections)
-            assert not any(idle.body for idle in front.node.pool.hosts["b0"].idle)
+            await until(lambda: not http_server.node.open)
+            assert http_server.node.long.reserved_bytes == 0
+            assert not any(connection.body for connection in http_server.connections)
+            assert not any(idle.body for idle in http_server.node.pool.backends["b0"].idle)
             client.writer.transport.abort()
 
     run(test)
 
 
-async def half(front: HttpServer, number: int) -> Client:
-    """A client whose request is the longest there may be, and lacks its last byte."""
-    client = Client(*await asyncio.open_connection(*front.address))
+async def send_incomplete_request(http_server: HttpServer, number: int) -> Client:
+    """Connect a client whose request has the longest body allowed and lacks its last byte."""
+    client = Client(*await asyncio.open_connection(*http_server.address))
     head = b"POST /once HTTP/1.1\r\nRequest-Id: long-%d\r\nContent-Length: %d\r\n\r\n"
-    client.writer.write(head % (number, MAX_FORWARDED_BODY_BYTES) + MOST[:-1])
+    client.writer.write(head % (number, MAX_FORWARDED_BODY_BYTES) + LONGEST_BODY[:-1])
     return client
 
 
-@pytest.mark.parametrize("leaves", [True, False])
-def test_what_long_requests_hold_is_bounded(tmp_path: Path, leaves: bool) -> None:
-    """Guards memory: over the budget a further one is refused, usual ones go on, and all is given back."""
+@pytest.mark.parametrize("disconnects", [True, False])
+def test_long_requests_over_budget_are_rejected(tmp_path: Path, disconnects: bool) -> None:
+    """Over the budget a further long request is rejected, others are served, and all memory is released."""
 
     async def test() -> None:
         backend = Backend("b0")
-        async with fronting(tmp_path, backend, settings=PATIENT) as front:
-            each = MAX_FORWARDED_BODY_BYTES - 1 - UNBUDGETED_BODY_BYTES
-            front.node.long.budget_bytes = 2 * each
-            first, second = await half(front, 1), await half(front, 2)
-            await until(lambda: front.node.long.reserved_bytes == 2 * each)
-            third = await half(front, 3)
+        async with running_http_server(tmp_path, backend, settings=PATIENT) as http_server:
+            held_bytes = MAX_FORWARDED_BODY_BYTES - 1 - UNBUDGETED_BODY_BYTES
+            http_server.node.long.budget_bytes = 2 * held_bytes
+            first, second = (
+                await send_incomplete_request(http_server, 1),
+                await send_incomplete_request(http_server, 2),
+            )
+            await until(lambda: http_server.node.long.reserved_bytes == 2 * held_bytes)
+            third = await send_incomplete_request(http_server, 3)
             assert (await third.answer()).code == 503  # nothing of it ran
-            usual = Client(*await asyncio.open_connection(*front.address))
+            usual = Client(*await asyncio.open_connection(*http_server.address))
             assert (await usual.ask("/once", method="POST")).code == 200
-            assert front.node.long.reserved_bytes == 2 * each
+            assert http_server.node.long.reserved_bytes == 2 * held_bytes
             for client in (first, second):
-                if leaves:
+                if disconnects:
                     client.writer.transport.abort()
                 else:
-                    client.writer.write(MOST[-1:])
+                    client.writer.write(LONGEST_BODY[-1:])
                     assert (await client.answer()).code in (200, 503)
-            await until(lambda: not front.node.open and front.node.long.reserved_bytes == 0)
+            await until(lambda: not http_server.node.open and http_server.node.long.reserved_bytes == 0)
             for client in (first, second, third, usual):
                 client.writer.transport.abort()
 
     run(test)
 
 
-def test_what_long_answers_hold_is_bounded(tmp_path: Path) -> None:
-    """Guards memory against answers without end, each within its own bound, from many backends."""
+def test_long_responses_over_budget_fail(tmp_path: Path) -> None:
+    """Endless responses from many backends, each within its own limit, must not exhaust the memory."""
 
     async def respond(backend: Backend, message: Message, writer: asyncio.StreamWriter) -> None:
         if message.start.startswith("GET /read/usual "):
             writer.write(answer(b"usual"))
             return
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        writer.write(chunked(MOST, 8192).removesuffix(b"0\r\n\r\n"))
+        writer.write(chunked(LONGEST_BODY, 8192).removesuffix(b"0\r\n\r\n"))
 
     async def test() -> None:
-        async with fronting(tmp_path, Backend("b0", respond), settings=PATIENT) as front:
-            front.node.long.budget_bytes = MAX_FORWARDED_BODY_BYTES - UNBUDGETED_BODY_BYTES  # room for one
-            first = Client(*await asyncio.open_connection(*front.address))
-            asked = asyncio.ensure_future(first.ask("/once", method="POST"))
+        async with running_http_server(tmp_path, Backend("b0", respond), settings=PATIENT) as http_server:
+            http_server.node.long.budget_bytes = (
+                MAX_FORWARDED_BODY_BYTES - UNBUDGETED_BODY_BYTES
+            )  # enough for one
+            first = Client(*await asyncio.open_connection(*http_server.address))
+            request = asyncio.ensure_future(first.ask("/once", method="POST"))
             await until(
-                lambda: front.node.long.reserved_bytes == MAX_FORWARDED_BODY_BYTES - UNBUDGETED_BODY_BYTES
+                lambda: (
+                    http_server.node.long.reserved_bytes == MAX_FORWARDED_BODY_BYTES - UNBUDGETED_BODY_BYTES
+                )
             )
-            other = Client(*await asyncio.open_connection(*front.address))
+            other = Client(*await asyncio.open_connection(*http_server.address))
             assert (await other.ask("/read/usual")).body == b"usual"
             assert (await other.ask("/once", method="POST")).code == 502  # it may have run
             assert (
-                not asked.done()
-                and front.node.long.reserved_bytes == MAX_FORWARDED_BODY_BYTES - UNBUDGETED_BODY_BYTES
+                not request.done()
+                and http_server.node.long.reserved_bytes == MAX_FORWARDED_BODY_BYTES - UNBUDGETED_BODY_BYTES
             )
             first.writer.transport.abort()
-            await until(lambda: not front.node.open and front.node.long.reserved_bytes == 0)
-            await asyncio.gather(asked, return_exceptions=True)
+            await until(lambda: not http_server.node.open and http_server.node.long.reserved_bytes == 0)
+            await asyncio.gather(request, return_exceptions=True)
             other.writer.transport.abort()
 
     run(test)
 
 
-def test_an_answer_that_is_longer_than_the_longest_is_given_up(tmp_path: Path) -> None:
+def test_response_over_maximum_body_size_fails(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fronting(tmp_path, long_answers(lambda _: answer(MOST + b"x")), settings=PATIENT) as front:
-            client = Client(*await asyncio.open_connection(*front.address))
+        async with running_http_server(
+            tmp_path, echo_backend(lambda _: answer(LONGEST_BODY + b"x")), settings=PATIENT
+        ) as http_server:
+            client = Client(*await asyncio.open_connection(*http_server.address))
             assert (await client.ask("/once", method="POST")).code == 502
-            await until(lambda: not front.node.open)
-            assert front.node.long.reserved_bytes == 0
+            await until(lambda: not http_server.node.open)
+            assert http_server.node.long.reserved_bytes == 0
             client.writer.transport.abort()
 
     run(test)
--- a/tests/net/test_request_dispatcher.py
+++ b/tests/net/test_request_dispatcher.py
@@ -169,7 +169,7 @@
         pool = BackendPool(Settings(classes=(READ,), connect_timeout_ms=100.0), 10)
         pool.update(_list("b0", mute.getsockname()[1]))
         assert (await _attempt(pool, b"GET / HTTP/1.1\r\n\r\n")).status is AttemptStatus.CONNECT_FAILED
-        assert pool.count == 0
+        assert pool.connection_count == 0
         for sock in [mute, *fill]:
             sock.close()
 
@@ -231,7 +231,7 @@
             gone = () if change else ("b0",)
             got = await _attempt(pool, b"x", partial(pool.update, late, gone))
             assert got.status is AttemptStatus.NOT_STARTED
-            assert pool.count == 0
+            assert pool.connection_count == 0
         assert backend.got.empty()
         backend.stop()
 
@@ -276,7 +276,7 @@
         attempt = pool.start("b1", request, lambda answer: None)
         await backends[1].got.get()
         await backends[0].lost.get()
-        assert pool.count == 1
+        assert pool.connection_count == 1
         assert (await _attempt(pool, request)).status is AttemptStatus.NOT_STARTED
         attempt.drop()
         for backend in backends:
@@ -299,7 +299,7 @@
             got = await _attempt(pool, b"GET / HTTP/1.1\r\n\r\n")
         finally:
             resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
-        assert got.status is AttemptStatus.NOT_STARTED and pool.count == 0
+        assert got.status is AttemptStatus.NOT_STARTED and pool.connection_count == 0
         assert (await _attempt(pool, b"GET / HTTP/1.1\r\n\r\n")).status is AttemptStatus.OK
         backend.stop()
 
--- a/tests/system/shutdown_races.py
+++ b/tests/system/shutdown_races.py
@@ -713,14 +713,17 @@
         backends = self.node.balancer.backends.items()
         self._left("out by server", {name: b.in_flight for name, b in backends if b.in_flight})
         pool = self.node.pool
-        self._left("connections in use", pool.count - sum(len(host.idle) for host in pool.hosts.values()))
+        self._left(
+            "connections in use",
+            pool.connection_count - sum(len(host.idle) for host in pool.backends.values()),
+        )
         self._left("events held", [*self.node._held, *self.node._events])
         for asker in self.askers:
             asker.sock.close()
         self.front.stop()
         pool.close()
         await self.idle()
-        self._left("connections to servers", pool.count)
+        self._left("connections to servers", pool.connection_count)
         self._left("connections of clients", self.front.connections)
 
     def _left(self, what: str, there: Any) -> None:
