--- a/balancer/net/backend_pool.py
+++ b/balancer/net/backend_pool.py
@@ -141,7 +141,7 @@
         self.transport: asyncio.Transport | None = None
         self.task: asyncio.Task[None] | None = None
         self.attempt: Exchange | None = None
-        self.is_owned_by_transport = False  # the transport owns the descriptor from then on
+        self.is_owned_by_transport = False  # once set, only the transport closes the descriptor
         self.reuse_timer: asyncio.TimerHandle | None = None  # the pending attempt is written then
         self.is_closed = self.has_written = self.is_write_blocked = False
         self.idle_since_s = 0.0
@@ -256,7 +256,7 @@
     # --- asyncio.Protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Report every byte that the kernel has not taken: such a byte has not left the node."""
+        """Pause writing at the first byte that the kernel has not taken: it has not left the node."""
         # uvloop's transport is no subclass of asyncio.Transport.
         cast(asyncio.Transport, transport).set_write_buffer_limits(high=0)
 
@@ -339,7 +339,7 @@
             # Bounds the memory of an endless header, which the parser would buffer.
             self.head_bytes += len(data)
         if self.is_complete and self.code == 200 and self.is_write_blocked:
-            # A backend cannot respond to this request before its last byte, so the response is not to it.
+            # No backend starts a request before its last byte, so this response belongs to none.
             log.warning("backend %s:%d: response before the request was written", *self.address)
             self._fail(AttemptStatus.CONNECT_FAILED)
         elif self.is_complete:
--- a/balancer/net/config.py
+++ b/balancer/net/config.py
@@ -80,7 +80,7 @@
     with collector:
         settings = _settings(raw)
     with collector:
-        sockets = _sockets(raw)
+        max_sockets = _max_sockets(raw)
     with collector:
         memory_mb = _memory_mb(raw)
     with collector:
@@ -93,7 +93,7 @@
         discovery = _address(raw, env, "discovery", is_reload)
     if collector.faults:
         raise ConfigError(*collector.faults)
-    client_quota, backend_quota = descriptor_quotas(sockets)
+    client_quota, backend_quota = descriptor_quotas(max_sockets)
     return Config(
         name=str(env.get(PREFIX + "NAME") or raw.get("name", "")),
         listen_address=listen,
@@ -144,7 +144,7 @@
         raise ConfigError(*(f"settings: {fault}" for fault in platform.faults(raw["settings"]))) from None
 
 
-def _sockets(raw: Mapping[str, Any]) -> int:
+def _max_sockets(raw: Mapping[str, Any]) -> int:
     limits = raw.get("limits", {})
     max_sockets = limits.get("sockets", 1024) if isinstance(limits, dict) else None
     if (
--- a/balancer/net/http_server.py
+++ b/balancer/net/http_server.py
@@ -44,7 +44,7 @@
 IDLE_TIMEOUT_S = 60.0  # between two requests of a connection
 IDLE_TIMEOUT_UNDER_PRESSURE_S = 2.1  # the same under idle pressure; first responses then close
 IDLE_PRESSURE_RATIO = 1 / 8
-CLOSE_POLL_INTERVAL_S = 0.02  # seconds between checks for open work during shutdown
+CLOSE_POLL_INTERVAL_S = 0.02  # between checks for open work during shutdown
 SWEEP_INTERVAL_S = 0.2  # between checks for timed-out connections
 REQUEST_HEADERS = frozenset(
     {  # headers of a request to a class; a health check of `/up` has none of them
@@ -277,7 +277,7 @@
     def on_message_begin(self) -> None:
         """Start a request; one that arrives before the previous one is answered is left unread."""
         if self.request_id is not None or self.is_closing or self._is_write_buffer_full():
-            # A request behind a response that closes the connection would be lost: it is not parsed.
+            # A request that follows a response with `Connection: close` would be lost, so it is not parsed.
             self.closes_after_response = True
             return
         self._reset()
@@ -406,7 +406,7 @@
         value = self.headers.get(b"work-hint", b"")
         return int(value) / 1000 if value.isdigit() and len(value) < 13 else None
 
-    # --- answers
+    # --- responses
 
     def served(self, body: bytes, content_type: bytes) -> None:
         """Forward a backend's response."""
@@ -537,7 +537,7 @@
         return host, port
 
     async def listen(self, address: Address) -> None:
-        """Accept connections on this address only."""
+        """Listen on this address only; raises OSError."""
         await self.listener.listen(address)
 
     def _slot_state(self) -> SlotState:
@@ -562,7 +562,7 @@
         self.connections.add(connection)
         self.listener.on_connected(connection)
         if self.is_over_limit:
-            # Only new connections are rejected: a crowd must not displace existing ones.
+            # Only new connections are rejected: a surge must not displace existing clients.
             if (evicted := self._connection_to_evict()) is not None:
                 evicted.close()
             else:
--- a/tests/net/test_bulk_update.py
+++ b/tests/net/test_bulk_update.py
@@ -134,7 +134,7 @@
             running.fleet.handle(left)
             assert (await asked).code == 200 and running.sent == [names[7]]
             assert running.node.bulk_update is None and running.node.balancer.order == [names[7]]
-            assert (await client.ask("/up")).code == 200 and [*running.node.pool.hosts] == [names[7]]
+            assert (await client.ask("/up")).code == 200 and [*running.node.pool.backends] == [names[7]]
 
     run(test)
 
--- a/tests/net/test_long_bodies.py
+++ b/tests/net/test_long_bodies.py
@@ -137,9 +137,8 @@
 
     async def test() -> None:
         async with running_http_server(tmp_path, Backend("b0", respond), settings=PATIENT) as http_server:
-            http_server.node.long.budget_bytes = (
-                MAX_FORWARDED_BODY_BYTES - UNBUDGETED_BODY_BYTES
-            )  # enough for one
+            # Enough for one body.
+            http_server.node.long.budget_bytes = MAX_FORWARDED_BODY_BYTES - UNBUDGETED_BODY_BYTES
             first = Client(*await asyncio.open_connection(*http_server.address))
             request = asyncio.ensure_future(first.ask("/once", method="POST"))
             await until(
