--- a/balancer/net/application.py
+++ b/balancer/net/application.py
@@ -70,7 +70,7 @@
 def reload(discovery: PlatformSource) -> None:
     """Read the configuration again for the address of discovery; all else is fixed until a restart."""
     try:
-        config = load(os.environ, again=True)
+        config = load(os.environ, is_reload=True)
     except ConfigError as err:
         logging.error("reload: the old configuration stays: %s", " ".join(str(err).split()))
         return
@@ -110,8 +110,8 @@
     stop = asyncio.Event()
 
     def on_termination() -> None:  # deadlines count from the first of these signals
-        if server.ends is None:
-            server.ends = node.stop()
+        if server.shutdown_deadlines is None:
+            server.shutdown_deadlines = node.stop()
         stop.set()
 
     for signal_number in TERMINATION_SIGNALS:
@@ -119,7 +119,7 @@
 
     # Runs in the next turn of the event loop at the earliest, when everything below is initialized.
     def on_hangup() -> None:
-        if server.ends is not None:
+        if server.shutdown_deadlines is not None:
             return  # the node is shutting down, and its components may be closed
         reload(discovery)
         if components is not None:
@@ -157,8 +157,8 @@
         gc.freeze()
         logging.info("%s serves on %s:%d", config.name, *server.address)
         await stop.wait()
-        assert server.ends is not None
-        await asyncio.sleep((server.ends.accept_until_ms - node.now()) / 1000)
+        assert server.shutdown_deadlines is not None
+        await asyncio.sleep((server.shutdown_deadlines.accept_until_ms - node.now()) / 1000)
         server.stop()
         await server.finish()
         # Closing the event loop restores the default signal handlers, which would end the process early.
--- a/balancer/net/request_dispatcher.py
+++ b/balancer/net/request_dispatcher.py
@@ -235,7 +235,7 @@
         # Attempts that are not completely sent end here, even if settings forbid cancelling. Otherwise they
         # would be sent for an absent client once their connection is established or writable again.
         for attempt in request.attempts:
-            if attempt.exchange is not None and not attempt.exchange.left:
+            if attempt.exchange is not None and not attempt.exchange.may_have_left:
                 self._stop_attempt(attempt, api.AttemptStatus.NOT_STARTED)
         self.event(api.ClientLeft(request_id))
 
@@ -258,7 +258,7 @@
         """Update the connection pool and report backends whose address changed."""
         if self.on_backend_moved is not None:
             for record in records:
-                host = self.pool.hosts.get(record.endpoint.id)
+                host = self.pool.backends.get(record.endpoint.id)
                 if host is not None and host.address != record.address:
                     self.on_backend_moved(record.endpoint.id)
         self.pool.update(records, [removed.endpoint.id for removed in removed_records])
@@ -267,7 +267,7 @@
         """Pass an update to the policy once the pool has it; completes a bulk update."""
         finished_update, self.bulk_update = self.bulk_update, None
         self.event(event)
-        self.is_ready = self.is_ready or any(host.is_listed for host in self.pool.hosts.values())
+        self.is_ready = self.is_ready or any(host.is_listed for host in self.pool.backends.values())
         if finished_update is not None:
             for change in finished_update.deferred_changes:
                 self.apply(change)
@@ -334,7 +334,7 @@
         request.attempts.append(attempt)
         remaining_ms = request.deadline_ms - now_ms
         timeout_ms = min(action.timeout_ms, remaining_ms) if action.timeout_ms else remaining_ms
-        if request.is_answered or action.backend not in self.pool.hosts or timeout_ms <= 0:
+        if request.is_answered or action.backend not in self.pool.backends or timeout_ms <= 0:
             self._finish_attempt(attempt, BackendResponse(api.AttemptStatus.NOT_STARTED))
             return
         attempt.timer = self.loop.call_later(timeout_ms / 1000, self._on_timeout, attempt)
@@ -350,13 +350,13 @@
             attempt.exchange.connection if attempt.exchange else None,
             api.AttemptStatus.TIMEOUT,
         )
-        if attempt.exchange is None or not attempt.exchange.left:
+        if attempt.exchange is None or not attempt.exchange.may_have_left:
             # The request was not sent completely, so it never ran. The backend counts as unreachable only if
             # its connection had its full time to be established and did not wait at this node.
             is_connect_timeout = self.now() - attempt.sent_at_ms >= self.settings.connect_timeout_ms
-            is_connect_timeout = is_connect_timeout and (connection is None or connection.resting is None)
+            is_connect_timeout = is_connect_timeout and (connection is None or connection.reuse_timer is None)
             status = api.AttemptStatus.CONNECT_FAILED if is_connect_timeout else api.AttemptStatus.NOT_STARTED
-        elif connection is not None and not (is_recheck or connection.clean):
+        elif connection is not None and not (is_recheck or connection.is_clean):
             # After a stall, timers may run before a response that is already in the kernel is read.
             attempt.timer = self.loop.call_later(STALL_SETTLE_S, self._on_timeout, attempt, True)
             return
--- a/tests/net/test_other_deployments.py
+++ b/tests/net/test_other_deployments.py
@@ -112,15 +112,15 @@
             client.writer.write(b"\nGET /up HTTP/1.1\r\n\r\n")
             assert (await client.answer()).body == b"up\n"
             (connection,) = server.connections
-            assert len(connection.line) == 0
+            assert len(connection.request_line) == 0
             client.writer.write(b"\r" * 12_000 + b"\nGET /up")
-            await until(lambda: connection.mid)
-            assert connection.line == b"GET /up"  # the empty lines are not kept
+            await until(lambda: connection.is_receiving_request)
+            assert connection.request_line == b"GET /up"  # the empty lines are not kept
             client.writer.write(b" HTTP/1.1\r\n\r\n")
             assert (await client.answer()).body == b"up\n"
             client.writer.write(b"GET /" + b"x" * 65536)  # an endless line is bounded as well
             assert (await client.answer()).code == 431
-            assert len(connection.line) <= MAX_HEAD_BYTES + 256 * 1024  # the head limit plus one read
+            assert len(connection.request_line) <= MAX_HEAD_BYTES + 256 * 1024  # the head limit plus one read
             client.writer.transport.abort()
 
     run(test)
--- a/tests/net/test_request_dispatcher.py
+++ b/tests/net/test_request_dispatcher.py
@@ -171,7 +171,7 @@
         pool = BackendPool(Settings(classes=(READ,), connect_timeout_ms=100.0), 10)
         pool.update(_records("b0", unresponsive_listener.getsockname()[1]))
         assert (await _attempt(pool, b"GET / HTTP/1.1\r\n\r\n")).status is AttemptStatus.CONNECT_FAILED
-        assert pool.count == 0
+        assert pool.connection_count == 0
         for sock in [unresponsive_listener, *filler_sockets]:
             sock.close()
 
@@ -233,7 +233,7 @@
             gone = () if change else ("b0",)
             got = await _attempt(pool, b"x", partial(pool.update, late, gone))
             assert got.status is AttemptStatus.NOT_STARTED
-            assert pool.count == 0
+            assert pool.connection_count == 0
         assert backend.got.empty()
         backend.stop()
 
@@ -278,7 +278,7 @@
         attempt = pool.start("b1", request, lambda answer: None)
         await backends[1].got.get()
         await backends[0].lost.get()
-        assert pool.count == 1
+        assert pool.connection_count == 1
         assert (await _attempt(pool, request)).status is AttemptStatus.NOT_STARTED
         attempt.drop()
         for backend in backends:
@@ -301,7 +301,7 @@
             got = await _attempt(pool, b"GET / HTTP/1.1\r\n\r\n")
         finally:
             resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
-        assert got.status is AttemptStatus.NOT_STARTED and pool.count == 0
+        assert got.status is AttemptStatus.NOT_STARTED and pool.connection_count == 0
         assert (await _attempt(pool, b"GET / HTTP/1.1\r\n\r\n")).status is AttemptStatus.OK
         backend.stop()
 
