--- a/balancer/net/discovery/platform_call.py
+++ b/balancer/net/discovery/platform_call.py
@@ -14,7 +14,7 @@
 from balancer.protocol import platform_list
 
 if TYPE_CHECKING:
-    from balancer.protocol.large_list import LongList
+    from balancer.protocol.large_list import LargeListParser
 
 log = logging.getLogger(__name__)
 
@@ -56,12 +56,12 @@
         """The call has ended and all that it brought was read. Not called for an abandoned one."""
 
 
-def _list_parser(line: bytes) -> EndpointListParser | LongList:
+def _list_parser(line: bytes) -> EndpointListParser | LargeListParser:
     if len(line) <= MAX_UNSLICED_LINE_BYTES:
         return EndpointListParser(json.loads(line))
-    from balancer.protocol.large_list import LongList  # costs start-up time; few lists are so large
+    from balancer.protocol.large_list import LargeListParser  # costs start-up time; few lists are so large
 
-    return LongList(line)
+    return LargeListParser(line)
 
 
 class DiscoveryCall(asyncio.Protocol):
@@ -69,11 +69,12 @@
 
     def __init__(self, owner: CallOwner, address: Address, target: str, is_watch: bool) -> None:
         self.owner, self.address, self.target, self.is_watch = owner, address, target, is_watch
-        self.response_parser = platform_list.ListCall(is_watch)
+        self.response_parser = platform_list.ResponseParser(is_watch)
         self.transport: asyncio.Transport | None = None
         self.deadline_timer: asyncio.TimerHandle | None = None
         self.unparsed_lines: deque[bytes] = deque()
-        self.list_parser: EndpointListParser | LongList | None = None  # of a list read over several turns
+        # of a list read over several turns
+        self.list_parser: EndpointListParser | LargeListParser | None = None
         self.is_complete = False  # it brought a complete snapshot
         self.is_over = False  # nothing more is received; what came may still have to be parsed
         self.is_abandoned = False  # the owner was notified of its end, or does not want to be
@@ -105,7 +106,7 @@
             return
         host, port = self.address
         host_header = f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
-        self.transport.write(platform_list.request(host_header, self.target, self.is_watch))
+        self.transport.write(platform_list.build_request(host_header, self.target, self.is_watch))
         self.deadline.note_connected(self.owner.now_ms())
         self.reset_deadline_timer()
 
@@ -140,11 +141,11 @@
     def data_received(self, data: bytes) -> None:
         """Read a part of the answer."""
         messages = self.response_parser.receive(data)
-        if self.response_parser.began and not self.is_over:
+        if self.response_parser.has_started and not self.is_over:
             is_retry = self.owner.watcher.consecutive_failures > 0
-            is_head_alone = is_retry and [*map(type, messages)] == [platform_list.Began]
+            is_head_alone = is_retry and [*map(type, messages)] == [platform_list.ResponseStarted]
             self.deadline.note_received(
-                self.owner.now_ms(), bool(messages), self.response_parser.under_way, is_head_alone
+                self.owner.now_ms(), bool(messages), self.response_parser.is_incomplete, is_head_alone
             )
             self.reset_deadline_timer()
         self._handle_messages(messages)
@@ -158,17 +159,17 @@
             if self.is_abandoned:
                 return
             match message:
-                case platform_list.Began():
-                    if message.accepted:
+                case platform_list.ResponseStarted():
+                    if message.is_ok:
                         self.owner.on_accepted()
-                case platform_list.Beat():
+                case platform_list.Heartbeat():
                     self.owner.on_heartbeat()
                 case platform_list.Line():
                     self.unparsed_lines.append(message.text)
-                case platform_list.Finished():
-                    self.is_complete = message.whole
+                case platform_list.ResponseEnded():
+                    self.is_complete = message.is_complete_list
                     self.close()
-                case platform_list.Broken():
+                case platform_list.InvalidResponse():
                     log.warning("discovery: %s", message.reason)
                     self.close()
         self._parse_lines()
--- a/balancer/ports.py
+++ b/balancer/ports.py
@@ -1,4 +1,4 @@
-"""Ports of the relay: what it needs of others, and what others may hang on it."""
+"""Ports of the relay: the interfaces of components that are attached to it."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 class Observer(Protocol):
-    """Who is shown each event and what the module made of it, at the one gate that all of them pass."""
+    """Receives each event of the decision module together with the actions that it returned."""
 
     def on_decision(self, now_ms: float, event: api.Event, actions: Sequence[api.Action]) -> None:
-        """The module was handed `event` at `now_ms` (the node's clock) and answered with `actions`.
+        """The module handled `event` at `now_ms` (the node's clock) and returned `actions`.
 
-        It is called before they are carried out, must not change either, and must return within
-        microseconds: requests wait. One that raises is taken off and named in the log.
+        It is called before the actions are executed, must not modify either, and must return within
+        microseconds, as requests wait for it. An observer that raises is removed, and the log names it.
         """
--- a/balancer/protocol/large_list.py
+++ b/balancer/protocol/large_list.py
@@ -1,7 +1,8 @@
-"""A line of discovery with thousands of entries, read in steps: `json.loads` alone takes 16 ms for 10,000.
+"""Parses a list of thousands of entries in steps: `json.loads` alone takes 16 ms for 10,000.
 
-`LongList` reads the very objects that `json.loads` would, STEP entries at a time, then hands them to
-`ListingBuilder` as slowly. A thread would not do: the C scanner keeps Python's lock for the whole line.
+`LargeListParser` decodes the same objects as `json.loads`, `ENTRIES_PER_STEP` at a time, and then passes them
+to an `EndpointListParser` in steps of the same size. A thread would not help: the C scanner holds the GIL for
+the whole line.
 """
 
 from __future__ import annotations
@@ -12,77 +13,81 @@
 
 from balancer.endpoints import EndpointList, EndpointListParser
 
-STEP = 250  # entries, 1 to 2 ms
+ENTRIES_PER_STEP = 250  # 1 to 2 ms
 
-_SPACE = re.compile(r"[ \t\n\r]*")
-_value = json.JSONDecoder().raw_decode
+_WHITESPACE = re.compile(r"[ \t\n\r]*")
+_decode_value = json.JSONDecoder().raw_decode
 
 
-class LongList:
-    """In the place of a `ListingBuilder`. What is no list raises ValueError from some step on."""
+class LargeListParser:
+    """Has the interface of `EndpointListParser`. For a line that is not a list a step raises ValueError."""
 
     def __init__(self, line: bytes) -> None:
         self._line = line
-        self._builder: EndpointListParser | None = None
-        self._steps = self._run()
+        self._parser: EndpointListParser | None = None
+        self._steps = self._parse_in_steps()
 
     def read(self, count: int) -> bool:
-        """Take a step, whatever the count; whether the list is whole. The last step does nothing else."""
+        """Take one step, whatever the count; returns whether the list is complete.
+
+        The last step does no work but that.
+        """
         return next(self._steps, True)
 
     def result(self) -> EndpointList:
-        """What was read."""
-        assert self._builder is not None
-        return self._builder.result()
+        """The list of the entries that were parsed."""
+        assert self._parser is not None
+        return self._parser.result()
 
-    def _run(self) -> Iterator[bool]:
+    def _parse_in_steps(self) -> Iterator[bool]:
         raw: dict[str, object] = {}
         text = self._line.decode(json.detect_encoding(self._line), "surrogatepass")
-        at = _after(text, 0, "{")
-        while text[at : at + 1] != "}" or raw:
-            key, at = _value(text, at)
+        position = _position_after(text, 0, "{")
+        while text[position : position + 1] != "}" or raw:
+            key, position = _decode_value(text, position)
             if not isinstance(key, str):
-                raise json.JSONDecodeError("Expecting a name", text, at)
-            at = _after(text, at, ":")
-            if key != "members" or text[at : at + 1] != "[":
-                raw[key], at = _value(text, at)
+                raise json.JSONDecodeError("Expecting a name", text, position)
+            position = _position_after(text, position, ":")
+            if key != "members" or text[position : position + 1] != "[":
+                raw[key], position = _decode_value(text, position)
             else:
                 raw[key] = rows = list[object]()
-                at = _after(text, at, "[")
-                while text[at : at + 1] != "]" or rows:
-                    row, at = _value(text, at)
+                position = _position_after(text, position, "[")
+                while text[position : position + 1] != "]" or rows:
+                    row, position = _decode_value(text, position)
                     rows.append(row)
-                    if not len(rows) % STEP:
+                    if not len(rows) % ENTRIES_PER_STEP:
                         yield False
-                    if (at := _skip(text, at)) >= len(text) or text[at] != ",":
+                    if (position := _skip_whitespace(text, position)) >= len(text) or text[position] != ",":
                         break
-                    at = _skip(text, at + 1)
-                at = _after(text, at, "]")
-            if (at := _skip(text, at)) >= len(text) or text[at] != ",":
+                    position = _skip_whitespace(text, position + 1)
+                position = _position_after(text, position, "]")
+            if (position := _skip_whitespace(text, position)) >= len(text) or text[position] != ",":
                 break
-            at = _skip(text, at + 1)
-        if _after(text, at, "}") != len(text):
-            raise json.JSONDecodeError("Extra data", text, at)
-        self._builder = EndpointListParser(raw)
+            position = _skip_whitespace(text, position + 1)
+        if _position_after(text, position, "}") != len(text):
+            raise json.JSONDecodeError("Extra data", text, position)
+        self._parser = EndpointListParser(raw)
         yield False
-        taken, at = raw["members"], 0
-        while not self._builder.read(STEP):
-            assert isinstance(taken, list)  # else the builder had refused it
-            taken[at : at + STEP] = [None] * STEP  # guards the last turn against freeing all of them at once
-            at += STEP
+        rows_to_free, position = raw["members"], 0
+        while not self._parser.read(ENTRIES_PER_STEP):
+            assert isinstance(rows_to_free, list)  # otherwise EndpointListParser has raised
+            # Freeing all rows at once would make the last step long.
+            rows_to_free[position : position + ENTRIES_PER_STEP] = [None] * ENTRIES_PER_STEP
+            position += ENTRIES_PER_STEP
             yield False
         yield False
 
 
-def _skip(text: str, at: int) -> int:
-    found = _SPACE.match(text, at)
-    assert found is not None
-    return found.end()
+def _skip_whitespace(text: str, position: int) -> int:
+    match = _WHITESPACE.match(text, position)
+    assert match is not None
+    return match.end()
 
 
-def _after(text: str, at: int, mark: str) -> int:
-    """Behind this mark, and whatever space is around it."""
-    at = _skip(text, at)
-    if text[at : at + 1] != mark:
-        raise json.JSONDecodeError(f"Expecting {mark!r}", text, at)
-    return _skip(text, at + 1)
+def _position_after(text: str, position: int, mark: str) -> int:
+    """The position after `mark` and the whitespace around it; raises JSONDecodeError if it is missing."""
+    position = _skip_whitespace(text, position)
+    if text[position : position + 1] != mark:
+        raise json.JSONDecodeError(f"Expecting {mark!r}", text, position)
+    return _skip_whitespace(text, position + 1)
--- a/balancer/protocol/platform_list.py
+++ b/balancer/protocol/platform_list.py
@@ -1,8 +1,8 @@
-"""Discovery's answers: HTTP/1.1 bytes in, the lines of a list or a watch out.
+"""Parses discovery's HTTP/1.1 responses into the JSON objects of a list or a watch.
 
-One `ListCall` a connection. A whole list is one JSON object; a watch is one after the other, each on a line
-of its own or indented over several, with empty lines while nothing changes. What one says is for
-`members.ListingBuilder`.
+Each connection has a `ResponseParser` of its own. A complete list is one JSON object. A watch is a sequence
+of objects, each on one line or indented over several, with empty lines as heartbeats while nothing changes.
+`endpoints.EndpointListParser` parses the objects.
 """
 
 from __future__ import annotations
@@ -13,174 +13,185 @@
 
 import httptools
 
-MAX_LINE = 4 * 1024 * 1024  # bytes of one object: some 27,000 backends
-STRING = re.compile(rb'"[^"\\]*+(?:\\.[^"\\]*+)*+"?')  # one that is cut off, too: linear on whatever comes
+MAX_LINE_BYTES = 4 * 1024 * 1024  # of one object: some 27,000 backends
+# Also matches a truncated string; takes linear time on any input.
+JSON_STRING = re.compile(rb'"[^"\\]*+(?:\\.[^"\\]*+)*+"?')
 
 
 @dataclass(slots=True, frozen=True)
 class Line:
-    """One object, or a line that is none."""
+    """One JSON object, or a line that is not part of one."""
 
     text: bytes
 
 
 @dataclass(slots=True, frozen=True)
-class Beat:
+class Heartbeat:
     """An empty line: nothing has changed."""
 
 
 @dataclass(slots=True, frozen=True)
-class Began:
-    """The answer has begun: its head is whole; `accepted` says that it is a 200."""
+class ResponseStarted:
+    """The head of the response is complete; `is_ok` is True if its status is 200."""
 
-    accepted: bool
+    is_ok: bool
 
 
 @dataclass(slots=True, frozen=True)
-class Finished:
-    """The answer is over; `whole` says that it was a 200."""
+class ResponseEnded:
+    """The response is complete; `is_complete_list` is True if it was a list with status 200."""
 
-    whole: bool
+    is_complete_list: bool
 
 
 @dataclass(slots=True, frozen=True)
-class Broken:
-    """What came is no such answer."""
+class InvalidResponse:
+    """The bytes are not a valid response, or exceed a bound."""
 
     reason: str
 
 
-Message = Line | Beat | Began | Finished | Broken
+Message = Line | Heartbeat | ResponseStarted | ResponseEnded | InvalidResponse
 
 
-def request(host: str, target: str, watch: bool) -> bytes:
-    """A call's bytes."""
-    keep = "keep-alive" if watch else "close"
-    return f"GET {target} HTTP/1.1\r\nHost: {host}\r\nConnection: {keep}\r\n\r\n".encode("ascii")
+def build_request(host: str, target: str, is_watch: bool) -> bytes:
+    """Build the bytes of a request."""
+    connection_option = "keep-alive" if is_watch else "close"
+    return f"GET {target} HTTP/1.1\r\nHost: {host}\r\nConnection: {connection_option}\r\n\r\n".encode("ascii")
 
 
-def _left(text: bytes) -> int:
+def _bracket_depth(text: bytes) -> int:
     """How many more braces and brackets are opened than closed."""
     return text.count(b"{") + text.count(b"[") - text.count(b"}") - text.count(b"]")
 
 
 def _is_list(line: bytes) -> bool:
-    """Whether a line is a whole list by itself, and no part of one."""
+    """Whether a line is a list by itself, and not part of an object."""
     if not (line.lstrip().startswith(b"{") and b'"members"' in line and b'"revision"' in line):
         return False
     try:
-        found = json.loads(line)
+        value = json.loads(line)
     except (ValueError, RecursionError):
         return False
-    return isinstance(found, dict) and found.keys() >= {"members", "revision"}
+    return isinstance(value, dict) and value.keys() >= {"members", "revision"}
 
 
-class ListCall:
-    """The answer to one call. After `Finished` or `Broken` it says nothing more."""
+class ResponseParser:
+    """Parses the response to one call. `ResponseEnded` or `InvalidResponse` is the last message."""
 
-    def __init__(self, watch: bool) -> None:
-        self.watch, self.over = watch, False
+    def __init__(self, is_watch: bool) -> None:
+        self.is_watch, self.has_ended = is_watch, False
         self._parser = httptools.HttpResponseParser(self)
-        self._rest = bytearray()  # of a line
-        self._open = bytearray()  # lines of an object that goes on
-        self._depth = 0
-        self._began = False
-        self._out: list[Message] = []
+        self._partial_line = bytearray()  # of a line or of the list
+        self._partial_object = bytearray()  # lines of an incomplete object
+        self._partial_object_depth = 0
+        self._has_started = False
+        self._messages: list[Message] = []
 
     @property
-    def began(self) -> bool:
-        """Whether the answer's head is whole."""
-        return self._began
+    def has_started(self) -> bool:
+        """Whether the head of the response is complete."""
+        return self._has_started
 
     @property
-    def under_way(self) -> bool:
-        """Whether more has to come at once: the rest of an object, or of an answer that is no watch."""
-        watching = self.watch and self._parser.get_status_code() == 200
-        return self._began and not self.over and (not watching or bool(self._rest or self._open))
+    def is_incomplete(self) -> bool:
+        """Whether more bytes are due immediately: the rest of an object, or of a response to no watch."""
+        is_open_watch = self.is_watch and self._parser.get_status_code() == 200
+        return (
+            self._has_started
+            and not self.has_ended
+            and (not is_open_watch or bool(self._partial_line or self._partial_object))
+        )
 
     def receive(self, data: bytes) -> list[Message]:
-        """Bytes as they come, cut anywhere."""
-        if self.over:
+        """Parse received bytes, split at any position; returns the messages they complete."""
+        if self.has_ended:
             return []
-        self._out = []
+        self._messages = []
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as err:
-            self._end(Broken(f"broken answer: {err}"))
-        self._early()
-        if not self.over and len(self._rest) + len(self._open) > MAX_LINE:
-            self._end(Broken(f"line too long: over {MAX_LINE} bytes"))
-        return self._out
+            self._end_with(InvalidResponse(f"broken answer: {err}"))
+        self._handle_unterminated_object()
+        if not self.has_ended and len(self._partial_line) + len(self._partial_object) > MAX_LINE_BYTES:
+            self._end_with(InvalidResponse(f"line too long: over {MAX_LINE_BYTES} bytes"))
+        return self._messages
 
     def eof(self) -> list[Message]:
-        """The connection has ended: so does a list without a length."""
-        self._out = []
-        if not self.over and not self.watch and self._rest:
+        """Handle the end of the connection, which also ends a list without a Content-Length."""
+        self._messages = []
+        if not self.has_ended and not self.is_watch and self._partial_line:
             self.on_message_complete()
-        return self._out
+        return self._messages
 
-    def _end(self, message: Message) -> None:
-        self.over = True
-        self._out.append(message)
+    def _end_with(self, message: Message) -> None:
+        self.has_ended = True
+        self._messages.append(message)
 
     def on_headers_complete(self) -> None:
-        """The head is whole."""
-        self._began = True
-        self._out.append(Began(self._parser.get_status_code() == 200))
+        """Callback of httptools: the head is complete."""
+        self._has_started = True
+        self._messages.append(ResponseStarted(self._parser.get_status_code() == 200))
 
     def on_body(self, body: bytes) -> None:
-        """A piece of it."""
-        if self.over or self._parser.get_status_code() != 200:
+        """Callback of httptools: a part of the body."""
+        if self.has_ended or self._parser.get_status_code() != 200:
             return
-        self._rest += body
-        if not self.watch:
+        self._partial_line += body
+        if not self.is_watch:
             return
         if b"\n" in body:
-            *lines, rest = self._rest.split(b"\n")
-            self._rest = bytearray(rest)
+            *lines, partial_line = self._partial_line.split(b"\n")
+            self._partial_line = bytearray(partial_line)
             for line in lines:
-                self._line(bytes(line))
+                self._handle_line(bytes(line))
 
-    def _early(self) -> None:
-        """The last line of an object may come without its end."""
-        if not self.watch or self.over or not self._rest.endswith(b"}"):
+    def _handle_unterminated_object(self) -> None:
+        """Handle a complete object whose newline has not been received."""
+        if not self.is_watch or self.has_ended or not self._partial_line.endswith(b"}"):
             return
-        rest = bytes(self._rest)
-        if (self._open or rest.lstrip().startswith(b"{")) and self._depth + _left(rest) == 0:
-            self._rest = bytearray()
-            self._line(rest)
-
-    def _line(self, line: bytes) -> None:
-        """A line of a watch: an object, a part of one, or a beat.
-
-        What is no object is handed on as it is, as soon as a beat or a whole list shows that it never will
-        be: guards what comes behind it.
+        line = bytes(self._partial_line)
+        if (
+            self._partial_object or line.lstrip().startswith(b"{")
+        ) and self._partial_object_depth + _bracket_depth(line) == 0:
+            self._partial_line = bytearray()
+            self._handle_line(line)
+
+    def _handle_line(self, line: bytes) -> None:
+        """Handle a line of a watch: an object, a part of one, or a heartbeat.
+
+        An object that a heartbeat or a complete list shows to be truncated is passed on as it is, so that it
+        does not swallow the lines that follow it.
         """
-        text = line.strip()
-        if not text:
-            self._cut()
-            self._out.append(Beat())
+        stripped_line = line.strip()
+        if not stripped_line:
+            self._flush_partial_object()
+            self._messages.append(Heartbeat())
             return
-        if self._open and _is_list(text):
-            self._cut()
-        if not self._open and (not text.startswith(b"{") or (text.endswith(b"}") and not _left(text))):
-            self._out.append(Line(line))  # nearly always: a whole object, whose strings need no look
+        if self._partial_object and _is_list(stripped_line):
+            self._flush_partial_object()
+        if not self._partial_object and (
+            not stripped_line.startswith(b"{")
+            or (stripped_line.endswith(b"}") and not _bracket_depth(stripped_line))
+        ):
+            # The usual case: a complete object, whose strings need no check.
+            self._messages.append(Line(line))
             return
-        self._open += line + b"\n"
-        self._depth += _left(STRING.sub(b"", text))
-        if self._depth <= 0:
-            self._cut()
+        self._partial_object += line + b"\n"
+        self._partial_object_depth += _bracket_depth(JSON_STRING.sub(b"", stripped_line))
+        if self._partial_object_depth <= 0:
+            self._flush_partial_object()
 
-    def _cut(self) -> None:
-        if self._open:
-            self._out.append(Line(bytes(self._open)))
-            self._open, self._depth = bytearray(), 0
+    def _flush_partial_object(self) -> None:
+        if self._partial_object:
+            self._messages.append(Line(bytes(self._partial_object)))
+            self._partial_object, self._partial_object_depth = bytearray(), 0
 
     def on_message_complete(self) -> None:
-        """The end of a whole list, or of a watch."""
-        if self.over:
+        """Callback of httptools: the end of a list or of a watch."""
+        if self.has_ended:
             return
-        whole = not self.watch and self._parser.get_status_code() == 200
-        if whole and self._rest.strip():
-            self._out.append(Line(bytes(self._rest)))
-        self._end(Finished(whole))
+        is_complete_list = not self.is_watch and self._parser.get_status_code() == 200
+        if is_complete_list and self._partial_line.strip():
+            self._messages.append(Line(bytes(self._partial_line)))
+        self._end_with(ResponseEnded(is_complete_list))
--- a/tests/net/test_platform_discovery.py
+++ b/tests/net/test_platform_discovery.py
@@ -30,14 +30,14 @@
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     """Guards against a source that waits for good because a line raised in its callback."""
-    entry = EndpointListParser._entry
+    entry = EndpointListParser._read_row
 
     def fails(self: EndpointListParser, index: int, row: Any) -> None:
         if row["id"] == "odd":
             raise ZeroDivisionError
         entry(self, index, row)
 
-    monkeypatch.setattr(EndpointListParser, "_entry", fails)
+    monkeypatch.setattr(EndpointListParser, "_read_row", fails)
     good: dict[str, Any] = {"id": "good", "host_port": "127.0.0.1:1", "phase": "in_service"}
 
     async def test() -> None:
--- a/tests/net/test_platform_recovery.py
+++ b/tests/net/test_platform_recovery.py
@@ -308,7 +308,7 @@
             line = encoded_list(2, b0="terminating") + b"\n"
             if message == "partial change":
                 writer.write(chunk(line[:20]))
-                await until(lambda: call_of_writer.response_parser.under_way)
+                await until(lambda: call_of_writer.response_parser.is_incomplete)
                 line = line[20:]
             writer.write(chunk(b"\n" if message == "heartbeat" else line))
             await until(lambda: not node.source.additional_calls)
@@ -395,7 +395,7 @@
         if state == "in mid-line":
             watch.write(chunk(b'{"revision": 51, "complete": true, "mem'))
             call = node.source.active_call
-            await until(lambda: call is not None and call.response_parser.under_way)
+            await until(lambda: call is not None and call.response_parser.is_incomplete)
         elif state == "waiting":
             agent.reset_connections()
             await until(lambda: node.source.watcher.is_waiting)
--- a/tests/protocol/test_large_list.py
+++ b/tests/protocol/test_large_list.py
@@ -1,4 +1,4 @@
-"""A long line in steps against `json.loads` and `members.listing`: the same list, or no list in both."""
+"""A list parsed in steps equals one parsed by `json.loads` and `parse_endpoint_list`, or both fail."""
 
 from __future__ import annotations
 
@@ -11,60 +11,67 @@
 from hypothesis import strategies as st
 
 from balancer.endpoints import EndpointList, parse_endpoint_list
-from balancer.protocol import large_list as long_list
-from balancer.protocol.large_list import LongList
+from balancer.protocol import large_list
+from balancer.protocol.large_list import LargeListParser
 
 
-def read(line: bytes) -> tuple[EndpointList, int]:
-    """The list, and in how many steps it came."""
-    long, steps = LongList(line), 1
-    while not long.read(1):
+def parse_in_steps(line: bytes) -> tuple[EndpointList, int]:
+    """The list, and the number of steps it took."""
+    parser, steps = LargeListParser(line), 1
+    while not parser.read(1):
         steps += 1
-    return long.result(), steps
+    return parser.result(), steps
 
 
-def rows(count: int) -> list[dict[str, Any]]:
+def make_rows(count: int) -> list[dict[str, Any]]:
     row = {"host_port": "10.0.0.1:80", "phase": "in_service"}
     return [{"id": f"s{n}", **row} for n in range(count)]
 
 
-FRAMES = st.fixed_dictionaries(
+RAW_LISTS = st.fixed_dictionaries(
     {},
     optional={
         "revision": st.sampled_from([0, 7, 1.5, None, True]),
         "complete": st.sampled_from([True, False, "x"]),
-        "members": st.sampled_from([[], {}, None, rows(1), rows(7), [1, "]", {"id": "}"}], [[], [[]]]]),
+        "members": st.sampled_from(
+            [[], {}, None, make_rows(1), make_rows(7), [1, "]", {"id": "}"}], [[], [[]]]]
+        ),
         'odd "name"': st.sampled_from([None, {"members": [1, 2]}, "[,]"]),
     },
 )
 
 
 @settings(max_examples=600, deadline=None, derandomize=True)
-@given(FRAMES, st.integers(0, 2**32), st.sampled_from([1, 2, 250]), st.booleans(), st.sampled_from([None, 2]))
-def test_whatever_comes_is_read_as_in_one_go(
-    frame: dict[str, Any], seed: int, step: int, spoil: bool, indent: int | None
+@given(
+    RAW_LISTS, st.integers(0, 2**32), st.sampled_from([1, 2, 250]), st.booleans(), st.sampled_from([None, 2])
+)
+def test_parser_any_line_equals_parsing_in_one_call(
+    raw_list: dict[str, Any], seed: int, step: int, is_damaged: bool, indent: int | None
 ) -> None:
     rng = random.Random(seed)
-    keys = sorted(frame, key=lambda _: rng.random())
-    text = json.dumps({key: frame[key] for key in keys}, indent=indent)
+    keys = sorted(raw_list, key=lambda _: rng.random())
+    text = json.dumps({key: raw_list[key] for key in keys}, indent=indent)
     line = text.encode(rng.choice(["utf-8", "utf-16"]))
-    if spoil and line:
-        at = rng.randrange(len(line))
-        odd = line[:at] + rng.choice([b",", b"]", b"}", b'"']) + line[at + rng.randrange(2) :]
-        line = rng.choice([line[:at], line + b" \n", line + b"x", odd])
-    before, long_list.STEP = long_list.STEP, step
+    if is_damaged and line:
+        position = rng.randrange(len(line))
+        damaged = line[:position] + rng.choice([b",", b"]", b"}", b'"']) + line[position + rng.randrange(2) :]
+        line = rng.choice([line[:position], line + b" \n", line + b"x", damaged])
+    entries_per_step, large_list.ENTRIES_PER_STEP = large_list.ENTRIES_PER_STEP, step
     try:
-        want = parse_endpoint_list(json.loads(line))
+        expected = parse_endpoint_list(json.loads(line))
     except ValueError:
         with pytest.raises(ValueError):
-            read(line)
+            parse_in_steps(line)
     else:
-        assert read(line)[0] == want
+        assert parse_in_steps(line)[0] == expected
     finally:
-        long_list.STEP = before
+        large_list.ENTRIES_PER_STEP = entries_per_step
 
 
-def test_no_step_takes_more_than_its_part() -> None:
-    count = 10 * long_list.STEP
-    got, steps = read(json.dumps({"members": rows(count), "revision": 3, "complete": True}).encode())
-    assert len(got.records) == count and steps == 22  # 10 to parse, 1 for the frame, 10 to check
+def test_parser_step_count_is_proportional_to_entries() -> None:
+    count = 10 * large_list.ENTRIES_PER_STEP
+    endpoint_list, steps = parse_in_steps(
+        json.dumps({"members": make_rows(count), "revision": 3, "complete": True}).encode()
+    )
+    # 10 steps to decode, 1 for the fields of the list, 10 to parse the entries, and the last one
+    assert len(endpoint_list.records) == count and steps == 22
--- a/tests/protocol/test_platform_list.py
+++ b/tests/protocol/test_platform_list.py
@@ -1,4 +1,4 @@
-"""Discovery's answers, however they are cut."""
+"""Responses of discovery: lists and watches, split at any position, indented and malformed."""
 
 from __future__ import annotations
 
@@ -10,47 +10,66 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from balancer.protocol import platform_list as p
+from balancer.protocol import platform_list
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
 def chunk(data: bytes) -> bytes:
-    """One chunk."""
+    """A chunk of a chunked response."""
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
-def said(call: p.ListCall, *pieces: bytes) -> list[p.Message]:
-    """All that is said of these bytes, but for their beginning and the beats."""
-    return [m for piece in pieces for m in call.receive(piece) if not isinstance(m, p.Beat | p.Began)]
+def receive_messages(parser: platform_list.ResponseParser, *pieces: bytes) -> list[platform_list.Message]:
+    """The messages for these bytes, without `ResponseStarted` and heartbeats."""
+    return [
+        message
+        for piece in pieces
+        for message in parser.receive(piece)
+        if not isinstance(message, platform_list.Heartbeat | platform_list.ResponseStarted)
+    ]
 
 
 WATCH = HEAD + chunk(b"\n") + chunk(b'{"revision"') + chunk(b": 1}\n\n{}") + chunk(b"\n") + b"0\r\n\r\n"
-LINES = [p.Line(b'{"revision": 1}'), p.Line(b"{}"), p.Finished(False)]
+LINES = [
+    platform_list.Line(b'{"revision": 1}'),
+    platform_list.Line(b"{}"),
+    platform_list.ResponseEnded(False),
+]
 
 
-def test_the_lines_of_a_watch() -> None:
-    assert said(p.ListCall(watch=True), WATCH) == LINES
+def test_parser_watch_yields_its_lines() -> None:
+    assert receive_messages(platform_list.ResponseParser(is_watch=True), WATCH) == LINES
 
 
-def test_trickle() -> None:
-    assert said(p.ListCall(watch=True), *(WATCH[i : i + 1] for i in range(len(WATCH)))) == LINES
+def test_parser_watch_in_single_bytes_yields_its_lines() -> None:
+    assert (
+        receive_messages(
+            platform_list.ResponseParser(is_watch=True), *(WATCH[i : i + 1] for i in range(len(WATCH)))
+        )
+        == LINES
+    )
 
 
 @settings(max_examples=100, deadline=None, derandomize=True)
 @given(st.lists(st.integers(0, len(WATCH)), max_size=8))
-def test_cut_anywhere(cuts: list[int]) -> None:
-    at = [0, *sorted(cuts), len(WATCH)]
-    assert said(p.ListCall(watch=True), *(WATCH[a:b] for a, b in itertools.pairwise(at))) == LINES
+def test_parser_watch_split_at_any_position_yields_its_lines(cuts: list[int]) -> None:
+    bounds = [0, *sorted(cuts), len(WATCH)]
+    assert (
+        receive_messages(
+            platform_list.ResponseParser(is_watch=True), *(WATCH[a:b] for a, b in itertools.pairwise(bounds))
+        )
+        == LINES
+    )
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(st.lists(st.binary(max_size=40), max_size=6), st.booleans())
-def test_garbage_is_broken_or_ends_and_never_raises(pieces: list[bytes], watch: bool) -> None:
-    call = p.ListCall(watch)
+def test_parser_arbitrary_bytes_never_raises(pieces: list[bytes], is_watch: bool) -> None:
+    parser = platform_list.ResponseParser(is_watch)
     for piece in [HEAD, *pieces]:
-        call.receive(piece)
-    call.eof()
+        parser.receive(piece)
+    parser.eof()
 
 
 @pytest.mark.parametrize(
@@ -60,43 +79,45 @@
         HEAD + chunk(b"{") + chunk(b"}") + b"0\r\n\r\n",
     ],
 )
-def test_a_whole_list(text: bytes) -> None:
-    call = p.ListCall(watch=False)
-    assert said(call, text) == [p.Line(b"{}"), p.Finished(True)]
-    assert call.receive(b"more") == []
+def test_parser_list_yields_one_line(text: bytes) -> None:
+    parser = platform_list.ResponseParser(is_watch=False)
+    assert receive_messages(parser, text) == [platform_list.Line(b"{}"), platform_list.ResponseEnded(True)]
+    assert parser.receive(b"more") == []
 
 
-def test_a_whole_list_may_end_with_its_connection() -> None:
-    call = p.ListCall(watch=False)
-    assert said(call, b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n{}") == []
-    assert call.eof() == [p.Line(b"{}"), p.Finished(True)]
-    assert call.eof() == []
+def test_parser_list_without_length_ends_with_its_connection() -> None:
+    parser = platform_list.ResponseParser(is_watch=False)
+    assert receive_messages(parser, b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n{}") == []
+    assert parser.eof() == [platform_list.Line(b"{}"), platform_list.ResponseEnded(True)]
+    assert parser.eof() == []
 
 
-def test_another_status_brings_no_list() -> None:
+def test_parser_status_other_than_200_yields_no_line() -> None:
     text = b"HTTP/1.1 503 Busy\r\nContent-Length: 2\r\n\r\n{}"
-    assert said(p.ListCall(watch=False), text) == [p.Finished(False)]
+    assert receive_messages(platform_list.ResponseParser(is_watch=False), text) == [
+        platform_list.ResponseEnded(False)
+    ]
 
 
-def test_a_line_has_a_bound(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(p, "MAX_LINE", 100)
-    call = p.ListCall(watch=True)
-    assert said(call, HEAD + chunk(b"x" * 100)) == []
-    got = said(call, chunk(b"x"))
-    assert got == [p.Broken("line too long: over 100 bytes")]
+def test_parser_line_over_its_bound_is_invalid(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(platform_list, "MAX_LINE_BYTES", 100)
+    parser = platform_list.ResponseParser(is_watch=True)
+    assert receive_messages(parser, HEAD + chunk(b"x" * 100)) == []
+    messages = receive_messages(parser, chunk(b"x"))
+    assert messages == [platform_list.InvalidResponse("line too long: over 100 bytes")]
 
 
-def test_what_is_not_http_is_broken() -> None:
-    (got,) = said(p.ListCall(watch=True), b"nonsense\r\n\r\n")
-    assert isinstance(got, p.Broken)
+def test_parser_bytes_that_are_not_http_are_invalid() -> None:
+    (message,) = receive_messages(platform_list.ResponseParser(is_watch=True), b"nonsense\r\n\r\n")
+    assert isinstance(message, platform_list.InvalidResponse)
 
 
-def test_the_request() -> None:
-    got = p.request("[::1]:80", "/discovery/hosts", watch=True)
-    assert got == b"GET /discovery/hosts HTTP/1.1\r\nHost: [::1]:80\r\nConnection: keep-alive\r\n\r\n"
+def test_build_request_watch_keeps_the_connection_alive() -> None:
+    request = platform_list.build_request("[::1]:80", "/discovery/hosts", is_watch=True)
+    assert request == b"GET /discovery/hosts HTTP/1.1\r\nHost: [::1]:80\r\nConnection: keep-alive\r\n\r\n"
 
 
-# --- objects that span lines
+# --- objects that span several lines
 
 ROWS = [
     {"id": "s-{1", "host_port": "10.1.0.18:80", "phase": "in_service", "size": 1.0},
@@ -120,11 +141,11 @@
 ]
 
 
-def objects(messages: list[p.Message]) -> list[Any]:
-    """What lines say; a line that cannot be read is None."""
+def objects(messages: list[platform_list.Message]) -> list[Any]:
+    """The JSON values of the lines; None for a line that is not JSON."""
     out = []
     for message in messages:
-        if isinstance(message, p.Line):
+        if isinstance(message, platform_list.Line):
             try:
                 out.append(json.loads(message.text))
             except ValueError:
@@ -138,33 +159,35 @@
     st.lists(st.integers(0, 5000), max_size=12),
     st.booleans(),
 )
-def test_indented_objects_on_a_watch_say_what_compact_ones_say(
-    said_: list[tuple[dict[str, Any], dict[str, Any], str]], cuts: list[int], chunks: bool
+def test_parser_watch_with_indented_objects_yields_the_same_objects(
+    sent_objects: list[tuple[dict[str, Any], dict[str, Any], str]], cuts: list[int], chunks: bool
 ) -> None:
-    body = b"\n" + b"".join((json.dumps(one, **form) + end).encode() for one, form, end in said_)
-    at = [0, *sorted(cut % (len(body) + 1) for cut in cuts), len(body)]
-    pieces = [body[a:b] for a, b in itertools.pairwise(at) if a < b]
+    body = b"\n" + b"".join((json.dumps(value, **form) + end).encode() for value, form, end in sent_objects)
+    bounds = [0, *sorted(cut % (len(body) + 1) for cut in cuts), len(body)]
+    pieces = [body[a:b] for a, b in itertools.pairwise(bounds) if a < b]
     data = [HEAD, *map(chunk, pieces)] if chunks else [HEAD + b"".join(map(chunk, pieces))]
-    call = p.ListCall(watch=True)
-    assert objects(said(call, *data)) == [one for one, _, _ in said_]
-    assert not call.under_way
+    parser = platform_list.ResponseParser(is_watch=True)
+    assert objects(receive_messages(parser, *data)) == [value for value, _, _ in sent_objects]
+    assert not parser.is_incomplete
 
 
 @pytest.mark.parametrize("form", FORMS)
-def test_a_whole_list_may_be_indented(form: dict[str, Any]) -> None:
+def test_parser_indented_list_yields_the_list(form: dict[str, Any]) -> None:
     text = json.dumps(LISTS[0], **form).encode()
-    call = p.ListCall(watch=False)
-    got = said(call, HEAD, *(chunk(text[i : i + 1]) for i in range(len(text))), b"0\r\n\r\n")
-    assert objects(got) == [LISTS[0]] and got[-1] == p.Finished(True)
+    parser = platform_list.ResponseParser(is_watch=False)
+    messages = receive_messages(
+        parser, HEAD, *(chunk(text[i : i + 1]) for i in range(len(text))), b"0\r\n\r\n"
+    )
+    assert objects(messages) == [LISTS[0]] and messages[-1] == platform_list.ResponseEnded(True)
 
 
-def test_an_object_is_read_when_it_is_whole_and_not_when_its_line_ends() -> None:
-    """Guards against a drain that is known only with the next beat, two seconds later."""
+def test_parser_complete_object_without_newline_is_yielded() -> None:
+    """A drain without a newline behind it was seen only with the next heartbeat, two seconds later."""
     drain = {"revision": 7, "complete": False, "members": [{"id": "s-1", "phase": "terminating"}]}
     for form in FORMS:
-        call = p.ListCall(watch=True)
-        assert objects(said(call, HEAD, chunk(json.dumps(drain, **form).encode()))) == [drain]
-        assert not call.under_way
+        parser = platform_list.ResponseParser(is_watch=True)
+        assert objects(receive_messages(parser, HEAD, chunk(json.dumps(drain, **form).encode()))) == [drain]
+        assert not parser.is_incomplete
 
 
 @pytest.mark.parametrize(
@@ -183,37 +206,42 @@
     ],
 )
 @pytest.mark.parametrize("behind", [b"", b"\n", b"\r\n"])
-def test_garbage_swallows_nothing_behind_it(garbage: bytes, behind: bytes) -> None:
-    """It is handed on as it is, so that the whole list is asked for, and the line behind it is read."""
+def test_parser_malformed_object_does_not_swallow_the_next_line(garbage: bytes, behind: bytes) -> None:
+    """It is passed on as it is, so that a complete list is requested, and the next line is parsed."""
     good = json.dumps(LISTS[1]).encode() + b"\n"
     body = garbage + b"\n" + behind + good
     for data in ([chunk(body)], [chunk(body[i : i + 1]) for i in range(len(body))]):
-        *bad, last = objects(said(p.ListCall(watch=True), HEAD, *data))
+        *bad, last = objects(receive_messages(platform_list.ResponseParser(is_watch=True), HEAD, *data))
         assert None in bad and last == LISTS[1]
 
 
-def test_an_object_over_many_lines_has_the_same_bound(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(p, "MAX_LINE", 100)
-    call = p.ListCall(watch=True)
-    assert said(call, HEAD + chunk(b"{\n" + b"[\n" * 49)) == []
-    assert said(call, chunk(b"x")) == [p.Broken("line too long: over 100 bytes")]
+def test_parser_object_over_many_lines_has_the_bound_of_a_line(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(platform_list, "MAX_LINE_BYTES", 100)
+    parser = platform_list.ResponseParser(is_watch=True)
+    assert receive_messages(parser, HEAD + chunk(b"{\n" + b"[\n" * 49)) == []
+    assert receive_messages(parser, chunk(b"x")) == [
+        platform_list.InvalidResponse("line too long: over 100 bytes")
+    ]
 
 
 @pytest.mark.parametrize("junk", [b'"', b'\\"', b'"\\', b"{", b"}", b'{"'])
-def test_a_long_line_of_junk_is_looked_at_once(junk: bytes) -> None:
-    """Guards the loop against a search that begins anew at each quote: this would take minutes."""
-    call = p.ListCall(watch=True)
-    call.receive(HEAD)
-    call.receive(chunk(b"{" + junk * 500_000))
-    call.receive(chunk(b"\n\n"))
-
-
-def test_what_is_a_beat() -> None:
-    """Guards against bytes without a line that pass for one."""
-    call = p.ListCall(watch=True)
-    assert call.receive(HEAD[:20]) == [] and not call.began
-    assert call.receive(HEAD[20:]) == [p.Began(True)] and not call.under_way
-    assert call.receive(chunk(b" ")) == [] and call.under_way
-    assert call.receive(chunk(b"\r")) == []
-    assert call.receive(chunk(b"\n\n")) == [p.Beat(), p.Beat()] and not call.under_way
-    assert call.receive(chunk(b'{"a":')) == [] and call.under_way
+def test_parser_long_malformed_line_takes_linear_time(junk: bytes) -> None:
+    """A search that started again at each quote would block the event loop for minutes."""
+    parser = platform_list.ResponseParser(is_watch=True)
+    parser.receive(HEAD)
+    parser.receive(chunk(b"{" + junk * 500_000))
+    parser.receive(chunk(b"\n\n"))
+
+
+def test_parser_heartbeat_is_an_empty_line_only() -> None:
+    """Bytes that do not complete a line must not count as a heartbeat."""
+    parser = platform_list.ResponseParser(is_watch=True)
+    assert parser.receive(HEAD[:20]) == [] and not parser.has_started
+    assert parser.receive(HEAD[20:]) == [platform_list.ResponseStarted(True)] and not parser.is_incomplete
+    assert parser.receive(chunk(b" ")) == [] and parser.is_incomplete
+    assert parser.receive(chunk(b"\r")) == []
+    assert (
+        parser.receive(chunk(b"\n\n")) == [platform_list.Heartbeat(), platform_list.Heartbeat()]
+        and not parser.is_incomplete
+    )
+    assert parser.receive(chunk(b'{"a":')) == [] and parser.is_incomplete
