--- a/balancer/net/cluster.py
+++ b/balancer/net/cluster.py
@@ -33,7 +33,7 @@
 from balancer.net.component import RunningNode
 from balancer.net.gossip_transport import COUNTERS, GossipTransport, open_socket
 from balancer.operator_settings import OperatorSettings, PeersSettings
-from balancer.operator_settings.peers import written
+from balancer.operator_settings.peers import format_address
 from balancer.protocol import gossip, gossip_sections
 
 log = logging.getLogger(__name__)
@@ -96,7 +96,7 @@
             raise ValueError("the configuration gives this node no name, by which others would know it")
         self._peers_settings = peers_settings
         self.transport.use(writer, keys)
-        if (warning := peers_settings.too_open()) and (
+        if (warning := peers_settings.key_file_warning()) and (
             previous is None or previous.keys != peers_settings.keys
         ):
             log.warning("peers: %s", warning)
@@ -170,7 +170,7 @@
             recovery_component.on_begun.append(self._start_detector)
 
     def _on_listen_error(self, settings: PeersSettings, error: OSError) -> None:
-        reason = f"{written(settings.listen)}: {error.strerror or error}"
+        reason = f"{format_address(settings.listen)}: {error.strerror or error}"
         if reason != self.listen_error:
             log.error(
                 "peers: %s; it is tried again every %g s, the node serves on", reason, LISTEN_RETRY_INTERVAL_S
@@ -190,7 +190,7 @@
                 "peers: life %d is over what others take; the node serves without peers", restored.number
             )
             return
-        address = written(settings.address or sock.getsockname()[:2])
+        address = format_address(settings.address or sock.getsockname()[:2])
         self.detector = self._make_detector(address, restored, seed_addresses(settings))
         if self.cluster_gossip is None:
             self.cluster_gossip = ClusterGossip(
@@ -372,4 +372,4 @@
 
 def seed_addresses(settings: PeersSettings) -> list[str]:
     """The seeds as datagrams name them."""
-    return [written(seed) for seed in settings.seeds or ()]
+    return [format_address(seed) for seed in settings.seeds or ()]
--- a/balancer/net/config.py
+++ b/balancer/net/config.py
@@ -140,7 +140,9 @@
     try:
         return platform.parse(raw["settings"])
     except api.SettingsError:
-        raise ConfigError(*(f"settings: {fault}" for fault in platform.faults(raw["settings"]))) from None
+        raise ConfigError(
+            *(f"settings: {fault}" for fault in platform.find_faults(raw["settings"]))
+        ) from None
 
 
 def _sockets(raw: Mapping[str, Any]) -> int:
--- a/balancer/net/gossip_transport.py
+++ b/balancer/net/gossip_transport.py
@@ -14,7 +14,7 @@
 
 from balancer.core.cluster.failure_detector import parameters
 from balancer.endpoints import Address
-from balancer.operator_settings.peers import written
+from balancer.operator_settings.peers import format_address
 from balancer.protocol import gossip
 
 log = logging.getLogger(__name__)
@@ -65,7 +65,7 @@
                 self._on_socket_error(error)
                 continue
             self.counts["received"] += 1
-            source = written(sender_address[:2])
+            source = format_address(sender_address[:2])
             datagram = self._reader.read(now_ms, source, data)
             if isinstance(datagram, gossip.AcceptedDatagram):
                 self._on_datagram(source, datagram)
--- a/balancer/operator_settings/__init__.py
+++ b/balancer/operator_settings/__init__.py
@@ -1,13 +1,13 @@
-"""The operators' own settings: a TOML file beside the platform's configuration, checked.
+"""The operators' settings: a validated TOML file besides the platform's configuration.
 
-- `file`: `Operators`, the whole file; `load`, `parse`: a file, or its tables as TOML gives them, to
-  `Operators`; raise `OperatorsError`.
-- `membership`, `control`, `timeline`, `metrics`, `state`, `peers`: one table each. A table that is there is
-  on; one that is not costs nothing.
-- `table`: how a table is read, and `changes`: what differs between two readings, for the log.
-- `checks`, `faults`: of values; where and what is wrong.
+- `file`: `OperatorSettings`, the complete file; `load` and `parse` create it from a file or from its TOML
+  tables, and raise `OperatorSettingsError`.
+- `membership`, `control`, `timeline`, `metrics`, `state`, `peers`: one table each. A table that is present is
+  enabled; one that is absent costs nothing.
+- `table`: how a table is parsed, and `changes`: the differences between two settings, for the log.
+- `checks`, `faults`: checks of values; faults and their locations.
 
-`load` names ALL faults of a file at once, each with its key's path, what was found and what is allowed.
+`load` reports all faults of a file at once, each with its key's path, what was found and what is allowed.
 `deploy/operators.toml` is an example that explains each key.
 """
 
--- a/balancer/operator_settings/control.py
+++ b/balancer/operator_settings/control.py
@@ -12,10 +12,10 @@
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class ControlSettings(Table):
-    """`[control]`: the Unix socket on which a running node answers `balancer members` and the like."""
+    """`[control]`: the Unix socket on which a running node serves commands such as `balancer members`."""
 
     socket: Annotated[Path, socket_path] = Path("/run/dillport/control.sock")
 
     def summary(self) -> str:
-        """Where it listens."""
+        """Describe where the node listens."""
         return f"a control socket at {self.socket}"
--- a/balancer/operator_settings/faults.py
+++ b/balancer/operator_settings/faults.py
@@ -1,6 +1,6 @@
-"""What is wrong with a file, and where: `Fault`, `OperatorsError`, and `At`, one place in the file.
+"""Faults of the operators' file and their locations in it.
 
-Bounds: 100 faults are kept, the rest are counted.
+At most `MAX_FAULTS` faults are kept; further ones are only counted.
 """
 
 from __future__ import annotations
@@ -10,17 +10,17 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-MAX_FAULTS = 100  # named; the rest are counted
+MAX_FAULTS = 100  # that are kept
 
-_BARE = re.compile(r"[A-Za-z0-9_-]{1,60}")
-_SHORT = reprlib.Repr()
-_SHORT.maxstring = _SHORT.maxother = 80
-_SHORT.maxlevel, _SHORT.maxdict, _SHORT.maxlist, _SHORT.maxlong = 2, 3, 3, 40
+_BARE_KEY = re.compile(r"[A-Za-z0-9_-]{1,60}")
+_SHORT_REPR = reprlib.Repr()
+_SHORT_REPR.maxstring = _SHORT_REPR.maxother = 80
+_SHORT_REPR.maxlevel, _SHORT_REPR.maxdict, _SHORT_REPR.maxlist, _SHORT_REPR.maxlong = 2, 3, 3, 40
 
 
 @dataclass(slots=True, frozen=True)
 class SettingFault:
-    """One thing that is wrong: the key's path, what was found there, what is allowed there."""
+    """An invalid setting: the path of its key, the value found there, and what is allowed there."""
 
     path: str
     found: str
@@ -32,7 +32,7 @@
 
 
 class OperatorSettingsError(ValueError):
-    """The operators' file cannot be used. Its text names every fault, one a line."""
+    """The operators' file is invalid. The message has one line for each fault."""
 
     def __init__(self, faults: tuple[SettingFault, ...], left_out: int = 0) -> None:
         self.faults, self.left_out = faults, left_out
@@ -41,26 +41,26 @@
 
 
 class FaultCollector:
-    """Collects faults, and remembers no more of them than are told."""
+    """Collects the faults of a file, `MAX_FAULTS` at most."""
 
     def __init__(self) -> None:
         self.found: list[SettingFault] = []
         self.left_out = 0
 
-    def full(self) -> bool:
-        """Whether no more faults are recorded; further ones are counted."""
+    def is_full(self) -> bool:
+        """Whether further faults are only counted."""
         return len(self.found) >= MAX_FAULTS
 
     def add(self, path: str, found: str, allowed: str) -> None:
         """Record a fault of the key at `path`."""
-        if self.full():
+        if self.is_full():
             self.left_out += 1
         else:
             self.found.append(SettingFault(path, found, allowed))
 
 
 class Location:
-    """One place in the file: where a check says what is wrong with the value there."""
+    """A location in the file, to which a check adds the faults of the value there."""
 
     __slots__ = ("faults", "folder", "path")
 
@@ -68,21 +68,21 @@
         self.path, self.folder, self.faults = path, folder, faults
 
     def key(self, name: str) -> Location:
-        """The place of a key in this table."""
-        bare = name if _BARE.fullmatch(name) else _SHORT.repr(name)
-        return Location(f"{self.path}.{bare}" if self.path else bare, self.folder, self.faults)
+        """The location of a key in this table."""
+        key_text = name if _BARE_KEY.fullmatch(name) else _SHORT_REPR.repr(name)
+        return Location(f"{self.path}.{key_text}" if self.path else key_text, self.folder, self.faults)
 
     def item(self, index: int) -> Location:
-        """The place of an item in this array."""
+        """The location of an item in this array."""
         return Location(f"{self.path}[{index}]", self.folder, self.faults)
 
-    def fault(self, found: str, allowed: str) -> None:
-        """Note that what is here makes no sense."""
+    def add_fault(self, found: str, allowed: str) -> None:
+        """Record that the value at this location is invalid."""
         self.faults.add(self.path, found, allowed)
 
 
 def short_repr(value: object) -> str:
-    """A value for the eyes, bounded in length and depth."""
-    if isinstance(value, int) and value.bit_length() > 128:  # guards against numbers too long to print
+    """A value as text for messages, bounded in length and depth."""
+    if isinstance(value, int) and value.bit_length() > 128:  # Python refuses to print very long numbers
         return f"a number of {value.bit_length()} bits"
-    return _SHORT.repr(value)
+    return _SHORT_REPR.repr(value)
--- a/balancer/operator_settings/metrics.py
+++ b/balancer/operator_settings/metrics.py
@@ -1,4 +1,4 @@
-"""`[metrics]`: the time line for other programs."""
+"""`[metrics]`: export of the time line to monitoring systems."""
 
 from __future__ import annotations
 
@@ -7,27 +7,27 @@
 from dataclasses import dataclass
 from typing import Annotated, Any
 
-from balancer.operator_settings.checks import address, package
+from balancer.operator_settings.checks import require_package, socket_address
 from balancer.operator_settings.faults import Location
 from balancer.operator_settings.table import Table
 
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class MetricsSettings(Table):
-    """`[metrics]`: OpenMetrics of the time line over HTTP, for whoever may connect."""
+    """`[metrics]`: the time line as OpenMetrics over HTTP, without authentication."""
 
-    needs = ("timeline",)  # out of which they are read
-    listen: Annotated[tuple[str, int], address] = ("127.0.0.1", 9464)
+    required_tables = ("timeline",)  # the source of the metrics
+    listen: Annotated[tuple[str, int], socket_address] = ("127.0.0.1", 9464)
 
     @classmethod
-    def validate(cls, values: dict[str, Any], given: Set[str], at: Location) -> None:
-        """It needs `prometheus_client`, which a bare install leaves out."""
-        package("prometheus_client", "metrics", at)
+    def validate(cls, values: dict[str, Any], given: Set[str], location: Location) -> None:
+        """Check that the optional package `prometheus_client` is installed."""
+        require_package("prometheus_client", "metrics", location)
 
     def summary(self) -> str:
-        """Where it listens."""
+        """Describe where the node listens, and warn if others can reach it."""
         host, port = self.listen
-        at = f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
-        local = ipaddress.ip_address(host).is_loopback
-        known = "" if local else "; ANYBODY who reaches that address may read them"
-        return f"metrics at http://{at}/metrics{known}"
+        address = f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
+        is_loopback = ipaddress.ip_address(host).is_loopback
+        warning = "" if is_loopback else "; ANYBODY who reaches that address may read them"
+        return f"metrics at http://{address}/metrics{warning}"
--- a/balancer/operator_settings/peers.py
+++ b/balancer/operator_settings/peers.py
@@ -1,4 +1,4 @@
-"""`[peers]`: the other nodes, and the datagrams between them."""
+"""`[peers]`: the other nodes and the gossip with them."""
 
 from __future__ import annotations
 
@@ -10,59 +10,66 @@
 from typing import Annotated, Any
 
 from balancer.operator_settings.checks import (
-    address,
     array,
     read_bounded,
-    readable,
+    readable_file,
+    socket_address,
 )
 from balancer.operator_settings.faults import Location, short_repr
 from balancer.operator_settings.table import Table
 
-KEYS = "a file of at most 4096 bytes with a key a line, 32 to 64 hexadecimal digits, the first of which signs"
-MAX_KEYS = 4 * 1024  # bytes of a key file
+KEY_FILE_FORMAT = (
+    "a file of at most 4096 bytes with a key a line, 32 to 64 hexadecimal digits, the first of which signs"
+)
+MAX_KEY_FILE_BYTES = 4 * 1024
 
 
-def reached(value: object, at: Location) -> tuple[str, int] | None:
-    """An address that datagrams can be sent to."""
-    found = address(value, at)
-    if found is not None and (not found[1] or ipaddress.ip_address(found[0]).is_unspecified):
-        at.fault(short_repr(value), '"ADDRESS:PORT" of one machine, and a port from 1 on')
+def datagram_address(value: object, location: Location) -> tuple[str, int] | None:
+    """Check for an address to which datagrams can be sent."""
+    address = socket_address(value, location)
+    if address is not None and (not address[1] or ipaddress.ip_address(address[0]).is_unspecified):
+        location.add_fault(short_repr(value), '"ADDRESS:PORT" of one machine, and a port from 1 on')
         return None
-    return found
+    return address
 
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class PeersSettings(Table):
-    """`[peers]`: where this node hears the others, where to find some of them, the key that all share.
+    """`[peers]`: the address to listen on, some of the other nodes, and the shared keys.
 
-    `address` is where they see this node, by default where it listens. `keys` is what the key file says.
+    `address` is the address under which the others reach this node, by default `listen`. `keys` is the
+    content of the key file.
     """
 
-    listen: Annotated[tuple[str, int], address] = ("127.0.0.1", 7946)
-    address: Annotated[tuple[str, int] | None, reached] = None
-    seeds: Annotated[tuple[tuple[str, int], ...] | None, array(reached, 16)] = None
-    key_file: Annotated[Path | None, readable] = None
+    listen: Annotated[tuple[str, int], socket_address] = ("127.0.0.1", 7946)
+    address: Annotated[tuple[str, int] | None, datagram_address] = None
+    seeds: Annotated[tuple[tuple[str, int], ...] | None, array(datagram_address, 16)] = None
+    key_file: Annotated[Path | None, readable_file] = None
     keys: str = field(default="", repr=False)
 
     @classmethod
-    def validate(cls, values: dict[str, Any], given: Set[str], at: Location) -> None:
-        """One address to be seen at, one family of addresses, and keys."""
+    def validate(cls, values: dict[str, Any], given: Set[str], location: Location) -> None:
+        """Check for one address of the node, one family of all addresses, and keys."""
         listen = values.get("listen")
         if listen is not None and "address" not in given and ipaddress.ip_address(listen[0]).is_unspecified:
-            at.key("address").fault(f"nothing beside listen at {listen[0]}", "where others see this node")
+            location.key("address").add_fault(
+                f"nothing beside listen at {listen[0]}", "where others see this node"
+            )
         for name in ("address", "seeds"):
-            told = values.get(name) or ()
-            for one in (told,) if name == "address" and told else told:
-                if listen is not None and (":" in one[0]) is not (":" in listen[0]):
-                    at.key(name).fault(f"{one[0]} beside listen at {listen[0]}", "all IPv4 or all IPv6")
+            addresses = values.get(name) or ()
+            for address in (addresses,) if name == "address" and addresses else addresses:
+                if listen is not None and (":" in address[0]) is not (":" in listen[0]):
+                    location.key(name).add_fault(
+                        f"{address[0]} beside listen at {listen[0]}", "all IPv4 or all IPv6"
+                    )
                     break
         if "key_file" not in given:
-            at.key("key_file").fault("nothing", KEYS)
+            location.key("key_file").add_fault("nothing", KEY_FILE_FORMAT)
         elif "key_file" in values:
-            values["keys"] = _keys(values["key_file"], at.key("key_file"))
+            values["keys"] = _read_keys(values["key_file"], location.key("key_file"))
 
-    def too_open(self) -> str:
-        """What is wrong with who may read or change the key file, in plain words, or nothing."""
+    def key_file_warning(self) -> str:
+        """A warning if others may read or change the key file; empty if not."""
         try:
             mode = stat.S_IMODE(self.key_file.stat().st_mode) if self.key_file is not None else 0
         except OSError:
@@ -72,35 +79,37 @@
         return f"{self.key_file} has the mode {mode:04o}: others may use or change its keys; 0600 is enough"
 
     def summary(self) -> str:
-        """Where it listens, whom it asks, whether its keys lie open."""
-        at = written(self.address or self.listen)
-        seeds = ", ".join(map(written, self.seeds or ())) or "no seeds: it waits for others"
-        opened = self.too_open()
-        return f"other nodes by datagrams at {at}; {seeds}" + (f"; WARNING: {opened}" if opened else "")
+        """Describe the address and the seeds, and warn if others can access the key file."""
+        address = format_address(self.address or self.listen)
+        seeds = ", ".join(map(format_address, self.seeds or ())) or "no seeds: it waits for others"
+        warning = self.key_file_warning()
+        return f"other nodes by datagrams at {address}; {seeds}" + (
+            f"; WARNING: {warning}" if warning else ""
+        )
 
 
-def written(at: tuple[str, int]) -> str:
-    """An address as datagrams have it."""
-    return f"[{at[0]}]:{at[1]}" if ":" in at[0] else f"{at[0]}:{at[1]}"
+def format_address(address: tuple[str, int]) -> str:
+    """An address in the format of gossip datagrams."""
+    return f"[{address[0]}]:{address[1]}" if ":" in address[0] else f"{address[0]}:{address[1]}"
 
 
-def _keys(path: Path, at: Location) -> str:
-    """The file's text; a fault never shows what is in it."""
+def _read_keys(path: Path, location: Location) -> str:
+    """The text of the key file; a fault never shows its content."""
     from balancer.protocol.gossip import parse_keys
 
-    told = read_bounded(path, at, KEYS, MAX_KEYS + 1)
-    if told is None:
+    content = read_bounded(path, location, KEY_FILE_FORMAT, MAX_KEY_FILE_BYTES + 1)
+    if content is None:
         return ""
-    if len(told) > MAX_KEYS:
-        at.fault("a longer file", KEYS)
+    if len(content) > MAX_KEY_FILE_BYTES:
+        location.add_fault("a longer file", KEY_FILE_FORMAT)
         return ""
     try:
-        text = told.decode("ascii")
+        text = content.decode("ascii")
     except UnicodeDecodeError:
-        at.fault("a file that is not ASCII", KEYS)
+        location.add_fault("a file that is not ASCII", KEY_FILE_FORMAT)
         return ""
     try:
         parse_keys(text)
     except ValueError as err:
-        at.fault(f"a file with faults ({err})", KEYS)
+        location.add_fault(f"a file with faults ({err})", KEY_FILE_FORMAT)
     return text
--- a/balancer/simulator/__init__.py
+++ b/balancer/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator's wire format and the adapter that hosts decision modules on it."""
+"""The simulator's line protocol, and the adapter that runs decision modules on it."""
--- a/balancer/simulator/adapter.py
+++ b/balancer/simulator/adapter.py
@@ -1,4 +1,4 @@
-"""Hosts many instances of the decision module on the simulator's wire (standard input and output)."""
+"""Runs instances of the decision module for the simulator, over standard input and output."""
 
 from __future__ import annotations
 
@@ -13,98 +13,105 @@
     Settings,
     SettingsError,
 )
-from balancer.platform_settings import read
+from balancer.platform_settings import parse_json
 from balancer.policy.balancer import Balancer
 from balancer.simulator import wire
 
 
-class Host:
-    """Reads batches, hands each event to its instance, collects the reply. Instances share nothing."""
+class ModuleHost:
+    """Passes the events of a batch to their instances and collects the actions.
+
+    Instances share no state.
+    """
 
     def __init__(self) -> None:
         self.instances: dict[int, tuple[Balancer, Settings]] = {}
 
-    def batch(self, now: float, lines: Iterator[str]) -> list[str]:
-        """One batch after its SYNC line, up to and with GO; the reply's lines."""
-        out: list[str] = []
-        who, speaking = -1, -1
+    def process_batch(self, now_ms: float, lines: Iterator[str]) -> list[str]:
+        """Process the lines of a batch after SYNC, up to and including GO; returns the lines of the reply."""
+        reply_lines: list[str] = []
+        instance_id, last_speaker_id = -1, -1
         for line in lines:
             if line == "GO":
-                out.append("FINISHED")
-                return out
+                reply_lines.append("FINISHED")
+                return reply_lines
             word = line[: line.index(" ")] if " " in line else line
             if word == "CONTEXT":
-                who = self._context(line)
+                instance_id = self._parse_context(line)
                 continue
             if word == "START":
-                self._start(who, line)
+                self._start_instance(instance_id, line)
                 continue
             if word == "STOP":
-                self.instances.pop(who, None)
+                self.instances.pop(instance_id, None)
                 continue
-            if who not in self.instances:
-                raise wire.WireError(f"event for instance {who}, which was never started: {line[:120]!r}")
-            balancer, settings = self.instances[who]
-            event = self._event(line, word, settings, lines)
+            if instance_id not in self.instances:
+                raise wire.WireError(
+                    f"event for instance {instance_id}, which was never started: {line[:120]!r}"
+                )
+            balancer, settings = self.instances[instance_id]
+            event = self._parse_event(line, word, settings, lines)
             try:
-                actions = balancer.handle(now, event)
+                actions = balancer.handle(now_ms, event)
             except CallError:
                 raise
-            except Exception as err:  # the wire wants a broken decision module named, not a dead process
-                out.append(f"SPEAKING {who}")
-                out.append(f"EXCEPTION {type(err).__name__}: {' '.join(str(err).split())[:200]}")
-                speaking = who
+            except Exception as err:  # the protocol reports a failed decision module; the process goes on
+                reply_lines.append(f"SPEAKING {instance_id}")
+                reply_lines.append(f"EXCEPTION {type(err).__name__}: {' '.join(str(err).split())[:200]}")
+                last_speaker_id = instance_id
                 continue
-            told = [wire.action(action) for action in actions if type(action) is not NoteBackendDecision]
-            if told:
-                if who != speaking:
-                    out.append(f"SPEAKING {who}")
-                    speaking = who
-                out += told
+            action_lines = [
+                wire.action(action) for action in actions if type(action) is not NoteBackendDecision
+            ]
+            if action_lines:
+                if instance_id != last_speaker_id:
+                    reply_lines.append(f"SPEAKING {instance_id}")
+                    last_speaker_id = instance_id
+                reply_lines += action_lines
         raise wire.WireError("input ended inside a batch")
 
     @staticmethod
-    def _context(line: str) -> int:
+    def _parse_context(line: str) -> int:
         if not line[8:].isdecimal():
             raise wire.WireError(f"malformed line: {line[:120]!r}")
         return int(line[8:])
 
-    def _start(self, who: int, line: str) -> None:
+    def _start_instance(self, instance_id: int, line: str) -> None:
         parts = line.split(" ", 2)
-        if who < 0 or len(parts) != 3 or not parts[1].isdecimal():
+        if instance_id < 0 or len(parts) != 3 or not parts[1].isdecimal():
             raise wire.WireError(f"malformed line: {line[:120]!r}")
-        settings = read(parts[2])
-        self.instances[who] = (Balancer(settings, int(parts[1])), settings)
+        settings = parse_json(parts[2])
+        self.instances[instance_id] = (Balancer(settings, int(parts[1])), settings)
 
     @staticmethod
-    def _event(line: str, word: str, settings: Settings, lines: Iterator[str]) -> Event:
+    def _parse_event(line: str, word: str, settings: Settings, lines: Iterator[str]) -> Event:
         if word != "DIRECTORY_UPDATE":
-            return wire.event(line, settings.load_report_fields)
-        update, count = wire.list_update(line)
-        for _ in range(count):
-            update.endpoints.append(wire.entry(next(lines, "")))
+            return wire.parse_event(line, settings.load_report_fields)
+        update, entry_count = wire.parse_list_update(line)
+        for _ in range(entry_count):
+            update.endpoints.append(wire.parse_entry(next(lines, "")))
         return update
 
 
 def serve(source: TextIO, sink: TextIO) -> None:
-    """Answer batch after batch until the input ends between two of them."""
-    host = Host()
+    """Process batches until the input ends between two of them."""
+    host = ModuleHost()
     lines = (line.rstrip("\n") for line in source)
     for line in lines:
-        word, _, clock = line.partition(" ")
+        word, _, clock_text = line.partition(" ")
         if word != "SYNC":
             raise wire.WireError(f"expected SYNC, got {line[:120]!r}")
         try:
-            now = wire.time(clock)
+            now_ms = wire.parse_number(clock_text)
         except ValueError:
             raise wire.WireError(f"malformed line: {line[:120]!r}") from None
-        sink.write("\n".join(host.batch(now, lines)))
+        sink.write("\n".join(host.process_batch(now_ms, lines)))
         sink.write("\n")
         sink.flush()
 
 
 def main() -> int:
-    """Entry point; input faults end with one plain line on standard error."""
+    """Entry point; invalid input ends the process with one line on standard error."""
     try:
         serve(sys.stdin, sys.stdout)
     except (wire.WireError, SettingsError, CallError, UnicodeDecodeError) as err:
--- a/balancer/simulator/wire.py
+++ b/balancer/simulator/wire.py
@@ -1,4 +1,7 @@
-"""Wire text to and from the interface types. Nothing is decided here."""
+"""Parses lines of the simulator's protocol to the types of the interface, and formats actions as lines.
+
+Times are in milliseconds. An invalid line raises `WireError`.
+"""
 
 from __future__ import annotations
 
@@ -6,14 +9,14 @@
 
 from balancer import interface as api
 
-_PHASES = {"up": api.Phase.UP, "draining": api.Phase.DRAINING, "removed": api.Phase.REMOVED}
-_LISTS = {
+_PHASE_BY_WORD = {"up": api.Phase.UP, "draining": api.Phase.DRAINING, "removed": api.Phase.REMOVED}
+_UPDATE_KIND_BY_WORD = {
     "diff": api.EndpointUpdateKind.INCREMENTAL,
     "snapshot": api.EndpointUpdateKind.SNAPSHOT,
     "disk": api.EndpointUpdateKind.CACHED,
     "error": api.EndpointUpdateKind.FAILED,
 }
-_STATUSES = {
+_STATUS_BY_WORD = {
     "pass": api.AttemptStatus.OK,
     "fault": api.AttemptStatus.ERROR,
     "no_room": api.AttemptStatus.REJECTED,
@@ -26,10 +29,10 @@
 
 
 class WireError(ValueError):
-    """A line that the wire does not allow."""
+    """A line is invalid."""
 
 
-_VALUES = {
+_REPORT_FIELD_BY_NAME = {
     "active": "in_flight",
     "waiting": "queued",
     "cpu": "cpu_load",
@@ -39,91 +42,104 @@
 }
 
 
-def time(text: str) -> float:
-    """A finite number, or ValueError."""
+def parse_number(text: str) -> float:
+    """Parse a finite number; raises ValueError."""
     value = float(text)
     if not math.isfinite(value):
         raise ValueError(text)
     return value
 
 
-def report(text: str, names: tuple[str, ...]) -> api.LoadReport | None:
-    """A load report; values of a name that is not on the wire page are skipped."""
+def parse_load_report(text: str, names: tuple[str, ...]) -> api.LoadReport | None:
+    """Parse a load report, whose values have these names; values with unknown names are ignored."""
     if text == "-":
         return None
-    out = api.LoadReport()
+    load_report = api.LoadReport()
     for name, value in zip(names, text.split(","), strict=True):
-        if value != "-" and name in _VALUES:
-            setattr(out, _VALUES[name], time(value))
-    return out
+        if value != "-" and name in _REPORT_FIELD_BY_NAME:
+            setattr(load_report, _REPORT_FIELD_BY_NAME[name], parse_number(value))
+    return load_report
 
 
-def entry(line: str) -> api.Endpoint:
-    """One ENTRY line of a list."""
+def parse_entry(line: str) -> api.Endpoint:
+    """Parse an ENTRY line of a list."""
     try:
-        word, stripe, kind, backend, scale, phase, started, zone = line.split(" ")
-        weight = 1.0 if scale == "-" else time(scale)
+        word, cell, kind, backend, weight_text, phase, started_at_ms, zone = line.split(" ")
+        weight = 1.0 if weight_text == "-" else parse_number(weight_text)
         if word != "ENTRY" or not backend or weight < 0:
             raise ValueError(line)
         return api.Endpoint(
             backend,
             zone,
-            -1 if stripe == "-" else int(stripe),
+            -1 if cell == "-" else int(cell),
             weight,
-            _PHASES[phase],
-            0.0 if started == "-" else time(started),
+            _PHASE_BY_WORD[phase],
+            0.0 if started_at_ms == "-" else parse_number(started_at_ms),
             kind,
         )
     except (ValueError, KeyError):
         raise WireError(f"malformed list entry: {line[:120]!r}") from None
 
 
-def list_update(line: str) -> tuple[api.EndpointsUpdated, int]:
-    """A DIRECTORY_UPDATE line and the number of ENTRY lines that follow it."""
+def parse_list_update(line: str) -> tuple[api.EndpointsUpdated, int]:
+    """Parse a DIRECTORY_UPDATE line; also returns the number of ENTRY lines that follow it."""
     parts = line.split(" ")
     try:
-        _, mode, revision, count = parts
-        number = 0 if revision == "-" else int(revision)
-        rows = 0 if count == "-" else int(count)
-        if rows < 0:
-            raise ValueError(count)
-        return api.EndpointsUpdated(_LISTS[mode], [], number), rows
+        _, kind_word, revision, count_text = parts
+        revision_number = 0 if revision == "-" else int(revision)
+        entry_count = 0 if count_text == "-" else int(count_text)
+        if entry_count < 0:
+            raise ValueError(count_text)
+        return api.EndpointsUpdated(_UPDATE_KIND_BY_WORD[kind_word], [], revision_number), entry_count
     except (ValueError, KeyError):
         raise WireError(f"malformed list update: {line[:120]!r}") from None
 
 
-def event(line: str, names: tuple[str, ...]) -> api.Event:
-    """Any other event line; `names` are the load report's fields."""
+def parse_event(line: str, names: tuple[str, ...]) -> api.Event:
+    """Parse any other event line; `names` are the fields of load reports."""
     parts = line.split(" ")
     word = parts[0]
     try:
         if word == "SAMPLED":
-            _, reason, duration, backend, gauge = parts
-            return api.ProbeFinished(backend, _STATUSES[reason], time(duration), report(gauge, names))
+            _, status, duration_ms, backend, report_text = parts
+            return api.ProbeFinished(
+                backend,
+                _STATUS_BY_WORD[status],
+                parse_number(duration_ms),
+                parse_load_report(report_text, names),
+            )
         if word == "RESOLVED":
-            _, ref, go, backend, reason, duration, closed, gauge = parts
+            _, request, attempt, backend, status, duration_ms, is_request_closed, report_text = parts
             return api.AttemptFinished(
-                ref, int(go), backend, _STATUSES[reason], time(duration), closed == "1", report(gauge, names)
+                request,
+                int(attempt),
+                backend,
+                _STATUS_BY_WORD[status],
+                parse_number(duration_ms),
+                is_request_closed == "1",
+                parse_load_report(report_text, names),
             )
         if word == "WAKE":
             return api.TimerFired(int(parts[1]))
         if word == "ORDER":
-            _, ref, again, key, deadline, tenant, hint, kind, mutates = parts
+            _, request, is_retry, idempotency_key, deadline_ms, tenant, work_hint, class_name, is_write = (
+                parts
+            )
             return api.RequestArrived(
-                ref,
-                kind,
-                time(deadline),
-                again == "1",
-                None if key == "-" else key,
+                request,
+                class_name,
+                parse_number(deadline_ms),
+                is_retry == "1",
+                None if idempotency_key == "-" else idempotency_key,
                 None if tenant in ("-", "0") else tenant,
-                None if hint == "-" else time(hint),
-                mutates == "1",
+                None if work_hint == "-" else parse_number(work_hint),
+                is_write == "1",
             )
         if word == "CANCELLED_BY_CLIENT":
             return api.ClientLeft(parts[1])
         if word == "ACCEPTED":
-            _, ref, go, backend, duration = parts
-            return api.StreamStarted(ref, int(go), backend, time(duration))
+            _, request, attempt, backend, duration_ms = parts
+            return api.StreamStarted(request, int(attempt), backend, parse_number(duration_ms))
         if word == "HEARD":
             return api.PeerMessageReceived(int(parts[1]), b"" if parts[2] == "-" else bytes.fromhex(parts[2]))
     except (ValueError, KeyError, IndexError):
@@ -132,9 +148,9 @@
 
 
 def action(act: api.Action) -> str:
-    """The wire line of an action."""
-    kind = type(act)
-    if kind is api.SendProbe:
+    """Format an action as a line."""
+    action_type = type(act)
+    if action_type is api.SendProbe:
         return f"INSPECT {act.backend}"  # type: ignore[union-attr]
     if isinstance(act, api.SendAttempt):
         return f"PLACE {act.request} {round(act.timeout_ms, 3)} {act.backend}"
--- a/balancer/testbed/simulation/world.py
+++ b/balancer/testbed/simulation/world.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 from balancer import interface as api
-from balancer.platform_settings import read
+from balancer.platform_settings import parse_json
 from balancer.testbed.simulation.policies import Policy, make
 from balancer.testbed.simulation.report import Report
 from balancer.testbed.simulation.rules import Rules
@@ -107,7 +107,7 @@
         told = self.site.settings(me, self.scenario.nodes)
         if self.scenario.live_ms:
             told["weight-source"] = "live"
-        settings = read(json.dumps(told))
+        settings = parse_json(json.dumps(told))
         return replace(settings, prices=replace(settings.prices, cross_zone=self.scenario.cross_price))
 
     # --- time
--- a/tests/net/test_cluster.py
+++ b/tests/net/test_cluster.py
@@ -30,7 +30,7 @@
 from balancer.net.component import RunningNode
 from balancer.net.endpoint_view import EndpointView
 from balancer.operator_settings import OperatorSettings, PeersSettings, TimelineSettings
-from balancer.operator_settings.peers import written
+from balancer.operator_settings.peers import format_address
 from balancer.protocol import gossip
 
 KEY, OLD_KEY = "0123456789abcdef" * 2, "fedcba98" * 8
@@ -172,7 +172,7 @@
 
     async def test() -> None:
         async with cluster_of(3) as (one, other, _):
-            address = written(other.address)
+            address = format_address(other.address)
             lie = message(
                 messages.MessageKind.GOSSIP,
                 ("n1", PeerState.FAILED, 9, address, 1),
@@ -313,7 +313,7 @@
             at = sock.getsockname()
             one.apply(OperatorSettings(peers=PeersSettings(listen=at, keys=KEY)))
             await asyncio.sleep(0.1)
-            assert one.report()["trouble"] == f"{written(at)}: Address already in use"
+            assert one.report()["trouble"] == f"{format_address(at)}: Address already in use"
         await wait_until(lambda: one.report()["speaks"] or one.detector is not None)
         assert one.report()["trouble"] is None and one.address == at
         await one.close()
@@ -398,7 +398,7 @@
 async def gossip_about(one: ClusterNode, state: int, incarnation: int) -> None:
     """A node with the right key claims that of this one."""
     with udp_socket() as sock:
-        word = (one.running.name, state, incarnation, written(one.address), 1)
+        word = (one.running.name, state, incarnation, format_address(one.address), 1)
         sock.sendto(
             gossip.Writer("liar", KEYS).write(incarnation, message(messages.MessageKind.GOSSIP, word)),
             one.address,
--- a/tests/operator_settings/test_operators.py
+++ b/tests/operator_settings/test_operators.py
@@ -1,4 +1,4 @@
-"""The operators' file: what is read, every fault named with its key at once, no secret shown."""
+"""The operators' file: parsing, faults with the paths of their keys, changes, and no secret is shown."""
 
 from __future__ import annotations
 
@@ -38,84 +38,94 @@
 
 @pytest.fixture(scope="module")
 def folder(tmp_path_factory: pytest.TempPathFactory) -> Path:
-    """A folder with a password file, files to point at, a certificate and its key."""
-    out = tmp_path_factory.mktemp("operators")
-    (out / "password").write_text(f"{SECRET}\r\nnot this line\n")
-    (out / "empty").write_text("\nsecond line\n")
-    (out / "long").write_text("x" * 4097)
-    (out / "latin").write_bytes(b"\xe4\n")
-    (out / "plain").write_text("no certificate\n")
-    made = trustme.CA().issue_cert("localhost")
-    made.private_key_pem.write_to_path(out / "tls.key")
-    made.cert_chain_pems[0].write_to_path(out / "tls.crt")
-    return out
-
-
-def test_the_example_switches_nothing_on_and_explains_every_key(tmp_path: Path) -> None:
+    """A folder with a password file, invalid files, a certificate and its key."""
+    directory = tmp_path_factory.mktemp("operators")
+    (directory / "password").write_text(f"{SECRET}\r\nnot this line\n")
+    (directory / "empty").write_text("\nsecond line\n")
+    (directory / "long").write_text("x" * 4097)
+    (directory / "latin").write_bytes(b"\xe4\n")
+    (directory / "plain").write_text("no certificate\n")
+    certificate = trustme.CA().issue_cert("localhost")
+    certificate.private_key_pem.write_to_path(directory / "tls.key")
+    certificate.cert_chain_pems[0].write_to_path(directory / "tls.crt")
+    return directory
+
+
+def test_example_file_enables_nothing_and_explains_every_key(tmp_path: Path) -> None:
     path = ROOT / "deploy" / "operators.toml"
     assert load(path) == OperatorSettings()
     lines = path.read_text(encoding="utf-8").splitlines()
     keys = [line.removeprefix("# ") for line in lines if re.match(r"# (\[|\w+ = )", line)]
-    told: Any = tomllib.loads("\n".join(keys))
-    assert set(told["membership"]["etcd"]) == {f.name for f in fields(EtcdSettings) if f.repr}
-    assert set(told["control"]) == {f.name for f in fields(ControlSettings)}
-    bare = EtcdSettings()
+    raw: Any = tomllib.loads("\n".join(keys))
+    assert set(raw["membership"]["etcd"]) == {
+        table_field.name for table_field in fields(EtcdSettings) if table_field.repr
+    }
+    assert set(raw["control"]) == {table_field.name for table_field in fields(ControlSettings)}
+    defaults = EtcdSettings()
     for name in ("endpoints", "prefix", "format", "epoch", "role"):
-        value = told["membership"]["etcd"][name]
-        assert (tuple(value) if isinstance(value, list) else value) == getattr(bare, name), name
-    assert told["control"]["socket"] == str(ControlSettings().socket)
-    assert told["metrics"] == {"listen": "{}:{}".format(*MetricsSettings().listen)}
-    assert told["timeline"] == {"memory_mb": TimelineSettings().memory_mb}
-    assert told["state"] == {"directory": "state", "max_age": 86_400, "every": 10}
-    assert set(told["peers"]) == {f.name for f in fields(PeersSettings) if f.repr}
-    assert told["peers"]["listen"] == "{}:{}".format(*PeersSettings().listen)
-
-
-def renewed(cert: Path, key: Path) -> bytes:
-    """The certificate once more, for the same key, signed by itself: another number and an end of its own."""
-    old = x509.load_pem_x509_certificate(cert.read_bytes())
-    mine = serialization.load_pem_private_key(key.read_bytes(), None)
-    assert isinstance(mine, ec.EllipticCurvePrivateKey)
-    new = x509.CertificateBuilder(
-        old.subject,
-        old.subject,
-        mine.public_key(),
+        value = raw["membership"]["etcd"][name]
+        assert (tuple(value) if isinstance(value, list) else value) == getattr(defaults, name), name
+    assert raw["control"]["socket"] == str(ControlSettings().socket)
+    assert raw["metrics"] == {"listen": "{}:{}".format(*MetricsSettings().listen)}
+    assert raw["timeline"] == {"memory_mb": TimelineSettings().memory_mb}
+    assert raw["state"] == {"directory": "state", "max_age": 86_400, "every": 10}
+    assert set(raw["peers"]) == {
+        table_field.name for table_field in fields(PeersSettings) if table_field.repr
+    }
+    assert raw["peers"]["listen"] == "{}:{}".format(*PeersSettings().listen)
+
+
+def renewed_certificate(cert: Path, key: Path) -> bytes:
+    """A self-signed certificate for the same key, with another serial number and another end."""
+    old_certificate = x509.load_pem_x509_certificate(cert.read_bytes())
+    private_key = serialization.load_pem_private_key(key.read_bytes(), None)
+    assert isinstance(private_key, ec.EllipticCurvePrivateKey)
+    builder = x509.CertificateBuilder(
+        old_certificate.subject,
+        old_certificate.subject,
+        private_key.public_key(),
         x509.random_serial_number(),
-        old.not_valid_before_utc,
-        old.not_valid_after_utc - datetime.timedelta(days=1),
+        old_certificate.not_valid_before_utc,
+        old_certificate.not_valid_after_utc - datetime.timedelta(days=1),
     )
-    return new.sign(mine, hashes.SHA256()).public_bytes(serialization.Encoding.PEM)
+    return builder.sign(private_key, hashes.SHA256()).public_bytes(serialization.Encoding.PEM)
 
 
-def etcd(**keys: object) -> dict[str, object]:
-    """A file's tables with these keys in `[membership.etcd]`."""
+def etcd_tables(**keys: object) -> dict[str, object]:
+    """The tables of a file with these keys in `[membership.etcd]`."""
     return {"membership": {"etcd": keys}}
 
 
-def faults(raw: dict[str, object], folder: Path) -> dict[str, str]:
-    """What is said of each path."""
-    with pytest.raises(OperatorSettingsError) as caught:
+def faults_by_path(raw: dict[str, object], folder: Path) -> dict[str, str]:
+    """The text of each fault by its path."""
+    with pytest.raises(OperatorSettingsError) as error:
         parse(raw, folder)
-    found = [(fault.path, str(fault)) for fault in caught.value.faults]
-    assert len(dict(found)) == len(found), f"one place is named twice: {found}"
-    assert str(caught.value).splitlines() == [line for _, line in found], "one line a fault"
-    assert SECRET not in str(caught.value)
+    found = [(fault.path, str(fault)) for fault in error.value.faults]
+    assert len(dict(found)) == len(found), f"a path has two faults: {found}"
+    assert str(error.value).splitlines() == [line for _, line in found], "each fault has one line"
+    assert SECRET not in str(error.value)
     return dict(found)
 
 
-def test_an_empty_file_switches_nothing_on(folder: Path) -> None:
+def test_parse_empty_file_enables_nothing(folder: Path) -> None:
     assert parse({}, folder) == OperatorSettings() and OperatorSettings().enabled_tables() == []
 
 
-def test_a_table_that_is_there_is_on(folder: Path) -> None:
-    got = parse(etcd(), folder).membership.etcd
-    assert got is not None
-    assert (got.endpoints, got.prefix) == (("http://127.0.0.1:2379",), "/dillport/members/")
-    assert (got.format, got.epoch, got.role, got.user, got.password) == ("member", 0, "full", None, "")
+def test_parse_present_table_is_enabled(folder: Path) -> None:
+    settings = parse(etcd_tables(), folder).membership.etcd
+    assert settings is not None
+    assert (settings.endpoints, settings.prefix) == (("http://127.0.0.1:2379",), "/dillport/members/")
+    assert (settings.format, settings.epoch, settings.role, settings.user, settings.password) == (
+        "member",
+        0,
+        "full",
+        None,
+        "",
+    )
 
 
-def test_every_key_of_etcd_arrives(folder: Path) -> None:
-    told = etcd(
+def test_parse_etcd_every_key_is_parsed(folder: Path) -> None:
+    raw = etcd_tables(
         endpoints=["https://Etcd-1:2379/", "https://[::1]:2380"],
         prefix="svc/",
         format="grpc-naming",
@@ -128,12 +138,25 @@
         role="remove",
         bears=50,
     )
-    whole = parse(told, folder)
-    got = whole.membership.etcd
-    assert got is not None
-    assert got.endpoints == ("https://etcd-1:2379", "https://[::1]:2380") and got.prefix == "svc/"
-    assert got.ca == got.cert == folder / "tls.crt" and got.key == folder / "tls.key"
-    assert (got.format, got.user, got.password, got.epoch, got.role, got.bears) == (
+    operator_settings = parse(raw, folder)
+    etcd_settings = operator_settings.membership.etcd
+    assert etcd_settings is not None
+    assert (
+        etcd_settings.endpoints == ("https://etcd-1:2379", "https://[::1]:2380")
+        and etcd_settings.prefix == "svc/"
+    )
+    assert (
+        etcd_settings.ca == etcd_settings.cert == folder / "tls.crt"
+        and etcd_settings.key == folder / "tls.key"
+    )
+    assert (
+        etcd_settings.format,
+        etcd_settings.user,
+        etcd_settings.password,
+        etcd_settings.epoch,
+        etcd_settings.role,
+        etcd_settings.bears,
+    ) == (
         "grpc-naming",
         "node",
         SECRET,
@@ -141,17 +164,19 @@
         "remove",
         50,
     )
-    assert etcd_config(got).bears == 50 and "50 whole lists a second" in got.summary()
-    assert SECRET not in repr(whole) + str(whole) + "".join(whole.enabled_tables())
+    assert etcd_config(etcd_settings).bears == 50 and "50 whole lists a second" in etcd_settings.summary()
+    assert SECRET not in repr(operator_settings) + str(operator_settings) + "".join(
+        operator_settings.enabled_tables()
+    )
 
 
-def test_control(tmp_path: Path) -> None:
-    got = parse({"control": {"socket": f"{tmp_path}/c.sock"}}, tmp_path).control
-    assert got is not None and got.socket == tmp_path / "c.sock"
+def test_parse_control_socket_is_parsed(tmp_path: Path) -> None:
+    control_settings = parse({"control": {"socket": f"{tmp_path}/c.sock"}}, tmp_path).control
+    assert control_settings is not None and control_settings.socket == tmp_path / "c.sock"
 
 
-HTTPS = {"endpoints": ["https://a:1"]}
-BAD: dict[str, list[tuple[object, str]]] = {
+HTTPS_KEYS = {"endpoints": ["https://a:1"]}
+INVALID_VALUES: dict[str, list[tuple[object, str]]] = {
     "endpoints": [
         ("http://a:1", r"found 'http://a:1'; allowed: an array of 1 to 16"),
         ([], "found an array of 0"),
@@ -179,7 +204,7 @@
     "bears": [(0, "found 0; allowed: a whole number from 1 on"), (2.5, "found 2.5"), ("50", "found '50'")],
     "role": [("both", '"full" or "add" or "remove"'), (datetime.date(2026, 1, 1), "found datetime.date")],
 }
-GOOD: dict[str, object] = HTTPS | {
+VALID_KEYS: dict[str, object] = HTTPS_KEYS | {
     "prefix": "p/",
     "format": "member",
     "ca": "tls.crt",
@@ -193,11 +218,15 @@
 }
 
 
-@pytest.mark.parametrize(("name", "value", "named"), [(k, v, n) for k, rows in BAD.items() for v, n in rows])
-def test_each_bad_key_is_named(folder: Path, name: str, value: object, named: str) -> None:
-    found = faults(etcd(**GOOD | {name: value}), folder)
+@pytest.mark.parametrize(
+    ("name", "value", "expected_fault"), [(k, v, n) for k, rows in INVALID_VALUES.items() for v, n in rows]
+)
+def test_parse_etcd_invalid_value_is_named(
+    folder: Path, name: str, value: object, expected_fault: str
+) -> None:
+    found = faults_by_path(etcd_tables(**VALID_KEYS | {name: value}), folder)
     assert list(found) == [f"membership.etcd.{name}"]
-    assert named in found[f"membership.etcd.{name}"]
+    assert expected_fault in found[f"membership.etcd.{name}"]
 
 
 @pytest.mark.parametrize(
@@ -219,14 +248,14 @@
         "",
     ],
 )
-def test_a_url_needs_scheme_host_port_and_nothing_else(folder: Path, url: object) -> None:
-    found = faults(etcd(endpoints=["http://ok:1", url]), folder)
+def test_parse_url_without_scheme_host_and_port_is_named(folder: Path, url: object) -> None:
+    found = faults_by_path(etcd_tables(endpoints=["http://ok:1", url]), folder)
     assert list(found) == ["membership.etcd.endpoints[1]"]
     assert "allowed: http://HOST:PORT or https://HOST:PORT" in found["membership.etcd.endpoints[1]"]
 
 
-def test_a_password_in_a_wrong_place_is_not_shown(folder: Path) -> None:
-    found = faults(etcd(endpoints=[f"http://root:{SECRET}@a:1"], password=SECRET), folder)
+def test_parse_misplaced_password_is_not_shown(folder: Path) -> None:
+    found = faults_by_path(etcd_tables(endpoints=[f"http://root:{SECRET}@a:1"], password=SECRET), folder)
     assert "with a user or a password in it" in found["membership.etcd.endpoints[0]"]
     assert '(the nearest is "password_file")' in found["membership.etcd.password"]
 
@@ -238,19 +267,21 @@
         ({"endpoints": ["http://a:1", "http://b:1", "http://A:1/"]}, ["endpoints[2]"]),
         ({"ca": "tls.crt"}, ["ca"]),
         ({"cert": "tls.crt", "key": "tls.key"}, ["cert", "key"]),
-        (HTTPS | {"cert": "tls.crt"}, ["cert"]),
-        (HTTPS | {"key": "tls.key"}, ["key"]),
-        (HTTPS | {"ca": "plain"}, ["ca"]),
-        (HTTPS | {"cert": "plain", "key": "tls.key"}, ["cert"]),
+        (HTTPS_KEYS | {"cert": "tls.crt"}, ["cert"]),
+        (HTTPS_KEYS | {"key": "tls.key"}, ["key"]),
+        (HTTPS_KEYS | {"ca": "plain"}, ["ca"]),
+        (HTTPS_KEYS | {"cert": "plain", "key": "tls.key"}, ["cert"]),
         ({"user": "u"}, ["user"]),
         ({"password_file": "password"}, ["password_file"]),
     ],
 )
-def test_what_has_to_go_together(folder: Path, keys: dict[str, object], paths: list[str]) -> None:
-    assert list(faults(etcd(**keys), folder)) == [f"membership.etcd.{path}" for path in paths]
+def test_parse_etcd_inconsistent_keys_are_named(
+    folder: Path, keys: dict[str, object], paths: list[str]
+) -> None:
+    assert list(faults_by_path(etcd_tables(**keys), folder)) == [f"membership.etcd.{path}" for path in paths]
 
 
-def test_a_key_behind_a_password_is_a_fault_and_asks_nobody(
+def test_parse_encrypted_key_is_named_without_a_prompt(
     folder: Path, capfd: pytest.CaptureFixture[str]
 ) -> None:
     key = serialization.load_pem_private_key((folder / "tls.key").read_bytes(), None)
@@ -261,44 +292,48 @@
             serialization.BestAvailableEncryption(b"x"),
         )
     )
-    assert list(faults(etcd(**HTTPS, cert="tls.crt", key="locked.key"), folder)) == ["membership.etcd.cert"]
+    assert list(faults_by_path(etcd_tables(**HTTPS_KEYS, cert="tls.crt", key="locked.key"), folder)) == [
+        "membership.etcd.cert"
+    ]
     assert "pass phrase" not in "".join(capfd.readouterr())
 
 
 @pytest.mark.parametrize(
     "socket", ["c.sock", "", "/", "/nowhere-at-all/c.sock", "/tmp/" + "x" * 96, 5, "/tmp/\0"]
 )
-def test_a_bad_socket_is_named(tmp_path: Path, socket: object) -> None:
-    assert "at most 100 bytes" in faults({"control": {"socket": socket}}, tmp_path)["control.socket"]
+def test_parse_control_invalid_socket_is_named(tmp_path: Path, socket: object) -> None:
+    assert "at most 100 bytes" in faults_by_path({"control": {"socket": socket}}, tmp_path)["control.socket"]
 
 
 @pytest.mark.parametrize("value", [1, 0, -5, 5_000, 1.5, "16", True])
-def test_a_time_line_of_no_size_is_named(tmp_path: Path, value: object) -> None:
-    assert list(faults({"timeline": {"memory_mb": value}}, tmp_path)) == ["timeline.memory_mb"]
+def test_parse_timeline_invalid_size_is_named(tmp_path: Path, value: object) -> None:
+    assert list(faults_by_path({"timeline": {"memory_mb": value}}, tmp_path)) == ["timeline.memory_mb"]
 
 
 @pytest.mark.parametrize(
     "listen", ["", "x", "localhost:1", "127.0.0.1", "127.0.0.1:70000", "::1:80", "[127.0.0.1]:1", 5]
 )
-def test_an_address_that_is_none_is_named(tmp_path: Path, listen: object) -> None:
-    assert list(faults({"timeline": {}, "metrics": {"listen": listen}}, tmp_path)) == ["metrics.listen"]
+def test_parse_metrics_invalid_address_is_named(tmp_path: Path, listen: object) -> None:
+    assert list(faults_by_path({"timeline": {}, "metrics": {"listen": listen}}, tmp_path)) == [
+        "metrics.listen"
+    ]
 
 
-def test_metrics_need_the_time_line_and_say_who_may_read_them(tmp_path: Path) -> None:
-    assert list(faults({"metrics": {}}, tmp_path)) == ["metrics"]
-    on = parse({"timeline": {}, "metrics": {"listen": "[::]:9"}}, tmp_path).enabled_tables()
-    assert any("http://[::]:9/metrics; ANYBODY" in line for line in on)
+def test_parse_metrics_require_the_timeline_and_warn_of_other_readers(tmp_path: Path) -> None:
+    assert list(faults_by_path({"metrics": {}}, tmp_path)) == ["metrics"]
+    enabled_tables = parse({"timeline": {}, "metrics": {"listen": "[::]:9"}}, tmp_path).enabled_tables()
+    assert any("http://[::]:9/metrics; ANYBODY" in line for line in enabled_tables)
     assert not any(
         "ANYBODY" in line for line in parse({"timeline": {}, "metrics": {}}, tmp_path).enabled_tables()
     )
 
 
-def test_a_time_line_without_its_package_is_named(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_parse_timeline_without_its_package_is_named(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("importlib.util.find_spec", lambda name: None)
-    assert "snowloom-balancer[timeline]" in faults({"timeline": {}}, tmp_path)["timeline"]
+    assert "snowloom-balancer[timeline]" in faults_by_path({"timeline": {}}, tmp_path)["timeline"]
 
 
-KNOWN = {
+ALLOWED_KEYS = {
     "control": "membership, control, timeline, metrics, state, peers",
     "etcd": "etcd",
     "endpoints": "endpoints, prefix, format, ca, cert, key, user, password_file, epoch, role, bears",
@@ -306,54 +341,61 @@
 
 
 @pytest.mark.parametrize(
-    ("raw", "path", "near"),
+    ("raw", "path", "nearest_key"),
     [
         ({"controll": {}}, "controll", "control"),
         ({"membership": {"ectd": {}}}, "membership.ectd", "etcd"),
-        (etcd(endpoint=[]), "membership.etcd.endpoint", "endpoints"),
+        (etcd_tables(endpoint=[]), "membership.etcd.endpoint", "endpoints"),
     ],
 )
-def test_an_unknown_key_names_the_nearest(
-    tmp_path: Path, raw: dict[str, object], path: str, near: str
+def test_parse_unknown_key_names_the_nearest(
+    tmp_path: Path, raw: dict[str, object], path: str, nearest_key: str
 ) -> None:
-    named = f'found an unknown key; allowed: {KNOWN[near]} (the nearest is "{near}")'
-    assert named in faults(raw, tmp_path)[path]
+    expected_fault = (
+        f'found an unknown key; allowed: {ALLOWED_KEYS[nearest_key]} (the nearest is "{nearest_key}")'
+    )
+    assert expected_fault in faults_by_path(raw, tmp_path)[path]
 
 
 @pytest.mark.parametrize("raw", [{"membership": 5}, {"membership": {"etcd": [1]}}, {"control": "x"}])
-def test_a_table_has_to_be_one(tmp_path: Path, raw: dict[str, object]) -> None:
-    assert "allowed: a table" in next(iter(faults(raw, tmp_path).values()))
+def test_parse_value_in_place_of_a_table_is_named(tmp_path: Path, raw: dict[str, object]) -> None:
+    assert "allowed: a table" in next(iter(faults_by_path(raw, tmp_path).values()))
 
 
 @settings(max_examples=60, deadline=None)
 @given(data=st.data())
-def test_all_faults_are_named_at_once_and_no_other(folder: Path, data: st.DataObject) -> None:
-    broken = data.draw(st.sets(st.sampled_from(sorted(BAD))))
-    keys: dict[str, object] = dict(GOOD)
+def test_parse_all_faults_and_no_others_are_named(folder: Path, data: st.DataObject) -> None:
+    broken = data.draw(st.sets(st.sampled_from(sorted(INVALID_VALUES))))
+    keys: dict[str, object] = dict(VALID_KEYS)
     for name in broken:
-        keys[name] = data.draw(st.sampled_from([value for value, _ in BAD[name]]))
-    unknown = data.draw(st.sets(st.from_regex(r"[a-z]{1,8}", fullmatch=True), max_size=3)) - set(GOOD)
-    raw = etcd(**keys, **dict.fromkeys(unknown, 1))
+        keys[name] = data.draw(st.sampled_from([value for value, _ in INVALID_VALUES[name]]))
+    unknown = data.draw(st.sets(st.from_regex(r"[a-z]{1,8}", fullmatch=True), max_size=3)) - set(VALID_KEYS)
+    raw = etcd_tables(**keys, **dict.fromkeys(unknown, 1))
     if broken | unknown:
-        assert set(faults(raw, folder)) == {f"membership.etcd.{name}" for name in broken | unknown}
+        assert set(faults_by_path(raw, folder)) == {f"membership.etcd.{name}" for name in broken | unknown}
     else:
         assert parse(raw, folder).membership.etcd
 
 
-NAMES = st.sampled_from(["membership", "etcd", "control", "socket", *BAD]) | st.text(max_size=5)
+KEY_NAMES = st.sampled_from(["membership", "etcd", "control", "socket", *INVALID_VALUES]) | st.text(
+    max_size=5
+)
 VALUES = st.recursive(
     st.sampled_from([None, True, 2**400, datetime.date(2026, 1, 1)])
     | st.integers()
     | st.floats()
     | st.text(max_size=9),
-    lambda inner: st.lists(inner, max_size=3) | st.dictionaries(NAMES, inner, max_size=4),
+    lambda inner: st.lists(inner, max_size=3) | st.dictionaries(KEY_NAMES, inner, max_size=4),
     max_leaves=12,
 )
 
 
 @settings(max_examples=300, deadline=None)
-@given(st.dictionaries(NAMES, VALUES) | st.builds(lambda d: etcd(**d), st.dictionaries(NAMES, VALUES)))
-def test_anything_is_settings_or_named_faults(folder: Path, raw: dict[str, object]) -> None:
+@given(
+    st.dictionaries(KEY_NAMES, VALUES)
+    | st.builds(lambda d: etcd_tables(**d), st.dictionaries(KEY_NAMES, VALUES))
+)
+def test_parse_any_tables_yield_settings_or_faults(folder: Path, raw: dict[str, object]) -> None:
     try:
         got: object = parse(raw, folder)
     except OperatorSettingsError as err:
@@ -365,15 +407,15 @@
     assert all(any(path in (name, repr(name)) for path in named) for name in unknown)
 
 
-def test_faults_are_bounded(tmp_path: Path) -> None:
-    with pytest.raises(OperatorSettingsError) as caught:
+def test_parse_many_faults_are_bounded(tmp_path: Path) -> None:
+    with pytest.raises(OperatorSettingsError) as error:
         parse({f"key{n}": 1 for n in range(5000)}, tmp_path)
-    lines = str(caught.value).splitlines()
+    lines = str(error.value).splitlines()
     assert len(lines) == 101 and lines[-1] == "and 4900 more"
 
 
 @pytest.mark.parametrize(
-    ("content", "named"),
+    ("content", "expected_fault"),
     [
         (b"a = 1\nb = '\xff'\n", "line 2: not UTF-8"),
         (b"[control]\nsocket = x\n", "line 2: not TOML: Invalid value"),
@@ -384,36 +426,40 @@
         (b"#" * (256 * 1024 + 1), "longer than 256 KiB"),
     ],
 )
-def test_a_spoiled_file_is_one_plain_fault(tmp_path: Path, content: bytes, named: str) -> None:
+def test_load_malformed_file_is_one_fault(tmp_path: Path, content: bytes, expected_fault: str) -> None:
     path = tmp_path / "s.toml"
     path.write_bytes(content)
-    with pytest.raises(OperatorSettingsError) as caught:
+    with pytest.raises(OperatorSettingsError) as error:
         load(path)
-    assert named in str(caught.value) and len(str(caught.value).splitlines()) == 1
+    assert expected_fault in str(error.value) and len(str(error.value).splitlines()) == 1
 
 
-def test_a_file_that_is_not_there_is_named(tmp_path: Path) -> None:
+def test_load_missing_file_is_named(tmp_path: Path) -> None:
     with pytest.raises(OperatorSettingsError, match=r"s\.toml': No such file"):
         load(tmp_path / "s.toml")
 
 
-def test_a_pipe_holds_nobody_up(tmp_path: Path) -> None:
+def test_load_named_pipe_does_not_block(tmp_path: Path) -> None:
     os.mkfifo(tmp_path / "s.toml")
     with pytest.raises(OperatorSettingsError, match="no plain file"):
         load(tmp_path / "s.toml")
 
 
-def test_relative_paths_start_at_the_files_folder(folder: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_load_relative_paths_are_relative_to_the_file(folder: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     (folder / "s.toml").write_text('[membership.etcd]\nuser = "u"\npassword_file = "password"\n')
     monkeypatch.chdir(folder.parent)
-    got = load(Path(folder.name) / "s.toml").membership.etcd
-    assert got is not None and got.password == SECRET and got.password_file == folder / "password"
+    etcd_settings = load(Path(folder.name) / "s.toml").membership.etcd
+    assert (
+        etcd_settings is not None
+        and etcd_settings.password == SECRET
+        and etcd_settings.password_file == folder / "password"
+    )
 
 
-def test_changes_are_told_and_no_secret_with_them(folder: Path, tmp_path: Path) -> None:
+def test_changes_are_listed_without_secrets(folder: Path, tmp_path: Path) -> None:
     (tmp_path / "password").write_text("another")
     keys: dict[str, Any] = {"user": "u", "password_file": "password"}
-    old, new = parse(etcd(**keys), folder), parse(etcd(**keys, epoch=2), tmp_path)
+    old, new = parse(etcd_tables(**keys), folder), parse(etcd_tables(**keys, epoch=2), tmp_path)
     lines = changes(old, new)
     assert lines[1:] == ["membership.etcd.epoch is 2, was 0", "membership.etcd.password changed"]
     assert lines[0].startswith("membership.etcd.password_file is ")
@@ -424,55 +470,63 @@
     )
 
 
-def test_a_certificate_renewed_in_its_place_is_a_change(folder: Path, tmp_path: Path) -> None:
-    """Guards against a node that goes on with a certificate until it runs out, as its path is the same."""
+def test_changes_renewed_certificate_with_the_same_path_is_listed(folder: Path, tmp_path: Path) -> None:
+    """Its path is the same, so a node that compares paths would use the old certificate until it expires."""
     for name in ("tls.crt", "tls.key"):
         (tmp_path / name).write_bytes((folder / name).read_bytes())
-    told = etcd(endpoints=["https://a:1"], ca="tls.crt", cert="tls.crt", key="tls.key")
-    old = parse(told, tmp_path)
-    assert changes(old, parse(told, tmp_path)) == []
-    (tmp_path / "tls.crt").write_bytes(renewed(tmp_path / "tls.crt", tmp_path / "tls.key"))
-    new = parse(told, tmp_path)
+    raw = etcd_tables(endpoints=["https://a:1"], ca="tls.crt", cert="tls.crt", key="tls.key")
+    old = parse(raw, tmp_path)
+    assert changes(old, parse(raw, tmp_path)) == []
+    (tmp_path / "tls.crt").write_bytes(renewed_certificate(tmp_path / "tls.crt", tmp_path / "tls.key"))
+    new = parse(raw, tmp_path)
     assert changes(old, new) == ["membership.etcd.certificates changed"] and old != new
     assert new.membership.etcd is not None and new.membership.etcd.certificates not in repr(new)
 
 
-KEY, OLDER = "0123456789abcdef" * 2, "fedcba98" * 8
+KEY, OLD_KEY = "0123456789abcdef" * 2, "fedcba98" * 8
 
 
-def peers(folder: Path, text: str = KEY, mode: int = 0o600, **keys: Any) -> dict[str, object]:
-    """A file's tables with these keys in `[peers]`, beside a key file."""
+def peers_tables(folder: Path, text: str = KEY, mode: int = 0o600, **keys: Any) -> dict[str, object]:
+    """The tables of a file with these keys in `[peers]`; also writes the key file."""
     (folder / "peers.key").write_bytes(text.encode("latin-1"))
     (folder / "peers.key").chmod(mode)
     return {"peers": {"key_file": "peers.key", **keys}}
 
 
-def test_peers_arrive_with_their_keys_which_nobody_is_shown(tmp_path: Path) -> None:
-    raw = peers(
+def test_parse_peers_keys_are_parsed_and_not_shown(tmp_path: Path) -> None:
+    raw = peers_tables(
         tmp_path,
-        f"# new\n{KEY}\n{OLDER}\n",
+        f"# new\n{KEY}\n{OLD_KEY}\n",
         listen="0.0.0.0:7000",
         address="10.0.0.1:7001",
         seeds=["10.0.0.1:7001", "10.0.0.2:7001"],
     )
-    one, other = parse(raw, tmp_path), parse(peers(tmp_path, OLDER), tmp_path)
-    got = one.peers
-    assert got is not None and KEY in got.keys and got.address == ("10.0.0.1", 7001)
-    assert got.seeds == (("10.0.0.1", 7001), ("10.0.0.2", 7001))
-    lines = changes(other, one)
+    new, old = parse(raw, tmp_path), parse(peers_tables(tmp_path, OLD_KEY), tmp_path)
+    peers_settings = new.peers
+    assert (
+        peers_settings is not None
+        and KEY in peers_settings.keys
+        and peers_settings.address == ("10.0.0.1", 7001)
+    )
+    assert peers_settings.seeds == (("10.0.0.1", 7001), ("10.0.0.2", 7001))
+    lines = changes(old, new)
     assert "peers.keys changed" in lines
-    said = "\n".join([*one.enabled_tables(), *lines, repr(one)])
-    assert KEY not in said and OLDER not in said and "10.0.0.2:7001" in said
+    shown_text = "\n".join([*new.enabled_tables(), *lines, repr(new)])
+    assert KEY not in shown_text and OLD_KEY not in shown_text and "10.0.0.2:7001" in shown_text
 
 
-@pytest.mark.parametrize(("mode", "open_"), [(0o600, False), (0o640, False), (0o644, True), (0o660, True)])
-def test_a_key_file_that_others_may_use_is_told(tmp_path: Path, mode: int, open_: bool) -> None:
-    said = parse(peers(tmp_path, mode=mode), tmp_path).enabled_tables()[0]
-    assert ("WARNING" in said) is open_ and (f"{mode:04o}" in said) is open_
+@pytest.mark.parametrize(
+    ("mode", "has_warning"), [(0o600, False), (0o640, False), (0o644, True), (0o660, True)]
+)
+def test_summary_warns_if_others_can_access_the_key_file(
+    tmp_path: Path, mode: int, has_warning: bool
+) -> None:
+    summary = parse(peers_tables(tmp_path, mode=mode), tmp_path).enabled_tables()[0]
+    assert ("WARNING" in summary) is has_warning and (f"{mode:04o}" in summary) is has_warning
 
 
 @pytest.mark.parametrize(
-    ("keys", "text", "path", "named"),
+    ("keys", "text", "path", "expected_fault"),
     [
         ({}, "secret\n", "key_file", "line 1: not a key"),
         ({}, "\n", "key_file", "0 keys"),
@@ -487,13 +541,13 @@
         ({"listen": "[::1]:1", "address": "10.0.0.1:1"}, KEY, "address", "all IPv4 or all IPv6"),
     ],
 )
-def test_peers_that_make_no_sense_are_named(
-    tmp_path: Path, keys: dict[str, Any], text: str, path: str, named: str
+def test_parse_peers_invalid_value_is_named(
+    tmp_path: Path, keys: dict[str, Any], text: str, path: str, expected_fault: str
 ) -> None:
-    found = faults(peers(tmp_path, text, **keys), tmp_path)
-    assert list(found) == [f"peers.{path}"] and named in found[f"peers.{path}"]
+    found = faults_by_path(peers_tables(tmp_path, text, **keys), tmp_path)
+    assert list(found) == [f"peers.{path}"] and expected_fault in found[f"peers.{path}"]
     assert "secret" not in found[f"peers.{path}"]
 
 
-def test_peers_need_a_key(tmp_path: Path) -> None:
-    assert list(faults({"peers": {}}, tmp_path)) == ["peers.key_file"]
+def test_parse_peers_without_a_key_file_is_named(tmp_path: Path) -> None:
+    assert list(faults_by_path({"peers": {}}, tmp_path)) == ["peers.key_file"]
--- a/tests/policy/test_any_settings.py
+++ b/tests/policy/test_any_settings.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from balancer import interface as api
-from balancer.platform_settings import read
+from balancer.platform_settings import parse_json
 from balancer.policy.balancer import Balancer
 from tests.helpers import (
     LOOKING,
@@ -358,7 +358,7 @@
 @pytest.mark.parametrize("seed", range(50))
 def test_all_that_a_site_may_say_is_read(seed: int) -> None:
     cfg = any_settings(random.Random(seed))
-    assert read(told(cfg)) == cfg
+    assert parse_json(told(cfg)) == cfg
 
 
 @settings(max_examples=100, deadline=None, derandomize=True, database=None)
--- a/tests/test_platform_settings.py
+++ b/tests/test_platform_settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings: what is read, what is named as senseless, what holds where nothing is told."""
+"""The platform's settings: parsing, faults and defaults."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 import pytest
 
 from balancer import interface as api
-from balancer import platform_settings as settings
+from balancer import platform_settings
 from tests.helpers import BOOT, INFO
 
 
-def test_settings_read_and_unknown_keys_skipped() -> None:
-    got = settings.read(BOOT)
-    assert got.classes[0].latency_objective_ms == 400.0 and got.max_attempts == 3
-    assert got.load_report_fields == ("waiting", "active")
+def test_parse_json_unknown_keys_are_ignored() -> None:
+    settings = platform_settings.parse_json(BOOT)
+    assert settings.classes[0].latency_objective_ms == 400.0 and settings.max_attempts == 3
+    assert settings.load_report_fields == ("waiting", "active")
 
 
 @pytest.mark.parametrize(
-    ("change", "named"),
+    ("changes", "expected_fault"),
     [
         ({"request-classes": []}, "request-classes is missing"),
         ({"request-classes": [{"name": "x", "effect": "odd", "give-up": 1}]}, r"effect.*'odd'"),
@@ -45,18 +45,18 @@
         ({"zone": 4}, "zone makes no sense: 4"),
     ],
 )
-def test_senseless_settings_are_named(change: dict[str, object], named: str) -> None:
-    with pytest.raises(api.SettingsError, match=named):
-        settings.read(json.dumps(INFO | change))
+def test_parse_json_invalid_setting_is_named(changes: dict[str, object], expected_fault: str) -> None:
+    with pytest.raises(api.SettingsError, match=expected_fault):
+        platform_settings.parse_json(json.dumps(INFO | changes))
 
 
-def test_all_faults_are_named_at_once() -> None:
+def test_find_faults_returns_all_faults() -> None:
     rows = [
         {"name": "a", "effect": "odd", "give-up": "long", "objective": 0, "streamed": 1},
         7,
         {"effect": "dedup", "give-up": 0},
     ]
-    told: dict[str, object] = {
+    raw: dict[str, object] = {
         "request-classes": rows,
         "group-size": 2.5,
         "charges": 3,
@@ -65,7 +65,7 @@
         "rules": {"cold-share": 1.5, "fall": -1},
         "projects": [{"share": -1}],
     }
-    assert set(settings.faults(INFO | told)) == {
+    assert set(platform_settings.find_faults(INFO | raw)) == {
         "request-classes[1] makes no sense: 7",
         "request-classes[0].effect makes no sense: 'odd'",
         "request-classes[0].give-up makes no sense: 'long'",
@@ -82,12 +82,12 @@
         "projects[0].name is missing",
         "projects[0].share makes no sense: -1",
     }
-    assert settings.faults({}) == ["request-classes is missing"]
-    assert settings.faults(INFO) == []
+    assert platform_settings.find_faults({}) == ["request-classes is missing"]
+    assert platform_settings.find_faults(INFO) == []
 
 
-def test_every_setting_of_the_wire_page_arrives() -> None:
-    told = INFO | {
+def test_parse_json_every_setting_is_parsed() -> None:
+    raw = INFO | {
         "blend": {"nines": 0.2, "top-nines": 4.0, "slow-end": 0.3, "miss-allowed": 0.02, "whole": 0.5},
         "charges": {"peer": 0.01, "moves": 0.02, "origin": 0.03, "fleet": 0.04, "discovery": 0.05},
         "client-habits": {"marks-retry": True},
@@ -95,7 +95,7 @@
         "kinds": ["k"],
         "failure-domains": ["a", "b"],
     }
-    told["limits"] = {
+    raw["limits"] = {
         "conn-idle": 5000.0,
         "streams-per-conn": 7,
         "max-open": 9,
@@ -105,42 +105,57 @@
         "retry-after": True,
         "max-retry-after": 250.0,
     }
-    got = settings.read(json.dumps(told))
+    settings = platform_settings.parse_json(json.dumps(raw))
     assert (
-        got.score_weights.nines,
-        got.score_weights.top_nines,
-        got.score_weights.slow_tail,
-        got.score_weights.allowed_miss_rate,
+        settings.score_weights.nines,
+        settings.score_weights.top_nines,
+        settings.score_weights.slow_tail,
+        settings.score_weights.allowed_miss_rate,
     ) == (
         0.2,
         4.0,
         0.3,
         0.02,
     )
-    charges = got.prices
-    assert (charges.peer, charges.moves, charges.origin, charges.fleet, charges.discovery) == (
+    prices = settings.prices
+    assert (prices.peer, prices.moves, prices.origin, prices.fleet, prices.discovery) == (
         0.01,
         0.02,
         0.03,
         0.04,
         0.05,
     )
-    assert got.are_retries_marked and got.has_warm_keys and got.forwards_deadline and got.may_message_peers
-    assert got.backend_kinds == ("k",) and got.zones == ("a", "b")
-    assert (got.connection_idle_ms, got.streams_per_connection, got.max_open_requests) == (5000.0, 7, 9)
-    assert (got.cpu_us_per_s, got.cpu_us_per_request, got.max_retry_after_ms) == (8000.0, 2.5, 250.0)
+    assert (
+        settings.are_retries_marked
+        and settings.has_warm_keys
+        and settings.forwards_deadline
+        and settings.may_message_peers
+    )
+    assert settings.backend_kinds == ("k",) and settings.zones == ("a", "b")
+    assert (settings.connection_idle_ms, settings.streams_per_connection, settings.max_open_requests) == (
+        5000.0,
+        7,
+        9,
+    )
+    assert (settings.cpu_us_per_s, settings.cpu_us_per_request, settings.max_retry_after_ms) == (
+        8000.0,
+        2.5,
+        250.0,
+    )
 
 
-def test_what_is_not_told_is_read_with_caution() -> None:
-    bare = settings.read(json.dumps({"request-classes": INFO["request-classes"]}))
+def test_parse_json_omitted_settings_have_cautious_defaults() -> None:
+    settings = platform_settings.parse_json(json.dumps({"request-classes": INFO["request-classes"]}))
     assert (
-        bare.slow_start_initial_fraction < 1
-        and bare.slow_start_duration_ms > 0
-        and bare.overload_multiple <= 1
+        settings.slow_start_initial_fraction < 1
+        and settings.slow_start_duration_ms > 0
+        and settings.overload_multiple <= 1
     )
     assert (
-        bare.classes[0].deduplication_scope is api.DeduplicationScope.CELL
-        and bare.classes[0].deduplication_window_ms == 0
+        settings.classes[0].deduplication_scope is api.DeduplicationScope.CELL
+        and settings.classes[0].deduplication_window_ms == 0
+    )
+    assert not (
+        settings.probing_enabled or settings.may_cancel or settings.may_hedge or settings.may_message_peers
     )
-    assert not (bare.probing_enabled or bare.may_cancel or bare.may_hedge or bare.may_message_peers)
-    assert bare.max_attempts == 1 and bare.must_poll
+    assert settings.max_attempts == 1 and settings.must_poll
