--- a/balancer/endpoints.py
+++ b/balancer/endpoints.py
@@ -1,6 +1,6 @@
 """Records of endpoints, and the parser and checks of discovery's JSON format.
 
-Times are in milliseconds. An invalid entry is reported beside the valid ones; an invalid list raises
+Times are in milliseconds. Invalid entries are returned next to the valid ones; an invalid list raises
 `EndpointListError`.
 """
 
--- a/balancer/operator_settings/__init__.py
+++ b/balancer/operator_settings/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' settings: a validated TOML file besides the platform's configuration.
+"""The operators' settings: a validated TOML file in addition to the platform's configuration.
 
 - `file`: `OperatorSettings`, the complete file; `load` and `parse` create it from a file or from its TOML
   tables, and raise `OperatorSettingsError`.
--- a/balancer/operator_settings/membership.py
+++ b/balancer/operator_settings/membership.py
@@ -58,7 +58,7 @@
         for key_name in ("ca", "cert", "key"):
             if key_name in values and schemes == {"http"}:
                 location.key(key_name).add_fault(
-                    "a certificate or key beside http endpoints", "it only with https"
+                    "a certificate or key beside http endpoints", "certificates and keys only with https"
                 )
         for pair in (("cert", "key"), ("user", "password_file")):
             for name, other in (pair, pair[::-1]):
--- a/balancer/operator_settings/table.py
+++ b/balancer/operator_settings/table.py
@@ -25,7 +25,7 @@
 
     __slots__ = ()
     required_tables: ClassVar[tuple[str, ...]] = ()
-    """Tables that have to be present beside this one."""
+    """Other tables that must be present if this one is."""
 
     @classmethod
     def validate(cls, values: dict[str, Any], given: Set[str], location: Location) -> None:
--- a/balancer/protocol/etcd_entry.py
+++ b/balancer/protocol/etcd_entry.py
@@ -1,11 +1,11 @@
 """Parses a key and its value in etcd as an endpoint.
 
-The part of the key behind the prefix is the endpoint's id. Values have one of two formats:
+The part of the key after the prefix is the endpoint's id. Values have one of two formats:
 
 - `member`: the entry as discovery lists it, in JSON; its `id` may be omitted, as the key has it.
 - `grpc-naming`: what gRPC's naming writes into etcd (etcd's docs, "gRPC naming and discovery"):
-  `{"Op":0,"Addr":"HOST:PORT","Metadata":...}`. `Op` 1 removes the endpoint. Nothing else is known of it: its
-  weight is 1, and it cannot be draining.
+  `{"Op":0,"Addr":"HOST:PORT","Metadata":...}`. `Op` 1 removes the endpoint. No other field is used: the
+  weight is 1, and the endpoint cannot be draining.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 ENTRY_FORMATS = ("member", "grpc-naming")
 MAX_VALUE_BYTES = 64 * 1024  # an entry has some hundred bytes
-MAX_QUOTED_BYTES = 60  # of an invalid value, in the reason
+MAX_QUOTED_BYTES = 60  # of an invalid value, in the fault text
 GRPC_NAMING_ADD, GRPC_NAMING_DELETE = 0, 1
 
 
@@ -33,14 +33,14 @@
 
 
 class KeyId(NamedTuple):
-    """The endpoint id in a key. With a `fault`, the id holds a `/` and is that of no endpoint."""
+    """The endpoint id in a key. With a `fault`, the id contains a `/` and belongs to no endpoint."""
 
     endpoint_id: str
     fault: str | None = None
 
 
 def endpoint_id_of_key(key: bytes, key_prefix: bytes) -> KeyId:
-    """The id that a key names, or a text that stands for the key and why it names none."""
+    """The endpoint id in a key, or a text that represents the key, and why it has no id."""
     if not key.startswith(key_prefix):
         return KeyId(f"/{key[:MAX_TEXT_CHARACTERS]!r}", "the key is not below the prefix")
     suffix = key[len(key_prefix) :]
--- a/balancer/protocol/etcd_watch/event_reader.py
+++ b/balancer/protocol/etcd_watch/event_reader.py
@@ -1,4 +1,4 @@
-"""Reads the events of a long line piece by piece, so that the event loop is not held up by one line."""
+"""Decodes the events of a long line in steps, so that one line does not block the event loop."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class EventReader:
-    """The events of one line, taken some at a time: those decoded already, then those of the text.
+    """The events of one line, a few at a time: the decoded ones, then those of the text.
 
     `json` cannot pause within a line of megabytes, so each event is decoded by itself.
     """
@@ -42,7 +42,7 @@
     def _decode_next(self) -> None:
         event, position = JSON_DECODER.raw_decode(self._text, self._position)
         separator = EVENT_SEPARATOR.match(self._text, position, self._end)
-        # A comma belongs between two events, and not behind the last one.
+        # A comma is required between two events, and not allowed after the last one.
         if separator is None or bool(separator[1]) == (separator.end() == self._end):
             raise ValueError(f"no list of events: char {position}")
         self._events.append(event)
--- a/balancer/protocol/etcd_watch/json_fields.py
+++ b/balancer/protocol/etcd_watch/json_fields.py
@@ -1,4 +1,4 @@
-"""Typed fields of the gateway's JSON. What is not etcd's raises UnexpectedShapeError."""
+"""Parsers of the fields of the gateway's JSON. They raise UnexpectedShapeError for an unexpected type."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def printable(text: str) -> str:
-    """An endpoint's text for the log: on one line, bounded, without control characters."""
+    """A text from an endpoint for the log: on one line, bounded, without control characters."""
     text = text[:MAX_LOGGED_CHARACTERS]
     return text if text.isprintable() else ascii(text)
 
@@ -69,7 +69,7 @@
 
 
 def parse_header(value: object) -> ResponseHeader:
-    """A header. The cluster id is required, as clusters could not be told apart without."""
+    """A header. The cluster id is required, as it distinguishes clusters."""
     raw = require_object(value)
     cluster_id = parse_integer(raw.get("cluster_id"))
     if not cluster_id:
@@ -98,7 +98,7 @@
 
 
 def parse_event(value: object) -> KeyValue:
-    """An event of a watch, at a revision of its own."""
+    """An event of a watch, which has its own revision."""
     raw = require_object(value)
     event_type = raw.get("type")
     if event_type not in (None, "PUT", "DELETE", 0, 1):
--- a/balancer/protocol/etcd_watch/requests.py
+++ b/balancer/protocol/etcd_watch/requests.py
@@ -31,7 +31,7 @@
     def range_request(
         self, after_key: bytes = b"", revision: int = 0, max_keys: int = DEFAULT_PAGE_KEYS, token: str = ""
     ) -> bytes:
-        """A linearizable page of the keys behind `after_key`, as of `revision` (0: the current one)."""
+        """Request a linearizable page of the keys after `after_key` at `revision` (0: the current one)."""
         first_key = _base64_text(after_key + b"\0") if after_key else self._first_key
         body: dict[str, Any] = {"key": first_key, "range_end": self._range_end, "limit": max_keys}
         if revision:
@@ -39,10 +39,10 @@
         return self._post_request("/v3/kv/range", body, token)
 
     def check_request(self, token: str = "", count: bool = False) -> bytes:
-        """A linearizable read of one key, which only a member that reaches its quorum can answer.
+        """Request a linearizable read of one key, which only a member that reaches a quorum can answer.
 
-        The key is the prefix itself: whoever may read the endpoints may read it, and etcd need not walk its
-        index. With `count` etcd walks, and returns the number of keys below the prefix.
+        The key is the prefix itself: a user who may read the endpoints may read it, and etcd need not scan
+        its index. With `count` etcd scans it, and returns the number of keys below the prefix.
         """
         body: dict[str, Any] = {"key": self._first_key, "count_only": True, "serializable": False}
         if count:
@@ -50,7 +50,7 @@
         return self._post_request("/v3/kv/range", body, token)
 
     def watch_request(self, start_revision: int, token: str = "") -> bytes:
-        """A watch of all keys below the prefix from `start_revision` on."""
+        """Request a watch of all keys below the prefix, starting at `start_revision`."""
         create_request = {
             "key": self._first_key,
             "range_end": self._range_end,
@@ -61,7 +61,7 @@
         return self._post_request("/v3/watch", {"create_request": create_request}, token)
 
     def authenticate_request(self, user: str, password: str) -> bytes:
-        """A log-in, which is answered by a token."""
+        """Request a token for a user and password."""
         return self._post_request("/v3/auth/authenticate", {"name": user, "password": password}, "")
 
     def _post_request(self, path: str, body: dict[str, Any], token: str) -> bytes:
--- a/balancer/protocol/etcd_watch/response_decoder.py
+++ b/balancer/protocol/etcd_watch/response_decoder.py
@@ -1,4 +1,4 @@
-"""Decodes the response to one call, cut anywhere, into messages."""
+"""Decodes the response to one call, received in pieces of any size, into messages."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 from balancer.protocol.etcd_watch.responses import InvalidResponse, Message, ResponseFault
 
 MAX_LINE_BYTES = 8 * 1024 * 1024
-"""Of a line of a watch, and of any other response as a whole.
+"""The limit of a line of a watch, and of the body of any other response.
 
 A transaction of etcd's default limit, 1.5 MiB, makes a line of 2 MB, and etcd fragments longer batches.
 """
 MAX_HEAD_BYTES = 16 * 1024
-"""Of a status line with its headers, of trailers, and of the size line of a chunk."""
+"""The limit of a status line with its headers, of trailers, and of the size line of a chunk."""
 LARGE_LINE_BYTES = 64 * 1024
-"""A line of a watch from this size on is decoded event by event."""
+"""A line of a watch of at least this size is decoded event by event."""
 MAX_EVENTS_PER_MESSAGE = 250
-"""Longer lists of events become several messages, as if etcd had fragmented them."""
+"""Longer lists of events are split into several messages, as if etcd had fragmented them."""
 MAX_DETAIL_CHARACTERS = 120
 OK = 200
 
@@ -39,7 +39,7 @@
 
 
 class EventBatch(NamedTuple):
-    """What the events of a line have in common."""
+    """The fields that all events of a line share."""
 
     header: responses.ResponseHeader
     is_fragment: bool
@@ -68,7 +68,7 @@
         self._lines: deque[bytes] = deque()  # complete, and not decoded yet
         self._event_reader = EventReader([])  # of the line that is being decoded
         self._batch: EventBatch | None = None  # of the same line
-        self._invalid_response: InvalidResponse | None = None  # to be pulled behind the lines
+        self._invalid_response: InvalidResponse | None = None  # to be pulled after the lines
 
     def receive(self, data: bytes) -> list[Message]:
         """All messages that `data` completes."""
@@ -87,13 +87,13 @@
         return messages
 
     def feed(self, data: bytes) -> None:
-        """Take bytes, whose messages `pull` returns."""
+        """Take received bytes; `pull` returns their messages."""
         start = 0
         while start < len(data) and self._invalid_response is None and not self.has_ended:
             if self._is_complete:
                 self.is_reusable = False  # the bytes belong to no call
                 return
-            # A piece is never so long that a head could pass its bound unnoticed.
+            # Pieces are short enough that a head cannot exceed its bound unnoticed.
             piece = data[start : start + MAX_HEAD_BYTES + 1 - self._unframed_bytes]
             start += len(piece)
             self._unframed_bytes += len(piece)
@@ -120,7 +120,7 @@
             self._fail(ResponseFault.TRUNCATED, "the connection ended before the answer")
 
     def _end_watch(self) -> None:
-        """A server that ends puts no newline behind its error, nor always a last chunk."""
+        """A server that stops sends no newline after its error, and not always a last chunk."""
         try:
             json.loads(self._partial_line or b"{}")
         except (ValueError, RecursionError):
@@ -156,12 +156,12 @@
     # --- callbacks of httptools
 
     def on_message_begin(self) -> None:
-        """Another response begins: one that no call asked for must not be taken for that of the next call."""
+        """Another response begins: an unsolicited one must not be mistaken for that of the next call."""
         if self._is_complete:
             self.is_reusable = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take seconds of `Retry-After`, five digits at most; a date would need a common clock."""
+        """Parse `Retry-After` in seconds, five digits at most; a date would need synchronized clocks."""
         if name.lower() == b"retry-after" and value.strip().isdigit() and not self._is_complete:
             self._retry_after_s = int(value.strip()[:5])
 
@@ -173,7 +173,7 @@
         self._unframed_bytes = 0
 
     def on_body(self, body: bytes) -> None:
-        """Cut the body of a watch into lines, which are independent of chunks."""
+        """Split the body of a watch into lines, which are independent of chunks."""
         self._unframed_bytes = 0
         if self._invalid_response is not None or self._is_complete:
             return
@@ -257,7 +257,7 @@
                 return _decode_token(raw)
 
     def _decode_http_error(self, line: bytes) -> responses.GatewayError:
-        """The response to any other status than 200; a proxy before etcd need not answer in JSON."""
+        """Decode a response whose status is not 200; a proxy in front of etcd may not send JSON."""
         try:
             return self._decode_error(json_fields.require_object(json.loads(line)))
         except (ValueError, RecursionError, UnexpectedShapeError):
@@ -265,7 +265,7 @@
             return responses.GatewayError(0, text, self._http_status, self._retry_after_s)
 
     def _decode_error(self, raw: dict[str, Any]) -> responses.GatewayError:
-        """The error of a stream is an object, that of a call a text beside its code."""
+        """The error of a stream is an object; that of a call is a text next to its code."""
         error = raw.get("error")
         details = error if isinstance(error, dict) else raw
         code = details.get("grpc_code", details.get("code"))
@@ -276,7 +276,7 @@
         return responses.GatewayError(code or 0, message, self._http_status, self._retry_after_s)
 
     def _decode_watch(self, raw: dict[str, Any], event_reader: EventReader | None) -> Message:
-        """One line of a watch. A watch that is refused is created and canceled in the same line."""
+        """Decode a line of a watch. A rejected watch is created and canceled in the same line."""
         header = json_fields.parse_header(raw.get("header"))
         if json_fields.parse_flag(raw.get("canceled")):
             reason = raw.get("cancel_reason", "")
--- a/balancer/protocol/etcd_watch/responses.py
+++ b/balancer/protocol/etcd_watch/responses.py
@@ -67,7 +67,7 @@
 
 @dataclass(slots=True, frozen=True)
 class WatchEvents:
-    """Events, oldest first. More of the same batch follow a fragment, maybe of the same revision."""
+    """Events, oldest first. A fragment is followed by more of the same batch, maybe of the same revision."""
 
     header: ResponseHeader
     events: tuple[KeyValue, ...]
@@ -95,7 +95,7 @@
 
 @dataclass(slots=True, frozen=True)
 class GatewayError:
-    """etcd rejected the call, or ended a watch. `code` is gRPC's, or 0 if there was none.
+    """etcd rejected a call, or ended a watch. `code` is the gRPC status code, or 0 if there was none.
 
     `retry_after_s` is the `Retry-After` header in seconds, 0 if there was none.
     """
@@ -107,17 +107,17 @@
 
     @property
     def is_compacted(self) -> bool:
-        """The requested revision is compacted, or not reached yet: gRPC does not tell them apart."""
+        """The requested revision is compacted, or in the future; the gRPC code is the same."""
         return self.code == GRPC_OUT_OF_RANGE
 
     @property
     def is_auth_disabled(self) -> bool:
-        """Authentication is not enabled, so no log-in is possible or needed."""
+        """Authentication is not enabled, so a token is neither available nor needed."""
         return self.code == GRPC_FAILED_PRECONDITION and "authentication is not enabled" in self.message
 
     @property
     def is_token_expired(self) -> bool:
-        """A new log-in may help: the token expired, etcd was restarted, or authentication was enabled."""
+        """A new token may help: the old one expired, etcd restarted, or authentication was enabled."""
         return (
             self.code == GRPC_UNAUTHENTICATED
             or self.http_status == 401
@@ -126,7 +126,7 @@
 
     @property
     def is_overloaded(self) -> bool:
-        """etcd, or a proxy before it, is overloaded.
+        """etcd, or a proxy in front of it, is overloaded.
 
         A 503 of etcd itself is gRPC's UNAVAILABLE: it has no leader or no quorum.
         """
@@ -138,7 +138,7 @@
 
     @property
     def is_permission_denied(self) -> bool:
-        """The caller has no permission, or its log-in failed."""
+        """The user has no permission, or authentication failed."""
         return self.code == GRPC_PERMISSION_DENIED or _contains_any(
             self.message, "user name is empty", "authentication failed", "denied"
         )
@@ -146,14 +146,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Authenticated:
-    """Logged in. The token is never printed."""
+    """Authentication succeeded. The token is never printed."""
 
     token: str = field(repr=False)
 
 
 @dataclass(slots=True, frozen=True)
 class InvalidResponse:
-    """The response cannot be decoded; nothing further of it is."""
+    """The response cannot be decoded; decoding stops here."""
 
     fault: ResponseFault
     detail: str
--- a/balancer/protocol/gossip.py
+++ b/balancer/protocol/gossip.py
@@ -3,25 +3,26 @@
     version 1 | least 1 | key id 2 | counter 6 | incarnation 4 | name
     kind 1 | sequence 4 | target | address | records | sections | MAC 16
 
-Numbers are bytes. Text is a byte of length and UTF-8; an address is text, or a byte 255 and six bytes if it
-is IPv4. A record is a byte of length, state 1, incarnation 4, accuser id 2, name, address; whatever a later
-version puts behind that within the length is skipped. A record of length 0 ends the records.
+Numbers are sizes in bytes. A text is a byte with its length, then UTF-8. An address is a text, or for IPv4 a
+byte 255 and six bytes. A record is a byte with its length, state 1, incarnation 4, accuser id 2, name,
+address; fields that a later version appends within the length are skipped. A record of length 0 ends the
+records.
 
-Sections follow, each a byte of kind, a byte of length and that many bytes (`protocol/gossip_sections`). The
-first readers skipped all of them, later ones skip kinds that they do not know; a length that points behind
-the end ends them.
+Sections follow, each a byte with its kind, a byte with its length and the content
+(`protocol/gossip_sections`). The first version skipped all sections; later ones skip unknown kinds. A length
+that exceeds the datagram ends the sections.
 
-`least` is the oldest version of a reader that may take the datagram: a later version raises it only where an
-older reader would be misled.
+`least` is the oldest version that may read the datagram. A later version raises it only if an older reader
+would misinterpret the datagram.
 
-The message authentication code (MAC) is keyed BLAKE2s, 16 bytes, over all that is before it (RFC 7693). It is
-checked before anything behind the key's id is read. Each forged datagram costs one MAC, up to
-MAX_FORGED_PER_S; beyond that, only those from addresses are read that an authentic one came from lately.
+The message authentication code (MAC) is keyed BLAKE2s, 16 bytes, over everything before it (RFC 7693). It is
+checked before anything after the key id is parsed. Each forged datagram costs the computation of one MAC, up
+to MAX_FORGED_PER_S; beyond that, only datagrams from addresses that recently sent an authentic one are read.
 
-Replays are found by a window of counters for each sender's incarnation (as RFC 4303, section 3.4.3); a
+Replays are detected by a window of counters for each sender's incarnation (as in RFC 4303, section 3.4.3); a
 restarted sender has a greater incarnation. Datagrams with incarnation 0, by which a sender asks for its own,
-are not held against the window: an answer to each is all that they cost. A reader that restarts has no
-windows: what is replayed to it then is merged, which is harmless.
+bypass the window: a replay of one causes only a reply. A reader that restarts has no windows; datagrams
+that are replayed to it then are merged, which is harmless.
 """
 
 from __future__ import annotations
@@ -41,24 +42,24 @@
 MAC_BYTES = 16
 MAX_TEXT_BYTES = 64  # of a name or an address
 MIN_KEY_BYTES, MAX_KEY_BYTES = 16, 32
-MAX_KEYS = 8  # at once
-MAX_SENDERS = 8_192  # with a replay window, and known addresses; beyond, the longest unheard one is dropped
-REPLAY_WINDOW_COUNTERS = 64  # by so many a datagram may come late
-MAX_FORGED_PER_S = 2_000  # wrong MACs, before datagrams from unknown addresses are no longer read
+MAX_KEYS = 8  # in use at the same time
+MAX_SENDERS = 8_192  # with a replay window, and known addresses; the least recently heard one is dropped
+REPLAY_WINDOW_COUNTERS = 64  # a datagram may be delayed by fewer counters than this
+MAX_FORGED_PER_S = 2_000  # wrong MACs, after which datagrams from unknown addresses are not read
 
 _HEADER = Struct("!BB2sHIL")  # version, least, key id, counter (high, low), incarnation
 _MESSAGE_HEADER = Struct("!BL")  # kind, sequence
 _RECORD_HEADER = Struct("!BLH")  # state, incarnation, accuser id
-_OLDEST_READER_VERSION = 1  # `least` of what is written
+_OLDEST_READER_VERSION = 1  # `least` of written datagrams
 _IPV4_MARK = 255  # in place of a length, which is at most MAX_TEXT_BYTES
 
 PlainRecord = tuple[str, int, int, str, int]  # name, state, incarnation, address, accuser id
 MessageFields = tuple[int, int, str, str, Sequence[PlainRecord]]  # of a `Message`
-Sections = Sequence[tuple[int, bytes]]  # kind, and what the codec of that kind reads
+Sections = Sequence[tuple[int, bytes]]  # kind and encoded content
 
 
 class Message(NamedTuple):
-    """What a datagram says, with the fields of the failure detector's `Message`."""
+    """The content of a datagram, with the fields of the failure detector's `Message`."""
 
     kind: int
     sequence: int
@@ -70,7 +71,7 @@
 class AcceptedDatagram(NamedTuple):
     """An authentic datagram.
 
-    `is_current` is False if the sender was heard in a greater incarnation before.
+    `is_current` is False if a datagram of a greater incarnation of the sender was received before.
     """
 
     sender: str
@@ -81,7 +82,7 @@
 
 
 class RejectionReason(StrEnum):
-    """Why a datagram is not read. The values are labels of metrics."""
+    """Why a datagram is rejected. The values are labels of metrics."""
 
     TOO_LONG = "long"
     TOO_SHORT = "short"
@@ -94,20 +95,20 @@
 
 
 class RejectedDatagram(NamedTuple):
-    """A datagram that is not read."""
+    """A datagram that is rejected."""
 
     reason: RejectionReason
 
 
 class Key:
-    """A shared secret of 16 to 32 bytes. `id`: two bytes that tell which one it is, and nothing about it."""
+    """A shared secret of 16 to 32 bytes. `id` has two bytes that identify it without revealing it."""
 
     __slots__ = ("_state", "id")
 
     def __init__(self, secret: bytes) -> None:
         if not MIN_KEY_BYTES <= len(secret) <= MAX_KEY_BYTES:
             raise ValueError(f"a key has {len(secret)} bytes; {MIN_KEY_BYTES} to {MAX_KEY_BYTES} are allowed")
-        # The personalization is part of the wire format: with another one no other version accepts the MAC.
+        # The personalization is part of the wire format: with another one, the MAC is rejected elsewhere.
         self._state = blake2s(key=secret, digest_size=MAC_BYTES, person=b"dillport")
         self.id = blake2s(b"id", key=secret, digest_size=2, person=b"key id").digest()
 
@@ -115,20 +116,20 @@
         return f"<Key {self.id.hex()}>"
 
     def __reduce__(self) -> str:
-        raise TypeError("a key is not written down")
+        raise TypeError("a key cannot be pickled")
 
     def mac(self, data: bytes) -> bytes:
-        """The MAC of some bytes. The state after the key is copied, which saves a block each time."""
+        """The MAC of `data`. Copying the state after the key saves hashing one block each time."""
         state = self._state.copy()
         state.update(data)
         return state.digest()
 
 
 def parse_keys(text: str) -> tuple[Key, ...]:
-    """Read a file of keys: hexadecimal, one a line; the first signs, all verify.
+    """Parse the text of a key file: hexadecimal, one key a line; the first signs, all verify.
 
-    Blank lines and lines with # in front are skipped. Raises ValueError with all faults, by line, none of
-    which quotes what is there.
+    Blank lines and lines that begin with # are skipped. Raises ValueError with all faults by line, without
+    their content.
     """
     keys: dict[bytes, Key] = {}
     faults = []
@@ -162,7 +163,7 @@
 def _encode_address(text: str) -> bytes:
     host, _, port_text = text.rpartition(":")
     parts = host.split(".")
-    # Only what reads back as the same text: neither leading zeros nor other digits.
+    # Only addresses that are decoded to the same text: no leading zeros or digits outside ASCII.
     if len(parts) == 4 and all(part.isdecimal() and str(int(part)) == part for part in (*parts, port_text)):
         octets, port = [int(part) for part in parts], int(port_text)
         if max(octets) < 256 and port < 65_536:
@@ -171,12 +172,12 @@
 
 
 def record_size_bytes(record: PlainRecord) -> int:
-    """Bytes that a record takes in a datagram."""
+    """The size of a record in a datagram."""
     return 1 + _RECORD_HEADER.size + len(_encode_text(record[0])) + len(_encode_address(record[3]))
 
 
 def record_space_bytes(name: str, message: MessageFields) -> int:
-    """Bytes for records in a datagram of this sender with such a message."""
+    """The space for records in a datagram of this sender with this message."""
     _, _, target, address, _ = message
     texts_bytes = len(_encode_text(name)) + len(_encode_text(target)) + len(_encode_address(address))
     end_of_records_bytes = 1
@@ -185,7 +186,7 @@
 
 
 class Writer:
-    """Writes the datagrams of one node. `keys`: the first signs; they may be replaced at any time."""
+    """Writes the datagrams of one node. The first of `keys` signs; they may be replaced at any time."""
 
     def __init__(self, name: str, keys: Sequence[Key]) -> None:
         self.keys = keys
@@ -193,10 +194,10 @@
         self._counter = self._incarnation = 0
 
     def write(self, incarnation: int, message: MessageFields, sections: Sections = ()) -> bytes:
-        """One datagram; each has a counter of its own, so one that is to be sent twice is written twice.
+        """Write one datagram. Each has its own counter, so a datagram that is sent twice is written twice.
 
-        Raises ValueError if it would be longer than MAX_DATAGRAM_BYTES: `record_space_bytes` and
-        `record_size_bytes` tell before what fits.
+        Raises ValueError if it would be longer than MAX_DATAGRAM_BYTES; `record_space_bytes` and
+        `record_size_bytes` tell in advance what fits.
         """
         if incarnation != self._incarnation:
             self._incarnation, self._counter = incarnation, 0
@@ -230,7 +231,7 @@
 
 
 class _MalformedDatagramError(Exception):
-    """A length points behind the end, or a value is none of those that may be there."""
+    """A length exceeds the data, or a value is not allowed."""
 
 
 class _ByteReader:
@@ -274,7 +275,7 @@
     seen_bits: int
 
     def with_counter(self, counter: int) -> _ReplayWindow | None:
-        """The window after one more datagram; None if its counter was seen or is too old to tell."""
+        """The window after a datagram; None if its counter was seen, or is too old to be known."""
         lag = self.greatest_counter - counter
         if lag < 0:
             shift = min(-lag, REPLAY_WINDOW_COUNTERS)
@@ -287,17 +288,17 @@
 
 class _Freshness(Enum):
     CURRENT = auto()
-    STALE = auto()  # of an older incarnation than the greatest one heard
+    STALE = auto()  # of an older incarnation than the greatest one received
     REPLAYED = auto()
 
 
-_NEVER_HEARD = _ReplayWindow(0, 0, 0)
+_INITIAL_WINDOW = _ReplayWindow(0, 0, 0)
 
 
 class Reader:
-    """Reads the datagrams of all others; never raises, whatever came. `rejected_counts` counts by reason.
+    """Reads the datagrams of all other nodes; never raises. `rejected_counts` counts by reason.
 
-    `max_version`: the version that this reader understands.
+    `max_version` is the version that this reader understands.
     """
 
     def __init__(self, keys: Sequence[Key], max_version: int = PROTOCOL_VERSION) -> None:
@@ -311,7 +312,7 @@
 
     @property
     def keys(self) -> tuple[Key, ...]:
-        """All that verify; they may be replaced at any time."""
+        """All keys that verify; they may be replaced at any time."""
         return tuple(self._keys.values())
 
     @keys.setter
@@ -319,7 +320,7 @@
         self._keys = {key.id: key for key in keys}
 
     def read(self, now_ms: float, source: str, data: bytes) -> AcceptedDatagram | RejectedDatagram:
-        """What a datagram says, or why it is rejected; `source` is the address it came from."""
+        """The content of a datagram, or why it is rejected; `source` is the address it came from."""
         reason = self._rejection_by_header(data) or self._rejection_by_mac(now_ms, source, data)
         datagram = RejectedDatagram(reason) if reason else self._read_authentic(source, data)
         if isinstance(datagram, RejectedDatagram):
@@ -360,19 +361,19 @@
             return RejectedDatagram(RejectionReason.REPLAYED)
         if freshness is _Freshness.STALE:
             return datagram._replace(is_current=False)
-        if datagram.incarnation:  # any other may be an authentic one that somebody else sends once more
+        if datagram.incarnation:  # a datagram of incarnation 0 may be a replay from another address
             _refresh(self._known_addresses, source, None)
         return datagram
 
     def _note_counter(self, sender: str, incarnation: int, counter: int) -> _Freshness:
         if not incarnation:
             return _Freshness.CURRENT
-        held = self._replay_windows.get(sender, _NEVER_HEARD)
-        if incarnation < held.incarnation:
+        previous_window = self._replay_windows.get(sender, _INITIAL_WINDOW)
+        if incarnation < previous_window.incarnation:
             return _Freshness.STALE
         window: _ReplayWindow | None = _ReplayWindow(incarnation, counter, 1)
-        if incarnation == held.incarnation:
-            window = held.with_counter(counter)
+        if incarnation == previous_window.incarnation:
+            window = previous_window.with_counter(counter)
         if window is None:
             return _Freshness.REPLAYED
         _refresh(self._replay_windows, sender, window)
@@ -383,7 +384,7 @@
 
 
 def _refresh(table: OrderedDict[str, _Value], key: str, value: _Value) -> None:
-    """Set an entry and put it last; drop the first one if there are over MAX_SENDERS."""
+    """Set an entry and move it to the end; drop the first one if there are more than MAX_SENDERS."""
     table[key] = value
     table.move_to_end(key)
     if len(table) > MAX_SENDERS:
@@ -391,7 +392,7 @@
 
 
 def _parse(data: bytes) -> tuple[int, AcceptedDatagram]:
-    """The counter of a datagram and what it says, as if it were current."""
+    """The counter and the content of a datagram, as if it were current."""
     _, _, _, counter_high, counter_low, incarnation = _HEADER.unpack_from(data)
     reader = _ByteReader(data, _HEADER.size, len(data) - MAC_BYTES)
     sender = reader.text()
--- a/balancer/protocol/gossip_sections.py
+++ b/balancer/protocol/gossip_sections.py
@@ -15,7 +15,7 @@
 
 Integers are big-endian with the length given in bytes. A text is a byte with its length, then UTF-8. A number
 is a varint: seven bits to a byte, lowest first, the eighth bit set if more follow. A source in NODE_STATE is
-a byte, the index in WELL_KNOWN_SOURCES, or 0 followed by its name as text. What follows the known fields of
+a byte, the index in WELL_KNOWN_SOURCES, or 0 followed by its name as text. Data after the known fields of
 NODE_STATE is skipped, so that later versions may append fields.
 
 Decoders never raise: they return None for data that cannot be decoded, or leave out an incomplete last
@@ -29,7 +29,7 @@
 from typing import NamedTuple
 
 NODE_STATE, QUOTA_REPORT, TREE_DIGESTS, LEAF_ENTRIES, REMOVALS, REMOVALS_QUERY = range(1, 7)
-# Of a datagram that has sections and no records. Older nodes count it as a sign of life of the sender.
+# Of a datagram that has sections and no records. Older nodes treat it as evidence that the sender is alive.
 MESSAGE_KIND = 8
 MAX_TEXT_BYTES = 48  # longer texts are truncated
 MAX_SOURCES = 4
@@ -46,7 +46,7 @@
 _UINT32 = Struct("!L")
 _QUERY_TAIL = Struct("!LQ")
 
-# The fields of `NodeState`, as a caller may hold them in a type of its own.
+# The fields of `NodeState`, so that a caller may pass a type of its own.
 NodeStateFields = tuple[
     str,
     int,
@@ -65,7 +65,7 @@
 
 
 class SourcePosition(NamedTuple):
-    """How far a node has followed a source."""
+    """The position up to which a node has followed a source."""
 
     source: str
     identity_hash: int
@@ -74,7 +74,7 @@
 
 
 class NodeState(NamedTuple):
-    """What a node advertises of itself (`core/cluster/node_state` gives the meaning of the fields)."""
+    """The state that a node advertises (`core/cluster/node_state` defines the fields)."""
 
     name: str
     incarnation: int
@@ -100,7 +100,7 @@
 
 
 class QuotaReport(NamedTuple):
-    """What a node has recorded of newcomers (`core/cluster/quota_allocation`)."""
+    """The newcomers that a node has recorded (`core/cluster/quota_allocation`)."""
 
     node_index: int
     incarnation: int
@@ -140,7 +140,7 @@
 
 
 class Removals(NamedTuple):
-    """Removals by a source within an identity of it."""
+    """Removals by one identity of a source."""
 
     source: str
     identity_hash: int
@@ -326,7 +326,7 @@
 
 
 def _decode_text(data: bytes, offset: int) -> tuple[str, int]:
-    """The text at an offset, and the offset behind it; raises IndexError if it is truncated."""
+    """The text at an offset, and the offset after it; raises IndexError if it is truncated."""
     end = offset + 1 + data[offset]
     if end > len(data):
         raise IndexError
@@ -343,7 +343,7 @@
 
 
 def _decode_number(data: bytes, offset: int) -> tuple[int, int]:
-    """The number at an offset, and the offset behind it; raises IndexError if it is truncated or too long."""
+    """The number at an offset, and the offset after it; raises IndexError if it is truncated or too long."""
     value = shift = 0
     while True:
         value |= (data[offset] & 127) << shift
--- a/balancer/protocol/platform_list.py
+++ b/balancer/protocol/platform_list.py
@@ -160,8 +160,8 @@
     def _handle_line(self, line: bytes) -> None:
         """Handle a line of a watch: an object, a part of one, or a heartbeat.
 
-        An object that a heartbeat or a complete list shows to be truncated is passed on as it is, so that it
-        does not swallow the lines that follow it.
+        An object that a heartbeat or a complete list shows to be truncated is passed on as it is, so that the
+        lines that follow it are not taken as parts of it.
         """
         stripped_line = line.strip()
         if not stripped_line:
--- a/balancer/simulator/adapter.py
+++ b/balancer/simulator/adapter.py
@@ -35,14 +35,14 @@
             if line == "GO":
                 reply_lines.append("FINISHED")
                 return reply_lines
-            word = line[: line.index(" ")] if " " in line else line
-            if word == "CONTEXT":
+            message_type = line[: line.index(" ")] if " " in line else line
+            if message_type == "CONTEXT":
                 instance_id = self._parse_context(line)
                 continue
-            if word == "START":
+            if message_type == "START":
                 self._start_instance(instance_id, line)
                 continue
-            if word == "STOP":
+            if message_type == "STOP":
                 self.instances.pop(instance_id, None)
                 continue
             if instance_id not in self.instances:
@@ -50,12 +50,12 @@
                     f"event for instance {instance_id}, which was never started: {line[:120]!r}"
                 )
             balancer, settings = self.instances[instance_id]
-            event = self._parse_event(line, word, settings, lines)
+            event = self._parse_event(line, message_type, settings, lines)
             try:
                 actions = balancer.handle(now_ms, event)
             except CallError:
                 raise
-            except Exception as err:  # the protocol reports a failed decision module; the process goes on
+            except Exception as err:  # the protocol reports a failed decision module; the process continues
                 reply_lines.append(f"SPEAKING {instance_id}")
                 reply_lines.append(f"EXCEPTION {type(err).__name__}: {' '.join(str(err).split())[:200]}")
                 last_speaker_id = instance_id
@@ -84,8 +84,8 @@
         self.instances[instance_id] = (Balancer(settings, int(parts[1])), settings)
 
     @staticmethod
-    def _parse_event(line: str, word: str, settings: Settings, lines: Iterator[str]) -> Event:
-        if word != "DIRECTORY_UPDATE":
+    def _parse_event(line: str, message_type: str, settings: Settings, lines: Iterator[str]) -> Event:
+        if message_type != "DIRECTORY_UPDATE":
             return wire.parse_event(line, settings.load_report_fields)
         update, entry_count = wire.parse_list_update(line)
         for _ in range(entry_count):
@@ -98,8 +98,8 @@
     host = ModuleHost()
     lines = (line.rstrip("\n") for line in source)
     for line in lines:
-        word, _, clock_text = line.partition(" ")
-        if word != "SYNC":
+        message_type, _, clock_text = line.partition(" ")
+        if message_type != "SYNC":
             raise wire.WireError(f"expected SYNC, got {line[:120]!r}")
         try:
             now_ms = wire.parse_number(clock_text)
--- a/balancer/simulator/wire.py
+++ b/balancer/simulator/wire.py
@@ -64,9 +64,9 @@
 def parse_entry(line: str) -> api.Endpoint:
     """Parse an ENTRY line of a list."""
     try:
-        word, cell, kind, backend, weight_text, phase, started_at_ms, zone = line.split(" ")
+        message_type, cell, kind, backend, weight_text, phase, started_at_ms, zone = line.split(" ")
         weight = 1.0 if weight_text == "-" else parse_number(weight_text)
-        if word != "ENTRY" or not backend or weight < 0:
+        if message_type != "ENTRY" or not backend or weight < 0:
             raise ValueError(line)
         return api.Endpoint(
             backend,
@@ -98,9 +98,9 @@
 def parse_event(line: str, names: tuple[str, ...]) -> api.Event:
     """Parse any other event line; `names` are the fields of load reports."""
     parts = line.split(" ")
-    word = parts[0]
+    message_type = parts[0]
     try:
-        if word == "SAMPLED":
+        if message_type == "SAMPLED":
             _, status, duration_ms, backend, report_text = parts
             return api.ProbeFinished(
                 backend,
@@ -108,7 +108,7 @@
                 parse_number(duration_ms),
                 parse_load_report(report_text, names),
             )
-        if word == "RESOLVED":
+        if message_type == "RESOLVED":
             _, request, attempt, backend, status, duration_ms, is_request_closed, report_text = parts
             return api.AttemptFinished(
                 request,
@@ -119,9 +119,9 @@
                 is_request_closed == "1",
                 parse_load_report(report_text, names),
             )
-        if word == "WAKE":
+        if message_type == "WAKE":
             return api.TimerFired(int(parts[1]))
-        if word == "ORDER":
+        if message_type == "ORDER":
             _, request, is_retry, idempotency_key, deadline_ms, tenant, work_hint, class_name, is_write = (
                 parts
             )
@@ -135,12 +135,12 @@
                 None if work_hint == "-" else parse_number(work_hint),
                 is_write == "1",
             )
-        if word == "CANCELLED_BY_CLIENT":
+        if message_type == "CANCELLED_BY_CLIENT":
             return api.ClientLeft(parts[1])
-        if word == "ACCEPTED":
+        if message_type == "ACCEPTED":
             _, request, attempt, backend, duration_ms = parts
             return api.StreamStarted(request, int(attempt), backend, parse_number(duration_ms))
-        if word == "HEARD":
+        if message_type == "HEARD":
             return api.PeerMessageReceived(int(parts[1]), b"" if parts[2] == "-" else bytes.fromhex(parts[2]))
     except (ValueError, KeyError, IndexError):
         raise WireError(f"malformed line: {line[:120]!r}") from None
--- a/tests/operator_settings/test_operators.py
+++ b/tests/operator_settings/test_operators.py
@@ -397,13 +397,13 @@
 )
 def test_parse_any_tables_yield_settings_or_faults(folder: Path, raw: dict[str, object]) -> None:
     try:
-        got: object = parse(raw, folder)
+        result: object = parse(raw, folder)
     except OperatorSettingsError as err:
         assert len(str(err).splitlines()) == len(err.faults) > 0
         assert all(fault.path and fault.found and fault.allowed for fault in err.faults)
-        got = err
+        result = err
     unknown = raw.keys() - {"membership", "control"}
-    named = {fault.path for fault in got.faults} if isinstance(got, OperatorSettingsError) else set()
+    named = {fault.path for fault in result.faults} if isinstance(result, OperatorSettingsError) else set()
     assert all(any(path in (name, repr(name)) for path in named) for name in unknown)
 
 
--- a/tests/protocol/etcd_watch/gateway_bytes.py
+++ b/tests/protocol/etcd_watch/gateway_bytes.py
@@ -17,7 +17,7 @@
 
 
 def base64_text(raw: bytes) -> str:
-    """Bytes as the gateway writes them."""
+    """Bytes as base64 text, as the gateway writes them."""
     return base64.b64encode(raw).decode()
 
 
--- a/tests/protocol/etcd_watch/test_requests.py
+++ b/tests/protocol/etcd_watch/test_requests.py
@@ -20,7 +20,7 @@
 
 
 def path_and_body(request: bytes) -> tuple[str, dict[str, Any]]:
-    """What is posted where; the head has to be right."""
+    """The path and the body of a request, whose head is checked."""
     head, _, body = request.partition(b"\r\n\r\n")
     assert f"Content-Length: {len(body)}".encode() in head
     assert b"Host: etcd:2379" in head
@@ -32,7 +32,7 @@
     assert path_and_body(builder.range_request()) == ("/v3/kv/range", expected)
 
 
-def test_range_request_later_page_begins_behind_the_last_key(builder: RequestBuilder) -> None:
+def test_range_request_later_page_begins_after_the_last_key(builder: RequestBuilder) -> None:
     expected = {"key": base64_text(b"/m/b\0"), "range_end": RANGE_END, "limit": 9, "revision": "41"}
     assert path_and_body(builder.range_request(b"/m/b", 41, 9)) == ("/v3/kv/range", expected)
 
--- a/tests/protocol/etcd_watch/test_response_decoder.py
+++ b/tests/protocol/etcd_watch/test_response_decoder.py
@@ -1,4 +1,4 @@
-"""Responses of etcd's gateway: complete, in pieces and damaged."""
+"""Responses of etcd's gateway: complete, in pieces and malformed."""
 
 from __future__ import annotations
 
@@ -100,7 +100,7 @@
     assert [type(message) for message in decoder.end()] == [InvalidResponse]
 
 
-def test_decoder_bytes_behind_a_response_do_not_leave_the_connection_reusable() -> None:
+def test_decoder_bytes_after_a_response_do_not_leave_the_connection_reusable() -> None:
     decoder = ResponseDecoder(CallKind.RANGE)
     assert len(decoder.receive(PAGE_RESPONSE + b"HTTP/1.1 200 OK\r\n")) == 1
     assert not decoder.is_reusable
@@ -289,7 +289,7 @@
     head, _, tail = json.dumps({"result": LONG_RESULT}).encode().rpartition(b"}}, {")
     decoder = ResponseDecoder(CallKind.WATCH)
     decoder.feed(chunked_response(head + b"}} {" + tail + b"\n"))
-    assert isinstance(decoder.pull(), responses.WatchEvents)  # the fault is further on
+    assert isinstance(decoder.pull(), responses.WatchEvents)  # the fault is in a later event
     assert isinstance(decoder.pull(), InvalidResponse)
 
 
@@ -315,7 +315,7 @@
 
 
 def test_decoder_line_in_tiny_chunks_takes_no_more_memory_than_its_bytes() -> None:
-    """Guards the bound of a line, which counts bytes: kept as pieces of two they took twenty times that."""
+    """The bound of a line counts bytes; a line kept as pieces of two bytes took twenty times the memory."""
     decoder, size = ResponseDecoder(CallKind.WATCH), 200_000
     decoder.feed(chunked_response())
     tracemalloc.start()
--- a/tests/protocol/test_gossip.py
+++ b/tests/protocol/test_gossip.py
@@ -1,4 +1,4 @@
-"""Datagrams between nodes: what is read, what is rejected, and that nothing raises."""
+"""Datagrams between nodes: encoding, rejections, replays, key rotation, and that no input raises."""
 
 from __future__ import annotations
 
@@ -58,9 +58,9 @@
 
 
 def test_writer_with_too_many_records_raises() -> None:
-    words = tuple((f"node-{number}", 0, 1, "10.0.0.1:7946", 0) for number in range(10))
+    records = tuple((f"node-{number}", 0, 1, "10.0.0.1:7946", 0) for number in range(10))
     with pytest.raises(ValueError, match="at most 256"):
-        Writer("a", [NEW_KEY]).write(1, Message(1, 1, "b", "", words))
+        Writer("a", [NEW_KEY]).write(1, Message(1, 1, "b", "", records))
 
 
 @settings(max_examples=400)
@@ -89,34 +89,44 @@
     reader.read(0, "a", spoilt + NEW_KEY.mac(spoilt))
 
 
-def test_truncated_datagram_with_a_right_mac_is_malformed() -> None:
+def test_truncated_datagram_with_valid_mac_is_malformed() -> None:
     complete = Writer("a", [NEW_KEY]).write(1, PING)[: -gossip.MAC_BYTES]
     for length in range(14, len(complete)):
         assert (
             outcome(Reader([NEW_KEY]).read(0, "a", complete[:length] + NEW_KEY.mac(complete[:length])))
             == "garbled"
         )
-    word = PING.records[0]
-    message = PING._replace(records=((*word[:3], "10.0.0.3:7936", 0),))  # its last byte would end the records
+    record = PING.records[0]
+    message = PING._replace(
+        records=((*record[:3], "10.0.0.3:7936", 0),)
+    )  # the last byte of its port would end the records
     data = Writer("a", [NEW_KEY]).write(1, message)[: -gossip.MAC_BYTES]
-    at = data.index(b"\1c") - 8  # the record's length: nothing in it may be read from behind it
-    short = data[:at] + bytes((data[at] - 1,)) + data[at + 1 : -1]
-    assert outcome(Reader([NEW_KEY]).read(0, "a", short + NEW_KEY.mac(short))) == "garbled"
+    length_position = data.index(b"\1c") - 8  # the record's length: its fields must not extend past it
+    shortened = data[:length_position] + bytes((data[length_position] - 1,)) + data[length_position + 1 : -1]
+    assert outcome(Reader([NEW_KEY]).read(0, "a", shortened + NEW_KEY.mac(shortened))) == "garbled"
 
 
-def test_datagram_of_a_later_version_is_read_if_it_allows_that() -> None:
-    """More bytes in a record and unknown sections are skipped; `least` above the own version rejects."""
+def test_datagram_of_later_version_is_read_if_least_allows_it() -> None:
+    """Appended bytes in a record and unknown sections are skipped; a greater `least` is rejected."""
     data = Writer("a", [NEW_KEY]).write(1, PING)[: -gossip.MAC_BYTES]
-    at = data.index(b"\1c") - 8  # the record's length
-    later = b"\2\1" + data[2:at] + bytes((data[at] + 3,)) + data[at + 1 : -1] + b"new\0section"
+    length_position = data.index(b"\1c") - 8  # the record's length
+    later_datagram = (
+        b"\2\1"
+        + data[2:length_position]
+        + bytes((data[length_position] + 3,))
+        + data[length_position + 1 : -1]
+        + b"new\0section"
+    )
     reader = Reader([NEW_KEY])
-    assert reader.read(0, "a", later + NEW_KEY.mac(later)) == AcceptedDatagram("a", 1, PING, True)
-    later = b"\2\2" + later[2:]
-    assert outcome(reader.read(0, "a", later + NEW_KEY.mac(later))) == "version"
+    assert reader.read(0, "a", later_datagram + NEW_KEY.mac(later_datagram)) == AcceptedDatagram(
+        "a", 1, PING, True
+    )
+    later_datagram = b"\2\2" + later_datagram[2:]
+    assert outcome(reader.read(0, "a", later_datagram + NEW_KEY.mac(later_datagram))) == "version"
 
 
 def test_key_rotation_has_no_gap() -> None:
-    """Each step reaches one node after the other; all accept each other throughout."""
+    """Each step reaches the nodes one by one; all accept each other's datagrams throughout."""
     steps = [(OLD_KEY,), (OLD_KEY, NEW_KEY), (NEW_KEY, OLD_KEY), (NEW_KEY,)]
     for before, after in pairwise(steps):
         for signs, reads in ((before, after), (after, before)):
@@ -124,7 +134,7 @@
     assert outcome(Reader([NEW_KEY]).read(0, "a", Writer("a", [OLD_KEY]).write(1, PING))) == "key"
 
 
-def test_replayed_datagram_is_rejected_also_after_a_restart_of_the_sender() -> None:
+def test_replayed_datagram_is_rejected_after_sender_restart_too() -> None:
     reader, writer = Reader([NEW_KEY]), Writer("a", [NEW_KEY])
     sent = [writer.write(3, PING) for _ in range(gossip.REPLAY_WINDOW_COUNTERS + 3)]
     assert outcome(reader.read(0, "a", sent[5])) == "current"
@@ -136,7 +146,7 @@
     assert outcome(reader.read(0, "a", sent[6])) == "current"
     restarted = Writer("a", [NEW_KEY])
     assert outcome(reader.read(0, "a", restarted.write(4, PING))) == "current"
-    assert outcome(reader.read(0, "a", sent[10])) == "stale"  # of the sender's earlier life
+    assert outcome(reader.read(0, "a", sent[10])) == "stale"  # of the sender's previous incarnation
 
 
 def test_forged_datagrams_beyond_the_bound_cost_no_mac() -> None:
@@ -151,7 +161,7 @@
     reader, known, new = Reader([key]), Writer("a", [NEW_KEY]), Writer("b", [NEW_KEY])
     once = known.write(1, PING)
     assert outcome(reader.read(0, "10.0.0.1:1", once)) == "current"
-    assert outcome(reader.read(0, "10.6.6.6:1", once)) == "replay"  # makes no address known
+    assert outcome(reader.read(0, "10.6.6.6:1", once)) == "replay"  # a replay makes no address known
     forged = known.write(1, PING)[:-1] + b"x"
     CountingKey.mac_count = 0
     for number in range(gossip.MAX_FORGED_PER_S + 500):
@@ -175,13 +185,13 @@
     assert "6e6e" not in repr(NEW_KEY) and "nnn" not in repr(NEW_KEY)
     with pytest.raises(TypeError):
         pickle.dumps(NEW_KEY)
-    good = "6e" * 16
-    assert [key.id for key in parse_keys(f"# first\n{good}\n\n{'6f' * 32}\n")] == [
+    key_hex = "6e" * 16
+    assert [key.id for key in parse_keys(f"# first\n{key_hex}\n\n{'6f' * 32}\n")] == [
         Key(b"n" * 16).id,
         OLD_KEY.id,
     ]
-    with pytest.raises(ValueError, match=r"line 1: not a key.*line 2: not a key.*line 4: the same") as fault:
-        parse_keys(f"secret-one\n6e6e\n{good}\n{good}")
-    assert "secret" not in str(fault.value) and "6e" not in str(fault.value)
+    with pytest.raises(ValueError, match=r"line 1: not a key.*line 2: not a key.*line 4: the same") as error:
+        parse_keys(f"secret-one\n6e6e\n{key_hex}\n{key_hex}")
+    assert "secret" not in str(error.value) and "6e" not in str(error.value)
     with pytest.raises(ValueError, match="0 keys"):
         parse_keys("\n")
--- a/tests/protocol/test_gossip_sections.py
+++ b/tests/protocol/test_gossip_sections.py
@@ -1,4 +1,4 @@
-"""Gossip sections: decoded as encoded, no decoder raises, and older nodes skip them."""
+"""Gossip sections: round trips, decoders that never raise, and older nodes that skip them."""
 
 from __future__ import annotations
 
@@ -36,12 +36,12 @@
 
 
 @given(NODE_STATES, st.binary(max_size=9))
-def test_node_state_is_decoded_as_encoded_also_with_unknown_fields_behind(
-    state: NodeState, behind: bytes
+def test_node_state_is_decoded_as_encoded_with_unknown_trailing_fields(
+    state: NodeState, trailing_bytes: bytes
 ) -> None:
     data = gossip_sections.encode_node_state(state)
     assert gossip_sections.decode_node_state(data) == state
-    assert gossip_sections.decode_node_state(data + behind) == state
+    assert gossip_sections.decode_node_state(data + trailing_bytes) == state
     for length in range(len(data)):
         assert gossip_sections.decode_node_state(data[:length]) is None
 
@@ -90,9 +90,9 @@
 
 
 @given(st.binary(max_size=220))
-def test_datagram_with_any_bytes_behind_its_records_is_accepted(behind: bytes) -> None:
+def test_datagram_with_any_bytes_after_its_records_is_accepted(trailing_bytes: bytes) -> None:
     datagram = gossip.Writer("a", [KEY]).write(1, gossip.Message(1, 1, "", "", ()))
-    signed = datagram[: -gossip.MAC_BYTES] + behind
+    signed = datagram[: -gossip.MAC_BYTES] + trailing_bytes
     accepted = gossip.Reader([KEY]).read(0, "x", signed + KEY.mac(signed))
     assert isinstance(accepted, gossip.AcceptedDatagram)
 
@@ -108,9 +108,9 @@
     assert accepted == gossip.AcceptedDatagram("a", 1, message, True, tuple(sections))
 
 
-def test_older_node_counts_a_datagram_of_sections_as_a_sign_of_life() -> None:
-    """Its failure detector knows neither the kind nor the sections, and answers nothing."""
-    old = FailureDetector(
+def test_older_node_marks_the_sender_of_sections_alive() -> None:
+    """Its failure detector knows neither the message kind nor the sections, and sends no reply."""
+    old_detector = FailureDetector(
         "b", "10.0.0.2:1", (), 0, Random(1), gossip.record_size_bytes, gossip.record_space_bytes
     )
     state = NodeState("a", 1, 1, 0, 3, 0, 0, 2, 7, (1, 2), "0.1", "z", ())
@@ -122,7 +122,7 @@
     received = DatagramReceived(
         accepted.sender, accepted.incarnation, "10.0.0.1:1", Message(*accepted.message)
     )
-    actions = old.handle(0, received)
-    assert old.state_of("a") is PeerState.ALIVE
+    actions = old_detector.handle(0, received)
+    assert old_detector.state_of("a") is PeerState.ALIVE
     assert not any(isinstance(action, SendDatagram) for action in actions)
-    old.handle(1, TimerFired())
+    old_detector.handle(1, TimerFired())
--- a/tests/protocol/test_platform_list.py
+++ b/tests/protocol/test_platform_list.py
@@ -143,14 +143,14 @@
 
 def objects(messages: list[platform_list.Message]) -> list[Any]:
     """The JSON values of the lines; None for a line that is not JSON."""
-    out = []
+    values = []
     for message in messages:
         if isinstance(message, platform_list.Line):
             try:
-                out.append(json.loads(message.text))
+                values.append(json.loads(message.text))
             except ValueError:
-                out.append(None)
-    return out
+                values.append(None)
+    return values
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
@@ -182,7 +182,7 @@
 
 
 def test_parser_complete_object_without_newline_is_yielded() -> None:
-    """A drain without a newline behind it was seen only with the next heartbeat, two seconds later."""
+    """A drain without a trailing newline was seen only with the next heartbeat, two seconds later."""
     drain = {"revision": 7, "complete": False, "members": [{"id": "s-1", "phase": "terminating"}]}
     for form in FORMS:
         parser = platform_list.ResponseParser(is_watch=True)
@@ -205,14 +205,14 @@
         b"{\n]\n]",
     ],
 )
-@pytest.mark.parametrize("behind", [b"", b"\n", b"\r\n"])
-def test_parser_malformed_object_does_not_swallow_the_next_line(garbage: bytes, behind: bytes) -> None:
+@pytest.mark.parametrize("trailing_bytes", [b"", b"\n", b"\r\n"])
+def test_parser_malformed_object_does_not_hide_the_next_line(garbage: bytes, trailing_bytes: bytes) -> None:
     """It is passed on as it is, so that a complete list is requested, and the next line is parsed."""
-    good = json.dumps(LISTS[1]).encode() + b"\n"
-    body = garbage + b"\n" + behind + good
+    valid_line = json.dumps(LISTS[1]).encode() + b"\n"
+    body = garbage + b"\n" + trailing_bytes + valid_line
     for data in ([chunk(body)], [chunk(body[i : i + 1]) for i in range(len(body))]):
-        *bad, last = objects(receive_messages(platform_list.ResponseParser(is_watch=True), HEAD, *data))
-        assert None in bad and last == LISTS[1]
+        *malformed, last = objects(receive_messages(platform_list.ResponseParser(is_watch=True), HEAD, *data))
+        assert None in malformed and last == LISTS[1]
 
 
 def test_parser_object_over_many_lines_has_the_bound_of_a_line(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -142,11 +142,11 @@
             command, input=text, cwd=tmp_path, env=env, capture_output=True, text=True, check=False
         )
 
-    good = start(START_BATCH + order)
-    assert good.returncode == 0 and "PLACE ab" in good.stdout and good.stdout.count("FINISHED") == 2
-    bad = start(START_BATCH.replace("1000.0", "-1000.0", 1))
-    assert bad.returncode == 2 and bad.stderr.count("\n") == 1
-    assert "give-up" in bad.stderr and "-1000.0" in bad.stderr and "Traceback" not in bad.stderr
+    valid = start(START_BATCH + order)
+    assert valid.returncode == 0 and "PLACE ab" in valid.stdout and valid.stdout.count("FINISHED") == 2
+    invalid = start(START_BATCH.replace("1000.0", "-1000.0", 1))
+    assert invalid.returncode == 2 and invalid.stderr.count("\n") == 1
+    assert "give-up" in invalid.stderr and "-1000.0" in invalid.stderr and "Traceback" not in invalid.stderr
     subprocess.run(["chmod", "-R", "u+w", str(tmp_path)], check=True)
 
 
@@ -213,10 +213,10 @@
     def lines_of_instance(text: str, instance_id: int) -> str:
         kept_lines, is_kept = [], True
         for line in text.splitlines():
-            word = line.split(" ")[0]
-            if word in ("SYNC", "GO"):
+            message_type = line.split(" ")[0]
+            if message_type in ("SYNC", "GO"):
                 is_kept = True
-            elif word == "CONTEXT":
+            elif message_type == "CONTEXT":
                 is_kept = line == f"CONTEXT {instance_id}"
             if is_kept:
                 kept_lines.append(line)
