--- a/tests/policy/test_any_settings.py
+++ b/tests/policy/test_any_settings.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from balancer import interface as api
-from balancer.platform_settings import read
+from balancer.platform_settings import parse_json
 from balancer.policy.balancer import Balancer
 from tests.helpers import (
     LOOKING,
@@ -381,7 +381,7 @@
 @pytest.mark.parametrize("seed", range(50))
 def test_read_returns_any_valid_settings(seed: int) -> None:
     config = any_settings(random.Random(seed))
-    assert read(to_platform_json(config)) == config
+    assert parse_json(to_platform_json(config)) == config
 
 
 @settings(max_examples=100, deadline=None, derandomize=True, database=None)
