--- a/balancer/cli/timeline.py
+++ b/balancer/cli/timeline.py
@@ -324,13 +324,13 @@
 
 def write_report(path: Path, file: Path, more: dict[str, Any]) -> int:
     """Write the page; how many servers are on it. Raises OSError where the file cannot be written."""
-    from balancer.observability.html_report import LANES, page
+    from balancer.observability.html_report import MAX_LANES, render_page
 
     told = sorted(ask(path, "timeline", **more)["lines"], key=failure_sort_key)
     rows = [row["name"] for row in told if row["scope"] == "server"]
-    lanes = [ask(path, "timeline", **more, server=name) for name in rows[:LANES]]
+    lanes = [ask(path, "timeline", **more, server=name) for name in rows[:MAX_LANES]]
     until = f"{datetime.now():%Y-%m-%d %H:%M:%S}"
     events = ask(path, "events", after=0)["events"]
-    text = page(lanes, events, f"Servers until {until}", len(rows) - len(lanes))
+    text = render_page(lanes, events, f"Servers until {until}", len(rows) - len(lanes))
     file.write_text(text, encoding="utf-8")
     return len(lanes)
--- a/balancer/net/timeline.py
+++ b/balancer/net/timeline.py
@@ -89,7 +89,7 @@
         if self.watch is not None:
             now = self.node.now()
             at = datetime.fromtimestamp(now / 1000, UTC).isoformat(timespec="seconds")
-            self.watch.recorder.moved(name, now, f"until it moved, {at}")
+            self.watch.recorder.end_server_line(name, now, f"until it moved, {at}")
 
     async def _keep(self, watch: TimelineMonitor) -> None:
         due = self.loop.time() + INTERVAL_S
--- a/balancer/observability/__init__.py
+++ b/balancer/observability/__init__.py
@@ -1,5 +1,5 @@
-"""What hands the time line on to programs of others; the only place that knows their libraries.
+"""Exports the timeline to other programs; the only package that depends on their client libraries.
 
-- `metrics`: OpenMetrics text, read out of the lines at scrape time (`prometheus_client`).
-- `page`: a report as one HTML file (`matplotlib`), made by the command, not by the node.
+- `metrics`: OpenMetrics text, built from the timeline at scrape time (`prometheus_client`).
+- `html_report`: a report as one HTML file (`matplotlib`), built by the command and not by the node.
 """
--- a/balancer/observability/metrics.py
+++ b/balancer/observability/metrics.py
@@ -1,8 +1,8 @@
-"""OpenMetrics (1.0) of a time line, made at scrape time by `prometheus_client`: requests do no work for it.
+"""OpenMetrics 1.0 exposition of a timeline, built by `prometheus_client` at scrape time and not per request.
 
-Labels are bounded: `SERVERS` servers, those with most attempts when there is a place, each for as long as it
-has a line; what the others did is summed as one. Times are histograms a class, in seconds, with the id of a
-late request as an exemplar of the bin that it fell in.
+Labels are bounded: at most `MAX_SERVER_LABELS` servers have their own label, those with most attempts when a
+label is free, each for as long as it has a line; all others are summed under one label. Response times are
+one histogram for each class, in seconds, with the id of a late request as an exemplar of its bucket.
 """
 
 from __future__ import annotations
@@ -23,157 +23,164 @@
 
 from balancer import interface as api
 from balancer.core.recovery import PersistedState, Recovery, RecoveryState
-from balancer.timeline import latency_histogram as sketch
-from balancer.timeline import schema as keys
+from balancer.timeline import latency_histogram, schema
 from balancer.timeline.monitor import TimelineMonitor
-from balancer.timeline.recorder import OTHERS, Line, Recorder
+from balancer.timeline.recorder import OTHER_SERVERS, Line, Recorder
 
-SERVERS = 50
-BOUNDS_S = (0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0)
-RECENT = 200  # ended requests among which exemplars are looked for
-END = b"# EOF\n"
-Figures = dict[str, dict[str, float]]  # by name and label
+MAX_SERVER_LABELS = 50
+LATENCY_BUCKETS_S = (0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0)
+MAX_EXEMPLAR_CANDIDATES = 200  # the latest ended requests
+EOF_MARKER = b"# EOF\n"
+Figures = dict[str, dict[str, float]]  # by metric and label value
 CONTENT_TYPE = CONTENT_TYPE_LATEST
 
 
 class Metrics:
-    """The metrics of one time line."""
+    """The metrics of one timeline."""
 
     def __init__(
         self,
-        watch: TimelineMonitor,
+        monitor: TimelineMonitor,
         recovery: Recovery | None = None,
         peers: Callable[[], Figures | None] = lambda: None,
     ) -> None:
-        self.watch, self.recovery, self.peers = watch, recovery, peers
-        self.shown: set[str] = set()
+        self.watch, self.recovery, self.peers = monitor, recovery, peers
+        self.labelled_servers: set[str] = set()
 
     def families(self) -> Iterator[Metric]:
-        """All of them, one at a time: between two a caller may let others go on."""
+        """Yields all families one by one, so that the caller may serve requests in between."""
         recorder = self.watch.recorder
-        yield self._requests(recorder)
-        yield self._times(recorder)
-        yield self._attempts(recorder)
-        yield from self._servers(recorder)
-        yield self._events()
+        yield self._request_counts(recorder)
+        yield self._latency_histogram(recorder)
+        yield self._decision_counts(recorder)
+        yield from self._server_metrics(recorder)
+        yield self._open_anomalies()
         if self.recovery is not None:
-            yield from _recovery(self.recovery)
-        if (figures := self.peers()) is not None:
-            yield from _peers(figures)
-        held = GaugeMetricFamily("dillport_timeline_bytes", "Packed buckets that the time line holds.")
-        held.add_metric([], recorder.size)
-        yield held
+            yield from _recovery_metrics(self.recovery)
+        if (peer_figures := self.peers()) is not None:
+            yield from _peer_metrics(peer_figures)
+        timeline_bytes = GaugeMetricFamily(
+            "dillport_timeline_bytes", "Packed buckets that the time line holds."
+        )
+        timeline_bytes.add_metric([], recorder.size_bytes)
+        yield timeline_bytes
 
     def pieces(self) -> Iterator[bytes]:
-        """The text, in pieces; the last one ends it."""
+        """Yields the exposition text in pieces; the last one is the end marker."""
         for family in self.families():
             registry = CollectorRegistry(auto_describe=False)
-            registry.register(_One(family))
+            registry.register(_SingleFamilyCollector(family))
             text: bytes = generate_latest(registry)  # type: ignore[no-untyped-call]
-            yield text.removesuffix(END)
-        yield END
+            yield text.removesuffix(EOF_MARKER)
+        yield EOF_MARKER
 
-    def _requests(self, recorder: Recorder) -> Metric:
-        out = CounterMetricFamily(
+    def _request_counts(self, recorder: Recorder) -> Metric:
+        family = CounterMetricFamily(
             "dillport_requests", "Requests by class and what became of them.", labels=["class", "result"]
         )
         results = {
-            "arrived": keys.ARRIVED,
-            "served": keys.OK,
-            "refused": keys.REFUSED,
-            "failed": keys.FAILED,
-            "late": keys.LATE,
-            "client_gone": keys.GONE,
+            "arrived": schema.ARRIVED,
+            "served": schema.OK,
+            "refused": schema.REFUSED,
+            "failed": schema.FAILED,
+            "late": schema.LATE,
+            "client_gone": schema.CLIENT_GONE,
         }
         for name, line in recorder.classes.items():
             for result, key in results.items():
-                out.add_metric([name, result], line.totals.get(key, 0))
-        return out
+                family.add_metric([name, result], line.totals.get(key, 0))
+        return family
 
-    def _times(self, recorder: Recorder) -> Metric:
-        out = HistogramMetricFamily(
+    def _latency_histogram(self, recorder: Recorder) -> Metric:
+        family = HistogramMetricFamily(
             "dillport_answer_seconds", "Times of servers' answers by class.", labels=["class"], unit="seconds"
         )
         for name, line in recorder.classes.items():
-            first, counts = recorder.numbers[name], [0] * (len(BOUNDS_S) + 1)
-            total = 0.0
+            first_key, counts = recorder.class_first_keys[name], [0] * (len(LATENCY_BUCKETS_S) + 1)
+            sum_s = 0.0
             for key, count in line.totals.items():
-                if key >= keys.TIMES:
-                    seconds = sketch.value_of(key - first) / 1000
-                    total += count * seconds
-                    counts[_bin(seconds)] += count
+                if key >= schema.FIRST_LATENCY_KEY:
+                    seconds = latency_histogram.bin_value_ms(key - first_key) / 1000
+                    sum_s += count * seconds
+                    counts[_bucket_index(seconds)] += count
             exemplars = self._exemplars(recorder, name)
             buckets: list[tuple[str, float] | tuple[str, float, Exemplar]] = []
-            below = 0
-            for number, bound in enumerate((*BOUNDS_S, math.inf)):
-                below += counts[number]
-                text = "+Inf" if bound == math.inf else str(bound)
-                exemplar = exemplars.get(number)
-                buckets.append((text, below, exemplar) if exemplar else (text, below))
-            out.add_metric([name], buckets, sum_value=total)
-        return out
-
-    def _exemplars(self, recorder: Recorder, name: str) -> dict[int, Exemplar]:
-        """A late request for a bin, where one of the last has its answer there."""
-        out: dict[int, Exemplar] = {}
-        notable = recorder.trails.notable
-        for request in list(notable)[-RECENT:]:
-            trail = notable[request]
-            last = trail[-1]
+            cumulative_count = 0
+            for index, upper_bound_s in enumerate((*LATENCY_BUCKETS_S, math.inf)):
+                cumulative_count += counts[index]
+                bound_label = "+Inf" if upper_bound_s == math.inf else str(upper_bound_s)
+                exemplar = exemplars.get(index)
+                buckets.append(
+                    (bound_label, cumulative_count, exemplar) if exemplar else (bound_label, cumulative_count)
+                )
+            family.add_metric([name], buckets, sum_value=sum_s)
+        return family
+
+    def _exemplars(self, recorder: Recorder, class_name: str) -> dict[int, Exemplar]:
+        """Returns one of the latest notable requests for each bucket that one of them falls in."""
+        exemplars: dict[int, Exemplar] = {}
+        notable = recorder.traces.notable
+        for request_id in list(notable)[-MAX_EXEMPLAR_CANDIDATES:]:
+            trace = notable[request_id]
+            last_step = trace[-1]
             if (
-                trail[0].class_name == name
-                and isinstance(last, api.AttemptFinished)
-                and last.status is api.AttemptStatus.OK
+                trace[0].class_name == class_name
+                and isinstance(last_step, api.AttemptFinished)
+                and last_step.status is api.AttemptStatus.OK
             ):
-                seconds = last.duration_ms / 1000
-                shown = "".join(c if c.isascii() and c.isprintable() else "?" for c in request[:64])
-                out[_bin(seconds)] = Exemplar({"request_id": shown}, seconds, trail[-2] / 1000)
-        return out
+                seconds = last_step.duration_ms / 1000
+                request_label = "".join(
+                    c if c.isascii() and c.isprintable() else "?" for c in request_id[:64]
+                )
+                exemplars[_bucket_index(seconds)] = Exemplar(
+                    {"request_id": request_label}, seconds, trace[-2] / 1000
+                )
+        return exemplars
 
-    def _attempts(self, recorder: Recorder) -> Metric:
-        out = CounterMetricFamily(
+    def _decision_counts(self, recorder: Recorder) -> Metric:
+        family = CounterMetricFamily(
             "dillport_decisions", "Attempts, refusals and notes by reason, at the whole node.", labels=["why"]
         )
         totals: dict[int, int] = dict(recorder.node.totals)
         for line in recorder.classes.values():
-            for key in keys.REASONS:
+            for key in schema.REASON_KEYS:
                 if key in line.totals:
                     totals[key] = totals.get(key, 0) + line.totals[key]
-        for key in (*keys.REASONS, *keys.WHAT.values(), keys.CROWDED):
+        for key in (*schema.REASON_KEYS, *schema.KEY_BY_DECISION.values(), schema.OVERLOADED):
             if key in totals:
-                out.add_metric([keys.NAMES[key]], totals[key])
-        return out
+                family.add_metric([schema.NAMES[key]], totals[key])
+        return family
 
-    def _servers(self, recorder: Recorder) -> Iterator[Metric]:
+    def _server_metrics(self, recorder: Recorder) -> Iterator[Metric]:
         lines = recorder.servers
-        self.shown &= lines.keys()
-        if len(self.shown) < SERVERS:
-            rest = sorted(
-                (n for n in lines if n not in self.shown),
-                key=lambda n: (-lines[n].totals.get(keys.ATTEMPTS, 0), n),
+        self.labelled_servers &= lines.keys()
+        if len(self.labelled_servers) < MAX_SERVER_LABELS:
+            unlabelled = sorted(
+                (name for name in lines if name not in self.labelled_servers),
+                key=lambda name: (-lines[name].totals.get(schema.ATTEMPTS, 0), name),
             )
-            self.shown.update(rest[: SERVERS - len(self.shown)])
+            self.labelled_servers.update(unlabelled[: MAX_SERVER_LABELS - len(self.labelled_servers)])
         attempts = CounterMetricFamily(
             "dillport_server_attempts", "Attempts by server and how they ended.", labels=["server", "outcome"]
         )
-        own = GaugeMetricFamily("dillport_server_own", "The node's attempts out.", labels=["server"])
-        others = Line("server", OTHERS)
-        for line in (*lines.values(), recorder.others):
-            if line.name not in self.shown or line is recorder.others:
-                others.own += line.own
-                for key in keys.OUTCOMES:
+        own_attempts = GaugeMetricFamily("dillport_server_own", "The node's attempts out.", labels=["server"])
+        others_line = Line("server", OTHER_SERVERS)
+        for line in (*lines.values(), recorder.other_servers):
+            if line.name not in self.labelled_servers or line is recorder.other_servers:
+                others_line.own_attempts += line.own_attempts
+                for key in schema.OUTCOME_KEYS:
                     if key in line.totals:
-                        others.totals[key] = others.totals.get(key, 0) + line.totals[key]
-        for line in (*(lines[name] for name in sorted(self.shown)), others):
-            for key in keys.OUTCOMES:
+                        others_line.totals[key] = others_line.totals.get(key, 0) + line.totals[key]
+        for line in (*(lines[name] for name in sorted(self.labelled_servers)), others_line):
+            for key in schema.OUTCOME_KEYS:
                 if key in line.totals:
-                    attempts.add_metric([line.name, keys.NAMES[key]], line.totals[key])
-            own.add_metric([line.name], line.own)
+                    attempts.add_metric([line.name, schema.NAMES[key]], line.totals[key])
+            own_attempts.add_metric([line.name], line.own_attempts)
         yield attempts
-        yield own
+        yield own_attempts
 
-    def _events(self) -> Metric:
-        out = GaugeMetricFamily(
+    def _open_anomalies(self) -> Metric:
+        family = GaugeMetricFamily(
             "dillport_departures", "Open events by signal and scope.", labels=["signal", "scope"]
         )
         counts: dict[tuple[str, str], int] = {}
@@ -181,21 +188,23 @@
             key = event.signal.value, event.scope.value
             counts[key] = counts.get(key, 0) + 1
         for labels, count in counts.items():
-            out.add_metric(list(labels), count)
-        return out
+            family.add_metric(list(labels), count)
+        return family
 
 
-def _recovery(recovery: Recovery) -> Iterator[Metric]:
-    """How far the node is back."""
+def _recovery_metrics(recovery: Recovery) -> Iterator[Metric]:
+    """Yields the metrics of the recovery after a start."""
     state = StateSetMetricFamily("dillport_recovery_state", "How far the node is back.")
-    state.add_metric([], {one.value: one is recovery.state for one in RecoveryState})
+    state.add_metric([], {member.value: member is recovery.state for member in RecoveryState})
     yield state
     memory = StateSetMetricFamily("dillport_recovery_memory", "What is left of an earlier life.")
-    memory.add_metric([], {one.value: one is recovery.persisted_state for one in PersistedState})
+    memory.add_metric([], {member.value: member is recovery.persisted_state for member in PersistedState})
     yield memory
-    life = GaugeMetricFamily("dillport_recovery_incarnation", "The number of the node's life; it only rises.")
-    life.add_metric([], recovery.incarnation)
-    yield life
+    incarnation = GaugeMetricFamily(
+        "dillport_recovery_incarnation", "The number of the node's life; it only rises."
+    )
+    incarnation.add_metric([], recovery.incarnation)
+    yield incarnation
     phases = GaugeMetricFamily(
         "dillport_recovery_phase_seconds", "From the start to each phase.", labels=["phase"], unit="seconds"
     )
@@ -204,43 +213,46 @@
     yield phases
 
 
-def _peers(figures: Figures) -> Iterator[Metric]:
-    """Who is there, as this node sees it; the labels are those of the program alone."""
+def _peer_metrics(figures: Figures) -> Iterator[Metric]:
+    """Yields the metrics of the other nodes; label values are fixed by the program."""
     states = GaugeMetricFamily("dillport_peers", "Other nodes by state.", labels=["state"])
     for state, count in figures["states"].items():
         states.add_metric([state], count)
     yield states
-    for name, text, label in (
+    for name, help_text, label in (
         ("cuts", "What this node is cut off from.", "of"),
         ("disagreements", "What nodes disagree on.", "what"),
         ("taken", "Servers that drain or are gone by other nodes' word.", "what"),
     ):
         if name in figures:
-            gauge = GaugeMetricFamily(f"dillport_peer_{name}", text, labels=[label])
-            for which, count in figures[name].items():
-                gauge.add_metric([which], count)
+            gauge = GaugeMetricFamily(f"dillport_peer_{name}", help_text, labels=[label])
+            for label_value, count in figures[name].items():
+                gauge.add_metric([label_value], count)
             yield gauge
-    for name, text, label in (
+    for name, help_text, label in (
         ("events", "What became of other nodes.", "event"),
         ("datagrams", "Datagrams between nodes.", "way"),
         ("refused", "Datagrams that were not taken, by reason.", "why"),
     ):
-        out = CounterMetricFamily(f"dillport_peer_{name}", text, labels=[label])
-        for which, count in figures[name].items():
-            out.add_metric([which], count)
-        yield out
+        counter = CounterMetricFamily(f"dillport_peer_{name}", help_text, labels=[label])
+        for label_value, count in figures[name].items():
+            counter.add_metric([label_value], count)
+        yield counter
 
 
-class _One:
-    """A collector of one family that is there already."""
+class _SingleFamilyCollector:
+    """A collector that returns one given family."""
 
     def __init__(self, family: Metric) -> None:
         self.family = family
 
     def collect(self) -> Iterator[Metric]:
-        """It."""
+        """Yields the family."""
         yield self.family
 
 
-def _bin(seconds: float) -> int:
-    return next((n for n, bound in enumerate(BOUNDS_S) if seconds <= bound), len(BOUNDS_S))
+def _bucket_index(seconds: float) -> int:
+    return next(
+        (index for index, upper_bound_s in enumerate(LATENCY_BUCKETS_S) if seconds <= upper_bound_s),
+        len(LATENCY_BUCKETS_S),
+    )
--- a/balancer/timeline/__init__.py
+++ b/balancer/timeline/__init__.py
@@ -1,13 +1,13 @@
-"""What each server did and what the node decided about it, second by second, within a stated memory. Pure.
+"""What each server did and what the node decided about it, second by second, within a memory bound. No I/O.
 
-- `keys`: every count has a number; names for people.
-- `sketch`: answer times with a relative error of 2%, mergeable.
-- `series`: counts and gauges of one line in three resolutions, packed, thinned by a budget.
-- `record`: `Recorder`, the observer that fills all lines, rolls them up in pieces, and reads them back.
-- `trails`: what was decided about single requests, in order.
-- `watch`: `Watch`, the recorder and the detection of departures as one observer.
-- `views`: what operators are told of it, as JSON's own types.
+- `schema`: the integer keys of all counters and the names that are shown.
+- `latency_histogram`: response times with a relative error of 2%, mergeable.
+- `time_series`: counts and gauges of one line in three resolutions, packed, with a retention that shrinks.
+- `recorder`: `Recorder`, the observer that fills all lines and closes their buckets in small steps.
+- `request_traces`: the decisions about single requests, in order.
+- `monitor`: `TimelineMonitor`, the recorder and the anomaly detection as one observer.
+- `queries`: the answers to operators, in JSON types.
 
-Clocks are the caller's, in milliseconds since 1970. Metrics, pages and commands read this; nothing else
-counts.
+Callers pass the time in milliseconds since 1970. Metrics, reports and commands all read this data; nothing
+else counts.
 """
--- a/balancer/timeline/queries.py
+++ b/balancer/timeline/queries.py
@@ -1,13 +1,11 @@
-"""What operators are told of the time line, as JSON's own types, and in a bounded number of points."""
+"""Answers operators' queries on the timeline with JSON types and a bounded number of points."""
 
 from __future__ import annotations
 
 from collections.abc import Iterator
 from typing import Any
 
-from balancer.timeline import latency_histogram as sketch
-from balancer.timeline import request_traces as trails
-from balancer.timeline import schema as keys
+from balancer.timeline import latency_histogram, request_traces, schema
 from balancer.timeline.monitor import TimelineMonitor
 from balancer.timeline.recorder import (
     CLASS,
@@ -16,74 +14,79 @@
     Line,
     Recorder,
 )
-from balancer.timeline.time_series import RESOLUTIONS_S, Bucket, finest
+from balancer.timeline.time_series import RESOLUTIONS_S, Bucket, finest_resolution
 
-MOST_POINTS = 600
-OVERVIEW_S = 6 * 3_600  # that an overview reaches over at the most
-MOST_LINES = 200  # in an overview; the ones with most to tell
+MAX_POINTS = 600
+MAX_OVERVIEW_S = 6 * 3_600
+MAX_OVERVIEW_SERVERS = 200  # those with most recorded data
 QUANTILES = (0.5, 0.9, 0.99)
 
 
-def times(counts: dict[int, int], number: int | None = None) -> dict[int, int]:
-    """The bins of the answer times in a bucket, of one class or of all."""
-    out: dict[int, int] = {}
+def latency_bins(counts: dict[int, int], class_index: int | None = None) -> dict[int, int]:
+    """Returns the response time bins of a bucket, of one class or of all."""
+    bins: dict[int, int] = {}
     for key, count in counts.items():
-        if key >= keys.TIMES and number in (None, keys.class_of(key)):
-            at = (key - keys.TIMES) % keys.WIDTH
-            out[at] = out.get(at, 0) + count
-    return out
+        if key >= schema.FIRST_LATENCY_KEY and class_index in (None, schema.class_index(key)):
+            bin_index = (key - schema.FIRST_LATENCY_KEY) % schema.KEYS_PER_CLASS
+            bins[bin_index] = bins.get(bin_index, 0) + count
+    return bins
 
 
-def point(bucket: Bucket, number: int | None = None) -> dict[str, Any]:
-    """One bucket: counts by name, answer times as quantiles in ms, gauges that were told."""
+def bucket_to_json(bucket: Bucket, class_index: int | None = None) -> dict[str, Any]:
+    """Converts a bucket: counts by name, response times as quantiles in ms, and the known gauges."""
     counts, gauges = bucket.counts, bucket.gauges
-    bins = times(counts, number)
-    out: dict[str, Any] = {"at": bucket.at * 1000}
-    out["counts"] = {keys.NAMES[key]: count for key, count in sorted(counts.items()) if key in keys.NAMES}
+    bins = latency_bins(counts, class_index)
+    row: dict[str, Any] = {"at": bucket.start_s * 1000}
+    row["counts"] = {schema.NAMES[key]: count for key, count in sorted(counts.items()) if key in schema.NAMES}
     if bins:
-        out["answers"] = sum(bins.values())
-        out["answer_ms"] = {f"p{part * 100:g}": round(sketch.quantile(bins, part), 3) for part in QUANTILES}
-    out["own"] = gauges.own
+        row["answers"] = sum(bins.values())
+        row["answer_ms"] = {
+            f"p{fraction * 100:g}": round(latency_histogram.quantile(bins, fraction), 3)
+            for fraction in QUANTILES
+        }
+    row["own"] = gauges.max_own_attempts
     for name in ("in_flight", "queue", "estimate", "weight", "phase"):
         if (value := getattr(gauges, name)) is not None:
-            out[name] = value
-    return out
+            row[name] = value
+    return row
 
 
-def line_of(recorder: Recorder, name: str) -> Line | None:
-    """The line of a server, else `zone:NAME`, `class:NAME` or `node`; earlier lives by their whole name."""
+def find_line(recorder: Recorder, name: str) -> Line | None:
+    """Finds the line of a server, `zone:NAME`, `class:NAME` or `node`; past lines by their full name."""
     if (found := recorder.servers.get(name)) is not None:
         return found
-    scope, _, rest = name.partition(":")
-    table = {ZONE: recorder.zones, CLASS: recorder.classes}.get(scope, {})
-    past = (line for line in recorder.past if line.name == name)
-    return recorder.node if name == NODE else table.get(rest) or next(past, None)
+    scope, _, rest_of_name = name.partition(":")
+    lines_by_name = {ZONE: recorder.zones, CLASS: recorder.classes}.get(scope, {})
+    past_lines = (line for line in recorder.past_lines if line.name == name)
+    return recorder.node if name == NODE else lines_by_name.get(rest_of_name) or next(past_lines, None)
 
 
-def timeline(watch: TimelineMonitor, asked: dict[str, Any]) -> dict[str, Any]:
-    """Answer `timeline`: one line with its points, or an overview. Times asked for are ms since 1970."""
-    recorder = watch.recorder
-    now = recorder.second
+def timeline(monitor: TimelineMonitor, parameters: dict[str, Any]) -> dict[str, Any]:
+    """Answers `timeline`: one line with its points, or an overview. Times are in ms since 1970."""
+    recorder = monitor.recorder
+    now_s = recorder.current_second
     try:
-        since = int(float(asked.get("from") or (now - 900) * 1000) / 1000)
-        until = int(float(asked.get("to") or (now + 1) * 1000) / 1000) + 1
+        since_s = int(float(parameters.get("from") or (now_s - 900) * 1000) / 1000)
+        until_s = int(float(parameters.get("to") or (now_s + 1) * 1000) / 1000) + 1
     except (TypeError, ValueError, OverflowError):
         return {"error": "from and to are times in ms since 1970"}
-    name, class_name = str(asked.get("server") or ""), asked.get("class")
-    first = recorder.numbers.get(str(class_name)) if class_name else None
-    number = None if first is None else keys.class_of(first)
-    if class_name and number is None:
-        return {"error": f"there is no class {class_name!s:.60}; there are {', '.join(recorder.numbers)}"}
-    resolution = finest(since, now, MOST_POINTS, recorder.spans)
+    name, class_name = str(parameters.get("server") or ""), parameters.get("class")
+    first = recorder.class_first_keys.get(str(class_name)) if class_name else None
+    class_index = None if first is None else schema.class_index(first)
+    if class_name and class_index is None:
+        return {
+            "error": f"there is no class {class_name!s:.60}; there are {', '.join(recorder.class_first_keys)}"
+        }
+    resolution = finest_resolution(since_s, now_s, MAX_POINTS, recorder.retention)
     if name:
-        line = line_of(recorder, name)
+        line = find_line(recorder, name)
         if line is None:
             return {"error": f"nothing is known of {name:.60}"}
-        first = max(since, until - MOST_POINTS * RESOLUTIONS_S[resolution])
-        buckets = line.series.each(resolution, first, until)
+        first = max(since_s, until_s - MAX_POINTS * RESOLUTIONS_S[resolution])
+        buckets = line.series.iterate(resolution, first, until_s)
         notes = [
-            {"at": round(at), "what": what, "count": count, "span_ms": round(span)}
-            for at, what, count, span in line.notes or ()
+            {"at": round(at_ms), "what": what, "count": count, "span_ms": round(span_ms)}
+            for at_ms, what, count, span_ms in line.notes or ()
         ]
         return {
             "server": line.name,
@@ -92,48 +95,55 @@
             "kind": line.kind,
             "resolution_s": RESOLUTIONS_S[resolution],
             "notes": notes,
-            "points": (point(bucket, number) for bucket in buckets),
+            "points": (bucket_to_json(bucket, class_index) for bucket in buckets),
         }
-    return {"lines": overview(recorder, since, until, number)}
+    return {"lines": overview(recorder, since_s, until_s, class_index)}
+
 
+def overview(
+    recorder: Recorder, since_s: int, until_s: int, class_index: int | None
+) -> Iterator[dict[str, Any]]:
+    """Yields a row for each line over at most `MAX_OVERVIEW_S`.
 
-def overview(recorder: Recorder, since: int, until: int, number: int | None) -> Iterator[dict[str, Any]]:
-    """A row a line, of `OVERVIEW_S` at the most. One at a time: requests go on between two."""
-    since = max(since, until - OVERVIEW_S)
+    It is a generator, so that requests are served between two rows.
+    """
+    since_s = max(since_s, until_s - MAX_OVERVIEW_S)
     lines = [recorder.node, *recorder.classes.values(), *recorder.zones.values()]
-    servers = sorted(recorder.servers.values(), key=lambda line: -line.series.size)[:MOST_LINES]
-    for line in (*lines, *servers, *recorder.past):
-        whole = Bucket(0)
-        for bucket in line.series.each(2 if until - since > 1_800 else 1, since, until):
-            whole.add(bucket.counts, bucket.gauges)
-        if not whole.counts:
+    servers = sorted(recorder.servers.values(), key=lambda line: -line.series.size_bytes)[
+        :MAX_OVERVIEW_SERVERS
+    ]
+    for line in (*lines, *servers, *recorder.past_lines):
+        total = Bucket(0)
+        for bucket in line.series.iterate(2 if until_s - since_s > 1_800 else 1, since_s, until_s):
+            total.add(bucket.counts, bucket.gauges)
+        if not total.counts:
             continue
-        row = point(whole, number)
+        row = bucket_to_json(total, class_index)
         del row["at"]
         yield {"name": line.name, "scope": line.scope, "zone": line.zone, **row}
 
 
-def events(watch: TimelineMonitor, asked: dict[str, Any]) -> dict[str, Any]:
-    """Answer `events`: those told since `after` (a running number), the oldest first."""
-    after = asked.get("after") or 0
+def events(monitor: TimelineMonitor, parameters: dict[str, Any]) -> dict[str, Any]:
+    """Answers `events`: those after the event number `after`, oldest first."""
+    after = parameters.get("after") or 0
     if not isinstance(after, int):
         return {"error": "after is the number of an event"}
-    first = watch.event_count - len(watch.events)
-    skip = max(0, after - first)
-    told = (one.to_json() for one in list(watch.events)[skip:])
+    first_kept = monitor.event_count - len(monitor.events)
+    skip_count = max(0, after - first_kept)
+    event_rows = (event.to_json() for event in list(monitor.events)[skip_count:])
     return {
-        "next": watch.event_count,
-        "missed": max(0, first - after),
-        "left_out": watch.detector.suppressed_count,
-        "events": told,
+        "next": monitor.event_count,
+        "missed": max(0, first_kept - after),
+        "left_out": monitor.detector.suppressed_count,
+        "events": event_rows,
     }
 
 
-def why(watch: TimelineMonitor, asked: dict[str, Any]) -> dict[str, Any]:
-    """Answer `why`: the decisions about one request."""
-    name = str(asked.get("request") or "")
-    found = watch.recorder.trails.find(name)
+def why(monitor: TimelineMonitor, parameters: dict[str, Any]) -> dict[str, Any]:
+    """Answers `why`: the decisions about one request."""
+    request_id = str(parameters.get("request") or "")
+    found = monitor.recorder.traces.find(request_id)
     if found is None:
-        words = "docs/operate/timeline.md says how long it is"
-        return {"error": f"nothing is kept of request {name:.60}; {words}"}
-    return trails.told(*found)
+        hint = "docs/operate/timeline.md says how long it is"
+        return {"error": f"nothing is kept of request {request_id:.60}; {hint}"}
+    return request_traces.trace_to_json(*found)
--- a/balancer/timeline/request_traces.py
+++ b/balancer/timeline/request_traces.py
@@ -1,4 +1,4 @@
-"""What was decided about single requests, in order. Bounded by count: ordinary ones make room first."""
+"""Traces of the decisions about single requests, in order; ordinary and notable ones have separate bounds."""
 
 from __future__ import annotations
 
@@ -6,97 +6,104 @@
 
 from balancer import interface as api
 
-MOST = 64  # events and actions of one request that are kept; what comes after is left out
+MAX_TRACE_LENGTH = 64  # list items kept of one request; later events and actions are left out
 
-Trail = list[Any]
-"""The arrival, then by turns a moment in ms and what was seen then: an action, an event. As it came, and only
-put into words for who asks: that costs each request a tenth of doing so at once."""
+Trace = list[Any]
+"""The arrival, then alternately a time in ms and the action or event of that time. Objects are stored as they
+came and converted only when an operator asks: that costs each request a tenth of converting them at once."""
 
 
-class Trails:
-    """The open requests and the last ended ones: `usual` of those without a mark, `notable` of the others."""
+class RequestTraces:
+    """Traces of the open requests and of the last ended ones, `ordinary` and `notable` apart."""
 
-    def __init__(self, usual: int, notable: int) -> None:
-        self.most = {False: usual, True: notable}
-        self.live: dict[str, Trail] = {}
-        self.usual: dict[str, Trail] = {}
-        self.notable: dict[str, Trail] = {}
+    def __init__(self, ordinary: int, notable: int) -> None:
+        self.limits = {False: ordinary, True: notable}
+        self.open_traces: dict[str, Trace] = {}
+        self.ordinary: dict[str, Trace] = {}
+        self.notable: dict[str, Trace] = {}
 
-    def resize(self, usual: int, notable: int) -> None:
-        """Keep so many from now on."""
-        self.most = {False: usual, True: notable}
-        for ended, most in ((self.usual, usual), (self.notable, notable)):
-            while len(ended) > most:
+    def resize(self, ordinary: int, notable: int) -> None:
+        """Sets how many ended traces of each kind are kept."""
+        self.limits = {False: ordinary, True: notable}
+        for ended, limit in ((self.ordinary, ordinary), (self.notable, notable)):
+            while len(ended) > limit:
                 del ended[next(iter(ended))]
 
-    def end(self, request: str, notable: bool) -> None:
-        """It has its final answer, or is owed none; `notable` ones are kept apart, and longer."""
-        trail = self.live.pop(request, None)
-        if trail is None:
+    def end(self, request_id: str, notable: bool) -> None:
+        """Ends a trace: the request has its final answer or needs none. `notable` ones are kept longer."""
+        trace = self.open_traces.pop(request_id, None)
+        if trace is None:
             return
-        ended = self.notable if notable else self.usual
-        if request in ended:  # an id that comes again goes to the end
-            del ended[request]
-        ended[request] = trail
-        if len(ended) > self.most[notable]:
+        ended = self.notable if notable else self.ordinary
+        if request_id in ended:  # a reused id moves to the end
+            del ended[request_id]
+        ended[request_id] = trace
+        if len(ended) > self.limits[notable]:
             del ended[next(iter(ended))]
 
-    def find(self, request: str) -> tuple[Trail, bool] | None:
-        """The latest of that id, and whether it is over."""
-        tables = (self.live, self.notable, self.usual)
-        found = [(trail, table is not self.live) for table in tables if (trail := table.get(request))]
+    def find(self, request_id: str) -> tuple[Trace, bool] | None:
+        """Returns the latest trace of a request id, and whether the request is over."""
+        tables = (self.open_traces, self.notable, self.ordinary)
+        found = [
+            (trace, table is not self.open_traces) for table in tables if (trace := table.get(request_id))
+        ]
         return max(found, key=lambda item: item[0][1], default=None)
 
 
-def told(trail: Trail, over: bool) -> dict[str, Any]:
-    """A trail for operators, in JSON's own types."""
-    event: api.RequestArrived = trail[0]
+def trace_to_json(trace: Trace, is_over: bool) -> dict[str, Any]:
+    """Converts a trace to JSON types."""
+    arrival: api.RequestArrived = trace[0]
     rows: list[dict[str, Any]] = [
         {
-            "at": trail[1],
+            "at": trace[1],
             "action": "arrived",
             "why": "",
             "backend": "",
-            "class": event.class_name,
-            "within_ms": round(event.deadline_ms - trail[1], 3),
-            "retry": event.is_retry,
+            "class": arrival.class_name,
+            "within_ms": round(arrival.deadline_ms - trace[1], 3),
+            "retry": arrival.is_retry,
         }
     ]
-    rows += [_row(at, what) for at, what in zip(trail[2::2], trail[3::2], strict=True)]
-    return {"request": event.request, "decisions": rows, "left_out": len(trail) >= MOST, "over": over}
+    rows += [_step_to_json(at_ms, step) for at_ms, step in zip(trace[2::2], trace[3::2], strict=True)]
+    return {
+        "request": arrival.request,
+        "decisions": rows,
+        "left_out": len(trace) >= MAX_TRACE_LENGTH,
+        "over": is_over,
+    }
 
 
-def _row(at: float, what: api.Event | api.Action) -> dict[str, Any]:
-    match what:
+def _step_to_json(at_ms: float, step: api.Event | api.Action) -> dict[str, Any]:
+    match step:
         case api.SendAttempt():
             return {
-                "at": at,
+                "at": at_ms,
                 "action": "send",
-                "why": what.reason.value,
-                "backend": what.backend,
-                "cause": what.cause.value,
-                "among": what.eligible_count,
-                "left_out_as_crowded": what.overloaded_count,
-                "timeout_ms": what.timeout_ms,
+                "why": step.reason.value,
+                "backend": step.backend,
+                "cause": step.cause.value,
+                "among": step.eligible_count,
+                "left_out_as_crowded": step.overloaded_count,
+                "timeout_ms": step.timeout_ms,
             }
         case api.AttemptFinished():
             return {
-                "at": at,
+                "at": at_ms,
                 "action": "outcome",
-                "why": what.status.value,
-                "backend": what.backend,
-                "took_ms": what.duration_ms,
-                "attempt": what.attempt,
+                "why": step.status.value,
+                "backend": step.backend,
+                "took_ms": step.duration_ms,
+                "attempt": step.attempt,
             }
         case api.RejectRequest():
             return {
-                "at": at,
+                "at": at_ms,
                 "action": "refuse",
-                "why": what.reason.value,
+                "why": step.reason.value,
                 "backend": "",
-                "retry_after_ms": what.retry_after_ms,
+                "retry_after_ms": step.retry_after_ms,
             }
         case api.FailRequest():
-            return {"at": at, "action": "fail", "why": what.reason.value, "backend": ""}
+            return {"at": at_ms, "action": "fail", "why": step.reason.value, "backend": ""}
         case _:
-            return {"at": at, "action": "client_gone_or_time_up", "why": "", "backend": ""}
+            return {"at": at_ms, "action": "client_gone_or_time_up", "why": "", "backend": ""}
--- a/balancer/timeline/schema.py
+++ b/balancer/timeline/schema.py
@@ -1,24 +1,30 @@
-"""Numbers for all that is counted, so that a bucket is one small map from number to count.
+"""The integer keys of all counters, so that a bucket is one small map from key to count.
 
-Below `TIMES` each number stands for a word: an attempt's outcome, a reason, a note. From `TIMES` on they are
-answer times: `WIDTH` numbers a class, one for each bin of `balancer.timeline.latency_histogram`. Numbers
-are for memory
-alone and may change with the version; names are what is shown.
+Below `FIRST_LATENCY_KEY` each key stands for an attempt's outcome, a reason, a decision about a backend or
+another event. From `FIRST_LATENCY_KEY` on, keys are response times: `KEYS_PER_CLASS` keys for each request
+class, one for each bin of `balancer.timeline.latency_histogram`. Keys exist only in memory and may change
+between versions; `NAMES` holds the names that are shown.
 """
 
 from __future__ import annotations
 
 from balancer.interface import AttemptStatus, BackendDecision, DecisionReason
 
-TIMES = 1024
-WIDTH = 512
+FIRST_LATENCY_KEY = 1024
+KEYS_PER_CLASS = 512
 
 ATTEMPTS = 0
-STATUSES, WHYS, WHATS = 1, 32, 96  # plus the word's own number
-STATUS: dict[AttemptStatus, int] = {status: STATUSES + status.number for status in AttemptStatus}
-WHY: dict[DecisionReason, int] = {why: WHYS + why.number for why in DecisionReason}
-WHAT: dict[BackendDecision, int] = {what: WHATS + what.number for what in BackendDecision}
-REFUSED, FAILED, ARRIVED, CROWDED, LATE, GONE, STARTED, PHASED = range(128, 136)
+FIRST_STATUS_KEY, FIRST_REASON_KEY, FIRST_DECISION_KEY = 1, 32, 96  # plus the member's own number
+KEY_BY_STATUS: dict[AttemptStatus, int] = {
+    status: FIRST_STATUS_KEY + status.number for status in AttemptStatus
+}
+KEY_BY_REASON: dict[DecisionReason, int] = {
+    reason: FIRST_REASON_KEY + reason.number for reason in DecisionReason
+}
+KEY_BY_DECISION: dict[BackendDecision, int] = {
+    decision: FIRST_DECISION_KEY + decision.number for decision in BackendDecision
+}
+REFUSED, FAILED, ARRIVED, OVERLOADED, LATE, CLIENT_GONE, STARTED, PHASE_CHANGED = range(128, 136)
 
 NAMES: dict[int, str] = (
     {
@@ -26,25 +32,28 @@
         REFUSED: "refused",
         FAILED: "failed",
         ARRIVED: "arrived",
-        CROWDED: "crowded",
+        OVERLOADED: "crowded",
         LATE: "late",
-        GONE: "client_gone",
+        CLIENT_GONE: "client_gone",
         STARTED: "started",
-        PHASED: "phase_changed",
+        PHASE_CHANGED: "phase_changed",
     }
-    | {n: s.value for s, n in STATUS.items()}
-    | {n: w.value for w, n in WHY.items()}
-    | {n: w.value for w, n in WHAT.items()}
+    | {key: status.value for status, key in KEY_BY_STATUS.items()}
+    | {key: reason.value for reason, key in KEY_BY_REASON.items()}
+    | {key: decision.value for decision, key in KEY_BY_DECISION.items()}
 )
-"""What is shown for a number below `TIMES`."""
+"""The name that is shown for a key below `FIRST_LATENCY_KEY`."""
 
-OK = STATUS[AttemptStatus.OK]
-OUTCOMES = tuple(STATUS.values())
-ERRORS = tuple(STATUS[s] for s in (AttemptStatus.ERROR, AttemptStatus.RESET, AttemptStatus.CONNECT_FAILED))
-TURNED_AWAY, TIMED_OUT = STATUS[AttemptStatus.REJECTED], STATUS[AttemptStatus.TIMEOUT]
-REASONS = tuple(WHY.values())
+OK = KEY_BY_STATUS[AttemptStatus.OK]
+OUTCOME_KEYS = tuple(KEY_BY_STATUS.values())
+ERROR_KEYS = tuple(
+    KEY_BY_STATUS[status]
+    for status in (AttemptStatus.ERROR, AttemptStatus.RESET, AttemptStatus.CONNECT_FAILED)
+)
+REJECTED, TIMED_OUT = KEY_BY_STATUS[AttemptStatus.REJECTED], KEY_BY_STATUS[AttemptStatus.TIMEOUT]
+REASON_KEYS = tuple(KEY_BY_REASON.values())
 
 
-def class_of(key: int) -> int:
-    """The number of the class whose answer time a key from `TIMES` on is."""
-    return (key - TIMES) // WIDTH
+def class_index(key: int) -> int:
+    """Returns the index of the request class of a response time key (`FIRST_LATENCY_KEY` or above)."""
+    return (key - FIRST_LATENCY_KEY) // KEYS_PER_CLASS
--- a/balancer/timeline/time_series.py
+++ b/balancer/timeline/time_series.py
@@ -1,7 +1,8 @@
-"""One line of the time line: counts and gauges in buckets of 1 s, 10 s and 1 minute, packed and bounded.
+"""Time series of counts and gauges in buckets of 1 s, 10 s and 1 minute, packed and bounded.
 
-`Series` is filled a second at a time. Each resolution keeps its own span (`Spans`); what is older goes. A
-closed bucket is msgpack (`msgspec`, loaded when the first is packed), some 25 to 80 bytes.
+`Series` is filled one second at a time. Each resolution has its own retention (`Retention`); older buckets
+are dropped. A closed bucket is packed as msgpack, about 25 to 80 bytes; `msgspec` is imported when the first
+bucket is packed.
 """
 
 from __future__ import annotations
@@ -12,190 +13,194 @@
 from typing import Any
 
 RESOLUTIONS_S = (1, 10, 60)
-OVERHEAD = 56  # bytes of a packed bucket beside its content: the object and its place in a list
-SPARE = 64  # buckets past their time that may wait to be dropped, so that a list is not moved at each
-
-
-class Spans(tuple[int, int, int]):
-    """How long each resolution is kept, in seconds, the finest first."""
-
-
-FULL = Spans((600, 10_800, 172_800))
-# What goes first where the memory is short, step by step: the fine buckets of longer ago, then coarser ones.
-STEPS = (
-    FULL,
-    Spans((300, 10_800, 172_800)),
-    Spans((300, 5_400, 172_800)),
-    Spans((180, 3_600, 86_400)),
-    Spans((120, 1_800, 43_200)),
-    Spans((120, 1_200, 21_600)),
-    Spans((90, 900, 10_800)),
-    Spans((60, 600, 7_200)),
-    Spans((30, 300, 3_600)),
-    Spans((20, 120, 1_800)),
-    Spans((10, 60, 600)),
+BUCKET_OVERHEAD_BYTES = 56  # per packed bucket beside its content: the object header and the list slot
+TRIM_SLACK_BUCKETS = 64  # expired buckets are dropped in batches: each drop shifts the list
+
+
+class Retention(tuple[int, int, int]):
+    """How long each resolution is kept, in seconds, finest first."""
+
+
+FULL_RETENTION = Retention((600, 10_800, 172_800))
+# Retention shrinks level by level when memory is short: older fine buckets go first, then coarser ones.
+RETENTION_LEVELS = (
+    FULL_RETENTION,
+    Retention((300, 10_800, 172_800)),
+    Retention((300, 5_400, 172_800)),
+    Retention((180, 3_600, 86_400)),
+    Retention((120, 1_800, 43_200)),
+    Retention((120, 1_200, 21_600)),
+    Retention((90, 900, 10_800)),
+    Retention((60, 600, 7_200)),
+    Retention((30, 300, 3_600)),
+    Retention((20, 120, 1_800)),
+    Retention((10, 60, 600)),
 )
 
 
 @dataclass(slots=True)
 class Gauges:
-    """What is not counted but measured in a bucket. Nothing was told where a value is None."""
+    """Values measured during a bucket; None where nothing was reported."""
 
-    own: int = 0  # most of the node's own attempts out
-    in_flight: float | None = None  # reported, the last word
+    max_own_attempts: int = 0  # maximum of this node's attempts in flight
+    in_flight: float | None = None  # as last reported
     queue: float | None = None
-    estimate: int | None = None  # the module's upper bound of its load
+    estimate: int | None = None  # the balancer's upper bound of the server's load
     weight: float | None = None
     phase: str | None = None
 
     def add(self, later: Gauges) -> None:
-        """Take in what came after it: the most of the own, the last of the rest."""
-        self.own = max(self.own, later.own)
+        """Adds later values: the maximum of the own attempts, the latest of the rest."""
+        self.max_own_attempts = max(self.max_own_attempts, later.max_own_attempts)
         for name in ("in_flight", "queue", "estimate", "weight", "phase"):
             if (value := getattr(later, name)) is not None:
                 setattr(self, name, value)
 
-    def row(self) -> list[Any]:
-        """As it is packed."""
-        return [self.own, self.in_flight, self.queue, self.estimate, self.weight, self.phase]
+    def to_row(self) -> list[Any]:
+        """Returns the values in packing order."""
+        return [self.max_own_attempts, self.in_flight, self.queue, self.estimate, self.weight, self.phase]
 
 
 @dataclass(slots=True)
 class Bucket:
-    """What happened in one stretch of time; `at` is its first second since 1970."""
+    """Counts and gauges of one period; `start_s` is its first second since 1970."""
 
-    at: int
+    start_s: int
     counts: dict[int, int] = field(default_factory=dict)
     gauges: Gauges = field(default_factory=Gauges)
 
     def add(self, counts: Mapping[int, int], gauges: Gauges) -> None:
-        """Take in a stretch after it."""
-        mine = self.counts
+        """Adds the counts and gauges of a later period."""
+        own_counts = self.counts
         for key, count in counts.items():
-            mine[key] = mine.get(key, 0) + count
+            own_counts[key] = own_counts.get(key, 0) + count
         self.gauges.add(gauges)
 
 
 def pack(bucket: Bucket) -> bytes:
-    """A bucket as bytes."""
+    """Encodes the content of a bucket, without its start."""
     import msgspec
 
-    flat = [n for pair in sorted(bucket.counts.items()) for n in pair]
-    return msgspec.msgpack.encode((flat, *bucket.gauges.row()))
+    flat_counts = [n for pair in sorted(bucket.counts.items()) for n in pair]
+    return msgspec.msgpack.encode((flat_counts, *bucket.gauges.to_row()))
 
 
-def unpack(at: int, packed: bytes) -> Bucket:
-    """The bucket that was packed."""
+def unpack(start_s: int, packed: bytes) -> Bucket:
+    """Decodes a bucket that starts at `start_s`."""
     import msgspec
 
-    flat, *gauges = msgspec.msgpack.decode(packed)
-    return Bucket(at, dict(zip(flat[::2], flat[1::2], strict=True)), Gauges(*gauges))
+    flat_counts, *gauges = msgspec.msgpack.decode(packed)
+    return Bucket(start_s, dict(zip(flat_counts[::2], flat_counts[1::2], strict=True)), Gauges(*gauges))
 
 
 class Layer:
     """The closed buckets of one resolution, oldest first."""
 
-    __slots__ = ("size", "starts", "texts")
+    __slots__ = ("packed_buckets", "size_bytes", "starts_s")
 
     def __init__(self) -> None:
-        self.starts: list[int] = []
-        self.texts: list[bytes] = []
-        self.size = 0
+        self.starts_s: list[int] = []
+        self.packed_buckets: list[bytes] = []
+        self.size_bytes = 0
 
     def append(self, bucket: Bucket) -> None:
-        """A bucket later than all others."""
-        text = pack(bucket)
-        self.starts.append(bucket.at)
-        self.texts.append(text)
-        self.size += len(text) + OVERHEAD
-
-    def trim(self, before: int, slack: int = SPARE) -> None:
-        """Drop what began before a second, once that is more than `slack` buckets."""
-        count = bisect_left(self.starts, before)
+        """Appends a bucket that is later than all others."""
+        packed = pack(bucket)
+        self.starts_s.append(bucket.start_s)
+        self.packed_buckets.append(packed)
+        self.size_bytes += len(packed) + BUCKET_OVERHEAD_BYTES
+
+    def trim(self, before_s: int, slack: int = TRIM_SLACK_BUCKETS) -> None:
+        """Drops the buckets that start before `before_s` once they number more than `slack`."""
+        count = bisect_left(self.starts_s, before_s)
         if count > slack:
-            self.size -= sum(map(len, self.texts[:count])) + OVERHEAD * count
-            del self.starts[:count], self.texts[:count]
+            self.size_bytes -= sum(map(len, self.packed_buckets[:count])) + BUCKET_OVERHEAD_BYTES * count
+            del self.starts_s[:count], self.packed_buckets[:count]
 
-    def read(self, since: int, until: int) -> Iterator[Bucket]:
-        """The buckets that begin within a stretch."""
-        first, last = bisect_left(self.starts, since), bisect_left(self.starts, until)
-        # A copy: whoever reads it in pieces must stand what is added and dropped meanwhile.
-        yield from map(unpack, self.starts[first:last], self.texts[first:last])
+    def read(self, since_s: int, until_s: int) -> Iterator[Bucket]:
+        """Yields the buckets that start within [since_s, until_s)."""
+        first_index, last_index = bisect_left(self.starts_s, since_s), bisect_left(self.starts_s, until_s)
+        # Slices are copies: buckets may be added and dropped while a reader consumes the iterator.
+        yield from map(
+            unpack, self.starts_s[first_index:last_index], self.packed_buckets[first_index:last_index]
+        )
 
 
 class Series:
-    """One line in all resolutions."""
+    """A time series in all resolutions."""
 
-    __slots__ = ("layers", "open")
+    __slots__ = ("layers", "open_buckets")
 
     def __init__(self) -> None:
         self.layers = (Layer(), Layer(), Layer())
-        self.open: list[Bucket | None] = [None, None]  # of the coarser two
+        self.open_buckets: list[Bucket | None] = [None, None]  # of the two coarser resolutions
 
     @property
-    def size(self) -> int:
-        """Bytes that it holds, about."""
-        return sum(layer.size for layer in self.layers)
+    def size_bytes(self) -> int:
+        """Approximate memory of the closed buckets."""
+        return sum(layer.size_bytes for layer in self.layers)
 
     @property
-    def last(self) -> int:
-        """The last second that it knows of; 0 where there is none."""
-        ends = [layer.starts[-1] for layer in self.layers if layer.starts]
-        return max(ends + [bucket.at for bucket in self.open if bucket], default=0)
+    def last_second(self) -> int:
+        """Start of the latest bucket; 0 if there is none."""
+        starts_s = [layer.starts_s[-1] for layer in self.layers if layer.starts_s]
+        return max(starts_s + [bucket.start_s for bucket in self.open_buckets if bucket], default=0)
 
-    def add(self, at: int, counts: dict[int, int], gauges: Gauges) -> None:
-        """The second `at` is over; it may be the one that came last once more, and never an earlier one.
+    def add(self, second: int, counts: dict[int, int], gauges: Gauges) -> None:
+        """Adds the values of the second `second`, which must not be earlier than the last one.
 
-        A clock that stands still adds to the same second.
+        The last second may come again, as when the clock stands still: its bucket is extended.
         """
-        self._extend(0, Bucket(at, counts, gauges))
-        for number, width in enumerate(RESOLUTIONS_S[1:]):
-            start, bucket = at - at % width, self.open[number]
-            if bucket is not None and bucket.at != start:
-                self.layers[number + 1].append(bucket)
+        self._extend(0, Bucket(second, counts, gauges))
+        for index, width_s in enumerate(RESOLUTIONS_S[1:]):
+            start_s, bucket = second - second % width_s, self.open_buckets[index]
+            if bucket is not None and bucket.start_s != start_s:
+                self.layers[index + 1].append(bucket)
                 bucket = None
             if bucket is None:
-                bucket = self.open[number] = Bucket(start)
+                bucket = self.open_buckets[index] = Bucket(start_s)
             bucket.add(counts, gauges)
 
-    def _extend(self, number: int, bucket: Bucket) -> None:
-        layer = self.layers[number]
-        if layer.starts and layer.starts[-1] >= bucket.at:
-            last = unpack(layer.starts.pop(), layer.texts[-1])
-            layer.size -= len(layer.texts.pop()) + OVERHEAD
+    def _extend(self, index: int, bucket: Bucket) -> None:
+        layer = self.layers[index]
+        if layer.starts_s and layer.starts_s[-1] >= bucket.start_s:
+            last = unpack(layer.starts_s.pop(), layer.packed_buckets[-1])
+            layer.size_bytes -= len(layer.packed_buckets.pop()) + BUCKET_OVERHEAD_BYTES
             last.add(bucket.counts, bucket.gauges)
             bucket = last
         layer.append(bucket)
 
-    def trim(self, now: int, spans: Spans, slack: int = SPARE) -> None:
-        """Drop what is older than its resolution is kept."""
-        for layer, span in zip(self.layers, spans, strict=True):
-            layer.trim(now - span, slack)
+    def trim(self, now_s: int, retention: Retention, slack: int = TRIM_SLACK_BUCKETS) -> None:
+        """Drops the buckets that are older than the retention of their resolution."""
+        for layer, kept_s in zip(self.layers, retention, strict=True):
+            layer.trim(now_s - kept_s, slack)
 
-    def each(self, resolution: int, since: int, until: int) -> Iterator[Bucket]:
-        """The buckets of a resolution (0, 1, 2) that begin within [since, until), the open one too."""
-        bucket = self.open[resolution - 1] if resolution else None
-        yield from self.layers[resolution].read(since, until)
-        if bucket is not None and since <= bucket.at < until:
+    def iterate(self, resolution: int, since_s: int, until_s: int) -> Iterator[Bucket]:
+        """Yields buckets of a resolution (0 to 2) that start within [since_s, until_s), the open one too."""
+        bucket = self.open_buckets[resolution - 1] if resolution else None
+        yield from self.layers[resolution].read(since_s, until_s)
+        if bucket is not None and since_s <= bucket.start_s < until_s:
             yield bucket
 
-    def read(self, resolution: int, since: int, until: int) -> list[Bucket]:
-        """The same, at once."""
-        return list(self.each(resolution, since, until))
+    def read(self, resolution: int, since_s: int, until_s: int) -> list[Bucket]:
+        """Returns the buckets of `iterate` as a list."""
+        return list(self.iterate(resolution, since_s, until_s))
 
 
-def finest(since: int, now: int, most: int, spans: Spans = FULL) -> int:
-    """The finest resolution that still reaches back to `since` in at most so many buckets."""
-    for number, (width, span) in enumerate(zip(RESOLUTIONS_S, spans, strict=True)):
-        if now - since <= span and (now - since) / width <= most:
-            return number
+def finest_resolution(
+    since_s: int, now_s: int, max_buckets: int, retention: Retention = FULL_RETENTION
+) -> int:
+    """Returns the finest resolution that reaches back to `since_s` with at most `max_buckets` buckets."""
+    for index, (width_s, kept_s) in enumerate(zip(RESOLUTIONS_S, retention, strict=True)):
+        if now_s - since_s <= kept_s and (now_s - since_s) / width_s <= max_buckets:
+            return index
     return len(RESOLUTIONS_S) - 1
 
 
 def merged(buckets: Iterable[Bucket]) -> Bucket:
-    """All of them as one."""
-    out = Bucket(0)
+    """Returns the sum of all buckets."""
+    total = Bucket(0)
     for bucket in buckets:
-        out.at = out.at or bucket.at
-        out.add(bucket.counts, bucket.gauges)
-    return out
+        total.start_s = total.start_s or bucket.start_s
+        total.add(bucket.counts, bucket.gauges)
+    return total
