--- a/balancer/__init__.py
+++ b/balancer/__init__.py
@@ -1,3 +1,3 @@
-"""Join-Up-To(m) load balancing decisions for a bank of proxies."""
+"""Join-Up-To(m) load balancing for a fleet of proxies."""
 
 __version__ = "0.1.0"
--- a/balancer/__main__.py
+++ b/balancer/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m balancer`: the command line. Without words it starts one node, as the platform asks."""
+"""`python -m balancer`: the command line. Without arguments it starts one node, as the platform requires."""
 
 from __future__ import annotations
 
@@ -8,30 +8,30 @@
 import sys
 import time
 
-STARTED_S = time.monotonic()  # before what follows is loaded: a start is measured by part
+STARTED_S = time.monotonic()  # before the imports below: each phase of a start is measured
 
 
 def record_hangups() -> list[int]:
-    """From now on each SIGHUP is noted in this list, until the node's loop takes the signal.
+    """Records each SIGHUP in the returned list until the node's event loop handles the signal.
 
-    Guards against the signal's default, which ends a node that has not come that far.
+    The default action of SIGHUP would terminate a node that is still starting.
     """
-    hung_up: list[int] = []
-    signal.signal(signal.SIGHUP, lambda number, frame: hung_up.append(number))
-    return hung_up
+    received_signals: list[int] = []
+    signal.signal(signal.SIGHUP, lambda number, frame: received_signals.append(number))
+    return received_signals
 
 
-def parse_node_arguments(words: list[str]) -> tuple[bool, str]:
-    """Whether these words start a node and no more than that, and the operators' file that they name.
+def parse_node_arguments(arguments: list[str]) -> tuple[bool, str]:
+    """Returns whether the arguments only start a node, and the operators' settings file they name.
 
-    They are `[--settings FILE] [run [--settings FILE]]`, of which the last counts. All else is left to the
-    command line, which understands this, too, and says what makes no sense.
+    Recognized are `[--settings FILE] [run [--settings FILE]]`, where the last file counts. Everything else is
+    left to the full command line, which accepts these arguments too and reports invalid ones.
     """
-    run, settings, rest = False, "", iter(words)
-    for word in rest:
-        if word == "run" and not run:
-            run = True
-        elif word == "--settings" and (file := next(rest, ""))[:1] not in ("", "-"):
+    has_run, settings, remaining = False, "", iter(arguments)
+    for argument in remaining:
+        if argument == "run" and not has_run:
+            has_run = True
+        elif argument == "--settings" and (file := next(remaining, ""))[:1] not in ("", "-"):
             settings = file
         else:
             return False, ""
@@ -39,18 +39,18 @@
 
 
 def main() -> int:
-    """Carry out the command line; the exit code.
+    """Runs the command line and returns the exit code.
 
-    A node is killed and started under load, with most of its fleet: its way in loads no command line, and
-    the platform's own, without an operators' file, nothing that reads one.
+    Nodes are killed and restarted under load, most of a fleet at once. To start fast, a node does not import
+    the command line, and without an operators' settings file it does not import the code that reads one.
     """
-    starts, settings = parse_node_arguments(sys.argv[1:])
-    if not starts:
-        from balancer.cli import main as words
+    starts_node, settings = parse_node_arguments(sys.argv[1:])
+    if not starts_node:
+        from balancer.cli import main as run_command_line
 
-        return words()
+        return run_command_line()
     hung_up = record_hangups()
-    gc.disable()  # what is loaded stays: looking through it again and again finds nothing
+    gc.disable()  # imported modules stay: repeated collections during the imports would free nothing
     if settings or os.environ.get("BALANCER_SETTINGS") or os.environ.get("DILLPORT_SETTINGS"):
         from pathlib import Path
 
--- a/balancer/cli/__init__.py
+++ b/balancer/cli/__init__.py
@@ -1,21 +1,22 @@
-"""The command line, on click: its words, what each reads and prints, exit codes. Nothing is decided here.
+"""The command line, built on click: commands, their output and exit codes. It contains no balancing logic.
 
-- `node`: `run`, also without a word: one node, as the platform asks; `check`: both files, every fault.
-- `members`: what the sources say of whom. `peers`: which other nodes are there.
+- `node`: `run` (the default command) runs one node; `check` reports every fault of both files.
+- `members`: the servers that the sources list. `peers`: the other nodes.
 - `timeline`: `timeline`, `events`, `why`, `report`: what a running node recorded.
-- `state`: `state show|verify|clear`, `recovery`: what a node keeps, how far it is back.
-- `lab`: `demo`, a small fleet on stand-ins; `lab play`: scripts of faults on one.
-- `common`: what several of them need.
+- `state`: `state show|verify|clear`, the state directory of a node; `recovery`, its progress after a start.
+- `testbed`: `demo`, a small simulated fleet; `lab play`, fault scripts on such a fleet.
+- `common`: shared helpers.
 
-Exit code 0 is well, 1 a running node that cannot be asked, 2 files or words that make no sense. A word's
-module is loaded when it is called, and what a node needs by `run` alone, so that the others answer at once.
+Exit codes: 0 success, 1 the running node cannot be queried, 2 invalid files or arguments. The module of a
+command is imported when the command is called, and the node's own modules only by `run`, so that the others
+start fast.
 """
 
 from __future__ import annotations
 
 import time
 
-STARTED_S = time.monotonic()  # before what follows is loaded: a node's start is measured by part
+STARTED_S = time.monotonic()  # before the imports below: each phase of a start is measured
 
 # ruff: noqa: E402
 import os
@@ -31,7 +32,7 @@
 from balancer.net.config import CONFIG
 from balancer.net.startup import SETTINGS_VAR
 
-COMMAND_MODULES = {  # of each word, in the order of the help
+COMMAND_MODULES = {  # the module of each command, in the order of the help
     "run": "node",
     "check": "node",
     "members": "members",
@@ -52,38 +53,38 @@
   {CONFIG}        the JSON file in which the platform configures a node; needed by
                       run and check
   PROXY_NAME, PROXY_LISTEN, PROXY_DISCOVERY
-                      go before the file's own name, listen and discovery
-  {SETTINGS_VAR}   the operators' settings where --settings is not given; without
-                      either, all that they could switch on is off
+                      override name, listen and discovery of that file
+  {SETTINGS_VAR}   the operators' settings if --settings is not given; without
+                      either, all optional features are off
 
 \b
 signals of a running node:
-  SIGTERM             answer what was taken, then end with exit code 0
-  SIGHUP              read both files again; a bad one changes nothing and is named
-                      in the log
+  SIGTERM             answer the accepted requests, then end with exit code 0
+  SIGHUP              read both files again; an invalid one changes nothing and is
+                      named in the log
 
 \b
-exit codes: 0 well; 1 a running node that cannot be asked;
-            2 files or words that make no sense
+exit codes: 0 success; 1 the running node cannot be queried;
+            2 invalid files or arguments
 
 See deploy/operators.toml for every key of the operators' settings.
 """
 
 
 class CommandGroup(click.Group):
-    """The words, each out of its module when it is asked for."""
+    """The commands; each is imported from its module when it is looked up."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """All words."""
+        """Returns the names of all commands."""
         return list(COMMAND_MODULES)
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """The word of this very name: nothing is abbreviated."""
+        """Returns the command with exactly this name: abbreviations are not accepted."""
         if cmd_name not in COMMAND_MODULES:
             return None
-        found = getattr(import_module(f"balancer.cli.{COMMAND_MODULES[cmd_name]}"), cmd_name)
-        assert isinstance(found, click.Command)
-        return found
+        command = getattr(import_module(f"balancer.cli.{COMMAND_MODULES[cmd_name]}"), cmd_name)
+        assert isinstance(command, click.Command)
+        return command
 
 
 def _print_version(ctx: click.Context, param: click.Parameter, value: bool) -> None:
@@ -96,8 +97,8 @@
     cls=CommandGroup,
     invoke_without_command=True,
     epilog=EPILOG,
-    subcommand_metavar="[WORD ...]",
-    help="A load-balancer node. Without a word it does what run does.",
+    subcommand_metavar="[COMMAND ...]",
+    help="A load-balancer node. Without a command it does the same as run.",
     context_settings={"help_option_names": ["-h", "--help"], "max_content_width": 100},
 )
 @settings_option
@@ -107,11 +108,11 @@
     is_eager=True,
     expose_value=False,
     callback=_print_version,
-    help="Print the version and end.",
+    help="Print the version and exit.",
 )
 @click.pass_context
 def command_line(ctx: click.Context, settings: Path | None) -> int:
-    """The whole command line; without a word it runs a node."""
+    """The top-level command; without a subcommand it runs a node."""
     ctx.obj = settings
     if ctx.invoked_subcommand is not None:
         return 0
@@ -121,7 +122,7 @@
 
 
 def main(argv: Sequence[str] | None = None) -> int:
-    """Carry out a command line; the exit code."""
+    """Runs a command line and returns the exit code."""
     try:
         code = _run_command(sys.argv[1:] if argv is None else list(argv))
         sys.stdout.flush()
@@ -129,13 +130,13 @@
         if err.ctx is not None:
             pieces = err.ctx.command.collect_usage_pieces(err.ctx)
             print("usage:", err.ctx.command_path, *pieces, file=sys.stderr)
-        where = "balancer" if err.ctx is None else err.ctx.command_path
-        print(f"{where}: error: {err.format_message()}", file=sys.stderr)
+        command_path = "balancer" if err.ctx is None else err.ctx.command_path
+        print(f"{command_path}: error: {err.format_message()}", file=sys.stderr)
         return 2
-    except CommandError as trouble:
-        for line in trouble.lines:
+    except CommandError as error:
+        for line in error.lines:
             print(f"balancer: {line}", file=sys.stderr)
-        return trouble.exit_code
+        return error.exit_code
     except BrokenPipeError:  # as in `balancer members | head`
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
         return 0
@@ -143,12 +144,12 @@
 
 
 def _run_command(argv: list[str]) -> int:
-    """As click's own `main` does, which would say and end all by itself."""
+    """Does the same as click's `main`, which would print errors and exit the process itself."""
     try:
         with command_line.make_context("balancer", argv) as ctx:
             return int(command_line.invoke(ctx))
-    except click.exceptions.Exit as end:  # after --help or --version
-        return end.exit_code
+    except click.exceptions.Exit as exit_request:  # after --help or --version
+        return exit_request.exit_code
 
 
 def _version() -> str:
@@ -156,7 +157,7 @@
 
     try:
         return metadata.version("snowloom-balancer")
-    except metadata.PackageNotFoundError:  # run from its folder, not installed
+    except metadata.PackageNotFoundError:  # run from a checkout, not installed
         return balancer.__version__
 
 
--- a/balancer/cli/common.py
+++ b/balancer/cli/common.py
@@ -1,4 +1,4 @@
-"""What several words need: how they end early, the settings' option and file, tables for people."""
+"""Helpers shared by the commands: errors with an exit code, common options, and tables."""
 
 from __future__ import annotations
 
@@ -17,23 +17,23 @@
 
 
 class CommandError(Exception):
-    """What ends a command early: an exit code, and lines for standard error."""
+    """Ends a command with an exit code and lines for standard error."""
 
     def __init__(self, code: int, *lines: str) -> None:
         super().__init__(*lines)
         self.exit_code, self.lines = code, lines
 
 
-# --- options and files --------------------------------------------------------------------------------
+# --- options ------------------------------------------------------------------------------------------
 
 
 def _settings_or_inherited(ctx: click.Context, param: click.Parameter, value: Path | None) -> Path | None:
-    found: Path | None = ctx.obj if value is None else value
-    return found
+    settings: Path | None = ctx.obj if value is None else value
+    return settings
 
 
 def settings_option(command: Command) -> Command:
-    """`--settings FILE`, which is understood before a word and after it; after it goes first."""
+    """Adds `--settings FILE`, accepted before and after a command; the one after it takes precedence."""
     return click.option(
         "--settings",
         metavar="FILE",
@@ -44,32 +44,32 @@
 
 
 def json_option(command: Command) -> Command:
-    """`--json`."""
-    return click.option("--json", "as_json", is_flag=True, help="Print JSON, one object a line.")(command)
+    """Adds `--json`."""
+    return click.option("--json", "as_json", is_flag=True, help="Print JSON, one object per line.")(command)
 
 
 # --- tables -------------------------------------------------------------------------------------------
 
 
 def format_address(address: Address) -> str:
-    """An address as it is written."""
+    """Formats an address as HOST:PORT, with brackets around an IPv6 host."""
     host, port = address
     return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
 
 
-def format_count(number: int, what: str, plural: str = "s") -> str:
-    """So many of them."""
-    return f"{number} {what}{'' if number == 1 else plural}"
+def format_count(number: int, noun: str, plural: str = "s") -> str:
+    """Formats a count with its noun, which gets the suffix `plural` unless the count is 1."""
+    return f"{number} {noun}{'' if number == 1 else plural}"
 
 
 def format_cell(value: object) -> str:
-    """A value on one line; guards the terminal against what a list may hold."""
+    """Formats a value on one line; escapes control characters, as names come from endpoint lists."""
     text = "-" if value is None or value == "" else str(value)
     return text if text.isprintable() else ascii(text)
 
 
 def print_columns(rows: Iterable[list[str]]) -> None:
-    """Print them below each other."""
+    """Prints rows as a table with aligned columns."""
     rows = list(rows)
     widths = [max(map(len, column)) for column in zip(*rows, strict=True)]
     for row in rows:
--- a/balancer/cli/members.py
+++ b/balancer/cli/members.py
@@ -1,4 +1,4 @@
-"""`members`: which servers the sources list, from a running node or else from the files."""
+"""`members`: the servers that the sources list, from a running node or else from the files."""
 
 from __future__ import annotations
 
@@ -31,24 +31,24 @@
     "--control",
     metavar="PATH",
     type=PATH_TYPE,
-    help="The node's control socket; without it that of the settings is asked, and if no node answers there, "
+    help="The node's control socket; by default that of the settings is used, and if no node answers there, "
     "the servers that the configuration knows at the start are shown.",
 )
 @click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 def members(settings: Path | None, control: Path | None, as_json: bool) -> int:
-    """The word."""
-    told = _fetch_status(settings, control)
-    if told is None:
-        told = _status_from_files()
+    """Prints the members as tables or JSON."""
+    status = _fetch_status(settings, control)
+    if status is None:
+        status = _status_from_files()
     if as_json:
-        print(json.dumps(told, indent=1))
+        print(json.dumps(status, indent=1))
     else:
-        _print_status(told)
+        _print_status(status)
     return 0
 
 
 def _fetch_status(settings: Path | None, control: Path | None) -> dict[str, Any] | None:
-    """What a running node says; None where there is none to ask, or none that answers by the settings."""
+    """Queries a running node; returns None if none is configured or the configured one does not answer."""
     from balancer.net.admin_socket import AdminSocketError, ask
 
     if control is not None:
@@ -56,23 +56,23 @@
             return ask(control, "members")
         except AdminSocketError as err:
             raise CommandError(1, str(err)) from None
-    _, operators, wrong = read_operator_settings(settings)
-    if wrong:
-        raise CommandError(2, *wrong)
+    _, operators, faults = read_operator_settings(settings)
+    if faults:
+        raise CommandError(2, *faults)
     if operators.control is not None:
         try:
             return ask(operators.control.socket, "members")
         except AdminSocketError as err:
-            print(f"balancer: {err}; what the files say instead:", file=sys.stderr)
+            print(f"balancer: {err}; showing the files instead:", file=sys.stderr)
     return None
 
 
 def _status_from_files() -> dict[str, Any]:
-    """The servers that the configuration knows at the start, in the form in which a node tells its own."""
+    """Returns the servers known from the configuration, in the form of a node's answer."""
     config, faults = read(os.environ)
     if config is None:
         raise CommandError(2, *faults)
-    known = config.configured_endpoints
+    configured = config.configured_endpoints
     return {
         "members": [
             {
@@ -83,33 +83,35 @@
                 "weight": member.endpoint.weight,
                 "sources": {"configuration": member.endpoint.phase.value},
             }
-            for member in known.records
+            for member in configured.records
         ],
         "faults": [
-            {"source": "configuration", "key": f.key, "reason": f.reason} for f in known.invalid_entries
+            {"source": "configuration", "key": fault.key, "reason": fault.reason}
+            for fault in configured.invalid_entries
         ],
     }
 
 
-def _print_status(told: dict[str, Any]) -> None:
-    """The sources and the members as tables, a column for what each source says; then what is unreadable."""
-    if about := told.get("sources", []):
+def _print_status(status: dict[str, Any]) -> None:
+    """Prints the sources, the members with a column for each source, and the unreadable entries."""
+    if source_rows := status.get("sources", []):
         keys = ["name", "role", "state", "revision", "members", "unreadable", "not_applied", "reason"]
-        head = ["SOURCE", *(key.upper().replace("_", " ") for key in keys[1:])]
-        print_columns([head, *([format_cell(source.get(key)) for key in keys] for source in about)])
+        header = ["SOURCE", *(key.upper().replace("_", " ") for key in keys[1:])]
+        print_columns([header, *([format_cell(source.get(key)) for key in keys] for source in source_rows)])
         print()
-    listed = told.get("members", [])
-    sources = sorted({source for member in listed for source in member.get("sources", {})})
-    names = ["id", "address", "phase", "zone", "weight"]
-    rows = [[name.upper() for name in names] + [f"BY {source.upper()}" for source in sources]]
-    for member in listed:
-        says = member.get("sources", {})
+    member_rows = status.get("members", [])
+    sources = sorted({source for member in member_rows for source in member.get("sources", {})})
+    columns = ["id", "address", "phase", "zone", "weight"]
+    rows = [[name.upper() for name in columns] + [f"BY {source.upper()}" for source in sources]]
+    for member in member_rows:
+        phase_by_source = member.get("sources", {})
         rows.append(
-            [format_cell(member.get(name)) for name in names] + [format_cell(says.get(s)) for s in sources]
+            [format_cell(member.get(name)) for name in columns]
+            + [format_cell(phase_by_source.get(source)) for source in sources]
         )
     print_columns(rows)
-    print(format_count(len(listed), "server"))
-    for fault in told.get("faults", []):
+    print(format_count(len(member_rows), "server"))
+    for fault in status.get("faults", []):
         print(
             f"cannot be read, from {fault['source']}: "
             f"{format_cell(fault['key'])}: {format_cell(fault['reason'])}"
--- a/balancer/cli/peers.py
+++ b/balancer/cli/peers.py
@@ -1,4 +1,4 @@
-"""`peers`: the other nodes as a running one sees them."""
+"""`peers`: the other nodes as a running node sees them."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 )
 from balancer.net.startup import read_operator_settings
 
-WATCH_S = 1.0  # between two looks of `--watch`
-PEERS = "Show which other nodes are there, as a running node sees it."
+REFRESH_INTERVAL_S = 1.0  # between two refreshes of `--watch`
+PEERS = "Show the other nodes as a running node sees them."
 
 
 @click.command(help=PEERS, short_help=PEERS)
@@ -33,70 +33,82 @@
     type=PATH_TYPE,
     help="The node's control socket; that of the settings by default.",
 )
-@click.option("--watch", is_flag=True, help="Look again each second, until it is ended.")
+@click.option("--watch", is_flag=True, help="Refresh each second until interrupted.")
 @json_option
 def peers(settings: Path | None, control: Path | None, watch: bool, as_json: bool) -> int:
-    """The word."""
+    """Prints the peers as tables or JSON."""
     from balancer.net.admin_socket import AdminSocketError, ask
 
     if control is None:
-        _, operators, wrong = read_operator_settings(settings)
-        if wrong:
-            raise CommandError(2, *wrong)
+        _, operators, faults = read_operator_settings(settings)
+        if faults:
+            raise CommandError(2, *faults)
         if operators.control is None:
             raise CommandError(2, "peers: no [control] in the settings and no --control: no node to ask")
         control = operators.control.socket
     try:
         while True:
-            told = ask(control, "peers")
+            status = ask(control, "peers")
             if watch and not as_json and sys.stdout.isatty():
                 click.clear()
-            print(json.dumps(told)) if as_json else _show(told)
+            print(json.dumps(status)) if as_json else _print_status(status)
             sys.stdout.flush()
             if not watch:
                 return 0
-            time.sleep(WATCH_S)
+            time.sleep(REFRESH_INTERVAL_S)
     except AdminSocketError as err:
         raise CommandError(1, str(err)) from None
     except KeyboardInterrupt:
         return 0
 
 
-def _show(told: dict[str, Any]) -> None:
-    doing = "speaks" if told["speaks"] else "does not speak yet" if told["address"] else "has no address"
+def _print_status(status: dict[str, Any]) -> None:
+    activity = (
+        "speaks" if status["speaks"] else "does not speak yet" if status["address"] else "has no address"
+    )
     print(
-        f"{format_cell(told['self'])} at {format_cell(told['address'])},"
-        f" life {told['incarnation']}; it {doing}"
+        f"{format_cell(status['self'])} at {format_cell(status['address'])},"
+        f" life {status['incarnation']}; it {activity}"
     )
-    for said, text in (
-        (told["trouble"], f"not had: {told['trouble']}"),
-        (told["doubts"], "it stood still and calls nobody failed before it has heard from others"),
-        (told["doubled"], f"another node at {told['doubled']} has this name"),
-        (told["health"], f"it trusts itself less: its waits are {told['health'] + 1} times as long"),
+    for condition, text in (
+        (status["trouble"], f"unavailable: {status['trouble']}"),
+        (status["doubts"], "it was stalled and declares no node failed before it has heard from others"),
+        (status["doubled"], f"another node at {status['doubled']} has this name"),
+        (
+            status["health"],
+            f"its own health is degraded: its timeouts are {status['health'] + 1} times as long",
+        ),
     ):
-        if said:
+        if condition:
             print(format_cell(text))
-    for one in told["cut"]:
+    for entry in status["cut"]:
+        print(
+            format_cell(
+                f"cut off from {entry['of']} {entry['zone']}".rstrip()
+                + f": {entry['verdict']}; {entry['why']}"
+            )
+        )
+    for entry in status["disagreements"]:
+        topic = f"{entry['what']} {entry['of']}".rstrip()
+        print(
+            format_cell(f"disagreement on {topic}: {', '.join(entry['names']) or 'nobody'}: {entry['why']}")
+        )
+    for entry in status["taken"]:
+        action = "is gone" if entry["gone"] else "drains"
         print(
             format_cell(
-                f"cut off from {one['of']} {one['zone']}".rstrip() + f": {one['verdict']}; {one['why']}"
+                f"reported by other nodes: {entry['server']} {action}, {entry['source']} {entry['revision']}"
             )
         )
-    for one in told["disagreements"]:
-        what = f"{one['what']} {one['of']}".rstrip()
-        print(format_cell(f"disagreement on {what}: {', '.join(one['names']) or 'nobody'}: {one['why']}"))
-    for one in told["taken"]:
-        does = "is gone" if one["gone"] else "drains"
-        print(format_cell(f"by other nodes' word {one['server']} {does}, {one['source']} {one['revision']}"))
     rows = [["NAME", "ADDRESS", "STATE", "SINCE", "LIFE", "BACK", "VERSION", "GOES BY"]]
-    for one in told["peers"]:
-        since = f"{datetime.fromtimestamp(one['since'] / 1000):%m-%d %H:%M:%S}"
-        shown = [format_cell(one[key]) for key in ("name", "address", "state")]
-        by = one["goes_by"]
-        lists = by.get("sources", {}).items()
-        sources = ", ".join(f"{of} {its['revision']} {its['state']}" for of, its in lists)
-        back = [format_cell(by.get(key, "-")) for key in ("state", "version")]
-        rows.append([*shown, since, str(one["incarnation"]), *back, format_cell(sources or "-")])
+    for entry in status["peers"]:
+        since = f"{datetime.fromtimestamp(entry['since'] / 1000):%m-%d %H:%M:%S}"
+        shown = [format_cell(entry[key]) for key in ("name", "address", "state")]
+        goes_by = entry["goes_by"]
+        lists = goes_by.get("sources", {}).items()
+        sources = ", ".join(f"{source} {listing['revision']} {listing['state']}" for source, listing in lists)
+        back = [format_cell(goes_by.get(key, "-")) for key in ("state", "version")]
+        rows.append([*shown, since, str(entry["incarnation"]), *back, format_cell(sources or "-")])
     print_columns(rows)
-    states = [one["state"] for one in told["peers"]]
-    print(", ".join(f"{states.count(s)} {s}" for s in ("alive", "suspect", "failed", "left")))
+    states = [entry["state"] for entry in status["peers"]]
+    print(", ".join(f"{states.count(state)} {state}" for state in ("alive", "suspect", "failed", "left")))
--- a/balancer/cli/state.py
+++ b/balancer/cli/state.py
@@ -25,11 +25,11 @@
     from balancer.store.errors import StoreFileError
     from balancer.store.inspect import GenerationReport
 
-STATE_HELP = "Show, check or take away what a node keeps over a restart."
-SHOW_HELP = "Show what is there and what a start would believe."
-VERIFY_HELP = "Name every fault of every file; exit code 1 where there is one."
-CLEAR_HELP = "Take away all that the node kept, its identity too."
-RECOVERY_HELP = "Show how far a running node is back, and what it waits for."
+STATE_HELP = "Show, verify or delete the state that a node keeps across restarts."
+SHOW_HELP = "Show what is stored and what a start would restore."
+VERIFY_HELP = "Print every fault of every file; exit code 1 if there is one."
+CLEAR_HELP = "Delete all stored state of the node, including its identity."
+RECOVERY_HELP = "Show the recovery of a running node and what it waits for."
 
 REQUIRED_PACKAGES = ("msgspec", "apsw", "xxhash")
 """What the extra `state` installs; `balancer.store` is imported only once they are known to exist."""
@@ -88,7 +88,7 @@
 
 @state.command(help=CLEAR_HELP, short_help=CLEAR_HELP)
 @directory_options
-@click.option("--yes", is_flag=True, help="Do not ask first.")
+@click.option("--yes", is_flag=True, help="Do not ask for confirmation.")
 @json_option
 def clear(settings: Path | None, directory: Path | None, yes: bool, as_json: bool) -> int:
     """Removes the files of the store, after a confirmation."""
@@ -98,13 +98,11 @@
     target = _resolve_directory(settings, directory)
     if not yes:
         try:
-            is_confirmed = click.confirm(
-                f"Take away all that is kept in {target}? It cannot be undone", err=True
-            )
+            is_confirmed = click.confirm(f"Delete all state in {target}? This cannot be undone", err=True)
         except click.Abort:  # standard input is closed
-            raise CommandError(2, "state clear: nothing was taken away: say yes, or --yes") from None
+            raise CommandError(2, "state clear: nothing was deleted: answer yes or pass --yes") from None
         if not is_confirmed:
-            raise CommandError(1, "state clear: nothing was taken away")
+            raise CommandError(1, "state clear: nothing was deleted")
     try:
         removed = inspect.clear(target)
     except StoreFileError as error:
@@ -188,14 +186,14 @@
         print_columns([["TABLE", "ROWS"], *tables])
     for journal in report["journals"]:
         print(f"journal {format_cell(journal['name'])}: {journal['bytes']} bytes")
-    for line in report["faults"]:
-        print(f"fault: {format_cell(line)}")
+    for fault in report["faults"]:
+        print(f"fault: {format_cell(fault)}")
 
 
 def _print_recovery(report: dict[str, Any]) -> None:
     print(f"{report['state']}; memory {report['memory']}, life {report['incarnation']}")
-    for line in report["waits_for"]:
-        print(f"waits for {format_cell(line)}")
+    for awaited in report["waits_for"]:
+        print(f"waits for {format_cell(awaited)}")
     if store := report.get("store"):
         print(f"kept in {format_cell(store['directory'])}: {format_cell(store['trouble'] or 'no fault')}")
     if report["phases"]:
--- a/balancer/observability/html_report.py
+++ b/balancer/observability/html_report.py
@@ -42,11 +42,11 @@
     omitted_note = f"<p>{omitted_count} further servers are not shown.</p>" if omitted_count else ""
     return (
         f'<!doctype html><html lang="en"><meta charset="utf-8"><title>{escape(title)}</title>'
-        f"<style>{STYLE}</style><h1>{escape(title)}</h1><h2>Who departed from the usual</h2>"
-        f"{table if rows else '<p>Nobody.</p>'}<h2>What each did</h2>"
+        f"<style>{STYLE}</style><h1>{escape(title)}</h1><h2>Unusual behavior</h2>"
+        f"{table if rows else '<p>None.</p>'}<h2>Activity of each server</h2>"
         "<p>Grey: attempts. Blue: the 90% answer time, in ms on a logarithmic scale. Red bars: attempts that "
-        "failed, were turned away or ran out of time. Marks: decisions and starts. Shaded: an event that "
-        f"speaks of it.</p>{_render_plot(lanes, event_spans(events))}{omitted_note}</html>"
+        "failed, were rejected or timed out. Marks: decisions and starts. Shaded: an event that "
+        f"concerns it.</p>{_render_plot(lanes, event_spans(events))}{omitted_note}</html>"
     )
 
 
--- a/tests/cli/test_command_line.py
+++ b/tests/cli/test_command_line.py
@@ -1,4 +1,4 @@
-"""The command line as a program of its own: words, exit codes, prints, what a running node tells."""
+"""Tests of the command line as a program: commands, exit codes, output, and queries of a running node."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from balancer import __main__ as program
 from balancer import cli
 from balancer.cli import SETTINGS_VAR, main
-from balancer.cli import node as node_word
+from balancer.cli import node as node_command
 from balancer.net.config import CONFIG
 from tests.sockets import (
     ROOT,
@@ -38,25 +38,27 @@
 ]
 
 
-def run(test: Callable[[], Awaitable[None]]) -> None:
-    """Run a test's coroutine, with an end to it."""
+def run(coroutine_function: Callable[[], Awaitable[None]]) -> None:
+    """Runs the coroutine of a test with a timeout."""
 
-    async def bounded() -> None:
+    async def run_with_timeout() -> None:
         async with asyncio.timeout(3 * WAIT):
-            await test()
+            await coroutine_function()
 
-    asyncio.run(bounded())
+    asyncio.run(run_with_timeout())
 
 
-def says(*words: object, **env: object) -> subprocess.CompletedProcess[str]:
-    """The program's output for these words; `env` are further variables."""
-    bare = {k: v for k, v in os.environ.items() if not k.startswith(("PROXY_", "BALANCER_", "DILLPORT_"))}
+def run_program(*arguments: object, **env: object) -> subprocess.CompletedProcess[str]:
+    """Runs the program with these arguments; `env` are additional environment variables."""
+    environment = {
+        k: v for k, v in os.environ.items() if not k.startswith(("PROXY_", "BALANCER_", "DILLPORT_"))
+    }
     return subprocess.run(
-        [sys.executable, "-B", "-m", "balancer", *map(str, words)],
+        [sys.executable, "-B", "-m", "balancer", *map(str, arguments)],
         cwd=ROOT,
         capture_output=True,
         text=True,
-        env=bare | {k: str(v) for k, v in env.items()},
+        env=environment | {k: str(v) for k, v in env.items()},
         timeout=WAIT,
         check=False,
     )
@@ -64,47 +66,47 @@
 
 @pytest.fixture
 def config(tmp_path: Path) -> Path:
-    """A configuration file that makes sense."""
+    """A valid configuration file."""
     path = tmp_path / "config.json"
     path.write_text(json.dumps(configuration(SERVERS, 1)))
     return path
 
 
-def written(path: Path, text: str) -> Path:
-    """A file with this text."""
+def write_file(path: Path, text: str) -> Path:
+    """Writes a file and returns its path."""
     path.write_text(text)
     return path
 
 
-def test_help_starts_nothing_and_names_every_word(config: Path) -> None:
-    got = says("--help", PROXY_CONFIG=config)
-    assert got.returncode == 0 and got.stderr == ""
-    for word in ("run", "check", "members", "demo", "--version", CONFIG, SETTINGS_VAR, "SIGHUP"):
-        assert word in got.stdout
+def test_help_starts_nothing_and_names_commands_and_variables(config: Path) -> None:
+    result = run_program("--help", PROXY_CONFIG=config)
+    assert result.returncode == 0 and result.stderr == ""
+    for expected in ("run", "check", "members", "demo", "--version", CONFIG, SETTINGS_VAR, "SIGHUP"):
+        assert expected in result.stdout
 
 
-@pytest.mark.parametrize("word", cli.COMMAND_MODULES)
-def test_each_word_has_a_help_and_takes_no_abbreviation(
-    word: str, capsys: pytest.CaptureFixture[str]
+@pytest.mark.parametrize("command", cli.COMMAND_MODULES)
+def test_command_has_help_and_accepts_no_abbreviation(
+    command: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    assert main([word, "--help"]) == 0
-    assert f"Usage: balancer {word} " in capsys.readouterr().out
-    for words in ([word[:-1]], [word, "--hel"], [word, "--sett", "x"]):
-        assert main(words) == 2
+    assert main([command, "--help"]) == 0
+    assert f"Usage: balancer {command} " in capsys.readouterr().out
+    for arguments in ([command[:-1]], [command, "--hel"], [command, "--sett", "x"]):
+        assert main(arguments) == 2
         assert "usage: balancer" in capsys.readouterr().err
 
 
-def test_version_is_the_packages() -> None:
-    assert says("--version").stdout == f"balancer {balancer.__version__}\n"
-    project = tomllib.loads((ROOT / "pyproject.toml").read_text(encoding="utf-8"))
-    assert project["tool"]["setuptools"]["dynamic"]["version"] == {"attr": "balancer.__version__"}
-    assert project["project"]["scripts"] == {
+def test_version_option_prints_the_package_version() -> None:
+    assert run_program("--version").stdout == f"balancer {balancer.__version__}\n"
+    pyproject = tomllib.loads((ROOT / "pyproject.toml").read_text(encoding="utf-8"))
+    assert pyproject["tool"]["setuptools"]["dynamic"]["version"] == {"attr": "balancer.__version__"}
+    assert pyproject["project"]["scripts"] == {
         "balancer": "balancer.__main__:main",
         "dillport": "balancer.__main__:main",
     }
 
 
-def test_words_that_need_no_node_import_none() -> None:
+def test_version_option_imports_no_node_modules() -> None:
     code = (
         "import sys; from balancer.cli import main; main(['--version']);"
         "sys.exit(bool({'uvloop', 'httptools', 'asyncio', 'ssl'} & set(sys.modules)))"
@@ -112,22 +114,22 @@
     assert subprocess.run([sys.executable, "-c", code], cwd=ROOT, check=False).returncode == 0
 
 
-@pytest.mark.parametrize("words", [(), ("check",), ("members",)])
-def test_without_a_configuration_the_error_says_what_is_missing(words: tuple[str, ...]) -> None:
-    got = says(*words)
-    assert got.returncode == 2 and len(got.stderr.splitlines()) == 1
+@pytest.mark.parametrize("arguments", [(), ("check",), ("members",)])
+def test_command_without_configuration_names_what_is_missing(arguments: tuple[str, ...]) -> None:
+    result = run_program(*arguments)
+    assert result.returncode == 2 and len(result.stderr.splitlines()) == 1
     for part in ("PROXY_CONFIG is missing", "the JSON file", "balancer --help"):
-        assert part in got.stderr
+        assert part in result.stderr
 
 
-@pytest.mark.parametrize("words", [("start",), ("run", "now"), ("check", "--json")])
-def test_unknown_words_start_nothing(config: Path, words: tuple[str, ...]) -> None:
-    got = says(*words, PROXY_CONFIG=config)
-    assert got.returncode == 2 and "usage: balancer" in got.stderr and words[-1] in got.stderr
+@pytest.mark.parametrize("arguments", [("start",), ("run", "now"), ("check", "--json")])
+def test_unknown_arguments_start_nothing(config: Path, arguments: tuple[str, ...]) -> None:
+    result = run_program(*arguments, PROXY_CONFIG=config)
+    assert result.returncode == 2 and "usage: balancer" in result.stderr and arguments[-1] in result.stderr
 
 
 @pytest.mark.parametrize(
-    ("words", "node"),
+    ("arguments", "node"),
     [
         ("", ""),
         ("run", ""),
@@ -147,30 +149,32 @@
         ("--version", None),
     ],
 )
-def test_a_start_is_told_from_the_other_words_as_the_command_line_does(
-    words: str, node: str | None, monkeypatch: pytest.MonkeyPatch
+def test_parse_node_arguments_agrees_with_the_command_line(
+    arguments: str, node: str | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """`node` is the file it is started with; None: these words are left to the command line."""
-    starts, settings = program.parse_node_arguments(words.split())
-    assert (settings if starts else None) == node
-    if starts:
+    """`node` is the settings file of the start; None: the arguments are left to the command line."""
+    starts_node, settings = program.parse_node_arguments(arguments.split())
+    assert (settings if starts_node else None) == node
+    if starts_node:
         started: list[Path | None] = []
 
         def start(settings: Path | None, began: float, hung_up: list[int]) -> int:
             started.append(settings)
             return 0
 
-        monkeypatch.setattr(node_word, "start_with_operator_settings", start)
+        monkeypatch.setattr(node_command, "start_with_operator_settings", start)
         monkeypatch.setattr(program, "record_hangups", list)
         monkeypatch.delenv(SETTINGS_VAR, raising=False)
-        assert main(words.split()) == 0 and started == [Path(node) if node else None]
+        assert main(arguments.split()) == 0 and started == [Path(node) if node else None]
 
 
-def test_demo_gets_its_words(monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]) -> None:
+def test_demo_passes_its_options_and_reports_a_missing_module(
+    monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
+) -> None:
     demo: Any = types.ModuleType("demo")
 
-    async def played(out: object, *words: object) -> int:
-        print(*words)
+    async def played(out: object, *arguments: object) -> int:
+        print(*arguments)
         return 3
 
     demo.demo = played
@@ -182,68 +186,74 @@
     assert "there is no balancer.testbed.demo in this installation" in capsys.readouterr().err
 
 
-def test_peers_need_a_node_to_ask(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    assert main(["--settings", str(written(tmp_path / "s.toml", "")), "peers"]) == 2
+def test_peers_without_a_node_fails(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+    assert main(["--settings", str(write_file(tmp_path / "s.toml", "")), "peers"]) == 2
     assert "no [control]" in capsys.readouterr().err
     assert main(["peers", "--control", str(tmp_path / "x")]) == 1
     assert "no node answers there" in capsys.readouterr().err
 
 
-def test_check_says_what_is_on(config: Path, tmp_path: Path) -> None:
-    settings = written(tmp_path / "s.toml", f"[control]\nsocket = '{tmp_path}/c.sock'\n[membership.etcd]\n")
-    got = says("check", "--settings", settings, PROXY_CONFIG=config)
-    assert (got.returncode, got.stderr) == (0, "")
+def test_check_of_valid_files_prints_enabled_features(config: Path, tmp_path: Path) -> None:
+    settings = write_file(
+        tmp_path / "s.toml", f"[control]\nsocket = '{tmp_path}/c.sock'\n[membership.etcd]\n"
+    )
+    result = run_program("check", "--settings", settings, PROXY_CONFIG=config)
+    assert (result.returncode, result.stderr) == (0, "")
     for part in (
         "2 servers known",
         "3 classes: read, pay, once",
         f"control: a control socket at {tmp_path}/c.sock",
         "membership.etcd: etcd at http://127.0.0.1:2379",
     ):
-        assert part in got.stdout
-    bare = says("check", PROXY_CONFIG=config)
-    assert bare.returncode == 0 and "settings: none" in bare.stdout
-    empty = says("check", PROXY_CONFIG=config, BALANCER_SETTINGS=written(tmp_path / "e.toml", ""))
-    assert empty.returncode == 0 and "nothing is on" in empty.stdout
-
-
-def test_check_names_every_fault_of_both_files(tmp_path: Path) -> None:
-    told = configuration([{"id": "dns", "host_port": "a.example:1", "phase": "in_service"}], 1)
-    told |= {"listen": "nowhere", "seed": "xyz"}
-    told["settings"] |= {"group-size": 0, "zone": 4}
-    config = written(tmp_path / "config.json", json.dumps(told))
-    settings = written(tmp_path / "s.toml", "[control]\nsocket = 5\n[membership.etcd]\nepoch = -1\n")
-    got = says("--settings", settings, "check", PROXY_CONFIG=config)
-    assert got.returncode == 2
-    named = ["settings: group-size", "settings: zone", "seed", "listen", "control.socket", "etcd.epoch"]
-    lines = got.stderr.splitlines()
-    assert len(lines) == len(named)
-    for part in named:
+        assert part in result.stdout
+    without_settings = run_program("check", PROXY_CONFIG=config)
+    assert without_settings.returncode == 0 and "settings: none" in without_settings.stdout
+    with_empty_settings = run_program(
+        "check", PROXY_CONFIG=config, BALANCER_SETTINGS=write_file(tmp_path / "e.toml", "")
+    )
+    assert with_empty_settings.returncode == 0 and "nothing is on" in with_empty_settings.stdout
+
+
+def test_check_of_invalid_files_names_every_fault(tmp_path: Path) -> None:
+    document = configuration([{"id": "dns", "host_port": "a.example:1", "phase": "in_service"}], 1)
+    document |= {"listen": "nowhere", "seed": "xyz"}
+    document["settings"] |= {"group-size": 0, "zone": 4}
+    config = write_file(tmp_path / "config.json", json.dumps(document))
+    settings = write_file(tmp_path / "s.toml", "[control]\nsocket = 5\n[membership.etcd]\nepoch = -1\n")
+    result = run_program("--settings", settings, "check", PROXY_CONFIG=config)
+    assert result.returncode == 2
+    fault_keys = ["settings: group-size", "settings: zone", "seed", "listen", "control.socket", "etcd.epoch"]
+    lines = result.stderr.splitlines()
+    assert len(lines) == len(fault_keys)
+    for part in fault_keys:
         assert any(part in line for line in lines), part
 
 
-def test_faults_of_the_settings_end_a_start(config: Path, tmp_path: Path) -> None:
-    settings = written(tmp_path / "s.toml", "[controll]\n[membership.etcd]\nrole = 'x'\n")
-    for words in (("--settings", settings), ("run", "--settings", settings)):
-        got = says(*words, PROXY_CONFIG=config)
-        assert got.returncode == 2 and len(got.stderr.splitlines()) == 2
-        assert f"{settings}: controll: " in got.stderr and "membership.etcd.role" in got.stderr
-    missing = says(PROXY_CONFIG=config, BALANCER_SETTINGS=tmp_path / "none.toml")
+def test_run_with_invalid_settings_exits_with_2(config: Path, tmp_path: Path) -> None:
+    settings = write_file(tmp_path / "s.toml", "[controll]\n[membership.etcd]\nrole = 'x'\n")
+    for arguments in (("--settings", settings), ("run", "--settings", settings)):
+        result = run_program(*arguments, PROXY_CONFIG=config)
+        assert result.returncode == 2 and len(result.stderr.splitlines()) == 2
+        assert f"{settings}: controll: " in result.stderr and "membership.etcd.role" in result.stderr
+    missing = run_program(PROXY_CONFIG=config, BALANCER_SETTINGS=tmp_path / "none.toml")
     assert missing.returncode == 2 and "none.toml': No such file" in missing.stderr
 
 
 def test_deprecated_settings_variable_is_read_where_the_new_one_is_not_set(
     config: Path, tmp_path: Path
 ) -> None:
-    old = written(tmp_path / "old.toml", f"[control]\nsocket = '{tmp_path}/old.sock'\n")
-    new = written(tmp_path / "new.toml", f"[control]\nsocket = '{tmp_path}/new.sock'\n")
-    alone = says("check", PROXY_CONFIG=config, DILLPORT_SETTINGS=old)
-    assert alone.returncode == 0 and f"{tmp_path}/old.sock" in alone.stdout
-    both = says("check", PROXY_CONFIG=config, DILLPORT_SETTINGS=old, BALANCER_SETTINGS=new)
-    assert both.returncode == 0 and f"{tmp_path}/new.sock" in both.stdout
+    old_file = write_file(tmp_path / "old.toml", f"[control]\nsocket = '{tmp_path}/old.sock'\n")
+    new_file = write_file(tmp_path / "new.toml", f"[control]\nsocket = '{tmp_path}/new.sock'\n")
+    with_old_only = run_program("check", PROXY_CONFIG=config, DILLPORT_SETTINGS=old_file)
+    assert with_old_only.returncode == 0 and f"{tmp_path}/old.sock" in with_old_only.stdout
+    with_both = run_program(
+        "check", PROXY_CONFIG=config, DILLPORT_SETTINGS=old_file, BALANCER_SETTINGS=new_file
+    )
+    assert with_both.returncode == 0 and f"{tmp_path}/new.sock" in with_both.stdout
 
 
 @pytest.mark.parametrize(
-    ("new", "said"),
+    ("new_name", "log_line"),
     [
         ("", "settings: DILLPORT_SETTINGS is deprecated: set BALANCER_SETTINGS instead"),
         ("new.toml", "settings: DILLPORT_SETTINGS is ignored: BALANCER_SETTINGS is set"),
@@ -254,128 +264,141 @@
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
     caplog: pytest.LogCaptureFixture,
-    new: str,
-    said: str,
+    new_name: str,
+    log_line: str,
 ) -> None:
-    def close(work: Coroutine[Any, Any, None]) -> None:
-        work.close()
+    def close(coroutine: Coroutine[Any, Any, None]) -> None:
+        coroutine.close()
 
     monkeypatch.setattr("uvloop.run", close)
     monkeypatch.setenv("PROXY_CONFIG", str(config))
-    monkeypatch.setenv("DILLPORT_SETTINGS", str(written(tmp_path / "old.toml", "")))
-    if new:
-        monkeypatch.setenv("BALANCER_SETTINGS", str(written(tmp_path / new, "")))
+    monkeypatch.setenv("DILLPORT_SETTINGS", str(write_file(tmp_path / "old.toml", "")))
+    if new_name:
+        monkeypatch.setenv("BALANCER_SETTINGS", str(write_file(tmp_path / new_name, "")))
     with caplog.at_level("WARNING"):
         assert main(["run"]) == 0
-    assert [row.getMessage() for row in caplog.records if "SETTINGS" in row.getMessage()] == [said]
+    assert [record.getMessage() for record in caplog.records if "SETTINGS" in record.getMessage()] == [
+        log_line
+    ]
 
 
-def test_members_from_the_files_alone(config: Path, tmp_path: Path) -> None:
-    got = says("members", PROXY_CONFIG=config)
-    assert got.returncode == 0
-    table = [re.split(r"  +", line) for line in got.stdout.splitlines()]
+def test_members_without_a_node_lists_the_configuration(config: Path, tmp_path: Path) -> None:
+    result = run_program("members", PROXY_CONFIG=config)
+    assert result.returncode == 0
+    table = [re.split(r"  +", line) for line in result.stdout.splitlines()]
     assert table == [
         ["ID", "ADDRESS", "PHASE", "ZONE", "WEIGHT", "BY CONFIGURATION"],
         ["s-1", "127.0.0.1:8001", "up", "a", "1.0", "up"],
         ["s-2", "[::1]:8002", "draining", "-", "1.0", "draining"],
         ["2 servers"],
     ]
-    told = json.loads(says("members", "--json", PROXY_CONFIG=config).stdout)
-    assert [m["id"] for m in told["members"]] == ["s-1", "s-2"] and told["faults"] == []
-    settings = written(tmp_path / "s.toml", f"[control]\nsocket = '{tmp_path}/c.sock'\n")
-    silent = says("members", "--settings", settings, PROXY_CONFIG=config)
-    assert silent.returncode == 0 and "no node answers there" in silent.stderr
-    assert silent.stdout == got.stdout
+    document = json.loads(run_program("members", "--json", PROXY_CONFIG=config).stdout)
+    assert [m["id"] for m in document["members"]] == ["s-1", "s-2"] and document["faults"] == []
+    settings = write_file(tmp_path / "s.toml", f"[control]\nsocket = '{tmp_path}/c.sock'\n")
+    without_node = run_program("members", "--settings", settings, PROXY_CONFIG=config)
+    assert without_node.returncode == 0 and "no node answers there" in without_node.stderr
+    assert without_node.stdout == result.stdout
 
 
-def test_members_of_a_socket_that_nobody_answers(config: Path, tmp_path: Path) -> None:
-    got = says("members", "--control", tmp_path / "c.sock", PROXY_CONFIG=config)
-    assert got.returncode == 1 and got.stdout == "" and "no node answers there" in got.stderr
+def test_members_of_a_socket_without_listener_exits_with_1(config: Path, tmp_path: Path) -> None:
+    result = run_program("members", "--control", tmp_path / "c.sock", PROXY_CONFIG=config)
+    assert result.returncode == 1 and result.stdout == "" and "no node answers there" in result.stderr
 
 
-def test_what_a_list_holds_cannot_move_the_terminal(tmp_path: Path) -> None:
-    told = configuration([{"id": "\x1b[2Jx", "host_port": "127.0.0.1:1", "phase": "in_service"}], 1)
-    got = says("members", PROXY_CONFIG=written(tmp_path / "c.json", json.dumps(told)))
-    assert "\x1b" not in got.stdout and r"'\x1b[2Jx'" in got.stdout
+def test_members_escapes_control_characters(tmp_path: Path) -> None:
+    document = configuration([{"id": "\x1b[2Jx", "host_port": "127.0.0.1:1", "phase": "in_service"}], 1)
+    result = run_program("members", PROXY_CONFIG=write_file(tmp_path / "c.json", json.dumps(document)))
+    assert "\x1b" not in result.stdout and r"'\x1b[2Jx'" in result.stdout
 
 
-def test_check_shows_odd_names_on_one_line_as_they_are_written(tmp_path: Path) -> None:
-    """Guards the terminal, and the command: half of a surrogate pair, legal in JSON, cannot be printed."""
-    told = configuration([{"id": "\x1b[2Jx\ud800\nforged", "host_port": "no", "phase": "in_service"}], 1)
-    told["name"] = "n\ud800\n0"
-    got = says("check", PROXY_CONFIG=written(tmp_path / "c.json", json.dumps(told)))
-    assert got.returncode == 0 and got.stderr == ""
-    assert "\x1b" not in got.stdout and not any(line.startswith("forged") for line in got.stdout.splitlines())
-    assert r"the server '\x1b[2Jx\ud800\nforged' cannot be read" in got.stdout
+def test_check_escapes_unprintable_names_on_one_line(tmp_path: Path) -> None:
+    """Names with control characters or half of a surrogate pair are escaped.
+
+    Control characters would act on the terminal; half of a surrogate pair, legal in JSON, cannot be printed.
+    """
+    document = configuration([{"id": "\x1b[2Jx\ud800\nforged", "host_port": "no", "phase": "in_service"}], 1)
+    document["name"] = "n\ud800\n0"
+    result = run_program("check", PROXY_CONFIG=write_file(tmp_path / "c.json", json.dumps(document)))
+    assert result.returncode == 0 and result.stderr == ""
+    assert "\x1b" not in result.stdout and not any(
+        line.startswith("forged") for line in result.stdout.splitlines()
+    )
+    assert r"the server '\x1b[2Jx\ud800\nforged' cannot be read" in result.stdout
 
 
-def test_a_reader_that_leaves_early_is_no_trouble(config: Path) -> None:
-    got = subprocess.run(
+def test_members_to_a_closed_pipe_prints_no_error(config: Path) -> None:
+    result = subprocess.run(
         ["/bin/sh", "-c", f"{sys.executable} -B -m balancer members | true"],
         cwd=ROOT,
         env=os.environ | {"PROXY_CONFIG": str(config)},
         capture_output=True,
         check=False,
     )
-    assert got.stderr == b""
+    assert result.stderr == b""
 
 
-def test_a_running_node_tells_its_members_and_reads_its_settings_again(
+def test_running_node_answers_members_and_reloads_settings_on_sighup(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    one, two = tmp_path / "1.sock", tmp_path / "2.sock"
-    settings = written(tmp_path / "s.toml", f"[control]\nsocket = '{one}'\n")
+    first_socket, second_socket = tmp_path / "1.sock", tmp_path / "2.sock"
+    settings = write_file(tmp_path / "s.toml", f"[control]\nsocket = '{first_socket}'\n")
     monkeypatch.setenv("BALANCER_SETTINGS", str(settings))
 
     async def test() -> None:
         backend = Backend("b0")
         async with running(tmp_path, backend) as rig:
-            got = await asyncio.to_thread(says, "members", "--settings", settings)
-            assert got.returncode == 0 and f"127.0.0.1:{backend.port}" in got.stdout
-            assert "BY PLATFORM" in got.stdout and got.stderr == ""
+            result = await asyncio.to_thread(run_program, "members", "--settings", settings)
+            assert result.returncode == 0 and f"127.0.0.1:{backend.port}" in result.stdout
+            assert "BY PLATFORM" in result.stdout and result.stderr == ""
 
-            written(settings, "[control]\nsocket = 'here'\n[x]\n")
+            write_file(settings, "[control]\nsocket = 'here'\n[x]\n")
             rig.process.send_signal(signal.SIGHUP)
             await rig.logged(f"the old settings stay: {settings}: x: found an unknown key")
             await rig.logged("control.socket: found 'here'")
-            told = json.loads((await asyncio.to_thread(says, "members", "--control", one, "--json")).stdout)
-            assert [m["id"] for m in told["members"]] == ["b0"]
+            document = json.loads(
+                (await asyncio.to_thread(run_program, "members", "--control", first_socket, "--json")).stdout
+            )
+            assert [m["id"] for m in document["members"]] == ["b0"]
 
-            written(settings, f"[control]\nsocket = '{two}'\n[membership.etcd]\nepoch = 2\n")
+            write_file(settings, f"[control]\nsocket = '{second_socket}'\n[membership.etcd]\nepoch = 2\n")
             rig.process.send_signal(signal.SIGHUP)
             await rig.logged("membership.etcd is on: etcd at http://127.0.0.1:2379")
-            await rig.logged(f"control.socket is {two}, was {one}")
-            while one.exists():
+            await rig.logged(f"control.socket is {second_socket}, was {first_socket}")
+            while first_socket.exists():
                 await asyncio.sleep(0.01)
-            assert (await asyncio.to_thread(says, "members", "--control", two)).returncode == 0
+            assert (
+                await asyncio.to_thread(run_program, "members", "--control", second_socket)
+            ).returncode == 0
 
             rig.process.send_signal(signal.SIGHUP)
             await rig.logged("nothing changed")
             rig.terminate()
             assert await rig.end() == 0
-        assert not two.exists()
+        assert not second_socket.exists()
 
     run(test)
 
 
-def test_a_node_serves_while_another_holds_its_control_socket_and_takes_it_then(
+def test_node_serves_while_its_control_socket_is_taken_and_binds_it_later(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     path = tmp_path / "c.sock"
-    settings = written(tmp_path / "s.toml", f"[control]\nsocket = '{path}'\n")
+    settings = write_file(tmp_path / "s.toml", f"[control]\nsocket = '{path}'\n")
     monkeypatch.setenv("BALANCER_SETTINGS", str(settings))
 
     async def test() -> None:
-        with socket.socket(socket.AF_UNIX) as other:
-            other.bind(str(path))
-            other.listen()
+        with socket.socket(socket.AF_UNIX) as other_socket:
+            other_socket.bind(str(path))
+            other_socket.listen()
             backend = Backend("b0")
             async with running(tmp_path, backend) as rig:
                 await rig.logged(f"control: {path}: a running process listens there")
                 assert (await (await rig.client()).ask("/read")).body.startswith(b"b0")
-                other.close()
-                while (got := await asyncio.to_thread(says, "members", "--control", path)).returncode:
+                other_socket.close()
+                while (
+                    result := await asyncio.to_thread(run_program, "members", "--control", path)
+                ).returncode:
                     await asyncio.sleep(0.1)
-                assert "b0" in got.stdout
+                assert "b0" in result.stdout
 
     run(test)
--- a/tests/cli/test_state_commands.py
+++ b/tests/cli/test_state_commands.py
@@ -1,4 +1,4 @@
-"""Commands `state show|verify|clear` and `recovery`: output, exit codes, the confirmation."""
+"""Tests of `state show|verify|clear` and `recovery`: output, exit codes, the confirmation."""
 
 from __future__ import annotations
 
@@ -36,8 +36,8 @@
     err: str
 
 
-def run_command(capsys: pytest.CaptureFixture[str], *words: str) -> CommandResult:
-    exit_code = main(words)
+def run_command(capsys: pytest.CaptureFixture[str], *arguments: str) -> CommandResult:
+    exit_code = main(arguments)
     out, err = capsys.readouterr()
     return CommandResult(exit_code, out, err)
 
@@ -45,41 +45,41 @@
 def test_state_show_and_verify_print_the_directory_and_its_faults(
     directory: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    here = ("--directory", str(directory))
-    code, out, _ = run_command(capsys, "state", "show", "--json", *here)
+    directory_option = ("--directory", str(directory))
+    code, out, _ = run_command(capsys, "state", "show", "--json", *directory_option)
     report = json.loads(out)
     assert code == 0 and report["node"]["incarnation"] == 3
     assert report["tables"] == {"self": 1, "view": 1}
-    code, out, _ = run_command(capsys, "state", "show", *here)
+    code, out, _ = run_command(capsys, "state", "show", *directory_option)
     assert code == 0 and "node n0, life 3" in out and "memory kept" in out
-    assert run_command(capsys, "state", "verify", *here) == (0, f"{directory}: no fault\n", "")
+    assert run_command(capsys, "state", "verify", *directory_option) == (0, f"{directory}: no fault\n", "")
     for file in directory.glob("tables-*"):
         file.write_bytes(file.read_bytes()[:100])
-    code, out, _ = run_command(capsys, "state", "verify", "--json", *here)
+    code, out, _ = run_command(capsys, "state", "verify", "--json", *directory_option)
     assert code == 1 and json.loads(out)["faults"]
 
 
 def test_state_clear_asks_first_and_removes_all_or_nothing(
     directory: Path, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    words = ("state", "clear", "--directory", str(directory))
-    before = sorted(directory.iterdir())
+    arguments = ("state", "clear", "--directory", str(directory))
+    files_before = sorted(directory.iterdir())
     monkeypatch.setattr("click.termui.visible_prompt_func", lambda text="": "n")
-    assert run_command(capsys, *words).exit_code == 1 and sorted(directory.iterdir()) == before
+    assert run_command(capsys, *arguments).exit_code == 1 and sorted(directory.iterdir()) == files_before
 
     def closed_input(text: str = "") -> str:
         raise EOFError
 
     monkeypatch.setattr("click.termui.visible_prompt_func", closed_input)
-    code, _, err = run_command(capsys, *words)
-    assert code == 2 and "--yes" in err and sorted(directory.iterdir()) == before
+    code, _, err = run_command(capsys, *arguments)
+    assert code == 2 and "--yes" in err and sorted(directory.iterdir()) == files_before
     open_store = Store(str(directory), lambda run: run())
     open_store.open()
-    code, _, err = run_command(capsys, *words, "--yes")
+    code, _, err = run_command(capsys, *arguments, "--yes")
     assert code == 1 and "a node holds it" in err
-    assert run_command(capsys, "state", "verify", *words[2:]).exit_code == 1
+    assert run_command(capsys, "state", "verify", *arguments[2:]).exit_code == 1
     open_store.close()
-    code, out, _ = run_command(capsys, *words, "--yes", "--json")
+    code, out, _ = run_command(capsys, *arguments, "--yes", "--json")
     assert code == 0 and json.loads(out)["removed"] and not list(directory.glob("tables-*"))
 
 
@@ -113,9 +113,9 @@
         control = AdminSocket()
         control.register("recovery", lambda: report)
         await control.listen(tmp_path / "c.sock")
-        words = ("recovery", "--control", str(tmp_path / "c.sock"), *(["--json"] if as_json else []))
+        arguments = ("recovery", "--control", str(tmp_path / "c.sock"), *(["--json"] if as_json else []))
         try:
-            return await asyncio.to_thread(run_command, capsys, *words)
+            return await asyncio.to_thread(run_command, capsys, *arguments)
         finally:
             await control.close()
 
