--- a/balancer/timeline/recorder.py
+++ b/balancer/timeline/recorder.py
@@ -156,7 +156,7 @@
         self.retention_level = 0  # index into `RETENTION_LEVELS`
         self.size_bytes = 0  # of the packed buckets
         self.evicted_count = 0  # lines
-        self.dirty_lines: dict[str, Line] = {}  # lines of servers with an open bucket
+        self.dirty_lines: dict[str, Line] = {}  # servers with counts in their open bucket
         self._close_queue: deque[Line] = deque()
         self._lines_to_trim: Iterator[Line] = iter(())
         self.resize(memory_mb)
@@ -430,7 +430,7 @@
     def step(self, count: int = LINES_PER_STEP) -> list[ClosedBucket]:
         """Closes the buckets of some lines; returns none once the round is over.
 
-        Zones and the node close last, as the buckets of the servers are added to theirs.
+        Servers close before zones, the node and classes, whose buckets sum up those of the servers.
         """
         closed: list[ClosedBucket] = []
         while self._close_queue and len(closed) < count:
