--- a/balancer/net/timeline.py
+++ b/balancer/net/timeline.py
@@ -89,7 +89,7 @@
         if self.watch is not None:
             now_ms = self.node.now()
             timestamp = datetime.fromtimestamp(now_ms / 1000, UTC).isoformat(timespec="seconds")
-            self.watch.recorder.moved(name, now_ms, f"until it moved, {timestamp}")
+            self.watch.recorder.end_server_line(name, now_ms, f"until it moved, {timestamp}")
 
     async def _run(self, monitor: TimelineMonitor) -> None:
         due_s = self.loop.time() + INTERVAL_S
