--- a/balancer/testbed/cluster.py
+++ b/balancer/testbed/cluster.py
@@ -49,9 +49,9 @@
     draw,
 )
 from balancer.testbed.service_profile import Site
-from balancer.testbed.tcp_fault_proxy import Link
-from balancer.testbed.udp_fault_proxy import Datagrams, Hub
-from balancer.testbed.udp_fault_proxy import Path as Paths
+from balancer.testbed.tcp_fault_proxy import TcpFaultProxy
+from balancer.testbed.udp_fault_proxy import UdpFaultMesh, UdpFaultProxy
+from balancer.testbed.udp_fault_proxy import UdpPath as Paths
 
 ROOT = Path(balancer.__file__).parents[1]
 PACKAGE_NAMES = ("balancer", "dillport")  # of this version and of older ones
@@ -339,11 +339,11 @@
     ) -> None:
         self.program = program
         self.memory = self.known_stays = self.gossip = False
-        self.hub: Hub | None = None
+        self.hub: UdpFaultMesh | None = None
         self.short = tempfile.TemporaryDirectory(prefix="dp-")  # a Unix socket's name may not be long
-        self.wired, self.paths = wired, dict[tuple[str, str], list[Link]]()
+        self.wired, self.paths = wired, dict[tuple[str, str], list[TcpFaultProxy]]()
         self.peers: dict[tuple[str, str], Paths] = {}
-        self.relays: dict[tuple[str, str], Datagrams] = {}  # those of them that are no hub's
+        self.relays: dict[tuple[str, str], UdpFaultProxy] = {}  # those of them that are no hub's
         self.directory, self.site, self.seed = directory, site or Site(), seed
         self.node_count, self.server_count, self.machine = nodes, servers, machine
         self.habits, self.notice_s = habits or Habits(), notice_s
@@ -383,7 +383,7 @@
         self.nodes = [Node(self, number) for number in range(self.node_count)]
         if self.gossip:
             targets = {name: (host, PEER_PORT) for name, host in self._hosts().items()}
-            self.hub = Hub(targets, f"127.{self.fleet.net}.251.1", self.seed)
+            self.hub = UdpFaultMesh(targets, f"127.{self.fleet.net}.251.1", self.seed)
             self.peers |= self.hub.paths
         for node in self.nodes:
             await self.discovery.agent(node.name)
@@ -391,7 +391,7 @@
                 if name == node.name and (name, other) in self.peers:
                     continue
                 if name == node.name and other in self._hosts():
-                    peer = Datagrams((self._hosts()[other], PEER_PORT), self.seed + number, node.host)
+                    peer = UdpFaultProxy((self._hosts()[other], PEER_PORT), self.seed + number, node.host)
                     self.peers[name, other] = self.relays[name, other] = await peer.__aenter__()
                 elif name == node.name:
                     await self.wire(name, other)
@@ -477,7 +477,7 @@
     async def wire(self, node: str, name: str) -> None:
         """Lay the path between a node and whom it calls by TCP, or lay it anew where they have moved."""
         before, agent = self.paths.get((node, name), []), self.discovery.agents[node]
-        links = self.paths[node, name] = [Link(at, self.seed) for at in self.targets(node, name)]
+        links = self.paths[node, name] = [TcpFaultProxy(at, self.seed) for at in self.targets(node, name)]
         for link in links:
             await link.__aenter__()
         if name == DISCOVERY:
--- a/balancer/testbed/disk_faults.py
+++ b/balancer/testbed/disk_faults.py
@@ -1,18 +1,18 @@
-"""Faults of a node's state directory that can be injected from outside, without special rights.
+"""Faults of a node's state directory that can be injected from outside the process, without privileges.
 
-While the process is down, on the file that was written last: `truncate_newest_file`,
-`flip_bits_in_newest_file` and `replace_newest_file_by_directory`; on the whole directory: `empty_directory`,
-`swap_directories`, `save_copy` and `restore_copy`.
+While the process is down, `truncate_newest_file`, `flip_bits_in_newest_file` and
+`replace_newest_file_by_directory` damage the file that was written last; `empty_directory`,
+`swap_directories`, `save_copy` and `restore_copy` change the whole directory.
 
 While it runs:
-- `limit_file_size`: RLIMIT_FSIZE of the process (prlimit(2)): no file may grow past so many bytes, and a
-  write returns EFBIG where a full disk returns ENOSPC. At 0 nothing can be written but all can be read, as on
-  a read-only disk: chmod does not stop root, and mounts and immutable files need rights that no test should
+- `limit_file_size` sets RLIMIT_FSIZE of the process (prlimit(2)): no file may grow beyond this size, and a
+  write fails with EFBIG where a full disk fails with ENOSPC. A limit of 0 allows reads but no writes, as on a
+  read-only disk. chmod does not stop root, and mounts and immutable files need privileges that no test should
   need.
-- `set_directory_hidden`: a file takes the place of the directory: opening a path in it fails, and files that
-  are open continue to work.
+- `set_directory_hidden` replaces the directory by a file: opening a path in it fails, while open files
+  continue to work.
 
-A disk that is slow, or that loses what was not synced, is simulated in the process (`simulated_disk`).
+`simulated_disk` simulates slow syncs and the loss of unsynced writes inside the process.
 """
 
 from __future__ import annotations
@@ -25,21 +25,21 @@
 
 
 def newest_file(directory: Path) -> Path | None:
-    """The non-empty file that was written last, at any depth; None if there is none."""
-    found = [path for path in directory.rglob("*") if path.is_file() and not path.is_symlink()]
-    filled = [(path.stat().st_mtime_ns, str(path), path) for path in found if path.stat().st_size]
-    return max(filled)[2] if filled else None
+    """Returns the non-empty file that was written last, at any depth; None if there is none."""
+    files = [path for path in directory.rglob("*") if path.is_file() and not path.is_symlink()]
+    non_empty_files = [(path.stat().st_mtime_ns, str(path), path) for path in files if path.stat().st_size]
+    return max(non_empty_files)[2] if non_empty_files else None
 
 
 def truncate_newest_file(directory: Path, rng: random.Random) -> None:
-    """Truncates the newest file at a random byte."""
+    """Truncates the newest file at a random offset."""
     if (path := newest_file(directory)) is not None:
         with path.open("r+b") as file:
             file.truncate(rng.randrange(path.stat().st_size))
 
 
 def flip_bits_in_newest_file(directory: Path, rng: random.Random, bit_count: int = 8) -> None:
-    """Inverts so many different bits of the newest file."""
+    """Inverts `bit_count` different random bits of the newest file, or all of its bits if it has fewer."""
     if (path := newest_file(directory)) is not None:
         data = bytearray(path.read_bytes())
         for bit in rng.sample(range(8 * len(data)), min(bit_count, 8 * len(data))):
@@ -48,7 +48,7 @@
 
 
 def replace_newest_file_by_directory(directory: Path) -> None:
-    """Puts a directory in the place of the newest file."""
+    """Replaces the newest file by an empty directory."""
     if (path := newest_file(directory)) is not None:
         path.unlink()
         path.mkdir()
@@ -61,14 +61,14 @@
 
 
 def swap_directories(directories: Sequence[Path]) -> None:
-    """Rotates contents: each gets what the one before it had, the first what the last had."""
-    moved = [path.rename(path.with_suffix(".swap")) for path in directories]
-    for path, other in zip(directories, [moved[-1], *moved[:-1]], strict=True):
-        other.rename(path)
+    """Rotates the contents: each directory gets those of the previous one, the first those of the last."""
+    moved_paths = [path.rename(path.with_suffix(".swap")) for path in directories]
+    for path, moved_path in zip(directories, [moved_paths[-1], *moved_paths[:-1]], strict=True):
+        moved_path.rename(path)
 
 
 def save_copy(directory: Path) -> None:
-    """Saves a copy of a directory beside it, in place of an earlier one."""
+    """Saves a copy of a directory next to it, replacing an earlier copy."""
     shutil.rmtree(_copy_path(directory), ignore_errors=True)
     shutil.copytree(directory, _copy_path(directory))
 
@@ -94,7 +94,7 @@
 
 
 def set_directory_hidden(directory: Path, is_hidden: bool) -> None:
-    """Puts a file in the place of a directory, or the directory back; repeating either has no effect."""
+    """Replaces a directory by a file, or restores the directory; repeated calls have no effect."""
     hidden_path = directory.with_suffix(".away")
     if is_hidden and not hidden_path.exists():
         directory.rename(hidden_path)
--- a/balancer/testbed/scenario.py
+++ b/balancer/testbed/scenario.py
@@ -381,7 +381,7 @@
 
 
 def _peers(key: str = "", value: float | None = None) -> Callable[[World, Strike], Awaitable[None]]:
-    """A fault of datagrams between nodes, by its name in `Weather`; a cut without."""
+    """A fault of datagrams between nodes, by its name in `DatagramFaults`; a cut without."""
 
     async def done(world: World, strike: Strike) -> None:
         struck = list[tuple[Any, tuple[link.Way, ...]]]()
@@ -394,7 +394,7 @@
                 struck += [(theirs, (link.Way.UP,)), (mine, (link.Way.DOWN,))]
         for path, ways in struck:
             if key:
-                path.set(ways, **{key: strike.value if value is None else value})
+                path.add_faults(ways, **{key: strike.value if value is None else value})
             elif link.Way.UP in ways:
                 path.cut()
         await asyncio.sleep(strike.for_s)
--- a/balancer/testbed/simulated_disk.py
+++ b/balancer/testbed/simulated_disk.py
@@ -1,12 +1,13 @@
-"""A disk in memory for the store's tests: it fails, tears, loses, reorders and delays what was not synced.
+"""A disk in memory for the store's tests that injects errors and power cuts.
 
-`SimulatedDisk` is the medium: names and contents as they are now, and as they are durable.
-`SimulatedFileSystem` is the store's file-system port on it, with a VFS of its own for SQLite. The disk counts
-every call that changes something; a `FaultPlan` decides what happens to the n-th. `crash(rng)` leaves what a
-power cut would: of each file, any of the writes since its last sync, complete, in part or not at all; of the
-names, any of the changes since the directory was synced.
+`SimulatedDisk` is the medium, with the current and the durable state of its names and contents.
+`SimulatedFileSystem` is the store's file-system interface to it, with its own VFS for SQLite. The disk counts
+every call that changes something; a `FaultPlan` decides by that number and the call's name whether it fails.
+`crash(rng)` leaves the state after a power cut: each write since the last sync of its file may be complete,
+torn or lost, and the writes may be applied out of order; each change of a name since the last sync of the
+directory may be lost. `sync_duration_s` delays each sync.
 
-The name of a call (`SimulatedDisk.call_names`), as "write tables-00000002.db-wal 3", makes crash points
+The names of calls (`SimulatedDisk.call_names`), such as "write tables-00000002.db-wal 3", make crash points
 repeatable.
 """
 
@@ -25,7 +26,7 @@
 import apsw
 
 SECTOR_SIZE_BYTES = 512
-"""What a disk writes completely or not at all."""
+"""Unit of an atomic write."""
 UNSYNCED_ENTRY_SURVIVAL_PROBABILITY = 0.5
 REORDERED_WRITES_PROBABILITY = 0.5
 LOST_WRITE_PROBABILITY = 0.4
@@ -38,7 +39,7 @@
 
 
 class InjectedError(Exception):
-    """Raised by a fault plan: the call returns an error of this number (errno)."""
+    """Raised by a fault plan: the call fails with this error number (errno)."""
 
     def __init__(self, error_number: int = errno.EIO) -> None:
         self.error_number = error_number
@@ -50,12 +51,12 @@
 
 
 class UnsyncedWrite(NamedTuple):
-    """A write or a truncation that was not synced; it may be lost."""
+    """A write or a truncation that is not synced yet; a crash may lose it."""
 
     offset: int
-    """Of a write; TRUNCATION for a truncation."""
+    """Position of a write; TRUNCATION for a truncation."""
     data: bytes
-    """What is written; of a truncation the new length, big-endian."""
+    """Written bytes; for a truncation the new length, big-endian."""
 
 
 TRUNCATION = -1
@@ -63,7 +64,7 @@
 
 @dataclass(eq=False)
 class FileContent:
-    """A file: its current bytes, its durable bytes, and the writes since."""
+    """A file: its current bytes, its durable bytes, and the writes since the last sync."""
 
     inode: int = field(default_factory=lambda: next(_unique_numbers))
     current: bytearray = field(default_factory=bytearray)
@@ -71,7 +72,7 @@
     unsynced_writes: list[UnsyncedWrite] = field(default_factory=list)
 
     def write(self, change: UnsyncedWrite) -> None:
-        """Carries out a write or truncation, not durable before `SimulatedDisk.sync`."""
+        """Carries out a write or truncation; it is durable only after `SimulatedDisk.sync`."""
         self.unsynced_writes.append(change)
         self.apply(self.current, change.offset, change.data)
 
@@ -85,11 +86,11 @@
 
 
 FaultPlan = Callable[[int, str], None]
-"""Gets the number and the name of a call; raises what is to happen to it."""
+"""Takes the number and the name of a call; raises InjectedError or PowerCut to inject that fault."""
 
 
 class SimulatedDisk:
-    """The medium and its only directory."""
+    """The medium, with a single directory."""
 
     def __init__(self) -> None:
         self.files: dict[str, FileContent] = {}
@@ -105,7 +106,7 @@
     def record_call(self, operation: str, path: str, by_sqlite: bool = True) -> None:
         """Counts a call that is about to change something, and applies the fault plan.
 
-        Raises PowerCut, or the error that SQLite or (not `by_sqlite`) the store expects of a failing call.
+        Raises PowerCut, or for an injected error an apsw.Error if the call is `by_sqlite`, else an OSError.
         """
         if self.is_powered_off:
             raise PowerCut
@@ -120,11 +121,11 @@
                 raise OSError(error.error_number, os.strerror(error.error_number)) from None
             raise _APSW_ERROR_BY_ERRNO.get(error.error_number, apsw.IOError)(str(error)) from None
         except PowerCut:
-            self.is_powered_off = True  # nothing that the ending process still does reaches the disk
+            self.is_powered_off = True  # later calls of the dying process must not reach the disk
             raise
 
     def crash(self, rng: random.Random) -> None:
-        """Cuts the power; from here on the disk is as it is after that, with no faults planned."""
+        """Cuts the power and restores it: leaves the state after the power cut, and no planned faults."""
         files = dict(self.durable_files)
         for path in {*self.files, *self.durable_files}:
             is_changed = self.files.get(path) is not self.durable_files.get(path)
@@ -141,13 +142,15 @@
     def _lose_unsynced_writes(self, content: FileContent, rng: random.Random) -> None:
         restored = bytearray(content.durable)
         writes = content.unsynced_writes[:]
-        if rng.random() < REORDERED_WRITES_PROBABILITY:  # guards against a reliance on their order
+        if (
+            rng.random() < REORDERED_WRITES_PROBABILITY
+        ):  # the store must not rely on the order of unsynced writes
             rng.shuffle(writes)
         for offset, data in writes:
-            fate = rng.random()
-            if fate < LOST_WRITE_PROBABILITY:
+            random_value = rng.random()
+            if random_value < LOST_WRITE_PROBABILITY:
                 continue
-            if fate < LOST_OR_TORN_WRITE_PROBABILITY and offset != TRUNCATION:
+            if random_value < LOST_OR_TORN_WRITE_PROBABILITY and offset != TRUNCATION:
                 data = data[: rng.randrange(0, len(data) + SECTOR_SIZE_BYTES, SECTOR_SIZE_BYTES)]
             content.apply(restored, offset, data)
         content.current, content.durable, content.unsynced_writes = restored, bytes(restored), []
@@ -159,7 +162,7 @@
         content.durable, content.unsynced_writes = bytes(content.current), []
 
     def copy(self) -> SimulatedDisk:
-        """Another disk with the current content, all of it durable."""
+        """Returns another disk with the current content, all of it durable."""
         copied = SimulatedDisk()
         for path, content in self.files.items():
             copied.files[path] = FileContent(
@@ -178,9 +181,9 @@
 
 
 class SimulatedFileSystem:
-    """The store's file-system port on a `SimulatedDisk`.
+    """The store's file-system interface to a `SimulatedDisk`.
 
-    It must be closed: its VFS is registered with SQLite by name.
+    Must be closed, because its VFS is registered with SQLite by name.
     """
 
     def __init__(self, disk: SimulatedDisk) -> None:
@@ -200,19 +203,19 @@
         return _SimulatedLock(self.disk)
 
     def list_names(self, directory: str) -> list[str]:
-        """Names of the directory's files."""
+        """Returns the names of the files in the directory."""
         return [path.rpartition("/")[2] for path in self.disk.files]
 
     def is_regular_file(self, path: str) -> bool:
-        """True for each file; raises FileNotFoundError."""
+        """Returns True for every file; raises FileNotFoundError if there is none at `path`."""
         return bool(self._content(path))
 
     def inode(self, path: str) -> int:
-        """Number of the content."""
+        """Returns the inode number of the file's content."""
         return self._content(path).inode
 
     def size_bytes(self, path: str) -> int:
-        """Current size."""
+        """Returns the current size of the file."""
         return len(self._content(path).current)
 
     def rename(self, old: str, new: str) -> None:
@@ -227,7 +230,7 @@
             self.disk.files.pop(path, None)
 
     def sync_directory(self, directory: str) -> None:
-        """Makes all names durable."""
+        """Makes all changes of names durable."""
         self.disk.record_call("settle", directory, by_sqlite=False)
         self.disk.durable_files = dict(self.disk.files)
 
@@ -269,7 +272,7 @@
 
 
 class _SimulatedFile:
-    """An open file, as SQLite's VFS calls it."""
+    """An open file with the methods that SQLite's VFS calls."""
 
     def __init__(self, disk: SimulatedDisk, path: str, content: FileContent) -> None:
         self.disk, self.path, self.content = disk, path, content
@@ -289,7 +292,9 @@
         self.disk.record_call("sync", self.path)
         self.disk.sync(self.content)
         if self.path not in self.disk.durable_files and self.path.endswith(("-wal", "-journal")):
-            self.disk.durable_files[self.path] = self.content  # SQLite's own VFS syncs the directory then
+            self.disk.durable_files[self.path] = (
+                self.content
+            )  # SQLite's own VFS syncs the directory in this case
 
     def xFileSize(self) -> int:
         return len(self.content.current)
--- a/balancer/testbed/tcp_fault_proxy.py
+++ b/balancer/testbed/tcp_fault_proxy.py
@@ -1,14 +1,15 @@
-"""A relay on loopback that makes a link faulty, at run time.
+"""A TCP proxy on loopback that injects network faults at run time.
 
 It listens on a loopback port that the system chooses and forwards both ways to one loopback address. It
-passes on back-pressure, half-closes and resets, so that without a fault both ends see one connection.
+propagates back-pressure, half-closes and resets: without a fault it looks like a direct connection.
 
-- `Link`: the relay, an async context manager. `apply` switches a fault on, `heal` ends all of them.
-- `Reset` ends connections. Faults that last until healed: `Stall`, `Delay`, `Trickle`, and for new
-  connections `Refuse`, `Blackhole`.
-- `Record`: what happened when. Times are milliseconds of the monotonic clock.
+- `TcpFaultProxy`: the proxy, an async context manager. `apply` switches a fault on, `heal` ends all faults.
+- `Reset` closes existing connections. The other faults last until healed: `Stall`, `Delay` and `Trickle`,
+  and, for new connections, `Refuse` and `Blackhole`.
+- `Record`: an event with its time in milliseconds of the monotonic clock.
 
-Bounds: 256 KiB held per connection and way, the last 100,000 records (totals go on counting).
+The proxy holds up to 256 KiB per connection and way, and keeps the last 100,000 records;
+the totals in `Counts` are not limited.
 """
 
 from __future__ import annotations
@@ -29,14 +30,14 @@
 
 from balancer.endpoints import Address
 
-HELD = 256 * 1024  # bytes held of one connection and way before its sender is no longer read
-RECORDS = 100_000
-DIAL_S = 0.9  # that the target gets to answer: less than the second after which Linux sends a SYN again
-_AT_ONCE = struct.pack("ii", 1, 0)  # SO_LINGER: close by RST and keep nothing
+MAX_HELD_BYTES = 256 * 1024  # per connection and way; above it the proxy stops reading from the sender
+MAX_RECORDS = 100_000
+CONNECT_TIMEOUT_S = 0.9  # below the 1 s after which Linux sends a SYN again
+_LINGER_FOR_RESET = struct.pack("ii", 1, 0)  # SO_LINGER: on, 0 s: close() sends a RST and drops unsent data
 
 
 class Way(Enum):
-    """A direction through the link."""
+    """A direction of the data through the proxy."""
 
     UP = "to the server"
     DOWN = "to the client"
@@ -47,19 +48,19 @@
 
 @dataclass(slots=True, frozen=True)
 class Reset:
-    """Reset both ends of the connections that are there."""
+    """Resets both ends of all existing connections."""
 
 
 @dataclass(slots=True, frozen=True)
 class Stall:
-    """Read and forward nothing on these ways, not even an end. Connections stay open."""
+    """Reads and forwards nothing on these ways, not even EOF. Connections stay open."""
 
     ways: tuple[Way, ...] = BOTH
 
 
 @dataclass(slots=True, frozen=True)
 class Delay:
-    """Hold every byte for `ms` and up to `jitter_ms` more; order is kept."""
+    """Delays every byte by `ms` plus a random share of `jitter_ms`; the order of bytes is kept."""
 
     ms: float
     jitter_ms: float = 0.0
@@ -68,26 +69,26 @@
 
 @dataclass(slots=True, frozen=True)
 class Trickle:
-    """Pass on at most `size` bytes at a time, `every_ms` apart."""
+    """Forwards at most `size_bytes` at a time, with `interval_ms` between writes."""
 
-    size: int = 1
-    every_ms: float = 1.0
+    size_bytes: int = 1
+    interval_ms: float = 1.0
     ways: tuple[Way, ...] = BOTH
 
 
 @dataclass(slots=True, frozen=True)
 class Refuse:
-    """Refuse new connections; the port stays this link's."""
+    """Refuses new connections; the proxy keeps its port."""
 
 
 @dataclass(slots=True, frozen=True)
 class Blackhole:
-    """Take new connections and say nothing; healing resets them."""
+    """Accepts new connections but neither reads nor answers; healing resets them."""
 
 
 @dataclass(slots=True, frozen=True)
 class Heal:
-    """End all faults: what was stalled goes on, what was swallowed is reset."""
+    """Ends all faults: stalled connections continue, blackholed ones are reset."""
 
 
 Fault = Reset | Stall | Delay | Trickle | Refuse | Blackhole | Heal
@@ -95,68 +96,68 @@
 
 @dataclass(slots=True, frozen=True)
 class Record:
-    """What happened at `at_ms`: `what` to which connection (0: to the link), with `size` bytes of data."""
+    """An event at `at_ms` of one connection (number 0: of the proxy), with `size_bytes` of forwarded data."""
 
     at_ms: float
-    connection: int
-    what: str
+    connection_number: int
+    event: str
     way: Way | None = None
-    size: int = 0
+    size_bytes: int = 0
 
 
-def loopback(address: Address) -> Address:
-    """The address itself; raises ValueError where it is off loopback."""
+def require_loopback(address: Address) -> Address:
+    """Returns the address; raises ValueError if it is not a loopback address."""
     try:
         if ipaddress.ip_address(address[0]).is_loopback:
             return address
     except ValueError:
         pass
-    raise ValueError(f"a link only joins loopback addresses, not {address[0]!r:.120}")
+    raise ValueError(f"not a loopback address: {address[0]!r:.120}")
 
 
-def _now() -> float:
+def _now_ms() -> float:
     return time.monotonic() * 1000
 
 
-class _End(asyncio.Protocol):
-    """One end of a connection: reads for the flow that starts here, tells the one that ends here to wait."""
+class _ConnectionEnd(asyncio.Protocol):
+    """One end of a connection: feeds `source` with its data and pauses `sink` while it cannot write."""
 
-    def __init__(self, pipe: _Pipe, source: _Flow, sink: _Flow) -> None:
-        self.pipe, self.source, self.sink = pipe, source, sink
+    def __init__(self, connection: _Connection, source: _Flow, sink: _Flow) -> None:
+        self.connection, self.source, self.sink = connection, source, sink
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        made = cast(asyncio.Transport, transport)
-        self.source.reader = self.sink.writer = made
+        stream_transport = cast(asyncio.Transport, transport)
+        self.source.reader = self.sink.writer = stream_transport
 
     def data_received(self, data: bytes) -> None:
-        self.source.take(data)
+        self.source.receive(data)
 
     def eof_received(self) -> bool:
-        self.source.take(b"")
-        return True  # stay open: the other way may go on
+        self.source.receive(b"")
+        return True  # keep the transport open: the other way may still carry data
 
     def pause_writing(self) -> None:
-        self.sink.wait(True)
+        self.sink.set_writer_paused(True)
 
     def resume_writing(self) -> None:
-        self.sink.wait(False)
+        self.sink.set_writer_paused(False)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.pipe.lost(exc)
+        self.connection.on_end_lost(exc)
 
 
 @dataclass(slots=True)
-class _Faults:
-    """The lasting faults of one way."""
+class _LastingFaults:
+    """The faults of one way that last until healed."""
 
-    stall: bool = False
+    is_stalled: bool = False
     delay: Delay | None = None
     trickle: Trickle | None = None
 
     def apply(self, fault: Stall | Delay | Trickle) -> None:
         match fault:
             case Stall():
-                self.stall = True
+                self.is_stalled = True
             case Delay():
                 self.delay = fault
             case Trickle():
@@ -164,292 +165,302 @@
 
 
 class _Flow:
-    """One way of one connection: what was read and has not passed yet, and when it may."""
+    """One way of one connection: holds the data that was read until it may be forwarded."""
 
-    def __init__(self, pipe: _Pipe, way: Way, faults: _Faults) -> None:
-        self.pipe, self.way, self.faults = pipe, way, _Faults()
+    def __init__(self, connection: _Connection, way: Way, faults: _LastingFaults) -> None:
+        self.connection, self.way, self.faults = connection, way, _LastingFaults()
         self.reader: asyncio.Transport | None = None
         self.writer: asyncio.Transport | None = None
-        self.held: deque[tuple[float, bytes]] = deque()  # due at, data; no data is the end
-        self.size = 0
-        self.free_at = 0.0
-        self.blocked = self.reading = self.read_all = self.passed_all = False
+        self.held_chunks: deque[tuple[float, bytes]] = deque()  # (due time in ms, data); empty data is EOF
+        self.held_bytes = 0
+        self.next_write_at_ms = 0.0
+        self.is_writer_paused = self.is_reading = self.has_read_eof = self.has_written_eof = False
         self.timer: asyncio.TimerHandle | None = None
         for fault in (faults.delay, faults.trickle):
             if fault is not None:
                 self.apply(fault)
-        self.faults.stall = faults.stall
+        self.faults.is_stalled = faults.is_stalled
 
     def apply(self, fault: Stall | Delay | Trickle) -> None:
-        """Switch a lasting fault on."""
+        """Switches a lasting fault on."""
         self.faults.apply(fault)
-        self.pump()
+        self.forward_due_data()
 
     def heal(self) -> None:
-        """What is held goes on at once."""
-        self.faults = _Faults()
-        self.free_at = 0.0
-        self.held = deque((0.0, data) for _, data in self.held)
-        self.pump()
-
-    def take(self, data: bytes) -> None:
-        """Data, or the end, came from the reader."""
+        """Ends all faults and forwards the held data at once."""
+        self.faults = _LastingFaults()
+        self.next_write_at_ms = 0.0
+        self.held_chunks = deque((0.0, data) for _, data in self.held_chunks)
+        self.forward_due_data()
+
+    def receive(self, data: bytes) -> None:
+        """Takes data from the reader; empty data is EOF."""
         delay = self.faults.delay
-        wait = delay.ms + self.pipe.link.rng.uniform(0, delay.jitter_ms) if delay else 0.0
-        self.held.append((_now() + wait, data))  # a later one waits for those before it
-        self.size += len(data)
-        self.read_all = self.read_all or not data
-        self.pump()
-
-    def wait(self, blocked: bool) -> None:
-        """The writer takes no more for now, or does again."""
-        self.blocked = blocked
-        self.pump()
-
-    def pump(self) -> None:
-        """Pass on what may pass, and read on while there is room."""
-        while self.held and self.writer and not (self.faults.stall or self.blocked or self.pipe.over):
-            due, data = self.held[0]
-            if (wait := max(due, self.free_at) - _now()) > 0:
-                self._wake(wait)
+        wait_ms = delay.ms + self.connection.proxy.rng.uniform(0, delay.jitter_ms) if delay else 0.0
+        self.held_chunks.append((_now_ms() + wait_ms, data))  # sent after all earlier chunks
+        self.held_bytes += len(data)
+        self.has_read_eof = self.has_read_eof or not data
+        self.forward_due_data()
+
+    def set_writer_paused(self, is_writer_paused: bool) -> None:
+        """Stops forwarding while the write buffer is full."""
+        self.is_writer_paused = is_writer_paused
+        self.forward_due_data()
+
+    def forward_due_data(self) -> None:
+        """Forwards what is due, and reads more while there is room."""
+        while (
+            self.held_chunks
+            and self.writer
+            and not (self.faults.is_stalled or self.is_writer_paused or self.connection.is_closed)
+        ):
+            due_at_ms, data = self.held_chunks[0]
+            if (wait_ms := max(due_at_ms, self.next_write_at_ms) - _now_ms()) > 0:
+                self._schedule_forwarding(wait_ms)
                 break
-            self.held.popleft()
+            self.held_chunks.popleft()
             if data:
-                self._pass(due, data)
+                self._forward_chunk(due_at_ms, data)
             else:
-                self.passed_all = True
+                self.has_written_eof = True
                 self.writer.write_eof()
-                self.pipe.link.note(self.pipe.number, "end", self.way)
-                self.pipe.ended()
-        self._read()
+                self.connection.proxy.record_event(self.connection.number, "eof", self.way)
+                self.connection.close_if_finished()
+        self._update_reading()
 
-    def _pass(self, due: float, data: bytes) -> None:
+    def _forward_chunk(self, due_at_ms: float, data: bytes) -> None:
         assert self.writer is not None
-        trickle, most = self.faults.trickle, len(data)
+        trickle, chunk_bytes = self.faults.trickle, len(data)
         if trickle is not None:
-            most = min(most, trickle.size)
-            self.free_at = _now() + trickle.every_ms
-        if most < len(data):
-            self.held.appendleft((due, data[most:]))
-        self.size -= most
-        self.writer.write(data[:most])
-        self.pipe.link.passed_on(self.pipe.number, self.way, most)
-
-    def _wake(self, wait_ms: float) -> None:
+            chunk_bytes = min(chunk_bytes, trickle.size_bytes)
+            self.next_write_at_ms = _now_ms() + trickle.interval_ms
+        if chunk_bytes < len(data):
+            self.held_chunks.appendleft((due_at_ms, data[chunk_bytes:]))
+        self.held_bytes -= chunk_bytes
+        self.writer.write(data[:chunk_bytes])
+        self.connection.proxy.record_forwarded(self.connection.number, self.way, chunk_bytes)
+
+    def _schedule_forwarding(self, wait_ms: float) -> None:
         if self.timer is not None:
             self.timer.cancel()
-        self.timer = asyncio.get_running_loop().call_later(wait_ms / 1000, self.pump)
+        self.timer = asyncio.get_running_loop().call_later(wait_ms / 1000, self.forward_due_data)
 
-    def _read(self) -> None:
-        if self.reader is None or self.writer is None or self.read_all or self.pipe.over:
+    def _update_reading(self) -> None:
+        if self.reader is None or self.writer is None or self.has_read_eof or self.connection.is_closed:
             return
-        want = self.size < HELD and not (self.faults.stall or self.blocked)
-        if want == self.reading:
+        should_read = self.held_bytes < MAX_HELD_BYTES and not (
+            self.faults.is_stalled or self.is_writer_paused
+        )
+        if should_read == self.is_reading:
             return
-        self.reading = want
-        if want:
+        self.is_reading = should_read
+        if should_read:
             self.reader.resume_reading()
         else:
             self.reader.pause_reading()
 
     def stop(self) -> None:
-        """No more passes."""
+        """Drops the held data and forwards nothing more."""
         if self.timer is not None:
             self.timer.cancel()
-        self.held.clear()
+        self.held_chunks.clear()
 
 
-class _Pipe:
-    """One connection through the link: two ends, two flows."""
+class _Connection:
+    """One connection through the proxy: two ends, two flows."""
 
-    def __init__(self, link: Link, number: int) -> None:
-        self.link, self.number, self.over = link, number, False
-        self.up = _Flow(self, Way.UP, link.lasting[Way.UP])
-        self.down = _Flow(self, Way.DOWN, link.lasting[Way.DOWN])
-        self.client = _End(self, self.up, self.down)
-        self.server = _End(self, self.down, self.up)
+    def __init__(self, proxy: TcpFaultProxy, number: int) -> None:
+        self.proxy, self.number, self.is_closed = proxy, number, False
+        self.up = _Flow(self, Way.UP, proxy.lasting_faults[Way.UP])
+        self.down = _Flow(self, Way.DOWN, proxy.lasting_faults[Way.DOWN])
+        self.client_end = _ConnectionEnd(self, self.up, self.down)
+        self.server_end = _ConnectionEnd(self, self.down, self.up)
 
-    async def dial(self, sock: socket.socket) -> None:
-        """Join the accepted socket to the target; a target that cannot be reached resets the client."""
+    async def connect(self, sock: socket.socket) -> None:
+        """Connects the accepted socket to the target; resets the client if the target cannot be reached."""
         loop = asyncio.get_running_loop()
         try:
-            accepted, _ = await loop.connect_accepted_socket(lambda: self.client, sock)
-            accepted.pause_reading()
-            # Guards against what was written long ago, by one who has given up since, reaching a target that
-            # is back: without the link between them no connection would have come up.
-            async with asyncio.timeout(DIAL_S):
-                joined, _ = await loop.create_connection(lambda: self.server, *self.link.target)
-            joined.pause_reading()
+            client_transport, _ = await loop.connect_accepted_socket(lambda: self.client_end, sock)
+            client_transport.pause_reading()
+            # The timeout keeps old data of a client that has given up from reaching a target that is back:
+            # without the proxy between them no connection would have been established.
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
+                server_transport, _ = await loop.create_connection(
+                    lambda: self.server_end, *self.proxy.target
+                )
+            server_transport.pause_reading()
         except asyncio.CancelledError:
             if self.up.reader is None:
                 sock.close()
             raise
-        except OSError as err:
-            self.end(f"not connected: {errno.errorcode.get(err.errno or 0, 'no answer')}", reset=True)
-        if self.over:  # ended while it was coming up
-            self._drop(reset=True)
+        except OSError as error:
+            self.close(f"connect failed: {errno.errorcode.get(error.errno or 0, 'no answer')}", is_reset=True)
+        if self.is_closed:  # closed while it was being established
+            self._close_transports(is_reset=True)
             return
         for flow in self.flows():
-            flow.pump()
+            flow.forward_due_data()
 
     def flows(self) -> tuple[_Flow, _Flow]:
         return self.up, self.down
 
     def _transports(self) -> Iterator[asyncio.Transport]:
-        yield from (t for t in (self.up.reader, self.up.writer) if t is not None)
+        yield from (transport for transport in (self.up.reader, self.up.writer) if transport is not None)
 
-    def ended(self) -> None:
-        """Both ways have come to their end: close."""
-        if self.up.passed_all and self.down.passed_all:
-            self.end("closed", reset=False)
+    def close_if_finished(self) -> None:
+        """Closes the connection once both ways have forwarded EOF."""
+        if self.up.has_written_eof and self.down.has_written_eof:
+            self.close("closed", is_reset=False)
 
-    def lost(self, exc: Exception | None) -> None:
-        """An end is gone; a reset is passed on as one."""
-        self.end("closed" if exc is None else "reset by peer", reset=exc is not None)
+    def on_end_lost(self, exc: Exception | None) -> None:
+        """Handles the loss of one end; a reset is propagated to the other."""
+        self.close("closed" if exc is None else "reset by peer", is_reset=exc is not None)
 
-    def end(self, what: str, reset: bool) -> None:
-        """End both ends, by reset or in order."""
-        if self.over:
+    def close(self, event: str, is_reset: bool) -> None:
+        """Closes both ends, with a RST if `is_reset`."""
+        if self.is_closed:
             return
-        self.over = True
-        self.link.note(self.number, what)
-        self._drop(reset)
+        self.is_closed = True
+        self.proxy.record_event(self.number, event)
+        self._close_transports(is_reset)
 
-    def _drop(self, reset: bool) -> None:
+    def _close_transports(self, is_reset: bool) -> None:
         for flow in self.flows():
             flow.stop()
         for transport in self._transports():
-            _close(transport, reset)
-        self.link.forget(self)
+            _close(transport, is_reset)
+        self.proxy.remove_connection(self)
 
 
-def _close(transport: asyncio.Transport, reset: bool) -> None:
-    if not reset:
+def _close(transport: asyncio.Transport, is_reset: bool) -> None:
+    if not is_reset:
         transport.close()
         return
-    with contextlib.suppress(OSError, ValueError):  # its socket may be gone by now
-        transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _AT_ONCE)
+    with contextlib.suppress(OSError, ValueError):  # the socket may be closed already
+        transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_FOR_RESET)
     transport.abort()
 
 
 @dataclass(slots=True)
 class Counts:
-    """What a link did: connections taken, those of them that a `Blackhole` swallowed, bytes each way."""
+    """Totals: accepted connections, those of them that a `Blackhole` took, and forwarded bytes by way."""
 
     connections: int = 0
-    swallowed: int = 0
-    bytes: dict[Way, int] = field(default_factory=lambda: dict.fromkeys(Way, 0))
+    blackholed: int = 0
+    forwarded_bytes: dict[Way, int] = field(default_factory=lambda: dict.fromkeys(Way, 0))
 
 
-class Link:
-    """A relay to one loopback address, as an async context manager; `address` is where it listens.
+class TcpFaultProxy:
+    """A TCP proxy to one loopback address, as an async context manager; it listens on `address`.
 
-    `seed` fixes the jitter. Raises ValueError for an address off loopback.
+    `seed` determines the jitter. Raises ValueError if an address is not a loopback address.
     """
 
     def __init__(self, target: Address, seed: int = 0, host: str = "127.0.0.1") -> None:
-        self.target = loopback(target)
-        self.address: Address = loopback((host, 0))
+        self.target = require_loopback(target)
+        self.address: Address = require_loopback((host, 0))
         self.rng = random.Random(seed)
         self.counts = Counts()
-        self.records: deque[Record] = deque(maxlen=RECORDS)
-        self.lasting = {way: _Faults() for way in Way}
-        self._swallowed: list[socket.socket] = []
-        self._pipes: dict[int, _Pipe] = {}
-        self._blackhole = False
-        self._port: socket.socket | None = None
+        self.records: deque[Record] = deque(maxlen=MAX_RECORDS)
+        self.lasting_faults = {way: _LastingFaults() for way in Way}
+        self._blackholed_sockets: list[socket.socket] = []
+        self._connections: dict[int, _Connection] = {}
+        self._is_blackhole = False
+        self._port_holder: socket.socket | None = None
         self._listener: socket.socket | None = None
-        self._tasks: set[asyncio.Task[None]] = set()
+        self._connect_tasks: set[asyncio.Task[None]] = set()
 
-    async def __aenter__(self) -> Link:
-        """Listen."""
-        self._port = self._bound()
-        self.address = (self.address[0], self._port.getsockname()[1])
-        self._listen()
+    async def __aenter__(self) -> TcpFaultProxy:
+        """Starts to listen."""
+        self._port_holder = self._bind_socket()
+        self.address = (self.address[0], self._port_holder.getsockname()[1])
+        self._start_listening()
         return self
 
     async def __aexit__(self, *exc: object) -> None:
-        """Reset whatever is open."""
-        self._unlisten()
-        if self._port is not None:
-            self._port.close()
-            self._port = None
-        for task in self._tasks:
+        """Stops listening and resets all open connections."""
+        self._stop_listening()
+        if self._port_holder is not None:
+            self._port_holder.close()
+            self._port_holder = None
+        for task in self._connect_tasks:
             task.cancel()
-        await asyncio.gather(*self._tasks, return_exceptions=True)
-        for pipe in list(self._pipes.values()):
-            pipe.end("link ends", reset=True)
+        await asyncio.gather(*self._connect_tasks, return_exceptions=True)
+        for connection in list(self._connections.values()):
+            connection.close("proxy closed", is_reset=True)
         self.heal()
-        await asyncio.sleep(0)  # the loop closes what was aborted
+        await asyncio.sleep(0)  # lets the event loop close the aborted transports
 
     # --- faults
 
     def apply(self, fault: Fault) -> None:
-        """Switch a fault on, for all connections and those to come."""
-        self.note(0, repr(fault))
+        """Switches a fault on, for existing and new connections."""
+        self.record_event(0, repr(fault))
         match fault:
             case Reset():
-                for pipe in list(self._pipes.values()):
-                    pipe.end("reset", reset=True)
+                for connection in list(self._connections.values()):
+                    connection.close("reset", is_reset=True)
             case Refuse():
-                self._unlisten()
+                self._stop_listening()
             case Blackhole():
-                self._blackhole = True
+                self._is_blackhole = True
             case Heal():
                 self.heal()
             case _:
                 for way in fault.ways:
-                    self.lasting[way].apply(fault)
-                for pipe in list(self._pipes.values()):
-                    for flow in pipe.flows():
+                    self.lasting_faults[way].apply(fault)
+                for connection in list(self._connections.values()):
+                    for flow in connection.flows():
                         if flow.way in fault.ways:
                             flow.apply(fault)
 
     def heal(self) -> None:
-        """End all faults."""
-        self._blackhole = False
-        self.lasting = {way: _Faults() for way in Way}
-        for sock in self._swallowed:
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _AT_ONCE)
+        """Ends all faults."""
+        self._is_blackhole = False
+        self.lasting_faults = {way: _LastingFaults() for way in Way}
+        for sock in self._blackholed_sockets:
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_FOR_RESET)
             sock.close()
-        self._swallowed = []
-        if self._listener is None and self._port is not None:
-            self._listen()
-        for pipe in list(self._pipes.values()):
-            for flow in pipe.flows():
+        self._blackholed_sockets = []
+        if self._listener is None and self._port_holder is not None:
+            self._start_listening()
+        for connection in list(self._connections.values()):
+            for flow in connection.flows():
                 flow.heal()
 
-    # --- what connections tell
+    # --- called by connections
 
-    def note(self, connection: int, what: str, way: Way | None = None, size: int = 0) -> None:
-        """Record what happened."""
-        self.records.append(Record(_now(), connection, what, way, size))
+    def record_event(
+        self, connection_number: int, event: str, way: Way | None = None, size_bytes: int = 0
+    ) -> None:
+        """Records an event; connection number 0 is the proxy itself."""
+        self.records.append(Record(_now_ms(), connection_number, event, way, size_bytes))
 
-    def passed_on(self, connection: int, way: Way, size: int) -> None:
-        """Bytes were passed on."""
-        self.counts.bytes[way] += size
-        self.note(connection, "data", way, size)
+    def record_forwarded(self, connection_number: int, way: Way, size_bytes: int) -> None:
+        """Counts and records forwarded bytes."""
+        self.counts.forwarded_bytes[way] += size_bytes
+        self.record_event(connection_number, "data", way, size_bytes)
 
-    def forget(self, pipe: _Pipe) -> None:
-        """A connection is over."""
-        self._pipes.pop(pipe.number, None)
+    def remove_connection(self, connection: _Connection) -> None:
+        """Removes a closed connection."""
+        self._connections.pop(connection.number, None)
 
     # --- listening
 
-    def _bound(self) -> socket.socket:
-        """A socket on this link's port. The first never listens: it keeps the port while none does."""
-        out = socket.socket(socket.AF_INET6 if ":" in self.address[0] else socket.AF_INET)
-        out.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-        out.bind(self.address)
-        return out
+    def _bind_socket(self) -> socket.socket:
+        """Binds a socket to the port of this proxy. The first one never listens: it reserves the port."""
+        sock = socket.socket(socket.AF_INET6 if ":" in self.address[0] else socket.AF_INET)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+        sock.bind(self.address)
+        return sock
 
-    def _listen(self) -> None:
-        self._listener = self._bound()
+    def _start_listening(self) -> None:
+        self._listener = self._bind_socket()
         self._listener.setblocking(False)
         self._listener.listen(1024)
         asyncio.get_running_loop().add_reader(self._listener, self._accept)
 
-    def _unlisten(self) -> None:
+    def _stop_listening(self) -> None:
         if self._listener is not None:
             asyncio.get_running_loop().remove_reader(self._listener)
             self._listener.close()
@@ -464,13 +475,13 @@
             sock.setblocking(False)
             self.counts.connections += 1
             number = self.counts.connections
-            self.note(number, "taken")
-            pipe = self._pipes[number] = _Pipe(self, number)
-            if self._blackhole:
-                self.forget(pipe)
-                self.counts.swallowed += 1
-                self._swallowed.append(sock)
+            self.record_event(number, "accepted")
+            connection = self._connections[number] = _Connection(self, number)
+            if self._is_blackhole:
+                self.remove_connection(connection)
+                self.counts.blackholed += 1
+                self._blackholed_sockets.append(sock)
                 continue
-            task = asyncio.get_running_loop().create_task(pipe.dial(sock))
-            self._tasks.add(task)
-            task.add_done_callback(self._tasks.discard)
+            task = asyncio.get_running_loop().create_task(connection.connect(sock))
+            self._connect_tasks.add(task)
+            task.add_done_callback(self._connect_tasks.discard)
--- a/tests/testbed/test_tcp_fault_proxy.py
+++ b/tests/testbed/test_tcp_fault_proxy.py
@@ -1,4 +1,4 @@
-"""The faulty link: what each fault does to both ends, back-pressure, what is recorded."""
+"""TCP fault proxy: effect of each fault on both ends, back-pressure, and recorded events."""
 
 from __future__ import annotations
 
@@ -18,393 +18,404 @@
     Delay,
     Fault,
     Heal,
-    Link,
     Refuse,
     Reset,
     Stall,
+    TcpFaultProxy,
     Trickle,
     Way,
 )
 
-WAIT = 10.0  # s until a test that waits for something that does not come fails
-QUIET = 0.1  # s in which nothing may come
-MIB = 1024 * 1024
+TEST_TIMEOUT_S = 10.0
+QUIET_PERIOD_S = 0.1  # how long an end must receive nothing
+MIB_BYTES = 1024 * 1024
 
 
 def run(test: Callable[[], Awaitable[None]]) -> None:
-    """Run a test's coroutine, with an end to it."""
+    """Runs the coroutine of a test with a timeout."""
 
     async def bounded() -> None:
-        async with asyncio.timeout(WAIT):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             await test()
 
     asyncio.run(bounded())
 
 
 @dataclass
-class End:
-    """One end of a connection."""
+class ConnectionEnd:
+    """One end of a connection through the proxy."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
 
-    async def says(self, data: bytes) -> None:
-        """Write all of it."""
+    async def send(self, data: bytes) -> None:
+        """Writes all of the data."""
         self.writer.write(data)
         await self.writer.drain()
 
-    async def hears(self, data: bytes) -> None:
-        """Exactly this comes."""
+    async def expect_data(self, data: bytes) -> None:
+        """Checks that exactly these bytes arrive."""
         assert await self.reader.readexactly(len(data)) == data
 
-    async def hears_end(self) -> bytes:
-        """What comes until the end, which is in order."""
+    async def read_until_eof(self) -> bytes:
+        """Returns what arrives until EOF; raises ConnectionResetError on a reset."""
         return await self.reader.read(-1)
 
-    async def is_reset(self) -> None:
-        """A reset comes."""
+    async def expect_reset(self) -> None:
+        """Checks that a reset arrives."""
         with pytest.raises(ConnectionResetError):
-            while await self.reader.read(MIB):
+            while await self.reader.read(MIB_BYTES):
                 pass
 
-    async def hears_nothing(self) -> None:
-        """Neither a byte nor an end comes for a while."""
+    async def expect_silence(self) -> None:
+        """Checks that neither data nor EOF arrives for a while."""
         with pytest.raises(TimeoutError):
-            async with asyncio.timeout(QUIET):
+            async with asyncio.timeout(QUIET_PERIOD_S):
                 await self.reader.read(1)
 
 
-def abort(end: End) -> None:
-    """Reset a connection."""
+def abort(end: ConnectionEnd) -> None:
+    """Resets a connection."""
     sock = end.writer.get_extra_info("socket")
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     end.writer.transport.abort()
 
 
 @dataclass
-class World:
-    """A server behind a link, and connections through it."""
+class ProxyHarness:
+    """A server behind a proxy, and the connections through it."""
 
-    link: Link
-    taken: asyncio.Queue[End]
-    ends: list[End] = field(default_factory=list)
+    proxy: TcpFaultProxy
+    accepted_ends: asyncio.Queue[ConnectionEnd]
+    client_ends: list[ConnectionEnd] = field(default_factory=list)
 
-    async def client(self) -> End:
-        """A client's end."""
-        out = End(*await asyncio.open_connection(*self.link.address))
-        self.ends.append(out)
-        return out
+    async def open_client(self) -> ConnectionEnd:
+        """Opens a connection and returns the client's end."""
+        client_end = ConnectionEnd(*await asyncio.open_connection(*self.proxy.address))
+        self.client_ends.append(client_end)
+        return client_end
 
-    async def pair(self) -> tuple[End, End]:
-        """Both ends of a new connection."""
-        return await self.client(), await self.taken.get()
+    async def open_pair(self) -> tuple[ConnectionEnd, ConnectionEnd]:
+        """Opens a connection and returns the ends of the client and the server."""
+        return await self.open_client(), await self.accepted_ends.get()
 
 
 @contextlib.asynccontextmanager
-async def world(seed: int = 0) -> AsyncIterator[World]:
-    """A server, and a link to it."""
-    taken: asyncio.Queue[End] = asyncio.Queue()
-    ends: list[End] = []
+async def start_harness(seed: int = 0) -> AsyncIterator[ProxyHarness]:
+    """Starts a server and a proxy to it."""
+    accepted_ends: asyncio.Queue[ConnectionEnd] = asyncio.Queue()
+    server_ends: list[ConnectionEnd] = []
 
     async def accept(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        ends.append(End(reader, writer))
-        taken.put_nowait(ends[-1])
+        server_ends.append(ConnectionEnd(reader, writer))
+        accepted_ends.put_nowait(server_ends[-1])
 
     server = await asyncio.start_server(accept, "127.0.0.1", 0)
     target = server.sockets[0].getsockname()
     try:
-        async with Link(target, seed) as link:
-            yield (out := World(link, taken))
+        async with TcpFaultProxy(target, seed) as proxy:
+            yield (harness := ProxyHarness(proxy, accepted_ends))
     finally:
         server.close()
-        for end in (*ends, *out.ends):
+        for end in (*server_ends, *harness.client_ends):
             end.writer.transport.abort()
 
 
-def test_both_ways_pass_and_are_counted() -> None:
+def test_proxy_without_faults_forwards_and_counts_both_ways() -> None:
     async def test() -> None:
-        async with world() as w:
-            client, server = await w.pair()
-            before = time.monotonic() * 1000
-            await client.says(b"question")
-            await server.hears(b"question")
-            await server.says(b"answer")
-            await client.hears(b"answer")
-            assert w.link.counts.connections == 1
-            assert w.link.counts.bytes == {Way.UP: 8, Way.DOWN: 6}
-            data = [r for r in w.link.records if r.what == "data"]
-            assert [(r.connection, r.way, r.size) for r in data] == [(1, Way.UP, 8), (1, Way.DOWN, 6)]
-            assert before <= data[0].at_ms <= data[1].at_ms <= time.monotonic() * 1000
+        async with start_harness() as harness:
+            client, server = await harness.open_pair()
+            started_at_ms = time.monotonic() * 1000
+            await client.send(b"question")
+            await server.expect_data(b"question")
+            await server.send(b"answer")
+            await client.expect_data(b"answer")
+            assert harness.proxy.counts.connections == 1
+            assert harness.proxy.counts.forwarded_bytes == {Way.UP: 8, Way.DOWN: 6}
+            data_records = [record for record in harness.proxy.records if record.event == "data"]
+            assert [(record.connection_number, record.way, record.size_bytes) for record in data_records] == [
+                (1, Way.UP, 8),
+                (1, Way.DOWN, 6),
+            ]
+            assert started_at_ms <= data_records[0].at_ms <= data_records[1].at_ms <= time.monotonic() * 1000
 
     run(test)
 
 
-def test_an_end_of_sending_passes_and_the_other_way_goes_on() -> None:
+def test_proxy_half_closed_by_client_keeps_the_other_way_open() -> None:
     async def test() -> None:
-        async with world() as w:
-            client, server = await w.pair()
+        async with start_harness() as harness:
+            client, server = await harness.open_pair()
             client.writer.write_eof()
-            assert await server.hears_end() == b""
-            await server.says(b"late")
-            await client.hears(b"late")
+            assert await server.read_until_eof() == b""
+            await server.send(b"late")
+            await client.expect_data(b"late")
             server.writer.close()
-            assert await client.hears_end() == b""
+            assert await client.read_until_eof() == b""
 
     run(test)
 
 
-def test_a_reset_of_one_end_resets_the_other() -> None:
+def test_proxy_reset_by_client_resets_the_server() -> None:
     async def test() -> None:
-        async with world() as w:
-            client, server = await w.pair()
+        async with start_harness() as harness:
+            client, server = await harness.open_pair()
             abort(client)
-            await server.is_reset()
+            await server.expect_reset()
 
     run(test)
 
 
-def test_a_target_that_refuses_resets_the_client() -> None:
+def test_proxy_refused_by_target_resets_the_client() -> None:
     async def test() -> None:
-        with socket.socket() as nobody:
-            nobody.bind(("127.0.0.1", 0))
-            async with Link(nobody.getsockname()) as link:
-                client = End(*await asyncio.open_connection(*link.address))
-                await client.is_reset()
-                assert any("ECONNREFUSED" in r.what for r in link.records)
+        with socket.socket() as unused_socket:
+            unused_socket.bind(("127.0.0.1", 0))
+            async with TcpFaultProxy(unused_socket.getsockname()) as proxy:
+                client = ConnectionEnd(*await asyncio.open_connection(*proxy.address))
+                await client.expect_reset()
+                assert any("ECONNREFUSED" in record.event for record in proxy.records)
 
     run(test)
 
 
-def test_a_target_that_says_nothing_gets_nothing_later() -> None:
-    """Its queue is full, so that connects get no answer until there is room."""
+def test_proxy_without_answer_of_target_sends_nothing_later() -> None:
+    """The accept queue of the target is full, so that it answers no SYN until there is room.
+
+    A proxy that kept the data and connected later would deliver requests that the client has given up.
+    """
 
     async def test() -> None:
         with socket.socket() as target:
             target.bind(("127.0.0.1", 0))
             target.listen(0)
             with socket.create_connection(target.getsockname()):
-                async with Link(target.getsockname()) as link:
-                    end = End(*await asyncio.open_connection(*link.address))
-                    await end.says(b"by now it is too late")
-                    await end.is_reset()
-                    target.accept()[0].close()  # now there is room
-                    target.settimeout(1.5)  # by then the SYN would have come again
+                async with TcpFaultProxy(target.getsockname()) as proxy:
+                    client = ConnectionEnd(*await asyncio.open_connection(*proxy.address))
+                    await client.send(b"by now it is too late")
+                    await client.expect_reset()
+                    target.accept()[0].close()  # makes room in the accept queue
+                    target.settimeout(1.5)  # longer than the 1 s after which Linux repeats a SYN
                     with pytest.raises(TimeoutError):
                         await asyncio.to_thread(target.accept)
 
     run(test)
 
 
-def test_a_slow_reader_holds_up_its_writer_and_loses_nothing() -> None:
+def test_proxy_with_slow_reader_blocks_the_writer_and_loses_nothing() -> None:
     async def test() -> None:
-        async with world() as w:
-            client, server = await w.pair()
-            data = bytes(range(256)) * (64 * MIB // 256)
-            writing = asyncio.create_task(client.says(data))
+        async with start_harness() as harness:
+            client, server = await harness.open_pair()
+            data = bytes(range(256)) * (64 * MIB_BYTES // 256)
+            writing = asyncio.create_task(client.send(data))
             await asyncio.sleep(0.3)
-            assert not writing.done(), "64 MiB vanished into a link that nobody reads from"
-            assert w.link.counts.bytes[Way.UP] < 32 * MIB
-            await server.hears(data)
+            assert not writing.done(), "the proxy took 64 MiB although nobody reads them"
+            assert harness.proxy.counts.forwarded_bytes[Way.UP] < 32 * MIB_BYTES
+            await server.expect_data(data)
             await writing
 
     run(test)
 
 
-def test_reset_resets_both_ends() -> None:
+def test_reset_of_open_connection_resets_both_ends() -> None:
     async def test() -> None:
-        async with world() as w:
-            client, server = await w.pair()
-            w.link.apply(Reset())
-            await client.is_reset()
-            await server.is_reset()
+        async with start_harness() as harness:
+            client, server = await harness.open_pair()
+            harness.proxy.apply(Reset())
+            await client.expect_reset()
+            await server.expect_reset()
 
     run(test)
 
 
 @pytest.mark.parametrize("ways", [(Way.UP,), (Way.DOWN,), (Way.UP, Way.DOWN)])
-def test_stall_holds_data_and_ends_until_healed(ways: tuple[Way, ...]) -> None:
+def test_stall_of_a_way_holds_data_and_eof_until_healed(ways: tuple[Way, ...]) -> None:
     async def test() -> None:
-        async with world() as w:
-            client, server = await w.pair()
-            w.link.apply(Stall(ways))
+        async with start_harness() as harness:
+            client, server = await harness.open_pair()
+            harness.proxy.apply(Stall(ways))
             for way, sender, receiver in ((Way.UP, client, server), (Way.DOWN, server, client)):
-                await sender.says(b"held")
+                await sender.send(b"held")
                 sender.writer.write_eof()
                 if way in ways:
-                    await receiver.hears_nothing()
+                    await receiver.expect_silence()
                 else:
-                    await receiver.hears(b"held")
-            w.link.apply(Heal())
-            assert await client.hears_end() == (b"held" if Way.DOWN in ways else b"")
-            assert await server.hears_end() == (b"held" if Way.UP in ways else b"")
+                    await receiver.expect_data(b"held")
+            harness.proxy.apply(Heal())
+            assert await client.read_until_eof() == (b"held" if Way.DOWN in ways else b"")
+            assert await server.read_until_eof() == (b"held" if Way.UP in ways else b"")
 
     run(test)
 
 
 @pytest.mark.parametrize("fault", [Stall(), Delay(3_600_000.0)], ids=repr)
-def test_what_is_held_is_bounded_so_that_the_sender_feels_it(fault: Fault) -> None:
+def test_proxy_at_limit_of_held_bytes_blocks_the_sender(fault: Fault) -> None:
     async def test() -> None:
-        async with world() as w:
-            w.link.apply(fault)
-            client, server = await w.pair()
-            writing = asyncio.create_task(client.says(bytes(64 * MIB)))
-            await server.hears_nothing()
-            assert not writing.done() and w.link.counts.bytes[Way.UP] == 0
+        async with start_harness() as harness:
+            harness.proxy.apply(fault)
+            client, server = await harness.open_pair()
+            writing = asyncio.create_task(client.send(bytes(64 * MIB_BYTES)))
+            await server.expect_silence()
+            assert not writing.done() and harness.proxy.counts.forwarded_bytes[Way.UP] == 0
             writing.cancel()
 
     run(test)
 
 
-def test_stall_hides_even_a_reset() -> None:
+def test_stall_of_reset_connection_hides_the_reset_until_healed() -> None:
     async def test() -> None:
-        async with world() as w:
-            client, server = await w.pair()
-            w.link.apply(Stall())
+        async with start_harness() as harness:
+            client, server = await harness.open_pair()
+            harness.proxy.apply(Stall())
             abort(client)
-            await server.hears_nothing()
-            w.link.apply(Heal())
-            await server.is_reset()
+            await server.expect_silence()
+            harness.proxy.apply(Heal())
+            await server.expect_reset()
 
     run(test)
 
 
-def test_refuse_and_heal_keep_the_port_and_leave_old_connections_alone() -> None:
+def test_refuse_until_healed_keeps_the_port_and_open_connections() -> None:
     async def test() -> None:
-        async with world() as w:
-            client, server = await w.pair()
-            address = w.link.address
-            w.link.apply(Refuse())
+        async with start_harness() as harness:
+            client, server = await harness.open_pair()
+            address = harness.proxy.address
+            harness.proxy.apply(Refuse())
             with pytest.raises(ConnectionRefusedError):
-                await w.client()
+                await harness.open_client()
             with socket.socket() as other, pytest.raises(OSError, match="in use"):
                 other.bind(address)
-            await client.says(b"still")
-            await server.hears(b"still")
-            w.link.apply(Heal())
-            another, there = await w.pair()
-            await another.says(b"new")
-            await there.hears(b"new")
-            assert w.link.address == address
+            await client.send(b"still")
+            await server.expect_data(b"still")
+            harness.proxy.apply(Heal())
+            new_client, new_server = await harness.open_pair()
+            await new_client.send(b"new")
+            await new_server.expect_data(b"new")
+            assert harness.proxy.address == address
 
     run(test)
 
 
-def test_blackhole_takes_new_connections_and_says_nothing() -> None:
+def test_blackhole_of_new_connection_stays_silent_and_heal_resets_it() -> None:
     async def test() -> None:
-        async with world() as w:
-            old, server = await w.pair()
-            w.link.apply(Blackhole())
-            client = await w.client()
-            await client.says(b"anyone?")
-            await client.hears_nothing()
-            assert w.taken.empty() and w.link.counts.swallowed == 1
-            await old.says(b"here")
-            await server.hears(b"here")
-            w.link.apply(Heal())
-            await client.is_reset()
+        async with start_harness() as harness:
+            old_client, server = await harness.open_pair()
+            harness.proxy.apply(Blackhole())
+            client = await harness.open_client()
+            await client.send(b"anyone?")
+            await client.expect_silence()
+            assert harness.accepted_ends.empty() and harness.proxy.counts.blackholed == 1
+            await old_client.send(b"here")
+            await server.expect_data(b"here")
+            harness.proxy.apply(Heal())
+            await client.expect_reset()
 
     run(test)
 
 
-def test_delay_holds_each_byte_and_keeps_the_order() -> None:
+def test_delay_with_jitter_holds_each_byte_and_keeps_the_order() -> None:
     async def test() -> None:
-        async with world(seed=3) as w:
-            client, server = await w.pair()
-            w.link.apply(Delay(80.0, jitter_ms=60.0, ways=(Way.UP,)))
-            start = time.monotonic()
-            for n in range(30):
-                await client.says(b"%02d" % n)
+        async with start_harness(seed=3) as harness:
+            client, server = await harness.open_pair()
+            harness.proxy.apply(Delay(80.0, jitter_ms=60.0, ways=(Way.UP,)))
+            started_at_s = time.monotonic()
+            for number in range(30):
+                await client.send(b"%02d" % number)
                 await asyncio.sleep(0.002)
-            await server.hears(b"".join(b"%02d" % n for n in range(30)))
-            assert time.monotonic() - start >= 0.08
-            w.link.apply(Heal())
-            w.link.apply(Delay(300.0, ways=(Way.UP,)))
-            await client.says(b"later")
-            await server.says(b"sooner")
-            await client.hears(b"sooner")
-            await server.hears(b"later")
-            assert [r.way for r in w.link.records if r.what == "data"][-2:] == [Way.DOWN, Way.UP]
+            await server.expect_data(b"".join(b"%02d" % number for number in range(30)))
+            assert time.monotonic() - started_at_s >= 0.08
+            harness.proxy.apply(Heal())
+            harness.proxy.apply(Delay(300.0, ways=(Way.UP,)))
+            await client.send(b"later")
+            await server.send(b"sooner")
+            await client.expect_data(b"sooner")
+            await server.expect_data(b"later")
+            assert [record.way for record in harness.proxy.records if record.event == "data"][-2:] == [
+                Way.DOWN,
+                Way.UP,
+            ]
 
     run(test)
 
 
-def test_jitter_is_that_of_the_seed() -> None:
-    async def drawn(seed: int) -> list[float]:
-        async with world(seed=seed) as w:
-            return [w.link.rng.uniform(0, 10) for _ in range(3)]
+def test_jitter_with_equal_seeds_is_equal() -> None:
+    async def draw_delays(seed: int) -> list[float]:
+        async with start_harness(seed=seed) as harness:
+            return [harness.proxy.rng.uniform(0, 10) for _ in range(3)]
 
     async def test() -> None:
-        assert await drawn(1) == await drawn(1) != await drawn(2)
+        assert await draw_delays(1) == await draw_delays(1) != await draw_delays(2)
 
     run(test)
 
 
-def test_trickle_passes_few_bytes_at_a_time() -> None:
+def test_trickle_of_ten_bytes_forwards_three_at_a_time() -> None:
     async def test() -> None:
-        async with world() as w:
-            client, server = await w.pair()
-            w.link.apply(Trickle(3, every_ms=2.0, ways=(Way.UP,)))
-            await client.says(b"abcdefghij")
-            await server.hears(b"abcdefghij")
-            data = [r for r in w.link.records if r.what == "data"]
-            assert [r.size for r in data] == [3, 3, 3, 1]
-            assert all(b.at_ms - a.at_ms >= 2.0 for a, b in itertools.pairwise(data))
+        async with start_harness() as harness:
+            client, server = await harness.open_pair()
+            harness.proxy.apply(Trickle(3, interval_ms=2.0, ways=(Way.UP,)))
+            await client.send(b"abcdefghij")
+            await server.expect_data(b"abcdefghij")
+            data_records = [record for record in harness.proxy.records if record.event == "data"]
+            assert [record.size_bytes for record in data_records] == [3, 3, 3, 1]
+            assert all(
+                later.at_ms - earlier.at_ms >= 2.0 for earlier, later in itertools.pairwise(data_records)
+            )
 
     run(test)
 
 
-def test_a_connection_may_end_while_it_is_coming_up() -> None:
+def test_reset_during_connect_resets_both_ends() -> None:
     async def test() -> None:
-        async with world() as w:
-            coming = asyncio.create_task(w.client())
-            while not w.link.counts.connections:
+        async with start_harness() as harness:
+            connecting = asyncio.create_task(harness.open_client())
+            while not harness.proxy.counts.connections:
                 await asyncio.sleep(0)
-            w.link.apply(Reset())
-            with pytest.raises(ConnectionResetError):  # as it connects, or after
-                await (await coming).reader.read(1)
-            await (await w.taken.get()).is_reset()
+            harness.proxy.apply(Reset())
+            with pytest.raises(ConnectionResetError):  # while it connects, or later
+                await (await connecting).reader.read(1)
+            await (await harness.accepted_ends.get()).expect_reset()
 
     run(test)
 
 
 @pytest.mark.parametrize("host", ["10.0.0.1", "localhost", "8.8.8.8", "", "::"])
-def test_only_loopback_is_joined(host: str) -> None:
-    with pytest.raises(ValueError, match="only joins loopback addresses, not"):
-        Link((host, 80))
-    with pytest.raises(ValueError, match="only joins loopback addresses, not"):
-        Link(("127.0.0.1", 80), host=host)
+def test_proxy_with_address_off_loopback_raises(host: str) -> None:
+    with pytest.raises(ValueError, match="not a loopback address: "):
+        TcpFaultProxy((host, 80))
+    with pytest.raises(ValueError, match="not a loopback address: "):
+        TcpFaultProxy(("127.0.0.1", 80), host=host)
 
 
-def test_the_end_of_a_link_resets_what_is_open_and_leaves_nothing() -> None:
+def test_proxy_closed_resets_open_connections_and_frees_the_port() -> None:
     async def test() -> None:
-        async with world() as w:
-            one, _ = await w.pair()
-            w.link.apply(Blackhole())
-            two = await w.client()
-            while not w.link.counts.swallowed:
+        async with start_harness() as harness:
+            connected_client, _ = await harness.open_pair()
+            harness.proxy.apply(Blackhole())
+            blackholed_client = await harness.open_client()
+            while not harness.proxy.counts.blackholed:
                 await asyncio.sleep(0)
-            await w.link.__aexit__()
-            for client in (one, two):
-                await client.is_reset()
-            assert w.link.records[-1].what != "taken"
+            await harness.proxy.__aexit__()
+            for client in (connected_client, blackholed_client):
+                await client.expect_reset()
+            assert harness.proxy.records[-1].event != "accepted"
             with pytest.raises(ConnectionRefusedError):
-                await w.client()
+                await harness.open_client()
 
     run(test)
 
 
 @pytest.mark.parametrize("fault", [Stall(), Delay(5.0, 5.0), Trickle(100, 0.1)], ids=repr)
-def test_much_data_both_ways_survives_what_only_slows(fault: Fault) -> None:
+def test_slowing_faults_under_load_lose_no_data(fault: Fault) -> None:
     async def test() -> None:
-        async with world() as w:
-            client, server = await w.pair()
+        async with start_harness() as harness:
+            client, server = await harness.open_pair()
             data = bytes(range(251)) * 400
-            writes = [asyncio.create_task(end.says(data)) for end in (client, server)]
-            w.link.apply(fault)
+            writes = [asyncio.create_task(end.send(data)) for end in (client, server)]
+            harness.proxy.apply(fault)
             await asyncio.sleep(0.05)
-            w.link.apply(Heal())
-            await server.hears(data)
-            await client.hears(data)
+            harness.proxy.apply(Heal())
+            await server.expect_data(data)
+            await client.expect_data(data)
             await asyncio.gather(*writes)
 
     run(test)
