--- a/balancer/testbed/__init__.py
+++ b/balancer/testbed/__init__.py
@@ -1,14 +1,20 @@
-"""The stand-in world, on loopback only; used by tests, benchmarks and `demo`, by nothing else.
+"""A test environment on loopback; used by tests, benchmarks and `demo`, never by the service itself.
 
-- `servers`, `clients`, `discovery`, `etcd`: what stands round a node, scripted, recording what it saw.
-- `certificates`, `ports`: what several of them need.
-- `link`: a relay that makes a loopback connection faulty.
-- `site`, `records`: what a world is made of, and what was recorded in it, on one monotonic clock.
-- `judge`, `cold`: the four rules, from the records alone; the fourth one's budget.
-- `world`, `fleet_world`: real node processes among the stand-ins, with discovery, and with etcd beside it.
-- `schedules`: seeded rows of faults of the sources, played on such a world; `demo`: one to look at.
-- `script`: faults of processes, servers and paths as data, drawn, played and judged on a world; `scripts`:
-  the hard days of a fleet; `play`: one played, in lines and as a picture.
-- `fleet`: nodes and servers by the thousand in virtual time, without a socket.
-- `paper`: one dispatcher in the setting of the paper on Join-Up-To(m).
+- `backend_emulator`, `load_generator`, `discovery_emulator`, `etcd`: the systems around a node. They follow a
+  script and record what they see.
+- `certificates`, `port_reservation`: helpers that several of them share.
+- `tcp_fault_proxy`, `udp_fault_proxy`: proxies that inject faults into a path on loopback.
+- `service_profile`, `event_log`: the classes of requests and the limits of the four rules, and the recorded
+  events on one monotonic clock.
+- `invariant_checker`, `slow_start_model`: check the four rules from the recorded events alone; the second
+  computes the budget of the fourth rule.
+- `cluster`, `dual_source_cluster`: real node processes among the emulators, with discovery alone
+  or with etcd as well.
+- `fault_schedules`: seeded sequences of faults of the sources, run on such a cluster; `demo`: a short run to
+  watch.
+- `scenario`: faults of processes, servers and paths as data, drawn, run and checked on a cluster;
+  `scenarios`: the scenario files; `scenario_runner`: runs one and reports it as text and as a picture.
+- `disk_faults`, `simulated_disk`: faults of a state directory, and a disk in memory that fails on demand.
+- `simulation`: nodes and servers by the thousand in virtual time, without sockets.
+- `jut_model`: one dispatcher in the setting of the paper on Join-Up-To(m).
 """
--- a/balancer/testbed/certificates.py
+++ b/balancer/testbed/certificates.py
@@ -1,6 +1,6 @@
-"""Certificates for TLS on loopback: an authority of its own, a server's and a client's, made by `trustme`.
+"""Certificates for TLS on loopback: a certificate authority, a server and a client certificate.
 
-`trustme` is a package for development alone: nothing that serves imports this module.
+They are made by `trustme`, a development dependency: no module of the service may import this one.
 """
 
 from __future__ import annotations
@@ -11,13 +11,13 @@
 
 import trustme
 
-NAMES = ("127.0.0.1", "::1", "localhost")  # of the server
-NAMELESS = "client@balancer.invalid"  # the client's alternative name: trustme wants one, and no common name
+SERVER_NAMES = ("127.0.0.1", "::1", "localhost")
+CLIENT_ALTERNATIVE_NAME = "client@balancer.invalid"  # trustme requires an alternative name
 
 
 @dataclass(slots=True, frozen=True)
 class Certificates:
-    """Files in PEM: the authority, what a server shows and what a client shows, with their keys."""
+    """PEM files of the authority, and of the certificates of server and client with their keys."""
 
     ca: Path
     cert: Path
@@ -26,7 +26,7 @@
     client_key: Path
 
     def server(self, client_auth: bool = False) -> ssl.SSLContext:
-        """For who listens; `client_auth` lets in only who shows a certificate of the authority."""
+        """Return a server context; `client_auth` requires a client certificate from the authority."""
         context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
         context.load_cert_chain(self.cert, self.key)
         if client_auth:
@@ -35,7 +35,7 @@
         return context
 
     def client(self, shown: bool = True) -> ssl.SSLContext:
-        """For who connects: trusts the authority alone, and shows its own certificate."""
+        """Return a client context that trusts only the authority; `shown` presents the client certificate."""
         context = ssl.create_default_context(cafile=self.ca)
         if shown:
             context.load_cert_chain(self.client_cert, self.client_key)
@@ -43,14 +43,14 @@
 
 
 def make(directory: Path, client_name: str = "") -> Certificates:
-    """Make an authority and both certificates in a directory that exists.
+    """Write an authority and both certificates to an existing directory.
 
-    `client_name` is the client's common name: etcd's gateway turns away who shows one while etcd asks for
-    both certificates and names.
+    `client_name` is the common name of the client. etcd's gateway rejects a certificate with a common name
+    while etcd requires both client certificates and user names.
     """
     authority = trustme.CA()
-    server = authority.issue_cert(*NAMES, common_name="localhost")
-    client = authority.issue_cert(NAMELESS, common_name=client_name or None)
+    server = authority.issue_cert(*SERVER_NAMES, common_name="localhost")
+    client = authority.issue_cert(CLIENT_ALTERNATIVE_NAME, common_name=client_name or None)
     paths = [directory / f"{part}.pem" for part in ("ca", "cert", "key", "client", "client-key")]
     authority.cert_pem.write_to_path(paths[0])
     for issued, cert, key in ((server, paths[1], paths[2]), (client, paths[3], paths[4])):
--- a/balancer/testbed/cluster.py
+++ b/balancer/testbed/cluster.py
@@ -44,7 +44,7 @@
 from balancer.testbed.invariant_checker import Verdict, judge
 from balancer.testbed.load_generator import (
     Clients,
-    Front,
+    FrontEnd,
     Habits,
     draw,
 )
@@ -94,7 +94,7 @@
         self.path = world.directory / f"{self.name}.json"
         self.args: list[str] = []  # further words of its command line
         self.env: dict[str, str] = {}  # further variables of its environment
-        self.host, self.port = f"127.{world.fleet.net}.250.{number + 1}", 0
+        self.host, self.port = f"127.{world.fleet.second_octet}.250.{number + 1}", 0
         self.state = world.directory / f"{self.name}.state"  # a directory of its own, which outlives restarts
         self.state.mkdir(exist_ok=True)
         self.process: asyncio.subprocess.Process | None = None
@@ -116,7 +116,7 @@
         """Write its configuration file, with the list as its agent has it."""
         world = self.world
         if not (self.known and world.known_stays):
-            self.known = self.agent.known()
+            self.known = self.agent.initial_list()
         table = {
             "name": self.name,
             "listen": f"{self.host}:{self.port}",
@@ -140,7 +140,7 @@
             self._settings()
         world.journal.add(NodeStarted(self.name, now_ms(), self.kept_ms))
         self.configure()
-        self.agent.tell_known(self.known)
+        self.agent.record_initial_list(self.known)
         env = {k: v for k, v in os.environ.items() if not k.startswith(("PROXY_", "BALANCER_", "DILLPORT_"))}
         env |= {"PROXY_CONFIG": str(self.path), **self.env}
         self.process = process = await asyncio.create_subprocess_exec(
@@ -351,7 +351,7 @@
         self.rng = random.Random(f"world:{seed}")
         self.journal = Journal()
         self.fleet = Fleet(self.site, self.journal, seed)
-        self.front = Front()
+        self.front = FrontEnd()
         self.clients = Clients(self.site, self.journal, self.front, seed, self.habits)
         self.nodes: list[Node] = []
         self.registries: list[Registry] = []
@@ -383,7 +383,7 @@
         self.nodes = [Node(self, number) for number in range(self.node_count)]
         if self.gossip:
             targets = {name: (host, PEER_PORT) for name, host in self._hosts().items()}
-            self.hub = Hub(targets, f"127.{self.fleet.net}.251.1", self.seed)
+            self.hub = Hub(targets, f"127.{self.fleet.second_octet}.251.1", self.seed)
             self.peers |= self.hub.paths
         for node in self.nodes:
             await self.discovery.agent(node.name)
@@ -490,7 +490,7 @@
     def strays(self, node: str, name: str, on: bool) -> None:
         """A path begins or ends to keep from a node what is told to it: the judge has to know."""
         if name == DISCOVERY:
-            self.discovery.agents[node].stray(on)
+            self.discovery.agents[node].set_path_fault(on)
 
     def lost(self, node: str, name: str) -> None:
         """What a path holds will not arrive."""
--- a/balancer/testbed/dual_source_cluster.py
+++ b/balancer/testbed/dual_source_cluster.py
@@ -255,7 +255,7 @@
         return f"n{endpoint // self.per_node}"
 
     def _elsewhere(self, node: str, name: str) -> bool:
-        row = self.discovery.agents[node].book.members.get(name)
+        row = self.discovery.agents[node].member_history.members.get(name)
         return row is not None and row.get("phase") == "in_service"
 
     async def _prepare(self, node: Node) -> None:
@@ -370,7 +370,7 @@
         keys = self.etcd.store.range(Range(raw, prefix_end(raw))).kvs
         there = {
             SOURCE: {name for name, _ in _names(kv.key.decode() for kv in keys)},
-            self.discovery.source: set(node.agent.book.members),
+            self.discovery.source: set(node.agent.member_history.members),
         }
         out = []
         for source, names in there.items():
--- a/balancer/testbed/etcd/standin.py
+++ b/balancer/testbed/etcd/standin.py
@@ -31,7 +31,7 @@
     StoreError,
 )
 from balancer.testbed.etcd.stream import Stream
-from balancer.testbed.port_reservation import keep_port
+from balancer.testbed.port_reservation import reserve_port
 
 
 class StandIn:
@@ -100,7 +100,7 @@
         return self.shared.records
 
     async def __aenter__(self) -> Self:
-        self._kept = [keep_port() for _ in self.members]
+        self._kept = [reserve_port() for _ in self.members]
         for index in range(len(self.members)):
             await self.restart(index)
         self._leases = asyncio.ensure_future(self._expire())
--- a/balancer/testbed/fault_schedules.py
+++ b/balancer/testbed/fault_schedules.py
@@ -26,7 +26,7 @@
 
 from balancer.testbed.backend_emulator import Machine
 from balancer.testbed.cluster import Step, World
-from balancer.testbed.discovery_emulator import HISTORY
+from balancer.testbed.discovery_emulator import HISTORY_CHANGES
 from balancer.testbed.dual_source_cluster import FleetWorld
 from balancer.testbed.etcd.client import EtcdError
 from balancer.testbed.etcd.shared import Garbage
@@ -222,7 +222,7 @@
         self.at(
             at_s + 0.4,
             f"discovery of {node} replays all but 1",
-            lambda w: w.discovery.agents[node].replay(HISTORY, 1),
+            lambda w: w.discovery.agents[node].replay(HISTORY_CHANGES, 1),
         )
 
     def drop(self, at_s: float) -> None:
@@ -422,7 +422,7 @@
 
 def _older(world: FleetWorld, node: str) -> None:
     agent = world.discovery.agents[node]
-    agent.go_back(len(agent.book.changes) - 1)
+    agent.send_older_list(len(agent.member_history.changes) - 1)
 
 
 def _late(world: FleetWorld, node: str, ms: float) -> None:
--- a/balancer/testbed/invariant_checker.py
+++ b/balancer/testbed/invariant_checker.py
@@ -41,7 +41,7 @@
     words,
 )
 from balancer.testbed.service_profile import RequestClass, Site
-from balancer.testbed.slow_start_model import Pressure
+from balancer.testbed.slow_start_model import ColdStartBudget
 
 TITLES = {
     1: "every request is answered",
@@ -535,7 +535,7 @@
             if isinstance(r, Received) and r.last_byte_at_ms is not None:
                 got.setdefault((r.server, r.incarnation), []).append(r)
         for place, start in self.starts.items():
-            pressure = Pressure(self.rules, start.capacity, start.cold_share, start.warm_ms)
+            pressure = ColdStartBudget(self.rules, start.capacity, start.cold_share, start.warm_ms)
             for number, r in enumerate(got.get(place, [])):
                 at = r.last_byte_at_ms or 0.0
                 used = pressure.add(at - start.at_ms, r.work_ms)
@@ -548,7 +548,7 @@
                 for one in window:
                     told = informed.get((self._node(one), start.server, start.up_since_ms))
                     knew += one.work_ms if told and told.at_ms <= one.first_byte_at_ms else 0.0
-                if knew >= INFORMED * pressure.sum:
+                if knew >= INFORMED * pressure.work_sum_ms:
                     age, fall = at - start.at_ms, self.falls.get(place)
                     text = f"sent {used:.2f} of what it may be sent {age:.0f} ms after its start"
                     evidence: list[Record] = [start, *window[2 - EVIDENCE :], *([fall] if fall else [])]
--- a/balancer/testbed/port_reservation.py
+++ b/balancer/testbed/port_reservation.py
@@ -1,17 +1,17 @@
-"""Ports on loopback that stay one's own between two lives of who listens there."""
+"""Ports on loopback that stay reserved while the server that uses them is down."""
 
 from __future__ import annotations
 
 import socket
 
 
-def keep_port() -> socket.socket:
-    """A free port, kept for who listens there with SO_REUSEADDR, also while they are down.
+def reserve_port() -> socket.socket:
+    """Bind a free port and return the socket that reserves it for a server that sets SO_REUSEADDR.
 
-    Guards against another process that is given the port between two lives of a server: bound, but not
-    listening, this socket refuses connections and lets the server in beside it.
+    Without the reservation another process may get the port between two runs of the server. The socket is
+    bound but does not listen: connections are refused, and the server can bind the same port.
     """
-    kept = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-    kept.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    kept.bind(("127.0.0.1", 0))
-    return kept
+    reservation = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+    reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    reservation.bind(("127.0.0.1", 0))
+    return reservation
--- a/balancer/testbed/scenario.py
+++ b/balancer/testbed/scenario.py
@@ -362,7 +362,7 @@
 async def _older_lists(world: World, strike: Strike) -> None:
     """Discovery is back from a backup, with the list as it was after `value` changes."""
     for node in _nodes(world, strike):
-        node.agent.restore(min(int(strike.value), len(node.agent.book.changes) - 1))
+        node.agent.restore(min(int(strike.value), len(node.agent.member_history.changes) - 1))
     await asyncio.sleep(strike.for_s)
     for node in _nodes(world, strike):
         node.agent.catch_up()
--- a/balancer/testbed/simulation/servers.py
+++ b/balancer/testbed/simulation/servers.py
@@ -13,7 +13,7 @@
 from balancer.interface import Endpoint, LoadReport, Phase
 from balancer.testbed.service_profile import RequestClass, Rules
 from balancer.testbed.simulation.scenario import Choke
-from balancer.testbed.slow_start_model import Pressure, warmth
+from balancer.testbed.slow_start_model import ColdStartBudget, warm_up_share
 
 
 @dataclass(slots=True, eq=False)
@@ -77,7 +77,7 @@
         self.phase, self.up, self.started_ms, self.life = Phase.UP, True, 0.0, 0
         self.running: dict[Try, None] = {}
         self.line: deque[Try] = deque()
-        self.pressure: Pressure | None = None  # while it is cold
+        self.pressure: ColdStartBudget | None = None  # while it is cold
         self.informed: deque[tuple[float, float]] = deque()  # of its window: what came from nodes that knew
         self.received = 0
         self.failing = 0.0  # part of its requests that it answers at once with an error
@@ -95,7 +95,7 @@
         """A new process, cold."""
         self.life, self.up, self.started_ms, self.phase = self.life + 1, True, now, Phase.UP
         able, rules = self.cores * self.speed, self.rules
-        self.pressure = Pressure(rules, able, rules.cold_share, rules.warm_ms)
+        self.pressure = ColdStartBudget(rules, able, rules.cold_share, rules.warm_ms)
         self.informed.clear()
 
     def stop(self) -> list[Try]:
@@ -133,7 +133,7 @@
     def _warmth(self, now: float) -> float:
         """The first processes are warm when the run begins."""
         rules = self.rules
-        return warmth(rules.cold_share, rules.warm_ms, now - self.started_ms) if self.life else 1.0
+        return warm_up_share(rules.cold_share, rules.warm_ms, now - self.started_ms) if self.life else 1.0
 
     def done(self, now: float, one: Try) -> None:
         """It has run."""
@@ -161,7 +161,7 @@
             self.informed.append((age, work))
         while self.informed and self.informed[0][0] <= age - self.rules.fall_ms:
             self.informed.popleft()
-        return used > 1.0 and sum(w for _, w in self.informed) >= 2 / 3 * self.pressure.sum
+        return used > 1.0 and sum(w for _, w in self.informed) >= 2 / 3 * self.pressure.work_sum_ms
 
     @property
     def live(self) -> float:
--- a/benchmarks/proxy_fleet.py
+++ b/benchmarks/proxy_fleet.py
@@ -27,7 +27,7 @@
 from balancer.testbed.event_log import Answered, Journal, now_ms
 from balancer.testbed.load_generator import (
     Clients,
-    Front,
+    FrontEnd,
     Habits,
     draw,
 )
@@ -289,7 +289,7 @@
 
 async def load(node: Measured, rate: float, seconds: float) -> float:
     """Clients ask a node for so long; the part that was served."""
-    front, journal = Front(), Journal()
+    front, journal = FrontEnd(), Journal()
     front.nodes["n0"] = ("127.0.0.1", node.port)
     habits = Habits(retries=0)
     clients = Clients(SITE, journal, front, random.getrandbits(32), habits)
@@ -340,7 +340,7 @@
     """Have the process take a whole list, in which one in a hundred is another than before."""
     other = [{**e, "size": 1.0} if n % 100 == 0 else e for n, e in enumerate(servers.entries)]
     if source == PLATFORM:
-        told.agent.tell(told.discovery.book.revision + 1, other, complete=True)
+        told.agent.send(told.discovery.member_history.revision + 1, other, complete=True)
         return
     assert isinstance(told.etcd, StandIn)
     rows = {PREFIX + e["id"]: json.dumps(e).encode() for e in other[::100]}
--- a/benchmarks/restart_comparison.py
+++ b/benchmarks/restart_comparison.py
@@ -93,7 +93,7 @@
     async def _look(self, world: World) -> None:
         before: dict[str, int] = {}
         while True:
-            now = {name: server.taken for name, server in world.fleet.servers.items()}
+            now = {name: server.connections_taken for name, server in world.fleet.servers.items()}
             self.taken.append({name: many - before.get(name, 0) for name, many in now.items()})
             before = now
             await asyncio.sleep(LOOK_S)
--- a/benchmarks/scenario_comparison.py
+++ b/benchmarks/scenario_comparison.py
@@ -60,7 +60,7 @@
     async def _look(self, world: World) -> None:
         before = 0
         while True:
-            now = sum(server.taken for server in world.fleet.servers.values())
+            now = sum(server.connections_taken for server in world.fleet.servers.values())
             self.taken.append(now - before)
             before = now
             await asyncio.sleep(LOOK_S)
--- a/tests/system/test_membership.py
+++ b/tests/system/test_membership.py
@@ -232,10 +232,10 @@
         script = [
             on(0.2, lambda w: w.discovery.publish(w.fleet["s1"].member("terminated"))),
             on(0.3, lambda w: off(w, "s5", "s6")),
-            on(0.5, lambda w: agent.go_back(1)),
+            on(0.5, lambda w: agent.send_older_list(1)),
             on(0.6, lambda w: agent.replay(3)),
             on(0.8, behind),
-            on(1.0, lambda w: agent.go_back(1)),
+            on(1.0, lambda w: agent.send_older_list(1)),
             on(1.5, lambda w: w.every(lambda i: w.etcd.lag(i, 0))),
         ]
         await world.play(RATE, 3.5, script)
--- a/tests/system/test_partial_removal.py
+++ b/tests/system/test_partial_removal.py
@@ -139,7 +139,7 @@
     habits = Habits(bursts=((DELETE_S - 0.3, SECONDS, 3.0),))
     async with FleetWorld(path, site=site, seed=51, servers=WARM, machine=machine, habits=habits) as world:
         await come_cold(world, machine)
-        host = f"127.{world.fleet.net}.251.1"
+        host = f"127.{world.fleet.second_octet}.251.1"
         with Clogged("c1", host) as one, Clogged("c2", host) as two:
             for server in (one, two):
                 await world.etcd.put(PREFIX + server.name, json.dumps(server.entry()).encode())
--- a/tests/system/test_restart.py
+++ b/tests/system/test_restart.py
@@ -121,7 +121,7 @@
 
     async def scenario(site: Site2) -> None:
         world, node = site.world, site.world.nodes[0]
-        stale = node.agent.known()
+        stale = node.agent.initial_list()
         await world.play(60, 2.0)
         first = await site.until(node, lambda told: told["state"] in ("confirmed", "full"))
         assert (first["memory"], first["incarnation"]) == ("none", 1)
@@ -129,7 +129,7 @@
         node.agent.silence(True)
         for life, known in enumerate(({"revision": 0, "complete": True, "members": []}, stale), 2):
             await site.killed(node)
-            node.agent.known = lambda known=known: known  # type: ignore[method-assign, misc]
+            node.agent.initial_list = lambda known=known: known  # type: ignore[method-assign, misc]
             await node.start()
             told = await site.until(node, opened)
             assert (told["memory"], told["incarnation"], told["state"]) == ("kept", life, "provisional")
--- a/tests/testbed/test_backend_emulator.py
+++ b/tests/testbed/test_backend_emulator.py
@@ -14,7 +14,7 @@
 from balancer.testbed.backend_emulator import (
     Fleet,
     Machine,
-    Memory,
+    SeenKeys,
     Server,
 )
 from balancer.testbed.event_log import (
@@ -237,15 +237,15 @@
 
 
 def test_keys_that_a_group_remembers(monkeypatch: pytest.MonkeyPatch) -> None:
-    memory = Memory()
-    assert memory.take("k", 0, 100) and not memory.take("k", 100, 100)
-    assert memory.take("k", 101, 100)  # forgotten by then
-    memory.forget("k")
-    assert memory.take("k", 102, 100)
-    monkeypatch.setattr(servers, "MAX_KEYS", 3)
+    memory = SeenKeys()
+    assert memory.add("k", 0, 100) and not memory.add("k", 100, 100)
+    assert memory.add("k", 101, 100)  # forgotten by then
+    memory.discard("k")
+    assert memory.add("k", 102, 100)
+    monkeypatch.setattr(servers, "MAX_REMEMBERED_KEYS", 3)
     for n in range(5):
-        assert memory.take(f"other{n}", 103, 100)
-    assert len(memory.taken) == 3 and memory.take("k", 103, 100)
+        assert memory.add(f"other{n}", 103, 100)
+    assert len(memory.added_at_ms) == 3 and memory.add("k", 103, 100)
 
 
 def test_another_group_knows_nothing_of_a_key() -> None:
--- a/tests/testbed/test_discovery_emulator.py
+++ b/tests/testbed/test_discovery_emulator.py
@@ -11,7 +11,7 @@
 import pytest
 
 from balancer.testbed import discovery_emulator as module
-from balancer.testbed.discovery_emulator import Agent, Book, Discovery
+from balancer.testbed.discovery_emulator import Agent, Discovery, MemberHistory
 from balancer.testbed.event_log import (
     Journal,
     NodeStarted,
@@ -136,15 +136,15 @@
 
 
 def test_history_is_bounded() -> None:
-    book = Book(1, {"a": entry("a")})
+    book = MemberHistory(1, {"a": entry("a")})
     for n in range(2, 600):
-        book.put(n, [entry(f"s{n % 7}")])
-    assert len(book.changes) == module.HISTORY and book.since(1) is None
-    assert len(book.since(590) or []) == 7
+        book.apply(n, [entry(f"s{n % 7}")])
+    assert len(book.changes) == module.HISTORY_CHANGES and book.changes_since(1) is None
+    assert len(book.changes_since(590) or []) == 7
 
 
 def test_empty_lines_and_stall(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "BEAT_MS", 20.0)
+    monkeypatch.setattr(module, "HEARTBEAT_INTERVAL_MS", 20.0)
 
     async def test() -> None:
         async with rig(entry("a")) as world:
@@ -169,7 +169,7 @@
             world.agent.silence(True)
             wire = await Wire.to(world.agent.host, world.agent.port)
             wire.send("", "/discovery/hosts")
-            await until(lambda: len(world.agent.asked) == 1)
+            await until(lambda: len(world.agent.request_targets) == 1)
             world.publish(entry("a", "terminated"))
             assert world.told() == []
             world.agent.silence(False)
@@ -216,13 +216,13 @@
             world.agent.replay(2)
             assert [(await watch.line())["revision"] for _ in range(2)] == [42, 43]
             assert world.told() == [(42, "a", "draining"), (43, "c", "up")]
-            world.agent.go_back(2)
+            world.agent.send_older_list(2)
             got = await watch.line()
             assert (got["revision"], got["complete"], ids(got)) == (41, True, ["a", "b"])
             assert got["members"][0]["phase"] == "in_service"
             assert world.told() == [(41, "a", "up"), (41, "b", "up"), (41, "c", "gone")]
             with pytest.raises(ValueError, match="too far back"):
-                world.agent.go_back(3)
+                world.agent.send_older_list(3)
 
     run(test)
 
@@ -258,7 +258,7 @@
             world.publish(entry("a", "terminating", host_port="app.example"), entry("b", "resting"))
             assert world.told() == [(42, "a", "draining")]  # a phase that nobody knows tells nothing
             assert len((await watch.line())["members"]) == 2
-            world.agent.ramble(2_000_000)
+            world.agent.send_long_line(2_000_000)
             data = await watch.raw()
             assert len(data) >= 2_000_000 and json.loads(data)["revision"] == 42
 
@@ -284,7 +284,7 @@
 
     async def test() -> None:
         async with rig(entry("a"), entry("b")) as world:
-            world.agent.away_at_ms = 0
+            world.agent.last_fault_at_ms = 0
             watch = await world.watch(41)
             await until(lambda: world.agent.watches)
             world.publish(entry("c"))
@@ -307,9 +307,9 @@
 def test_what_a_node_knows_at_its_start_counts_as_told() -> None:
     async def test() -> None:
         async with rig(entry("a")) as world:
-            assert world.agent.known() == {"revision": 41, "complete": True, "members": [entry("a")]}
+            assert world.agent.initial_list() == {"revision": 41, "complete": True, "members": [entry("a")]}
             assert world.told() == []
-            world.agent.tell_known(world.agent.known())
+            world.agent.record_initial_list(world.agent.initial_list())
             assert world.told() == [(41, "a", "up")]
 
     run(test)
@@ -320,34 +320,34 @@
 
     async def test() -> None:
         async with rig() as r:
-            r.agent.away_at_ms = 0
-            r.agent.stray(True)
+            r.agent.last_fault_at_ms = 0
+            r.agent.set_path_fault(True)
             r.publish(entry("c"))  # nobody watches: it is there for long, and yet cannot have been heard
             await asyncio.sleep(0.1)
-            r.agent.stray(False)
+            r.agent.set_path_fault(False)
             assert r.told() == []
             before = len(r.journal)
-            r.agent.stray(True)
+            r.agent.set_path_fault(True)
             watch = await r.watch(42)
             r.publish(entry("a", "terminating"))
             await watch.line()
             await r.whole()
             assert len(r.journal) == before
-            r.agent.stray(False)
+            r.agent.set_path_fault(False)
             told = of(r.journal, Told)[before:]
             assert told[0].server == "a" and told[0].phase == "draining" and told[0].at_ms > 0
-            r.agent.stray(True)
+            r.agent.set_path_fault(True)
             r.publish(entry("b", "terminating"))
             await watch.line()
             r.journal.add(NodeStarted("n0", now_ms()))  # it was on its way to the process before
-            r.agent.tell_known(r.agent.known())  # which a file tells, past the path
+            r.agent.record_initial_list(r.agent.initial_list())  # which a file tells, past the path
             now = of(r.journal, Told)[before + len(told) :]
             assert [(t.server, t.phase) for t in now] == [("c", "up"), ("a", "draining"), ("b", "draining")]
             r.publish(entry("a"))  # the path is still at fault
             await watch.line()
             assert len(of(r.journal, Told)) == before + len(told) + len(now)
             r.journal.lose("n0", "platform")
-            r.agent.stray(False)
+            r.agent.set_path_fault(False)
             assert len(of(r.journal, Told)) == before + len(told) + len(now)
 
     run(test)
--- a/tests/testbed/test_etcd_faults.py
+++ b/tests/testbed/test_etcd_faults.py
@@ -21,7 +21,7 @@
 )
 from balancer.testbed.etcd.shared import Garbage, now_ms
 from balancer.testbed.etcd.standin import StandIn
-from balancer.testbed.port_reservation import keep_port
+from balancer.testbed.port_reservation import reserve_port
 from tests.testbed.conftest import run
 from tests.testbed.test_etcd_gateway import (
     gone,
@@ -414,7 +414,7 @@
 
 
 def test_a_port_is_kept_between_two_lives() -> None:
-    kept = keep_port()
+    kept = reserve_port()
     port = kept.getsockname()[1]
     with kept, socket.socket() as first, socket.socket() as thief:
         with pytest.raises(ConnectionRefusedError):
--- a/tests/testbed/test_load_generator.py
+++ b/tests/testbed/test_load_generator.py
@@ -29,9 +29,9 @@
     Arrival,
     Clients,
     Connection,
-    Front,
+    Disconnect,
+    FrontEnd,
     Habits,
-    Leave,
     draw,
 )
 from balancer.testbed.service_profile import RequestClass, Site
@@ -53,7 +53,7 @@
     """A fake node and the clients that ask it."""
 
     def __init__(self, reply: Reply, habits: Habits | None) -> None:
-        self.reply, self.journal, self.front = reply, Journal(), Front()
+        self.reply, self.journal, self.front = reply, Journal(), FrontEnd()
         self.clients = Clients(SITE, self.journal, self.front, 1, habits)
         self.got: list[Message] = []
         self.connections = 0
@@ -68,7 +68,7 @@
                 await self.reply(message, writer)
         writer.close()
 
-    async def ask(self, cls: str, leaves_ms: float | None = None, by: Leave = "close") -> int:
+    async def ask(self, cls: str, leaves_ms: float | None = None, by: Disconnect = "close") -> int:
         """One request; the status it ends with."""
         found = SITE.find(cls)
         assert found is not None
@@ -209,10 +209,10 @@
 def test_advice_to_wait_is_honoured_up_to_a_limit() -> None:
     async def test() -> None:
         long = answer(b"", "503 Busy", "Retry-After: 100")
-        async with rig(long, OK, habits=Habits(honours=1.0)) as world:
+        async with rig(long, OK, habits=Habits(follows_retry_after=1.0)) as world:
             assert await world.ask("read") == 503  # there would be no time left
             assert len(world.got) == 1
-        async with rig(long, OK, habits=Habits(honours=1.0)) as world:
+        async with rig(long, OK, habits=Habits(follows_retry_after=1.0)) as world:
             world.clients.site = replace(SITE, max_retry_after_ms=30)
             assert await world.ask("read") == 200
 
@@ -255,14 +255,14 @@
 
     async def test() -> None:
         async with rig(OK) as world:
-            connect, hasty = world.clients._connection, replace(SITE.classes[3], give_up_ms=30)
+            connect, hasty = world.clients._get_connection, replace(SITE.classes[3], give_up_ms=30)
 
             async def late() -> Connection | str:
                 connection = await connect()
                 await asyncio.sleep(0.05)
                 return connection
 
-            monkeypatch.setattr(world.clients, "_connection", late)
+            monkeypatch.setattr(world.clients, "_get_connection", late)
             assert (await world.clients.ask(Arrival(0, "0" * 16, hasty, "", "north", None))).status == -1
             assert of(world.journal, Unreached) and not of(world.journal, Asked) and not world.got
 
@@ -285,7 +285,7 @@
 
 
 @pytest.mark.parametrize("how", ["close", "reset", "half"])
-def test_ways_to_leave(how: Leave) -> None:
+def test_ways_to_leave(how: Disconnect) -> None:
     async def test() -> None:
         seen: asyncio.Future[bytes | type[Exception]] = asyncio.get_running_loop().create_future()
 
@@ -314,7 +314,7 @@
 
 
 def test_those_who_leave_do_so_in_each_way() -> None:
-    ways: tuple[Leave, ...] = ("close", "reset", "half")
+    ways: tuple[Disconnect, ...] = ("close", "reset", "half")
     some, plain = (draw(SITE, 200, 2, 7, Habits(leaves=0.5, leaves_by=by)) for by in (ways, ways[:1]))
     assert {a.leaves_by for a in some if a.leaves_ms} == set(ways)
     assert [a.leaves_ms for a in some] == [a.leaves_ms for a in plain] and plain[1].leaves_by == "close"
@@ -322,7 +322,7 @@
 
 def test_no_answer_in_time_is_seen() -> None:
     async def test() -> None:
-        async with rig(OK, habits=Habits(try_part=(0.01, 0.01), retries=0)) as world:
+        async with rig(OK, habits=Habits(try_timeout_share=(0.01, 0.01), retries=0)) as world:
 
             async def reply(message: Message, writer: asyncio.StreamWriter) -> None:
                 await asyncio.sleep(0.1)
--- a/tests/testbed/test_scenario.py
+++ b/tests/testbed/test_scenario.py
@@ -9,7 +9,7 @@
 import pytest
 
 from balancer.testbed import scenario as sc
-from balancer.testbed.backend_emulator import Memory, Server
+from balancer.testbed.backend_emulator import SeenKeys, Server
 from balancer.testbed.event_log import (
     Answered,
     Asked,
@@ -200,6 +200,6 @@
     told |= {"n1": good, "n2": good | {"incarnation": 1}}
     assert len([*sc._said(script, told)]) == 1 and len([*sc._said(script, {})]) == 3
     assert not [*sc._said(script, told | {"n2": good})]
-    quiet, busy = (Server(name, Site(), Journal(), Memory()) for name in ("s1", "s2"))
+    quiet, busy = (Server(name, Site(), Journal(), SeenKeys()) for name in ("s1", "s2"))
     quiet.busiest, busy.busiest = 2, 3
     assert [*sc._crowded(script, (quiet, busy))] == ["s2 took 3 connections within a second, 2 is the most"]
