--- a/balancer/testbed/backend_emulator.py
+++ b/balancer/testbed/backend_emulator.py
@@ -53,20 +53,21 @@
 class Machine:
     """The resources of a server.
 
-    A request takes its work over `speed`, and longer on a cold or crowded server. Each held request beyond
-    `crowd_at` per core slows the server by the share `crowd`. With `drops`, a queued request is dropped once
-    its node has disconnected or its timeout is over; a running one always completes.
+    A request takes its work over `speed`, and longer on a cold or crowded server. Beyond
+    `crowding_threshold` held requests per core, each further one per core slows the server by the share
+    `crowding_slowdown`. With `drops`, a queued request is dropped once its node has disconnected or its
+    timeout is over; a running one always completes.
     """
 
     cores: int = 2
     speed: float = 1.0
     queue: int = 8  # requests that may wait for a core; further ones are rejected
-    crowd: float = 0.08
-    crowd_at: float = 3.0
+    crowding_slowdown: float = 0.08
+    crowding_threshold: float = 3.0
     connections: int = 250  # that may be open; requests on further ones are rejected
     handshake_ms: float = 1.0  # work that a new connection adds to its first request
-    report_ms: float = 700.0  # between two samples of the load that responses report
-    report_late_ms: float = 300.0  # age of a sample when responses begin to report it
+    report_interval_ms: float = 700.0  # between two samples of the load that responses report
+    report_delay_ms: float = 300.0  # age of a sample when responses begin to report it
     report_noise: float = 0.03
     drops: bool = False
 
@@ -256,7 +257,7 @@
         name: str,
         site: Site,
         journal: Journal,
-        memory: SeenKeys,
+        seen_keys: SeenKeys,
         *,
         machine: Machine | None = None,
         zone: str = "a",
@@ -264,7 +265,7 @@
         host: str = "127.0.0.1",
         seed: int = 0,
     ) -> None:
-        self.name, self.site, self.journal, self.memory = name, site, journal, memory
+        self.name, self.site, self.journal, self.seen_keys = name, site, journal, seen_keys
         self.machine = machine or Machine()
         self.zone, self.cell, self.host, self.port, self.seed = zone, cell, host, 0, seed
         self.rng = random.Random(f"{seed}:{name}")
@@ -346,7 +347,7 @@
                 job.timer.cancel()
             self._record_run(job, None)
         for job in self.waiting:
-            self.memory.discard(job.scoped_key)
+            self.seen_keys.discard(job.scoped_key)
         self.running.clear()
         self.waiting.clear()
         self.finished_while_hung.clear()
@@ -440,10 +441,10 @@
         held = len(self.running) + len(self.finished_while_hung) + queue
         seen = [max(0, round(n * rng.gauss(1.0, machine.report_noise))) for n in (held, queue)]
         loop.call_later(
-            machine.report_late_ms / 1000, self._set_report, f"TEXT inflight={seen[0]}, queue={seen[1]}"
+            machine.report_delay_ms / 1000, self._set_report, f"TEXT inflight={seen[0]}, queue={seen[1]}"
         )
         self._sample_timer = loop.call_later(
-            machine.report_ms / 1000 * rng.uniform(0.9, 1.1), self._sample_load
+            machine.report_interval_ms / 1000 * rng.uniform(0.9, 1.1), self._sample_load
         )
 
     def _set_report(self, report: str) -> None:
@@ -532,7 +533,7 @@
             return
         if cls.effect is Idempotency.KEYED:
             scoped_key = self._scoped_key(cls, key)
-            job.repeat = not self.memory.add(scoped_key, at_ms, cls.memory_ms)
+            job.repeat = not self.seen_keys.add(scoped_key, at_ms, cls.memory_ms)
             job.scoped_key, job.work_ms = ("", 0.0) if job.repeat else (scoped_key, work_ms)
         self.waiting.append(job)
         self._start_queued()
@@ -556,7 +557,7 @@
         return ""
 
     def _reject(self, job: Job, reason: str) -> None:
-        self.memory.discard(job.scoped_key)
+        self.seen_keys.discard(job.scoped_key)
         if job.connection is not None:
             self.journal.add(TurnedAway(self.name, job.name, job.request, now_ms(), reason))
             job.connection.answer(503, reason.encode() + b"\n", "Not-Started: 1")
@@ -566,7 +567,7 @@
         self.journal.add(LetGo(self.name, job.name, job.request, now_ms(), by))
         if self.machine.drops and job in self.waiting:
             self.waiting.remove(job)
-            self.memory.discard(job.scoped_key)
+            self.seen_keys.discard(job.scoped_key)
 
     def _start_queued(self) -> None:
         """Start queued work while a core is free."""
@@ -583,7 +584,9 @@
     def _slowdown(self, at_ms: float) -> float:
         """Return the duration of a millisecond of work that begins now."""
         machine, held = self.machine, len(self.running) + len(self.waiting) + 1
-        crowding = 1.0 + machine.crowd * max(0.0, held / machine.cores - machine.crowd_at)
+        crowding = 1.0 + machine.crowding_slowdown * max(
+            0.0, held / machine.cores - machine.crowding_threshold
+        )
         current_speed = machine.speed * warm_up_share(
             self.cold_share, self.warm_ms, at_ms - self.started_at_ms
         )
@@ -636,7 +639,7 @@
 
     def __init__(self, site: Site, journal: Journal, seed: int = 0) -> None:
         self.site, self.journal, self.seed = site, journal, seed
-        self.memory = SeenKeys()
+        self.seen_keys = SeenKeys()
         self.servers: dict[str, Server] = {}
         # Fleets that run at the same time use different networks: a restarted server finds its port free.
         self.second_octet = 16 + (os.getpid() + 7 * next(FLEET_NUMBERS)) % 200
@@ -657,7 +660,7 @@
             name,
             self.site,
             self.journal,
-            self.memory,
+            self.seen_keys,
             machine=machine,
             zone=zones[zone_index],
             cell=cell,
--- a/balancer/testbed/discovery_emulator.py
+++ b/balancer/testbed/discovery_emulator.py
@@ -129,7 +129,7 @@
         self.transport.write(data)
         return True
 
-    def chunk(self, data: bytes) -> bool:
+    def write_chunk(self, data: bytes) -> bool:
         """Write one HTTP chunk to a watch; return whether the connection was open."""
         return self.write(b"%x\r\n%b\r\n" % (len(data), data))
 
@@ -184,12 +184,12 @@
         self.heartbeat_timer = asyncio.get_running_loop().call_later(
             HEARTBEAT_INTERVAL_MS / 1000, self._send_heartbeat
         )
-        if not self.out_of_reach:
+        if not self.is_out_of_reach:
             for connection in self.watches:
-                connection.chunk(b"\n")
+                connection.write_chunk(b"\n")
 
     @property
-    def out_of_reach(self) -> bool:
+    def is_out_of_reach(self) -> bool:
         """Whether a scripted fault keeps changes from the node."""
         return self.silent or self.stalled or self.listener is None
 
@@ -209,7 +209,7 @@
         (self.withheld_history or self.member_history).apply(change.revision, change.entries)
         if self.withheld_history is not None:
             return
-        if self.out_of_reach:
+        if self.is_out_of_reach:
             self.backlog.append(change)
         else:
             self.send(change.revision, change.entries)
@@ -217,7 +217,7 @@
 
     def _record_overdue(self, change: Change) -> None:
         """Record an overdue change as told: otherwise a node that never asks would break no rule."""
-        if self.out_of_reach or self.has_path_fault or self.withheld_history is not None:
+        if self.is_out_of_reach or self.has_path_fault or self.withheld_history is not None:
             return
         if self.written_revision < change.revision and now_ms() - self.last_fault_at_ms >= OVERDUE_MS:
             self.record(change.revision, change.entries, written=False)
@@ -226,7 +226,7 @@
         """Write one line on every watch."""
         rows = list(entries)
         line = self._line(revision, complete, rows)
-        if any([connection.chunk(line) for connection in self.watches]):
+        if any([connection.write_chunk(line) for connection in self.watches]):
             self.record(revision, rows, complete=complete)
 
     def start_watch(self, connection: AgentConnection, after: int) -> None:
@@ -235,10 +235,10 @@
         rows = self.member_history.changes_since(after)
         if rows is None:
             members = list(self.member_history.members.values())
-            connection.chunk(self._line(self.member_history.revision, True, members))
+            connection.write_chunk(self._line(self.member_history.revision, True, members))
             self.record(self.member_history.revision, members, complete=True)
         elif rows:
-            connection.chunk(self._line(self.member_history.revision, False, rows))
+            connection.write_chunk(self._line(self.member_history.revision, False, rows))
             self.record(self.member_history.revision, rows)
 
     def send_whole_list(self, connection: AgentConnection) -> None:
@@ -327,16 +327,16 @@
 
     def _reachability_changed(self) -> None:
         self.last_fault_at_ms = now_ms()
-        if self.out_of_reach:
+        if self.is_out_of_reach:
             return
         backlog, self.backlog = self.backlog, []
         for change in backlog:
             self.send(change.revision, change.entries)
 
-    def replay(self, count: int, but: int = 0) -> None:
-        """Send the last `count` changes again under their old revisions, except for the latest `but`."""
+    def replay(self, count: int, skip_latest: int = 0) -> None:
+        """Send the last `count` changes before the latest `skip_latest` again, under their revisions."""
         changes = list(self.member_history.changes)
-        for change in changes[-count - but : len(changes) - but]:
+        for change in changes[-count - skip_latest : len(changes) - skip_latest]:
             self.send(change.revision, change.entries)
 
     def send_older_list(self, count: int) -> None:
@@ -348,9 +348,9 @@
         old_change = self.member_history.changes[-1 - count]
         self.send(old_change.revision, old_change.after, complete=True)
 
-    def restore(self, place: int) -> None:
-        """Serve the list at a place in the history, as if restored from a backup; abort all connections."""
-        old_change = self.member_history.changes[place]
+    def restore(self, index: int) -> None:
+        """Serve the list at an index of the history, as if restored from a backup; abort all connections."""
+        old_change = self.member_history.changes[index]
         self.withheld_history, self.member_history = (
             self.member_history,
             MemberHistory(old_change.revision, {str(row["id"]): row for row in old_change.after}),
@@ -367,7 +367,7 @@
     def garble(self, data: bytes = b'{"revision": 99999, "complete": tru\n') -> None:
         """Write raw bytes on every watch."""
         for connection in self.watches:
-            connection.chunk(data)
+            connection.write_chunk(data)
 
     def send_long_line(self, size: int) -> None:
         """Write the whole list as one line of `size` bytes, padded by a long note."""
@@ -377,7 +377,7 @@
         )
         line = f'{line[:-2]}{"x" * max(0, size - len(line))}"}}\n'
         for connection in self.watches:
-            connection.chunk(line.encode())
+            connection.write_chunk(line.encode())
 
     async def move(self) -> None:
         """Listen on another port; the old one refuses connections. The caller has to reconfigure the node."""
--- a/balancer/testbed/load_generator.py
+++ b/balancer/testbed/load_generator.py
@@ -138,7 +138,7 @@
     def __init__(self, owner: Clients, node: str, sock: socket.socket) -> None:
         self.owner, self.node, self.sock = owner, node, sock
         self.transport: asyncio.Transport | None = None
-        self.request_count = 0  # requests that ended with a response or without one
+        self.request_count = 0  # requests that have ended on this connection
         self.request = ""
         self.done: asyncio.Future[Outcome | None] | None = None  # result None: crossed a close
         self.last_request = ""  # the name of the previous request
@@ -232,12 +232,12 @@
         self.owner.discard(self)
         if self.done is None or self.done.done():
             return
-        crossed = (
+        is_crossed = (
             self.request_count > 0
             and not self.has_response
             and (self.was_reset or isinstance(exc, ConnectionError))
         )
-        if crossed:
+        if is_crossed:
             done, self.done = self.done, None
             self.owner.journal.add(Crossed(self.request, now_ms()))
             done.set_result(None)
--- a/tests/testbed/test_load_generator.py
+++ b/tests/testbed/test_load_generator.py
@@ -1,4 +1,4 @@
-"""The stand-in clients against small fake nodes: arrivals, tries, retries, connections, what they record."""
+"""Tests of the load generator against fake nodes: arrivals, retries, connections and recorded events."""
 
 from __future__ import annotations
 
@@ -49,27 +49,27 @@
 Reply = Callable[[Message, asyncio.StreamWriter], Awaitable[None]]
 
 
-class Rig:
-    """A fake node and the clients that ask it."""
+class ClientHarness:
+    """A fake node and the clients that send requests to it."""
 
     def __init__(self, reply: Reply, habits: Habits | None) -> None:
         self.reply, self.journal, self.front = reply, Journal(), FrontEnd()
         self.clients = Clients(SITE, self.journal, self.front, 1, habits)
-        self.got: list[Message] = []
+        self.received: list[Message] = []
         self.connections = 0
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """One connection."""
+        """Serve one connection."""
         self.connections += 1
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
             while True:
                 message = await read_message(reader)
-                self.got.append(message)
+                self.received.append(message)
                 await self.reply(message, writer)
         writer.close()
 
     async def ask(self, cls: str, leaves_ms: float | None = None, by: Disconnect = "close") -> int:
-        """One request; the status it ends with."""
+        """Send one request; return its final status."""
         found = SITE.find(cls)
         assert found is not None
         name = f"{len(self.journal):016x}"
@@ -78,31 +78,31 @@
 
 
 @contextlib.asynccontextmanager
-async def rig(*replies: bytes, habits: Habits | None = None) -> AsyncIterator[Rig]:
-    """A node that gives these answers in turn, the last for good; an empty one ends the connection."""
-    left = list(replies)
+async def running_clients(*replies: bytes, habits: Habits | None = None) -> AsyncIterator[ClientHarness]:
+    """Run a node that sends these replies in turn and then repeats the last; an empty one closes."""
+    remaining = list(replies)
 
     async def reply(message: Message, writer: asyncio.StreamWriter) -> None:
-        text = left.pop(0) if len(left) > 1 else left[0]
+        text = remaining.pop(0) if len(remaining) > 1 else remaining[0]
         if text:
             writer.write(text)
         else:
             writer.close()
 
-    out = Rig(reply, habits)
-    server = await asyncio.start_server(out.serve, "127.0.0.1", 0)
-    out.front.nodes["n0"] = server.sockets[0].getsockname()[:2]
+    harness = ClientHarness(reply, habits)
+    server = await asyncio.start_server(harness.serve, "127.0.0.1", 0)
+    harness.front.nodes["n0"] = server.sockets[0].getsockname()[:2]
     try:
-        yield out
+        yield harness
     finally:
-        out.clients.close()
+        harness.clients.close()
         server.close()
 
 
 OK, REFUSED, FAILED = answer(b"ok"), answer(b"", "503 Busy", "Retry-After: 0.1"), answer(b"", "502 No")
 
 
-def test_drawn_ahead_and_alike_for_a_seed() -> None:
+def test_draw_same_seed_gives_same_arrivals() -> None:
     calm = draw(SITE, 200, 5, 7)
     assert calm == draw(SITE, 200, 5, 7) != draw(SITE, 200, 5, 8)
     assert 850 < len(calm) < 1150
@@ -114,62 +114,64 @@
     assert 500 < inside < 700 and 700 < len(burst) - inside < 900
 
 
-def test_does_not_wait_for_answers() -> None:
+def test_clients_send_without_waiting_for_responses() -> None:
     async def test() -> None:
-        async with rig(OK) as world:
+        async with running_clients(OK) as harness:
             gate = asyncio.Event()
 
             async def reply(message: Message, writer: asyncio.StreamWriter) -> None:
                 await gate.wait()
                 writer.write(OK)
 
-            world.reply = reply
-            play = asyncio.create_task(world.clients.play(draw(SITE, 200, 0.1, 1)))
-            await until(lambda: len(world.got) == len(draw(SITE, 200, 0.1, 1)))
-            assert world.connections == len(world.got) > 5
+            harness.reply = reply
+            play = asyncio.create_task(harness.clients.play(draw(SITE, 200, 0.1, 1)))
+            await until(lambda: len(harness.received) == len(draw(SITE, 200, 0.1, 1)))
+            assert harness.connections == len(harness.received) > 5
             gate.set()
             await play
-            assert len(of(world.journal, Answered)) == len(world.got)
-            await world.ask("read")
-            assert world.connections == len(world.got) - 1  # the next one found a kept connection
+            assert len(of(harness.journal, Answered)) == len(harness.received)
+            await harness.ask("read")
+            assert harness.connections == len(harness.received) - 1  # the last request reused a connection
 
     run(test)
 
 
-def test_an_answer_is_waited_for_as_long_as_the_judge_may_excuse_it() -> None:
-    """Else a node that had no core for a while, and answered right after, had given no answer."""
+def test_clients_wait_for_late_response_that_checker_excuses() -> None:
+    """Guards against a false breach: a node without CPU time answers late, which the checker excuses."""
 
     async def test() -> None:
-        async with rig(OK) as world:
+        async with running_clients(OK) as harness:
 
             async def reply(message: Message, writer: asyncio.StreamWriter) -> None:
                 await asyncio.sleep(STARVED_MS / 1000 - 0.1)
-                world.journal.add(NodeHeldUp("n0", now_ms(), STARVED_MS))
+                harness.journal.add(NodeHeldUp("n0", now_ms(), STARVED_MS))
                 writer.write(FAILED)
 
-            world.reply = reply
+            harness.reply = reply
             hasty = replace(SITE.classes[3], give_up_ms=30)
-            await world.clients.ask(Arrival(0, "r1", hasty, "", "north", None))
-            world.journal.add(HeldUp(now_ms() + 5_000, 0.1))  # all that went on is over
-            (late,) = of(world.journal, Answered)
-            assert late.status == 502 and not (breaches := judge(world.journal, SITE).breaches), breaches
+            await harness.clients.ask(Arrival(0, "r1", hasty, "", "north", None))
+            harness.journal.add(
+                HeldUp(now_ms() + 5_000, 0.1)
+            )  # moves the end of the journal past every deadline
+            (late,) = of(harness.journal, Answered)
+            assert late.status == 502 and not (breaches := judge(harness.journal, SITE).breaches), breaches
 
     run(test)
 
 
-def test_a_request_as_nodes_get_it() -> None:
+def test_clients_request_has_expected_headers_and_records() -> None:
     async def test() -> None:
-        async with rig(OK) as world:
-            assert await world.ask("pay") == 200
-            got, asked = world.got[0], of(world.journal, Asked)[0]
-            assert got.start.startswith("POST /pay/x?obj=") and got.headers["tenant"] == "north"
-            assert got.headers["request-id"] == asked.request == asked.first
-            assert got.headers["idempotency-key"] == asked.key != ""
-            limit = float(got.headers["request-timeout"].removesuffix("u")) / 1000
+        async with running_clients(OK) as harness:
+            assert await harness.ask("pay") == 200
+            message, asked = harness.received[0], of(harness.journal, Asked)[0]
+            assert message.start.startswith("POST /pay/x?obj=") and message.headers["tenant"] == "north"
+            assert message.headers["request-id"] == asked.request == asked.first
+            assert message.headers["idempotency-key"] == asked.key != ""
+            limit = float(message.headers["request-timeout"].removesuffix("u")) / 1000
             assert 0.7 * 2_000 - 1 <= limit <= 2_000
             assert asked.deadline_ms == pytest.approx(asked.at_ms + limit, abs=1)
-            assert asked.form.startswith(got.start.removesuffix(" HTTP/1.1"))
-            wanted, answered = of(world.journal, Wanted)[0], of(world.journal, Answered)[0]
+            assert asked.form.startswith(message.start.removesuffix(" HTTP/1.1"))
+            wanted, answered = of(harness.journal, Wanted)[0], of(harness.journal, Answered)[0]
             assert (answered.status, answered.whole, answered.body) == (200, True, "ok")
             assert wanted.aim_ms == wanted.at_ms + 300
 
@@ -190,102 +192,104 @@
         ("read", b"", True),
     ],
 )
-def test_retries_by_itself_where_that_is_harmless(cls: str, first: bytes, again: bool) -> None:
+def test_clients_retry_only_where_safe(cls: str, first: bytes, again: bool) -> None:
     async def test() -> None:
-        async with rig(first, OK) as world:
-            assert (await world.ask(cls) == 200) is again
-            asked = of(world.journal, Asked)
+        async with running_clients(first, OK) as harness:
+            assert (await harness.ask(cls) == 200) is again
+            asked = of(harness.journal, Asked)
             assert len(asked) == 1 + again
             if again:
                 assert asked[1].first == asked[0].request != asked[1].request
                 assert asked[1].key == asked[0].key and asked[1].deadline_ms <= asked[0].at_ms + 2_001
-                assert world.got[1].headers["client-retry"] == "1"
-                wait = asked[1].at_ms - of(world.journal, Answered)[0].at_ms
+                assert harness.received[1].headers["client-retry"] == "1"
+                wait = asked[1].at_ms - of(harness.journal, Answered)[0].at_ms
                 assert wait >= (100 if first is REFUSED else 12) - 2
 
     run(lambda: test())
 
 
-def test_advice_to_wait_is_honoured_up_to_a_limit() -> None:
+def test_clients_retry_after_is_followed_up_to_limit() -> None:
     async def test() -> None:
         long = answer(b"", "503 Busy", "Retry-After: 100")
-        async with rig(long, OK, habits=Habits(follows_retry_after=1.0)) as world:
-            assert await world.ask("read") == 503  # there would be no time left
-            assert len(world.got) == 1
-        async with rig(long, OK, habits=Habits(follows_retry_after=1.0)) as world:
-            world.clients.site = replace(SITE, max_retry_after_ms=30)
-            assert await world.ask("read") == 200
+        async with running_clients(long, OK, habits=Habits(follows_retry_after=1.0)) as harness:
+            assert await harness.ask("read") == 503  # the retry would exceed the deadline
+            assert len(harness.received) == 1
+        async with running_clients(long, OK, habits=Habits(follows_retry_after=1.0)) as harness:
+            harness.clients.site = replace(SITE, max_retry_after_ms=30)
+            assert await harness.ask("read") == 200
 
     run(test)
 
 
-def test_once_more_at_most_and_not_at_all() -> None:
+def test_clients_retries_are_limited() -> None:
     async def test() -> None:
-        async with rig(REFUSED) as world:
-            assert await world.ask("read") == 503
-            assert len(world.got) == 2
-        async with rig(REFUSED, habits=Habits(retries=0)) as world:
-            assert await world.ask("read") == 503
-            assert len(world.got) == 1
+        async with running_clients(REFUSED) as harness:
+            assert await harness.ask("read") == 503
+            assert len(harness.received) == 2
+        async with running_clients(REFUSED, habits=Habits(retries=0)) as harness:
+            assert await harness.ask("read") == 503
+            assert len(harness.received) == 1
 
     run(test)
 
 
-def test_unreached_node() -> None:
+def test_clients_unreachable_node_is_recorded_and_retried() -> None:
     async def test() -> None:
-        async with rig(OK) as world:
-            good = world.front.nodes.pop("n0")
-            server = await asyncio.start_server(world.serve, "127.0.0.1", 0)
-            world.front.nodes["n1"] = server.sockets[0].getsockname()[:2]
+        async with running_clients(OK) as harness:
+            good = harness.front.nodes.pop("n0")
+            server = await asyncio.start_server(harness.serve, "127.0.0.1", 0)
+            harness.front.nodes["n1"] = server.sockets[0].getsockname()[:2]
             server.close()
             await server.wait_closed()
-            asyncio.get_running_loop().call_later(0.005, world.front.nodes.update, {"n1": good})
-            assert await world.ask("once") == 200  # nothing was taken, so it may be tried again
-            assert [r.node for r in of(world.journal, Unreached)] == ["n1"]
-            assert len(of(world.journal, Asked)) == 1
-            world.front.nodes.clear()
-            world.clients.close()
-            assert await world.ask("once") == -1
+            asyncio.get_running_loop().call_later(0.005, harness.front.nodes.update, {"n1": good})
+            assert await harness.ask("once") == 200  # the node received nothing, so a retry is safe
+            assert [r.node for r in of(harness.journal, Unreached)] == ["n1"]
+            assert len(of(harness.journal, Asked)) == 1
+            harness.front.nodes.clear()
+            harness.clients.close()
+            assert await harness.ask("once") == -1
 
     run(test)
 
 
-def test_who_has_no_time_left_once_connected_does_not_ask(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards the judge against requests that were late before any node had them, on a busy machine."""
+def test_clients_timeout_while_connecting_sends_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against false breaches on a busy machine: a request that was late before any node had it."""
 
     async def test() -> None:
-        async with rig(OK) as world:
-            connect, hasty = world.clients._get_connection, replace(SITE.classes[3], give_up_ms=30)
+        async with running_clients(OK) as harness:
+            connect, hasty = harness.clients._get_connection, replace(SITE.classes[3], give_up_ms=30)
 
             async def late() -> Connection | str:
                 connection = await connect()
                 await asyncio.sleep(0.05)
                 return connection
 
-            monkeypatch.setattr(world.clients, "_get_connection", late)
-            assert (await world.clients.ask(Arrival(0, "0" * 16, hasty, "", "north", None))).status == -1
-            assert of(world.journal, Unreached) and not of(world.journal, Asked) and not world.got
+            monkeypatch.setattr(harness.clients, "_get_connection", late)
+            assert (await harness.clients.ask(Arrival(0, "0" * 16, hasty, "", "north", None))).status == -1
+            assert of(harness.journal, Unreached) and not of(harness.journal, Asked) and not harness.received
 
     run(test)
 
 
-def test_leaves_early() -> None:
+def test_clients_early_disconnect_is_recorded() -> None:
     async def test() -> None:
-        async with rig(OK) as world:
+        async with running_clients(OK) as harness:
 
             async def reply(message: Message, writer: asyncio.StreamWriter) -> None:
-                """Say nothing."""
+                """Send no response."""
 
-            world.reply = reply
-            await world.ask("read", leaves_ms=30)
-            assert [r.request for r in of(world.journal, ClientLeft)] == [world.got[0].headers["request-id"]]
-            assert not of(world.journal, Answered) and not world.clients.connections
+            harness.reply = reply
+            await harness.ask("read", leaves_ms=30)
+            assert [r.request for r in of(harness.journal, ClientLeft)] == [
+                harness.received[0].headers["request-id"]
+            ]
+            assert not of(harness.journal, Answered) and not harness.clients.connections
 
     run(test)
 
 
 @pytest.mark.parametrize("how", ["close", "reset", "half"])
-def test_ways_to_leave(how: Disconnect) -> None:
+def test_clients_disconnect_by_close_reset_or_half_close(how: Disconnect) -> None:
     async def test() -> None:
         seen: asyncio.Future[bytes | type[Exception]] = asyncio.get_running_loop().create_future()
 
@@ -299,49 +303,49 @@
             writer.close()
 
         gate = asyncio.Event()
-        async with rig(OK) as world:
+        async with running_clients(OK) as harness:
             server = await asyncio.start_server(serve, "127.0.0.1", 0)
-            world.front.nodes["n0"] = server.sockets[0].getsockname()[:2]
-            await world.ask("read", leaves_ms=30, by=how)
+            harness.front.nodes["n0"] = server.sockets[0].getsockname()[:2]
+            await harness.ask("read", leaves_ms=30, by=how)
             assert await seen == (ConnectionResetError if how == "reset" else b"")
-            assert len(of(world.journal, ClientLeft)) == 1 and not of(world.journal, Answered)
-            assert len(world.clients.connections) == (how == "half") and not world.clients.idle
+            assert len(of(harness.journal, ClientLeft)) == 1 and not of(harness.journal, Answered)
+            assert len(harness.clients.connections) == (how == "half") and not harness.clients.idle
             gate.set()
-            await until(lambda: not world.clients.connections)
+            await until(lambda: not harness.clients.connections)
             server.close()
 
     run(test)
 
 
-def test_those_who_leave_do_so_in_each_way() -> None:
+def test_draw_disconnects_in_every_configured_way() -> None:
     ways: tuple[Disconnect, ...] = ("close", "reset", "half")
     some, plain = (draw(SITE, 200, 2, 7, Habits(leaves=0.5, leaves_by=by)) for by in (ways, ways[:1]))
     assert {a.leaves_by for a in some if a.leaves_ms} == set(ways)
     assert [a.leaves_ms for a in some] == [a.leaves_ms for a in plain] and plain[1].leaves_by == "close"
 
 
-def test_no_answer_in_time_is_seen() -> None:
+def test_clients_late_response_is_recorded() -> None:
     async def test() -> None:
-        async with rig(OK, habits=Habits(try_timeout_share=(0.01, 0.01), retries=0)) as world:
+        async with running_clients(OK, habits=Habits(try_timeout_share=(0.01, 0.01), retries=0)) as harness:
 
             async def reply(message: Message, writer: asyncio.StreamWriter) -> None:
                 await asyncio.sleep(0.1)
                 writer.write(OK)
 
-            world.reply = reply
-            assert await world.ask("read") == 200
-            asked, answered = of(world.journal, Asked)[0], of(world.journal, Answered)[0]
+            harness.reply = reply
+            assert await harness.ask("read") == 200
+            asked, answered = of(harness.journal, Asked)[0], of(harness.journal, Answered)[0]
             assert answered.at_ms > asked.deadline_ms + 50
 
     run(test)
 
 
-def test_second_answers_and_broken_ones_are_recorded() -> None:
+def test_clients_second_and_incomplete_responses_are_recorded() -> None:
     async def test() -> None:
-        async with rig(OK + OK) as world:
-            assert await world.ask("read") == 200
-            assert sorted(r.whole for r in of(world.journal, Answered)) == [False, True]
-        async with rig(OK) as world:
+        async with running_clients(OK + OK) as harness:
+            assert await harness.ask("read") == 200
+            assert sorted(r.whole for r in of(harness.journal, Answered)) == [False, True]
+        async with running_clients(OK) as harness:
 
             async def twice(message: Message, writer: asyncio.StreamWriter) -> None:
                 writer.write(OK)
@@ -349,35 +353,35 @@
                 await asyncio.sleep(0.02)
                 writer.write(OK)
 
-            world.reply = twice
-            assert await world.ask("read") == 200
-            await until(lambda: len(of(world.journal, Answered)) == 2)
-            assert [r.whole for r in of(world.journal, Answered)] == [True, False]
-        async with rig(answer(b"long body")[:-4], habits=Habits(retries=0)) as world:
+            harness.reply = twice
+            assert await harness.ask("read") == 200
+            await until(lambda: len(of(harness.journal, Answered)) == 2)
+            assert [r.whole for r in of(harness.journal, Answered)] == [True, False]
+        async with running_clients(answer(b"long body")[:-4], habits=Habits(retries=0)) as harness:
 
             async def half(message: Message, writer: asyncio.StreamWriter) -> None:
                 writer.write(answer(b"long body")[:-4])
                 writer.close()
 
-            world.reply = half
-            await world.ask("once")
-            assert [(r.status, r.whole) for r in of(world.journal, Answered)] == [(200, False)]
+            harness.reply = half
+            await harness.ask("once")
+            assert [(r.status, r.whole) for r in of(harness.journal, Answered)] == [(200, False)]
 
     run(test)
 
 
-def test_a_close_between_two_requests_is_no_lost_request() -> None:
-    """A node that closes with a request unread resets; one that had read it ends plainly."""
+def test_clients_request_crossing_close_is_resent() -> None:
+    """A node that closes with an unread request causes a reset; after reading it, a normal close."""
 
     async def test(read_first: bool) -> None:
-        async with rig(OK, habits=Habits(retries=0)) as world:
+        async with running_clients(OK, habits=Habits(retries=0)) as harness:
             closes = asyncio.Event()
 
             async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-                world.got.append(await read_message(reader))
+                harness.received.append(await read_message(reader))
                 writer.write(OK)
                 reader._transport.pause_reading()  # type: ignore[attr-defined]
-                if len(world.got) == 1:
+                if len(harness.received) == 1:
                     await closes.wait()
                     if read_first:
                         reader._transport.resume_reading()  # type: ignore[attr-defined]
@@ -385,52 +389,52 @@
                     writer.close()
 
             server = await asyncio.start_server(serve, "127.0.0.1", 0)
-            world.front.nodes["n0"] = server.sockets[0].getsockname()[:2]
-            assert await world.ask("once") == 200
-            second = asyncio.create_task(world.ask("once"))
-            await until(lambda: len(of(world.journal, Asked)) == 2)
+            harness.front.nodes["n0"] = server.sockets[0].getsockname()[:2]
+            assert await harness.ask("once") == 200
+            second = asyncio.create_task(harness.ask("once"))
+            await until(lambda: len(of(harness.journal, Asked)) == 2)
             await asyncio.sleep(0.02)
             closes.set()
             status = await second
             server.close()
-            asked = of(world.journal, Asked)
+            asked = of(harness.journal, Asked)
             if read_first:
-                assert status == 0 and not of(world.journal, Crossed) and len(asked) == 2
-                assert [r.whole for r in of(world.journal, Answered)] == [True, False]
+                assert status == 0 and not of(harness.journal, Crossed) and len(asked) == 2
+                assert [r.whole for r in of(harness.journal, Answered)] == [True, False]
             else:
                 assert status == 200 and asked[1].request == asked[2].request
-                assert [r.request for r in of(world.journal, Crossed)] == [asked[1].request]
+                assert [r.request for r in of(harness.journal, Crossed)] == [asked[1].request]
 
     run(lambda: test(True))
     run(lambda: test(False))
 
 
-def test_a_new_connection_that_ends_has_lost_its_request() -> None:
+def test_clients_new_connection_reset_loses_request() -> None:
     async def test() -> None:
-        async with rig(OK, habits=Habits(retries=0)) as world:
+        async with running_clients(OK, habits=Habits(retries=0)) as harness:
             loop, listener = asyncio.get_running_loop(), socket.create_server(("127.0.0.1", 0))
             listener.setblocking(False)
-            world.front.nodes["n0"] = listener.getsockname()[:2]
-            asking = asyncio.create_task(world.ask("once"))
+            harness.front.nodes["n0"] = listener.getsockname()[:2]
+            asking = asyncio.create_task(harness.ask("once"))
             sock, _ = await loop.sock_accept(listener)
-            await until(lambda: of(world.journal, Asked))
-            sock.close()  # with the request unread, which resets
+            await until(lambda: of(harness.journal, Asked))
+            sock.close()  # the request is unread, which causes a reset
             assert await asking == 0
-            assert [r.whole for r in of(world.journal, Answered)] == [False]
-            assert not of(world.journal, Crossed)
+            assert [r.whole for r in of(harness.journal, Answered)] == [False]
+            assert not of(harness.journal, Crossed)
             listener.close()
 
     run(test)
 
 
-def test_written_to_a_connection_that_had_ended() -> None:
-    """The end of the connection was there before the request, and this side had not read it yet."""
+def test_clients_request_on_closed_connection_is_resent() -> None:
+    """The node closed the connection before the request, and the client had not yet read the close."""
 
     async def test() -> None:
-        async with rig(OK, habits=Habits(retries=0)) as world:
+        async with running_clients(OK, habits=Habits(retries=0)) as harness:
             loop, listener = asyncio.get_running_loop(), socket.create_server(("127.0.0.1", 0))
             listener.setblocking(False)
-            world.front.nodes["n0"] = listener.getsockname()[:2]
+            harness.front.nodes["n0"] = listener.getsockname()[:2]
             socks: list[socket.socket] = []
 
             async def serve() -> None:
@@ -441,10 +445,10 @@
                     await loop.sock_sendall(sock, OK)
 
             task = asyncio.create_task(serve())
-            assert await world.ask("once") == 200
+            assert await harness.ask("once") == 200
             socks[0].close()
-            assert await world.ask("once") == 200  # it writes before the loop takes another turn
-            assert len(of(world.journal, Crossed)) == 1 and len(socks) == 2
+            assert await harness.ask("once") == 200  # the client writes before the event loop reads the close
+            assert len(of(harness.journal, Crossed)) == 1 and len(socks) == 2
             task.cancel()
             for sock in (*socks, listener):
                 sock.close()
