--- a/balancer/testbed/backend_emulator.py
+++ b/balancer/testbed/backend_emulator.py
@@ -159,7 +159,7 @@
         self._detach("node")
 
     def eof_received(self) -> None:
-        """Treat a half-close as the end of the connection: returning None closes_connection it."""
+        """Treat a half-close as the end of the connection: returning None closes it."""
 
     def _detach(self, by: str) -> None:
         if self.idle_timer is not None:
@@ -281,7 +281,7 @@
         self.started_at_ms = self.up_since_ms = 0.0
         self.cold_share, self.warm_ms = 1.0, 0.0
         self.cold_start_budget: ColdStartBudget | None = None
-        self.finished_while_hung: list[Job] = []  # finished while the process hangs
+        self.finished_while_hung: list[Job] = []
         self.report = ""
         self._sample_timer: asyncio.TimerHandle | None = None
         self._queue_fillers: list[socket.socket] = []  # keep the accept queue full after `vanish`
--- a/balancer/testbed/discovery_emulator.py
+++ b/balancer/testbed/discovery_emulator.py
@@ -151,15 +151,13 @@
         self.has_path_fault = False  # the path fails: writes do not reach the node
         self.connections: set[AgentConnection] = set()
         self.watches: set[AgentConnection] = set()
-        self.request_targets: deque[str] = deque(maxlen=1000)  # targets of requests
+        self.request_targets: deque[str] = deque(maxlen=1000)
         self.backlog: list[Change] = []  # changes that arrived while the node was out of reach
-        self.withheld_history: MemberHistory | None = (
-            None  # the current list while an older one is served after `restore`
-        )
+        # The current list while an older one is served after `restore`.
+        self.withheld_history: MemberHistory | None = None
         self.written_revision = member_history.revision  # the latest revision written to the node
-        self.announced_ids = dict.fromkeys(
-            member_history.members
-        )  # all ids that the node was told about, as keys
+        # All ids that the node was told about, as keys.
+        self.announced_ids = dict.fromkeys(member_history.members)
         self.last_fault_at_ms = -OVERDUE_MS  # when a scripted fault last began or ended
         self.host, self.port = "127.0.0.1", 0
         self.listener: asyncio.Server | None = None
--- a/balancer/testbed/load_generator.py
+++ b/balancer/testbed/load_generator.py
@@ -38,7 +38,7 @@
 CONNECT_TIMEOUT_MS = 1_000.0
 SETTLE_MS = 100.0  # time after the last response in which a second one is still detected
 TCP_CLOSE_STATE = 7  # state in TCP_INFO after a reset: TCP_CLOSE
-MAX_RECORDED_CHARACTERS = 500  # recorded per response
+MAX_RECORDED_CHARACTERS = 500  # of the body of a response
 Disconnect = Literal["close", "reset", "half"]
 
 
