--- a/balancer/testbed/etcd/auth.py
+++ b/balancer/testbed/etcd/auth.py
@@ -1,4 +1,4 @@
-"""Who is let in: names, passwords and tokens, as etcd has them with its auth on; pure."""
+"""Emulates etcd's authentication: users, passwords and tokens, without I/O."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 @dataclass(slots=True)
 class User:
-    """Who is let in; `readable` is the prefix of what they may read, None for all, and writing too."""
+    """A user; `readable` is the only prefix they may read, or None for full read and write access."""
 
     password: str = field(repr=False)
     readable: bytes | None
 
 
 class Auth:
-    """Names, passwords and tokens; a token lives `ttl_ms` from its last use on."""
+    """Users and their tokens; a token expires `ttl_ms` after its last use."""
 
     def __init__(self, now_ms: Callable[[], float], ttl_ms: float) -> None:
         self.now_ms, self.ttl_ms = now_ms, ttl_ms
@@ -27,7 +27,7 @@
         self._count = 0
 
     def authenticate(self, name: str, password: str) -> str:
-        """A new token. Raises StoreError."""
+        """Issue a token. Raises StoreError if auth is off or the credentials are wrong."""
         if not self.enabled:
             raise StoreError("etcdserver: authentication is not enabled", 9)
         user = self.users.get(name)
@@ -40,11 +40,11 @@
         return token
 
     def forget_tokens(self) -> None:
-        """As when a member came back without what it knew of them."""
+        """Invalidate all tokens, as a member restart does."""
         self._tokens.clear()
 
     def who(self, token: str) -> User | None:
-        """Whose token it is; None for no token. Raises StoreError for one that is not known any more."""
+        """Return the user of a token, None without one or with auth off. Raises StoreError if invalid."""
         if not self.enabled or not token:
             return None
         name, ends_ms = self._tokens.get(token, ("", 0.0))
@@ -54,7 +54,7 @@
         return self.users[name]
 
     def check(self, token: str, key: bytes, end: bytes, write: bool) -> None:
-        """Whether who shows this token may do this. Raises StoreError."""
+        """Check that the user of a token may access a range. Raises StoreError."""
         user = self.who(token)
         if not self.enabled:
             return
--- a/balancer/testbed/etcd/client.py
+++ b/balancer/testbed/etcd/client.py
@@ -1,6 +1,7 @@
-"""A small client of etcd's JSON gateway; raw, so that tests see what was on the wire.
+"""A minimal client of etcd's JSON gateway that exposes the raw responses to tests.
 
-One connection a call: no pool, no retry inside a call. `Writer` asks one endpoint after the other.
+Every call opens its own connection; there is no pool and no retry within a call. `Writer` tries the
+endpoints in turn.
 """
 
 from __future__ import annotations
@@ -22,29 +23,29 @@
 
 
 class EtcdError(Exception):
-    """A write that no member did."""
+    """A write that no member carried out."""
 
 
 def prefix_end(prefix: bytes) -> bytes:
-    """The end of the range of all keys that begin with `prefix`."""
+    """Return the exclusive end of the range of all keys with this prefix."""
     kept = prefix.rstrip(b"\xff")
     return kept[:-1] + bytes([kept[-1] + 1]) if kept else b"\0"
 
 
 def span(prefix: str) -> dict[str, str]:
-    """`key` and `range_end` of all keys that begin with `prefix`, as a request has them."""
+    """Return the request fields `key` and `range_end` for all keys with this prefix."""
     raw = prefix.encode() or b"\0"
     return {"key": b64(raw), "range_end": b64(prefix_end(prefix.encode()))}
 
 
 def b64(data: bytes | str) -> str:
-    """Bytes, or text as UTF-8, as JSON has them."""
+    """Encode bytes, or text as UTF-8, in base64."""
     return base64.b64encode(data.encode() if isinstance(data, str) else data).decode("ascii")
 
 
 @dataclass(slots=True, frozen=True)
 class Answer:
-    """A whole answer. `headers` are in lower case."""
+    """A complete HTTP response; header names are in lower case."""
 
     code: int
     headers: dict[str, str]
@@ -52,7 +53,7 @@
 
     @property
     def json(self) -> dict[str, Any]:
-        """Its body; raises ValueError where that is no JSON object."""
+        """Parse the body. Raises ValueError if it is not a JSON object."""
         value = json.loads(self.body)
         if not isinstance(value, dict):
             raise ValueError(f"no object: {self.body!r:.120}")
@@ -60,9 +61,9 @@
 
 
 class Call:
-    """A call on a connection of its own, and its answer as it comes; an async context manager.
+    """A call on its own connection whose response is read incrementally; an async context manager.
 
-    `chunks` holds the answer's chunks as they came, `whole` says that its end was told.
+    `chunks` holds the received chunks of the response; `whole` is set once the last chunk was read.
     """
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -84,7 +85,7 @@
         method: str = "POST",
         headers: Mapping[str, str] | None = None,
     ) -> Self:
-        """Send a request; `body` is an object, or bytes as they are."""
+        """Connect and send a request; `body` is an object to encode as JSON, or raw bytes."""
         url = urlsplit(endpoint)
         secure = context if url.scheme == "https" else None
         reader, writer = await asyncio.open_connection(url.hostname, url.port, ssl=secure, limit=2**24)
@@ -100,7 +101,7 @@
         method: str = "POST",
         headers: Mapping[str, str] | None = None,
     ) -> None:
-        """Send a request, the first on this connection or one more after a whole answer."""
+        """Send a request on this connection; the previous response must have been read completely."""
         data = body if isinstance(body, bytes) else json.dumps({} if body is None else body).encode()
         lines = [f"{method} {path} HTTP/1.1", "Host: localhost", f"Content-Length: {len(data)}"]
         lines += [f"Authorization: {token}"] if token else []
@@ -117,7 +118,7 @@
         self.writer.transport.abort()
 
     async def head(self) -> int:
-        """Read code and headers, unless they were read; the code."""
+        """Read the status and headers unless already read, and return the status code."""
         if not self.code:
             raw = (await self.reader.readuntil(b"\r\n\r\n")).decode("latin-1")
             first, *lines = raw.removesuffix("\r\n\r\n").split("\r\n")
@@ -127,7 +128,7 @@
         return self.code
 
     async def chunk(self) -> bytes:
-        """The next chunk of a chunked answer; empty at its end, or where the connection ended."""
+        """Return the next chunk of a chunked response, or b"" at its end or when the connection ends."""
         await self.head()
         if self.whole:
             return b""
@@ -145,7 +146,7 @@
         return data
 
     async def line(self) -> bytes | None:
-        """The next line of a stream, without its end; None when there is none to come."""
+        """Return the next line of a stream without its newline, or None at the end of the stream."""
         while b"\n" not in self._rest:
             data = await self.chunk()
             if not data:
@@ -156,21 +157,21 @@
         return line
 
     async def message(self) -> dict[str, Any]:
-        """The next line, read; an empty object when there is none to come."""
+        """Return the next line parsed as JSON, or an empty object at the end of the stream."""
         line = await self.line()
         value = json.loads(line) if line is not None else {}
         assert isinstance(value, dict)
         return value
 
     async def eof(self) -> bool:
-        """Wait for the end of the connection; False where something came instead."""
+        """Wait for the connection to end; return False if data arrives instead."""
         try:
             return not await self.reader.read(1)
         except ConnectionError:
             return True
 
     async def answer(self) -> Answer:
-        """The whole answer."""
+        """Read the complete response."""
         await self.head()
         if "content-length" in self.headers:
             body = await self.reader.readexactly(int(self.headers["content-length"]))
@@ -192,25 +193,25 @@
     headers: Mapping[str, str] | None = None,
     wait_s: float = 10.0,
 ) -> Answer:
-    """One call and its whole answer. Raises OSError, EOFError, TimeoutError."""
+    """Make one call and return the complete response. Raises OSError, EOFError, TimeoutError."""
     async with asyncio.timeout(wait_s):
         async with await Call.open(endpoint, path, body, token, context, method, headers) as call:
             return await call.answer()
 
 
 class Writer:
-    """Asks the endpoints in turn, until one does it; beginning with the one that did it last.
+    """Tries the endpoints in turn until one succeeds, starting with the last one that did.
 
-    A write whose answer was lost may be done twice.
+    A write whose response was lost may be applied twice.
     """
 
     def __init__(self, endpoints: Sequence[str], context: ssl.SSLContext | None = None) -> None:
         self.endpoints, self.context = endpoints, context
-        self.down: set[int] = set()  # places of endpoints not worth asking while there are others
+        self.down: set[int] = set()  # indexes of endpoints that are skipped while others remain
         self._last = 0
 
     async def call(self, path: str, body: object) -> dict[str, Any]:
-        """One call; its answer. Raises EtcdError where it is refused, or nobody answered for `GIVE_UP_S`."""
+        """Make a call. Raises EtcdError if it is rejected or no endpoint succeeds within `GIVE_UP_S`."""
         end = time.monotonic() + GIVE_UP_S
         trouble = ""
         while time.monotonic() < end:
@@ -231,19 +232,19 @@
         raise EtcdError(f"{path}: no endpoint did it within {GIVE_UP_S:g} s; last: {trouble}")
 
     async def write(self, path: str, body: object) -> int:
-        """One call; the revision after it."""
+        """Make a call and return the revision after it."""
         return int((await self.call(path, body))["header"].get("revision", "0"))
 
     async def put(self, key: str, value: bytes, lease: int = 0) -> int:
-        """Set a key."""
+        """Set a key and return the revision after it."""
         return await self.write("/v3/kv/put", {"key": b64(key), "value": b64(value), "lease": str(lease)})
 
     async def delete(self, key: str, prefix: bool = False) -> int:
-        """Delete a key, or all that begin with it."""
+        """Delete a key, or all keys with that prefix, and return the revision after it."""
         return await self.write("/v3/kv/deleterange", span(key) if prefix else {"key": b64(key)})
 
     async def txn(self, puts: Mapping[str, bytes], deletes: Sequence[str]) -> int:
-        """Puts and deletes in one revision."""
+        """Apply puts and deletes in one revision and return that revision."""
         ops: list[object] = [
             {"request_put": {"key": b64(key), "value": b64(value)}} for key, value in puts.items()
         ]
@@ -251,17 +252,17 @@
         return await self.write("/v3/kv/txn", {"success": ops})
 
     async def compact(self, revision: int) -> None:
-        """Forget the history before a revision; what is forgotten is gone when this returns."""
+        """Compact the history before a revision; the compaction is physically complete on return."""
         await self.call("/v3/kv/compaction", {"revision": str(revision), "physical": True})
 
     async def revision(self) -> int:
-        """The newest revision."""
+        """Return the latest revision."""
         return await self.write("/v3/kv/range", {"key": b64(b"\0"), "count_only": True})
 
     async def grant(self, ttl_s: int) -> int:
-        """A new lease; its id."""
+        """Grant a lease and return its id."""
         return int((await self.call("/v3/lease/grant", {"TTL": str(ttl_s)}))["ID"])
 
     async def revoke(self, lease: int) -> int:
-        """End a lease; its keys go."""
+        """Revoke a lease, which deletes its keys, and return the revision after it."""
         return await self.write("/v3/lease/revoke", {"ID": str(lease)})
--- a/balancer/testbed/etcd/cluster.py
+++ b/balancer/testbed/etcd/cluster.py
@@ -1,4 +1,4 @@
-"""What the users of a cluster may ask of it: the interface of `StandIn`, without its faults."""
+"""The interface of an etcd cluster under test: that of `StandIn` without fault injection."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 class EtcdCluster(Protocol):
     """A cluster of one or several members on loopback; an async context manager.
 
-    Members are named by their place in `endpoints`. What writes returns the revision after it, and raises
-    EtcdError where no member could do it. Writers find a member that answers by themselves.
+    Members are identified by their index in `endpoints`. Writes return the revision after them, raise
+    EtcdError if no member could carry them out, and choose a responsive member themselves.
     """
 
     @property
     def endpoints(self) -> list[str]:
-        """Base URLs, one a member; each stays the same while its member is down."""
+        """Base URLs, one per member; a URL stays the same while its member is down."""
 
     @property
     def context(self) -> ssl.SSLContext | None:
-        """What a client needs to trust it; None without TLS."""
+        """The TLS context for clients; None without TLS."""
 
     async def __aenter__(self) -> Self: ...
 
@@ -33,41 +33,41 @@
         """Set a key."""
 
     async def delete(self, key: str, prefix: bool = False) -> int:
-        """Delete a key, or all that begin with it."""
+        """Delete a key, or all keys with that prefix."""
 
     async def txn(self, puts: Mapping[str, bytes], deletes: Sequence[str]) -> int:
-        """Puts and deletes in one revision, 128 at most."""
+        """Apply at most 128 puts and deletes in one revision."""
 
     async def compact(self, revision: int) -> None:
-        """Forget the history before a revision."""
+        """Compact the history before a revision."""
 
     async def revision(self) -> int:
-        """The newest revision."""
+        """Return the latest revision."""
 
     async def grant(self, ttl_s: int) -> int:
-        """A new lease; its id."""
+        """Grant a lease and return its id."""
 
     async def revoke(self, lease: int) -> int:
-        """End a lease; its keys go."""
+        """Revoke a lease, which deletes its keys."""
 
     def freeze(self, member: int) -> None:
-        """Stop it as SIGSTOP does: connects succeed, and it says nothing."""
+        """Stop a member as SIGSTOP does: connects succeed, but it sends nothing."""
 
     def thaw(self, member: int) -> None:
-        """Let it go on, as SIGCONT does."""
+        """Resume a member as SIGCONT does."""
 
     async def kill(self, member: int) -> None:
-        """End it as SIGKILL does: connections just end."""
+        """End a member as SIGKILL does: its connections break without notice."""
 
     async def terminate(self, member: int) -> None:
-        """End it as SIGTERM does: streams are told."""
+        """End a member as SIGTERM does: its streams end with an error."""
 
     async def restart(self, member: int) -> None:
-        """Start it again, at the same address with the same data; it answers when this returns."""
+        """Start a member again with the same address and data; it serves requests on return."""
 
     async def enable_auth(self, user: str, password: str, readable: str = "") -> None:
-        """Let nobody in without a name and a password from now on.
+        """Require a user name and password from now on.
 
-        `user` may do all, or with `readable` do nothing but read the keys that begin with it. The cluster's
-        own writes go on.
+        `user` has full access, or with `readable` may only read keys with that prefix. The cluster's own
+        writes keep working.
         """
--- a/balancer/testbed/etcd/gateway.py
+++ b/balancer/testbed/etcd/gateway.py
@@ -1,11 +1,12 @@
-"""One endpoint of the stand-in: etcd's JSON gateway over HTTP/1.1, and the faults it can be told to have.
+"""One endpoint of the etcd emulator: the JSON gateway over HTTP/1.1, with injectable faults.
 
-What it answers is what etcd 3.4.23 answers, byte by byte but for ids and dates, and was
-measured there; tests/testbed/test_etcd_gateway.py holds it to that and names the sources. Not obvious:
+Responses equal those of etcd 3.4.23 byte for byte except for ids and dates;
+tests/testbed/test_etcd_gateway.py checks this and names the sources. Easy to miss:
 
-- With auth on, compaction, leases and status still let in who shows no token at all.
-- With auth on and certificates asked for, who shows one that has a common name is turned away, in plain text.
-- A member without a quorum answers reads that ask for none, lets watches in, and tells them nothing.
+- With auth on, compaction, lease and status calls still succeed without a token.
+- With auth on and client certificates requested, a client whose certificate has a common name is rejected
+  in plain text.
+- A member without a quorum serves serializable reads and creates watches, but sends them no events.
 """
 
 from __future__ import annotations
@@ -41,7 +42,7 @@
 from balancer.testbed.etcd.stream import NO_LEADER, EndedError, Stream
 from balancer.testbed.etcd.wire import Json, lean
 
-FRAGMENT = 2 * 1024 * 1024  # bytes of events beyond which a line is cut, where the watch asked for it
+FRAGMENT = 2 * 1024 * 1024  # of events, above which a line is split for a watch with fragments
 TIMED_OUT = "etcdserver: request timed out"
 COMMON_NAME = (
     b"CommonName of client sending a request against gateway will be ignored and not used as expected\n"
@@ -49,18 +50,18 @@
 
 
 def _common_name(connection: Connection) -> bool:
-    """Whether the client showed a certificate with one."""
+    """Whether the client presented a certificate with a common name."""
     shown = connection.writer.get_extra_info("peercert") or {}
     return any(name == "commonName" for part in shown.get("subject", ()) for name, _ in part)
 
 
 def _senseless(kind: Garbage) -> str:
-    """A value that nobody can want, as JSON has it."""
+    """Return an invalid value as it appears in JSON."""
     return wire.b64(b"\0" * 2_000_000) if kind is Garbage.HUGE_VALUE else "!!! not base64"
 
 
 class Endpoint:
-    """A member of the cluster, as clients see it; all that is wrong with it is set here."""
+    """A cluster member as clients see it, with the state of its faults."""
 
     def __init__(self, shared: Shared, index: int, member_id: int, tls: ssl.SSLContext | None) -> None:
         self.shared, self.index, self.member_id, self.tls = shared, index, member_id, tls
@@ -71,28 +72,28 @@
         self.unstalled.set()
         self.cut = False
         self.lag = 0
-        self.held: int | None = None  # the last revision it knows of, while it has no quorum
-        self.lost_ms: float | None = None  # since when it has none
+        self.held: int | None = None  # last known revision while without a quorum
+        self.lost_ms: float | None = None  # when the quorum was lost
         self.twice = False
         self.fragment = FRAGMENT
-        self.cluster_id: int | None = None  # another one than the cluster's
-        self.garbage: Garbage | None = None  # in answers to range calls
+        self.cluster_id: int | None = None  # overrides the id of the cluster
+        self.garbage: Garbage | None = None  # sent in responses to range calls
         self.garbage_key = b"garbage"
         self.lives = 0
         self.streams: dict[Connection, Stream] = {}
-        self._tasks: dict[asyncio.Task[None], Connection | None] = {}  # None while it shakes hands
+        self._tasks: dict[asyncio.Task[None], Connection | None] = {}  # None until the TLS handshake is done
         self._socket: socket.socket | None = None
         self._accepting: asyncio.Task[None] | None = None
 
-    # --- what it knows
+    # --- state
 
     def view(self) -> int:
-        """The newest revision that it knows of."""
+        """Return the latest revision known to the member."""
         newest = self.shared.store.revision if self.held is None else self.held
         return max(min(newest, self.shared.store.revision) - self.lag, 1)
 
     def header(self, revision: int | None = None) -> Json:
-        """A ResponseHeader, with the newest revision unless another one is given; 0 for none."""
+        """Encode a ResponseHeader with the latest or the given revision; 0 omits it."""
         return lean(
             cluster_id=self.shared.cluster_id if self.cluster_id is None else self.cluster_id,
             member_id=self.member_id,
@@ -101,25 +102,25 @@
         )
 
     def stir(self) -> None:
-        """Something changed."""
+        """Wake all streams after a change."""
         for stream in self.streams.values():
             stream.stir.set()
 
     @property
     def is_awake(self) -> bool:
-        """Whether nothing keeps it from working."""
+        """Whether the member is neither frozen nor stalled."""
         return self.thawed.is_set() and self.unstalled.is_set()
 
     async def awake(self) -> None:
-        """Until nothing keeps it from working."""
+        """Wait until the member is neither frozen nor stalled."""
         while not self.is_awake:
             await self.thawed.wait()
             await self.unstalled.wait()
 
-    # --- its life
+    # --- lifecycle
 
     def listen(self, port: int) -> None:
-        """Be there."""
+        """Listen for connections on a port."""
         listening = self._socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         listening.setblocking(False)
@@ -130,25 +131,25 @@
 
     @property
     def listening(self) -> bool:
-        """Whether connections come up."""
+        """Whether new connections are accepted."""
         return self._socket is not None
 
     def deaf(self) -> None:
-        """Refuse connections; those that are there stay."""
+        """Refuse new connections; open ones stay."""
         if self._socket is not None and self._accepting is not None:
-            self._socket.shutdown(socket.SHUT_RDWR)  # refuses at once; closed when nobody waits on it
+            self._socket.shutdown(socket.SHUT_RDWR)  # refuses at once; closed when the accept task ends
             self._accepting.cancel()
             self._socket = None
 
     def drop(self) -> None:
-        """End all connections, without a word."""
+        """Abort all connections without notice."""
         for task, connection in self._tasks.items():
             if connection is not None:
                 connection.writer.transport.abort()
             task.cancel()
 
     def dismiss(self) -> None:
-        """End all connections as a process does that was asked to end: streams get an error."""
+        """Close all connections as on SIGTERM: streams end with an error."""
         for task, connection in self._tasks.items():
             if connection is not None and connection in self.streams:
                 with contextlib.suppress(EndedError):
@@ -158,7 +159,7 @@
             task.cancel()
 
     async def _accept(self, listening: socket.socket) -> None:
-        """Take connections in; while it is frozen they come up by themselves, and nobody shakes hands."""
+        """Accept connections; while frozen, the kernel completes connects but no TLS handshake starts."""
         loop = asyncio.get_running_loop()
         while True:
             client, _ = await loop.sock_accept(listening)
@@ -178,7 +179,7 @@
         try:
             transport, _ = await loop.connect_accepted_socket(lambda: protocol, client, ssl=self.tls)
         except OSError:
-            return  # it would not do TLS
+            return  # the TLS handshake failed
         connection = Connection(reader, asyncio.StreamWriter(transport, protocol, reader, loop))
         task = asyncio.current_task()
         assert task is not None
@@ -188,7 +189,7 @@
     # --- calls
 
     async def respond(self, connection: Connection, asked: Asked) -> None:
-        """Answer one call."""
+        """Serve one call."""
         await self.awake()
         calls = {
             "/v3/kv/range": self._range,
@@ -232,7 +233,7 @@
         return self.lost_ms is not None and now_ms() >= self.lost_ms + self.shared.election_ms
 
     async def _quorum(self, message: str, code: int) -> None:
-        """Until it has one. Raises StoreError where that takes too long."""
+        """Wait for a quorum. Raises StoreError after `quorum_wait_ms`."""
         end = now_ms() + self.shared.quorum_wait_ms
         while not self.shared.has_quorum(self.index):
             if now_ms() >= end:
@@ -258,7 +259,7 @@
         if self.shared.garbled and found.kvs:
             value["kvs"] = [self.garble(kv.key, wire.key_value(kv)) for kv in found.kvs]
         body = wire.dumps(value)
-        legible = self.garbage in (None, Garbage.HUGE_VALUE, Garbage.NOT_BASE64)  # but for one entry
+        legible = self.garbage in (None, Garbage.HUGE_VALUE, Garbage.NOT_BASE64)  # valid except for one entry
         if legible and not connection.over:
             put, peer = names(kv.key for kv in found.kvs), connection.peer
             key, end = names((one.key, one.end))
@@ -286,13 +287,13 @@
             connection.answer(value, asked.last)
 
     def garbled(self, kind: Garbage, key: bytes) -> Json:
-        """A key and value that nobody can want."""
+        """Build a row with an invalid value."""
         revision = self.view()
         numbers = {"create_revision": str(revision), "mod_revision": str(revision), "version": "1"}
         return {"key": wire.b64(key), **numbers, "value": _senseless(kind)}
 
     def garble(self, key: bytes, kv: Json) -> Json:
-        """A key and value as they are told: with what makes no sense, if the key is one of those."""
+        """Return a row as it is sent: with an invalid value if one is configured for the key."""
         kind = self.shared.garbled.get(key)
         return kv if kind is None else kv | {"value": _senseless(kind)}
 
@@ -386,7 +387,7 @@
                 connection.refuse(str(err), 2, asked.last, parsed=False)
                 return
             await stream.run()
-            raise ConnectionClosedError  # the client went away
+            raise ConnectionClosedError  # the client disconnected
         except EndedError:
             return
         finally:
--- a/balancer/testbed/etcd/http.py
+++ b/balancer/testbed/etcd/http.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 as etcd's gateway speaks it: a connection, its requests, and how answers are framed.
+"""HTTP/1.1 of etcd's gateway: server connections, request parsing and response framing.
 
-An answer of up to 2048 bytes has a length, a longer one is chunked; an error of etcd's own is chunked with
-a trailer, one of the gateway's has a length. Measured with etcd 3.4.23.
+A response of up to 2048 bytes has a Content-Length, a longer one is chunked. An error from etcd itself is
+chunked with a trailer, an error from the gateway has a Content-Length. This is the behavior of etcd 3.4.23.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 from balancer.testbed.etcd import wire
 from balancer.testbed.etcd.wire import Json
 
-BUFFER = 2048  # bytes; Go's, which decides how an answer is framed
-MAX_HEAD = 64 * 1024  # bytes of a request's head
-MAX_BODY = 16 * 1024 * 1024  # of its body; a larger one ends the connection
+BUFFER = 2048  # Go's write buffer; larger responses are chunked
+MAX_HEAD = 64 * 1024  # of a request
+MAX_BODY = 16 * 1024 * 1024  # of a request; a larger one closes the connection
 
 
 @dataclass(slots=True)
 class Asked:
-    """A request."""
+    """A parsed HTTP request."""
 
     method: str
     path: str
@@ -31,41 +31,42 @@
 
     @property
     def token(self) -> str:
-        """What it shows to be let in."""
+        """The auth token, or an empty string."""
         return self.headers.get("authorization") or self.headers.get("grpc-metadata-token", "")
 
     @property
     def wants_leader(self) -> bool:
-        """Whether it is to fail at a member that knows no leader."""
+        """Whether the call must fail on a member without a leader."""
         return self.headers.get("grpc-metadata-hasleader") == "true"
 
     @property
     def last(self) -> bool:
-        """Whether the connection ends with its answer."""
+        """Whether the connection is closed after the response."""
         return self.headers.get("connection", "").lower() == "close"
 
 
 class ConnectionClosedError(Exception):
-    """The connection is over: the client went away, or the member ended. No error."""
+    """The connection ended because the client left or the member stopped; not an error."""
 
 
 def chunk(data: bytes) -> bytes:
-    """A chunk; an empty one is the last."""
+    """Encode a chunk of a chunked body; empty data encodes the last chunk."""
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
 class Connection:
-    """A client's connection: one call after the other, a stream last."""
+    """A client connection that serves calls in sequence; a stream may be the final call."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
-        # Drained means handed to the system, but for 64 KiB that TLS may keep; it takes 0 for always full.
+        # With these limits drain() returns once the data is in the kernel, except up to 64 KiB that TLS may
+        # buffer. A high limit of 0 would count as always full.
         writer.transport.set_write_buffer_limits(high=1, low=0)
         peer = writer.get_extra_info("peername")
         self.peer: tuple[str, int] = (peer[0], peer[1]) if peer else ("", 0)
 
     async def run(self, respond: Callable[[Connection, Asked], Awaitable[None]]) -> None:
-        """Until one side ends it."""
+        """Serve requests until either side closes the connection."""
         errors = (OSError, EOFError, asyncio.LimitOverrunError, ValueError, IndexError, ConnectionClosedError)
         try:
             with contextlib.suppress(*errors):
@@ -102,10 +103,10 @@
             pass
         return bytes(out)
 
-    # --- answers
+    # --- responses
 
     def head(self, status: str, last: bool, *lines: str, length: int | None = None) -> bytes:
-        """Status line and headers, in etcd's order; chunked unless there is a length."""
+        """Encode the status line and headers in etcd's order; chunked unless a length is given."""
         every = ["Access-Control-Allow-Headers: accept, content-type, authorization"]
         every += ["Access-Control-Allow-Methods: POST, GET, OPTIONS, PUT, DELETE"]
         every += ["Access-Control-Allow-Origin: *", *lines, f"Date: {formatdate(usegmt=True)}"]
@@ -116,20 +117,20 @@
 
     @property
     def over(self) -> bool:
-        """Whether nobody reads any more, as far as this side knows."""
+        """Whether either side is known to have closed the connection."""
         return self.writer.is_closing() or self.reader.at_eof()
 
     def write(self, data: bytes) -> None:
-        """Hand bytes to the socket, unless the connection is over."""
+        """Write bytes unless the connection is closing."""
         if not self.writer.is_closing():
             self.writer.write(data)
 
     def answer(self, value: Json, last: bool) -> None:
-        """A call that worked."""
+        """Write a successful response."""
         self.body(wire.dumps(value), last)
 
     def body(self, body: bytes, last: bool) -> None:
-        """The same, with a body as it is."""
+        """Write a successful response with an encoded body."""
         kind = ("Content-Type: application/json", "Grpc-Metadata-Content-Type: application/grpc")
         if len(body) <= BUFFER:
             self.write(self.head("200 OK", last, *kind, length=len(body)) + body)
@@ -137,7 +138,7 @@
             self.write(self.head("200 OK", last, *kind) + chunk(body) + chunk(b""))
 
     def refuse(self, message: str, code: int, last: bool, parsed: bool = True) -> None:
-        """A call that failed: in etcd, or (`parsed` false) before it came there."""
+        """Write an error response from etcd, or from the gateway if the request was not `parsed`."""
         body = wire.dumps(wire.error(message, code))
         kind = "Content-Type: application/json"
         if not parsed:
@@ -147,6 +148,6 @@
         self.write(head + chunk(body) + b"0\r\nGrpc-Trailer-Content-Type: application/grpc\r\n\r\n")
 
     def plain(self, status: str, text: bytes, last: bool) -> None:
-        """An answer of the HTTP server's own."""
+        """Write a plain-text response of the HTTP server."""
         kind = ("Content-Type: text/plain; charset=utf-8", "X-Content-Type-Options: nosniff")
         self.write(self.head(status, last, *kind, length=len(text)) + text)
--- a/balancer/testbed/etcd/shared.py
+++ b/balancer/testbed/etcd/shared.py
@@ -1,4 +1,4 @@
-"""What the endpoints of a stand-in have in common, and the record of what each of them told whom."""
+"""State shared by the endpoints of an emulated cluster, and the record of the responses they sent."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Garbage(Enum):
-    """What an endpoint can say instead of something that makes sense."""
+    """Kinds of invalid data that an endpoint can send."""
 
     NOT_JSON = "a line that is no JSON"
     NOT_OBJECT = "JSON of another shape"
@@ -27,13 +27,13 @@
 
 @dataclass(slots=True, frozen=True)
 class Record:
-    """What an endpoint told a client, and when.
+    """A response that an endpoint sent to a client.
 
-    `at_ms` is the monotonic clock's, taken right before the bytes were handed to the socket, while nothing
-    older waited there. Garbage tells nothing and is not recorded, nor is what goes to a client that has
-    closed its end: a member that was frozen may only find out later. `kind` is "watch" (an event's revision,
-    what it put and deleted), "range" (the revision that it shows, what was found from `key` to before `end`,
-    and whether there is `more`), or "count" (a range that tells no keys).
+    `at_ms` is monotonic time, taken right before the bytes are written to the socket, when no older data is
+    buffered. Invalid data is not recorded, nor is data for a client that has closed its end, which a frozen
+    member may notice only later. `kind` is "watch" (an event's revision and the keys it put and deleted),
+    "range" (the revision read, the keys found from `key` up to but excluding `end`, and whether there are
+    `more`), or "count" (a range without keys).
     """
 
     at_ms: float
@@ -50,8 +50,9 @@
 
 @dataclass(slots=True)
 class Shared:
-    """What the endpoints of a cluster have in common. `lists`: whole ones that were asked for, when, at which
-    endpoint, and whether it was let in.
+    """The state shared by the endpoints of a cluster.
+
+    `lists` holds each requested full list as its time in ms, its endpoint and whether it was admitted.
     """
 
     store: Store
@@ -62,24 +63,24 @@
     progress_ms: float
     sync_ms: float
     has_quorum: Callable[[int], bool]
-    leader: Callable[[], int]  # its member id; 0 while there is none
+    leader: Callable[[], int]  # the leader's member id; 0 without a leader
     changed: Callable[[], None]
     records: list[Record] = field(default_factory=list)
-    lost: int = 0  # records that were one too many
-    garbled: dict[bytes, Garbage] = field(default_factory=dict)  # keys whose values make no sense
-    bears: int | None = None  # whole lists in any 100 ms, from where on they are refused; None: any number
+    lost: int = 0  # number of records dropped beyond `MAX_RECORDS`
+    garbled: dict[bytes, Garbage] = field(default_factory=dict)  # keys whose values are sent as invalid data
+    bears: int | None = None  # full lists admitted in any 100 ms; None is unlimited
     lists: deque[tuple[float, int, bool]] = field(default_factory=lambda: deque(maxlen=MAX_LISTS))
-    heard_by: Callable[[Record], None] | None = None  # gets each record as it is made
+    heard_by: Callable[[Record], None] | None = None  # called with each new record
 
     def lets_in(self, endpoint: int) -> bool:
-        """Whether one more whole list is not too much; the first pages of them are counted."""
+        """Record a full list and return whether it is within the limit; only first pages count."""
         at_ms = now_ms()
         now = sum(let_in and at_ms - then < 100.0 for then, _, let_in in self.lists)
         self.lists.append((at_ms, endpoint, self.bears is None or now < self.bears))
         return self.lists[-1][2]
 
     def record(self, record: Record) -> None:
-        """Keep it, and let it be known."""
+        """Store a record and pass it to the listener."""
         if self.heard_by is not None:
             self.heard_by(record)
         if len(self.records) < MAX_RECORDS:
@@ -89,10 +90,10 @@
 
 
 def now_ms() -> float:
-    """The monotonic clock."""
+    """Return the monotonic time in milliseconds."""
     return time.monotonic() * 1000.0
 
 
 def names(keys: Iterable[bytes]) -> tuple[str, ...]:
-    """Keys as text."""
+    """Decode keys as text."""
     return tuple(key.decode("utf-8", "backslashreplace") for key in keys)
--- a/balancer/testbed/etcd/standin.py
+++ b/balancer/testbed/etcd/standin.py
@@ -1,4 +1,4 @@
-"""The stand-in for an etcd cluster: one store, several endpoints, every fault a method call away."""
+"""Emulates an etcd cluster: several endpoints over one store, with injectable faults."""
 
 from __future__ import annotations
 
@@ -35,16 +35,16 @@
 
 
 class StandIn:
-    """A cluster that is told what to do wrong; `async with` one. It has all that `EtcdCluster` asks for.
+    """An emulated etcd cluster with injectable faults; implements `EtcdCluster`. An async context manager.
 
-    Its own writes (`put`, `txn`, ...) go to the store at once, past all faults, as long as a majority of
-    members is there: that is how something changes that a client does not hear of.
+    Its own writes (`put`, `txn`, ...) bypass all faults and reach the store at once while a majority of the
+    members is available. Tests use them for changes that a client must not be notified of.
 
-    - `progress_ms`, `token_ttl_s`, `election_ms`, `certificates`, `client_auth`: as for a real one.
-    - `sync_ms`: how long a watch that begins in the past waits for its first events, or for its end.
-    - `quorum_wait_ms`: after which a call without a quorum fails; etcd's 5 s and two elections by default.
+    - `progress_ms`, `token_ttl_s`, `election_ms`, `certificates`, `client_auth`: as for a real cluster.
+    - `sync_ms`: delay before a watch that starts in the past gets its first events or is canceled.
+    - `quorum_wait_ms`: how long a call waits for a quorum; etcd's 5 s plus two elections by default.
 
-    `records` grows with what was told, up to a million; clear it between two tests.
+    `records` holds every response sent, up to a million; clear it between tests.
     """
 
     def __init__(
@@ -86,17 +86,17 @@
 
     @property
     def endpoints(self) -> list[str]:
-        """Base URLs, one a member; none before it is entered."""
+        """Base URLs, one per member; empty before the context is entered."""
         return [f"{self._scheme}://127.0.0.1:{kept.getsockname()[1]}" for kept in self._kept]
 
     @property
     def store(self) -> Store:
-        """What it holds."""
+        """The emulated key-value store."""
         return self.shared.store
 
     @property
     def records(self) -> list[Record]:
-        """What was told to whom, in order."""
+        """The responses that were sent to clients, in order."""
         return self.shared.records
 
     async def __aenter__(self) -> Self:
@@ -116,14 +116,16 @@
             member.drop()
         for kept in self._kept:
             kept.close()
-        await asyncio.sleep(0)  # let what was cancelled end
+        await asyncio.sleep(0)  # lets the cancelled tasks finish
         if self.shared.lost and kind is None:
-            raise RuntimeError(f"{self.shared.lost} records beyond {MAX_RECORDS} are lost: clear them sooner")
+            raise RuntimeError(
+                f"{self.shared.lost} records beyond {MAX_RECORDS} were dropped: clear `records` more often"
+            )
 
-    # --- what goes on
+    # --- cluster state
 
     def has_quorum(self, index: int) -> bool:
-        """Whether a member is one of a majority that live, are not frozen and not cut off."""
+        """Whether a member belongs to a majority that is running, not frozen and not partitioned."""
         there = [one.alive and one.thawed.is_set() and not one.cut for one in self.members]
         return there[index] and 2 * sum(there) > len(there)
 
@@ -135,7 +137,7 @@
         return any(self.has_quorum(index) for index in range(len(self.members)))
 
     def _changed(self) -> None:
-        """Something is new: let all members know what they may."""
+        """Propagate a change of the store or of membership to the members that may see it."""
         for index, member in enumerate(self.members):
             if self.has_quorum(index):
                 member.held = member.lost_ms = None
@@ -148,7 +150,7 @@
         self._stir.set()
 
     def _renew(self) -> None:
-        """A new leader gives every lease its whole time again."""
+        """Reset every lease to its full TTL, as a newly elected leader does."""
         for lease in list(self.store.leases):
             self.store.keep_alive(lease)
 
@@ -159,13 +161,13 @@
                 self._changed()
                 continue
             end_ms = self.store.next_end_ms()
-            wait_s = None  # nobody ends a lease without a leader
+            wait_s = None  # leases do not expire without a leader
             if end_ms is not None and self._led_now():
                 wait_s = max(end_ms - now_ms(), 1.0) / 1000.0
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(self._stir.wait(), wait_s)
 
-    # --- writing
+    # --- writes
 
     @contextlib.contextmanager
     def _writing(self) -> Iterator[Store]:
@@ -183,54 +185,54 @@
         return store.revision
 
     async def put(self, key: str, value: bytes, lease: int = 0) -> int:
-        """Set a key; the revision after it."""
+        """Set a key and return the revision after it."""
         return self._write([Put(key.encode(), value, lease)])
 
     async def delete(self, key: str, prefix: bool = False) -> int:
-        """Delete a key, or all that begin with it; the revision after it."""
+        """Delete a key, or all keys with that prefix, and return the revision after it."""
         raw = key.encode()
         return self._write([Delete(raw or b"\0", prefix_end(raw)) if prefix else Delete(raw)])
 
     async def txn(self, puts: Mapping[str, bytes], deletes: Sequence[str]) -> int:
-        """Puts and deletes in one revision."""
+        """Apply puts and deletes in one revision and return that revision."""
         ops: list[Op] = [Put(key.encode(), value) for key, value in puts.items()]
         return self._write([*ops, *(Delete(key.encode()) for key in deletes)])
 
     async def compact(self, revision: int) -> None:
-        """Forget the history before a revision."""
+        """Compact the history before a revision."""
         with self._writing() as store:
             store.compact(revision)
 
     async def revision(self) -> int:
-        """The newest revision."""
+        """Return the latest revision."""
         return self.store.revision
 
     async def grant(self, ttl_s: int) -> int:
-        """A new lease; its id."""
+        """Grant a lease and return its id."""
         with self._writing() as store:
             lease = store.grant(ttl_s)
         return lease.id
 
     async def revoke(self, lease: int) -> int:
-        """End a lease; its keys go."""
+        """Revoke a lease, which deletes its keys, and return the revision after it."""
         with self._writing() as store:
             store.revoke(lease)
         return store.revision
 
-    # --- the members' lives
+    # --- member lifecycle
 
     def freeze(self, member: int) -> None:
-        """Say nothing any more, take no part in the cluster; connections still come up."""
+        """Suspend a member: it leaves the quorum and sends nothing, but connections are still accepted."""
         self.members[member].thawed.clear()
         self._changed()
 
     def thaw(self, member: int) -> None:
-        """Go on."""
+        """Resume a frozen member."""
         self.members[member].thawed.set()
         self._changed()
 
     async def kill(self, member: int) -> None:
-        """Connections just end, new ones are refused."""
+        """Abort all connections and refuse new ones."""
         one = self.members[member]
         one.alive = False
         one.deaf()
@@ -239,7 +241,7 @@
         self._changed()
 
     async def terminate(self, member: int) -> None:
-        """Streams are told, then connections end; new ones are refused."""
+        """End streams with an error, close all connections and refuse new ones."""
         one = self.members[member]
         one.alive = False
         one.deaf()
@@ -248,7 +250,7 @@
         self._changed()
 
     async def restart(self, member: int) -> None:
-        """Be there again, at the same address."""
+        """Start a member again on the same address."""
         one = self.members[member]
         one.lives += not one.alive
         one.alive = True
@@ -257,29 +259,29 @@
         self._changed()
 
     async def enable_auth(self, user: str, password: str, readable: str = "") -> None:
-        """Let nobody in without a name and a password from now on; as `EtcdCluster` has it."""
+        """Require authentication from now on; see `EtcdCluster.enable_auth`."""
         users = self.shared.auth.users
         users["root"] = User(password, None)
         if user != "root":
             users[user] = User(password, readable.encode() if readable else None)
         self.shared.auth.enabled = True
 
-    # --- faults; a member that is frozen or stalled tells none of them
+    # --- faults; a frozen or stalled member does not send the faults of its streams
 
     def _streams(self, member: int) -> list[Stream]:
         one = self.members[member]
         return list(one.streams.values()) if one.is_awake else []
 
     def refuse(self, member: int) -> None:
-        """Refuse new connections; `restart` ends it."""
+        """Refuse new connections until `restart`."""
         self.members[member].deaf()
 
     def drop(self, member: int) -> None:
-        """End all connections there are."""
+        """Abort all open connections."""
         self.members[member].drop()
 
     def stall(self, member: int, on: bool = True) -> None:
-        """Say nothing to clients, as `freeze`, but stay a part of the cluster."""
+        """Send nothing to clients, as with `freeze`, but stay in the quorum."""
         one = self.members[member]
         if on:
             one.unstalled.clear()
@@ -288,22 +290,22 @@
         one.stir()
 
     def lag(self, member: int, revisions: int) -> None:
-        """Be that many revisions behind, in all it says; 0 ends it."""
+        """Serve a state that is this many revisions old; 0 ends the fault."""
         self.members[member].lag = revisions
         self.members[member].stir()
 
     def cut_off(self, member: int, on: bool = True) -> None:
-        """Cut it off from the other members: it hears of no change, and can't do what needs a quorum."""
+        """Partition a member from the others: it sees no changes and has no quorum."""
         self.members[member].cut = on
         self._changed()
 
     def replay(self, member: int, revision: int, last: int | None = None) -> None:
-        """Tell every open watch once more what happened from a revision on, up to `last` if given."""
+        """Resend the events from a revision on, up to `last` if given, on every open watch."""
         for stream in self._streams(member):
             stream.replay(revision, last)
 
     def twice(self, member: int, on: bool = True) -> None:
-        """Tell every event twice."""
+        """Send every event twice."""
         self.members[member].twice = on
 
     def cancel(self, member: int, reason: str = "", compact_revision: int = 0) -> None:
@@ -312,34 +314,34 @@
             stream.cancel(reason, compact_revision)
 
     def fragment(self, member: int, size: int) -> None:
-        """Cut what a watch that asked for it is told into pieces of that many bytes (etcd: 2 MiB)."""
+        """Set the fragment size in bytes for watches that request fragments (etcd: 2 MiB)."""
         self.members[member].fragment = size
 
     def spoil(self, member: int, kind: Garbage, key: str = "garbage") -> None:
-        """Say something that makes no sense on every open watch, once; of `key`, where it has one."""
+        """Send one invalid message on every open watch, for `key` if the message has a key."""
         for stream in self._streams(member):
             stream.spoil(kind, key.encode())
 
     def spoil_ranges(self, member: int, kind: Garbage | None, key: str = "garbage") -> None:
-        """Answer range calls with something that makes no sense, until told otherwise (None)."""
+        """Send invalid responses to range calls; None ends the fault."""
         self.members[member].garbage, self.members[member].garbage_key = kind, key.encode()
 
     def garble(self, key: str, kind: Garbage | None) -> None:
-        """Tell a key's value as NOT_BASE64 or HUGE_VALUE from now on, in events and lists; None ends it."""
+        """Send a key's value as NOT_BASE64 or HUGE_VALUE in events and lists; None ends the fault."""
         self.shared.garbled.pop(key.encode(), None)
         if kind is not None:
             self.shared.garbled[key.encode()] = kind
 
     def rename(self, member: int, cluster_id: int | None) -> None:
-        """Be a member of another cluster, by what it says; None ends it."""
+        """Report another cluster id in response headers; None ends the fault."""
         self.members[member].cluster_id = cluster_id
 
     def backup(self) -> Backup:
-        """What it holds, to be restored later."""
+        """Return a snapshot of the store for `restore`."""
         return self.store.backup()
 
     def restore(self, backup: Backup) -> None:
-        """Go back to a backup under the same cluster id; all connections end, as members do for it."""
+        """Restore a backup under the same cluster id and abort all connections, as a member restart does."""
         for member in self.members:
             member.drop()
             if member.held is not None:
@@ -348,7 +350,7 @@
         self._changed()
 
     def lose_leases(self) -> int:
-        """End all leases at once; how many there were."""
+        """Revoke all leases and return their number."""
         leases = list(self.store.leases)
         for lease in leases:
             self.store.revoke(lease)
@@ -356,5 +358,5 @@
         return len(leases)
 
     def forget_tokens(self) -> None:
-        """Make every token invalid."""
+        """Invalidate every token."""
         self.shared.auth.forget_tokens()
--- a/balancer/testbed/etcd/store.py
+++ b/balancer/testbed/etcd/store.py
@@ -1,11 +1,11 @@
-"""What an etcd cluster holds, pure: keys with their history, compaction, leases; the clock is given to it.
+"""The data of an etcd cluster: keys with their history, compaction and leases, without I/O.
 
-The rules are those of etcd 3.4 (its documentation, "Data model" and "API"), and what 3.4.23 was seen to
-do; tests/testbed/test_etcd_gateway.py names which. Two of them are easy to miss:
+The clock is injected. The rules follow the documentation of etcd 3.4 ("Data model" and "API") and the
+observed behavior of 3.4.23; tests/testbed/test_etcd_gateway.py names the sources. Two are easy to miss:
 
-- A compaction at R drops a delete that happened at R itself, and a watch from R on is still let in: it
-  never hears of that delete. Later releases of etcd mended it; 3.4.23 does this.
-- A txn is one revision, whatever it holds, and names no key twice in what it writes.
+- A compaction at R drops a delete at R itself, yet a watch from R on is still accepted and never receives
+  that delete. Later releases of etcd fixed this; 3.4.23 behaves so.
+- A txn is one revision, whatever it holds, and writes no key twice.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-INVALID, NOT_FOUND, PRECONDITION, OUT_OF_RANGE = 3, 5, 9, 11  # gRPC's codes, as etcd uses them
+INVALID, NOT_FOUND, PRECONDITION, OUT_OF_RANGE = 3, 5, 9, 11  # gRPC status codes
 
 MAX_OPS = 128  # in a txn; etcd's --max-txn-ops
 MAX_BYTES = 1_572_864  # of keys and values in a request; etcd's --max-request-bytes
@@ -24,7 +24,7 @@
 
 
 class StoreError(Exception):
-    """What etcd answers instead: its words and gRPC's code."""
+    """An error response of etcd: its message and gRPC status code."""
 
     def __init__(self, message: str, code: int) -> None:
         super().__init__(message)
@@ -32,28 +32,28 @@
 
 
 def no_key() -> StoreError:
-    """A request without a key."""
+    """Build the error for a request without a key."""
     return StoreError("etcdserver: key is not provided", INVALID)
 
 
 def compacted() -> StoreError:
-    """The revision is gone."""
+    """Build the error for a compacted revision."""
     return StoreError("etcdserver: mvcc: required revision has been compacted", OUT_OF_RANGE)
 
 
 def future() -> StoreError:
-    """The revision is yet to come."""
+    """Build the error for a revision that does not exist yet."""
     return StoreError("etcdserver: mvcc: required revision is a future revision", OUT_OF_RANGE)
 
 
 def no_lease() -> StoreError:
-    """There is no such lease, or no more."""
+    """Build the error for a lease that does not exist."""
     return StoreError("etcdserver: requested lease not found", NOT_FOUND)
 
 
 @dataclass(slots=True, frozen=True)
 class KeyValue:
-    """One version of a key. A delete is version 0, with nothing but the key and its revision."""
+    """One version of a key. A delete has version 0 and only a key and its revision."""
 
     key: bytes
     value: bytes
@@ -65,14 +65,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Event:
-    """A change, as a watch tells it."""
+    """A change of a key as a watch reports it."""
 
     now: KeyValue
     before: KeyValue | None
 
     @property
     def deleted(self) -> bool:
-        """Whether the key is gone by it."""
+        """Whether the change deleted the key."""
         return not self.now.version
 
 
@@ -88,7 +88,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Delete:
-    r"""Delete a key, or all from it to before `end` (b"\0": all from it on)."""
+    r"""Delete a key, or all keys up to but excluding `end` (b"\0": no upper bound)."""
 
     key: bytes
     end: bytes = b""
@@ -97,7 +97,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Range:
-    """Read a key, or all from it to before `end`; `revision` and `limit` of 0 mean now and all."""
+    """Read a key, or all up to but excluding `end`; 0 means the latest `revision` and no `limit`."""
 
     key: bytes
     end: bytes = b""
@@ -110,7 +110,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Found:
-    """What a range found: in key order, `more` when cut off by its limit, `count` without the limit."""
+    """The result of a range read: `more` is set if the limit cut it off, `count` ignores the limit."""
 
     kvs: tuple[KeyValue, ...]
     more: bool
@@ -119,14 +119,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Changed:
-    """What a put or a delete replaced, and how many keys a delete deleted."""
+    """The versions that a put or delete replaced, and the number of keys deleted."""
 
     before: tuple[KeyValue, ...]
     deleted: int = 0
 
 
 class Target(Enum):
-    """What a txn compares."""
+    """The field that a txn condition compares."""
 
     VERSION = "VERSION"
     CREATE = "CREATE"
@@ -137,9 +137,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Compare:
-    """A txn's condition: `=`, `!`, `<` or `>`. A key that is not there has zeros, and no value at all.
+    """A txn condition with the operator `=`, `!`, `<` or `>`.
 
-    `want` is bytes for a value, a number for all else.
+    For a missing key all numbers are zero and value comparisons fail. `want` is bytes for a value and a
+    number for all other targets.
     """
 
     key: bytes
@@ -148,7 +149,7 @@
     want: int | bytes
 
     def holds(self, kv: KeyValue | None) -> bool:
-        """Whether it does for this version of the key."""
+        """Whether the condition holds for this version of the key."""
         if kv is None and self.target is Target.VALUE:
             return False
         kv = kv or KeyValue(self.key, b"", 0, 0, 0)
@@ -173,7 +174,7 @@
 
 @dataclass(slots=True)
 class Lease:
-    """A promise that ends `ttl_s` after it was last kept alive, and takes its keys with it."""
+    """A lease that expires `ttl_s` after its last keep-alive, which deletes its keys."""
 
     id: int
     ttl_s: int
@@ -183,7 +184,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Backup:
-    """All that a store held at one moment. It does not change any more."""
+    """An immutable snapshot of a store."""
 
     revision: int
     compactions: tuple[tuple[int, int], ...]
@@ -194,50 +195,50 @@
 
 
 def inside(key: bytes, first: bytes, end: bytes) -> bool:
-    """Whether `key` lies in a range as etcd writes it."""
+    """Whether `key` lies in the range of an etcd request."""
     if not end:
         return key == first
     return key >= first and (end == b"\0" or key < end)
 
 
 class Store:
-    """The keys, and every change since the last compaction.
+    """The keys and every change since the last compaction.
 
-    `now_ms` is asked for the time of leases only. `least_ttl_s` is what a shorter TTL is raised to: etcd
-    takes 1.5 times its election timeout, in whole seconds. What is held grows with the changes since the
-    last compaction, and for up to `KEPT` revisions beyond, which a lagging member may still be reading.
+    `now_ms` is used only for leases. A TTL below `least_ttl_s` is raised to it; etcd uses 1.5 times its
+    election timeout in whole seconds. Memory grows with the changes since the last compaction, plus up to
+    `KEPT` earlier revisions that a lagging member may still read.
     """
 
     def __init__(self, now_ms: Callable[[], float], least_ttl_s: int = 2) -> None:
         self.now_ms, self.least_ttl_s = now_ms, least_ttl_s
         self.revision = 1
         self.leases: dict[int, Lease] = {}
-        self._compactions: list[tuple[int, int]] = []  # (revision when done, revision up to which)
-        self._dropped = 0  # below this nothing is left, not even for who lags
+        self._compactions: list[tuple[int, int]] = []  # (revision when done, compacted revision)
+        self._dropped = 0  # history below this revision is gone, even for lagging members
         self._versions: dict[bytes, list[KeyValue]] = {}
-        self._keys: list[bytes] = []  # all of `_versions`, in order
+        self._keys: list[bytes] = []  # the keys of `_versions`, sorted
         self._history: dict[int, tuple[Event, ...]] = {}
         self._next_lease = 7_587_000_000_000_000_000
 
-    # --- reading
+    # --- reads
 
     def compacted_at(self, view: int) -> int:
-        """Up to which revision someone who knows what happened up to `view` has compacted; 0 for none."""
+        """Return the compacted revision as known at revision `view`; 0 if there is none."""
         return max((to for when, to in self._compactions if when <= view), default=0)
 
     @property
     def compacted(self) -> int:
-        """The revision of the last compaction; 0 for none."""
+        """The revision of the last compaction; 0 if there is none."""
         return self.compacted_at(self.revision)
 
     def get(self, key: bytes, view: int) -> KeyValue | None:
-        """The key as it was at a revision."""
+        """Return a key as of revision `view`, or None if it did not exist."""
         versions = self._versions.get(key, [])
         at = bisect_right(versions, view, key=lambda kv: kv.modified)
         return versions[at - 1] if at and versions[at - 1].version else None
 
     def range(self, ask: Range, view: int | None = None) -> Found:
-        """Read, as someone who knows only what happened up to `view` does. Raises StoreError."""
+        """Read a range as a member that has applied revisions up to `view`. Raises StoreError."""
         if not ask.key:
             raise no_key()
         view = self.revision if view is None else view
@@ -264,10 +265,10 @@
         return Found(tuple(kvs), more, count)
 
     def events(self, first: int, view: int, *, live: bool = False) -> Iterator[tuple[int, tuple[Event, ...]]]:
-        """What happened from revision `first` up to `view`, one revision at a time.
+        """Yield the events from revision `first` up to `view`, grouped by revision.
 
-        A delete at the very revision of a compaction is not among it (see above), but for who is told `live`:
-        a member that was behind does one thing after the other, and the compaction came later.
+        A delete at the compacted revision itself is left out (see the module docstring), except for `live`
+        watches: a lagging member applies changes in order, and the compaction came later.
         """
         gone = 0 if live else self.compacted_at(view)
         for revision in range(max(first, 2), view + 1):
@@ -277,15 +278,15 @@
             if events:
                 yield revision, events
 
-    # --- writing
+    # --- writes
 
     def put(self, key: bytes, value: bytes, lease: int = 0) -> int:
-        """Set one key; the new revision."""
+        """Set one key and return the new revision."""
         self.txn((), (Put(key, value, lease),), ())
         return self.revision
 
     def delete(self, key: bytes, end: bytes = b"") -> int:
-        """Delete a key or a range; how many there were. Where there was none, the revision stays."""
+        """Delete a key or range and return the number of keys; with none the revision stays the same."""
         _, (result,) = self.txn((), (Delete(key, end),), ())
         assert isinstance(result, Changed)
         return result.deleted
@@ -293,7 +294,7 @@
     def txn(
         self, conditions: Sequence[Compare], then: Sequence[Op], otherwise: Sequence[Op]
     ) -> tuple[bool, tuple[Result, ...]]:
-        """All of `then` where every condition holds, else all of `otherwise`, as one revision.
+        """Apply `then` if every condition holds, else `otherwise`, as one revision.
 
         Raises StoreError before anything is changed.
         """
@@ -327,7 +328,7 @@
             raise StoreError("etcdserver: duplicate key given in txn request", INVALID)
 
     def _apply(self, op: Op, events: list[Event]) -> Result:
-        """Do it at the next revision, which is not over until `_commit`."""
+        """Apply an operation at the next revision, which ends with `_commit`."""
         new = self.revision + 1
         if isinstance(op, Range):
             return self.range(op, new if events else self.revision)
@@ -359,17 +360,17 @@
             self._history[self.revision] = tuple(events)
 
     def compact(self, revision: int) -> None:
-        """Forget what was before a revision, but for what still held at it. Raises StoreError."""
+        """Compact the history before a revision, except versions live at it. Raises StoreError."""
         if revision > self.revision:
             raise future()
         if revision <= self.compacted:
             raise compacted()
         self._compactions.append((self.revision, revision))
-        del self._compactions[:-100]  # of those that are below it, only who lags far behind still knows
+        del self._compactions[:-100]  # older ones matter only to members that lag far behind
         self._drop(min(revision, self.revision - KEPT))
 
     def _drop(self, revision: int) -> None:
-        """Guards against a store that grows for ever: compacted and old enough, it is not kept for anyone."""
+        """Drop compacted history that is too old for any lagging member, which bounds memory."""
         if revision <= self._dropped:
             return
         for old in range(self._dropped, revision):
@@ -387,7 +388,7 @@
     # --- leases
 
     def grant(self, ttl_s: int, lease: int = 0) -> Lease:
-        """A new lease, under an id of one's own or the next. Raises StoreError."""
+        """Grant a lease under the given id or the next free one. Raises StoreError."""
         if ttl_s > MAX_TTL_S:
             raise StoreError("etcdserver: too large lease TTL", OUT_OF_RANGE)
         if lease in self.leases:
@@ -400,7 +401,7 @@
         return self.leases[lease]
 
     def keep_alive(self, lease: int) -> int:
-        """Begin its time anew; its TTL in seconds, or 0 where there is no such lease."""
+        """Renew a lease and return its TTL in seconds, or 0 if it does not exist."""
         found = self.leases.get(lease)
         if found is None:
             return 0
@@ -408,7 +409,7 @@
         return found.ttl_s
 
     def revoke(self, lease: int) -> None:
-        """End a lease: its keys go in one revision, in key order. Raises StoreError."""
+        """Revoke a lease and delete its keys in one revision, in key order. Raises StoreError."""
         found = self.leases.pop(lease, None)
         if found is None:
             raise no_lease()
@@ -418,7 +419,7 @@
         self._commit(events)
 
     def expire(self) -> list[int]:
-        """Revoke all leases whose time is over; their ids."""
+        """Revoke all expired leases and return their ids."""
         now = self.now_ms()
         over = [lease.id for lease in self.leases.values() if lease.ends_ms <= now]
         for lease in over:
@@ -426,20 +427,20 @@
         return over
 
     def next_end_ms(self) -> float | None:
-        """When the next lease ends, if no one keeps it alive."""
+        """Return the time of the next lease expiry in ms, or None without leases."""
         return min((lease.ends_ms for lease in self.leases.values()), default=None)
 
     # --- backups
 
     def backup(self) -> Backup:
-        """All of it, to be restored later."""
+        """Return a snapshot for `restore`."""
         leases = tuple((one.id, one.ttl_s, frozenset(one.keys)) for one in self.leases.values())
         versions = {key: tuple(kvs) for key, kvs in self._versions.items()}
         compactions = tuple(self._compactions)
         return Backup(self.revision, compactions, self._dropped, versions, dict(self._history), leases)
 
     def restore(self, backup: Backup) -> None:
-        """Be as at the backup: the revision goes back, what came after it never was; leases begin anew."""
+        """Return to a backup: later revisions are discarded and leases restart with their full TTL."""
         self.revision, self._dropped = backup.revision, backup.dropped
         self._compactions = list(backup.compactions)
         self._versions = {key: list(kvs) for key, kvs in backup.versions.items()}
--- a/balancer/testbed/etcd/stream.py
+++ b/balancer/testbed/etcd/stream.py
@@ -1,11 +1,11 @@
-"""The answer to a watch call: lines that tell what happens, until the client goes or the member ends.
+"""The response stream of a watch call: JSON lines until the client disconnects or the member stops.
 
-Not obvious, and measured with etcd 3.4.23:
+Behavior of etcd 3.4.23 that is easy to miss:
 
-- A line longer than 2048 bytes has its newline in a chunk of its own; an error at a stream's end has none.
-- A watch that is let in though its first revision is compacted is created, and canceled some time later;
-  the stream stays open. So it does for who may not read: created and canceled in one message.
-- One that begins in the past is told what gathered some time later, 1000 revisions a line at most.
+- A line longer than 2048 bytes has its newline in a separate chunk; an error that ends a stream has none.
+- A watch whose start revision is compacted is created, and canceled some time later; the stream stays open.
+  It also stays open if the user may not read the range: the watch is created and canceled in one message.
+- A watch that starts in the past gets the past events after a delay, at most 1000 revisions per line.
 """
 
 from __future__ import annotations
@@ -33,13 +33,13 @@
 from balancer.testbed.etcd.store import Event, StoreError, inside
 from balancer.testbed.etcd.wire import Json, lean
 
-BATCH = 1000  # revisions that a watch which is behind is told in one line
-ENDLESS = 64 * 1024 * 1024  # bytes after which a line that never ends falls silent
+BATCH = 1000  # revisions per line while a watch catches up
+ENDLESS = 64 * 1024 * 1024  # bytes of an endless line, after which nothing more is sent
 NO_LEADER = "etcdserver: no leader"
 
 
 class Member(Protocol):
-    """What a stream needs of the member that it is an answer of."""
+    """The interface of the member that serves a stream."""
 
     shared: Shared
     index: int
@@ -48,38 +48,38 @@
     fragment: int
 
     def view(self) -> int:
-        """The newest revision that it knows of."""
+        """Return the latest revision known to the member."""
 
     def header(self, revision: int | None = None) -> Json:
-        """A ResponseHeader."""
+        """Encode a ResponseHeader."""
 
     async def awake(self) -> None:
-        """Until nothing keeps it from working."""
+        """Wait until the member is neither frozen nor stalled."""
 
     def garble(self, key: bytes, row: Json) -> Json:
-        """A key's row, spoilt where the key is to be."""
+        """Return a key's row, with an invalid value if one is configured for the key."""
 
     def garbled(self, kind: Garbage, key: bytes) -> Json:
-        """A row that makes no sense."""
+        """Build a row with invalid data."""
 
 
 class EndedError(Exception):
-    """The stream is over; its connection is not."""
+    """The stream ended but its connection stays open."""
 
 
 @dataclass(slots=True)
 class Watch:
-    """A watch on a stream: what it wants, and the revision that it has to be told next."""
+    """A watch on a stream: its request and the next revision to send."""
 
     asked: wire.WatchRequest
     id: int
     next: int
-    behind: bool  # it is told what has gathered in batches, not revision by revision
-    due_ms: float  # when it is told something, if it is behind
+    behind: bool  # gets past events in batches instead of one revision at a time
+    due_ms: float  # when the past events are sent, if it is behind
     quiet_since_ms: float
 
     def picks(self, events: tuple[Event, ...]) -> list[Event]:
-        """Those that it asked for."""
+        """Select the events that match the request's range and filters."""
         unwanted = {one == "NODELETE" for one in self.asked.filters}
         return [
             event
@@ -89,7 +89,7 @@
 
 
 class Stream:
-    """The answer to a watch call: lines until it ends."""
+    """The response to a watch call."""
 
     def __init__(self, endpoint: Member, connection: Connection, asked: Asked) -> None:
         self.endpoint, self.connection, self.shared = endpoint, connection, endpoint.shared
@@ -100,7 +100,7 @@
         self._endless: asyncio.Task[None] | None = None
 
     def begin(self, status: str = "200 OK") -> None:
-        """Write the head, once."""
+        """Write the response head unless already written."""
         if not self.begun:
             self.begun = True
             kind = ["Content-Type: application/json"]
@@ -108,9 +108,9 @@
             self.connection.write(self.connection.head(status, self.last, *kind))
 
     def line(self, raw: bytes) -> None:
-        """Write a line, cut into chunks as etcd does."""
+        """Write a line, split into chunks as etcd does."""
         if self._endless is not None:
-            return  # it would end the line that must not end
+            return  # a newline would terminate the endless line
         self.begin()
         if len(raw) < BUFFER:
             self.connection.write(chunk(raw + b"\n"))
@@ -118,11 +118,11 @@
             self.connection.write(chunk(raw) + chunk(b"\n"))
 
     def say(self, **result: object) -> None:
-        """Write a message."""
+        """Write a result message."""
         self.line(wire.dumps({"result": lean(**result)}))
 
     def end(self, message: str, code: int) -> None:
-        """End it with an error; the connection may be used again. Raises EndedError."""
+        """End the stream with an error; the connection stays usable. Raises EndedError."""
         self.begin(wire.HTTP_CODES[code])
         self.connection.write(chunk(wire.dumps(wire.stream_error(message, code))) + chunk(b""))
         raise EndedError
@@ -130,7 +130,7 @@
     # --- requests
 
     def take(self, fields: wire.Fields) -> None:
-        """A WatchRequest."""
+        """Handle a WatchRequest."""
         if (create := fields.object("create_request")) is not None:
             self.create(wire.watch(create))
         elif (cancel := fields.object("cancel_request")) is not None:
@@ -141,7 +141,7 @@
             self.say(header=self.endpoint.header(), watch_id=-1)
 
     def create(self, asked: wire.WatchRequest) -> None:
-        """Let a watch in, or turn it away."""
+        """Create a watch or reject it."""
         header, reason = self.endpoint.header(), ""
         words = {3: "InvalidArgument", 7: "PermissionDenied", 16: "Unauthenticated"}
         try:
@@ -161,10 +161,10 @@
         self.watches[number] = Watch(asked, number, start, start <= view, now + self.shared.sync_ms, now)
         self.say(header=header, watch_id=number, created=True)
 
-    # --- what happens
+    # --- events
 
     async def run(self) -> None:
-        """Tell what happens, until the client goes or the stream ends."""
+        """Send events until the client disconnects or the stream ends."""
         gone = asyncio.ensure_future(self.connection.reader.read(1))
         try:
             while not gone.done():
@@ -179,7 +179,7 @@
                     stir.cancel()
         finally:
             gone.cancel()
-            await asyncio.wait((gone,))  # the connection reads on, and only one may
+            await asyncio.wait((gone,))  # the connection reads next, and only one reader is allowed
             if self._endless is not None:
                 self._endless.cancel()
 
@@ -189,7 +189,7 @@
             self.end(NO_LEADER, 14)
 
     async def _tell(self) -> float | None:
-        """Tell every watch what it is owed; for how long there is nothing to do (s), None for ever."""
+        """Serve all watches; return the time until the next due action in seconds, None if there is none."""
         dues = []
         if self.wants_leader and self.endpoint.lost_ms is not None:
             dues.append(self.endpoint.lost_ms + 3 * self.shared.election_ms)
@@ -201,7 +201,7 @@
         return max(min(dues) - now_ms(), 0.0) / 1000.0 if dues else None
 
     async def _feed(self, watch: Watch) -> float | None:
-        """Tell one watch what it is owed; when there is more to do, if that is known (ms)."""
+        """Send one watch its pending messages; return the time of its next action in ms, if known."""
         store, view, now = self.shared.store, self.endpoint.view(), now_ms()
         if watch.behind:
             if now < watch.due_ms:
@@ -225,7 +225,7 @@
         return watch.quiet_since_ms + self.shared.progress_ms
 
     async def _catch_up(self, watch: Watch, view: int) -> None:
-        """What has gathered, in batches."""
+        """Send the past events in batches."""
         gathered: list[Event] = []
         count = 0
         for _, events in self.shared.store.events(watch.next, view):
@@ -244,7 +244,7 @@
             await self.connection.writer.drain()
 
     def tell(self, watch: Watch, events: tuple[Event, ...], revision: int) -> None:
-        """Write events that a watch asked for, under a header of this revision."""
+        """Write the events that match a watch, with this revision in the header."""
         picked = watch.picks(events)
         if not picked or self._endless is not None:
             return
@@ -291,12 +291,14 @@
     # --- faults
 
     def replay(self, first: int, last: int | None) -> None:
-        """Tell once more what was told already, from a revision on, up to `last` if that is given."""
+        """Resend events from revision `first` on, up to `last` if given."""
         for watch in self.watches.values():
             told = min(watch.next - 1, self.endpoint.view())
             end = told if last is None else min(told, last)
             for _, events in list(self.shared.store.events(first, end)):
-                self.tell(watch, events, told)  # as to a watch that was behind: the header is of now
+                self.tell(
+                    watch, events, told
+                )  # as for a watch that was behind, the header has the latest revision sent
 
     def cancel(self, reason: str, compact_revision: int) -> None:
         """Cancel all watches; the stream stays open."""
@@ -312,7 +314,7 @@
             )
 
     def spoil(self, kind: Garbage, key: bytes) -> None:
-        """Say something that makes no sense."""
+        """Send invalid data on every watch."""
         if kind is Garbage.ENDLESS_LINE:
             if self._endless is None:
                 self._endless = asyncio.ensure_future(self.never_ends())
@@ -327,7 +329,7 @@
                 self.say(header=self.endpoint.header(), watch_id=number, events=[{"kv": kv}])
 
     async def never_ends(self) -> None:
-        """Write a line without an end, up to `ENDLESS` bytes."""
+        """Write a line that never ends, up to `ENDLESS` bytes."""
         self.begin()
         sent = 0
         with contextlib.suppress(OSError):
--- a/balancer/testbed/etcd/wire.py
+++ b/balancer/testbed/etcd/wire.py
@@ -1,8 +1,8 @@
-"""The JSON of etcd's gateway: what requests mean and how answers are written, pure.
+"""The JSON of etcd's gateway: decodes requests and encodes responses, without I/O.
 
-The conventions are those of protobuf's JSON form as grpc-gateway 1.9 writes it (etcd 3.4): 64-bit values
-are strings, bytes are base64, fields that are zero are left out, names are as in etcd's .proto files. In
-requests numbers may come either way, names in snake or camel case, and unknown fields are passed over.
+The encoding is the JSON mapping of protobuf as grpc-gateway 1.9 (etcd 3.4) writes it: 64-bit integers are
+strings, bytes are base64, zero fields are omitted, and names follow etcd's .proto files. Requests may hold
+integers as numbers or strings and names in snake or camel case; unknown fields are ignored.
 """
 
 from __future__ import annotations
@@ -37,22 +37,22 @@
     11: "400 Bad Request",
     14: "503 Service Unavailable",
     16: "401 Unauthorized",
-}  # by gRPC's code, as grpc-gateway 1.9 has it
+}  # by gRPC status code, as in grpc-gateway 1.9
 
 Json = dict[str, object]
 
 
 class MalformedError(ValueError):
-    """A request's body makes no sense."""
+    """A request body cannot be decoded."""
 
 
 def b64(data: bytes) -> str:
-    """Bytes as JSON has them."""
+    """Encode bytes in base64."""
     return base64.b64encode(data).decode("ascii")
 
 
 def lean(**fields: object) -> Json:
-    """An object without what is zero. Whole numbers become text."""
+    """Build a JSON object that omits zero values and encodes integers as strings."""
     out: Json = {}
     for name, value in fields.items():
         if not value:
@@ -67,12 +67,12 @@
 
 
 def dumps(value: object) -> bytes:
-    """As the gateway writes it: no spaces."""
+    """Encode JSON without spaces, as the gateway does."""
     return json.dumps(value, separators=(",", ":")).encode("ascii")
 
 
 class Fields:
-    """A request's object, read as etcd reads it. Raises MalformedError."""
+    """A JSON object of a request with typed access to its fields. Raises MalformedError."""
 
     def __init__(self, raw: object) -> None:
         if not isinstance(raw, dict):
@@ -80,12 +80,12 @@
         self.raw = raw
 
     def get(self, name: str) -> object:
-        """The value as it came; None where there is none."""
+        """Return a raw value under its snake-case or camel-case name, or None."""
         value = self.raw.get(name)
         return self.raw.get(re.sub(r"_([a-z])", lambda m: m[1].upper(), name)) if value is None else value
 
     def number(self, name: str) -> int:
-        """A 64-bit number, plain or as text."""
+        """Return a 64-bit integer that was sent as a number or a string; 0 if absent."""
         value = self.get(name)
         if value is None:
             return 0
@@ -97,7 +97,7 @@
             raise MalformedError(f"json: {name} is no number: {value!r:.60}") from None
 
     def data(self, name: str) -> bytes:
-        """Bytes in base64."""
+        """Return base64-decoded bytes; empty if absent."""
         value = self.get(name)
         if value is None:
             return b""
@@ -109,26 +109,26 @@
             raise MalformedError(f"illegal base64 data in {name}") from None
 
     def flag(self, name: str) -> bool:
-        """True or false."""
+        """Return a boolean; False if absent."""
         value = self.get(name)
         if value is not None and not isinstance(value, bool):
             raise MalformedError(f"json: {name} is neither true nor false: {value!r:.60}")
         return bool(value)
 
     def text(self, name: str) -> str:
-        """Text, an enumeration's value among it."""
+        """Return a string or the name of an enum value; empty if absent."""
         value = self.get(name)
         if value is not None and not isinstance(value, str):
             raise MalformedError(f"json: {name} is no text: {value!r:.60}")
         return value or ""
 
     def object(self, name: str) -> Fields | None:
-        """An object within."""
+        """Return a nested object, or None if absent."""
         value = self.get(name)
         return None if value is None else Fields(value)
 
     def list(self, name: str) -> list[Fields]:
-        """The objects of a list within."""
+        """Return the objects of a nested list; empty if absent."""
         value = self.get(name)
         if value is None:
             return []
@@ -138,7 +138,7 @@
 
 
 def loads(body: bytes) -> Fields:
-    """A request's body; none at all is an empty object."""
+    """Decode a request body; an empty body is an empty object."""
     if not body.strip():
         return Fields({})
     try:
@@ -148,7 +148,7 @@
 
 
 def load_all(body: bytes) -> list[Fields]:
-    """The objects of a body that holds several, one after the other."""
+    """Decode a body of concatenated JSON objects."""
     out: list[Fields] = []
     decoder = json.JSONDecoder()
     try:
@@ -163,18 +163,18 @@
 
 
 def put(fields: Fields) -> Put:
-    """A PutRequest."""
+    """Decode a PutRequest."""
     lease = fields.number("lease")
     return Put(fields.data("key"), fields.data("value"), lease, fields.flag("prev_kv"))
 
 
 def delete(fields: Fields) -> Delete:
-    """A DeleteRangeRequest."""
+    """Decode a DeleteRangeRequest."""
     return Delete(fields.data("key"), fields.data("range_end"), fields.flag("prev_kv"))
 
 
 def range_(fields: Fields) -> Range:
-    """A RangeRequest. Sorting is known by key only; below zero is zero, as in etcd."""
+    """Decode a RangeRequest; only sorting by key is supported, and negative numbers mean 0 as in etcd."""
     if fields.text("sort_target") not in ("", "KEY"):
         raise MalformedError("the stand-in sorts by KEY only")
     return Range(
@@ -189,7 +189,7 @@
 
 
 def op(fields: Fields) -> Op:
-    """A RequestOp."""
+    """Decode a RequestOp."""
     if (one := fields.object("request_put")) is not None:
         return put(one)
     if (one := fields.object("request_delete_range")) is not None:
@@ -210,7 +210,7 @@
 
 
 def compare(fields: Fields) -> Compare:
-    """A txn's Compare, of one key."""
+    """Decode a Compare of a single key."""
     try:
         target, sign = Target(fields.text("target") or "VERSION"), SIGNS[fields.text("result")]
     except (ValueError, KeyError):
@@ -221,7 +221,7 @@
 
 
 def txn(fields: Fields) -> tuple[list[Compare], list[Op], list[Op]]:
-    """A TxnRequest: conditions, then, otherwise."""
+    """Decode a TxnRequest into its conditions, success operations and failure operations."""
     conditions = [compare(one) for one in fields.list("compare")]
     return conditions, [op(o) for o in fields.list("success")], [op(o) for o in fields.list("failure")]
 
@@ -241,7 +241,7 @@
 
 
 def watch(fields: Fields) -> WatchRequest:
-    r"""A WatchCreateRequest; without a key it is the key b"\0", as in etcd."""
+    r"""Decode a WatchCreateRequest; a missing key means b"\0", as in etcd."""
     filters = fields.get("filters")
     return WatchRequest(
         fields.data("key") or b"\0",
@@ -256,7 +256,7 @@
 
 
 def key_value(kv: KeyValue) -> Json:
-    """A KeyValue."""
+    """Encode a KeyValue."""
     return lean(
         key=kv.key,
         create_revision=kv.created,
@@ -268,19 +268,19 @@
 
 
 def event(one: Event, prev_kv: bool) -> Json:
-    """An Event; a put has no type."""
+    """Encode an Event; a put has no type because PUT is the zero value."""
     before = key_value(one.before) if prev_kv and one.before is not None else None
     return lean(type="DELETE" if one.deleted else "", kv=key_value(one.now), prev_kv=before)
 
 
 def found(result: Found, header: Json) -> Json:
-    """A RangeResponse."""
+    """Encode a RangeResponse."""
     kvs = [key_value(kv) for kv in result.kvs]
     return lean(header=header, kvs=kvs, more=result.more, count=result.count)
 
 
 def changed(one: Put | Delete, result: Changed, header: Json) -> Json:
-    """A PutResponse or a DeleteRangeResponse."""
+    """Encode a PutResponse or a DeleteRangeResponse."""
     before = [key_value(kv) for kv in result.before] if one.prev_kv else []
     if isinstance(one, Put):
         return lean(header=header, prev_kv=before[0] if before else None)
@@ -288,7 +288,7 @@
 
 
 def answers(ops: Sequence[Op], results: Sequence[Changed | Found], revision: int) -> list[Json]:
-    """The responses of a txn, each with a header that holds nothing but the revision."""
+    """Encode the responses of a txn, each with a header that holds only the revision."""
     header = lean(revision=revision)
     out: list[Json] = []
     for one, result in zip(ops, results, strict=True):
@@ -302,12 +302,12 @@
 
 
 def error(message: str, code: int) -> Json:
-    """What a call that failed is answered."""
+    """Encode the error body of a failed unary call."""
     return {"error": message, "message": message, "code": code}
 
 
 def stream_error(message: str, code: int) -> Json:
-    """How a stream ends that failed; its shape is another one."""
+    """Encode the final error of a stream, whose format differs from that of a unary call."""
     number, _, words = HTTP_CODES[code].partition(" ")
     inner = {"grpc_code": code, "http_code": int(number), "message": message, "http_status": words}
     return {"error": inner}
