--- a/balancer/testbed/dual_source_cluster.py
+++ b/balancer/testbed/dual_source_cluster.py
@@ -28,7 +28,7 @@
 from balancer.testbed.cluster import Node, World
 from balancer.testbed.etcd.client import EtcdError, prefix_end
 from balancer.testbed.etcd.shared import Record
-from balancer.testbed.etcd.standin import StandIn
+from balancer.testbed.etcd.standin import EtcdEmulator
 from balancer.testbed.etcd.store import Range
 from balancer.testbed.event_log import Journal, Told, now_ms
 
@@ -52,7 +52,7 @@
     def __init__(
         self,
         journal: Journal,
-        cluster: StandIn,
+        cluster: EtcdEmulator,
         node_of: Callable[[int], str],
         listed_elsewhere: Callable[[str, str], bool],
     ) -> None:
@@ -65,7 +65,7 @@
         self._order: dict[str, str] = {}  # by node: the order whose whole list was told last
         self._pages: dict[int, tuple[int, dict[str, str]]] = {}  # by endpoint: a list that goes on
         self._end = prefix_end(PREFIX.encode()).decode()
-        cluster.shared.heard_by = self.heard
+        cluster.shared.on_record = self.heard
 
     def heard(self, record: Record) -> None:
         """An endpoint wrote something."""
@@ -147,7 +147,7 @@
     `takes` says of whom; a table of `leases` holds the lease that a server's key hangs on, by id.
     """
 
-    def __init__(self, cluster: StandIn, takes: Callable[[str], bool]) -> None:
+    def __init__(self, cluster: EtcdEmulator, takes: Callable[[str], bool]) -> None:
         self.cluster, self.takes = cluster, takes
         self.leases: dict[str, int] = {}
         self._turn = asyncio.Lock()
@@ -218,7 +218,7 @@
         super().__init__(directory, prepare=self._prepare, **more)
         self.per_node, self.role, self.bears = endpoints, role, bears
         self._platform = platform
-        self.etcd = StandIn(endpoints * self.node_count, seed=self.seed, quorum_wait_ms=5_400)
+        self.etcd = EtcdEmulator(endpoints * self.node_count, seed=self.seed, quorum_wait_ms=5_400)
         self.writer = Writer(self.etcd, in_etcd)
         self.scribe = Scribe(self.journal, self.etcd, self._node_of, self._elsewhere)
         self.sockets = Path(tempfile.mkdtemp(prefix="balancer-lab-"))
--- a/balancer/testbed/etcd/auth.py
+++ b/balancer/testbed/etcd/auth.py
@@ -24,7 +24,7 @@
         self.enabled = False
         self.users: dict[str, User] = {}
         self._tokens: dict[str, tuple[str, float]] = {}
-        self._count = 0
+        self._token_count = 0
 
     def authenticate(self, name: str, password: str) -> str:
         """Issue a token. Raises StoreError if auth is off or the credentials are wrong."""
@@ -34,8 +34,8 @@
         if user is None or user.password != password:
             raise StoreError("etcdserver: authentication failed, invalid user ID or password", 3)
         self._tokens = {token: kept for token, kept in self._tokens.items() if kept[1] > self.now_ms()}
-        self._count += 1
-        token = f"standInToken.{self._count}"
+        self._token_count += 1
+        token = f"standInToken.{self._token_count}"
         self._tokens[token] = (name, self.now_ms() + self.ttl_ms)
         return token
 
@@ -43,19 +43,19 @@
         """Invalidate all tokens, as a member restart does."""
         self._tokens.clear()
 
-    def who(self, token: str) -> User | None:
+    def user_of(self, token: str) -> User | None:
         """Return the user of a token, None without one or with auth off. Raises StoreError if invalid."""
         if not self.enabled or not token:
             return None
-        name, ends_ms = self._tokens.get(token, ("", 0.0))
-        if ends_ms <= self.now_ms():
+        name, expires_ms = self._tokens.get(token, ("", 0.0))
+        if expires_ms <= self.now_ms():
             raise StoreError("etcdserver: invalid auth token", 16)
         self._tokens[token] = (name, self.now_ms() + self.ttl_ms)
         return self.users[name]
 
     def check(self, token: str, key: bytes, end: bytes, write: bool) -> None:
         """Check that the user of a token may access a range. Raises StoreError."""
-        user = self.who(token)
+        user = self.user_of(token)
         if not self.enabled:
             return
         if user is None:
@@ -63,12 +63,12 @@
         if user.readable is None:
             return
         last = end if end and end != b"\0" else key
-        covered = key.startswith(user.readable) and (
-            last.startswith(user.readable) or last == _after(user.readable)
+        is_covered = key.startswith(user.readable) and (
+            last.startswith(user.readable) or last == _prefix_end(user.readable)
         )
-        if write or end == b"\0" or not covered:
+        if write or end == b"\0" or not is_covered:
             raise StoreError("etcdserver: permission denied", 7)
 
 
-def _after(prefix: bytes) -> bytes:
+def _prefix_end(prefix: bytes) -> bytes:
     return prefix[:-1] + bytes([prefix[-1] + 1])
--- a/balancer/testbed/etcd/client.py
+++ b/balancer/testbed/etcd/client.py
@@ -17,9 +17,9 @@
 from typing import Any, Self
 from urllib.parse import urlsplit
 
-TRY_S = 2.0  # for one call of a writer to one endpoint
-GIVE_UP_S = 15.0  # for a write, over all endpoints
-PAUSE_S = 0.05  # between two rounds over all endpoints
+CALL_TIMEOUT_S = 2.0  # for one call of a writer to one endpoint
+WRITE_TIMEOUT_S = 15.0  # for a write, over all endpoints
+RETRY_DELAY_S = 0.05  # between two rounds over all endpoints
 
 
 class EtcdError(Exception):
@@ -28,11 +28,11 @@
 
 def prefix_end(prefix: bytes) -> bytes:
     """Return the exclusive end of the range of all keys with this prefix."""
-    kept = prefix.rstrip(b"\xff")
-    return kept[:-1] + bytes([kept[-1] + 1]) if kept else b"\0"
+    stripped = prefix.rstrip(b"\xff")
+    return stripped[:-1] + bytes([stripped[-1] + 1]) if stripped else b"\0"
 
 
-def span(prefix: str) -> dict[str, str]:
+def prefix_range(prefix: str) -> dict[str, str]:
     """Return the request fields `key` and `range_end` for all keys with this prefix."""
     raw = prefix.encode() or b"\0"
     return {"key": b64(raw), "range_end": b64(prefix_end(prefix.encode()))}
@@ -44,7 +44,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Answer:
+class Response:
     """A complete HTTP response; header names are in lower case."""
 
     code: int
@@ -63,7 +63,7 @@
 class Call:
     """A call on its own connection whose response is read incrementally; an async context manager.
 
-    `chunks` holds the received chunks of the response; `whole` is set once the last chunk was read.
+    `chunks` holds the received chunks of the response; `is_complete` is set once the last chunk was read.
     """
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -71,8 +71,8 @@
         self.code = 0
         self.headers: dict[str, str] = {}
         self.chunks: list[bytes] = []
-        self.whole = False
-        self._rest = b""
+        self.is_complete = False
+        self._unread = b""
 
     @classmethod
     async def open(
@@ -90,10 +90,10 @@
         secure = context if url.scheme == "https" else None
         reader, writer = await asyncio.open_connection(url.hostname, url.port, ssl=secure, limit=2**24)
         out = cls(reader, writer)
-        out.ask(path, body, token, method, headers)
+        out.send_request(path, body, token, method, headers)
         return out
 
-    def ask(
+    def send_request(
         self,
         path: str,
         body: object = None,
@@ -107,7 +107,7 @@
         lines += [f"Authorization: {token}"] if token else []
         lines += [f"{name}: {value}" for name, value in (headers or {}).items()]
         self.writer.write("\r\n".join([*lines, "", ""]).encode("ascii") + data)
-        self.code, self.headers, self.whole = 0, {}, False
+        self.code, self.headers, self.is_complete = 0, {}, False
 
     async def __aenter__(self) -> Self:
         return self
@@ -130,7 +130,7 @@
     async def chunk(self) -> bytes:
         """Return the next chunk of a chunked response, or b"" at its end or when the connection ends."""
         await self.head()
-        if self.whole:
+        if self.is_complete:
             return b""
         try:
             size = int((await self.reader.readuntil(b"\r\n")).strip(), 16)
@@ -138,7 +138,7 @@
         except (asyncio.IncompleteReadError, ConnectionError):
             return b""
         if not size:
-            self.whole = True
+            self.is_complete = True
             trailer = b"-"
             while trailer.strip():
                 trailer = await self.reader.readuntil(b"\r\n")
@@ -147,13 +147,13 @@
 
     async def line(self) -> bytes | None:
         """Return the next line of a stream without its newline, or None at the end of the stream."""
-        while b"\n" not in self._rest:
+        while b"\n" not in self._unread:
             data = await self.chunk()
             if not data:
-                last, self._rest = self._rest, b""
+                last, self._unread = self._unread, b""
                 return last or None
-            self._rest += data
-        line, _, self._rest = self._rest.partition(b"\n")
+            self._unread += data
+        line, _, self._unread = self._unread.partition(b"\n")
         return line
 
     async def message(self) -> dict[str, Any]:
@@ -170,7 +170,7 @@
         except ConnectionError:
             return True
 
-    async def answer(self) -> Answer:
+    async def answer(self) -> Response:
         """Read the complete response."""
         await self.head()
         if "content-length" in self.headers:
@@ -180,10 +180,10 @@
             while data := await self.chunk():
                 parts.append(data)
             body = b"".join(parts)
-        return Answer(self.code, self.headers, body)
+        return Response(self.code, self.headers, body)
 
 
-async def ask(
+async def send_request(
     endpoint: str,
     path: str,
     body: object = None,
@@ -192,7 +192,7 @@
     method: str = "POST",
     headers: Mapping[str, str] | None = None,
     wait_s: float = 10.0,
-) -> Answer:
+) -> Response:
     """Make one call and return the complete response. Raises OSError, EOFError, TimeoutError."""
     async with asyncio.timeout(wait_s):
         async with await Call.open(endpoint, path, body, token, context, method, headers) as call:
@@ -208,28 +208,30 @@
     def __init__(self, endpoints: Sequence[str], context: ssl.SSLContext | None = None) -> None:
         self.endpoints, self.context = endpoints, context
         self.down: set[int] = set()  # indexes of endpoints that are skipped while others remain
-        self._last = 0
+        self._last_index = 0
 
     async def call(self, path: str, body: object) -> dict[str, Any]:
-        """Make a call. Raises EtcdError if it is rejected or no endpoint succeeds within `GIVE_UP_S`."""
-        end = time.monotonic() + GIVE_UP_S
-        trouble = ""
+        """Make a call. Raises EtcdError if it is rejected or fails for `WRITE_TIMEOUT_S`."""
+        end = time.monotonic() + WRITE_TIMEOUT_S
+        last_error = ""
         while time.monotonic() < end:
-            order = [(self._last + step) % len(self.endpoints) for step in range(len(self.endpoints))]
+            order = [(self._last_index + step) % len(self.endpoints) for step in range(len(self.endpoints))]
             for index in [index for index in order if index not in self.down] or order:
                 try:
-                    answer = await ask(self.endpoints[index], path, body, context=self.context, wait_s=TRY_S)
+                    answer = await send_request(
+                        self.endpoints[index], path, body, context=self.context, wait_s=CALL_TIMEOUT_S
+                    )
                 except (OSError, EOFError, TimeoutError) as err:
-                    trouble = repr(err)
+                    last_error = repr(err)
                     continue
                 if answer.code == 200:
-                    self._last = index
+                    self._last_index = index
                     return answer.json
-                trouble = f"{answer.code} {answer.body!r:.200}"
+                last_error = f"{answer.code} {answer.body!r:.200}"
                 if answer.code < 500:
-                    raise EtcdError(f"{path}: {trouble}")
-            await asyncio.sleep(PAUSE_S)
-        raise EtcdError(f"{path}: no endpoint did it within {GIVE_UP_S:g} s; last: {trouble}")
+                    raise EtcdError(f"{path}: {last_error}")
+            await asyncio.sleep(RETRY_DELAY_S)
+        raise EtcdError(f"{path}: no endpoint succeeded within {WRITE_TIMEOUT_S:g} s; last: {last_error}")
 
     async def write(self, path: str, body: object) -> int:
         """Make a call and return the revision after it."""
@@ -241,7 +243,7 @@
 
     async def delete(self, key: str, prefix: bool = False) -> int:
         """Delete a key, or all keys with that prefix, and return the revision after it."""
-        return await self.write("/v3/kv/deleterange", span(key) if prefix else {"key": b64(key)})
+        return await self.write("/v3/kv/deleterange", prefix_range(key) if prefix else {"key": b64(key)})
 
     async def txn(self, puts: Mapping[str, bytes], deletes: Sequence[str]) -> int:
         """Apply puts and deletes in one revision and return that revision."""
--- a/balancer/testbed/etcd/cluster.py
+++ b/balancer/testbed/etcd/cluster.py
@@ -1,4 +1,4 @@
-"""The interface of an etcd cluster under test: that of `StandIn` without fault injection."""
+"""The interface of an etcd cluster under test: that of `EtcdEmulator` without fault injection."""
 
 from __future__ import annotations
 
--- a/balancer/testbed/etcd/gateway.py
+++ b/balancer/testbed/etcd/gateway.py
@@ -18,16 +18,16 @@
 
 from balancer.testbed.etcd import wire
 from balancer.testbed.etcd.http import (
-    MAX_HEAD,
-    Asked,
+    MAX_HEAD_BYTES,
     Connection,
     ConnectionClosedError,
+    Request,
     chunk,
 )
 from balancer.testbed.etcd.shared import (
+    ClusterState,
     Garbage,
     Record,
-    Shared,
     names,
     now_ms,
 )
@@ -40,11 +40,11 @@
     StoreError,
 )
 from balancer.testbed.etcd.stream import NO_LEADER, EndedError, Stream
-from balancer.testbed.etcd.wire import Json, lean
+from balancer.testbed.etcd.wire import Json, omit_zero_fields
 
-FRAGMENT = 2 * 1024 * 1024  # of events, above which a line is split for a watch with fragments
+DEFAULT_FRAGMENT_BYTES = 2 * 1024 * 1024  # of events, above which a line is split for a watch with fragments
 TIMED_OUT = "etcdserver: request timed out"
-COMMON_NAME = (
+COMMON_NAME_REJECTED = (
     b"CommonName of client sending a request against gateway will be ignored and not used as expected\n"
 )
 
@@ -55,7 +55,7 @@
     return any(name == "commonName" for part in shown.get("subject", ()) for name, _ in part)
 
 
-def _senseless(kind: Garbage) -> str:
+def _garbage_value(kind: Garbage) -> str:
     """Return an invalid value as it appears in JSON."""
     return wire.b64(b"\0" * 2_000_000) if kind is Garbage.HUGE_VALUE else "!!! not base64"
 
@@ -63,23 +63,23 @@
 class Endpoint:
     """A cluster member as clients see it, with the state of its faults."""
 
-    def __init__(self, shared: Shared, index: int, member_id: int, tls: ssl.SSLContext | None) -> None:
+    def __init__(self, shared: ClusterState, index: int, member_id: int, tls: ssl.SSLContext | None) -> None:
         self.shared, self.index, self.member_id, self.tls = shared, index, member_id, tls
         self.alive = False
         self.thawed = asyncio.Event()
         self.thawed.set()
         self.unstalled = asyncio.Event()
         self.unstalled.set()
-        self.cut = False
+        self.is_isolated = False
         self.lag = 0
-        self.held: int | None = None  # last known revision while without a quorum
-        self.lost_ms: float | None = None  # when the quorum was lost
-        self.twice = False
-        self.fragment = FRAGMENT
+        self.known_revision: int | None = None  # last known revision while without a quorum
+        self.quorum_lost_ms: float | None = None  # when the quorum was lost
+        self.duplicates_events = False
+        self.fragment = DEFAULT_FRAGMENT_BYTES
         self.cluster_id: int | None = None  # overrides the id of the cluster
         self.garbage: Garbage | None = None  # sent in responses to range calls
         self.garbage_key = b"garbage"
-        self.lives = 0
+        self.start_count = 0
         self.streams: dict[Connection, Stream] = {}
         self._tasks: dict[asyncio.Task[None], Connection | None] = {}  # None until the TLS handshake is done
         self._socket: socket.socket | None = None
@@ -89,29 +89,29 @@
 
     def view(self) -> int:
         """Return the latest revision known to the member."""
-        newest = self.shared.store.revision if self.held is None else self.held
+        newest = self.shared.store.revision if self.known_revision is None else self.known_revision
         return max(min(newest, self.shared.store.revision) - self.lag, 1)
 
     def header(self, revision: int | None = None) -> Json:
         """Encode a ResponseHeader with the latest or the given revision; 0 omits it."""
-        return lean(
+        return omit_zero_fields(
             cluster_id=self.shared.cluster_id if self.cluster_id is None else self.cluster_id,
             member_id=self.member_id,
             revision=self.view() if revision is None else revision,
-            raft_term=1 + self.lives,
+            raft_term=1 + self.start_count,
         )
 
-    def stir(self) -> None:
+    def wake_streams(self) -> None:
         """Wake all streams after a change."""
         for stream in self.streams.values():
-            stream.stir.set()
+            stream.wake_event.set()
 
     @property
     def is_awake(self) -> bool:
         """Whether the member is neither frozen nor stalled."""
         return self.thawed.is_set() and self.unstalled.is_set()
 
-    async def awake(self) -> None:
+    async def wait_until_awake(self) -> None:
         """Wait until the member is neither frozen nor stalled."""
         while not self.is_awake:
             await self.thawed.wait()
@@ -121,20 +121,20 @@
 
     def listen(self, port: int) -> None:
         """Listen for connections on a port."""
-        listening = self._socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        listening.setblocking(False)
-        listening.bind(("127.0.0.1", port))
-        listening.listen(1024)
-        self._accepting = asyncio.ensure_future(self._accept(listening))
-        self._accepting.add_done_callback(lambda _: listening.close())
+        listener = self._socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        listener.setblocking(False)
+        listener.bind(("127.0.0.1", port))
+        listener.listen(1024)
+        self._accepting = asyncio.ensure_future(self._accept(listener))
+        self._accepting.add_done_callback(lambda _: listener.close())
 
     @property
-    def listening(self) -> bool:
+    def is_listening(self) -> bool:
         """Whether new connections are accepted."""
         return self._socket is not None
 
-    def deaf(self) -> None:
+    def stop_listening(self) -> None:
         """Refuse new connections; open ones stay."""
         if self._socket is not None and self._accepting is not None:
             self._socket.shutdown(socket.SHUT_RDWR)  # refuses at once; closed when the accept task ends
@@ -148,7 +148,7 @@
                 connection.writer.transport.abort()
             task.cancel()
 
-    def dismiss(self) -> None:
+    def close_gracefully(self) -> None:
         """Close all connections as on SIGTERM: streams end with an error."""
         for task, connection in self._tasks.items():
             if connection is not None and connection in self.streams:
@@ -158,23 +158,23 @@
                 connection.writer.close()
             task.cancel()
 
-    async def _accept(self, listening: socket.socket) -> None:
+    async def _accept(self, listener: socket.socket) -> None:
         """Accept connections; while frozen, the kernel completes connects but no TLS handshake starts."""
         loop = asyncio.get_running_loop()
         while True:
-            client, _ = await loop.sock_accept(listening)
+            client, _ = await loop.sock_accept(listener)
             task = asyncio.ensure_future(self._connected(client))
             self._tasks[task] = None
             task.add_done_callback(lambda done: self._tasks.pop(done, None))
 
     async def _connected(self, client: socket.socket) -> None:
         try:
-            await self.awake()
+            await self.wait_until_awake()
         except asyncio.CancelledError:
             client.close()
             raise
         loop = asyncio.get_running_loop()
-        reader = asyncio.StreamReader(MAX_HEAD)
+        reader = asyncio.StreamReader(MAX_HEAD_BYTES)
         protocol = asyncio.StreamReaderProtocol(reader)
         try:
             transport, _ = await loop.connect_accepted_socket(lambda: protocol, client, ssl=self.tls)
@@ -188,9 +188,9 @@
 
     # --- calls
 
-    async def respond(self, connection: Connection, asked: Asked) -> None:
+    async def respond(self, connection: Connection, request: Request) -> None:
         """Serve one call."""
-        await self.awake()
+        await self.wait_until_awake()
         calls = {
             "/v3/kv/range": self._range,
             "/v3/kv/put": self._put,
@@ -204,35 +204,37 @@
             "/v3/maintenance/status": self._status,
         }
         streams = {"/v3/watch": self._watch, "/v3/lease/keepalive": self._keep_alive}
-        if asked.path not in calls and asked.path not in streams:
-            connection.plain("404 Not Found", b"Not Found\n", asked.last)
+        if request.path not in calls and request.path not in streams:
+            connection.respond_plain("404 Not Found", b"Not Found\n", request.closes_connection)
             return
-        if asked.method != "POST":
-            connection.plain("405 Method Not Allowed", b"Method Not Allowed\n", asked.last)
+        if request.method != "POST":
+            connection.respond_plain(
+                "405 Method Not Allowed", b"Method Not Allowed\n", request.closes_connection
+            )
             return
         if self.shared.auth.enabled and _common_name(connection):
-            connection.plain("400 Bad Request", COMMON_NAME, asked.last)
+            connection.respond_plain("400 Bad Request", COMMON_NAME_REJECTED, request.closes_connection)
             return
-        if asked.path in streams:
-            await streams[asked.path](connection, asked)
+        if request.path in streams:
+            await streams[request.path](connection, request)
             return
         try:
-            fields = wire.loads(asked.body)
-            if asked.wants_leader and self._leaderless():
+            fields = wire.loads(request.body)
+            if request.wants_leader and self._has_lost_leader():
                 raise StoreError(NO_LEADER, 14)
-            value = await calls[asked.path](connection, asked, fields)
+            value = await calls[request.path](connection, request, fields)
         except wire.MalformedError as err:
-            connection.refuse(str(err), 3, asked.last, parsed=False)
+            connection.respond_error(str(err), 3, request.closes_connection, is_parsed=False)
         except StoreError as err:
-            connection.refuse(err.message, err.code, asked.last)
+            connection.respond_error(err.message, err.code, request.closes_connection)
         else:
             if value is not None:
-                connection.answer(value, asked.last)
+                connection.respond(value, request.closes_connection)
 
-    def _leaderless(self) -> bool:
-        return self.lost_ms is not None and now_ms() >= self.lost_ms + self.shared.election_ms
+    def _has_lost_leader(self) -> bool:
+        return self.quorum_lost_ms is not None and now_ms() >= self.quorum_lost_ms + self.shared.election_ms
 
-    async def _quorum(self, message: str, code: int) -> None:
+    async def _wait_for_quorum(self, message: str, code: int) -> None:
         """Wait for a quorum. Raises StoreError after `quorum_wait_ms`."""
         end = now_ms() + self.shared.quorum_wait_ms
         while not self.shared.has_quorum(self.index):
@@ -240,151 +242,154 @@
                 raise StoreError(message, code)
             await asyncio.sleep(0.01)
 
-    async def _writable(self) -> None:
-        await self._quorum("context deadline exceeded", 2)
-        await self.awake()
+    async def _wait_until_writable(self) -> None:
+        await self._wait_for_quorum("context deadline exceeded", 2)
+        await self.wait_until_awake()
 
-    async def _range(self, connection: Connection, asked: Asked, fields: wire.Fields) -> Json | None:
+    async def _range(self, connection: Connection, request: Request, fields: wire.Fields) -> Json | None:
         one = wire.range_(fields)
         if not fields.flag("serializable"):
-            await self._quorum(TIMED_OUT, 14)
-            await self.awake()
+            await self._wait_for_quorum(TIMED_OUT, 14)
+            await self.wait_until_awake()
         if one.key:
-            self.shared.auth.check(asked.token, one.key, one.end, write=False)
+            self.shared.auth.check(request.token, one.key, one.end, write=False)
         first_page = one.end and not one.count_only and not one.revision
-        if first_page and not self.shared.lets_in(self.index):
+        if first_page and not self.shared.admit_list(self.index):
             raise StoreError("etcdserver: too many requests", 8)
         found = self.shared.store.range(one, self.view())
-        value = wire.found(found, self.header())
-        if self.shared.garbled and found.kvs:
-            value["kvs"] = [self.garble(kv.key, wire.key_value(kv)) for kv in found.kvs]
+        value = wire.range_response(found, self.header())
+        if self.shared.corrupted_values and found.kvs:
+            value["kvs"] = [self.corrupt_row(kv.key, wire.key_value(kv)) for kv in found.kvs]
         body = wire.dumps(value)
-        legible = self.garbage in (None, Garbage.HUGE_VALUE, Garbage.NOT_BASE64)  # valid except for one entry
-        if legible and not connection.over:
+        # With these kinds the response is valid except for one entry.
+        is_readable = self.garbage in (None, Garbage.HUGE_VALUE, Garbage.NOT_BASE64)
+        if is_readable and not connection.is_closed:
             put, peer = names(kv.key for kv in found.kvs), connection.peer
             key, end = names((one.key, one.end))
             kind, shown = "count" if one.count_only else "range", one.revision or self.view()
             self.shared.record(Record(now_ms(), self.index, kind, shown, put, (), peer, key, end, found.more))
         if self.garbage is not None:
-            await self._spoiled(connection, asked, body)
+            await self._write_garbage(connection, request, body)
         else:
-            connection.body(body, asked.last)
+            connection.respond_encoded(body, request.closes_connection)
         return None
 
-    async def _spoiled(self, connection: Connection, asked: Asked, body: bytes) -> None:
+    async def _write_garbage(self, connection: Connection, request: Request, body: bytes) -> None:
         if self.garbage is Garbage.NOT_JSON:
-            connection.body(body[:-1], asked.last)
+            connection.respond_encoded(body[:-1], request.closes_connection)
         elif self.garbage is Garbage.NOT_OBJECT:
-            connection.body(b'[{"kvs":"none"}]', asked.last)
+            connection.respond_encoded(b'[{"kvs":"none"}]', request.closes_connection)
         elif self.garbage is Garbage.ENDLESS_LINE:
-            stream = Stream(self, connection, asked)
-            await stream.never_ends()
+            stream = Stream(self, connection, request)
+            await stream.write_endless_line()
             await connection.reader.read(1)
         else:
             assert self.garbage is not None
             value = wire.loads(body).raw
-            value["kvs"] = [*value.get("kvs", []), self.garbled(self.garbage, self.garbage_key)]
-            connection.answer(value, asked.last)
+            value["kvs"] = [*value.get("kvs", []), self.garbage_row(self.garbage, self.garbage_key)]
+            connection.respond(value, request.closes_connection)
 
-    def garbled(self, kind: Garbage, key: bytes) -> Json:
+    def garbage_row(self, kind: Garbage, key: bytes) -> Json:
         """Build a row with an invalid value."""
         revision = self.view()
         numbers = {"create_revision": str(revision), "mod_revision": str(revision), "version": "1"}
-        return {"key": wire.b64(key), **numbers, "value": _senseless(kind)}
+        return {"key": wire.b64(key), **numbers, "value": _garbage_value(kind)}
 
-    def garble(self, key: bytes, kv: Json) -> Json:
+    def corrupt_row(self, key: bytes, kv: Json) -> Json:
         """Return a row as it is sent: with an invalid value if one is configured for the key."""
-        kind = self.shared.garbled.get(key)
-        return kv if kind is None else kv | {"value": _senseless(kind)}
+        kind = self.shared.corrupted_values.get(key)
+        return kv if kind is None else kv | {"value": _garbage_value(kind)}
 
-    async def _put(self, connection: Connection, asked: Asked, fields: wire.Fields) -> Json:
-        return await self._write(wire.put(fields), asked)
+    async def _put(self, connection: Connection, request: Request, fields: wire.Fields) -> Json:
+        return await self._write(wire.put(fields), request)
 
-    async def _delete(self, connection: Connection, asked: Asked, fields: wire.Fields) -> Json:
-        return await self._write(wire.delete(fields), asked)
+    async def _delete(self, connection: Connection, request: Request, fields: wire.Fields) -> Json:
+        return await self._write(wire.delete(fields), request)
 
-    async def _write(self, one: Put | Delete, asked: Asked) -> Json:
-        await self._writable()
-        self._allowed([one], asked)
+    async def _write(self, one: Put | Delete, request: Request) -> Json:
+        await self._wait_until_writable()
+        self._check_permissions([one], request)
         _, (result,) = self.shared.store.txn((), (one,), ())
         self.shared.changed()
         assert not isinstance(result, Found)
-        return wire.changed(one, result, self.header())
+        return wire.write_response(one, result, self.header())
 
-    def _allowed(self, ops: list[Op], asked: Asked) -> None:
+    def _check_permissions(self, ops: list[Op], request: Request) -> None:
         for one in ops:
             end = b"" if isinstance(one, Put) else one.end
             if one.key:
-                self.shared.auth.check(asked.token, one.key, end, write=not isinstance(one, Range))
+                self.shared.auth.check(request.token, one.key, end, write=not isinstance(one, Range))
 
-    async def _txn(self, connection: Connection, asked: Asked, fields: wire.Fields) -> Json:
-        conditions, then, otherwise = wire.txn(fields)
-        await self._writable()
+    async def _txn(self, connection: Connection, request: Request, fields: wire.Fields) -> Json:
+        conditions, success_ops, failure_ops = wire.txn(fields)
+        await self._wait_until_writable()
         for one in conditions:
-            self.shared.auth.check(asked.token, one.key, b"", write=False)
-        self._allowed([*then, *otherwise], asked)
-        good, results = self.shared.store.txn(conditions, then, otherwise)
+            self.shared.auth.check(request.token, one.key, b"", write=False)
+        self._check_permissions([*success_ops, *failure_ops], request)
+        succeeded, results = self.shared.store.txn(conditions, success_ops, failure_ops)
         self.shared.changed()
-        written = wire.answers(then if good else otherwise, results, self.shared.store.revision)
-        return lean(header=self.header(), succeeded=good, responses=written)
+        written = wire.txn_responses(
+            success_ops if succeeded else failure_ops, results, self.shared.store.revision
+        )
+        return omit_zero_fields(header=self.header(), succeeded=succeeded, responses=written)
 
-    async def _compact(self, connection: Connection, asked: Asked, fields: wire.Fields) -> Json:
-        await self._writable()
-        self.shared.auth.who(asked.token)
+    async def _compact(self, connection: Connection, request: Request, fields: wire.Fields) -> Json:
+        await self._wait_until_writable()
+        self.shared.auth.user_of(request.token)
         self.shared.store.compact(fields.number("revision"))
         self.shared.changed()
-        return lean(header=self.header())
+        return omit_zero_fields(header=self.header())
 
-    async def _grant(self, connection: Connection, asked: Asked, fields: wire.Fields) -> Json:
-        await self._writable()
-        self.shared.auth.who(asked.token)
+    async def _grant(self, connection: Connection, request: Request, fields: wire.Fields) -> Json:
+        await self._wait_until_writable()
+        self.shared.auth.user_of(request.token)
         lease = self.shared.store.grant(fields.number("TTL"), fields.number("ID"))
         self.shared.changed()
-        return lean(header=self.header(), ID=lease.id, TTL=lease.ttl_s)
+        return omit_zero_fields(header=self.header(), ID=lease.id, TTL=lease.ttl_s)
 
-    async def _revoke(self, connection: Connection, asked: Asked, fields: wire.Fields) -> Json:
-        await self._writable()
-        self.shared.auth.who(asked.token)
+    async def _revoke(self, connection: Connection, request: Request, fields: wire.Fields) -> Json:
+        await self._wait_until_writable()
+        self.shared.auth.user_of(request.token)
         self.shared.store.revoke(fields.number("ID"))
         self.shared.changed()
-        return lean(header=self.header())
+        return omit_zero_fields(header=self.header())
 
-    async def _authenticate(self, connection: Connection, asked: Asked, fields: wire.Fields) -> Json:
-        await self._writable()
+    async def _authenticate(self, connection: Connection, request: Request, fields: wire.Fields) -> Json:
+        await self._wait_until_writable()
         token = self.shared.auth.authenticate(fields.text("name"), fields.text("password"))
-        return lean(header=self.header(), token=token)
+        return omit_zero_fields(header=self.header(), token=token)
 
-    async def _status(self, connection: Connection, asked: Asked, fields: wire.Fields) -> Json:
-        lost = self._leaderless()
+    async def _status(self, connection: Connection, request: Request, fields: wire.Fields) -> Json:
+        has_lost_leader = self._has_lost_leader()
         index = self.shared.store.revision + 3
-        return lean(
+        return omit_zero_fields(
             header=self.header(),
             version="3.4.23",
             dbSize=32768,
-            leader=0 if lost else self.shared.leader(),
+            leader=0 if has_lost_leader else self.shared.leader(),
             raftIndex=index,
-            raftTerm=1 + self.lives,
+            raftTerm=1 + self.start_count,
             raftAppliedIndex=index,
-            errors=[NO_LEADER] if lost else [],
+            errors=[NO_LEADER] if has_lost_leader else [],
             dbSizeInUse=24576,
         )
 
-    async def _watch(self, connection: Connection, asked: Asked) -> None:
-        stream = Stream(self, connection, asked)
+    async def _watch(self, connection: Connection, request: Request) -> None:
+        stream = Stream(self, connection, request)
         try:
-            requests = wire.load_all(asked.body)
+            requests = wire.load_all(request.body)
         except wire.MalformedError as err:
-            connection.refuse(str(err), 2, asked.last, parsed=False)
+            connection.respond_error(str(err), 2, request.closes_connection, is_parsed=False)
             return
         self.streams[connection] = stream
         try:
-            if asked.wants_leader and self._leaderless():
+            if request.wants_leader and self._has_lost_leader():
                 stream.end(NO_LEADER, 14)
             try:
                 for fields in requests:
-                    stream.take(fields)
+                    stream.handle_request(fields)
             except wire.MalformedError as err:
-                connection.refuse(str(err), 2, asked.last, parsed=False)
+                connection.respond_error(str(err), 2, request.closes_connection, is_parsed=False)
                 return
             await stream.run()
             raise ConnectionClosedError  # the client disconnected
@@ -393,22 +398,22 @@
         finally:
             del self.streams[connection]
 
-    async def _keep_alive(self, connection: Connection, asked: Asked) -> None:
-        stream = Stream(self, connection, asked)
+    async def _keep_alive(self, connection: Connection, request: Request) -> None:
+        stream = Stream(self, connection, request)
         try:
-            requests = wire.load_all(asked.body)
+            requests = wire.load_all(request.body)
             numbers = [fields.number("ID") for fields in requests]
         except wire.MalformedError as err:
-            connection.refuse(str(err), 2, asked.last, parsed=False)
+            connection.respond_error(str(err), 2, request.closes_connection, is_parsed=False)
             return
         try:
-            await self._quorum(NO_LEADER, 14)
+            await self._wait_for_quorum(NO_LEADER, 14)
         except StoreError as err:
             with contextlib.suppress(EndedError):
                 stream.end(err.message, err.code)
             return
         for number in numbers:
             ttl_s = self.shared.store.keep_alive(number)
-            stream.say(header=self.header(), ID=number, TTL=ttl_s)
+            stream.write_message(header=self.header(), ID=number, TTL=ttl_s)
         self.shared.changed()
         connection.write(chunk(b""))
--- a/balancer/testbed/etcd/http.py
+++ b/balancer/testbed/etcd/http.py
@@ -15,13 +15,13 @@
 from balancer.testbed.etcd import wire
 from balancer.testbed.etcd.wire import Json
 
-BUFFER = 2048  # Go's write buffer; larger responses are chunked
-MAX_HEAD = 64 * 1024  # of a request
-MAX_BODY = 16 * 1024 * 1024  # of a request; a larger one closes the connection
+WRITE_BUFFER_BYTES = 2048  # Go's write buffer; larger responses are chunked
+MAX_HEAD_BYTES = 64 * 1024  # of a request
+MAX_BODY_BYTES = 16 * 1024 * 1024  # of a request; a larger one closes the connection
 
 
 @dataclass(slots=True)
-class Asked:
+class Request:
     """A parsed HTTP request."""
 
     method: str
@@ -40,7 +40,7 @@
         return self.headers.get("grpc-metadata-hasleader") == "true"
 
     @property
-    def last(self) -> bool:
+    def closes_connection(self) -> bool:
         """Whether the connection is closed after the response."""
         return self.headers.get("connection", "").lower() == "close"
 
@@ -65,38 +65,38 @@
         peer = writer.get_extra_info("peername")
         self.peer: tuple[str, int] = (peer[0], peer[1]) if peer else ("", 0)
 
-    async def run(self, respond: Callable[[Connection, Asked], Awaitable[None]]) -> None:
+    async def run(self, respond: Callable[[Connection, Request], Awaitable[None]]) -> None:
         """Serve requests until either side closes the connection."""
         errors = (OSError, EOFError, asyncio.LimitOverrunError, ValueError, IndexError, ConnectionClosedError)
         try:
             with contextlib.suppress(*errors):
                 while True:
-                    asked = await self._request()
-                    await respond(self, asked)
-                    if asked.last:
+                    request = await self._read_request()
+                    await respond(self, request)
+                    if request.closes_connection:
                         break
                     await self.writer.drain()
         finally:
             self.writer.close()
 
-    async def _request(self) -> Asked:
+    async def _read_request(self) -> Request:
         raw = (await self.reader.readuntil(b"\r\n\r\n")).decode("latin-1")
         first, *lines = raw.removesuffix("\r\n\r\n").split("\r\n")
         method, path, _ = first.split(" ")
         headers = {name.lower(): value.strip() for name, _, value in (line.partition(":") for line in lines)}
         if headers.get("transfer-encoding", "").lower() == "chunked":
-            body = await self._chunks()
+            body = await self._read_chunked_body()
         else:
             size = int(headers.get("content-length", "0"))
-            if size > MAX_BODY:
+            if size > MAX_BODY_BYTES:
                 raise ConnectionClosedError
             body = await self.reader.readexactly(size)
-        return Asked(method, path, headers, body)
+        return Request(method, path, headers, body)
 
-    async def _chunks(self) -> bytes:
+    async def _read_chunked_body(self) -> bytes:
         out = bytearray()
         while size := int((await self.reader.readuntil(b"\r\n")).split(b";")[0], 16):
-            if len(out) + size > MAX_BODY:
+            if len(out) + size > MAX_BODY_BYTES:
                 raise ConnectionClosedError
             out += (await self.reader.readexactly(size + 2))[:-2]
         while (await self.reader.readuntil(b"\r\n")).strip():
@@ -105,18 +105,18 @@
 
     # --- responses
 
-    def head(self, status: str, last: bool, *lines: str, length: int | None = None) -> bytes:
+    def head(self, status: str, closes_connection: bool, *lines: str, length: int | None = None) -> bytes:
         """Encode the status line and headers in etcd's order; chunked unless a length is given."""
-        every = ["Access-Control-Allow-Headers: accept, content-type, authorization"]
-        every += ["Access-Control-Allow-Methods: POST, GET, OPTIONS, PUT, DELETE"]
-        every += ["Access-Control-Allow-Origin: *", *lines, f"Date: {formatdate(usegmt=True)}"]
-        every += [] if length is None else [f"Content-Length: {length}"]
-        every += ["Connection: close"] if last else []
-        every += ["Transfer-Encoding: chunked"] if length is None else []
-        return "\r\n".join([f"HTTP/1.1 {status}", *every, "", ""]).encode("latin-1")
+        header_lines = ["Access-Control-Allow-Headers: accept, content-type, authorization"]
+        header_lines += ["Access-Control-Allow-Methods: POST, GET, OPTIONS, PUT, DELETE"]
+        header_lines += ["Access-Control-Allow-Origin: *", *lines, f"Date: {formatdate(usegmt=True)}"]
+        header_lines += [] if length is None else [f"Content-Length: {length}"]
+        header_lines += ["Connection: close"] if closes_connection else []
+        header_lines += ["Transfer-Encoding: chunked"] if length is None else []
+        return "\r\n".join([f"HTTP/1.1 {status}", *header_lines, "", ""]).encode("latin-1")
 
     @property
-    def over(self) -> bool:
+    def is_closed(self) -> bool:
         """Whether either side is known to have closed the connection."""
         return self.writer.is_closing() or self.reader.at_eof()
 
@@ -125,29 +125,33 @@
         if not self.writer.is_closing():
             self.writer.write(data)
 
-    def answer(self, value: Json, last: bool) -> None:
+    def respond(self, value: Json, closes_connection: bool) -> None:
         """Write a successful response."""
-        self.body(wire.dumps(value), last)
+        self.respond_encoded(wire.dumps(value), closes_connection)
 
-    def body(self, body: bytes, last: bool) -> None:
+    def respond_encoded(self, body: bytes, closes_connection: bool) -> None:
         """Write a successful response with an encoded body."""
-        kind = ("Content-Type: application/json", "Grpc-Metadata-Content-Type: application/grpc")
-        if len(body) <= BUFFER:
-            self.write(self.head("200 OK", last, *kind, length=len(body)) + body)
+        content_headers = ("Content-Type: application/json", "Grpc-Metadata-Content-Type: application/grpc")
+        if len(body) <= WRITE_BUFFER_BYTES:
+            self.write(self.head("200 OK", closes_connection, *content_headers, length=len(body)) + body)
         else:
-            self.write(self.head("200 OK", last, *kind) + chunk(body) + chunk(b""))
+            self.write(self.head("200 OK", closes_connection, *content_headers) + chunk(body) + chunk(b""))
 
-    def refuse(self, message: str, code: int, last: bool, parsed: bool = True) -> None:
-        """Write an error response from etcd, or from the gateway if the request was not `parsed`."""
+    def respond_error(self, message: str, code: int, closes_connection: bool, is_parsed: bool = True) -> None:
+        """Write an error response from etcd, or from the gateway if the request was not `is_parsed`."""
         body = wire.dumps(wire.error(message, code))
-        kind = "Content-Type: application/json"
-        if not parsed:
-            self.write(self.head(wire.HTTP_CODES[code], last, kind, length=len(body)) + body)
+        content_headers = "Content-Type: application/json"
+        if not is_parsed:
+            self.write(
+                self.head(wire.HTTP_CODES[code], closes_connection, content_headers, length=len(body)) + body
+            )
             return
-        head = self.head(wire.HTTP_CODES[code], last, kind, "Trailer: Grpc-Trailer-Content-Type")
+        head = self.head(
+            wire.HTTP_CODES[code], closes_connection, content_headers, "Trailer: Grpc-Trailer-Content-Type"
+        )
         self.write(head + chunk(body) + b"0\r\nGrpc-Trailer-Content-Type: application/grpc\r\n\r\n")
 
-    def plain(self, status: str, text: bytes, last: bool) -> None:
+    def respond_plain(self, status: str, text: bytes, closes_connection: bool) -> None:
         """Write a plain-text response of the HTTP server."""
-        kind = ("Content-Type: text/plain; charset=utf-8", "X-Content-Type-Options: nosniff")
-        self.write(self.head(status, last, *kind, length=len(text)) + text)
+        content_headers = ("Content-Type: text/plain; charset=utf-8", "X-Content-Type-Options: nosniff")
+        self.write(self.head(status, closes_connection, *content_headers, length=len(text)) + text)
--- a/balancer/testbed/etcd/shared.py
+++ b/balancer/testbed/etcd/shared.py
@@ -12,7 +12,7 @@
 from balancer.testbed.etcd.store import Store
 
 MAX_RECORDS = 1_000_000
-MAX_LISTS = 10_000
+MAX_LIST_CALLS = 10_000
 
 
 class Garbage(Enum):
@@ -49,7 +49,7 @@
 
 
 @dataclass(slots=True)
-class Shared:
+class ClusterState:
     """The state shared by the endpoints of a cluster.
 
     `lists` holds each requested full list as its time in ms, its endpoint and whether it was admitted.
@@ -66,27 +66,27 @@
     leader: Callable[[], int]  # the leader's member id; 0 without a leader
     changed: Callable[[], None]
     records: list[Record] = field(default_factory=list)
-    lost: int = 0  # number of records dropped beyond `MAX_RECORDS`
-    garbled: dict[bytes, Garbage] = field(default_factory=dict)  # keys whose values are sent as invalid data
+    dropped_record_count: int = 0  # beyond `MAX_RECORDS`
+    corrupted_values: dict[bytes, Garbage] = field(default_factory=dict)  # kind of invalid value sent, by key
     bears: int | None = None  # full lists admitted in any 100 ms; None is unlimited
-    lists: deque[tuple[float, int, bool]] = field(default_factory=lambda: deque(maxlen=MAX_LISTS))
-    heard_by: Callable[[Record], None] | None = None  # called with each new record
+    lists: deque[tuple[float, int, bool]] = field(default_factory=lambda: deque(maxlen=MAX_LIST_CALLS))
+    on_record: Callable[[Record], None] | None = None  # called with each new record
 
-    def lets_in(self, endpoint: int) -> bool:
+    def admit_list(self, endpoint: int) -> bool:
         """Record a full list and return whether it is within the limit; only first pages count."""
         at_ms = now_ms()
-        now = sum(let_in and at_ms - then < 100.0 for then, _, let_in in self.lists)
+        now = sum(is_admitted and at_ms - then < 100.0 for then, _, is_admitted in self.lists)
         self.lists.append((at_ms, endpoint, self.bears is None or now < self.bears))
         return self.lists[-1][2]
 
     def record(self, record: Record) -> None:
         """Store a record and pass it to the listener."""
-        if self.heard_by is not None:
-            self.heard_by(record)
+        if self.on_record is not None:
+            self.on_record(record)
         if len(self.records) < MAX_RECORDS:
             self.records.append(record)
         else:
-            self.lost += 1
+            self.dropped_record_count += 1
 
 
 def now_ms() -> float:
--- a/balancer/testbed/etcd/standin.py
+++ b/balancer/testbed/etcd/standin.py
@@ -17,9 +17,9 @@
 from balancer.testbed.etcd.gateway import Endpoint
 from balancer.testbed.etcd.shared import (
     MAX_RECORDS,
+    ClusterState,
     Garbage,
     Record,
-    Shared,
     now_ms,
 )
 from balancer.testbed.etcd.store import (
@@ -34,7 +34,7 @@
 from balancer.testbed.port_reservation import keep_port
 
 
-class StandIn:
+class EtcdEmulator:
     """An emulated etcd cluster with injectable faults; implements `EtcdCluster`. An async context manager.
 
     Its own writes (`put`, `txn`, ...) bypass all faults and reach the store at once while a majority of the
@@ -61,13 +61,13 @@
         seed: int = 0,
     ) -> None:
         ids = random.Random(seed)
-        least_ttl_s = int(-(-1.5 * election_ms // 1000))
+        min_ttl_s = int(-(-1.5 * election_ms // 1000))
         wait_ms = 5000 + 2 * election_ms if quorum_wait_ms is None else quorum_wait_ms
         self.context: ssl.SSLContext | None = certificates.client() if certificates else None
         self._scheme = "https" if certificates else "http"
         tls = certificates.server(client_auth) if certificates else None
-        self.shared = Shared(
-            store=Store(now_ms, least_ttl_s),
+        self.shared = ClusterState(
+            store=Store(now_ms, min_ttl_s),
             auth=Auth(now_ms, 1000.0 * token_ttl_s),
             cluster_id=ids.getrandbits(63),
             election_ms=election_ms,
@@ -79,15 +79,15 @@
             changed=self._changed,
         )
         self.members = [Endpoint(self.shared, index, ids.getrandbits(63), tls) for index in range(members)]
-        self._kept: list[socket.socket] = []
-        self._leases: asyncio.Task[None] | None = None
-        self._stir = asyncio.Event()
-        self._led = True
+        self._port_reservations: list[socket.socket] = []
+        self._expiry_task: asyncio.Task[None] | None = None
+        self._lease_wake_event = asyncio.Event()
+        self._had_leader = True
 
     @property
     def endpoints(self) -> list[str]:
         """Base URLs, one per member; empty before the context is entered."""
-        return [f"{self._scheme}://127.0.0.1:{kept.getsockname()[1]}" for kept in self._kept]
+        return [f"{self._scheme}://127.0.0.1:{kept.getsockname()[1]}" for kept in self._port_reservations]
 
     @property
     def store(self) -> Store:
@@ -100,78 +100,78 @@
         return self.shared.records
 
     async def __aenter__(self) -> Self:
-        self._kept = [keep_port() for _ in self.members]
+        self._port_reservations = [keep_port() for _ in self.members]
         for index in range(len(self.members)):
             await self.restart(index)
-        self._leases = asyncio.ensure_future(self._expire())
+        self._expiry_task = asyncio.ensure_future(self._expire_leases())
         return self
 
     async def __aexit__(
         self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
-        if self._leases is not None:
-            self._leases.cancel()
+        if self._expiry_task is not None:
+            self._expiry_task.cancel()
         for member in self.members:
-            member.deaf()
+            member.stop_listening()
             member.drop()
-        for kept in self._kept:
-            kept.close()
+        for reservation in self._port_reservations:
+            reservation.close()
         await asyncio.sleep(0)  # lets the cancelled tasks finish
-        if self.shared.lost and kind is None:
+        if self.shared.dropped_record_count and kind is None:
             raise RuntimeError(
-                f"{self.shared.lost} records beyond {MAX_RECORDS} were dropped: clear `records` more often"
+                f"{self.shared.dropped_record_count} records beyond {MAX_RECORDS} are lost: clear them sooner"
             )
 
     # --- cluster state
 
     def has_quorum(self, index: int) -> bool:
         """Whether a member belongs to a majority that is running, not frozen and not partitioned."""
-        there = [one.alive and one.thawed.is_set() and not one.cut for one in self.members]
-        return there[index] and 2 * sum(there) > len(there)
+        available = [one.alive and one.thawed.is_set() and not one.is_isolated for one in self.members]
+        return available[index] and 2 * sum(available) > len(available)
 
     def _leader(self) -> int:
         ids = (one.member_id for one in self.members if self.has_quorum(one.index))
         return next(ids, 0)
 
-    def _led_now(self) -> bool:
+    def _has_leader(self) -> bool:
         return any(self.has_quorum(index) for index in range(len(self.members)))
 
     def _changed(self) -> None:
         """Propagate a change of the store or of membership to the members that may see it."""
         for index, member in enumerate(self.members):
             if self.has_quorum(index):
-                member.held = member.lost_ms = None
-            elif member.held is None:
-                member.held, member.lost_ms = self.store.revision, now_ms()
-            member.stir()
-        if self._led_now() and not self._led:
-            self._renew()
-        self._led = self._led_now()
-        self._stir.set()
-
-    def _renew(self) -> None:
+                member.known_revision = member.quorum_lost_ms = None
+            elif member.known_revision is None:
+                member.known_revision, member.quorum_lost_ms = self.store.revision, now_ms()
+            member.wake_streams()
+        if self._has_leader() and not self._had_leader:
+            self._renew_leases()
+        self._had_leader = self._has_leader()
+        self._lease_wake_event.set()
+
+    def _renew_leases(self) -> None:
         """Reset every lease to its full TTL, as a newly elected leader does."""
         for lease in list(self.store.leases):
             self.store.keep_alive(lease)
 
-    async def _expire(self) -> None:
+    async def _expire_leases(self) -> None:
         while True:
-            self._stir.clear()
-            if self._led_now() and self.store.expire():
+            self._lease_wake_event.clear()
+            if self._has_leader() and self.store.expire():
                 self._changed()
                 continue
-            end_ms = self.store.next_end_ms()
+            expiry_ms = self.store.next_expiry_ms()
             wait_s = None  # leases do not expire without a leader
-            if end_ms is not None and self._led_now():
-                wait_s = max(end_ms - now_ms(), 1.0) / 1000.0
+            if expiry_ms is not None and self._has_leader():
+                wait_s = max(expiry_ms - now_ms(), 1.0) / 1000.0
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self._stir.wait(), wait_s)
+                await asyncio.wait_for(self._lease_wake_event.wait(), wait_s)
 
     # --- writes
 
     @contextlib.contextmanager
     def _writing(self) -> Iterator[Store]:
-        if not self._led_now():
+        if not self._has_leader():
             raise EtcdError("no member has a quorum")
         try:
             yield self.store
@@ -235,7 +235,7 @@
         """Abort all connections and refuse new ones."""
         one = self.members[member]
         one.alive = False
-        one.deaf()
+        one.stop_listening()
         one.drop()
         one.thawed.set()
         self._changed()
@@ -244,18 +244,18 @@
         """End streams with an error, close all connections and refuse new ones."""
         one = self.members[member]
         one.alive = False
-        one.deaf()
-        one.dismiss()
+        one.stop_listening()
+        one.close_gracefully()
         one.thawed.set()
         self._changed()
 
     async def restart(self, member: int) -> None:
         """Start a member again on the same address."""
         one = self.members[member]
-        one.lives += not one.alive
+        one.start_count += not one.alive
         one.alive = True
-        if not one.listening:
-            one.listen(self._kept[member].getsockname()[1])
+        if not one.is_listening:
+            one.listen(self._port_reservations[member].getsockname()[1])
         self._changed()
 
     async def enable_auth(self, user: str, password: str, readable: str = "") -> None:
@@ -274,7 +274,7 @@
 
     def refuse(self, member: int) -> None:
         """Refuse new connections until `restart`."""
-        self.members[member].deaf()
+        self.members[member].stop_listening()
 
     def drop(self, member: int) -> None:
         """Abort all open connections."""
@@ -287,16 +287,16 @@
             one.unstalled.clear()
         else:
             one.unstalled.set()
-        one.stir()
+        one.wake_streams()
 
     def lag(self, member: int, revisions: int) -> None:
         """Serve a state that is this many revisions old; 0 ends the fault."""
         self.members[member].lag = revisions
-        self.members[member].stir()
+        self.members[member].wake_streams()
 
     def cut_off(self, member: int, on: bool = True) -> None:
         """Partition a member from the others: it sees no changes and has no quorum."""
-        self.members[member].cut = on
+        self.members[member].is_isolated = on
         self._changed()
 
     def replay(self, member: int, revision: int, last: int | None = None) -> None:
@@ -304,9 +304,9 @@
         for stream in self._streams(member):
             stream.replay(revision, last)
 
-    def twice(self, member: int, on: bool = True) -> None:
+    def duplicate_events(self, member: int, on: bool = True) -> None:
         """Send every event twice."""
-        self.members[member].twice = on
+        self.members[member].duplicates_events = on
 
     def cancel(self, member: int, reason: str = "", compact_revision: int = 0) -> None:
         """Cancel every watch; the streams stay open."""
@@ -317,22 +317,22 @@
         """Set the fragment size in bytes for watches that request fragments (etcd: 2 MiB)."""
         self.members[member].fragment = size
 
-    def spoil(self, member: int, kind: Garbage, key: str = "garbage") -> None:
+    def send_garbage(self, member: int, kind: Garbage, key: str = "garbage") -> None:
         """Send one invalid message on every open watch, for `key` if the message has a key."""
         for stream in self._streams(member):
-            stream.spoil(kind, key.encode())
+            stream.send_garbage(kind, key.encode())
 
-    def spoil_ranges(self, member: int, kind: Garbage | None, key: str = "garbage") -> None:
+    def corrupt_ranges(self, member: int, kind: Garbage | None, key: str = "garbage") -> None:
         """Send invalid responses to range calls; None ends the fault."""
         self.members[member].garbage, self.members[member].garbage_key = kind, key.encode()
 
-    def garble(self, key: str, kind: Garbage | None) -> None:
+    def corrupt_value(self, key: str, kind: Garbage | None) -> None:
         """Send a key's value as NOT_BASE64 or HUGE_VALUE in events and lists; None ends the fault."""
-        self.shared.garbled.pop(key.encode(), None)
+        self.shared.corrupted_values.pop(key.encode(), None)
         if kind is not None:
-            self.shared.garbled[key.encode()] = kind
+            self.shared.corrupted_values[key.encode()] = kind
 
-    def rename(self, member: int, cluster_id: int | None) -> None:
+    def report_cluster_id(self, member: int, cluster_id: int | None) -> None:
         """Report another cluster id in response headers; None ends the fault."""
         self.members[member].cluster_id = cluster_id
 
@@ -344,12 +344,12 @@
         """Restore a backup under the same cluster id and abort all connections, as a member restart does."""
         for member in self.members:
             member.drop()
-            if member.held is not None:
-                member.held = backup.revision
+            if member.known_revision is not None:
+                member.known_revision = backup.revision
         self.store.restore(backup)
         self._changed()
 
-    def lose_leases(self) -> int:
+    def revoke_all_leases(self) -> int:
         """Revoke all leases and return their number."""
         leases = list(self.store.leases)
         for lease in leases:
--- a/balancer/testbed/etcd/store.py
+++ b/balancer/testbed/etcd/store.py
@@ -15,12 +15,12 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-INVALID, NOT_FOUND, PRECONDITION, OUT_OF_RANGE = 3, 5, 9, 11  # gRPC status codes
+INVALID_ARGUMENT, NOT_FOUND, FAILED_PRECONDITION, OUT_OF_RANGE = 3, 5, 9, 11  # gRPC status codes
 
-MAX_OPS = 128  # in a txn; etcd's --max-txn-ops
-MAX_BYTES = 1_572_864  # of keys and values in a request; etcd's --max-request-bytes
+MAX_TXN_OPERATIONS = 128  # in a txn; etcd's --max-txn-ops
+MAX_REQUEST_BYTES = 1_572_864  # of keys and values in a request; etcd's --max-request-bytes
 MAX_TTL_S = 9_000_000_000
-KEPT = 100_000  # revisions that stay readable for a member that lags behind a compaction
+LAGGING_READ_REVISIONS = 100_000  # revisions that stay readable for a member that lags behind a compaction
 
 
 class StoreError(Exception):
@@ -31,22 +31,22 @@
         self.message, self.code = message, code
 
 
-def no_key() -> StoreError:
+def key_missing_error() -> StoreError:
     """Build the error for a request without a key."""
-    return StoreError("etcdserver: key is not provided", INVALID)
+    return StoreError("etcdserver: key is not provided", INVALID_ARGUMENT)
 
 
-def compacted() -> StoreError:
+def compacted_error() -> StoreError:
     """Build the error for a compacted revision."""
     return StoreError("etcdserver: mvcc: required revision has been compacted", OUT_OF_RANGE)
 
 
-def future() -> StoreError:
+def future_revision_error() -> StoreError:
     """Build the error for a revision that does not exist yet."""
     return StoreError("etcdserver: mvcc: required revision is a future revision", OUT_OF_RANGE)
 
 
-def no_lease() -> StoreError:
+def lease_not_found_error() -> StoreError:
     """Build the error for a lease that does not exist."""
     return StoreError("etcdserver: requested lease not found", NOT_FOUND)
 
@@ -139,33 +139,33 @@
 class Compare:
     """A txn condition with the operator `=`, `!`, `<` or `>`.
 
-    For a missing key all numbers are zero and value comparisons fail. `want` is bytes for a value and a
+    For a missing key all numbers are zero and value comparisons fail. `operand` is bytes for a value and a
     number for all other targets.
     """
 
     key: bytes
     target: Target
-    sign: str
-    want: int | bytes
+    operator: str
+    operand: int | bytes
 
     def holds(self, kv: KeyValue | None) -> bool:
         """Whether the condition holds for this version of the key."""
         if kv is None and self.target is Target.VALUE:
             return False
         kv = kv or KeyValue(self.key, b"", 0, 0, 0)
-        if isinstance(self.want, bytes):
-            return _sign(self.sign, (kv.value > self.want) - (kv.value < self.want))
+        if isinstance(self.operand, bytes):
+            return _compare(self.operator, (kv.value > self.operand) - (kv.value < self.operand))
         numbers = {
             Target.VERSION: kv.version,
             Target.CREATE: kv.created,
             Target.MOD: kv.modified,
             Target.LEASE: kv.lease,
         }
-        return _sign(self.sign, numbers[self.target] - self.want)
+        return _compare(self.operator, numbers[self.target] - self.operand)
 
 
-def _sign(sign: str, order: int) -> bool:
-    return {"=": order == 0, "!": order != 0, "<": order < 0, ">": order > 0}[sign]
+def _compare(operator: str, order: int) -> bool:
+    return {"=": order == 0, "!": order != 0, "<": order < 0, ">": order > 0}[operator]
 
 
 Op = Put | Delete | Range
@@ -178,7 +178,7 @@
 
     id: int
     ttl_s: int
-    ends_ms: float
+    expires_ms: float
     keys: set[bytes] = field(default_factory=set)
 
 
@@ -204,13 +204,13 @@
 class Store:
     """The keys and every change since the last compaction.
 
-    `now_ms` is used only for leases. A TTL below `least_ttl_s` is raised to it; etcd uses 1.5 times its
+    `now_ms` is used only for leases. A TTL below `min_ttl_s` is raised to it; etcd uses 1.5 times its
     election timeout in whole seconds. Memory grows with the changes since the last compaction, plus up to
-    `KEPT` earlier revisions that a lagging member may still read.
+    `LAGGING_READ_REVISIONS` earlier revisions that a lagging member may still read.
     """
 
-    def __init__(self, now_ms: Callable[[], float], least_ttl_s: int = 2) -> None:
-        self.now_ms, self.least_ttl_s = now_ms, least_ttl_s
+    def __init__(self, now_ms: Callable[[], float], min_ttl_s: int = 2) -> None:
+        self.now_ms, self.min_ttl_s = now_ms, min_ttl_s
         self.revision = 1
         self.leases: dict[int, Lease] = {}
         self._compactions: list[tuple[int, int]] = []  # (revision when done, compacted revision)
@@ -234,33 +234,33 @@
     def get(self, key: bytes, view: int) -> KeyValue | None:
         """Return a key as of revision `view`, or None if it did not exist."""
         versions = self._versions.get(key, [])
-        at = bisect_right(versions, view, key=lambda kv: kv.modified)
-        return versions[at - 1] if at and versions[at - 1].version else None
+        position = bisect_right(versions, view, key=lambda kv: kv.modified)
+        return versions[position - 1] if position and versions[position - 1].version else None
 
-    def range(self, ask: Range, view: int | None = None) -> Found:
+    def range(self, request: Range, view: int | None = None) -> Found:
         """Read a range as a member that has applied revisions up to `view`. Raises StoreError."""
-        if not ask.key:
-            raise no_key()
+        if not request.key:
+            raise key_missing_error()
         view = self.revision if view is None else view
-        if ask.revision > view:
-            raise future()
-        if 0 < ask.revision < self.compacted_at(view) or view < self._dropped:
-            raise compacted()
-        at = ask.revision if ask.revision > 0 else view
-        if ask.end:
-            first = bisect_left(self._keys, ask.key)
-            last = len(self._keys) if ask.end == b"\0" else bisect_left(self._keys, ask.end)
-            found = [kv for key in self._keys[first:last] if (kv := self.get(key, at)) is not None]
+        if request.revision > view:
+            raise future_revision_error()
+        if 0 < request.revision < self.compacted_at(view) or view < self._dropped:
+            raise compacted_error()
+        read_revision = request.revision if request.revision > 0 else view
+        if request.end:
+            first = bisect_left(self._keys, request.key)
+            last = len(self._keys) if request.end == b"\0" else bisect_left(self._keys, request.end)
+            found = [kv for key in self._keys[first:last] if (kv := self.get(key, read_revision)) is not None]
         else:
-            found = [kv for kv in (self.get(ask.key, at),) if kv is not None]
+            found = [kv for kv in (self.get(request.key, read_revision),) if kv is not None]
         count = len(found)
-        if ask.count_only:
+        if request.count_only:
             return Found((), False, count)
-        if ask.descending:
+        if request.descending:
             found.reverse()
-        more = 0 < ask.limit < count
-        kvs = found[: ask.limit] if more else found
-        if ask.keys_only:
+        more = 0 < request.limit < count
+        kvs = found[: request.limit] if more else found
+        if request.keys_only:
             kvs = [KeyValue(kv.key, b"", kv.created, kv.modified, kv.version, kv.lease) for kv in kvs]
         return Found(tuple(kvs), more, count)
 
@@ -270,10 +270,10 @@
         A delete at the compacted revision itself is left out (see the module docstring), except for `live`
         watches: a lagging member applies changes in order, and the compaction came later.
         """
-        gone = 0 if live else self.compacted_at(view)
+        compacted_revision = 0 if live else self.compacted_at(view)
         for revision in range(max(first, 2), view + 1):
             events = self._history.get(revision, ())
-            if revision <= gone:
+            if revision <= compacted_revision:
                 events = tuple(event for event in events if not event.deleted)
             if events:
                 yield revision, events
@@ -292,40 +292,40 @@
         return result.deleted
 
     def txn(
-        self, conditions: Sequence[Compare], then: Sequence[Op], otherwise: Sequence[Op]
+        self, conditions: Sequence[Compare], success_ops: Sequence[Op], failure_ops: Sequence[Op]
     ) -> tuple[bool, tuple[Result, ...]]:
-        """Apply `then` if every condition holds, else `otherwise`, as one revision.
+        """Apply `success_ops` if every condition holds, else `failure_ops`, as one revision.
 
         Raises StoreError before anything is changed.
         """
-        for ops in (then, otherwise):
-            self._check(ops)
-        good = all(one.holds(self.get(one.key, self.revision)) for one in conditions)
-        ops = then if good else otherwise
+        for ops in (success_ops, failure_ops):
+            self._validate(ops)
+        succeeded = all(one.holds(self.get(one.key, self.revision)) for one in conditions)
+        ops = success_ops if succeeded else failure_ops
         for op in ops:
             if isinstance(op, Range) and op.revision > self.revision:
-                raise future()
+                raise future_revision_error()
             if isinstance(op, Range) and 0 < op.revision < self.compacted:
-                raise compacted()
+                raise compacted_error()
             if isinstance(op, Put) and op.lease and op.lease not in self.leases:
-                raise no_lease()
+                raise lease_not_found_error()
         events: list[Event] = []
         results = tuple(self._apply(op, events) for op in ops)
         self._commit(events)
-        return good, results
+        return succeeded, results
 
-    def _check(self, ops: Sequence[Op]) -> None:
-        if len(ops) > MAX_OPS:
-            raise StoreError("etcdserver: too many operations in txn request", INVALID)
+    def _validate(self, ops: Sequence[Op]) -> None:
+        if len(ops) > MAX_TXN_OPERATIONS:
+            raise StoreError("etcdserver: too many operations in txn request", INVALID_ARGUMENT)
         if any(not op.key for op in ops):
-            raise no_key()
+            raise key_missing_error()
         puts = [op for op in ops if isinstance(op, Put)]
-        if sum(len(op.key) + len(op.value) for op in puts) > MAX_BYTES:
-            raise StoreError("etcdserver: request is too large", INVALID)
+        if sum(len(op.key) + len(op.value) for op in puts) > MAX_REQUEST_BYTES:
+            raise StoreError("etcdserver: request is too large", INVALID_ARGUMENT)
         deletes = [op for op in ops if isinstance(op, Delete)]
         keys = {op.key for op in puts}
         if len(keys) < len(puts) or any(inside(key, op.key, op.end) for key in keys for op in deletes):
-            raise StoreError("etcdserver: duplicate key given in txn request", INVALID)
+            raise StoreError("etcdserver: duplicate key given in txn request", INVALID_ARGUMENT)
 
     def _apply(self, op: Op, events: list[Event]) -> Result:
         """Apply an operation at the next revision, which ends with `_commit`."""
@@ -338,10 +338,10 @@
             now = KeyValue(op.key, op.value, before.created if before else new, new, version, op.lease)
             self._set(now, before, events)
             return Changed((before,) if before else ())
-        gone = self.range(Range(op.key, op.end), new if events else self.revision).kvs
-        for kv in gone:
+        existing = self.range(Range(op.key, op.end), new if events else self.revision).kvs
+        for kv in existing:
             self._set(KeyValue(kv.key, b"", 0, new, 0), kv, events)
-        return Changed(gone, len(gone))
+        return Changed(existing, len(existing))
 
     def _set(self, now: KeyValue, before: KeyValue | None, events: list[Event]) -> None:
         if now.key not in self._versions:
@@ -362,12 +362,12 @@
     def compact(self, revision: int) -> None:
         """Compact the history before a revision, except versions live at it. Raises StoreError."""
         if revision > self.revision:
-            raise future()
+            raise future_revision_error()
         if revision <= self.compacted:
-            raise compacted()
+            raise compacted_error()
         self._compactions.append((self.revision, revision))
         del self._compactions[:-100]  # older ones matter only to members that lag far behind
-        self._drop(min(revision, self.revision - KEPT))
+        self._drop(min(revision, self.revision - LAGGING_READ_REVISIONS))
 
     def _drop(self, revision: int) -> None:
         """Drop compacted history that is too old for any lagging member, which bounds memory."""
@@ -378,8 +378,8 @@
         self._dropped = revision
         for key in list(self._keys):
             versions = self._versions[key]
-            at = bisect_right(versions, revision, key=lambda kv: kv.modified)
-            keep = at - 1 if at and versions[at - 1].version else at
+            position = bisect_right(versions, revision, key=lambda kv: kv.modified)
+            keep = position - 1 if position and versions[position - 1].version else position
             del versions[:keep]
             if not versions:
                 del self._versions[key]
@@ -392,11 +392,11 @@
         if ttl_s > MAX_TTL_S:
             raise StoreError("etcdserver: too large lease TTL", OUT_OF_RANGE)
         if lease in self.leases:
-            raise StoreError("etcdserver: lease already exists", PRECONDITION)
+            raise StoreError("etcdserver: lease already exists", FAILED_PRECONDITION)
         if not lease:
             self._next_lease += 2
             lease = self._next_lease
-        ttl_s = max(ttl_s, self.least_ttl_s)
+        ttl_s = max(ttl_s, self.min_ttl_s)
         self.leases[lease] = Lease(lease, ttl_s, self.now_ms() + 1000.0 * ttl_s)
         return self.leases[lease]
 
@@ -405,14 +405,14 @@
         found = self.leases.get(lease)
         if found is None:
             return 0
-        found.ends_ms = self.now_ms() + 1000.0 * found.ttl_s
+        found.expires_ms = self.now_ms() + 1000.0 * found.ttl_s
         return found.ttl_s
 
     def revoke(self, lease: int) -> None:
         """Revoke a lease and delete its keys in one revision, in key order. Raises StoreError."""
         found = self.leases.pop(lease, None)
         if found is None:
-            raise no_lease()
+            raise lease_not_found_error()
         events: list[Event] = []
         for key in sorted(found.keys):
             self._apply(Delete(key), events)
@@ -421,14 +421,14 @@
     def expire(self) -> list[int]:
         """Revoke all expired leases and return their ids."""
         now = self.now_ms()
-        over = [lease.id for lease in self.leases.values() if lease.ends_ms <= now]
-        for lease in over:
+        expired = [lease.id for lease in self.leases.values() if lease.expires_ms <= now]
+        for lease in expired:
             self.revoke(lease)
-        return over
+        return expired
 
-    def next_end_ms(self) -> float | None:
+    def next_expiry_ms(self) -> float | None:
         """Return the time of the next lease expiry in ms, or None without leases."""
-        return min((lease.ends_ms for lease in self.leases.values()), default=None)
+        return min((lease.expires_ms for lease in self.leases.values()), default=None)
 
     # --- backups
 
--- a/balancer/testbed/etcd/wire.py
+++ b/balancer/testbed/etcd/wire.py
@@ -51,7 +51,7 @@
     return base64.b64encode(data).decode("ascii")
 
 
-def lean(**fields: object) -> Json:
+def omit_zero_fields(**fields: object) -> Json:
     """Build a JSON object that omits zero values and encodes integers as strings."""
     out: Json = {}
     for name, value in fields.items():
@@ -199,8 +199,8 @@
     raise MalformedError("the stand-in knows no such operation in a txn")
 
 
-SIGNS = {"": "=", "EQUAL": "=", "NOT_EQUAL": "!", "GREATER": ">", "LESS": "<"}
-WANTS = {
+COMPARE_OPERATORS = {"": "=", "EQUAL": "=", "NOT_EQUAL": "!", "GREATER": ">", "LESS": "<"}
+OPERAND_FIELDS = {
     Target.VERSION: "version",
     Target.CREATE: "create_revision",
     Target.MOD: "mod_revision",
@@ -212,12 +212,15 @@
 def compare(fields: Fields) -> Compare:
     """Decode a Compare of a single key."""
     try:
-        target, sign = Target(fields.text("target") or "VERSION"), SIGNS[fields.text("result")]
+        target, operator = (
+            Target(fields.text("target") or "VERSION"),
+            COMPARE_OPERATORS[fields.text("result")],
+        )
     except (ValueError, KeyError):
         raise MalformedError(f"unknown comparison: {fields.raw!r:.120}") from None
-    name = WANTS[target]
-    want: int | bytes = fields.data(name) if target is Target.VALUE else fields.number(name)
-    return Compare(fields.data("key"), target, sign, want)
+    name = OPERAND_FIELDS[target]
+    operand: int | bytes = fields.data(name) if target is Target.VALUE else fields.number(name)
+    return Compare(fields.data("key"), target, operator, operand)
 
 
 def txn(fields: Fields) -> tuple[list[Compare], list[Op], list[Op]]:
@@ -257,7 +260,7 @@
 
 def key_value(kv: KeyValue) -> Json:
     """Encode a KeyValue."""
-    return lean(
+    return omit_zero_fields(
         key=kv.key,
         create_revision=kv.created,
         mod_revision=kv.modified,
@@ -270,34 +273,34 @@
 def event(one: Event, prev_kv: bool) -> Json:
     """Encode an Event; a put has no type because PUT is the zero value."""
     before = key_value(one.before) if prev_kv and one.before is not None else None
-    return lean(type="DELETE" if one.deleted else "", kv=key_value(one.now), prev_kv=before)
+    return omit_zero_fields(type="DELETE" if one.deleted else "", kv=key_value(one.now), prev_kv=before)
 
 
-def found(result: Found, header: Json) -> Json:
+def range_response(result: Found, header: Json) -> Json:
     """Encode a RangeResponse."""
     kvs = [key_value(kv) for kv in result.kvs]
-    return lean(header=header, kvs=kvs, more=result.more, count=result.count)
+    return omit_zero_fields(header=header, kvs=kvs, more=result.more, count=result.count)
 
 
-def changed(one: Put | Delete, result: Changed, header: Json) -> Json:
+def write_response(one: Put | Delete, result: Changed, header: Json) -> Json:
     """Encode a PutResponse or a DeleteRangeResponse."""
     before = [key_value(kv) for kv in result.before] if one.prev_kv else []
     if isinstance(one, Put):
-        return lean(header=header, prev_kv=before[0] if before else None)
-    return lean(header=header, deleted=result.deleted, prev_kvs=before)
+        return omit_zero_fields(header=header, prev_kv=before[0] if before else None)
+    return omit_zero_fields(header=header, deleted=result.deleted, prev_kvs=before)
 
 
-def answers(ops: Sequence[Op], results: Sequence[Changed | Found], revision: int) -> list[Json]:
+def txn_responses(ops: Sequence[Op], results: Sequence[Changed | Found], revision: int) -> list[Json]:
     """Encode the responses of a txn, each with a header that holds only the revision."""
-    header = lean(revision=revision)
+    header = omit_zero_fields(revision=revision)
     out: list[Json] = []
     for one, result in zip(ops, results, strict=True):
         if isinstance(result, Found):
-            out.append({"response_range": found(result, header)})
+            out.append({"response_range": range_response(result, header)})
         else:
             assert not isinstance(one, Range)
             name = "response_put" if isinstance(one, Put) else "response_delete_range"
-            out.append({name: changed(one, result, header)})
+            out.append({name: write_response(one, result, header)})
     return out
 
 
--- a/balancer/testbed/fault_schedules.py
+++ b/balancer/testbed/fault_schedules.py
@@ -282,8 +282,8 @@
         self.during(
             at_s,
             f"{text} tells twice",
-            self.each(lambda w, i: w.etcd.twice(i), pick),
-            self.each(lambda w, i: w.etcd.twice(i, on=False), pick),
+            self.each(lambda w, i: w.etcd.duplicate_events(i), pick),
+            self.each(lambda w, i: w.etcd.duplicate_events(i, on=False), pick),
         )
 
     def replay(self, at_s: float) -> None:
@@ -316,13 +316,13 @@
         kind = self.rng.choice(list(Garbage))
         what = f"{text} says {kind.name}"
         if self.rng.random() < 0.5:
-            self.at(at_s, what, self.each(lambda w, i: w.etcd.spoil(i, kind), pick))
+            self.at(at_s, what, self.each(lambda w, i: w.etcd.send_garbage(i, kind), pick))
             return
         self.during(
             at_s,
             f"{what} for a list",
-            self.each(lambda w, i: w.etcd.spoil_ranges(i, kind), pick),
-            self.each(lambda w, i: w.etcd.spoil_ranges(i, None), pick),
+            self.each(lambda w, i: w.etcd.corrupt_ranges(i, kind), pick),
+            self.each(lambda w, i: w.etcd.corrupt_ranges(i, None), pick),
             600.0,
         )
         self.at(at_s + 0.05, "and drops", self.each(lambda w, i: w.etcd.drop(i), pick))
--- a/benchmarks/drain_delay.py
+++ b/benchmarks/drain_delay.py
@@ -18,7 +18,7 @@
 from balancer.testbed.backend_emulator import Machine
 from balancer.testbed.cluster import Node, World
 from balancer.testbed.etcd.cluster import EtcdCluster
-from balancer.testbed.etcd.standin import StandIn
+from balancer.testbed.etcd.standin import EtcdEmulator
 from balancer.testbed.event_log import (
     HeldUp,
     Received,
@@ -127,7 +127,7 @@
         records = list(world.journal)
         verdict = world.verdict()
     for delete in deletes:
-        if isinstance(etcd, StandIn):
+        if isinstance(etcd, EtcdEmulator):
             key = PREFIX + delete.server
             delete.written_ms = next(
                 r.at_ms
--- a/benchmarks/endpoint_updates.py
+++ b/benchmarks/endpoint_updates.py
@@ -20,7 +20,7 @@
 
 import uvloop
 
-from balancer.testbed.etcd.standin import StandIn
+from balancer.testbed.etcd.standin import EtcdEmulator
 from benchmarks import (
     discovery_outage as herd,
 )
@@ -64,7 +64,7 @@
         """From etcd's delete to the last first byte."""
         count = 20 if self.quick else 200
         with tempfile.TemporaryDirectory(prefix="balancer-drain-") as name:
-            async with StandIn() as standin:
+            async with EtcdEmulator() as standin:
                 got = await drains.drains(standin, Path(name), count, RATE, self.node)
             self.show(f"From a delete to the last request ({count} deletes, etcd's stand-in)", got.rows())
 
--- a/benchmarks/proxy_fleet.py
+++ b/benchmarks/proxy_fleet.py
@@ -23,7 +23,7 @@
 
 from balancer.net.admin_socket import ask
 from balancer.testbed.discovery_emulator import Agent, Discovery
-from balancer.testbed.etcd.standin import StandIn
+from balancer.testbed.etcd.standin import EtcdEmulator
 from balancer.testbed.event_log import Answered, Journal, now_ms
 from balancer.testbed.load_generator import (
     Clients,
@@ -117,7 +117,7 @@
     directory: Path
     discovery: Discovery
     agent: Agent
-    etcd: StandIn
+    etcd: EtcdEmulator
     env: dict[str, str]
 
     async def change(self, source: str, entry: dict[str, Any]) -> None:
@@ -149,7 +149,7 @@
         directory = Path(name)
         discovery = Discovery(Journal(), entries if source in (KNOWN, PLATFORM) else (), revision=41)
         agent = await discovery.agent("n0")
-        async with StandIn() as etcd:
+        async with EtcdEmulator() as etcd:
             settings = directory / "balancer.toml"
             env = {"PROXY_CONFIG": str(directory / "node.json"), "BALANCER_SETTINGS": str(settings)}
             text = f'[control]\nsocket = "{directory / "control"}"\n'
@@ -342,7 +342,7 @@
     if source == PLATFORM:
         told.agent.tell(told.discovery.book.revision + 1, other, complete=True)
         return
-    assert isinstance(told.etcd, StandIn)
+    assert isinstance(told.etcd, EtcdEmulator)
     rows = {PREFIX + e["id"]: json.dumps(e).encode() for e in other[::100]}
     told.etcd.stall(0)  # none of these is told: the watch is lost, and its revision with it
     keys = list(rows)
--- a/tests/system/test_etcd_cluster_replacement.py
+++ b/tests/system/test_etcd_cluster_replacement.py
@@ -54,7 +54,7 @@
         if back == "another":
             world.enter("s5", phase="terminated")
             await world.writer.written()
-            world.every(lambda member: world.etcd.rename(member, 77))
+            world.every(lambda member: world.etcd.report_cluster_id(member, 77))
         else:
             world.etcd.restore(begun[0])
         await world.mend(world.members())
--- a/tests/system/test_etcd_conformance.py
+++ b/tests/system/test_etcd_conformance.py
@@ -31,7 +31,7 @@
 from balancer.net.discovery.etcd import EtcdDiscovery
 from balancer.testbed.certificates import make
 from balancer.testbed.etcd.shared import Garbage
-from balancer.testbed.etcd.standin import StandIn
+from balancer.testbed.etcd.standin import EtcdEmulator
 from tests.testbed.conftest import run
 
 CHECK_MS = limits.CHECK_INTERVAL_MS
@@ -159,7 +159,7 @@
 # API reference 3.4, WatchCreateRequest.start_revision ("inclusive"); guarantees 3.4: reliable.
 def test_no_event_is_missed_between_range_and_watch() -> None:
     async def test() -> None:
-        async with StandIn() as cluster:
+        async with EtcdEmulator() as cluster:
             for i in range(700):  # more than one page
                 await cluster.put(key(f"old-{i:03d}"), value())
             put: dict[str, int] = {}
@@ -209,7 +209,7 @@
     """A compaction at the very revision of a delete drops it, in etcd 3.4: no watch tells of it any more."""
 
     async def test() -> None:
-        async with StandIn() as cluster:
+        async with EtcdEmulator() as cluster:
             for i in range(6):
                 await cluster.put(key(f"s-{i}"), value())
             relay = Relay(cluster.endpoints[0])
@@ -235,7 +235,7 @@
 # Guarantees 3.4, reliable: any available event is told; one line for all that gathered: seen, 3.4.23.
 def test_megabytes_of_events_after_a_break() -> None:
     async def test() -> None:
-        async with StandIn() as cluster:
+        async with EtcdEmulator() as cluster:
             relay = Relay(cluster.endpoints[0])
             async with Follower([await relay.start()]) as follower:
                 await follower.settled()
@@ -254,7 +254,7 @@
 # API reference 3.4, mvccpb.KeyValue: a value is bytes of any kind; what is read into them is ours.
 def test_entries_that_cannot_be_read_cost_themselves_alone() -> None:
     async def test() -> None:
-        async with StandIn() as cluster:
+        async with EtcdEmulator() as cluster:
             await cluster.put(key("good"), value())
             for i in range(9):  # more than a page may hold together
                 await cluster.put(key(f"huge-{i}"), b"x" * 1_200_000)
@@ -280,7 +280,7 @@
 # API overview 3.4, Watch streams: a client resumes from its last revision; the end's words: seen, 3.4.23.
 def test_it_comes_back_after_an_end_and_a_restart() -> None:
     async def test() -> None:
-        async with StandIn() as cluster:
+        async with EtcdEmulator() as cluster:
             await cluster.put(key("a"), value())
             async with Follower(cluster.endpoints) as follower:
                 await follower.settled()
@@ -302,7 +302,7 @@
 # Guarantees 3.4, linearizability: a read that is not answered shows nothing; SIGSTOP: seen, 3.4.23.
 async def frozen() -> None:
     """A member that falls silent is left for another, without a new list."""
-    async with StandIn(3) as cluster:
+    async with EtcdEmulator(3) as cluster:
         await cluster.put(key("a"), value())
         async with Follower(cluster.endpoints) as follower:
             await follower.settled()
@@ -319,7 +319,7 @@
 # API reference 3.4, RangeRequest.serializable: without it a read needs a quorum.
 async def alone() -> None:
     """The only member falls silent and comes back."""
-    async with StandIn() as cluster:
+    async with EtcdEmulator() as cluster:
         await cluster.put(key("a"), value())
         async with Follower(cluster.endpoints) as follower:
             await follower.settled()
@@ -334,7 +334,7 @@
 # As `frozen`; a member cut off from the others lets watches in and says nothing: seen, 3.4.23.
 async def cut_off() -> None:
     """A member without its quorum lives, its watch is open, and it answers reads that ask for no quorum."""
-    async with StandIn(3) as cluster:
+    async with EtcdEmulator(3) as cluster:
         await cluster.put(key("a"), value())
         async with Follower(cluster.endpoints) as follower:
             await follower.settled()
@@ -365,7 +365,7 @@
 # API overview 3.4, Lease API: keys are deleted when their lease ends; in one revision: seen, 3.4.23.
 def test_leases_that_end_are_removals_all_at_once_too(caplog: pytest.LogCaptureFixture) -> None:
     async def test() -> None:
-        async with StandIn() as cluster:
+        async with EtcdEmulator() as cluster:
             short, long = await cluster.grant(1), await cluster.grant(600)
             await cluster.put(key("short"), value(), short)
             for i in range(5):
@@ -385,7 +385,7 @@
     monkeypatch.setattr(limits, "CHECK_INTERVAL_MS", 2500.0)  # longer than a token lives
 
     async def test() -> None:
-        async with StandIn(token_ttl_s=1) as cluster:
+        async with EtcdEmulator(token_ttl_s=1) as cluster:
             await cluster.put(key("a"), value())
             await cluster.enable_auth("reader", "pass-1", PREFIX)
             async with Follower(cluster.endpoints, user="reader", password="pass-1") as follower:
@@ -413,7 +413,7 @@
 )
 def test_who_is_not_let_in_is_refused(settings: dict[str, str], reason: str) -> None:
     async def test() -> None:
-        async with StandIn() as cluster:
+        async with EtcdEmulator() as cluster:
             await cluster.enable_auth("reader", "pass-1", PREFIX)
             async with Follower(cluster.endpoints, **settings) as follower:
                 await follower.until(lambda: follower.last(SourceRejected))
@@ -428,7 +428,7 @@
     shown = {"cert": str(made.client_cert), "key": str(made.client_key)}
 
     async def test() -> None:
-        async with StandIn(certificates=made, client_auth=True) as cluster:
+        async with EtcdEmulator(certificates=made, client_auth=True) as cluster:
             await cluster.put(key("a"), value())
             async with Follower(cluster.endpoints, ca=str(made.ca), **shown) as follower:
                 await follower.names("a")
@@ -446,7 +446,7 @@
 # gRPC naming guide 3.4 (dev-guide/grpc_naming): the JSON of a value, and its key.
 def test_grpc_naming() -> None:
     async def test() -> None:
-        async with StandIn() as cluster:
+        async with EtcdEmulator() as cluster:
             await cluster.put("/svc/1", b'{"Op":0,"Addr":"10.0.0.1:80","Metadata":null}')
             async with Follower(cluster.endpoints, prefix="/svc/", format="grpc-naming") as follower:
                 await follower.names("1")
@@ -462,12 +462,12 @@
 
 def test_old_events_replayed_and_sent_twice() -> None:
     async def test() -> None:
-        async with StandIn() as cluster:
+        async with EtcdEmulator() as cluster:
             for i in range(60):
                 await cluster.put(key(f"s-{i % 10}"), value(i + 1))
             async with Follower(cluster.endpoints) as follower:
                 await follower.names(*(f"s-{i}" for i in range(10)))
-                cluster.twice(0)
+                cluster.duplicate_events(0)
                 await cluster.delete(key("s-3"))
                 await follower.until(lambda: "s-3" not in follower.view)
                 cluster.replay(0, 1)
@@ -481,7 +481,7 @@
 
 def test_an_endpoint_that_lags_by_fifty_revisions() -> None:
     async def test() -> None:
-        async with StandIn(2) as cluster:
+        async with EtcdEmulator(2) as cluster:
             for i in range(60):
                 await cluster.put(key(f"s-{i % 10}"), value())
             async with Follower(cluster.endpoints) as follower:
@@ -508,7 +508,7 @@
     monkeypatch.setattr(limits, "MIN_REGRESSION_MS", 300.0)
 
     async def test() -> None:
-        async with StandIn() as cluster:
+        async with EtcdEmulator() as cluster:
             await cluster.put(key("a"), value())
             backup = cluster.backup()
             await cluster.put(key("b"), value())
@@ -520,7 +520,7 @@
                 async with Follower(cluster.endpoints, epoch=1) as raised:
                     await raised.names("a")
                     assert raised.listed[0].identity.endswith("/1")
-                cluster.rename(0, 77)
+                cluster.report_cluster_id(0, 77)
                 await follower.names("a")
                 assert (
                     follower.listed[-1].identity == "77/0" and follower.listed[-1].endpoint_list.is_complete
@@ -532,18 +532,18 @@
 @pytest.mark.parametrize("garbage", Garbage)
 def test_garbage_in_the_watch_and_in_ranges(garbage: Garbage) -> None:
     async def test() -> None:
-        async with StandIn() as cluster:
+        async with EtcdEmulator() as cluster:
             await cluster.put(key("a"), value())
             async with Follower(cluster.endpoints) as follower:
                 await follower.settled()
-                cluster.spoil(0, garbage, key("bad"))
+                cluster.send_garbage(0, garbage, key("bad"))
                 await cluster.delete(key("a"))
                 await cluster.put(key("b"), value())
                 await follower.names("b")
-                cluster.spoil_ranges(0, garbage, key("bad"))
+                cluster.corrupt_ranges(0, garbage, key("bad"))
                 cluster.drop(0)
                 await asyncio.sleep(0.2)
-                cluster.spoil_ranges(0, None)
+                cluster.corrupt_ranges(0, None)
                 await cluster.delete(key("b"))
                 await follower.names()
 
@@ -552,7 +552,7 @@
 
 def test_a_cancel_for_no_reason_and_fragments() -> None:
     async def test() -> None:
-        async with StandIn() as cluster:
+        async with EtcdEmulator() as cluster:
             cluster.fragment(0, 300)
             async with Follower(cluster.endpoints) as follower:
                 await follower.settled()
--- a/tests/system/test_membership.py
+++ b/tests/system/test_membership.py
@@ -190,7 +190,7 @@
             on(0.2, lambda w: off(w, "s2", "s3")),
             on(0.3, lambda w: off(w, "s4", phase="terminating")),
             on(0.5, replay),
-            on(0.6, lambda w: w.every(w.etcd.twice)),
+            on(0.6, lambda w: w.every(w.etcd.duplicate_events)),
             on(0.7, lambda w: off(w, "s5")),
             on(0.9, replay),
             on(1.2, behind),
@@ -382,19 +382,19 @@
 
         def stranger(world: FleetWorld) -> None:
             used = world.used()
-            world.etcd.rename(1 - used, 77)
+            world.etcd.report_cluster_id(1 - used, 77)
             world.etcd.drop(used)
 
         async def moved(world: FleetWorld) -> None:
             """All endpoints are another cluster's now, which is far behind in revisions and lacks s3."""
             world.etcd.restore(backup)
             for index in world.members():
-                world.etcd.rename(index, 77)
+                world.etcd.report_cluster_id(index, 77)
             off(world, "s3")
 
         def back(world: FleetWorld) -> None:
             for index in world.members():
-                world.etcd.rename(index, None)
+                world.etcd.report_cluster_id(index, None)
                 world.etcd.drop(index)
 
         script = [
@@ -430,7 +430,7 @@
         script = [
             on(0.3, lambda w: asyncio.gather(*(w.etcd.kill(index) for index in w.members()))),
             on(0.9, lambda w: w.mend(w.members())),
-            on(1.4, lambda w: w.etcd.lose_leases()),
+            on(1.4, lambda w: w.etcd.revoke_all_leases()),
             on(1.5, hand),
             on(3.9, lambda w: w.enter("s1", "s2")),
         ]
@@ -461,7 +461,7 @@
         path, site=SITE, seed=41, servers=6, platform=few.__contains__, role="add"
     ) as world:
         await lease(world, *(f"s{n}" for n in range(1, 7)))
-        script = [on(0.8, lambda w: w.etcd.lose_leases()), on(1.0, lambda w: off(w, "s1"))]
+        script = [on(0.8, lambda w: w.etcd.revoke_all_leases()), on(1.0, lambda w: off(w, "s1"))]
         await world.play(RATE, 3.6, script)
         got = judged(world)
         assert got.classes["all"].in_time > 0.9 * got.classes["all"].asked
@@ -502,22 +502,22 @@
 
         async def one_by_one(world: FleetWorld) -> None:
             for name, kind in (("s6", Garbage.HUGE_VALUE), ("s7", Garbage.NOT_BASE64)):
-                world.etcd.garble(PREFIX + name, kind)
+                world.etcd.corrupt_value(PREFIX + name, kind)
                 await put(name, json.dumps(world.fleet[name].member()).encode())
             await asyncio.sleep(0.2)
             for kind in (Garbage.NOT_JSON, Garbage.NOT_OBJECT, Garbage.ENDLESS_LINE):
                 with contextlib.suppress(ValueError):
-                    world.etcd.spoil(world.used(), kind)
+                    world.etcd.send_garbage(world.used(), kind)
                 await asyncio.sleep(0.5)  # which it takes to read the whole list again
 
         async def lists(world: FleetWorld) -> None:
             for kind in (Garbage.NOT_JSON, Garbage.ENDLESS_LINE):
                 for index in world.members():
-                    world.etcd.spoil_ranges(index, kind)
+                    world.etcd.corrupt_ranges(index, kind)
                     world.etcd.cancel(index, "", 5)
                 await asyncio.sleep(0.2)
             for index in world.members():
-                world.etcd.spoil_ranges(index, None)
+                world.etcd.corrupt_ranges(index, None)
 
         before = memory_mb(node.process)
         script = [
--- a/tests/testbed/test_etcd_faults.py
+++ b/tests/testbed/test_etcd_faults.py
@@ -15,12 +15,12 @@
 from balancer.testbed.etcd.client import (
     Call,
     EtcdError,
-    ask,
     b64,
-    span,
+    prefix_range,
+    send_request,
 )
 from balancer.testbed.etcd.shared import Garbage, now_ms
-from balancer.testbed.etcd.standin import StandIn
+from balancer.testbed.etcd.standin import EtcdEmulator
 from balancer.testbed.port_reservation import keep_port
 from tests.testbed.conftest import run
 from tests.testbed.test_etcd_gateway import (
@@ -34,15 +34,17 @@
 )
 
 
-async def read(cluster: StandIn, member: int = 0, wait_s: float = 5, **more: Any) -> dict[str, Any]:
+async def read(cluster: EtcdEmulator, member: int = 0, wait_s: float = 5, **more: Any) -> dict[str, Any]:
     """All keys, as a member has them."""
-    body = {**span(""), **more}
-    got = await ask(cluster.endpoints[member], "/v3/kv/range", body, context=cluster.context, wait_s=wait_s)
+    body = {**prefix_range(""), **more}
+    got = await send_request(
+        cluster.endpoints[member], "/v3/kv/range", body, context=cluster.context, wait_s=wait_s
+    )
     assert got.code == 200
     return got.json
 
 
-async def put(cluster: StandIn, *keys: str) -> None:
+async def put(cluster: EtcdEmulator, *keys: str) -> None:
     for key in keys:
         await cluster.put(key, b"")
 
@@ -55,13 +57,13 @@
 
 def test_refuse_and_drop() -> None:
     async def test() -> None:
-        async with StandIn() as etcd, await watch(etcd) as stream:
+        async with EtcdEmulator() as etcd, await watch(etcd) as stream:
             etcd.refuse(0)
             assert await refused(etcd.endpoints[0])
             await put(etcd, "a")
             assert await keys(stream) == [b64("a")]
             etcd.drop(0)
-            assert await stream.line() is None and not stream.whole
+            assert await stream.line() is None and not stream.is_complete
             await etcd.restart(0)
             assert (await read(etcd))["count"] == "1"
             etcd.drop(0)
@@ -74,7 +76,7 @@
 def test_stalled_it_says_nothing_and_stays_part_of_the_cluster(tls: bool, tmp_path: Path) -> None:
     async def test() -> None:
         made = certificates.make(tmp_path) if tls else None
-        async with StandIn(certificates=made) as etcd, await watch(etcd) as stream:
+        async with EtcdEmulator(certificates=made) as etcd, await watch(etcd) as stream:
             await put(etcd, "a")
             assert await keys(stream) == [b64("a")]
             etcd.stall(0)
@@ -98,7 +100,7 @@
 
 def test_a_member_that_lags() -> None:
     async def test() -> None:
-        async with StandIn(2) as etcd:
+        async with EtcdEmulator(2) as etcd:
             await put(etcd, *"abcde")
             etcd.lag(1, 2)
             fresh, old = await read(etcd), await read(etcd, 1)
@@ -119,7 +121,7 @@
 
 def test_a_member_that_was_behind_tells_of_a_delete_before_its_compaction() -> None:
     async def test() -> None:
-        async with StandIn() as etcd:
+        async with EtcdEmulator() as etcd:
             await put(etcd, "a", "b")
             async with await watch(etcd) as stream:
                 etcd.lag(0, 1)
@@ -136,7 +138,7 @@
 
 def test_a_member_cut_off_from_the_others() -> None:
     async def test() -> None:
-        async with StandIn(3) as etcd:
+        async with EtcdEmulator(3) as etcd:
             await put(etcd, "a")
             async with await watch(etcd) as stream, await watch(etcd, member=1) as other:
                 etcd.cut_off(0)
@@ -156,20 +158,20 @@
 
 def test_without_a_quorum_anywhere_nothing_is_written_and_no_lease_ends() -> None:
     async def test() -> None:
-        async with StandIn(3) as etcd:
+        async with EtcdEmulator(3) as etcd:
             lease = etcd.store.leases[await etcd.grant(100)]
             await etcd.put("a", b"", lease.id)
             etcd.freeze(1)
             await etcd.kill(2)
             with pytest.raises(EtcdError, match="quorum"):
                 await etcd.put("b", b"")
-            lease.ends_ms = now_ms()
+            lease.expires_ms = now_ms()
             await asyncio.sleep(0.1)
             assert (await read(etcd, serializable=True))["count"] == "1"
             etcd.thaw(1)  # a new leader gives it all its time again
-            assert lease.ends_ms > now_ms() + 90_000 and (await read(etcd))["count"] == "1"
+            assert lease.expires_ms > now_ms() + 90_000 and (await read(etcd))["count"] == "1"
             async with await watch(etcd) as stream:
-                lease.ends_ms = now_ms()
+                lease.expires_ms = now_ms()
                 await put(etcd, "b")
                 assert [await keys(stream), await keys(stream)] == [[b64("b")], ["-" + b64("a")]]
 
@@ -178,7 +180,7 @@
 
 def test_old_events_again_and_events_twice() -> None:
     async def test() -> None:
-        async with StandIn() as etcd, await watch(etcd) as stream:
+        async with EtcdEmulator() as etcd, await watch(etcd) as stream:
             await put(etcd, "a")
             await etcd.delete("a")
             await put(etcd, "b")
@@ -190,10 +192,10 @@
                 assert result == {"header": {"revision": "4"}, "events": events}  # as to one that was behind
             etcd.replay(0, 1, 2)
             assert await keys(stream) == [b64("a")] and await silent(stream)
-            etcd.twice(0)
+            etcd.duplicate_events(0)
             await put(etcd, "c")
             assert await keys(stream) == await keys(stream) == [b64("c")]
-            etcd.twice(0, on=False)
+            etcd.duplicate_events(0, on=False)
             await put(etcd, "d")
             assert await keys(stream) == [b64("d")] and await silent(stream)
             assert [one.revision for one in etcd.records] == [2, 3, 4, 2, 3, 4, 2, 5, 5, 6]
@@ -203,7 +205,7 @@
 
 def test_watches_are_canceled_and_the_stream_stays() -> None:
     async def test() -> None:
-        async with StandIn() as etcd, await watch(etcd) as stream:
+        async with EtcdEmulator() as etcd, await watch(etcd) as stream:
             etcd.cancel(0, "because")
             result = (await told(stream))["result"]
             assert result == {"header": {}, "canceled": True, "cancel_reason": "because"}
@@ -215,7 +217,7 @@
 
 def test_fragments_of_any_size() -> None:
     async def test() -> None:
-        async with StandIn() as etcd, await watch(etcd, fragment=True) as stream:
+        async with EtcdEmulator() as etcd, await watch(etcd, fragment=True) as stream:
             etcd.fragment(0, 100)
             await etcd.txn({f"a{index}": b"x" * 50 for index in range(3)}, ())
             got = [(await told(stream))["result"] for _ in range(3)]
@@ -227,17 +229,17 @@
 
 def test_garbage_on_a_watch() -> None:
     async def test() -> None:
-        async with StandIn() as etcd, await watch(etcd) as stream:
-            etcd.spoil(0, Garbage.NOT_JSON)
+        async with EtcdEmulator() as etcd, await watch(etcd) as stream:
+            etcd.send_garbage(0, Garbage.NOT_JSON)
             with pytest.raises(ValueError):
                 await told(stream)
-            etcd.spoil(0, Garbage.NOT_OBJECT)
+            etcd.send_garbage(0, Garbage.NOT_OBJECT)
             line = await stream.line()
             assert line is not None and isinstance(json.loads(line), list)
-            etcd.spoil(0, Garbage.NOT_BASE64, "a")
+            etcd.send_garbage(0, Garbage.NOT_BASE64, "a")
             bad = (await told(stream))["result"]["events"][0]["kv"]
             assert bad["key"] == b64("a") and "!" in bad["value"]
-            etcd.spoil(0, Garbage.HUGE_VALUE)
+            etcd.send_garbage(0, Garbage.HUGE_VALUE)
             bad = (await told(stream))["result"]["events"][0]["kv"]
             assert len(bad["value"]) > 2_000_000
             await put(etcd, "b")
@@ -248,9 +250,9 @@
 
 def test_a_value_that_is_garbled_in_events_and_lists() -> None:
     async def test() -> None:
-        async with StandIn() as etcd, await watch(etcd) as stream:
+        async with EtcdEmulator() as etcd, await watch(etcd) as stream:
             for kind, size in ((Garbage.NOT_BASE64, 14), (Garbage.HUGE_VALUE, 2_666_668), (None, 4)):
-                etcd.garble("a", kind)
+                etcd.corrupt_value("a", kind)
                 revision = await etcd.put("a", b"1")
                 (event,) = (await told(stream))["result"]["events"]
                 (kv,) = (await read(etcd))["kvs"]
@@ -272,8 +274,8 @@
     monkeypatch.setattr(streams, "ENDLESS", 3_000_000)
 
     async def test() -> None:
-        async with StandIn() as etcd, await watch(etcd) as stream:
-            etcd.spoil(0, Garbage.ENDLESS_LINE)
+        async with EtcdEmulator() as etcd, await watch(etcd) as stream:
+            etcd.send_garbage(0, Garbage.ENDLESS_LINE)
             size = 0
             while size < 3_000_000:
                 data = await stream.chunk()
@@ -290,23 +292,23 @@
     monkeypatch.setattr(streams, "ENDLESS", 3_000_000)
 
     async def test() -> None:
-        async with StandIn() as etcd:
+        async with EtcdEmulator() as etcd:
             await put(etcd, "a")
             for kind in (Garbage.NOT_JSON, Garbage.NOT_OBJECT):
-                etcd.spoil_ranges(0, kind)
+                etcd.corrupt_ranges(0, kind)
                 with pytest.raises(ValueError):
                     await read(etcd)
-            etcd.spoil_ranges(0, Garbage.NOT_BASE64, "b")
+            etcd.corrupt_ranges(0, Garbage.NOT_BASE64, "b")
             assert [one["key"] for one in (await read(etcd))["kvs"]] == [b64("a"), b64("b")]
-            etcd.spoil_ranges(0, Garbage.HUGE_VALUE)
+            etcd.corrupt_ranges(0, Garbage.HUGE_VALUE)
             assert len((await read(etcd))["kvs"][1]["value"]) > 2_000_000
-            etcd.spoil_ranges(0, Garbage.ENDLESS_LINE)
-            async with await Call.open(etcd.endpoints[0], "/v3/kv/range", span("")) as call:
+            etcd.corrupt_ranges(0, Garbage.ENDLESS_LINE)
+            async with await Call.open(etcd.endpoints[0], "/v3/kv/range", prefix_range("")) as call:
                 while sum(map(len, call.chunks)) < 3_000_000:
                     assert b"\n" not in await call.chunk()
                 assert await still_open(call)
             assert [one.put for one in etcd.records] == [("a",), ("a",)]  # all but one entry could be read
-            etcd.spoil_ranges(0, None)
+            etcd.corrupt_ranges(0, None)
             assert (await read(etcd))["count"] == "1"
 
     run(test)
@@ -314,13 +316,13 @@
 
 def test_another_cluster_id() -> None:
     async def test() -> None:
-        async with StandIn(2) as etcd, await watch(etcd) as stream:
-            etcd.rename(0, 99)
+        async with EtcdEmulator(2) as etcd, await watch(etcd) as stream:
+            etcd.report_cluster_id(0, 99)
             await put(etcd, "a")
             assert (await stream.message())["result"]["header"]["cluster_id"] == "99"
             assert (await read(etcd))["header"]["cluster_id"] == "99"
             assert (await read(etcd, 1))["header"]["cluster_id"] != "99"
-            etcd.rename(0, None)
+            etcd.report_cluster_id(0, None)
             assert (await read(etcd))["header"]["cluster_id"] == str(etcd.shared.cluster_id)
 
     run(test)
@@ -328,7 +330,7 @@
 
 def test_a_backup_is_restored_under_the_same_id() -> None:
     async def test() -> None:
-        async with StandIn() as etcd:
+        async with EtcdEmulator() as etcd:
             await put(etcd, "a")
             backup = etcd.backup()
             await put(etcd, "b")
@@ -350,19 +352,19 @@
 
 def test_all_leases_at_once_and_all_tokens() -> None:
     async def test() -> None:
-        async with StandIn() as etcd, await watch(etcd) as stream:
+        async with EtcdEmulator() as etcd, await watch(etcd) as stream:
             for key in "abc":
                 await etcd.put(key, b"", await etcd.grant(100))
                 await told(stream)
-            assert etcd.lose_leases() == 3
+            assert etcd.revoke_all_leases() == 3
             assert [await keys(stream) for _ in "abc"] == [["-" + b64(key)] for key in "abc"]
             await etcd.enable_auth("dill", "secret")
             who = {"name": "dill", "password": "secret"}
-            got = await ask(etcd.endpoints[0], "/v3/auth/authenticate", who)
+            got = await send_request(etcd.endpoints[0], "/v3/auth/authenticate", who)
             mine = got.json["token"]
-            assert (await ask(etcd.endpoints[0], "/v3/kv/range", span(""), mine)).code == 200
+            assert (await send_request(etcd.endpoints[0], "/v3/kv/range", prefix_range(""), mine)).code == 200
             etcd.forget_tokens()
-            assert (await ask(etcd.endpoints[0], "/v3/kv/range", span(""), mine)).code == 401
+            assert (await send_request(etcd.endpoints[0], "/v3/kv/range", prefix_range(""), mine)).code == 401
             assert "secret" not in repr(etcd.shared.auth.users)
 
     run(test)
@@ -370,7 +372,7 @@
 
 def test_what_was_told_is_recorded() -> None:
     async def test() -> None:
-        async with StandIn(2) as etcd:
+        async with EtcdEmulator(2) as etcd:
             await put(etcd, "m/a", "m/b", "n")
             before = now_ms()
             await read(etcd, 1, limit=2)
@@ -397,7 +399,7 @@
     """Guards the records against events that wait in the node's own memory of unsent bytes."""
 
     async def test() -> None:
-        async with StandIn() as etcd, await watch(etcd) as stream:
+        async with EtcdEmulator() as etcd, await watch(etcd) as stream:
             stream.writer.transport.pause_reading()  # type: ignore[attr-defined]
             (connection,) = etcd.members[0].streams
             for index in range(1000):
--- a/tests/testbed/test_etcd_gateway.py
+++ b/tests/testbed/test_etcd_gateway.py
@@ -19,12 +19,12 @@
 from balancer.testbed.etcd.client import (
     Call,
     EtcdError,
-    ask,
     b64,
-    span,
+    prefix_range,
+    send_request,
 )
 from balancer.testbed.etcd.cluster import EtcdCluster
-from balancer.testbed.etcd.standin import StandIn
+from balancer.testbed.etcd.standin import EtcdEmulator
 from tests.testbed.conftest import run
 
 QUIET = 0.15  # s without a word, where none is to come
@@ -63,7 +63,7 @@
 
 async def call(cluster: EtcdCluster, path: str, body: object, **more: Any) -> tuple[int, Any]:
     """Code and masked answer of one call to the first member, its framing checked."""
-    got = await ask(cluster.endpoints[0], path, body, context=cluster.context, **more)
+    got = await send_request(cluster.endpoints[0], path, body, context=cluster.context, **more)
     assert got.headers["content-type"] == "application/json"
     if got.code != 200:
         assert ("content-length" in got.headers) != ("trailer" in got.headers)
@@ -77,7 +77,7 @@
 async def watch(cluster: EtcdCluster, prefix: str = "", member: int = 0, **more: Any) -> Call:
     """A watch of a prefix, past its `created`."""
     token, headers = more.pop("token", ""), more.pop("headers", None)
-    body = {"create_request": {**span(prefix), **more}}
+    body = {"create_request": {**prefix_range(prefix), **more}}
     endpoint = cluster.endpoints[member]
     out = await Call.open(endpoint, "/v3/watch", body, token, cluster.context, headers=headers)
     assert await out.head() == 200
@@ -265,7 +265,7 @@
 # Gateway guide 3.4: paths, base64, 64-bit numbers as text; API reference 3.4 for the fields; order: seen.
 def test_calls_and_what_they_are_answered() -> None:
     async def test() -> None:
-        async with StandIn() as cluster:
+        async with EtcdEmulator() as cluster:
             await walk(cluster, KEYS)
 
     run(test)
@@ -275,7 +275,7 @@
 @pytest.mark.parametrize("path", ["kv/range", "watch"])
 def test_what_makes_no_sense_is_refused(path: str) -> None:
     async def test() -> None:
-        async with StandIn() as cluster:
+        async with EtcdEmulator() as cluster:
             want = (500, 2) if path == "watch" else (400, 3)
             bodies = (
                 b'{"key":',
@@ -287,7 +287,7 @@
                 code, answer = await call(cluster, f"/v3/{path}", body)
                 assert (code, answer["code"]) == want and answer["error"] == answer["message"]
             for method, there, words in (("GET", f"/v3/{path}", 405), ("POST", "/v3/none", 404)):
-                got = await ask(cluster.endpoints[0], there, method=method)
+                got = await send_request(cluster.endpoints[0], there, method=method)
                 assert got.code == words and got.headers["content-type"].startswith("text/plain")
 
     run(test)
@@ -296,7 +296,7 @@
 # RFC 9112, 9.3: persistence; the gateway keeps to it: seen, 3.4.23.
 def test_one_connection_carries_one_call_after_the_other() -> None:
     async def test() -> None:
-        async with StandIn() as cluster:
+        async with EtcdEmulator() as cluster:
             one = await Call.open(cluster.endpoints[0], "/v3/kv/range", {"key": A})
             async with one:
                 for path, body, code in (
@@ -308,7 +308,7 @@
                     ("kv/range", {"key": A}, 200),
                 ):
                     await one.answer()
-                    one.ask(f"/v3/{path}", body)
+                    one.send_request(f"/v3/{path}", body)
                     assert await one.head() == code
                 assert len((await one.answer()).json["kvs"]) == 1
 
@@ -318,7 +318,7 @@
 # RFC 9112, 7.1; what the gateway answers to it: seen, 3.4.23.
 def test_a_body_may_come_in_chunks() -> None:
     async def test() -> None:
-        async with StandIn() as cluster:
+        async with EtcdEmulator() as cluster:
             await cluster.put("a", b"")
             reader, writer = await asyncio.open_connection(*_address(cluster))
             head = "POST /v3/kv/range HTTP/1.1\r\nHost: localhost\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -332,7 +332,7 @@
 # API reference 3.4, StatusResponse.
 def test_status_names_version_and_leader() -> None:
     async def test() -> None:
-        async with StandIn() as cluster:
+        async with EtcdEmulator() as cluster:
             code, got = await call(cluster, "/v3/maintenance/status", {})
             assert code == 200 and got["version"].startswith("3.") and int(got["leader"]) > 0
             assert got["header"] == {"revision": "1"} and "errors" not in got
@@ -343,10 +343,12 @@
 # API reference 3.4, RangeRequest.revision and limit, RangeResponse.more; guarantees 3.4.
 def test_pages_of_one_revision_and_a_watch_after_it_miss_nothing() -> None:
     async def test() -> None:
-        async with StandIn() as cluster:
+        async with EtcdEmulator() as cluster:
             for start in range(0, 300, 100):
                 await cluster.txn({f"m/{index:03}": b"x" * 100 for index in range(start, start + 100)}, ())
-            first = await ask(cluster.endpoints[0], "/v3/kv/range", {**span("m/"), "limit": 100})
+            first = await send_request(
+                cluster.endpoints[0], "/v3/kv/range", {**prefix_range("m/"), "limit": 100}
+            )
             assert first.headers["transfer-encoding"] == "chunked"  # as any answer over 2048 bytes
             revision = first.json["header"]["revision"]
             await cluster.delete("m/150")
@@ -354,7 +356,7 @@
             keys = [one["key"] for one in first.json["kvs"]]
             more = first.json["more"]
             while more:
-                after = {"key": b64(_next(keys[-1])), "range_end": span("m/")["range_end"]}
+                after = {"key": b64(_next(keys[-1])), "range_end": prefix_range("m/")["range_end"]}
                 page = (await call(cluster, "/v3/kv/range", {**after, "limit": 100, "revision": revision}))[1]
                 assert page["header"] == {"revision": str(int(revision) + 2)}  # not that of the page
                 keys += [one["key"] for one in page["kvs"]]
@@ -377,7 +379,7 @@
 # API reference 3.4, WatchResponse; guarantees 3.4, atomic; one line a message: gateway guide 3.4.
 def test_a_watch_tells_each_revision_in_a_line_of_its_own() -> None:
     async def test() -> None:
-        async with StandIn() as cluster, await watch(cluster, "a") as stream:
+        async with EtcdEmulator() as cluster, await watch(cluster, "a") as stream:
             assert stream.first == header(1)  # type: ignore[attr-defined]
             assert stream.headers["transfer-encoding"] == "chunked"
             await cluster.put("a1", b"1")
@@ -401,7 +403,7 @@
 @pytest.mark.parametrize(("size", "own"), [(1000, False), (1500, True)])
 def test_a_long_line_has_its_newline_in_a_chunk_of_its_own(size: int, own: bool) -> None:
     async def test() -> None:
-        async with StandIn() as cluster, await watch(cluster) as stream:
+        async with EtcdEmulator() as cluster, await watch(cluster) as stream:
             await cluster.put("a", b"x" * size)
             assert (await told(stream))["result"]["events"]
             assert (stream.chunks[-1] == b"\n") is own
@@ -412,7 +414,7 @@
 # Seen, 3.4.23: what an unsynced watcher missed comes together.
 def test_what_gathered_comes_in_one_line() -> None:
     async def test() -> None:
-        async with StandIn() as cluster:
+        async with EtcdEmulator() as cluster:
             await cluster.put("a", b"1")
             await cluster.put("a", b"2")
             await cluster.delete("a")
@@ -430,7 +432,7 @@
 # Seen, 3.4.23 (mvcc's watchBatchMaxRevs).
 def test_a_thousand_revisions_a_line_at_most() -> None:
     async def test() -> None:
-        async with StandIn() as cluster:
+        async with EtcdEmulator() as cluster:
             for _ in range(101):
                 await asyncio.gather(*(cluster.put("a", b"") for _ in range(10)))
             async with await watch(cluster, start_revision=2) as stream:
@@ -442,7 +444,7 @@
 # API reference 3.4, WatchCreateRequest.start_revision; that it is let in in silence: seen, 3.4.23.
 def test_a_future_start_is_let_in_and_waited_for() -> None:
     async def test() -> None:
-        async with StandIn() as cluster, await watch(cluster, start_revision=4) as stream:
+        async with EtcdEmulator() as cluster, await watch(cluster, start_revision=4) as stream:
             assert stream.first == header(1)  # type: ignore[attr-defined]
             for index in range(4):
                 await cluster.put("a", b"%d" % index)
@@ -455,7 +457,7 @@
 # API reference 3.4, WatchResponse.compact_revision and canceled; that the stream stays open: seen.
 def test_below_a_compaction_it_is_created_canceled_and_stays_open() -> None:
     async def test() -> None:
-        async with StandIn() as cluster:
+        async with EtcdEmulator() as cluster:
             for key in ("a", "b", "c", "d"):
                 await cluster.put(key, b"")
             await cluster.compact(4)
@@ -481,7 +483,7 @@
     """Guards the reason to resume a watch from the last revision that was seen, not from the next one."""
 
     async def test() -> None:
-        async with StandIn() as cluster:
+        async with EtcdEmulator() as cluster:
             await cluster.put("a", b"")
             await cluster.put("b", b"")
             await cluster.delete("a")  # 4
@@ -499,7 +501,7 @@
 # API reference 3.4, WatchRequest and watch_id; on one HTTP call: seen, 3.4.23.
 def test_several_watches_on_one_call_and_an_empty_range() -> None:
     async def test() -> None:
-        async with StandIn() as cluster:
+        async with EtcdEmulator() as cluster:
             body = b"".join(
                 json.dumps({"create_request": one}).encode()
                 for one in ({"key": A}, {"key": B}, {"key": Z, "range_end": A}, {"key": A, "watch_id": 7})
@@ -517,7 +519,7 @@
 # API reference 3.4, WatchCreateRequest.fragment and WatchResponse.fragment.
 def test_fragments_where_they_are_asked_for() -> None:
     async def test() -> None:
-        async with StandIn() as cluster:
+        async with EtcdEmulator() as cluster:
             for index in range(6):
                 await cluster.put(f"a{index}", b"x" * 900_000)
             async with await watch(cluster, start_revision=2) as stream:
@@ -534,7 +536,7 @@
 # API reference 3.4, WatchCreateRequest.progress_notify.
 def test_progress_is_told_to_who_asked() -> None:
     async def test() -> None:
-        async with StandIn(progress_ms=100) as cluster:
+        async with EtcdEmulator(progress_ms=100) as cluster:
             stream, other = await watch(cluster, progress_notify=True), await watch(cluster)
             async with stream, other:
                 assert await told(stream) == {"result": header(1)}
@@ -560,7 +562,7 @@
 # Gateway guide 3.4, Authentication; what is let in all the same: seen, 3.4.23.
 def test_with_auth_on_nobody_comes_in_without_a_token() -> None:
     async def test() -> None:
-        async with StandIn() as cluster:
+        async with EtcdEmulator() as cluster:
             before = await watch(cluster)
             await cluster.enable_auth("dill", "secret")
             wrong = (400, error("etcdserver: authentication failed, invalid user ID or password", 3))
@@ -604,13 +606,13 @@
 # Role-based access control guide 3.4; words and codes: seen, 3.4.23.
 def test_who_may_only_read_a_prefix() -> None:
     async def test() -> None:
-        async with StandIn() as cluster:
+        async with EtcdEmulator() as cluster:
             await cluster.enable_auth("dill", "secret", readable="m/")
             mine = await token(cluster, "dill", "secret")
             for ask_for, want in (
-                (span("m/"), 200),
-                (span("m/1"), 200),
-                (span("m"), 403),
+                (prefix_range("m/"), 200),
+                (prefix_range("m/1"), 200),
+                (prefix_range("m"), 403),
                 ({"key": b64("m/"), "range_end": b64("\0")}, 403),
                 ({"key": A}, 403),
             ):
@@ -634,23 +636,25 @@
     async def test() -> None:
         (tmp_path / "named").mkdir()
         certificates, others = make(tmp_path), make(tmp_path / "named", "dill")
-        async with StandIn(certificates=certificates, client_auth=True) as cluster:
+        async with EtcdEmulator(certificates=certificates, client_auth=True) as cluster:
             assert cluster.endpoints[0].startswith("https://")
             async with await watch(cluster) as stream:
                 await cluster.put("a", b"x" * 200_000)
                 assert (await told(stream))["result"]["events"]
             for context in (certificates.client(shown=False), others.client()):
                 with pytest.raises((OSError, EOFError)):
-                    await ask(cluster.endpoints[0], "/v3/kv/range", {"key": A}, context=context)
+                    await send_request(cluster.endpoints[0], "/v3/kv/range", {"key": A}, context=context)
             await cluster.enable_auth("root", "secret")
             mine = await token(cluster, "root", "secret")
             assert (await call(cluster, "/v3/kv/range", {"key": A}, token=mine))[0] == 200
         named_too = make(tmp_path, "dill")
-        async with StandIn(certificates=named_too, client_auth=True) as cluster:
+        async with EtcdEmulator(certificates=named_too, client_auth=True) as cluster:
             assert (await call(cluster, "/v3/kv/range", {"key": A}))[0] == 200
             # Not through `enable_auth`, which logs in with this very certificate once auth is on.
             await cluster.enable_auth("root", "secret")
-            got = await ask(cluster.endpoints[0], "/v3/kv/range", {"key": A}, context=cluster.context)
+            got = await send_request(
+                cluster.endpoints[0], "/v3/kv/range", {"key": A}, context=cluster.context
+            )
             assert got.code == 400 and named.encode() in got.body
 
     run(test)
@@ -662,7 +666,7 @@
 async def refused(endpoint: str) -> bool:
     """Whether connections are refused."""
     try:
-        await ask(endpoint, "/v3/kv/range", {"key": A}, wait_s=1)
+        await send_request(endpoint, "/v3/kv/range", {"key": A}, wait_s=1)
     except ConnectionRefusedError:
         return True
     return False
@@ -671,16 +675,16 @@
 # Guarantees 3.4, durability.
 def test_killed_and_back_again_it_goes_on_where_it_was() -> None:
     async def test() -> None:
-        async with StandIn() as cluster:
+        async with EtcdEmulator() as cluster:
             revision = await cluster.put("a", b"1")
             stream, idle = await watch(cluster), await asyncio.open_connection(*_address(cluster))
-            before = (await ask(cluster.endpoints[0], "/v3/kv/range", {"key": A})).json
+            before = (await send_request(cluster.endpoints[0], "/v3/kv/range", {"key": A})).json
             await cluster.kill(0)
-            assert await stream.line() is None and not stream.whole  # a bare end, no last chunk
+            assert await stream.line() is None and not stream.is_complete  # a bare end, no last chunk
             assert await idle[0].read() == b""
             assert await refused(cluster.endpoints[0])
             await cluster.restart(0)
-            after = (await ask(cluster.endpoints[0], "/v3/kv/range", {"key": A})).json
+            after = (await send_request(cluster.endpoints[0], "/v3/kv/range", {"key": A})).json
             assert masked(before) == masked(after)
             assert before["header"]["cluster_id"] == after["header"]["cluster_id"]
             async with await watch(cluster, start_revision=revision) as again:
@@ -699,7 +703,7 @@
 # Seen, 3.4.23.
 def test_terminated_it_says_so_and_ends() -> None:
     async def test() -> None:
-        async with StandIn() as cluster:
+        async with EtcdEmulator() as cluster:
             async with await watch(cluster) as stream:
                 ending = asyncio.create_task(cluster.terminate(0))
                 last = (await told(stream))["error"]
@@ -709,7 +713,7 @@
                     (1, 408, "Request Timeout", "grpc: the client connection is closing"),
                 )
                 assert not stream.chunks[-2].endswith(b"\n")
-                assert stream.chunks[-1] == b"" and stream.whole and await stream.eof()
+                assert stream.chunks[-1] == b"" and stream.is_complete and await stream.eof()
                 await ending
             assert await refused(cluster.endpoints[0])
 
@@ -719,8 +723,8 @@
 # Seen, 3.4.23 under SIGSTOP: the kernel accepts for it.
 def test_frozen_it_accepts_and_says_nothing() -> None:
     async def test() -> None:
-        async with StandIn(3) as cluster:
-            status = [(await ask(one, "/v3/maintenance/status")).json for one in cluster.endpoints]
+        async with EtcdEmulator(3) as cluster:
+            status = [(await send_request(one, "/v3/maintenance/status")).json for one in cluster.endpoints]
             followers = [one["header"]["member_id"] != one["leader"] for one in status]
             member = followers.index(True)  # the cluster goes on at once without it
             stream = await watch(cluster, member=member)
@@ -747,9 +751,9 @@
 # RFC 9112; which headers the gateway sends: seen, 3.4.23.
 def test_the_head_of_an_answer() -> None:
     async def test() -> None:
-        async with StandIn() as cluster:
-            good = await ask(cluster.endpoints[0], "/v3/kv/range", {"key": A})
-            bad = await ask(cluster.endpoints[0], "/v3/kv/range", {})
+        async with EtcdEmulator() as cluster:
+            good = await send_request(cluster.endpoints[0], "/v3/kv/range", {"key": A})
+            bad = await send_request(cluster.endpoints[0], "/v3/kv/range", {})
             allow = [f"access-control-allow-{what}" for what in ("headers", "methods", "origin")]
             allow += ["content-type"]
             assert list(good.headers) == [*allow, "grpc-metadata-content-type", "date", "content-length"]
@@ -763,7 +767,7 @@
 
 # API overview 3.4, Lease API; in one revision: seen, 3.4.23.
 async def a_lease_that_ends_takes_its_keys_in_one_revision() -> None:
-    async with StandIn() as cluster:
+    async with EtcdEmulator() as cluster:
         short, long = await cluster.grant(1), await cluster.grant(100)
         async with await watch(cluster) as stream:
             for key in ("c", "a", "b"):
@@ -782,7 +786,7 @@
 # Authentication guide 3.4; that an open watch outlives its token: seen, 3.4.23.
 async def a_token_ends_when_nobody_uses_it() -> None:
     ttl_s = 0.5  # in which the watch has to be opened
-    async with StandIn(token_ttl_s=ttl_s) as cluster:
+    async with EtcdEmulator(token_ttl_s=ttl_s) as cluster:
         await cluster.enable_auth("root", "secret")
         mine = await token(cluster, "root", "secret")
         async with await watch(cluster, token=mine) as stream:
@@ -794,7 +798,7 @@
 
 # API reference 3.4, RangeRequest.serializable; the words, and 5 s and two elections: seen, 3.4.23.
 async def without_a_quorum_it_lives_and_knows_nothing_new() -> None:
-    async with StandIn(3, quorum_wait_ms=500) as cluster:
+    async with EtcdEmulator(3, quorum_wait_ms=500) as cluster:
         await cluster.put("a", b"1")
         stream, strict = await watch(cluster), await watch(cluster, headers=HAS_LEADER)
         for member in (1, 2):
@@ -803,7 +807,7 @@
         assert await _nothing(read.head())
         lost = {"grpc_code": 14, "http_code": 503, "message": "etcdserver: no leader"}
         assert (await told(strict)) == {"error": {**lost, "http_status": "Service Unavailable"}}
-        assert strict.whole and not strict.chunks[-2].endswith(b"\n") and await still_open(strict)
+        assert strict.is_complete and not strict.chunks[-2].endswith(b"\n") and await still_open(strict)
         write = await Call.open(cluster.endpoints[0], "/v3/kv/put", {"key": A})
         assert await call(cluster, "/v3/kv/range", {"key": A}, headers=HAS_LEADER) == UNLED
         old = {**header(2), "kvs": [kv("a", 2, 2, 1, "1")], "count": "1"}
--- a/tests/testbed/test_etcd_store.py
+++ b/tests/testbed/test_etcd_store.py
@@ -164,7 +164,7 @@
 
 
 def test_what_is_compacted_and_old_is_dropped(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(mvcc, "KEPT", 3)
+    monkeypatch.setattr(mvcc, "LAGGING_READ_REVISIONS", 3)
     store, _ = fresh()
     for index in range(20):
         store.put(b"a", b"%d" % index)
@@ -224,13 +224,13 @@
     assert store.expire() == [other.id] and store.revision == 6
     assert store.keep_alive(lease) == 5
     clock.now = 9998
-    assert store.expire() == [] and store.next_end_ms() == 9999
+    assert store.expire() == [] and store.next_expiry_ms() == 9999
     clock.now = 9999
     assert store.expire() == [lease] and store.revision == 7
     ((_, events),) = store.events(7, 7)
     assert [event.now.key for event in events] == [b"a", b"b", b"c"]
     assert store.range(Range(b"\0", b"\0")).count == 1
-    assert store.keep_alive(lease) == 0 and store.next_end_ms() is None
+    assert store.keep_alive(lease) == 0 and store.next_expiry_ms() is None
     with pytest.raises(StoreError, match="not found"):
         store.revoke(lease)
     store.grant(5, 77)
