--- a/balancer/testbed/etcd/gateway.py
+++ b/balancer/testbed/etcd/gateway.py
@@ -236,9 +236,9 @@
 
     async def _wait_for_quorum(self, message: str, code: int) -> None:
         """Wait for a quorum. Raises StoreError after `quorum_wait_ms`."""
-        end = now_ms() + self.shared.quorum_wait_ms
+        deadline_ms = now_ms() + self.shared.quorum_wait_ms
         while not self.shared.has_quorum(self.index):
-            if now_ms() >= end:
+            if now_ms() >= deadline_ms:
                 raise StoreError(message, code)
             await asyncio.sleep(0.01)
 
@@ -247,16 +247,16 @@
         await self.wait_until_awake()
 
     async def _range(self, connection: Connection, request: Request, fields: wire.Fields) -> Json | None:
-        one = wire.range_(fields)
+        range_request = wire.range_(fields)
         if not fields.flag("serializable"):
             await self._wait_for_quorum(TIMED_OUT, 14)
             await self.wait_until_awake()
-        if one.key:
-            self.shared.auth.check(request.token, one.key, one.end, write=False)
-        first_page = one.end and not one.count_only and not one.revision
+        if range_request.key:
+            self.shared.auth.check(request.token, range_request.key, range_request.end, write=False)
+        first_page = range_request.end and not range_request.count_only and not range_request.revision
         if first_page and not self.shared.admit_list(self.index):
             raise StoreError("etcdserver: too many requests", 8)
-        found = self.shared.store.range(one, self.view())
+        found = self.shared.store.range(range_request, self.view())
         value = wire.range_response(found, self.header())
         if self.shared.corrupted_values and found.kvs:
             value["kvs"] = [self.corrupt_row(kv.key, wire.key_value(kv)) for kv in found.kvs]
@@ -265,8 +265,11 @@
         is_readable = self.garbage in (None, Garbage.HUGE_VALUE, Garbage.NOT_BASE64)
         if is_readable and not connection.is_closed:
             put, peer = names(kv.key for kv in found.kvs), connection.peer
-            key, end = names((one.key, one.end))
-            kind, shown = "count" if one.count_only else "range", one.revision or self.view()
+            key, end = names((range_request.key, range_request.end))
+            kind, shown = (
+                "count" if range_request.count_only else "range",
+                range_request.revision or self.view(),
+            )
             self.shared.record(Record(now_ms(), self.index, kind, shown, put, (), peer, key, end, found.more))
         if self.garbage is not None:
             await self._write_garbage(connection, request, body)
@@ -306,25 +309,27 @@
     async def _delete(self, connection: Connection, request: Request, fields: wire.Fields) -> Json:
         return await self._write(wire.delete(fields), request)
 
-    async def _write(self, one: Put | Delete, request: Request) -> Json:
+    async def _write(self, operation: Put | Delete, request: Request) -> Json:
         await self._wait_until_writable()
-        self._check_permissions([one], request)
-        _, (result,) = self.shared.store.txn((), (one,), ())
+        self._check_permissions([operation], request)
+        _, (result,) = self.shared.store.txn((), (operation,), ())
         self.shared.changed()
         assert not isinstance(result, Found)
-        return wire.write_response(one, result, self.header())
+        return wire.write_response(operation, result, self.header())
 
     def _check_permissions(self, ops: list[Op], request: Request) -> None:
-        for one in ops:
-            end = b"" if isinstance(one, Put) else one.end
-            if one.key:
-                self.shared.auth.check(request.token, one.key, end, write=not isinstance(one, Range))
+        for operation in ops:
+            end = b"" if isinstance(operation, Put) else operation.end
+            if operation.key:
+                self.shared.auth.check(
+                    request.token, operation.key, end, write=not isinstance(operation, Range)
+                )
 
     async def _txn(self, connection: Connection, request: Request, fields: wire.Fields) -> Json:
         conditions, success_ops, failure_ops = wire.txn(fields)
         await self._wait_until_writable()
-        for one in conditions:
-            self.shared.auth.check(request.token, one.key, b"", write=False)
+        for condition in conditions:
+            self.shared.auth.check(request.token, condition.key, b"", write=False)
         self._check_permissions([*success_ops, *failure_ops], request)
         succeeded, results = self.shared.store.txn(conditions, success_ops, failure_ops)
         self.shared.changed()
@@ -402,7 +407,7 @@
         stream = Stream(self, connection, request)
         try:
             requests = wire.load_all(request.body)
-            numbers = [fields.number("ID") for fields in requests]
+            lease_ids = [fields.number("ID") for fields in requests]
         except wire.MalformedError as err:
             connection.respond_error(str(err), 2, request.closes_connection, is_parsed=False)
             return
@@ -412,8 +417,8 @@
             with contextlib.suppress(EndedError):
                 stream.end(err.message, err.code)
             return
-        for number in numbers:
-            ttl_s = self.shared.store.keep_alive(number)
-            stream.write_message(header=self.header(), ID=number, TTL=ttl_s)
+        for lease_id in lease_ids:
+            ttl_s = self.shared.store.keep_alive(lease_id)
+            stream.write_message(header=self.header(), ID=lease_id, TTL=ttl_s)
         self.shared.changed()
         connection.write(chunk(b""))
--- a/balancer/testbed/etcd/standin.py
+++ b/balancer/testbed/etcd/standin.py
@@ -126,11 +126,14 @@
 
     def has_quorum(self, index: int) -> bool:
         """Whether a member belongs to a majority that is running, not frozen and not partitioned."""
-        available = [one.alive and one.thawed.is_set() and not one.is_isolated for one in self.members]
+        available = [
+            endpoint.alive and endpoint.thawed.is_set() and not endpoint.is_isolated
+            for endpoint in self.members
+        ]
         return available[index] and 2 * sum(available) > len(available)
 
     def _leader(self) -> int:
-        ids = (one.member_id for one in self.members if self.has_quorum(one.index))
+        ids = (endpoint.member_id for endpoint in self.members if self.has_quorum(endpoint.index))
         return next(ids, 0)
 
     def _has_leader(self) -> bool:
@@ -233,29 +236,29 @@
 
     async def kill(self, member: int) -> None:
         """Abort all connections and refuse new ones."""
-        one = self.members[member]
-        one.alive = False
-        one.stop_listening()
-        one.drop()
-        one.thawed.set()
+        endpoint = self.members[member]
+        endpoint.alive = False
+        endpoint.stop_listening()
+        endpoint.drop()
+        endpoint.thawed.set()
         self._changed()
 
     async def terminate(self, member: int) -> None:
         """End streams with an error, close all connections and refuse new ones."""
-        one = self.members[member]
-        one.alive = False
-        one.stop_listening()
-        one.close_gracefully()
-        one.thawed.set()
+        endpoint = self.members[member]
+        endpoint.alive = False
+        endpoint.stop_listening()
+        endpoint.close_gracefully()
+        endpoint.thawed.set()
         self._changed()
 
     async def restart(self, member: int) -> None:
         """Start a member again on the same address."""
-        one = self.members[member]
-        one.start_count += not one.alive
-        one.alive = True
-        if not one.is_listening:
-            one.listen(self._port_reservations[member].getsockname()[1])
+        endpoint = self.members[member]
+        endpoint.start_count += not endpoint.alive
+        endpoint.alive = True
+        if not endpoint.is_listening:
+            endpoint.listen(self._port_reservations[member].getsockname()[1])
         self._changed()
 
     async def enable_auth(self, user: str, password: str, readable: str = "") -> None:
@@ -269,8 +272,8 @@
     # --- faults; a frozen or stalled member does not send the faults of its streams
 
     def _streams(self, member: int) -> list[Stream]:
-        one = self.members[member]
-        return list(one.streams.values()) if one.is_awake else []
+        endpoint = self.members[member]
+        return list(endpoint.streams.values()) if endpoint.is_awake else []
 
     def refuse(self, member: int) -> None:
         """Refuse new connections until `restart`."""
@@ -282,12 +285,12 @@
 
     def stall(self, member: int, on: bool = True) -> None:
         """Send nothing to clients, as with `freeze`, but stay in the quorum."""
-        one = self.members[member]
+        endpoint = self.members[member]
         if on:
-            one.unstalled.clear()
+            endpoint.unstalled.clear()
         else:
-            one.unstalled.set()
-        one.wake_streams()
+            endpoint.unstalled.set()
+        endpoint.wake_streams()
 
     def lag(self, member: int, revisions: int) -> None:
         """Serve a state that is this many revisions old; 0 ends the fault."""
--- a/balancer/testbed/etcd/wire.py
+++ b/balancer/testbed/etcd/wire.py
@@ -190,12 +190,12 @@
 
 def op(fields: Fields) -> Op:
     """Decode a RequestOp."""
-    if (one := fields.object("request_put")) is not None:
-        return put(one)
-    if (one := fields.object("request_delete_range")) is not None:
-        return delete(one)
-    if (one := fields.object("request_range")) is not None:
-        return range_(one)
+    if (operation := fields.object("request_put")) is not None:
+        return put(operation)
+    if (operation := fields.object("request_delete_range")) is not None:
+        return delete(operation)
+    if (operation := fields.object("request_range")) is not None:
+        return range_(operation)
     raise MalformedError("the stand-in knows no such operation in a txn")
 
 
@@ -226,7 +226,11 @@
 def txn(fields: Fields) -> tuple[list[Compare], list[Op], list[Op]]:
     """Decode a TxnRequest into its conditions, success operations and failure operations."""
     conditions = [compare(one) for one in fields.list("compare")]
-    return conditions, [op(o) for o in fields.list("success")], [op(o) for o in fields.list("failure")]
+    return (
+        conditions,
+        [op(operation) for operation in fields.list("success")],
+        [op(operation) for operation in fields.list("failure")],
+    )
 
 
 @dataclass(slots=True, frozen=True)
@@ -282,10 +286,10 @@
     return omit_zero_fields(header=header, kvs=kvs, more=result.more, count=result.count)
 
 
-def write_response(one: Put | Delete, result: Changed, header: Json) -> Json:
+def write_response(operation: Put | Delete, result: Changed, header: Json) -> Json:
     """Encode a PutResponse or a DeleteRangeResponse."""
-    before = [key_value(kv) for kv in result.before] if one.prev_kv else []
-    if isinstance(one, Put):
+    before = [key_value(kv) for kv in result.before] if operation.prev_kv else []
+    if isinstance(operation, Put):
         return omit_zero_fields(header=header, prev_kv=before[0] if before else None)
     return omit_zero_fields(header=header, deleted=result.deleted, prev_kvs=before)
 
@@ -294,13 +298,13 @@
     """Encode the responses of a txn, each with a header that holds only the revision."""
     header = omit_zero_fields(revision=revision)
     out: list[Json] = []
-    for one, result in zip(ops, results, strict=True):
+    for operation, result in zip(ops, results, strict=True):
         if isinstance(result, Found):
             out.append({"response_range": range_response(result, header)})
         else:
-            assert not isinstance(one, Range)
-            name = "response_put" if isinstance(one, Put) else "response_delete_range"
-            out.append({name: write_response(one, result, header)})
+            assert not isinstance(operation, Range)
+            name = "response_put" if isinstance(operation, Put) else "response_delete_range"
+            out.append({name: write_response(operation, result, header)})
     return out
 
 
@@ -311,6 +315,6 @@
 
 def stream_error(message: str, code: int) -> Json:
     """Encode the final error of a stream, whose format differs from that of a unary call."""
-    number, _, words = HTTP_CODES[code].partition(" ")
-    inner = {"grpc_code": code, "http_code": int(number), "message": message, "http_status": words}
+    status, _, reason = HTTP_CODES[code].partition(" ")
+    inner = {"grpc_code": code, "http_code": int(status), "message": message, "http_status": reason}
     return {"error": inner}
--- a/tests/testbed/test_etcd_gateway.py
+++ b/tests/testbed/test_etcd_gateway.py
@@ -1,7 +1,7 @@
-"""What etcd's JSON gateway says on the wire, as the stand-in says it.
+"""Tests that the etcd emulator responds on the wire as etcd's JSON gateway does.
 
-The comment over each test names its source; "API reference", "gateway guide" and the like are pages of etcd's
-documentation of release 3.4, "seen" is what etcd 3.4.23 said when these tests ran on it.
+The comment above each test names its source: "API reference", "gateway guide" and similar are pages of the
+etcd 3.4 documentation; "observed" is the behavior of etcd 3.4.23 when these tests ran against it.
 """
 
 from __future__ import annotations
@@ -27,11 +27,11 @@
 from balancer.testbed.etcd.standin import EtcdEmulator
 from tests.testbed.conftest import run
 
-QUIET = 0.15  # s without a word, where none is to come
+QUIET_S = 0.15  # without data, after which a stream counts as silent
 
 
 def masked(value: Any) -> Any:
-    """An answer without what differs between two clusters. A header must hold its ids."""
+    """Remove the ids that differ between clusters; a header must hold all of them."""
     if isinstance(value, list):
         return [masked(one) for one in value]
     if not isinstance(value, dict):
@@ -53,16 +53,16 @@
     return out | ({"value": b64(value)} if value else {}) | more
 
 
-def gone(key: str, revision: int) -> dict[str, object]:
+def delete_event(key: str, revision: int) -> dict[str, object]:
     return {"type": "DELETE", "kv": {"key": b64(key), "mod_revision": str(revision)}}
 
 
-def error(words: str, code: int) -> dict[str, object]:
-    return {"error": words, "message": words, "code": code}
+def error(message: str, code: int) -> dict[str, object]:
+    return {"error": message, "message": message, "code": code}
 
 
 async def call(cluster: EtcdCluster, path: str, body: object, **more: Any) -> tuple[int, Any]:
-    """Code and masked answer of one call to the first member, its framing checked."""
+    """Call the first member, check the framing and return the status code and masked response."""
     got = await send_request(cluster.endpoints[0], path, body, context=cluster.context, **more)
     assert got.headers["content-type"] == "application/json"
     if got.code != 200:
@@ -75,7 +75,7 @@
 
 
 async def watch(cluster: EtcdCluster, prefix: str = "", member: int = 0, **more: Any) -> Call:
-    """A watch of a prefix, past its `created`."""
+    """Open a watch of a prefix and read its `created` message."""
     token, headers = more.pop("token", ""), more.pop("headers", None)
     body = {"create_request": {**prefix_range(prefix), **more}}
     endpoint = cluster.endpoints[member]
@@ -87,37 +87,37 @@
     return out
 
 
-async def told(stream: Call) -> dict[str, Any]:
-    """The next message of a stream, masked."""
+async def next_message(stream: Call) -> dict[str, Any]:
+    """Return the next message of a stream, masked."""
     out = masked(await stream.message())
     assert isinstance(out, dict)
     return out
 
 
-async def silent(stream: Call) -> bool:
-    """Whether nothing comes for a while, not even the stream's end."""
-    return await _nothing(stream.line())
+async def is_silent(stream: Call) -> bool:
+    """Whether nothing arrives for `QUIET_S`, not even the end of the stream."""
+    return await _times_out(stream.line())
 
 
-async def still_open(stream: Call) -> bool:
-    """Whether the connection outlives the stream on it."""
-    return await _nothing(stream.eof())
+async def is_still_open(stream: Call) -> bool:
+    """Whether the connection stays open for `QUIET_S`."""
+    return await _times_out(stream.eof())
 
 
-async def _nothing(coming: Coroutine[Any, Any, object]) -> bool:
+async def _times_out(coming: Coroutine[Any, Any, object]) -> bool:
     try:
-        await asyncio.wait_for(coming, QUIET)
+        await asyncio.wait_for(coming, QUIET_S)
     except TimeoutError:
         return True
     return False
 
 
 KEY_MISSING = (400, error("etcdserver: key is not provided", 3))
-NO_LEASE = (404, error("etcdserver: requested lease not found", 5))
+LEASE_NOT_FOUND = (404, error("etcdserver: requested lease not found", 5))
 COMPACTED = (400, error("etcdserver: mvcc: required revision has been compacted", 11))
-FUTURE = (400, error("etcdserver: mvcc: required revision is a future revision", 11))
+FUTURE_REVISION = (400, error("etcdserver: mvcc: required revision is a future revision", 11))
 DUPLICATE = (400, error("etcdserver: duplicate key given in txn request", 3))
-NOBODY = (400, error("etcdserver: user name is empty", 3))
+USER_MISSING = (400, error("etcdserver: user name is empty", 3))
 BAD_TOKEN = (401, error("etcdserver: invalid auth token", 16))
 DENIED = (403, error("etcdserver: permission denied", 7))
 A, B, Z = b64("a"), b64("b"), b64("z")
@@ -142,9 +142,9 @@
         {"key": A, "value": b64("2"), "prev_kv": True},
         (200, {**header(4), "prev_kv": kv("a", 2, 2, 1, "1")}),
     ),
-    ("kv/put", {"key": A, "lease": 77}, NO_LEASE),
+    ("kv/put", {"key": A, "lease": 77}, LEASE_NOT_FOUND),
     ("kv/put", {"value": b64("1")}, KEY_MISSING),
-    ("kv/put", {"key": b64("c"), "valu": b64("2")}, (200, header(5))),  # an unknown name is passed over
+    ("kv/put", {"key": b64("c"), "valu": b64("2")}, (200, header(5))),  # an unknown field is ignored
     (
         "kv/range",
         ALL,
@@ -170,7 +170,7 @@
         (200, {**header(5), "kvs": [kv("a", 2, 4, 2)], "count": "1"}),
     ),
     ("kv/range", {**ALL, "revision": 2}, (200, {**header(5), "kvs": [kv("a", 2, 2, 1, "1")], "count": "1"})),
-    ("kv/range", {**ALL, "revision": 200}, FUTURE),
+    ("kv/range", {**ALL, "revision": 200}, FUTURE_REVISION),
     ("kv/range", {}, KEY_MISSING),
     ("kv/range", {"key": Z, "range_end": A}, (200, header(5))),
     ("kv/deleterange", {"key": Z}, (200, header(5))),
@@ -226,7 +226,7 @@
         {"key": A, "value": b64("x" * 1_600_000)},
         (400, error("etcdserver: request is too large", 3)),
     ),
-    ("kv/compaction", {"revision": "999"}, FUTURE),
+    ("kv/compaction", {"revision": "999"}, FUTURE_REVISION),
     ("kv/compaction", {"revision": "5", "physical": True}, (200, header(7))),
     ("kv/compaction", {"revision": "5"}, COMPACTED),
     ("kv/range", {**ALL, "revision": 4}, COMPACTED),
@@ -237,7 +237,8 @@
     ),
     ("lease/grant", {"TTL": 5, "ID": "1234"}, (200, {**header(7), "ID": "1234", "TTL": "5"})),
     ("lease/grant", {"TTL": 5, "ID": "1234"}, (412, error("etcdserver: lease already exists", 9))),
-    ("lease/grant", {"TTL": 0, "ID": "7"}, (200, {**header(7), "ID": "7", "TTL": "1"})),  # 1.5 elections
+    # Raised to 1.5 election timeouts.
+    ("lease/grant", {"TTL": 0, "ID": "7"}, (200, {**header(7), "ID": "7", "TTL": "1"})),
     ("lease/grant", {"TTL": 9_000_000_001}, (400, error("etcdserver: too large lease TTL", 11))),
     ("kv/put", {"key": b64("l"), "lease": 1234}, (200, header(8))),
     (
@@ -246,9 +247,10 @@
         (200, {**header(8), "kvs": [kv("l", 8, 8, 1, lease="1234")], "count": "1"}),
     ),
     ("lease/keepalive", {"ID": "1234"}, (200, {"result": {**header(8), "ID": "1234", "TTL": "5"}})),
-    ("lease/keepalive", {"ID": "99"}, (200, {"result": {**header(8), "ID": "99"}})),  # no TTL: there is none
+    # Without a TTL, because the lease does not exist.
+    ("lease/keepalive", {"ID": "99"}, (200, {"result": {**header(8), "ID": "99"}})),
     ("lease/revoke", {"ID": "1234"}, (200, header(9))),
-    ("kv/lease/revoke", {"ID": 1234}, NO_LEASE),
+    ("kv/lease/revoke", {"ID": 1234}, LEASE_NOT_FOUND),
     (
         "auth/authenticate",
         {"name": "root", "password": "x"},
@@ -257,23 +259,23 @@
 ]
 
 
-async def walk(cluster: EtcdCluster, steps: Sequence[Step], **more: Any) -> None:
+async def check_steps(cluster: EtcdCluster, steps: Sequence[Step], **more: Any) -> None:
     for path, body, want in steps:
         assert await call(cluster, f"/v3/{path}", body, **more) == want, (path, f"{body!r:.300}")
 
 
-# Gateway guide 3.4: paths, base64, 64-bit numbers as text; API reference 3.4 for the fields; order: seen.
-def test_calls_and_what_they_are_answered() -> None:
+# Gateway guide 3.4: paths, base64, 64-bit numbers as strings; API reference 3.4: fields; order: observed.
+def test_gateway_calls_return_etcd_responses() -> None:
     async def test() -> None:
         async with EtcdEmulator() as cluster:
-            await walk(cluster, KEYS)
+            await check_steps(cluster, KEYS)
 
     run(test)
 
 
-# API reference 3.4, google.rpc codes; the words and the HTTP codes: seen, 3.4.23.
+# API reference 3.4, google.rpc codes; messages and HTTP codes: observed, 3.4.23.
 @pytest.mark.parametrize("path", ["kv/range", "watch"])
-def test_what_makes_no_sense_is_refused(path: str) -> None:
+def test_gateway_malformed_request_is_rejected(path: str) -> None:
     async def test() -> None:
         async with EtcdEmulator() as cluster:
             want = (500, 2) if path == "watch" else (400, 3)
@@ -286,15 +288,15 @@
             for body in bodies:
                 code, answer = await call(cluster, f"/v3/{path}", body)
                 assert (code, answer["code"]) == want and answer["error"] == answer["message"]
-            for method, there, words in (("GET", f"/v3/{path}", 405), ("POST", "/v3/none", 404)):
-                got = await send_request(cluster.endpoints[0], there, method=method)
-                assert got.code == words and got.headers["content-type"].startswith("text/plain")
+            for method, request_path, status in (("GET", f"/v3/{path}", 405), ("POST", "/v3/none", 404)):
+                got = await send_request(cluster.endpoints[0], request_path, method=method)
+                assert got.code == status and got.headers["content-type"].startswith("text/plain")
 
     run(test)
 
 
-# RFC 9112, 9.3: persistence; the gateway keeps to it: seen, 3.4.23.
-def test_one_connection_carries_one_call_after_the_other() -> None:
+# RFC 9112, 9.3: persistence; followed by the gateway: observed, 3.4.23.
+def test_connection_with_consecutive_calls_serves_each() -> None:
     async def test() -> None:
         async with EtcdEmulator() as cluster:
             one = await Call.open(cluster.endpoints[0], "/v3/kv/range", {"key": A})
@@ -315,8 +317,8 @@
     run(test)
 
 
-# RFC 9112, 7.1; what the gateway answers to it: seen, 3.4.23.
-def test_a_body_may_come_in_chunks() -> None:
+# RFC 9112, 7.1; the response of the gateway: observed, 3.4.23.
+def test_gateway_chunked_request_body_is_accepted() -> None:
     async def test() -> None:
         async with EtcdEmulator() as cluster:
             await cluster.put("a", b"")
@@ -330,7 +332,7 @@
 
 
 # API reference 3.4, StatusResponse.
-def test_status_names_version_and_leader() -> None:
+def test_status_call_reports_version_and_leader() -> None:
     async def test() -> None:
         async with EtcdEmulator() as cluster:
             code, got = await call(cluster, "/v3/maintenance/status", {})
@@ -341,7 +343,7 @@
 
 
 # API reference 3.4, RangeRequest.revision and limit, RangeResponse.more; guarantees 3.4.
-def test_pages_of_one_revision_and_a_watch_after_it_miss_nothing() -> None:
+def test_range_paged_at_one_revision_then_watch_misses_nothing() -> None:
     async def test() -> None:
         async with EtcdEmulator() as cluster:
             for start in range(0, 300, 100):
@@ -349,7 +351,7 @@
             first = await send_request(
                 cluster.endpoints[0], "/v3/kv/range", {**prefix_range("m/"), "limit": 100}
             )
-            assert first.headers["transfer-encoding"] == "chunked"  # as any answer over 2048 bytes
+            assert first.headers["transfer-encoding"] == "chunked"  # as any response over 2048 bytes
             revision = first.json["header"]["revision"]
             await cluster.delete("m/150")
             await cluster.put("m/000", b"new")
@@ -358,13 +360,14 @@
             while more:
                 after = {"key": b64(_next(keys[-1])), "range_end": prefix_range("m/")["range_end"]}
                 page = (await call(cluster, "/v3/kv/range", {**after, "limit": 100, "revision": revision}))[1]
-                assert page["header"] == {"revision": str(int(revision) + 2)}  # not that of the page
+                # The header has the latest revision, not that of the page.
+                assert page["header"] == {"revision": str(int(revision) + 2)}
                 keys += [one["key"] for one in page["kvs"]]
                 more = page.get("more", False)
             assert keys == [b64(f"m/{index:03}") for index in range(300)]
             async with await watch(cluster, "m/", start_revision=str(int(revision) + 1)) as stream:
-                events = (await told(stream))["result"]["events"]
-                assert events == [gone("m/150", 5), {"kv": kv("m/000", 2, 6, 2, "new")}]
+                events = (await next_message(stream))["result"]["events"]
+                assert events == [delete_event("m/150", 5), {"kv": kv("m/000", 2, 6, 2, "new")}]
 
     run(test)
 
@@ -376,8 +379,8 @@
 # --- watches
 
 
-# API reference 3.4, WatchResponse; guarantees 3.4, atomic; one line a message: gateway guide 3.4.
-def test_a_watch_tells_each_revision_in_a_line_of_its_own() -> None:
+# API reference 3.4, WatchResponse; guarantees 3.4, atomic; one line per message: gateway guide 3.4.
+def test_watch_sends_each_revision_in_its_own_line() -> None:
     async def test() -> None:
         async with EtcdEmulator() as cluster, await watch(cluster, "a") as stream:
             assert stream.first == header(1)  # type: ignore[attr-defined]
@@ -388,31 +391,31 @@
             await cluster.delete("a", prefix=True)
             want = [
                 (2, [{"kv": kv("a1", 2, 2, 1, "1")}]),
-                (4, [{"kv": kv("a2", 4, 4, 1)}, {"kv": kv("a0", 4, 4, 1, "3")}, gone("a1", 4)]),
-                (5, [gone("a0", 5), gone("a2", 5)]),
+                (4, [{"kv": kv("a2", 4, 4, 1)}, {"kv": kv("a0", 4, 4, 1, "3")}, delete_event("a1", 4)]),
+                (5, [delete_event("a0", 5), delete_event("a2", 5)]),
             ]
             for revision, events in want:
-                assert await told(stream) == {"result": {**header(revision), "events": events}}
+                assert await next_message(stream) == {"result": {**header(revision), "events": events}}
             assert all(chunk.endswith(b"}\n") for chunk in stream.chunks)
-            assert await silent(stream)
+            assert await is_silent(stream)
 
     run(test)
 
 
-# Seen, 3.4.23: no page says how lines fall into chunks.
+# Observed, 3.4.23: the documentation does not say how lines are split into chunks.
 @pytest.mark.parametrize(("size", "own"), [(1000, False), (1500, True)])
-def test_a_long_line_has_its_newline_in_a_chunk_of_its_own(size: int, own: bool) -> None:
+def test_watch_long_line_has_newline_in_separate_chunk(size: int, own: bool) -> None:
     async def test() -> None:
         async with EtcdEmulator() as cluster, await watch(cluster) as stream:
             await cluster.put("a", b"x" * size)
-            assert (await told(stream))["result"]["events"]
+            assert (await next_message(stream))["result"]["events"]
             assert (stream.chunks[-1] == b"\n") is own
 
     run(test)
 
 
-# Seen, 3.4.23: what an unsynced watcher missed comes together.
-def test_what_gathered_comes_in_one_line() -> None:
+# Observed, 3.4.23: an unsynced watcher gets the missed events together.
+def test_watch_from_past_revision_sends_missed_events_in_one_line() -> None:
     async def test() -> None:
         async with EtcdEmulator() as cluster:
             await cluster.put("a", b"1")
@@ -420,42 +423,48 @@
             await cluster.delete("a")
             async with await watch(cluster, start_revision="2", prev_kv=True) as stream:
                 first, second = kv("a", 2, 2, 1, "1"), kv("a", 2, 3, 2, "2")
-                events = [{"kv": first}, {"kv": second, "prev_kv": first}, gone("a", 4) | {"prev_kv": second}]
-                assert await told(stream) == {"result": {**header(4), "events": events}}
-                assert await silent(stream)
+                events = [
+                    {"kv": first},
+                    {"kv": second, "prev_kv": first},
+                    delete_event("a", 4) | {"prev_kv": second},
+                ]
+                assert await next_message(stream) == {"result": {**header(4), "events": events}}
+                assert await is_silent(stream)
             async with await watch(cluster, start_revision=1, filters=["NOPUT"]) as stream:
-                assert await told(stream) == {"result": {**header(4), "events": [gone("a", 4)]}}
+                assert await next_message(stream) == {
+                    "result": {**header(4), "events": [delete_event("a", 4)]}
+                }
 
     run(test)
 
 
-# Seen, 3.4.23 (mvcc's watchBatchMaxRevs).
-def test_a_thousand_revisions_a_line_at_most() -> None:
+# Observed, 3.4.23 (mvcc's watchBatchMaxRevs).
+def test_watch_catching_up_sends_at_most_1000_revisions_per_line() -> None:
     async def test() -> None:
         async with EtcdEmulator() as cluster:
             for _ in range(101):
                 await asyncio.gather(*(cluster.put("a", b"") for _ in range(10)))
             async with await watch(cluster, start_revision=2) as stream:
-                assert [len((await told(stream))["result"]["events"]) for _ in range(2)] == [1000, 10]
+                assert [len((await next_message(stream))["result"]["events"]) for _ in range(2)] == [1000, 10]
 
     run(test)
 
 
-# API reference 3.4, WatchCreateRequest.start_revision; that it is let in in silence: seen, 3.4.23.
-def test_a_future_start_is_let_in_and_waited_for() -> None:
+# API reference 3.4, WatchCreateRequest.start_revision; that it is accepted silently: observed, 3.4.23.
+def test_watch_from_future_revision_waits_for_it() -> None:
     async def test() -> None:
         async with EtcdEmulator() as cluster, await watch(cluster, start_revision=4) as stream:
             assert stream.first == header(1)  # type: ignore[attr-defined]
             for index in range(4):
                 await cluster.put("a", b"%d" % index)
             for revision in (4, 5):
-                assert (await told(stream))["result"]["header"] == {"revision": str(revision)}
+                assert (await next_message(stream))["result"]["header"] == {"revision": str(revision)}
 
     run(test)
 
 
-# API reference 3.4, WatchResponse.compact_revision and canceled; that the stream stays open: seen.
-def test_below_a_compaction_it_is_created_canceled_and_stays_open() -> None:
+# API reference 3.4, WatchResponse.compact_revision and canceled; that the stream stays open: observed.
+def test_watch_below_compaction_is_canceled_and_stream_stays_open() -> None:
     async def test() -> None:
         async with EtcdEmulator() as cluster:
             for key in ("a", "b", "c", "d"):
@@ -464,23 +473,23 @@
             async with await watch(cluster, start_revision=3) as stream:
                 assert stream.first == header(5)  # type: ignore[attr-defined]
                 # No revision in the header.
-                assert await told(stream) == {
+                assert await next_message(stream) == {
                     "result": {"header": {}, "canceled": True, "compact_revision": "4"}
                 }
                 await cluster.put("e", b"")
-                assert await silent(stream)
+                assert await is_silent(stream)
             async with await watch(cluster, start_revision=4) as stream:
-                assert len((await told(stream))["result"]["events"]) == 3
+                assert len((await next_message(stream))["result"]["events"]) == 3
                 await cluster.compact(6)
-                await cluster.put("f", b"")  # an open watch does not mind
-                assert (await told(stream))["result"]["header"] == {"revision": "7"}
+                await cluster.put("f", b"")  # an open watch is not affected
+                assert (await next_message(stream))["result"]["header"] == {"revision": "7"}
 
     run(test)
 
 
-# Seen, 3.4.23; later releases mended it (etcd's changelog).
-def test_a_delete_at_the_compacted_revision_is_lost_without_a_word() -> None:
-    """Guards the reason to resume a watch from the last revision that was seen, not from the next one."""
+# Observed, 3.4.23; later releases fixed it (etcd's changelog).
+def test_watch_from_compacted_revision_misses_delete_at_it() -> None:
+    """Guards the rule that a watch resumes from the last seen revision, not from the next one."""
 
     async def test() -> None:
         async with EtcdEmulator() as cluster:
@@ -490,16 +499,16 @@
             await cluster.put("c", b"")
             await cluster.compact(4)
             async with await watch(cluster, start_revision=4) as stream:
-                events = (await told(stream))["result"]["events"]
-                assert events == [{"kv": kv("c", 5, 5, 1)}]  # newer releases of etcd tell it
+                events = (await next_message(stream))["result"]["events"]
+                assert events == [{"kv": kv("c", 5, 5, 1)}]  # newer releases of etcd also send the delete
             async with await watch(cluster, start_revision=3) as stream:
-                assert (await told(stream))["result"]["compact_revision"] == "4"
+                assert (await next_message(stream))["result"]["compact_revision"] == "4"
 
     run(test)
 
 
-# API reference 3.4, WatchRequest and watch_id; on one HTTP call: seen, 3.4.23.
-def test_several_watches_on_one_call_and_an_empty_range() -> None:
+# API reference 3.4, WatchRequest and watch_id; on one HTTP call: observed, 3.4.23.
+def test_stream_with_several_watches_rejects_empty_range() -> None:
     async def test() -> None:
         async with EtcdEmulator() as cluster:
             body = b"".join(
@@ -507,25 +516,25 @@
                 for one in ({"key": A}, {"key": B}, {"key": Z, "range_end": A}, {"key": A, "watch_id": 7})
             )
             async with await Call.open(cluster.endpoints[0], "/v3/watch", body) as stream:
-                got = [(await told(stream))["result"] for _ in range(4)]
+                got = [(await next_message(stream))["result"] for _ in range(4)]
                 assert [one.get("watch_id", "0") for one in got] == ["0", "1", "-1", "7"]
                 assert got[2]["canceled"] and got[2]["cancel_reason"] == "mvcc: watcher range is empty"
                 await cluster.put("b", b"")
-                assert (await told(stream))["result"]["watch_id"] == "1"
+                assert (await next_message(stream))["result"]["watch_id"] == "1"
 
     run(test)
 
 
 # API reference 3.4, WatchCreateRequest.fragment and WatchResponse.fragment.
-def test_fragments_where_they_are_asked_for() -> None:
+def test_watch_with_fragments_requested_splits_events() -> None:
     async def test() -> None:
         async with EtcdEmulator() as cluster:
             for index in range(6):
                 await cluster.put(f"a{index}", b"x" * 900_000)
             async with await watch(cluster, start_revision=2) as stream:
-                assert len((await told(stream))["result"]["events"]) == 6
+                assert len((await next_message(stream))["result"]["events"]) == 6
             async with await watch(cluster, start_revision=2, fragment=True) as stream:
-                got = [(await told(stream))["result"] for _ in range(3)]
+                got = [(await next_message(stream))["result"] for _ in range(3)]
                 assert [len(one["events"]) for one in got] == [2, 2, 2]
                 assert [one.get("fragment") for one in got] == [True, True, None]
                 assert all(one["header"] == {"revision": "7"} for one in got)
@@ -534,18 +543,18 @@
 
 
 # API reference 3.4, WatchCreateRequest.progress_notify.
-def test_progress_is_told_to_who_asked() -> None:
+def test_watch_with_progress_notify_receives_progress() -> None:
     async def test() -> None:
         async with EtcdEmulator(progress_ms=100) as cluster:
             stream, other = await watch(cluster, progress_notify=True), await watch(cluster)
             async with stream, other:
-                assert await told(stream) == {"result": header(1)}
-                assert await silent(other)
+                assert await next_message(stream) == {"result": header(1)}
+                assert await is_silent(other)
                 await cluster.put("a", b"")
-                message = await told(stream)
+                message = await next_message(stream)
                 while "events" not in message["result"]:
-                    message = await told(stream)
-                assert await told(stream) == {"result": header(2)}
+                    message = await next_message(stream)
+                assert await next_message(stream) == {"result": header(2)}
 
     run(test)
 
@@ -559,22 +568,22 @@
     return str(got["token"])
 
 
-# Gateway guide 3.4, Authentication; what is let in all the same: seen, 3.4.23.
-def test_with_auth_on_nobody_comes_in_without_a_token() -> None:
+# Gateway guide 3.4, Authentication; calls allowed without a token: observed, 3.4.23.
+def test_gateway_with_auth_rejects_calls_without_valid_token() -> None:
     async def test() -> None:
         async with EtcdEmulator() as cluster:
             before = await watch(cluster)
             await cluster.enable_auth("dill", "secret")
             wrong = (400, error("etcdserver: authentication failed, invalid user ID or password", 3))
             steps: list[Step] = [
-                ("kv/range", {"key": A}, NOBODY),
-                ("kv/put", {"key": A}, NOBODY),
+                ("kv/range", {"key": A}, USER_MISSING),
+                ("kv/put", {"key": A}, USER_MISSING),
                 ("auth/authenticate", {"name": "dill", "password": "x"}, wrong),
                 ("auth/authenticate", {"name": "none", "password": "secret"}, wrong),
                 ("auth/authenticate", {"name": "dill"}, wrong),
                 ("lease/grant", {"TTL": 5, "ID": 7}, (200, {**header(1), "ID": "7", "TTL": "5"})),
             ]
-            await walk(cluster, steps)
+            await check_steps(cluster, steps)
             assert (await call(cluster, "/v3/maintenance/status", {}))[0] == 200
             good = await token(cluster, "dill", "secret")
             assert await call(cluster, "/v3/kv/put", {"key": A}, token=good) == (200, header(2))
@@ -590,12 +599,12 @@
             }
             for bad, reason in reasons.items():
                 async with await watch(cluster, token=bad) as stream:
-                    refused = {**header(2), "watch_id": "-1", "canceled": True, "cancel_reason": reason}
-                    assert stream.first == refused  # type: ignore[attr-defined]
-                    assert await silent(stream)
-            await cluster.put("a", b"2")  # its own writes go on
-            async with before:  # who was there before is not asked
-                assert [(await told(before))["result"]["header"] for _ in range(2)] == [
+                    rejected = {**header(2), "watch_id": "-1", "canceled": True, "cancel_reason": reason}
+                    assert stream.first == rejected  # type: ignore[attr-defined]
+                    assert await is_silent(stream)
+            await cluster.put("a", b"2")  # the cluster's own writes keep working
+            async with before:  # an existing watch is not authenticated again
+                assert [(await next_message(before))["result"]["header"] for _ in range(2)] == [
                     {"revision": "2"},
                     {"revision": "3"},
                 ]
@@ -603,12 +612,12 @@
     run(test)
 
 
-# Role-based access control guide 3.4; words and codes: seen, 3.4.23.
-def test_who_may_only_read_a_prefix() -> None:
+# Role-based access control guide 3.4; messages and codes: observed, 3.4.23.
+def test_user_restricted_to_prefix_is_denied_other_access() -> None:
     async def test() -> None:
         async with EtcdEmulator() as cluster:
             await cluster.enable_auth("dill", "secret", readable="m/")
-            mine = await token(cluster, "dill", "secret")
+            user_token = await token(cluster, "dill", "secret")
             for ask_for, want in (
                 (prefix_range("m/"), 200),
                 (prefix_range("m/1"), 200),
@@ -616,21 +625,21 @@
                 ({"key": b64("m/"), "range_end": b64("\0")}, 403),
                 ({"key": A}, 403),
             ):
-                got = await call(cluster, "/v3/kv/range", ask_for, token=mine)
+                got = await call(cluster, "/v3/kv/range", ask_for, token=user_token)
                 assert got[0] == want and (want == 200 or got == DENIED)
-            assert await call(cluster, "/v3/kv/put", {"key": b64("m/1")}, token=mine) == DENIED
-            async with await watch(cluster, "m/", token=mine) as stream:
+            assert await call(cluster, "/v3/kv/put", {"key": b64("m/1")}, token=user_token) == DENIED
+            async with await watch(cluster, "m/", token=user_token) as stream:
                 await cluster.put("m/1", b"")
-                assert (await told(stream))["result"]["events"] == [{"kv": kv("m/1", 2, 2, 1)}]
-            async with await watch(cluster, "", token=mine) as stream:
+                assert (await next_message(stream))["result"]["events"] == [{"kv": kv("m/1", 2, 2, 1)}]
+            async with await watch(cluster, "", token=user_token) as stream:
                 reason = "rpc error: code = PermissionDenied desc = etcdserver: permission denied"
                 assert stream.first["cancel_reason"] == reason  # type: ignore[attr-defined]
 
     run(test)
 
 
-# Security model 3.4, client-cert-auth; the words on a common name: seen, 3.4.23.
-def test_tls_and_certificates(tmp_path: Path) -> None:
+# Security model 3.4, client-cert-auth; the message on a common name: observed, 3.4.23.
+def test_gateway_with_tls_checks_client_certificates(tmp_path: Path) -> None:
     named = "CommonName of client sending a request against gateway will be ignored"
 
     async def test() -> None:
@@ -640,13 +649,13 @@
             assert cluster.endpoints[0].startswith("https://")
             async with await watch(cluster) as stream:
                 await cluster.put("a", b"x" * 200_000)
-                assert (await told(stream))["result"]["events"]
+                assert (await next_message(stream))["result"]["events"]
             for context in (certificates.client(shown=False), others.client()):
                 with pytest.raises((OSError, EOFError)):
                     await send_request(cluster.endpoints[0], "/v3/kv/range", {"key": A}, context=context)
             await cluster.enable_auth("root", "secret")
-            mine = await token(cluster, "root", "secret")
-            assert (await call(cluster, "/v3/kv/range", {"key": A}, token=mine))[0] == 200
+            user_token = await token(cluster, "root", "secret")
+            assert (await call(cluster, "/v3/kv/range", {"key": A}, token=user_token))[0] == 200
         named_too = make(tmp_path, "dill")
         async with EtcdEmulator(certificates=named_too, client_auth=True) as cluster:
             assert (await call(cluster, "/v3/kv/range", {"key": A}))[0] == 200
@@ -660,10 +669,10 @@
     run(test)
 
 
-# --- lives and deaths of members
+# --- member lifecycle
 
 
-async def refused(endpoint: str) -> bool:
+async def is_refused(endpoint: str) -> bool:
     """Whether connections are refused."""
     try:
         await send_request(endpoint, "/v3/kv/range", {"key": A}, wait_s=1)
@@ -673,22 +682,23 @@
 
 
 # Guarantees 3.4, durability.
-def test_killed_and_back_again_it_goes_on_where_it_was() -> None:
+def test_member_killed_and_restarted_keeps_its_data() -> None:
     async def test() -> None:
         async with EtcdEmulator() as cluster:
             revision = await cluster.put("a", b"1")
             stream, idle = await watch(cluster), await asyncio.open_connection(*_address(cluster))
             before = (await send_request(cluster.endpoints[0], "/v3/kv/range", {"key": A})).json
             await cluster.kill(0)
-            assert await stream.line() is None and not stream.is_complete  # a bare end, no last chunk
+            # The connection ends without a last chunk.
+            assert await stream.line() is None and not stream.is_complete
             assert await idle[0].read() == b""
-            assert await refused(cluster.endpoints[0])
+            assert await is_refused(cluster.endpoints[0])
             await cluster.restart(0)
             after = (await send_request(cluster.endpoints[0], "/v3/kv/range", {"key": A})).json
             assert masked(before) == masked(after)
             assert before["header"]["cluster_id"] == after["header"]["cluster_id"]
             async with await watch(cluster, start_revision=revision) as again:
-                assert (await told(again))["result"]["events"] == [{"kv": kv("a", 2, 2, 1, "1")}]
+                assert (await next_message(again))["result"]["events"] == [{"kv": kv("a", 2, 2, 1, "1")}]
             idle[1].close()
             stream.writer.close()
 
@@ -700,56 +710,56 @@
     return host, int(port)
 
 
-# Seen, 3.4.23.
-def test_terminated_it_says_so_and_ends() -> None:
+# Observed, 3.4.23.
+def test_member_terminated_ends_streams_with_error() -> None:
     async def test() -> None:
         async with EtcdEmulator() as cluster:
             async with await watch(cluster) as stream:
                 ending = asyncio.create_task(cluster.terminate(0))
-                last = (await told(stream))["error"]
-                words = (last["grpc_code"], last["http_code"], last["http_status"], last["message"])
-                assert words in (  # etcd 3.4.23 says either, as its own two halves race
+                last = (await next_message(stream))["error"]
+                error_fields = (last["grpc_code"], last["http_code"], last["http_status"], last["message"])
+                assert error_fields in (  # etcd 3.4.23 sends either, because its gateway and its server race
                     (14, 503, "Service Unavailable", "transport is closing"),
                     (1, 408, "Request Timeout", "grpc: the client connection is closing"),
                 )
                 assert not stream.chunks[-2].endswith(b"\n")
                 assert stream.chunks[-1] == b"" and stream.is_complete and await stream.eof()
                 await ending
-            assert await refused(cluster.endpoints[0])
+            assert await is_refused(cluster.endpoints[0])
 
     run(test)
 
 
-# Seen, 3.4.23 under SIGSTOP: the kernel accepts for it.
-def test_frozen_it_accepts_and_says_nothing() -> None:
+# Observed, 3.4.23 under SIGSTOP: the kernel accepts connections for the process.
+def test_member_frozen_accepts_connections_and_sends_nothing() -> None:
     async def test() -> None:
         async with EtcdEmulator(3) as cluster:
             status = [(await send_request(one, "/v3/maintenance/status")).json for one in cluster.endpoints]
             followers = [one["header"]["member_id"] != one["leader"] for one in status]
-            member = followers.index(True)  # the cluster goes on at once without it
+            member = followers.index(True)  # the cluster continues at once without a follower
             stream = await watch(cluster, member=member)
             cluster.freeze(member)
             body = {"key": A, "serializable": True}
             waiting = await Call.open(cluster.endpoints[member], "/v3/kv/range", body)
             await cluster.put("a", b"1")
             with pytest.raises(TimeoutError):
-                async with asyncio.timeout(QUIET):
+                async with asyncio.timeout(QUIET_S):
                     await waiting.head()
-            assert await silent(stream)
+            assert await is_silent(stream)
             cluster.thaw(member)
             async with waiting, stream:
                 assert (await waiting.answer()).code == 200
-                assert (await told(stream))["result"]["events"] == [{"kv": kv("a", 2, 2, 1, "1")}]
+                assert (await next_message(stream))["result"]["events"] == [{"kv": kv("a", 2, 2, 1, "1")}]
 
     run(test)
 
 
 HAS_LEADER = {"Grpc-Metadata-Hasleader": "true"}
-UNLED = (503, error("etcdserver: no leader", 14))
+NO_LEADER = (503, error("etcdserver: no leader", 14))
 
 
-# RFC 9112; which headers the gateway sends: seen, 3.4.23.
-def test_the_head_of_an_answer() -> None:
+# RFC 9112; which headers the gateway sends: observed, 3.4.23.
+def test_gateway_response_head_has_etcd_headers_in_order() -> None:
     async def test() -> None:
         async with EtcdEmulator() as cluster:
             good = await send_request(cluster.endpoints[0], "/v3/kv/range", {"key": A})
@@ -762,11 +772,11 @@
     run(test)
 
 
-# --- what takes seconds, all at once
+# --- slow cases, run concurrently
 
 
-# API overview 3.4, Lease API; in one revision: seen, 3.4.23.
-async def a_lease_that_ends_takes_its_keys_in_one_revision() -> None:
+# API overview 3.4, Lease API; in one revision: observed, 3.4.23.
+async def check_expired_lease_deletes_its_keys_in_one_revision() -> None:
     async with EtcdEmulator() as cluster:
         short, long = await cluster.grant(1), await cluster.grant(100)
         async with await watch(cluster) as stream:
@@ -774,46 +784,46 @@
                 await cluster.put(key, b"", short)
             await cluster.put("d", b"", long)
             for _ in range(4):
-                await told(stream)
-            events = [gone("a", 6), gone("b", 6), gone("c", 6)]
-            assert await told(stream) == {"result": {**header(6), "events": events}}
+                await next_message(stream)
+            events = [delete_event("a", 6), delete_event("b", 6), delete_event("c", 6)]
+            assert await next_message(stream) == {"result": {**header(6), "events": events}}
             await cluster.revoke(long)
-            assert await told(stream) == {"result": {**header(7), "events": [gone("d", 7)]}}
+            assert await next_message(stream) == {"result": {**header(7), "events": [delete_event("d", 7)]}}
             with pytest.raises(EtcdError, match="lease not found"):
                 await cluster.revoke(short)
 
 
-# Authentication guide 3.4; that an open watch outlives its token: seen, 3.4.23.
-async def a_token_ends_when_nobody_uses_it() -> None:
-    ttl_s = 0.5  # in which the watch has to be opened
+# Authentication guide 3.4; that an open watch outlives its token: observed, 3.4.23.
+async def check_unused_token_expires() -> None:
+    ttl_s = 0.5  # must suffice to open the watch
     async with EtcdEmulator(token_ttl_s=ttl_s) as cluster:
         await cluster.enable_auth("root", "secret")
-        mine = await token(cluster, "root", "secret")
-        async with await watch(cluster, token=mine) as stream:
+        user_token = await token(cluster, "root", "secret")
+        async with await watch(cluster, token=user_token) as stream:
             await asyncio.sleep(2.1 * ttl_s)
-            assert await call(cluster, "/v3/kv/range", {"key": A}, token=mine) == BAD_TOKEN
+            assert await call(cluster, "/v3/kv/range", {"key": A}, token=user_token) == BAD_TOKEN
             await cluster.put("a", b"")  # an open watch outlives its token
-            assert (await told(stream))["result"]["events"]
+            assert (await next_message(stream))["result"]["events"]
 
 
-# API reference 3.4, RangeRequest.serializable; the words, and 5 s and two elections: seen, 3.4.23.
-async def without_a_quorum_it_lives_and_knows_nothing_new() -> None:
+# API reference 3.4, RangeRequest.serializable; the messages, and 5 s plus two elections: observed, 3.4.23.
+async def check_member_without_quorum_serves_only_known_state() -> None:
     async with EtcdEmulator(3, quorum_wait_ms=500) as cluster:
         await cluster.put("a", b"1")
         stream, strict = await watch(cluster), await watch(cluster, headers=HAS_LEADER)
         for member in (1, 2):
             await cluster.kill(member)
         read = await Call.open(cluster.endpoints[0], "/v3/kv/range", {"key": A})
-        assert await _nothing(read.head())
+        assert await _times_out(read.head())
         lost = {"grpc_code": 14, "http_code": 503, "message": "etcdserver: no leader"}
-        assert (await told(strict)) == {"error": {**lost, "http_status": "Service Unavailable"}}
-        assert strict.is_complete and not strict.chunks[-2].endswith(b"\n") and await still_open(strict)
+        assert (await next_message(strict)) == {"error": {**lost, "http_status": "Service Unavailable"}}
+        assert strict.is_complete and not strict.chunks[-2].endswith(b"\n") and await is_still_open(strict)
         write = await Call.open(cluster.endpoints[0], "/v3/kv/put", {"key": A})
-        assert await call(cluster, "/v3/kv/range", {"key": A}, headers=HAS_LEADER) == UNLED
+        assert await call(cluster, "/v3/kv/range", {"key": A}, headers=HAS_LEADER) == NO_LEADER
         old = {**header(2), "kvs": [kv("a", 2, 2, 1, "1")], "count": "1"}
         assert await call(cluster, "/v3/kv/range", {"key": A, "serializable": True}) == (200, old)
         async with await watch(cluster, start_revision=2) as late:
-            assert (await told(late))["result"]["events"]  # what it knows, it tells
+            assert (await next_message(late))["result"]["events"]  # events that it knows are sent
         status = (await call(cluster, "/v3/maintenance/status", {}))[1]
         assert status["errors"] == ["etcdserver: no leader"] and "leader" not in status
         late_watch = await Call.open(
@@ -821,9 +831,9 @@
         )
         async with late_watch:
             assert await late_watch.head() == 503
-            assert (await told(late_watch))["error"]["message"] == "etcdserver: no leader"
-        assert await silent(stream)
-        async with read, write:  # after 5 s and two elections
+            assert (await next_message(late_watch))["error"]["message"] == "etcdserver: no leader"
+        assert await is_silent(stream)
+        async with read, write:  # etcd fails these after 5 s plus two elections
             for waiting, want in (
                 (read, (503, error("etcdserver: request timed out", 14))),
                 (write, (500, error("context deadline exceeded", 2))),
@@ -833,16 +843,16 @@
         await cluster.restart(1)
         await cluster.put("a", b"2")
         async with stream, strict:
-            events = (await told(stream))["result"]["events"]
+            events = (await next_message(stream))["result"]["events"]
             assert events[-1]["kv"]["value"] == b64("2")
 
 
-def test_what_takes_its_time() -> None:
+def test_cluster_over_time_expires_leases_and_tokens_and_survives_quorum_loss() -> None:
     async def test() -> None:
         await asyncio.gather(
-            a_lease_that_ends_takes_its_keys_in_one_revision(),
-            a_token_ends_when_nobody_uses_it(),
-            without_a_quorum_it_lives_and_knows_nothing_new(),
+            check_expired_lease_deletes_its_keys_in_one_revision(),
+            check_unused_token_expires(),
+            check_member_without_quorum_serves_only_known_state(),
         )
 
     run(test)
--- a/tests/testbed/test_etcd_store.py
+++ b/tests/testbed/test_etcd_store.py
@@ -1,4 +1,4 @@
-"""The stand-in's store against a model so plain that it can be seen to be right."""
+"""Tests of the etcd emulator's store, partly against a simple reference model."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Clock:
-    """A clock that stands until told otherwise."""
+    """A clock that advances only when set."""
 
     now = 0.0
 
@@ -48,14 +48,14 @@
 
 
 class Model:
-    """Every state that ever was, kept whole."""
+    """A reference model that keeps every state completely."""
 
     def __init__(self) -> None:
-        self.states: list[dict[bytes, KeyValue]] = [{}, {}]  # by revision; 1 is the empty one
+        self.states: list[dict[bytes, KeyValue]] = [{}, {}]  # by revision; revision 1 is empty
         self.compacted = 0
 
     def txn(self, ops: list[Put | Delete]) -> bool:
-        """Whether it was taken."""
+        """Apply operations and return whether they were accepted."""
         puts = [op.key for op in ops if isinstance(op, Put)]
         dels = [op for op in ops if isinstance(op, Delete)]
         if len(set(puts)) < len(puts) or any(mvcc.inside(key, op.key, op.end) for key in puts for op in dels):
@@ -139,7 +139,7 @@
     assert state == model.states[-1]
 
 
-def test_a_delete_at_the_revision_of_a_compaction_is_lost() -> None:
+def test_events_after_compaction_omit_delete_at_compacted_revision() -> None:
     store, _ = fresh()
     store.put(b"a", b"1")  # 2
     store.put(b"b", b"1")  # 3
@@ -151,7 +151,7 @@
     assert [revision for revision, _ in store.events(4, store.revision)] == [5]
 
 
-def test_who_lags_does_not_know_of_a_later_compaction() -> None:
+def test_range_at_lagging_view_ignores_later_compaction() -> None:
     store, _ = fresh()
     for _ in range(5):
         store.put(b"a", b"1")
@@ -163,7 +163,7 @@
     assert [revision for revision, _ in store.events(2, 5)] == [2, 3, 4, 5]
 
 
-def test_what_is_compacted_and_old_is_dropped(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_store_after_compaction_drops_old_history(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(mvcc, "LAGGING_READ_REVISIONS", 3)
     store, _ = fresh()
     for index in range(20):
@@ -178,7 +178,7 @@
         store.range(Range(b"a"), view=40)
 
 
-def test_a_txn_compares_and_sees_its_own_writes() -> None:
+def test_txn_with_conditions_compares_and_reads_own_writes() -> None:
     store, _ = fresh()
     store.put(b"a", b"1")
     good, (put, seen) = store.txn(
@@ -195,7 +195,7 @@
     assert store.revision == 3  # nothing was written
 
 
-def test_a_txn_with_a_fault_changes_nothing() -> None:
+def test_txn_with_invalid_operation_changes_nothing() -> None:
     store, _ = fresh()
     store.put(b"a", b"1")
     before = store.backup()
@@ -206,20 +206,20 @@
         ("too large", [Put(b"b", b"x" * 800_000), Put(b"c", b"x" * 800_000)]),
         ("future", [Put(b"b"), Range(b"a", revision=9)]),
     ]
-    for words, ops in faulty:
-        with pytest.raises(StoreError, match=words):
+    for message, ops in faulty:
+        with pytest.raises(StoreError, match=message):
             store.txn((), ops, ())
         assert store.backup() == before
 
 
-def test_a_lease_takes_its_keys_in_one_revision() -> None:
+def test_lease_expired_deletes_its_keys_in_one_revision() -> None:
     store, clock = fresh()
     lease = store.grant(5).id
     other = store.grant(1)
-    assert other.ttl_s == 2  # raised to the least
+    assert other.ttl_s == 2  # raised to the minimum
     for key in (b"c", b"a", b"b", b"d"):
         store.put(key, b"", lease)
-    store.put(b"d", b"")  # taken from the lease
+    store.put(b"d", b"")  # detached from the lease
     clock.now = 4999
     assert store.expire() == [other.id] and store.revision == 6
     assert store.keep_alive(lease) == 5
@@ -238,7 +238,7 @@
         store.grant(5, 77)
 
 
-def test_a_backup_brings_back_all_but_what_came_after() -> None:
+def test_backup_restored_discards_later_changes() -> None:
     store, clock = fresh()
     lease = store.grant(10).id
     store.put(b"a", b"1", lease)
