--- a/balancer/testbed/etcd/client.py
+++ b/balancer/testbed/etcd/client.py
@@ -207,7 +207,7 @@
 
     def __init__(self, endpoints: Sequence[str], context: ssl.SSLContext | None = None) -> None:
         self.endpoints, self.context = endpoints, context
-        self.down: set[int] = set()  # indexes of endpoints that are skipped while others remain
+        self.skipped_indexes: set[int] = set()  # endpoints that are skipped while others remain
         self._last_index = 0
 
     async def call(self, path: str, body: object) -> dict[str, Any]:
@@ -216,7 +216,7 @@
         last_error = ""
         while time.monotonic() < end:
             order = [(self._last_index + step) % len(self.endpoints) for step in range(len(self.endpoints))]
-            for index in [index for index in order if index not in self.down] or order:
+            for index in [index for index in order if index not in self.skipped_indexes] or order:
                 try:
                     answer = await send_request(
                         self.endpoints[index], path, body, context=self.context, wait_s=CALL_TIMEOUT_S
--- a/balancer/testbed/etcd/gateway.py
+++ b/balancer/testbed/etcd/gateway.py
@@ -39,7 +39,7 @@
     Range,
     StoreError,
 )
-from balancer.testbed.etcd.stream import NO_LEADER, EndedError, Stream
+from balancer.testbed.etcd.stream import NO_LEADER, Stream, StreamEndedError
 from balancer.testbed.etcd.wire import Json, omit_zero_fields
 
 DEFAULT_FRAGMENT_BYTES = 2 * 1024 * 1024  # of events, above which a line is split for a watch with fragments
@@ -71,26 +71,27 @@
         self.unstalled = asyncio.Event()
         self.unstalled.set()
         self.is_isolated = False
-        self.lag = 0
+        self.lag_revisions = 0
         self.known_revision: int | None = None  # last known revision while without a quorum
         self.quorum_lost_ms: float | None = None  # when the quorum was lost
         self.duplicates_events = False
-        self.fragment = DEFAULT_FRAGMENT_BYTES
+        self.fragment_bytes = DEFAULT_FRAGMENT_BYTES
         self.cluster_id: int | None = None  # overrides the id of the cluster
         self.garbage: Garbage | None = None  # sent in responses to range calls
         self.garbage_key = b"garbage"
         self.start_count = 0
         self.streams: dict[Connection, Stream] = {}
-        self._tasks: dict[asyncio.Task[None], Connection | None] = {}  # None until the TLS handshake is done
-        self._socket: socket.socket | None = None
-        self._accepting: asyncio.Task[None] | None = None
+        # The connection is None until it is established.
+        self._tasks: dict[asyncio.Task[None], Connection | None] = {}
+        self._listener: socket.socket | None = None
+        self._accept_task: asyncio.Task[None] | None = None
 
     # --- state
 
     def view(self) -> int:
         """Return the latest revision known to the member."""
         newest = self.shared.store.revision if self.known_revision is None else self.known_revision
-        return max(min(newest, self.shared.store.revision) - self.lag, 1)
+        return max(min(newest, self.shared.store.revision) - self.lag_revisions, 1)
 
     def header(self, revision: int | None = None) -> Json:
         """Encode a ResponseHeader with the latest or the given revision; 0 omits it."""
@@ -121,25 +122,25 @@
 
     def listen(self, port: int) -> None:
         """Listen for connections on a port."""
-        listener = self._socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        listener = self._listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         listener.setblocking(False)
         listener.bind(("127.0.0.1", port))
         listener.listen(1024)
-        self._accepting = asyncio.ensure_future(self._accept(listener))
-        self._accepting.add_done_callback(lambda _: listener.close())
+        self._accept_task = asyncio.ensure_future(self._accept(listener))
+        self._accept_task.add_done_callback(lambda _: listener.close())
 
     @property
     def is_listening(self) -> bool:
         """Whether new connections are accepted."""
-        return self._socket is not None
+        return self._listener is not None
 
     def stop_listening(self) -> None:
         """Refuse new connections; open ones stay."""
-        if self._socket is not None and self._accepting is not None:
-            self._socket.shutdown(socket.SHUT_RDWR)  # refuses at once; closed when the accept task ends
-            self._accepting.cancel()
-            self._socket = None
+        if self._listener is not None and self._accept_task is not None:
+            self._listener.shutdown(socket.SHUT_RDWR)  # refuses at once; closed when the accept task ends
+            self._accept_task.cancel()
+            self._listener = None
 
     def drop(self) -> None:
         """Abort all connections without notice."""
@@ -152,7 +153,7 @@
         """Close all connections as on SIGTERM: streams end with an error."""
         for task, connection in self._tasks.items():
             if connection is not None and connection in self.streams:
-                with contextlib.suppress(EndedError):
+                with contextlib.suppress(StreamEndedError):
                     self.streams[connection].end("transport is closing", 14)
             if connection is not None:
                 connection.writer.close()
@@ -163,11 +164,11 @@
         loop = asyncio.get_running_loop()
         while True:
             client, _ = await loop.sock_accept(listener)
-            task = asyncio.ensure_future(self._connected(client))
+            task = asyncio.ensure_future(self._serve_connection(client))
             self._tasks[task] = None
             task.add_done_callback(lambda done: self._tasks.pop(done, None))
 
-    async def _connected(self, client: socket.socket) -> None:
+    async def _serve_connection(self, client: socket.socket) -> None:
         try:
             await self.wait_until_awake()
         except asyncio.CancelledError:
@@ -398,7 +399,7 @@
                 return
             await stream.run()
             raise ConnectionClosedError  # the client disconnected
-        except EndedError:
+        except StreamEndedError:
             return
         finally:
             del self.streams[connection]
@@ -414,7 +415,7 @@
         try:
             await self._wait_for_quorum(NO_LEADER, 14)
         except StoreError as err:
-            with contextlib.suppress(EndedError):
+            with contextlib.suppress(StreamEndedError):
                 stream.end(err.message, err.code)
             return
         for lease_id in lease_ids:
--- a/balancer/testbed/etcd/http.py
+++ b/balancer/testbed/etcd/http.py
@@ -60,7 +60,7 @@
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
         # With these limits drain() returns once the data is in the kernel, except up to 64 KiB that TLS may
-        # buffer. A high limit of 0 would count as always full.
+        # buffer. TLS treats a high limit of 0 as always full.
         writer.transport.set_write_buffer_limits(high=1, low=0)
         peer = writer.get_extra_info("peername")
         self.peer: tuple[str, int] = (peer[0], peer[1]) if peer else ("", 0)
--- a/balancer/testbed/etcd/shared.py
+++ b/balancer/testbed/etcd/shared.py
@@ -75,8 +75,10 @@
     def admit_list(self, endpoint: int) -> bool:
         """Record a full list and return whether it is within the limit; only first pages count."""
         at_ms = now_ms()
-        now = sum(is_admitted and at_ms - then < 100.0 for then, _, is_admitted in self.lists)
-        self.lists.append((at_ms, endpoint, self.bears is None or now < self.bears))
+        admitted_count = sum(
+            is_admitted and at_ms - called_ms < 100.0 for called_ms, _, is_admitted in self.lists
+        )
+        self.lists.append((at_ms, endpoint, self.bears is None or admitted_count < self.bears))
         return self.lists[-1][2]
 
     def record(self, record: Record) -> None:
--- a/balancer/testbed/etcd/standin.py
+++ b/balancer/testbed/etcd/standin.py
@@ -294,7 +294,7 @@
 
     def lag(self, member: int, revisions: int) -> None:
         """Serve a state that is this many revisions old; 0 ends the fault."""
-        self.members[member].lag = revisions
+        self.members[member].lag_revisions = revisions
         self.members[member].wake_streams()
 
     def cut_off(self, member: int, on: bool = True) -> None:
@@ -316,9 +316,9 @@
         for stream in self._streams(member):
             stream.cancel(reason, compact_revision)
 
-    def fragment(self, member: int, size: int) -> None:
+    def fragment(self, member: int, size_bytes: int) -> None:
         """Set the fragment size in bytes for watches that request fragments (etcd: 2 MiB)."""
-        self.members[member].fragment = size
+        self.members[member].fragment_bytes = size_bytes
 
     def send_garbage(self, member: int, kind: Garbage, key: str = "garbage") -> None:
         """Send one invalid message on every open watch, for `key` if the message has a key."""
--- a/balancer/testbed/etcd/stream.py
+++ b/balancer/testbed/etcd/stream.py
@@ -45,7 +45,7 @@
     index: int
     quorum_lost_ms: float | None
     duplicates_events: bool
-    fragment: int
+    fragment_bytes: int
 
     def view(self) -> int:
         """Return the latest revision known to the member."""
@@ -63,7 +63,7 @@
         """Build a row with invalid data."""
 
 
-class EndedError(Exception):
+class StreamEndedError(Exception):
     """The stream ended but its connection stays open."""
 
 
@@ -101,7 +101,7 @@
         self.watches: dict[int, Watch] = {}
         self.wake_event = asyncio.Event()
         self.is_head_written = False
-        self._endless: asyncio.Task[None] | None = None
+        self._endless_line_task: asyncio.Task[None] | None = None
 
     def write_head(self, status: str = "200 OK") -> None:
         """Write the response head unless already written."""
@@ -113,7 +113,7 @@
 
     def write_line(self, raw: bytes) -> None:
         """Write a line, split into chunks as etcd does."""
-        if self._endless is not None:
+        if self._endless_line_task is not None:
             return  # a newline would terminate the endless line
         self.write_head()
         if len(raw) < WRITE_BUFFER_BYTES:
@@ -126,10 +126,10 @@
         self.write_line(wire.dumps({"result": omit_zero_fields(**result)}))
 
     def end(self, message: str, code: int) -> None:
-        """End the stream with an error; the connection stays usable. Raises EndedError."""
+        """End the stream with an error; the connection stays usable. Raises StreamEndedError."""
         self.write_head(wire.HTTP_CODES[code])
         self.connection.write(chunk(wire.dumps(wire.stream_error(message, code))) + chunk(b""))
-        raise EndedError
+        raise StreamEndedError
 
     # --- requests
 
@@ -188,8 +188,8 @@
         finally:
             disconnected.cancel()
             await asyncio.wait((disconnected,))  # the connection reads next, and only one reader is allowed
-            if self._endless is not None:
-                self._endless.cancel()
+            if self._endless_line_task is not None:
+                self._endless_line_task.cancel()
 
     def _check_leader(self) -> None:
         quorum_lost_ms = self.endpoint.quorum_lost_ms
@@ -260,7 +260,7 @@
     def write_events(self, watch: Watch, events: tuple[Event, ...], revision: int) -> None:
         """Write the events that match a watch, with this revision in the header."""
         selected = watch.select_events(events)
-        if not selected or self._endless is not None:
+        if not selected or self._endless_line_task is not None:
             return
         watch.quiet_since_ms = now_ms()
         header = self.endpoint.header(revision)
@@ -284,7 +284,7 @@
         size = 0
         for event in events:
             size += len(event.now.key) + len(event.now.value) + 20
-            if piece and size >= self.endpoint.fragment:
+            if piece and size >= self.endpoint.fragment_bytes:
                 yield piece
                 piece, size = [], len(event.now.key) + len(event.now.value) + 20
             piece.append(event)
@@ -329,8 +329,8 @@
     def send_garbage(self, kind: Garbage, key: bytes) -> None:
         """Send invalid data on every watch."""
         if kind is Garbage.ENDLESS_LINE:
-            if self._endless is None:
-                self._endless = asyncio.ensure_future(self.write_endless_line())
+            if self._endless_line_task is None:
+                self._endless_line_task = asyncio.ensure_future(self.write_endless_line())
             return
         for watch_id in self.watches:
             kv = self.endpoint.garbage_row(kind, key)
--- a/tests/testbed/test_etcd_faults.py
+++ b/tests/testbed/test_etcd_faults.py
@@ -360,8 +360,8 @@
             assert etcd.revoke_all_leases() == 3
             assert [await keys(stream) for _ in "abc"] == [["-" + b64(key)] for key in "abc"]
             await etcd.enable_auth("dill", "secret")
-            who = {"name": "dill", "password": "secret"}
-            got = await send_request(etcd.endpoints[0], "/v3/auth/authenticate", who)
+            credentials = {"name": "dill", "password": "secret"}
+            got = await send_request(etcd.endpoints[0], "/v3/auth/authenticate", credentials)
             user_token = got.json["token"]
             assert (
                 await send_request(etcd.endpoints[0], "/v3/kv/range", prefix_range(""), user_token)
--- a/tests/testbed/test_etcd_gateway.py
+++ b/tests/testbed/test_etcd_gateway.py
@@ -104,9 +104,9 @@
     return await _times_out(stream.eof())
 
 
-async def _times_out(coming: Coroutine[Any, Any, object]) -> bool:
+async def _times_out(awaited: Coroutine[Any, Any, object]) -> bool:
     try:
-        await asyncio.wait_for(coming, QUIET_S)
+        await asyncio.wait_for(awaited, QUIET_S)
     except TimeoutError:
         return True
     return False
@@ -618,14 +618,14 @@
         async with EtcdEmulator() as cluster:
             await cluster.enable_auth("dill", "secret", readable="m/")
             user_token = await token(cluster, "dill", "secret")
-            for ask_for, want in (
+            for requested_range, want in (
                 (prefix_range("m/"), 200),
                 (prefix_range("m/1"), 200),
                 (prefix_range("m"), 403),
                 ({"key": b64("m/"), "range_end": b64("\0")}, 403),
                 ({"key": A}, 403),
             ):
-                got = await call(cluster, "/v3/kv/range", ask_for, token=user_token)
+                got = await call(cluster, "/v3/kv/range", requested_range, token=user_token)
                 assert got[0] == want and (want == 200 or got == DENIED)
             assert await call(cluster, "/v3/kv/put", {"key": b64("m/1")}, token=user_token) == DENIED
             async with await watch(cluster, "m/", token=user_token) as stream:
@@ -718,7 +718,7 @@
                 ending = asyncio.create_task(cluster.terminate(0))
                 last = (await next_message(stream))["error"]
                 error_fields = (last["grpc_code"], last["http_code"], last["http_status"], last["message"])
-                assert error_fields in (  # etcd 3.4.23 sends either, because its gateway and its server race
+                assert error_fields in (  # etcd 3.4.23 sends either, because two of its components race
                     (14, 503, "Service Unavailable", "transport is closing"),
                     (1, 408, "Request Timeout", "grpc: the client connection is closing"),
                 )
