--- a/balancer/testbed/etcd/auth.py
+++ b/balancer/testbed/etcd/auth.py
@@ -1,4 +1,4 @@
-"""Who is let in: names, passwords and tokens, as etcd has them with its auth on; pure."""
+"""Emulates etcd's authentication: users, passwords and tokens, without I/O."""
 
 from __future__ import annotations
 
@@ -10,52 +10,52 @@
 
 @dataclass(slots=True)
 class User:
-    """Who is let in; `readable` is the prefix of what they may read, None for all, and writing too."""
+    """A user; `readable` is the only prefix they may read, or None for full read and write access."""
 
     password: str = field(repr=False)
     readable: bytes | None
 
 
 class Auth:
-    """Names, passwords and tokens; a token lives `ttl_ms` from its last use on."""
+    """Users and their tokens; a token expires `ttl_ms` after its last use."""
 
     def __init__(self, now_ms: Callable[[], float], ttl_ms: float) -> None:
         self.now_ms, self.ttl_ms = now_ms, ttl_ms
         self.enabled = False
         self.users: dict[str, User] = {}
         self._tokens: dict[str, tuple[str, float]] = {}
-        self._count = 0
+        self._token_count = 0
 
     def authenticate(self, name: str, password: str) -> str:
-        """A new token. Raises StoreError."""
+        """Issue a token. Raises StoreError if auth is off or the credentials are wrong."""
         if not self.enabled:
             raise StoreError("etcdserver: authentication is not enabled", 9)
         user = self.users.get(name)
         if user is None or user.password != password:
             raise StoreError("etcdserver: authentication failed, invalid user ID or password", 3)
         self._tokens = {token: kept for token, kept in self._tokens.items() if kept[1] > self.now_ms()}
-        self._count += 1
-        token = f"standInToken.{self._count}"
+        self._token_count += 1
+        token = f"standInToken.{self._token_count}"
         self._tokens[token] = (name, self.now_ms() + self.ttl_ms)
         return token
 
     def forget_tokens(self) -> None:
-        """As when a member came back without what it knew of them."""
+        """Invalidate all tokens, as a member restart does."""
         self._tokens.clear()
 
-    def who(self, token: str) -> User | None:
-        """Whose token it is; None for no token. Raises StoreError for one that is not known any more."""
+    def user_of(self, token: str) -> User | None:
+        """Return the user of a token, None without one or with auth off. Raises StoreError if invalid."""
         if not self.enabled or not token:
             return None
-        name, ends_ms = self._tokens.get(token, ("", 0.0))
-        if ends_ms <= self.now_ms():
+        name, expires_ms = self._tokens.get(token, ("", 0.0))
+        if expires_ms <= self.now_ms():
             raise StoreError("etcdserver: invalid auth token", 16)
         self._tokens[token] = (name, self.now_ms() + self.ttl_ms)
         return self.users[name]
 
     def check(self, token: str, key: bytes, end: bytes, write: bool) -> None:
-        """Whether who shows this token may do this. Raises StoreError."""
-        user = self.who(token)
+        """Check that the user of a token may access a range. Raises StoreError."""
+        user = self.user_of(token)
         if not self.enabled:
             return
         if user is None:
@@ -63,12 +63,12 @@
         if user.readable is None:
             return
         last = end if end and end != b"\0" else key
-        covered = key.startswith(user.readable) and (
-            last.startswith(user.readable) or last == _after(user.readable)
+        is_covered = key.startswith(user.readable) and (
+            last.startswith(user.readable) or last == _prefix_end(user.readable)
         )
-        if write or end == b"\0" or not covered:
+        if write or end == b"\0" or not is_covered:
             raise StoreError("etcdserver: permission denied", 7)
 
 
-def _after(prefix: bytes) -> bytes:
+def _prefix_end(prefix: bytes) -> bytes:
     return prefix[:-1] + bytes([prefix[-1] + 1])
--- a/balancer/testbed/etcd/store.py
+++ b/balancer/testbed/etcd/store.py
@@ -1,11 +1,11 @@
-"""What an etcd cluster holds, pure: keys with their history, compaction, leases; the clock is given to it.
+"""The data of an etcd cluster: keys with their history, compaction and leases, without I/O.
 
-The rules are those of etcd 3.4 (its documentation, "Data model" and "API"), and what 3.4.23 was seen to
-do; tests/testbed/test_etcd_gateway.py names which. Two of them are easy to miss:
+The clock is injected. The rules follow the documentation of etcd 3.4 ("Data model" and "API") and the
+observed behavior of 3.4.23; tests/testbed/test_etcd_gateway.py names the sources. Two are easy to miss:
 
-- A compaction at R drops a delete that happened at R itself, and a watch from R on is still let in: it
-  never hears of that delete. Later releases of etcd mended it; 3.4.23 does this.
-- A txn is one revision, whatever it holds, and names no key twice in what it writes.
+- A compaction at R drops a delete at R itself, yet a watch from R on is still accepted and never receives
+  that delete. Later releases of etcd fixed this; 3.4.23 behaves so.
+- A txn is one revision, whatever it holds, and writes no key twice.
 """
 
 from __future__ import annotations
@@ -15,45 +15,45 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-INVALID, NOT_FOUND, PRECONDITION, OUT_OF_RANGE = 3, 5, 9, 11  # gRPC's codes, as etcd uses them
+INVALID_ARGUMENT, NOT_FOUND, FAILED_PRECONDITION, OUT_OF_RANGE = 3, 5, 9, 11  # gRPC status codes
 
-MAX_OPS = 128  # in a txn; etcd's --max-txn-ops
-MAX_BYTES = 1_572_864  # of keys and values in a request; etcd's --max-request-bytes
+MAX_TXN_OPERATIONS = 128  # in a txn; etcd's --max-txn-ops
+MAX_REQUEST_BYTES = 1_572_864  # of keys and values in a request; etcd's --max-request-bytes
 MAX_TTL_S = 9_000_000_000
-KEPT = 100_000  # revisions that stay readable for a member that lags behind a compaction
+LAGGING_READ_REVISIONS = 100_000  # revisions that stay readable for a member that lags behind a compaction
 
 
 class StoreError(Exception):
-    """What etcd answers instead: its words and gRPC's code."""
+    """An error response of etcd: its message and gRPC status code."""
 
     def __init__(self, message: str, code: int) -> None:
         super().__init__(message)
         self.message, self.code = message, code
 
 
-def no_key() -> StoreError:
-    """A request without a key."""
-    return StoreError("etcdserver: key is not provided", INVALID)
+def key_missing_error() -> StoreError:
+    """Build the error for a request without a key."""
+    return StoreError("etcdserver: key is not provided", INVALID_ARGUMENT)
 
 
-def compacted() -> StoreError:
-    """The revision is gone."""
+def compacted_error() -> StoreError:
+    """Build the error for a compacted revision."""
     return StoreError("etcdserver: mvcc: required revision has been compacted", OUT_OF_RANGE)
 
 
-def future() -> StoreError:
-    """The revision is yet to come."""
+def future_revision_error() -> StoreError:
+    """Build the error for a revision that does not exist yet."""
     return StoreError("etcdserver: mvcc: required revision is a future revision", OUT_OF_RANGE)
 
 
-def no_lease() -> StoreError:
-    """There is no such lease, or no more."""
+def lease_not_found_error() -> StoreError:
+    """Build the error for a lease that does not exist."""
     return StoreError("etcdserver: requested lease not found", NOT_FOUND)
 
 
 @dataclass(slots=True, frozen=True)
 class KeyValue:
-    """One version of a key. A delete is version 0, with nothing but the key and its revision."""
+    """One version of a key. A delete has version 0 and only a key and its revision."""
 
     key: bytes
     value: bytes
@@ -65,14 +65,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Event:
-    """A change, as a watch tells it."""
+    """A change of a key as a watch reports it."""
 
     now: KeyValue
     before: KeyValue | None
 
     @property
     def deleted(self) -> bool:
-        """Whether the key is gone by it."""
+        """Whether the change deleted the key."""
         return not self.now.version
 
 
@@ -88,7 +88,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Delete:
-    r"""Delete a key, or all from it to before `end` (b"\0": all from it on)."""
+    r"""Delete a key, or all keys up to but excluding `end` (b"\0": no upper bound)."""
 
     key: bytes
     end: bytes = b""
@@ -97,7 +97,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Range:
-    """Read a key, or all from it to before `end`; `revision` and `limit` of 0 mean now and all."""
+    """Read a key, or all up to but excluding `end`; 0 means the latest `revision` and no `limit`."""
 
     key: bytes
     end: bytes = b""
@@ -110,7 +110,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Found:
-    """What a range found: in key order, `more` when cut off by its limit, `count` without the limit."""
+    """The result of a range read: `more` is set if the limit cut it off, `count` ignores the limit."""
 
     kvs: tuple[KeyValue, ...]
     more: bool
@@ -119,14 +119,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Changed:
-    """What a put or a delete replaced, and how many keys a delete deleted."""
+    """The versions that a put or delete replaced, and the number of keys deleted."""
 
     before: tuple[KeyValue, ...]
     deleted: int = 0
 
 
 class Target(Enum):
-    """What a txn compares."""
+    """The field that a txn condition compares."""
 
     VERSION = "VERSION"
     CREATE = "CREATE"
@@ -137,34 +137,35 @@
 
 @dataclass(slots=True, frozen=True)
 class Compare:
-    """A txn's condition: `=`, `!`, `<` or `>`. A key that is not there has zeros, and no value at all.
+    """A txn condition with the operator `=`, `!`, `<` or `>`.
 
-    `want` is bytes for a value, a number for all else.
+    For a missing key all numbers are zero and value comparisons fail. `operand` is bytes for a value and a
+    number for all other targets.
     """
 
     key: bytes
     target: Target
-    sign: str
-    want: int | bytes
+    operator: str
+    operand: int | bytes
 
     def holds(self, kv: KeyValue | None) -> bool:
-        """Whether it does for this version of the key."""
+        """Whether the condition holds for this version of the key."""
         if kv is None and self.target is Target.VALUE:
             return False
         kv = kv or KeyValue(self.key, b"", 0, 0, 0)
-        if isinstance(self.want, bytes):
-            return _sign(self.sign, (kv.value > self.want) - (kv.value < self.want))
+        if isinstance(self.operand, bytes):
+            return _compare(self.operator, (kv.value > self.operand) - (kv.value < self.operand))
         numbers = {
             Target.VERSION: kv.version,
             Target.CREATE: kv.created,
             Target.MOD: kv.modified,
             Target.LEASE: kv.lease,
         }
-        return _sign(self.sign, numbers[self.target] - self.want)
+        return _compare(self.operator, numbers[self.target] - self.operand)
 
 
-def _sign(sign: str, order: int) -> bool:
-    return {"=": order == 0, "!": order != 0, "<": order < 0, ">": order > 0}[sign]
+def _compare(operator: str, order: int) -> bool:
+    return {"=": order == 0, "!": order != 0, "<": order < 0, ">": order > 0}[operator]
 
 
 Op = Put | Delete | Range
@@ -173,17 +174,17 @@
 
 @dataclass(slots=True)
 class Lease:
-    """A promise that ends `ttl_s` after it was last kept alive, and takes its keys with it."""
+    """A lease that expires `ttl_s` after its last keep-alive, which deletes its keys."""
 
     id: int
     ttl_s: int
-    ends_ms: float
+    expires_ms: float
     keys: set[bytes] = field(default_factory=set)
 
 
 @dataclass(slots=True, frozen=True)
 class Backup:
-    """All that a store held at one moment. It does not change any more."""
+    """An immutable snapshot of a store."""
 
     revision: int
     compactions: tuple[tuple[int, int], ...]
@@ -194,140 +195,140 @@
 
 
 def inside(key: bytes, first: bytes, end: bytes) -> bool:
-    """Whether `key` lies in a range as etcd writes it."""
+    """Whether `key` lies in the range of an etcd request."""
     if not end:
         return key == first
     return key >= first and (end == b"\0" or key < end)
 
 
 class Store:
-    """The keys, and every change since the last compaction.
+    """The keys and every change since the last compaction.
 
-    `now_ms` is asked for the time of leases only. `least_ttl_s` is what a shorter TTL is raised to: etcd
-    takes 1.5 times its election timeout, in whole seconds. What is held grows with the changes since the
-    last compaction, and for up to `KEPT` revisions beyond, which a lagging member may still be reading.
+    `now_ms` is used only for leases. A TTL below `min_ttl_s` is raised to it; etcd uses 1.5 times its
+    election timeout in whole seconds. Memory grows with the changes since the last compaction, plus up to
+    `LAGGING_READ_REVISIONS` earlier revisions that a lagging member may still read.
     """
 
-    def __init__(self, now_ms: Callable[[], float], least_ttl_s: int = 2) -> None:
-        self.now_ms, self.least_ttl_s = now_ms, least_ttl_s
+    def __init__(self, now_ms: Callable[[], float], min_ttl_s: int = 2) -> None:
+        self.now_ms, self.min_ttl_s = now_ms, min_ttl_s
         self.revision = 1
         self.leases: dict[int, Lease] = {}
-        self._compactions: list[tuple[int, int]] = []  # (revision when done, revision up to which)
-        self._dropped = 0  # below this nothing is left, not even for who lags
+        self._compactions: list[tuple[int, int]] = []  # (revision when done, compacted revision)
+        self._dropped = 0  # history below this revision is gone, even for lagging members
         self._versions: dict[bytes, list[KeyValue]] = {}
-        self._keys: list[bytes] = []  # all of `_versions`, in order
+        self._keys: list[bytes] = []  # the keys of `_versions`, sorted
         self._history: dict[int, tuple[Event, ...]] = {}
         self._next_lease = 7_587_000_000_000_000_000
 
-    # --- reading
+    # --- reads
 
     def compacted_at(self, view: int) -> int:
-        """Up to which revision someone who knows what happened up to `view` has compacted; 0 for none."""
+        """Return the compacted revision as known at revision `view`; 0 if there is none."""
         return max((to for when, to in self._compactions if when <= view), default=0)
 
     @property
     def compacted(self) -> int:
-        """The revision of the last compaction; 0 for none."""
+        """The revision of the last compaction; 0 if there is none."""
         return self.compacted_at(self.revision)
 
     def get(self, key: bytes, view: int) -> KeyValue | None:
-        """The key as it was at a revision."""
+        """Return a key as of revision `view`, or None if it did not exist."""
         versions = self._versions.get(key, [])
-        at = bisect_right(versions, view, key=lambda kv: kv.modified)
-        return versions[at - 1] if at and versions[at - 1].version else None
+        position = bisect_right(versions, view, key=lambda kv: kv.modified)
+        return versions[position - 1] if position and versions[position - 1].version else None
 
-    def range(self, ask: Range, view: int | None = None) -> Found:
-        """Read, as someone who knows only what happened up to `view` does. Raises StoreError."""
-        if not ask.key:
-            raise no_key()
+    def range(self, request: Range, view: int | None = None) -> Found:
+        """Read a range as a member that has applied revisions up to `view`. Raises StoreError."""
+        if not request.key:
+            raise key_missing_error()
         view = self.revision if view is None else view
-        if ask.revision > view:
-            raise future()
-        if 0 < ask.revision < self.compacted_at(view) or view < self._dropped:
-            raise compacted()
-        at = ask.revision if ask.revision > 0 else view
-        if ask.end:
-            first = bisect_left(self._keys, ask.key)
-            last = len(self._keys) if ask.end == b"\0" else bisect_left(self._keys, ask.end)
-            found = [kv for key in self._keys[first:last] if (kv := self.get(key, at)) is not None]
+        if request.revision > view:
+            raise future_revision_error()
+        if 0 < request.revision < self.compacted_at(view) or view < self._dropped:
+            raise compacted_error()
+        read_revision = request.revision if request.revision > 0 else view
+        if request.end:
+            first = bisect_left(self._keys, request.key)
+            last = len(self._keys) if request.end == b"\0" else bisect_left(self._keys, request.end)
+            found = [kv for key in self._keys[first:last] if (kv := self.get(key, read_revision)) is not None]
         else:
-            found = [kv for kv in (self.get(ask.key, at),) if kv is not None]
+            found = [kv for kv in (self.get(request.key, read_revision),) if kv is not None]
         count = len(found)
-        if ask.count_only:
+        if request.count_only:
             return Found((), False, count)
-        if ask.descending:
+        if request.descending:
             found.reverse()
-        more = 0 < ask.limit < count
-        kvs = found[: ask.limit] if more else found
-        if ask.keys_only:
+        more = 0 < request.limit < count
+        kvs = found[: request.limit] if more else found
+        if request.keys_only:
             kvs = [KeyValue(kv.key, b"", kv.created, kv.modified, kv.version, kv.lease) for kv in kvs]
         return Found(tuple(kvs), more, count)
 
     def events(self, first: int, view: int, *, live: bool = False) -> Iterator[tuple[int, tuple[Event, ...]]]:
-        """What happened from revision `first` up to `view`, one revision at a time.
+        """Yield the events from revision `first` up to `view`, grouped by revision.
 
-        A delete at the very revision of a compaction is not among it (see above), but for who is told `live`:
-        a member that was behind does one thing after the other, and the compaction came later.
+        A delete at the compacted revision itself is left out (see the module docstring), except for `live`
+        watches: a lagging member applies changes in order, and the compaction came later.
         """
-        gone = 0 if live else self.compacted_at(view)
+        compacted_revision = 0 if live else self.compacted_at(view)
         for revision in range(max(first, 2), view + 1):
             events = self._history.get(revision, ())
-            if revision <= gone:
+            if revision <= compacted_revision:
                 events = tuple(event for event in events if not event.deleted)
             if events:
                 yield revision, events
 
-    # --- writing
+    # --- writes
 
     def put(self, key: bytes, value: bytes, lease: int = 0) -> int:
-        """Set one key; the new revision."""
+        """Set one key and return the new revision."""
         self.txn((), (Put(key, value, lease),), ())
         return self.revision
 
     def delete(self, key: bytes, end: bytes = b"") -> int:
-        """Delete a key or a range; how many there were. Where there was none, the revision stays."""
+        """Delete a key or range and return the number of keys; with none the revision stays the same."""
         _, (result,) = self.txn((), (Delete(key, end),), ())
         assert isinstance(result, Changed)
         return result.deleted
 
     def txn(
-        self, conditions: Sequence[Compare], then: Sequence[Op], otherwise: Sequence[Op]
+        self, conditions: Sequence[Compare], success_ops: Sequence[Op], failure_ops: Sequence[Op]
     ) -> tuple[bool, tuple[Result, ...]]:
-        """All of `then` where every condition holds, else all of `otherwise`, as one revision.
+        """Apply `success_ops` if every condition holds, else `failure_ops`, as one revision.
 
         Raises StoreError before anything is changed.
         """
-        for ops in (then, otherwise):
-            self._check(ops)
-        good = all(one.holds(self.get(one.key, self.revision)) for one in conditions)
-        ops = then if good else otherwise
+        for ops in (success_ops, failure_ops):
+            self._validate(ops)
+        succeeded = all(one.holds(self.get(one.key, self.revision)) for one in conditions)
+        ops = success_ops if succeeded else failure_ops
         for op in ops:
             if isinstance(op, Range) and op.revision > self.revision:
-                raise future()
+                raise future_revision_error()
             if isinstance(op, Range) and 0 < op.revision < self.compacted:
-                raise compacted()
+                raise compacted_error()
             if isinstance(op, Put) and op.lease and op.lease not in self.leases:
-                raise no_lease()
+                raise lease_not_found_error()
         events: list[Event] = []
         results = tuple(self._apply(op, events) for op in ops)
         self._commit(events)
-        return good, results
+        return succeeded, results
 
-    def _check(self, ops: Sequence[Op]) -> None:
-        if len(ops) > MAX_OPS:
-            raise StoreError("etcdserver: too many operations in txn request", INVALID)
+    def _validate(self, ops: Sequence[Op]) -> None:
+        if len(ops) > MAX_TXN_OPERATIONS:
+            raise StoreError("etcdserver: too many operations in txn request", INVALID_ARGUMENT)
         if any(not op.key for op in ops):
-            raise no_key()
+            raise key_missing_error()
         puts = [op for op in ops if isinstance(op, Put)]
-        if sum(len(op.key) + len(op.value) for op in puts) > MAX_BYTES:
-            raise StoreError("etcdserver: request is too large", INVALID)
+        if sum(len(op.key) + len(op.value) for op in puts) > MAX_REQUEST_BYTES:
+            raise StoreError("etcdserver: request is too large", INVALID_ARGUMENT)
         deletes = [op for op in ops if isinstance(op, Delete)]
         keys = {op.key for op in puts}
         if len(keys) < len(puts) or any(inside(key, op.key, op.end) for key in keys for op in deletes):
-            raise StoreError("etcdserver: duplicate key given in txn request", INVALID)
+            raise StoreError("etcdserver: duplicate key given in txn request", INVALID_ARGUMENT)
 
     def _apply(self, op: Op, events: list[Event]) -> Result:
-        """Do it at the next revision, which is not over until `_commit`."""
+        """Apply an operation at the next revision, which ends with `_commit`."""
         new = self.revision + 1
         if isinstance(op, Range):
             return self.range(op, new if events else self.revision)
@@ -337,10 +338,10 @@
             now = KeyValue(op.key, op.value, before.created if before else new, new, version, op.lease)
             self._set(now, before, events)
             return Changed((before,) if before else ())
-        gone = self.range(Range(op.key, op.end), new if events else self.revision).kvs
-        for kv in gone:
+        existing = self.range(Range(op.key, op.end), new if events else self.revision).kvs
+        for kv in existing:
             self._set(KeyValue(kv.key, b"", 0, new, 0), kv, events)
-        return Changed(gone, len(gone))
+        return Changed(existing, len(existing))
 
     def _set(self, now: KeyValue, before: KeyValue | None, events: list[Event]) -> None:
         if now.key not in self._versions:
@@ -359,17 +360,17 @@
             self._history[self.revision] = tuple(events)
 
     def compact(self, revision: int) -> None:
-        """Forget what was before a revision, but for what still held at it. Raises StoreError."""
+        """Compact the history before a revision, except versions live at it. Raises StoreError."""
         if revision > self.revision:
-            raise future()
+            raise future_revision_error()
         if revision <= self.compacted:
-            raise compacted()
+            raise compacted_error()
         self._compactions.append((self.revision, revision))
-        del self._compactions[:-100]  # of those that are below it, only who lags far behind still knows
-        self._drop(min(revision, self.revision - KEPT))
+        del self._compactions[:-100]  # older ones matter only to members that lag far behind
+        self._drop(min(revision, self.revision - LAGGING_READ_REVISIONS))
 
     def _drop(self, revision: int) -> None:
-        """Guards against a store that grows for ever: compacted and old enough, it is not kept for anyone."""
+        """Drop compacted history that is too old for any lagging member, which bounds memory."""
         if revision <= self._dropped:
             return
         for old in range(self._dropped, revision):
@@ -377,8 +378,8 @@
         self._dropped = revision
         for key in list(self._keys):
             versions = self._versions[key]
-            at = bisect_right(versions, revision, key=lambda kv: kv.modified)
-            keep = at - 1 if at and versions[at - 1].version else at
+            position = bisect_right(versions, revision, key=lambda kv: kv.modified)
+            keep = position - 1 if position and versions[position - 1].version else position
             del versions[:keep]
             if not versions:
                 del self._versions[key]
@@ -387,59 +388,59 @@
     # --- leases
 
     def grant(self, ttl_s: int, lease: int = 0) -> Lease:
-        """A new lease, under an id of one's own or the next. Raises StoreError."""
+        """Grant a lease under the given id or the next free one. Raises StoreError."""
         if ttl_s > MAX_TTL_S:
             raise StoreError("etcdserver: too large lease TTL", OUT_OF_RANGE)
         if lease in self.leases:
-            raise StoreError("etcdserver: lease already exists", PRECONDITION)
+            raise StoreError("etcdserver: lease already exists", FAILED_PRECONDITION)
         if not lease:
             self._next_lease += 2
             lease = self._next_lease
-        ttl_s = max(ttl_s, self.least_ttl_s)
+        ttl_s = max(ttl_s, self.min_ttl_s)
         self.leases[lease] = Lease(lease, ttl_s, self.now_ms() + 1000.0 * ttl_s)
         return self.leases[lease]
 
     def keep_alive(self, lease: int) -> int:
-        """Begin its time anew; its TTL in seconds, or 0 where there is no such lease."""
+        """Renew a lease and return its TTL in seconds, or 0 if it does not exist."""
         found = self.leases.get(lease)
         if found is None:
             return 0
-        found.ends_ms = self.now_ms() + 1000.0 * found.ttl_s
+        found.expires_ms = self.now_ms() + 1000.0 * found.ttl_s
         return found.ttl_s
 
     def revoke(self, lease: int) -> None:
-        """End a lease: its keys go in one revision, in key order. Raises StoreError."""
+        """Revoke a lease and delete its keys in one revision, in key order. Raises StoreError."""
         found = self.leases.pop(lease, None)
         if found is None:
-            raise no_lease()
+            raise lease_not_found_error()
         events: list[Event] = []
         for key in sorted(found.keys):
             self._apply(Delete(key), events)
         self._commit(events)
 
     def expire(self) -> list[int]:
-        """Revoke all leases whose time is over; their ids."""
+        """Revoke all expired leases and return their ids."""
         now = self.now_ms()
-        over = [lease.id for lease in self.leases.values() if lease.ends_ms <= now]
-        for lease in over:
+        expired = [lease.id for lease in self.leases.values() if lease.expires_ms <= now]
+        for lease in expired:
             self.revoke(lease)
-        return over
+        return expired
 
-    def next_end_ms(self) -> float | None:
-        """When the next lease ends, if no one keeps it alive."""
-        return min((lease.ends_ms for lease in self.leases.values()), default=None)
+    def next_expiry_ms(self) -> float | None:
+        """Return the time of the next lease expiry in ms, or None without leases."""
+        return min((lease.expires_ms for lease in self.leases.values()), default=None)
 
     # --- backups
 
     def backup(self) -> Backup:
-        """All of it, to be restored later."""
+        """Return a snapshot for `restore`."""
         leases = tuple((one.id, one.ttl_s, frozenset(one.keys)) for one in self.leases.values())
         versions = {key: tuple(kvs) for key, kvs in self._versions.items()}
         compactions = tuple(self._compactions)
         return Backup(self.revision, compactions, self._dropped, versions, dict(self._history), leases)
 
     def restore(self, backup: Backup) -> None:
-        """Be as at the backup: the revision goes back, what came after it never was; leases begin anew."""
+        """Return to a backup: later revisions are discarded and leases restart with their full TTL."""
         self.revision, self._dropped = backup.revision, backup.dropped
         self._compactions = list(backup.compactions)
         self._versions = {key: list(kvs) for key, kvs in backup.versions.items()}
