--- a/tests/net/test_components.py
+++ b/tests/net/test_components.py
@@ -142,14 +142,14 @@
         for _ in range(2):
             running.timeline_monitor = cast(Any, object())
             component.apply(settings)
-            move_task = component._moving
+            move_task = component._switch_task
             component.apply(settings)
-            assert component._moving is move_task, "nothing changed"
+            assert component._switch_task is move_task, "nothing changed"
             await move_task
             assert component._server.metrics.watch is running.timeline_monitor
         running.timeline_monitor = None
         component.apply(settings)
-        await component._moving
+        await component._switch_task
         assert component._server is None
         await component.close()
 
